--- a/bundle/check.go
+++ b/bundle/check.go
@@ -88,16 +88,16 @@
 }
 
 func (c *checker) unique(seen map[string]string, path, value string) {
-	if first, twice := seen[value]; twice {
+	if first, duplicate := seen[value]; duplicate {
 		c.add(path, fmt.Sprintf("%q, which stands at %s already", value, first), "each name once")
 		return
 	}
 	seen[value] = path
 }
 
-func (c *checker) length(path string, found, most int) {
-	if found < 1 || found > most {
-		c.add(path, fmt.Sprintf("%d items", found), fmt.Sprintf("1 to %d items", most))
+func (c *checker) length(path string, found, limit int) {
+	if found < 1 || found > limit {
+		c.add(path, fmt.Sprintf("%d items", found), fmt.Sprintf("1 to %d items", limit))
 	}
 }
 
@@ -124,10 +124,10 @@
 		c.length(path+".targets", len(s.Targets), maxTargets)
 		leaves := 0
 		for j, t := range s.Targets {
-			at := fmt.Sprintf("%s.targets[%d]", path, j)
-			c.target(at, t)
-			c.unique(targets, at+".name", t.Name)
-			c.unique(addresses, at+".address", t.Address)
+			targetPath := fmt.Sprintf("%s.targets[%d]", path, j)
+			c.target(targetPath, t)
+			c.unique(targets, targetPath+".name", t.Name)
+			c.unique(addresses, targetPath+".address", t.Address)
 			leaves += t.Leaves
 		}
 		// Each leaf holds at least one shard, so fewer shards than leaves only
--- a/bundle/key.go
+++ b/bundle/key.go
@@ -64,7 +64,7 @@
 			return nil, result.Errorf(result.BadSettings,
 				"operator_keys[%d]: found id %q and person %q, allowed is %s", i, k.ID, k.Person, nameRule)
 		}
-		if _, twice := ring.keys[k.ID]; twice {
+		if _, duplicate := ring.keys[k.ID]; duplicate {
 			return nil, result.Errorf(result.BadSettings, "operator_keys[%d].id: found %q twice, allowed is once", i, k.ID)
 		}
 		ring.keys[k.ID] = ringKey{PublicKey: k, bytes: raw}
--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -36,29 +36,29 @@
 
 // makeChange makes one change, or finds out what became of it if ask names an
 // operation of an earlier run.
-func (c *Client) makeChange(ctx context.Context, ask Request, w intent, next entryBuilder) (Entry, error) {
+func (c *Client) makeChange(ctx context.Context, req Request, want intent, buildEntry entryBuilder) (Entry, error) {
 	if c.opts.Key == nil {
 		return Entry{}, result.Errorf(result.BadSettings, "a change needs your private key; pass --key or make one with keygen")
 	}
-	if n := len(ask.Reason); n == 0 || n > MaxReasonBytes {
+	if n := len(req.Reason); n == 0 || n > MaxReasonBytes {
 		return Entry{}, result.Errorf(result.BadRequest, "reason: found %d bytes, allowed are 1 to %d", n, MaxReasonBytes)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
 	s, err := c.readState(ctx)
-	if ask.Op != "" {
-		return c.resumeChange(ctx, ask, w, s, err, next)
+	if req.Op != "" {
+		return c.resumeChange(ctx, req, want, s, err, buildEntry)
 	}
 	if err != nil {
 		return Entry{}, err
 	}
-	if ask.Op, err = NewOpID(s.revision() + 1); err != nil {
+	if req.Op, err = NewOpID(s.revision() + 1); err != nil {
 		return Entry{}, err
 	}
-	if ask.Expect != 0 && ask.Expect != s.revision() {
-		return Entry{Op: ask.Op}, unexpectedRevision(ask.Expect, s)
+	if req.Expect != 0 && req.Expect != s.revision() {
+		return Entry{Op: req.Op}, unexpectedRevision(req.Expect, s)
 	}
-	return c.commitChange(ctx, ask, w, s, next)
+	return c.commitChange(ctx, req, want, s, buildEntry)
 }
 
 // commitChange makes the change on top of the head as read. Its order of writes is
@@ -67,11 +67,11 @@
 // still the one read. An operator who stops in between leaves either nothing, a
 // kept entry that is still the head's, or a whole change; the next operator
 // goes on from any of these.
-func (c *Client) commitChange(ctx context.Context, ask Request, w intent, s headState, next entryBuilder) (Entry, error) {
-	entry, err := next(ctx, s.head, Change{
-		Op: ask.Op, Person: c.opts.Key.Person, Reason: ask.Reason, At: c.opts.Now().UTC(),
+func (c *Client) commitChange(ctx context.Context, req Request, want intent, s headState, buildEntry entryBuilder) (Entry, error) {
+	entry, err := buildEntry(ctx, s.head, Change{
+		Op: req.Op, Person: c.opts.Key.Person, Reason: req.Reason, At: c.opts.Now().UTC(),
 	})
-	if entry.Op = ask.Op; err != nil || ask.DryRun {
+	if entry.Op = req.Op; err != nil || req.DryRun {
 		return entry, err
 	}
 	if err := c.archiveEntry(ctx, s.head); err != nil {
@@ -80,40 +80,40 @@
 	if err := c.checkHeadNotReverted(ctx, s); err != nil {
 		return entry, err
 	}
-	landed, err := c.writeHead(ctx, s, entry)
+	accepted, err := c.writeHead(ctx, s, entry)
 	if err != nil {
 		return entry, err
 	}
-	c.archiveNow(ctx, landed)
-	return landed.Entry, w.checkMatches(landed)
+	c.archiveNow(ctx, accepted)
+	return accepted.Entry, want.checkMatches(accepted)
 }
 
 // resumeChange resolves an operation whose outcome was unknown. If it has not
 // landed and its turn has not passed, the operation goes on as if new: both
 // its writes expect the same version, so only one can take effect.
-func (c *Client) resumeChange(ctx context.Context, ask Request, w intent, s headState, readErr error, next entryBuilder) (Entry, error) {
-	revision, err := ask.Op.Revision()
+func (c *Client) resumeChange(ctx context.Context, req Request, want intent, s headState, readErr error, buildEntry entryBuilder) (Entry, error) {
+	revision, err := req.Op.Revision()
 	if err != nil {
 		return Entry{}, err
 	}
 	if readErr != nil {
-		return Entry{Op: ask.Op}, outcomeUnknown(ask.Op, readErr)
+		return Entry{Op: req.Op}, outcomeUnknown(req.Op, readErr)
 	}
-	outcome, landed, err := c.resolve(ctx, ask.Op, revision, s.head)
+	outcome, accepted, err := c.resolve(ctx, req.Op, revision, s.head)
 	switch {
 	case err != nil:
-		return Entry{Op: ask.Op}, outcomeUnknown(ask.Op, err)
+		return Entry{Op: req.Op}, outcomeUnknown(req.Op, err)
 	case outcome == OutcomeAccepted:
-		return landed.Entry, w.checkMatches(landed)
+		return accepted.Entry, want.checkMatches(accepted)
 	case outcome == OutcomeConflict:
-		return Entry{Op: ask.Op}, conflictError(landed, s.head)
+		return Entry{Op: req.Op}, conflictError(accepted, s.head)
 	case s.revision()+1 != revision:
-		return Entry{Op: ask.Op}, result.Errorf(result.BrokenAudit,
-			"operation %s is for revision %d and the head is at %d only; the store was set back", ask.Op, revision, s.revision())
+		return Entry{Op: req.Op}, result.Errorf(result.BrokenAudit,
+			"operation %s is for revision %d and the head is at %d only; the store was set back", req.Op, revision, s.revision())
 	}
-	e, err := c.commitChange(ctx, ask, w, s, next)
+	e, err := c.commitChange(ctx, req, want, s, buildEntry)
 	if err != nil {
-		err = outcomeUnknown(ask.Op, err)
+		err = outcomeUnknown(req.Op, err)
 	}
 	return e, err
 }
@@ -131,9 +131,9 @@
 
 // checkMatches tells an operator who asked again for another change than the one that
 // the operation made.
-func (w intent) checkMatches(landed *Head) error {
-	e := &landed.Entry
-	if e.Action == w.action && e.Subject() == w.digest {
+func (want intent) checkMatches(accepted *Head) error {
+	e := &accepted.Entry
+	if e.Action == want.action && e.Subject() == want.digest {
 		return nil
 	}
 	return result.Errorf(result.KeyReused, "operation %s is revision %d: %s of %s; leave --op out for another change", e.Op, e.Revision, e.Action, e.Subject())
@@ -145,24 +145,24 @@
 	if outcome != OutcomeNeedArchived {
 		return outcome, head, nil
 	}
-	kept, err := c.readArchived(ctx, revision)
+	archived, err := c.readArchived(ctx, revision)
 	if err != nil {
 		return outcome, nil, err
 	}
-	if kept == nil {
+	if archived == nil {
 		return outcome, nil, result.Errorf(result.BrokenAudit, "the head is at revision %d and revision %d is not kept", head.Entry.Revision, revision)
 	}
-	return Resolve(op, revision, head, kept), kept, nil
+	return Resolve(op, revision, head, archived), archived, nil
 }
 
 // conflictError tells what came first. now is the head, if it is known to be later.
-func conflictError(winner, now *Head) error {
+func conflictError(winner, latest *Head) error {
 	w := &winner.Entry
 	text := "revision %d came first: %s of %s by %s at %s, because %q"
 	args := []any{w.Revision, w.Action, w.Subject(), w.Person, w.At.Format("2006-01-02 15:04:05 MST"), w.Reason}
-	if now != nil && now.Entry.Revision > w.Revision {
+	if latest != nil && latest.Entry.Revision > w.Revision {
 		text += "; the head is at revision %d by now"
-		args = append(args, now.Entry.Revision)
+		args = append(args, latest.Entry.Revision)
 	}
 	return result.Errorf(result.Conflict, text+"; look at it with audit and decide anew", args...)
 }
@@ -203,8 +203,8 @@
 // It happens when the store was restored from an earlier copy: VMs would
 // ignore the new revision, since they have a higher one in force.
 func (c *Client) checkHeadNotReverted(ctx context.Context, s headState) error {
-	kept, err := c.readArchived(ctx, s.revision()+1)
-	if err != nil || kept == nil {
+	archived, err := c.readArchived(ctx, s.revision()+1)
+	if err != nil || archived == nil {
 		return err
 	}
 	// The head may have moved on since it was read; then the write will find out.
@@ -212,7 +212,7 @@
 	if err != nil || now.version != s.version {
 		return err
 	}
-	return result.Errorf(result.BrokenAudit, "the head is at revision %d, but revision %d is kept already; the store was set back", s.revision(), kept.Entry.Revision)
+	return result.Errorf(result.BrokenAudit, "the head is at revision %d, but revision %d is kept already; the store was set back", s.revision(), archived.Entry.Revision)
 }
 
 // writeHead replaces the head and returns what landed. A write whose answer was
@@ -231,9 +231,9 @@
 		case errors.Is(err, objstore.ErrBusy):
 		default:
 			maybeSent = true
-			landed, err := c.resolveWrite(ctx, e)
-			if landed != nil || err != nil {
-				return landed, err
+			accepted, err := c.resolveWrite(ctx, e)
+			if accepted != nil || err != nil {
+				return accepted, err
 			}
 		}
 		if ctx.Err() != nil {
@@ -260,16 +260,16 @@
 	if err != nil {
 		return nil, nil
 	}
-	outcome, landed, err := c.resolve(ctx, e.Op, e.Revision, now.head)
+	outcome, accepted, err := c.resolve(ctx, e.Op, e.Revision, now.head)
 	switch {
 	case result.Of(err) == result.BrokenAudit:
 		return nil, err
 	case err != nil || outcome == OutcomeOpen:
 		return nil, nil
 	case outcome == OutcomeAccepted:
-		return landed, nil
+		return accepted, nil
 	}
-	return nil, conflictError(landed, now.head)
+	return nil, conflictError(accepted, now.head)
 }
 
 // archiveNow keeps an accepted entry at once. If it fails, whoever advances the
--- a/rollout/audit.go
+++ b/rollout/audit.go
@@ -25,17 +25,17 @@
 	if err != nil {
 		return Audit{}, err
 	}
-	kept, err := c.readChain(ctx)
+	archived, err := c.readChain(ctx)
 	if err != nil {
 		return Audit{}, err
 	}
-	if s.head == nil && len(kept) > 0 {
+	if s.head == nil && len(archived) > 0 {
 		// The first rollout may have come between the two reads.
 		if s, err = c.readState(ctx); err != nil {
 			return Audit{}, err
 		}
 	}
-	chain, err := VerifyChain(s.head, kept)
+	chain, err := VerifyChain(s.head, archived)
 	if err != nil {
 		return Audit{}, err
 	}
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	kept := make([]*Head, 0, len(objects))
+	archived := make([]*Head, 0, len(objects))
 	for _, obj := range objects {
 		h, err := openHead(obj.Value, c.opts.Deployment, c.opts.Keys, true)
 		if err != nil {
@@ -61,27 +61,27 @@
 		if obj.Name != AuditName(c.opts.Deployment, h.Entry.Revision) {
 			return nil, result.Errorf(result.BrokenAudit, "entry %s holds revision %d", obj.Name, h.Entry.Revision)
 		}
-		kept = append(kept, h)
+		archived = append(archived, h)
 	}
-	return kept, nil
+	return archived, nil
 }
 
 // VerifyChain checks the kept entries, in order, against the head that was
 // read before them, and returns the chain up to the head. Entries past the head
 // were accepted since; they have to continue the chain too.
-func VerifyChain(head *Head, kept []*Head) ([]*Head, error) {
+func VerifyChain(head *Head, archived []*Head) ([]*Head, error) {
 	if head == nil {
-		if len(kept) > 0 {
-			return nil, result.Errorf(result.BrokenAudit, "%d entries are kept and there is no head", len(kept))
+		if len(archived) > 0 {
+			return nil, result.Errorf(result.BrokenAudit, "%d entries are kept and there is no head", len(archived))
 		}
 		return nil, nil
 	}
-	all := kept
-	if uint64(len(kept)) == head.Entry.Revision-1 {
-		all = append(append([]*Head{}, kept...), head)
+	all := archived
+	if uint64(len(archived)) == head.Entry.Revision-1 {
+		all = append(append([]*Head{}, archived...), head)
 	}
 	if uint64(len(all)) < head.Entry.Revision {
-		return nil, result.Errorf(result.BrokenAudit, "the head is at revision %d and %d entries are kept", head.Entry.Revision, len(kept))
+		return nil, result.Errorf(result.BrokenAudit, "the head is at revision %d and %d entries are kept", head.Entry.Revision, len(archived))
 	}
 	prev := ""
 	for i, h := range all {
--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -114,18 +114,18 @@
 	if err != nil {
 		return bundle.SignOff{}, err
 	}
-	off := bundle.SignOff{
+	signOff := bundle.SignOff{
 		Deployment: c.opts.Deployment, Digest: digest, Person: c.opts.Key.Person,
 		After: s.revision(), At: c.opts.Now().UTC(), Reason: reason,
 	}
-	if err := b.CheckSignOff(off, digest); err != nil {
-		return off, err
+	if err := b.CheckSignOff(signOff, digest); err != nil {
+		return signOff, err
 	}
-	signed := off.Sign(c.opts.Key)
+	signed := signOff.Sign(c.opts.Key)
 	if _, err := c.opts.Keys.OpenSignOff(signed); err != nil {
-		return off, err
+		return signOff, err
 	}
-	name := fmt.Sprintf("%s.%s.%020d", digest, c.opts.Key.ID, off.After)
+	name := fmt.Sprintf("%s.%s.%020d", digest, c.opts.Key.ID, signOff.After)
 	err = c.createOnce(ctx, KindSignOff, name, signed.Bytes(), func(existing []byte) bool {
 		old, err := bundle.ParseSigned(existing)
 		if err != nil {
@@ -134,7 +134,7 @@
 		_, err = c.opts.Keys.OpenSignOff(old)
 		return err == nil
 	})
-	return off, err
+	return signOff, err
 }
 
 // loadApproved reads the bundle and the newest sign-off that counts for it.
@@ -159,16 +159,16 @@
 			refused = err
 			continue
 		}
-		off, err := c.opts.Keys.OpenSignOff(signed)
+		signOff, err := c.opts.Keys.OpenSignOff(signed)
 		if err == nil {
-			err = b.CheckSignOff(off, digest)
+			err = b.CheckSignOff(signOff, digest)
 		}
 		if err != nil {
 			refused = err
 			continue
 		}
-		if !found || off.After >= best.After {
-			best.SignOff, best.After, found = signed, off.After, true
+		if !found || signOff.After >= best.After {
+			best.SignOff, best.After, found = signed, signOff.After, true
 		}
 	}
 	if !found {
@@ -178,21 +178,21 @@
 }
 
 // Rollout puts a bundle that was signed off into force.
-func (c *Client) Rollout(ctx context.Context, digest string, ask Request) (Entry, error) {
-	entry, err := c.makeChange(ctx, ask, intent{ActionRollout, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
-		b, err := c.loadApproved(ctx, digest)
+func (c *Client) Rollout(ctx context.Context, digest string, req Request) (Entry, error) {
+	entry, err := c.makeChange(ctx, req, intent{ActionRollout, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
+		approved, err := c.loadApproved(ctx, digest)
 		if err != nil {
 			return Entry{}, err
 		}
-		return NextRollout(c.opts.Deployment, head, change, b)
+		return NextRollout(c.opts.Deployment, head, change, approved)
 	})
-	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRollout, Digest: digest}, ask)
+	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRollout, Digest: digest}, req)
 }
 
 // Recall takes a bundle back as a whole. If it is in force, the latest bundle
 // that was in force before and was not recalled takes its place.
-func (c *Client) Recall(ctx context.Context, digest string, ask Request) (Entry, error) {
-	entry, err := c.makeChange(ctx, ask, intent{ActionRecall, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
+func (c *Client) Recall(ctx context.Context, digest string, req Request) (Entry, error) {
+	entry, err := c.makeChange(ctx, req, intent{ActionRecall, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
 		if head == nil || digest != head.Entry.Digest {
 			if _, err := c.readBundle(ctx, digest); err != nil {
 				return Entry{}, err
@@ -205,21 +205,21 @@
 		}
 		return NextRecall(head, change, digest, fallback)
 	})
-	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRecall, Digest: digest}, ask)
+	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRecall, Digest: digest}, req)
 }
 
 // findFallback finds the bundle that takes the place of a recalled one: the latest
 // that VMs would take. One signed off by a key retired since is passed over.
 func (c *Client) findFallback(ctx context.Context, head *Head, digest string) (*Approved, error) {
 	for _, past := range Fallbacks(head, digest) {
-		kept, err := c.readArchived(ctx, past.Revision)
+		archived, err := c.readArchived(ctx, past.Revision)
 		if err != nil {
 			return nil, err
 		}
-		if kept == nil {
+		if archived == nil {
 			return nil, result.Errorf(result.BrokenAudit, "revision %d is not kept", past.Revision)
 		}
-		off, err := c.opts.Keys.OpenSignOff(kept.Entry.SignOff)
+		signOff, err := c.opts.Keys.OpenSignOff(archived.Entry.SignOff)
 		if err != nil {
 			continue
 		}
@@ -229,7 +229,7 @@
 			}
 			continue
 		}
-		return &Approved{Digest: past.Digest, Name: kept.Entry.Name, SignOff: kept.Entry.SignOff, After: off.After}, nil
+		return &Approved{Digest: past.Digest, Name: archived.Entry.Name, SignOff: archived.Entry.SignOff, After: signOff.After}, nil
 	}
 	return nil, nil
 }
--- a/rollout/client.go
+++ b/rollout/client.go
@@ -61,8 +61,8 @@
 }
 
 func backoffWithJitter(ctx context.Context, try int) {
-	pause := min(minRetryDelay<<min(try, 10), maxRetryDelay)
-	timer := time.NewTimer(time.Duration(float64(pause) * (0.5 + rand.Float64())))
+	delay := min(minRetryDelay<<min(try, 10), maxRetryDelay)
+	timer := time.NewTimer(time.Duration(float64(delay) * (0.5 + rand.Float64())))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -98,13 +98,13 @@
 
 // openHead verifies raw as an entry of the deployment. With old set, retired
 // keys count too.
-func openHead(raw []byte, deployment string, keys *bundle.Keyring, old bool) (*Head, error) {
+func openHead(raw []byte, deployment string, keys *bundle.Keyring, allowRetired bool) (*Head, error) {
 	s, err := bundle.ParseSigned(raw)
 	if err != nil {
 		return nil, err
 	}
 	verify := keys.Verify
-	if old {
+	if allowRetired {
 		verify = keys.VerifyWithRetired
 	}
 	key, err := verify(s, bundle.PurposeEntry)
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -23,74 +23,74 @@
 // readLoop re-reads the head at an even pace, whatever watches say: a watch
 // that lost or withholds an event looks just like a platform where nothing
 // changed.
-func (k *Follower) readLoop() error {
-	k.startRead()
+func (f *Follower) readLoop() error {
+	f.startRead()
 	for {
-		timer := time.NewTimer(k.readDelay())
+		timer := time.NewTimer(f.readDelay())
 		select {
 		case <-timer.C:
-		case <-k.headChanged:
-		case <-k.modeChanged:
-		case <-k.tomb.Dying():
+		case <-f.headChanged:
+		case <-f.modeChanged:
+		case <-f.tomb.Dying():
 			timer.Stop()
 			return nil
 		}
 		timer.Stop()
-		k.startRead()
+		f.startRead()
 	}
 }
 
 // readDelay spreads the VMs' reads by a tenth either way.
-func (k *Follower) readDelay() time.Duration {
-	every := k.opts.IdleInterval
-	if k.watching.Load() {
-		every = k.opts.RereadInterval
+func (f *Follower) readDelay() time.Duration {
+	interval := f.opts.IdleInterval
+	if f.watching.Load() {
+		interval = f.opts.RereadInterval
 	}
-	return time.Duration(float64(every) * (0.9 + 0.2*rand.Float64()))
+	return time.Duration(float64(interval) * (0.9 + 0.2*rand.Float64()))
 }
 
-func (k *Follower) startRead() {
+func (f *Follower) startRead() {
 	select {
-	case k.readSlots <- struct{}{}:
+	case f.readSlots <- struct{}{}:
 	default:
-		k.metrics.readsSkipped.Inc()
+		f.metrics.readsSkipped.Inc()
 		return
 	}
-	k.tomb.Go(func() error {
-		defer func() { <-k.readSlots }()
-		k.readHead()
+	f.tomb.Go(func() error {
+		defer func() { <-f.readSlots }()
+		f.readHead()
 		return nil
 	})
 }
 
-func (k *Follower) readHead() {
-	ctx := k.tomb.Context(context.Background())
-	obj, err := k.get(ctx, KindHead, k.opts.Deployment)
+func (f *Follower) readHead() {
+	ctx := f.tomb.Context(context.Background())
+	obj, err := f.get(ctx, KindHead, f.opts.Deployment)
 	if err == nil || errors.Is(err, objstore.ErrNotFound) {
-		k.lastContact.Store(time.Now().UnixNano())
-		k.metrics.reads.Inc()
+		f.lastContact.Store(time.Now().UnixNano())
+		f.metrics.reads.Inc()
 	} else {
-		k.metrics.readsFailed.Inc()
+		f.metrics.readsFailed.Inc()
 	}
 	if err != nil {
-		k.opts.Log.Debug("head not read", "error", err)
+		f.opts.Log.Debug("head not read", "error", err)
 		return
 	}
-	if err := k.applyHead(ctx, obj.Value, k.fetchBundle); err != nil {
-		k.opts.Log.Debug("head not taken", "error", err)
+	if err := f.applyHead(ctx, obj.Value, f.fetchBundle); err != nil {
+		f.opts.Log.Debug("head not taken", "error", err)
 	}
 }
 
 // get bounds each call by itself: on a platform that takes long for each, a
 // bound on head and bundle together would never let a bundle through.
-func (k *Follower) get(ctx context.Context, kind, name string) (objstore.Object, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.opts.ReadTimeout)
+func (f *Follower) get(ctx context.Context, kind, name string) (objstore.Object, error) {
+	ctx, cancel := context.WithTimeout(ctx, f.opts.ReadTimeout)
 	defer cancel()
-	return k.opts.Store.Get(ctx, kind, name)
+	return f.opts.Store.Get(ctx, kind, name)
 }
 
-func (k *Follower) fetchBundle(ctx context.Context, digest string) ([]byte, error) {
-	obj, err := k.get(ctx, KindBundle, digest)
+func (f *Follower) fetchBundle(ctx context.Context, digest string) ([]byte, error) {
+	obj, err := f.get(ctx, KindBundle, digest)
 	if errors.Is(err, objstore.ErrNotFound) {
 		return nil, result.Wrap(result.NotFound, err, "bundle "+digest)
 	}
@@ -101,48 +101,48 @@
 }
 
 // watchLoop waits on the platform for hints that the head changed.
-func (k *Follower) watchLoop() error {
+func (f *Follower) watchLoop() error {
 	var since uint64
-	pause := minWatchRetryDelay
-	for k.tomb.Alive() {
-		if !k.watching.Load() {
-			if !k.sleep(k.opts.RereadInterval) {
+	delay := minWatchRetryDelay
+	for f.tomb.Alive() {
+		if !f.watching.Load() {
+			if !f.sleep(f.opts.RereadInterval) {
 				return nil
 			}
 			continue
 		}
-		begin := time.Now()
-		change, err := k.watch(since)
+		start := time.Now()
+		change, err := f.watch(since)
 		// After a failure the next watch starts from the beginning, in case
 		// the store was set back to an earlier revision meanwhile.
 		since = change.Revision
 		// A platform that answers at once without news must not be asked in a
 		// tight loop.
-		if err != nil || len(change.Events) == 0 && time.Since(begin) < minWatchRetryDelay {
-			if !k.sleep(pause) {
+		if err != nil || len(change.Events) == 0 && time.Since(start) < minWatchRetryDelay {
+			if !f.sleep(delay) {
 				return nil
 			}
-			pause = min(2*pause, maxWatchRetryDelay)
+			delay = min(2*delay, maxWatchRetryDelay)
 			continue
 		}
-		pause = minWatchRetryDelay
-		if k.affectsHead(change) {
-			wake(k.headChanged)
+		delay = minWatchRetryDelay
+		if f.affectsHead(change) {
+			wake(f.headChanged)
 		}
 	}
 	return nil
 }
 
-func (k *Follower) watch(since uint64) (objstore.Change, error) {
-	ctx, cancel := context.WithTimeout(k.tomb.Context(context.Background()), k.opts.WatchTimeout)
+func (f *Follower) watch(since uint64) (objstore.Change, error) {
+	ctx, cancel := context.WithTimeout(f.tomb.Context(context.Background()), f.opts.WatchTimeout)
 	defer cancel()
-	k.metrics.watches.Inc()
-	return k.opts.Store.Watch(ctx, KindHead, since)
+	f.metrics.watches.Inc()
+	return f.opts.Store.Watch(ctx, KindHead, since)
 }
 
-func (k *Follower) affectsHead(change objstore.Change) bool {
+func (f *Follower) affectsHead(change objstore.Change) bool {
 	for _, e := range change.Events {
-		if e.Name == k.opts.Deployment {
+		if e.Name == f.opts.Deployment {
 			return true
 		}
 	}
@@ -150,13 +150,13 @@
 }
 
 // sleep waits for d and tells whether the keeper is still alive.
-func (k *Follower) sleep(d time.Duration) bool {
+func (f *Follower) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-k.tomb.Dying():
+	case <-f.tomb.Dying():
 		return false
 	}
 }
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -95,59 +95,59 @@
 
 // NewFollower returns a keeper that has nothing in force yet.
 func NewFollower(opts Options) *Follower {
-	k := &Follower{
+	f := &Follower{
 		opts:        opts.withDefaults(),
 		modeChanged: make(chan struct{}, 1),
 		headChanged: make(chan struct{}, 1),
 		readSlots:   make(chan struct{}, maxConcurrentReads),
 		changed:     make(chan struct{}),
 	}
-	k.metrics = newFollowerMetrics(opts.Metrics, func() float64 { return float64(k.Revision()) })
-	k.watching.Store(opts.Watch)
-	return k
+	f.metrics = newFollowerMetrics(opts.Metrics, func() float64 { return float64(f.Revision()) })
+	f.watching.Store(opts.Watch)
+	return f
 }
 
 // Start begins to follow the platform.
-func (k *Follower) Start() {
-	k.tomb.Go(func() error {
-		k.tomb.Go(k.readLoop)
-		k.tomb.Go(k.watchLoop)
+func (f *Follower) Start() {
+	f.tomb.Go(func() error {
+		f.tomb.Go(f.readLoop)
+		f.tomb.Go(f.watchLoop)
 		return nil
 	})
 }
 
 // Stop ends the keeper and waits for its goroutines, at most until ctx ends.
-func (k *Follower) Stop(ctx context.Context) error {
-	k.tomb.Kill(nil)
+func (f *Follower) Stop(ctx context.Context) error {
+	f.tomb.Kill(nil)
 	select {
-	case <-k.tomb.Dead():
-		return k.tomb.Err()
+	case <-f.tomb.Dead():
+		return f.tomb.Err()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
 // Current returns what is in force, or nil before the first.
-func (k *Follower) Current() *InForce { return k.current.Load() }
+func (f *Follower) Current() *InForce { return f.current.Load() }
 
 // Revision returns the revision in force, or 0 before the first.
-func (k *Follower) Revision() uint64 {
-	if cur := k.Current(); cur != nil {
+func (f *Follower) Revision() uint64 {
+	if cur := f.Current(); cur != nil {
 		return cur.Revision
 	}
 	return 0
 }
 
 // Changed returns a channel that is closed when something else comes into force.
-func (k *Follower) Changed() <-chan struct{} {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.changed
+func (f *Follower) Changed() <-chan struct{} {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.changed
 }
 
 // PlatformContact returns when the platform last answered a read of the head.
-func (k *Follower) PlatformContact() time.Time {
-	ns := k.lastContact.Load()
+func (f *Follower) PlatformContact() time.Time {
+	ns := f.lastContact.Load()
 	if ns == 0 {
 		return time.Time{}
 	}
@@ -155,8 +155,8 @@
 }
 
 // Head returns the signed head in force, for peers, or nil before the first.
-func (k *Follower) Head() []byte {
-	if cur := k.Current(); cur != nil {
+func (f *Follower) Head() []byte {
+	if cur := f.Current(); cur != nil {
 		return cur.head.Signed.Bytes()
 	}
 	return nil
@@ -164,8 +164,8 @@
 
 // RawBundle returns the packaged bundle of that digest if it is in force here
 // or was just before. Its receiver verifies it by itself.
-func (k *Follower) RawBundle(digest string) ([]byte, bool) {
-	for _, held := range []*InForce{k.current.Load(), k.previous.Load()} {
+func (f *Follower) RawBundle(digest string) ([]byte, bool) {
+	for _, held := range []*InForce{f.current.Load(), f.previous.Load()} {
 		if held != nil && held.Digest == digest {
 			return held.raw, true
 		}
@@ -174,16 +174,16 @@
 }
 
 // LastRefusal returns why the last head that was offered is not in force, or nil.
-func (k *Follower) LastRefusal() error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lastRefused.err
+func (f *Follower) LastRefusal() error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.lastRefused.err
 }
 
 // SetWatching chooses between watching the platform and relying on peers.
-func (k *Follower) SetWatching(on bool) {
-	if k.watching.Swap(on) != on {
-		wake(k.modeChanged)
+func (f *Follower) SetWatching(on bool) {
+	if f.watching.Swap(on) != on {
+		wake(f.modeChanged)
 	}
 }
 
@@ -200,17 +200,17 @@
 // OfferHead takes a head that a peer handed over if it is higher than the one
 // in force, and fetches its bundle. It verifies as for the platform's, so a
 // peer can neither forge nor set back. A lower one is refused with StaleExchange.
-func (k *Follower) OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error {
-	return k.applyHead(ctx, raw, fetch)
+func (f *Follower) OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error {
+	return f.applyHead(ctx, raw, fetch)
 }
 
-func (k *Follower) applyHead(ctx context.Context, raw []byte, fetch FetchFunc) error {
-	h, err := openHead(raw, k.opts.Deployment, k.opts.Keys, false)
+func (f *Follower) applyHead(ctx context.Context, raw []byte, fetch FetchFunc) error {
+	h, err := openHead(raw, f.opts.Deployment, f.opts.Keys, false)
 	if err != nil {
-		k.recordRefusal(bundle.Digest(raw), err)
+		f.recordRefusal(bundle.Digest(raw), err)
 		return err
 	}
-	cur := k.Current()
+	cur := f.Current()
 	switch CompareHeads(cur.headOrNil(), h) {
 	case HeadSame:
 		return nil
@@ -218,15 +218,15 @@
 		return result.Errorf(result.StaleExchange, "revision %d was offered, %d is in force", h.Entry.Revision, cur.Revision)
 	case HeadFork:
 		err := result.Errorf(result.BrokenAudit, "revision %d was offered with another content than the one in force", h.Entry.Revision)
-		k.recordRefusal(h.Hash, err)
+		f.recordRefusal(h.Hash, err)
 		return err
 	}
-	next, err := k.loadInForce(ctx, h, fetch)
+	next, err := f.loadInForce(ctx, h, fetch)
 	if err != nil {
-		k.recordRefusal(h.Hash, err)
+		f.recordRefusal(h.Hash, err)
 		return err
 	}
-	k.install(next)
+	f.install(next)
 	return nil
 }
 
@@ -238,16 +238,16 @@
 }
 
 // loadInForce gets and verifies what h puts into force.
-func (k *Follower) loadInForce(ctx context.Context, h *Head, fetch FetchFunc) (*InForce, error) {
+func (f *Follower) loadInForce(ctx context.Context, h *Head, fetch FetchFunc) (*InForce, error) {
 	digest := h.Entry.Digest
-	raw, held := k.RawBundle(digest)
+	raw, held := f.RawBundle(digest)
 	if !held {
 		var err error
 		if raw, err = fetch(ctx, digest); err != nil {
 			return nil, err
 		}
 	}
-	b, err := verifyInForce(k.opts.Keys, h, raw)
+	b, err := verifyInForce(f.opts.Keys, h, raw)
 	if err != nil {
 		return nil, err
 	}
@@ -265,44 +265,44 @@
 	if b.Deployment != h.Entry.Deployment {
 		return nil, result.Errorf(result.BadBundle, "$.deployment: found %q, allowed is %q", b.Deployment, h.Entry.Deployment)
 	}
-	off, err := keys.OpenSignOff(h.Entry.SignOff)
+	signOff, err := keys.OpenSignOff(h.Entry.SignOff)
 	if err != nil {
 		return nil, err
 	}
-	if err := b.CheckSignOff(off, h.Entry.Digest); err != nil {
+	if err := b.CheckSignOff(signOff, h.Entry.Digest); err != nil {
 		return nil, err
 	}
-	return b, CheckRecalls(&h.Entry, off.After)
+	return b, CheckRecalls(&h.Entry, signOff.After)
 }
 
 // install puts next into force unless something at least as high came first:
 // two offers may load their bundles at the same time and finish in any order.
-func (k *Follower) install(next *InForce) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	was := k.current.Load()
-	if CompareHeads(was.headOrNil(), next.head) != HeadNewer {
+func (f *Follower) install(next *InForce) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	previous := f.current.Load()
+	if CompareHeads(previous.headOrNil(), next.head) != HeadNewer {
 		return
 	}
-	if was != nil && was.Digest != next.Digest {
-		k.previous.Store(was)
+	if previous != nil && previous.Digest != next.Digest {
+		f.previous.Store(previous)
 	}
 	next.Since = time.Now()
-	k.current.Store(next)
-	k.lastRefused = refusedHead{}
-	k.metrics.changes.Inc()
-	close(k.changed)
-	k.changed = make(chan struct{})
-	k.opts.Log.Info("bundle in force", "revision", next.Revision, "digest", next.Digest, "name", next.Bundle.Name)
+	f.current.Store(next)
+	f.lastRefused = refusedHead{}
+	f.metrics.changes.Inc()
+	close(f.changed)
+	f.changed = make(chan struct{})
+	f.opts.Log.Info("bundle in force", "revision", next.Revision, "digest", next.Digest, "name", next.Bundle.Name)
 }
 
-func (k *Follower) recordRefusal(hash string, err error) {
-	k.metrics.countRefused(result.Of(err))
-	k.mu.Lock()
-	known := k.lastRefused.hash == hash && k.lastRefused.err.Error() == err.Error()
-	k.lastRefused = refusedHead{hash: hash, err: err}
-	k.mu.Unlock()
-	if !known {
-		k.opts.Log.Error("head refused, the bundle in force stays", "revision", k.Revision(), "error", err)
+func (f *Follower) recordRefusal(hash string, err error) {
+	f.metrics.countRefused(result.Of(err))
+	f.mu.Lock()
+	logged := f.lastRefused.hash == hash && f.lastRefused.err.Error() == err.Error()
+	f.lastRefused = refusedHead{hash: hash, err: err}
+	f.mu.Unlock()
+	if !logged {
+		f.opts.Log.Error("head refused, the bundle in force stays", "revision", f.Revision(), "error", err)
 	}
 }
--- a/rollout/keeper_test.go
+++ b/rollout/keeper_test.go
@@ -25,29 +25,29 @@
 }
 
 // rollOutAll rolls digests out in order and returns the signed heads.
-func (o *testEnv) rollOutAll(digests ...string) [][]byte {
-	o.t.Helper()
+func (env *testEnv) rollOutAll(digests ...string) [][]byte {
+	env.t.Helper()
 	var heads [][]byte
 	for _, d := range digests {
-		if _, err := o.client("asta", o.store).Rollout(context.Background(), d, Request{Reason: "test"}); err != nil {
-			o.t.Fatal(err)
+		if _, err := env.client("asta", env.store).Rollout(context.Background(), d, Request{Reason: "test"}); err != nil {
+			env.t.Fatal(err)
 		}
-		heads = append(heads, o.head().Value)
+		heads = append(heads, env.head().Value)
 	}
 	return heads
 }
 
-func (o *testEnv) head() objstore.Object {
-	o.t.Helper()
-	obj, err := o.store.Get(context.Background(), KindHead, "vatnsleit")
+func (env *testEnv) head() objstore.Object {
+	env.t.Helper()
+	obj, err := env.store.Get(context.Background(), KindHead, "vatnsleit")
 	if err != nil {
-		o.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	return obj
 }
 
-// fetch reads packaged bundles around all faults, as from a peer.
-func (o *testEnv) fetch(packages map[string][]byte) FetchFunc {
+// fetchFrom reads packaged bundles around all faults, as from a peer.
+func (env *testEnv) fetchFrom(packages map[string][]byte) FetchFunc {
 	return func(_ context.Context, digest string) ([]byte, error) {
 		if raw, ok := packages[digest]; ok {
 			return raw, nil
@@ -56,15 +56,15 @@
 	}
 }
 
-func (o *testEnv) packages(versions ...int) map[string][]byte {
-	o.t.Helper()
+func (env *testEnv) packages(versions ...int) map[string][]byte {
+	env.t.Helper()
 	all := map[string][]byte{}
 	for _, n := range versions {
-		signed, err := bundle.Package(o.version(n), o.priv["sigrun"])
+		signed, err := bundle.Package(env.bundleVersion(n), env.priv["sigrun"])
 		if err != nil {
-			o.t.Fatal(err)
+			env.t.Fatal(err)
 		}
-		all[bundle.Digest(o.version(n))] = signed.Bytes()
+		all[bundle.Digest(env.bundleVersion(n))] = signed.Bytes()
 	}
 	return all
 }
@@ -75,26 +75,26 @@
 func TestLateBundleDoesNotReplaceNewerOne(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	o := newTestEnv(t)
-	heads := o.rollOutAll(o.pushSignedOff(1), o.pushSignedOff(2), o.pushSignedOff(3))
-	k := NewFollower(Options{Deployment: "vatnsleit", Keys: o.keys, Store: o.store})
-	all := o.fetch(o.packages(1, 2, 3))
+	env := newTestEnv(t)
+	heads := env.rollOutAll(env.pushSignedOff(1), env.pushSignedOff(2), env.pushSignedOff(3))
+	f := NewFollower(Options{Deployment: "vatnsleit", Keys: env.keys, Store: env.store})
+	all := env.fetchFrom(env.packages(1, 2, 3))
 	started, finish := make(chan struct{}), make(chan struct{})
 	slow := make(chan error)
 	go func() {
-		slow <- k.OfferHead(ctx, heads[1], func(ctx context.Context, digest string) ([]byte, error) {
+		slow <- f.OfferHead(ctx, heads[1], func(ctx context.Context, digest string) ([]byte, error) {
 			close(started)
 			<-finish
 			return all(ctx, digest)
 		})
 	}()
 	<-started
-	g.Expect(k.OfferHead(ctx, heads[2], all)).To(Succeed())
+	g.Expect(f.OfferHead(ctx, heads[2], all)).To(Succeed())
 	close(finish)
 	g.Expect(<-slow).To(Succeed())
-	g.Expect(k.Revision()).To(Equal(uint64(3)))
-	g.Expect(result.Of(k.OfferHead(ctx, heads[0], all))).To(Equal(result.StaleExchange))
-	g.Expect(k.Revision()).To(Equal(uint64(3)))
+	g.Expect(f.Revision()).To(Equal(uint64(3)))
+	g.Expect(result.Of(f.OfferHead(ctx, heads[0], all))).To(Equal(result.StaleExchange))
+	g.Expect(f.Revision()).To(Equal(uint64(3)))
 }
 
 // The platform answers from a copy that lags, or its store is restored from an
@@ -102,27 +102,27 @@
 // would see VMs go back, or two VMs with different bundles under one revision.
 func TestRevertedStoreDoesNotDowngradeVMs(t *testing.T) {
 	g := NewWithT(t)
-	o := newTestEnv(t)
-	o.rollOutAll(o.pushSignedOff(1))
-	old := o.head()
-	store := &staleStore{Store: o.store}
-	k := o.follower(store)
-	o.rollOutAll(o.pushSignedOff(2))
-	g.Eventually(k.Revision, eventTimeout).Should(Equal(uint64(2)))
-	inForce := k.Current()
+	env := newTestEnv(t)
+	env.rollOutAll(env.pushSignedOff(1))
+	old := env.head()
+	store := &staleStore{Store: env.store}
+	f := env.follower(store)
+	env.rollOutAll(env.pushSignedOff(2))
+	g.Eventually(f.Revision, eventTimeout).Should(Equal(uint64(2)))
+	inForce := f.Current()
 
 	store.setHead(&old)
-	read := k.PlatformContact()
-	g.Eventually(func() bool { return k.PlatformContact().After(read.Add(30 * time.Millisecond)) }, eventTimeout).Should(BeTrue())
-	g.Expect(k.Current()).To(BeIdenticalTo(inForce))
+	read := f.PlatformContact()
+	g.Eventually(func() bool { return f.PlatformContact().After(read.Add(30 * time.Millisecond)) }, eventTimeout).Should(BeTrue())
+	g.Expect(f.Current()).To(BeIdenticalTo(inForce))
 
 	other := newTestEnv(t)
-	other.keys, other.priv = o.keys, o.priv
+	other.keys, other.priv = env.keys, env.priv
 	other.rollOutAll(other.pushSignedOff(3), other.pushSignedOff(4))
 	fork := other.head()
 	store.setHead(&fork)
-	g.Eventually(func() result.Code { return result.Of(k.LastRefusal()) }, eventTimeout).Should(Equal(result.BrokenAudit))
-	g.Expect(k.Current()).To(BeIdenticalTo(inForce))
+	g.Eventually(func() result.Code { return result.Of(f.LastRefusal()) }, eventTimeout).Should(Equal(result.BrokenAudit))
+	g.Expect(f.Current()).To(BeIdenticalTo(inForce))
 }
 
 // Operators build on a restored store whose chain is past its head. What they
@@ -130,26 +130,26 @@
 // they must be told instead of "accepted".
 func TestRolloutOnRevertedStoreIsRefused(t *testing.T) {
 	g := NewWithT(t)
-	o := newTestEnv(t)
-	first, second := o.pushSignedOff(1), o.pushSignedOff(2)
-	o.rollOutAll(first)
-	old := o.head()
-	o.rollOutAll(second)
-	now := o.head()
-	_, err := o.store.Put(context.Background(), KindHead, "vatnsleit", now.Version, old.Value)
+	env := newTestEnv(t)
+	first, second := env.pushSignedOff(1), env.pushSignedOff(2)
+	env.rollOutAll(first)
+	old := env.head()
+	env.rollOutAll(second)
+	now := env.head()
+	_, err := env.store.Put(context.Background(), KindHead, "vatnsleit", now.Version, old.Value)
 	g.Expect(err).NotTo(HaveOccurred())
-	asta := o.client("asta", o.store)
+	asta := env.client("asta", env.store)
 	_, err = asta.Rollout(context.Background(), second, Request{Reason: "again"})
 	g.Expect(result.Of(err)).To(Equal(result.BrokenAudit))
 
-	version := o.head().Version
-	_, err = o.store.Put(context.Background(), KindHead, "vatnsleit", version, []byte("{}"))
+	version := env.head().Version
+	_, err = env.store.Put(context.Background(), KindHead, "vatnsleit", version, []byte("{}"))
 	g.Expect(err).NotTo(HaveOccurred(), "overwritten with what is no head")
 	for range 2 {
 		restored, err := asta.RestoreHead(context.Background())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(restored.Revision).To(Equal(uint64(2)))
-		g.Expect(o.head().Value).To(Equal(now.Value))
+		g.Expect(env.head().Value).To(Equal(now.Value))
 	}
 	e, err := asta.Rollout(context.Background(), second, Request{Reason: "again"})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -161,10 +161,10 @@
 // recalled, or that is no bundle at all. A user would see a bundle in force
 // that nobody vouched for. The old one must stay, and the VM must say why.
 func TestVMRejectsInvalidHeadsAndBundles(t *testing.T) {
-	o := newTestEnv(t)
-	digest := o.pushSignedOff(1)
-	head := o.rollOutAll(digest)[0]
-	next, bytesOf := bundle.Digest(o.version(2)), o.packages(1, 2)
+	env := newTestEnv(t)
+	digest := env.pushSignedOff(1)
+	head := env.rollOutAll(digest)[0]
+	next, bytesOf := bundle.Digest(env.bundleVersion(2)), env.packages(1, 2)
 	stranger, err := bundle.NewPrivateKey("eve-1", "eve")
 	if err != nil {
 		t.Fatal(err)
@@ -172,18 +172,18 @@
 	good := bundle.SignOff{Deployment: "vatnsleit", Digest: next, Person: "jon", After: 1}
 	bySelf, byOther := good, good
 	bySelf.Person, byOther.Deployment = "sigrun", "pletenica"
-	changed := good.Sign(o.priv["jon"])
+	changed := good.Sign(env.priv["jon"])
 	changed.Payload = []byte(strings.Replace(string(changed.Payload), `"after":1`, `"after":9`, 1))
 	entry := Entry{
 		Deployment: "vatnsleit", Revision: 2, Action: ActionRollout, Digest: next,
-		Person: "asta", SignOff: good.Sign(o.priv["jon"]),
+		Person: "asta", SignOff: good.Sign(env.priv["jon"]),
 	}
-	with := func(edit func(e *Entry)) Entry {
+	edited := func(edit func(e *Entry)) Entry {
 		e := entry
 		edit(&e)
 		return e
 	}
-	notJSON := bundle.Sign(bundle.PurposeBundle, []byte("{"), o.priv["sigrun"])
+	notJSON := bundle.Sign(bundle.PurposeBundle, []byte("{"), env.priv["sigrun"])
 	cases := []struct {
 		name  string
 		entry Entry
@@ -191,32 +191,32 @@
 		raw   []byte
 		code  result.Code
 	}{
-		{"good", entry, o.priv["asta"], bytesOf[next], result.Complete},
+		{"good", entry, env.priv["asta"], bytesOf[next], result.Complete},
 		{"entry by an unknown key", entry, stranger, bytesOf[next], result.UnknownKey},
-		{"entry by a retired key", with(func(e *Entry) { e.Person = "olaf" }), o.priv["olaf"], bytesOf[next], result.UnknownKey},
-		{"entry in another's name", entry, o.priv["jon"], bytesOf[next], result.NotSigned},
-		{"another deployment", with(func(e *Entry) { e.Deployment = "pletenica" }), o.priv["asta"], bytesOf[next], result.NotSigned},
-		{"no sign-off", with(func(e *Entry) { e.SignOff = bundle.Signed{} }), o.priv["asta"], bytesOf[next], result.NotSigned},
-		{"sign-off by the author", with(func(e *Entry) { e.SignOff = bySelf.Sign(o.priv["sigrun"]) }), o.priv["asta"], bytesOf[next], result.SelfSigned},
-		{"sign-off for elsewhere", with(func(e *Entry) { e.SignOff = byOther.Sign(o.priv["jon"]) }), o.priv["asta"], bytesOf[next], result.NotSigned},
-		{"sign-off changed", with(func(e *Entry) { e.SignOff = changed }), o.priv["asta"], bytesOf[next], result.NotSigned},
-		{"sign-off by a retired key", with(func(e *Entry) { e.SignOff = good.Sign(o.priv["olaf"]) }), o.priv["asta"], bytesOf[next], result.UnknownKey},
-		{"recalled since", with(func(e *Entry) { e.Recalls = []Recall{{Digest: next, Revision: 2}} }), o.priv["asta"], bytesOf[next], result.Recalled},
-		{"recalls forgotten since", with(func(e *Entry) { e.RecallFloor = 2 }), o.priv["asta"], bytesOf[next], result.Recalled},
-		{"other bytes than signed", entry, o.priv["asta"], bytesOf[digest], result.NotSigned},
-		{"malformed", with(func(e *Entry) { e.Digest = bundle.Digest([]byte("{")) }), o.priv["asta"], notJSON.Bytes(), result.BadBundle},
-		{"too large", entry, o.priv["asta"], make([]byte, objstore.MaxValue+1), result.BundleTooLarge},
+		{"entry by a retired key", edited(func(e *Entry) { e.Person = "olaf" }), env.priv["olaf"], bytesOf[next], result.UnknownKey},
+		{"entry in another's name", entry, env.priv["jon"], bytesOf[next], result.NotSigned},
+		{"another deployment", edited(func(e *Entry) { e.Deployment = "pletenica" }), env.priv["asta"], bytesOf[next], result.NotSigned},
+		{"no sign-off", edited(func(e *Entry) { e.SignOff = bundle.Signed{} }), env.priv["asta"], bytesOf[next], result.NotSigned},
+		{"sign-off by the author", edited(func(e *Entry) { e.SignOff = bySelf.Sign(env.priv["sigrun"]) }), env.priv["asta"], bytesOf[next], result.SelfSigned},
+		{"sign-off for elsewhere", edited(func(e *Entry) { e.SignOff = byOther.Sign(env.priv["jon"]) }), env.priv["asta"], bytesOf[next], result.NotSigned},
+		{"sign-off changed", edited(func(e *Entry) { e.SignOff = changed }), env.priv["asta"], bytesOf[next], result.NotSigned},
+		{"sign-off by a retired key", edited(func(e *Entry) { e.SignOff = good.Sign(env.priv["olaf"]) }), env.priv["asta"], bytesOf[next], result.UnknownKey},
+		{"recalled since", edited(func(e *Entry) { e.Recalls = []Recall{{Digest: next, Revision: 2}} }), env.priv["asta"], bytesOf[next], result.Recalled},
+		{"recalls forgotten since", edited(func(e *Entry) { e.RecallFloor = 2 }), env.priv["asta"], bytesOf[next], result.Recalled},
+		{"other bytes than signed", entry, env.priv["asta"], bytesOf[digest], result.NotSigned},
+		{"malformed", edited(func(e *Entry) { e.Digest = bundle.Digest([]byte("{")) }), env.priv["asta"], notJSON.Bytes(), result.BadBundle},
+		{"too large", entry, env.priv["asta"], make([]byte, objstore.MaxValue+1), result.BundleTooLarge},
 	}
 	for _, c := range cases {
 		g := NewWithT(t)
-		k := NewFollower(Options{Deployment: "vatnsleit", Keys: o.keys, Store: o.store})
-		g.Expect(k.OfferHead(context.Background(), head, o.fetch(bytesOf))).To(Succeed())
+		f := NewFollower(Options{Deployment: "vatnsleit", Keys: env.keys, Store: env.store})
+		g.Expect(f.OfferHead(context.Background(), head, env.fetchFrom(bytesOf))).To(Succeed())
 		fetch := func(context.Context, string) ([]byte, error) { return c.raw, nil }
-		err := k.OfferHead(context.Background(), signEntry(c.entry, c.key).Bytes(), fetch)
+		err := f.OfferHead(context.Background(), signEntry(c.entry, c.key).Bytes(), fetch)
 		g.Expect(result.Of(err)).To(Equal(c.code), c.name)
 		if c.code != result.Complete {
-			g.Expect(k.Revision()).To(Equal(uint64(1)), c.name)
-			g.Expect(result.Of(k.LastRefusal())).To(Equal(c.code), c.name)
+			g.Expect(f.Revision()).To(Equal(uint64(1)), c.name)
+			g.Expect(result.Of(f.LastRefusal())).To(Equal(c.code), c.name)
 		}
 	}
 }
@@ -231,14 +231,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			o := newTestEnv(t)
-			first, second := o.pushSignedOff(1), o.pushSignedOff(2)
-			o.rollOutAll(first)
-			k := o.followerWith(Options{Store: o.store, Watch: true, RereadInterval: 10 * time.Millisecond, ReadTimeout: 500 * time.Millisecond})
-			g.Eventually(k.Revision, eventTimeout).Should(Equal(uint64(1)))
-			o.store.SetFaults(faults)
-			o.rollOutAll(second)
-			g.Eventually(k.Revision, eventTimeout).Should(Equal(uint64(2)))
+			env := newTestEnv(t)
+			first, second := env.pushSignedOff(1), env.pushSignedOff(2)
+			env.rollOutAll(first)
+			f := env.followerWith(Options{Store: env.store, Watch: true, RereadInterval: 10 * time.Millisecond, ReadTimeout: 500 * time.Millisecond})
+			g.Eventually(f.Revision, eventTimeout).Should(Equal(uint64(1)))
+			env.store.SetFaults(faults)
+			env.rollOutAll(second)
+			g.Eventually(f.Revision, eventTimeout).Should(Equal(uint64(2)))
 		})
 	}
 }
@@ -248,16 +248,16 @@
 func TestRecallUsesPreviousBundleHeldByVM(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	o := newTestEnv(t)
-	heads := o.rollOutAll(o.pushSignedOff(1), o.pushSignedOff(2))
-	_, err := o.client("asta", o.store).Recall(ctx, bundle.Digest(o.version(2)), Request{Reason: "faulty"})
+	env := newTestEnv(t)
+	heads := env.rollOutAll(env.pushSignedOff(1), env.pushSignedOff(2))
+	_, err := env.client("asta", env.store).Recall(ctx, bundle.Digest(env.bundleVersion(2)), Request{Reason: "faulty"})
 	g.Expect(err).NotTo(HaveOccurred())
-	k := NewFollower(Options{Deployment: "vatnsleit", Keys: o.keys, Store: o.store})
+	f := NewFollower(Options{Deployment: "vatnsleit", Keys: env.keys, Store: env.store})
 	for _, head := range heads {
-		g.Expect(k.OfferHead(ctx, head, o.fetch(o.packages(1, 2)))).To(Succeed())
+		g.Expect(f.OfferHead(ctx, head, env.fetchFrom(env.packages(1, 2)))).To(Succeed())
 	}
-	g.Expect(k.OfferHead(ctx, o.head().Value, o.fetch(nil))).To(Succeed())
-	g.Expect(k.Current().Digest).To(Equal(bundle.Digest(o.version(1))))
+	g.Expect(f.OfferHead(ctx, env.head().Value, env.fetchFrom(nil))).To(Succeed())
+	g.Expect(f.Current().Digest).To(Equal(bundle.Digest(env.bundleVersion(1))))
 }
 
 // The platform goes down. One VM has revision 2, one was cut off before it and
@@ -266,29 +266,29 @@
 func TestPeersForwardHeadDuringOutage(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	o := newTestEnv(t)
-	o.rollOutAll(o.pushSignedOff(1))
-	store := &staleStore{Store: o.store}
-	cutOff, alone := o.follower(store), o.follower(store)
+	env := newTestEnv(t)
+	env.rollOutAll(env.pushSignedOff(1))
+	store := &staleStore{Store: env.store}
+	cutOff, alone := env.follower(store), env.follower(store)
 	g.Eventually(cutOff.Revision, eventTimeout).Should(Equal(uint64(1)))
 	g.Eventually(alone.Revision, eventTimeout).Should(Equal(uint64(1)))
-	old := o.head()
+	old := env.head()
 	store.setHead(&old)
-	ahead := o.follower(o.store)
-	o.rollOutAll(o.pushSignedOff(2))
+	ahead := env.follower(env.store)
+	env.rollOutAll(env.pushSignedOff(2))
 	g.Eventually(ahead.Revision, eventTimeout).Should(Equal(uint64(2)))
-	o.store.SetFaults(platformsim.Faults{Outage: true})
-	started := o.follower(o.store)
+	env.store.SetFaults(platformsim.Faults{Outage: true})
+	started := env.follower(env.store)
 
 	fromPeer := func(_ context.Context, digest string) ([]byte, error) {
 		raw, ok := ahead.RawBundle(digest)
 		g.Expect(ok).To(BeTrue())
 		return raw, nil
 	}
-	for _, k := range []*Follower{cutOff, started} {
-		changed := k.Changed()
-		g.Expect(k.OfferHead(ctx, ahead.Head(), fromPeer)).To(Succeed())
-		g.Expect(k.Revision()).To(Equal(uint64(2)))
+	for _, f := range []*Follower{cutOff, started} {
+		changed := f.Changed()
+		g.Expect(f.OfferHead(ctx, ahead.Head(), fromPeer)).To(Succeed())
+		g.Expect(f.Revision()).To(Equal(uint64(2)))
 		g.Expect(changed).To(BeClosed())
 	}
 	g.Expect(started.PlatformContact()).To(BeZero())
--- a/rollout/next.go
+++ b/rollout/next.go
@@ -84,17 +84,17 @@
 
 // NextRollout returns the entry that puts b into force on top of head, which
 // is nil before the first rollout.
-func NextRollout(deployment string, head *Head, c Change, b Approved) (Entry, error) {
+func NextRollout(deployment string, head *Head, c Change, approved Approved) (Entry, error) {
 	e := nextEntry(deployment, head, c)
 	e.Action = ActionRollout
-	e.Digest, e.Name, e.SignOff = b.Digest, b.Name, b.SignOff
+	e.Digest, e.Name, e.SignOff = approved.Digest, approved.Name, approved.SignOff
 	if head != nil {
-		was := PastBundle{Digest: head.Entry.Digest, Revision: head.Entry.Revision}
-		e.History = append([]PastBundle{was}, withoutDigest(e.History, was.Digest)...)
+		previous := PastBundle{Digest: head.Entry.Digest, Revision: head.Entry.Revision}
+		e.History = append([]PastBundle{previous}, withoutDigest(e.History, previous.Digest)...)
 	}
-	e.History = withoutDigest(e.History, b.Digest)
+	e.History = withoutDigest(e.History, approved.Digest)
 	e.History = e.History[:min(len(e.History), MaxHistory)]
-	return e, CheckRecalls(&e, b.After)
+	return e, CheckRecalls(&e, approved.After)
 }
 
 // NextRecall returns the entry that takes the bundle back. If it is the one in
@@ -199,18 +199,18 @@
 // Resolve tells what became of op from the head and, if the head is past the
 // operation's revision, from the entry kept under that revision. Only one
 // entry can have become a revision, so its operation id decides.
-func Resolve(op OpID, revision uint64, head, kept *Head) Outcome {
+func Resolve(op OpID, revision uint64, head, archived *Head) Outcome {
 	if head == nil || head.Entry.Revision < revision {
 		return OutcomeOpen
 	}
-	landed := head
+	accepted := head
 	if head.Entry.Revision > revision {
-		landed = kept
+		accepted = archived
 	}
 	switch {
-	case landed == nil:
+	case accepted == nil:
 		return OutcomeNeedArchived
-	case landed.Entry.Op == op:
+	case accepted.Entry.Op == op:
 		return OutcomeAccepted
 	default:
 		return OutcomeConflict
--- a/rollout/race_test.go
+++ b/rollout/race_test.go
@@ -54,27 +54,27 @@
 
 func runRace(t *testing.T, seed uint64) {
 	g := NewWithT(t)
-	o := newTestEnv(t)
-	digests := []string{o.pushSignedOff(1), o.pushSignedOff(2), o.pushSignedOff(3)}
-	var late sync.WaitGroup
-	keepers := make([]*Follower, raceFollowers)
-	seen := make([]*revisionHistory, raceFollowers)
-	for i := range keepers {
-		keepers[i] = o.follower(newFaultyStore(o.store, seed*100+uint64(i), &late))
-		seen[i] = recordRevisions(t, keepers[i])
+	env := newTestEnv(t)
+	digests := []string{env.pushSignedOff(1), env.pushSignedOff(2), env.pushSignedOff(3)}
+	var lateWrites sync.WaitGroup
+	followers := make([]*Follower, raceFollowers)
+	histories := make([]*revisionHistory, raceFollowers)
+	for i := range followers {
+		followers[i] = env.follower(newFaultyStore(env.store, seed*100+uint64(i), &lateWrites))
+		histories[i] = recordRevisions(t, followers[i])
 	}
 
 	var mu sync.Mutex // guards history
 	var ops []porcupine.Operation
-	begin := time.Now()
+	start := time.Now()
 	var racing sync.WaitGroup
 	for i := range raceOperators {
 		racing.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
 			person := []string{"sigrun", "jon", "asta"}[i%3]
-			c := o.client(person, newFaultyStore(o.store, seed*1000+uint64(i), &late))
+			c := env.client(person, newFaultyStore(env.store, seed*1000+uint64(i), &lateWrites))
 			for range raceChanges {
-				call := time.Since(begin)
+				call := time.Since(start)
 				got, err := changeUntilResolved(c, rng, digests)
 				if err != nil {
 					t.Error(err)
@@ -82,38 +82,38 @@
 				}
 				mu.Lock()
 				ops = append(ops, porcupine.Operation{
-					ClientId: i, Input: got, Call: int64(call), Return: int64(time.Since(begin)),
+					ClientId: i, Input: got, Call: int64(call), Return: int64(time.Since(start)),
 				})
 				mu.Unlock()
 			}
 		})
 	}
 	racing.Wait()
-	late.Wait()
+	lateWrites.Wait()
 
-	c := o.client("asta", o.store)
+	c := env.client("asta", env.store)
 	audit, err := c.Audit(context.Background())
 	g.Expect(err).NotTo(HaveOccurred(), "the chain is unbroken and agrees with the head")
-	landed := map[OpID]uint64{}
+	revisionOf := map[OpID]uint64{}
 	for _, e := range audit.Entries {
-		landed[e.Op] = e.Revision
+		revisionOf[e.Op] = e.Revision
 	}
 	accepted := 0
 	for _, op := range ops {
 		got := op.Input.(changeResult)
-		g.Expect(landed[got.op] != 0).To(Equal(got.accepted), "operation %s", got.op)
+		g.Expect(revisionOf[got.op] != 0).To(Equal(got.accepted), "operation %s", got.op)
 		if got.accepted {
 			accepted++
-			g.Expect(landed[got.op]).To(Equal(got.revision))
+			g.Expect(revisionOf[got.op]).To(Equal(got.revision))
 		}
 	}
-	g.Expect(landed).To(HaveLen(accepted), "every entry was somebody's accepted change")
+	g.Expect(revisionOf).To(HaveLen(accepted), "every entry was somebody's accepted change")
 	g.Expect(porcupine.CheckOperations(headModel, ops)).To(BeTrue(), "revisions are linearizable")
 
-	for i, k := range keepers {
-		g.Eventually(k.Revision, eventTimeout).Should(Equal(audit.Head))
-		g.Expect(k.Current().Digest).To(Equal(audit.Entries[audit.Head-1].Digest))
-		g.Expect(seen[i].decreased()).To(BeFalse(), "keeper %d went back", i)
+	for i, f := range followers {
+		g.Eventually(f.Revision, eventTimeout).Should(Equal(audit.Head))
+		g.Expect(f.Current().Digest).To(Equal(audit.Entries[audit.Head-1].Digest))
+		g.Expect(histories[i].decreased()).To(BeFalse(), "keeper %d went back", i)
 	}
 }
 
@@ -126,9 +126,9 @@
 	if rng.IntN(4) == 0 {
 		do = c.Recall
 	}
-	ask := Request{Reason: "race"}
+	req := Request{Reason: "race"}
 	for {
-		e, err := do(ctx, digest, ask)
+		e, err := do(ctx, digest, req)
 		switch code := result.Of(err); code {
 		case result.Complete:
 			return changeResult{op: e.Op, revision: e.Revision, accepted: true}, nil
@@ -136,14 +136,14 @@
 			revision, err := e.Op.Revision()
 			return changeResult{op: e.Op, revision: revision}, err
 		case result.WriteUnknown:
-			ask.Op = e.Op
+			req.Op = e.Op
 		case result.Recalled:
 			if _, err := c.SignOff(ctx, digest, "good again"); err != nil && result.Of(err) != result.SelfSigned {
 				return changeResult{}, err
 			}
-			ask, do = Request{Reason: "race"}, c.Recall
+			req, do = Request{Reason: "race"}, c.Recall
 		case result.NothingBefore, result.PlatformDown:
-			ask, do = Request{Reason: "race"}, c.Rollout
+			req, do = Request{Reason: "race"}, c.Rollout
 		default:
 			return changeResult{}, err
 		}
@@ -157,15 +157,15 @@
 }
 
 // recordRevisions records until the test ends.
-func recordRevisions(t *testing.T, k *Follower) *revisionHistory {
+func recordRevisions(t *testing.T, f *Follower) *revisionHistory {
 	h := &revisionHistory{}
 	done := make(chan struct{})
 	var wait sync.WaitGroup
 	wait.Go(func() {
 		for {
-			changed := k.Changed()
+			changed := f.Changed()
 			h.mu.Lock()
-			h.revs = append(h.revs, k.Revision())
+			h.revs = append(h.revs, f.Revision())
 			h.mu.Unlock()
 			select {
 			case <-changed:
@@ -195,35 +195,35 @@
 // next operator must be able to go on, and asking again with the operation's id
 // must tell the truth.
 func TestOperatorStoppedAtAnyWrite(t *testing.T) {
-	for after := range 3 {
-		for _, landed := range []bool{false, true} {
-			t.Run(fmt.Sprintf("write %d landed %v", after+1, landed), func(t *testing.T) {
-				runStoppedOperator(t, after, landed)
+	for writesLeft := range 3 {
+		for _, applyLast := range []bool{false, true} {
+			t.Run(fmt.Sprintf("write %d landed %v", writesLeft+1, applyLast), func(t *testing.T) {
+				runStoppedOperator(t, writesLeft, applyLast)
 			})
 		}
 	}
 }
 
-func runStoppedOperator(t *testing.T, after int, landed bool) {
+func runStoppedOperator(t *testing.T, writesLeft int, applyLast bool) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	o := newTestEnv(t)
-	first, second, third := o.pushSignedOff(1), o.pushSignedOff(2), o.pushSignedOff(3)
-	_, err := o.client("asta", o.store).Rollout(ctx, first, Request{Reason: "begin"})
+	env := newTestEnv(t)
+	first, second, third := env.pushSignedOff(1), env.pushSignedOff(2), env.pushSignedOff(3)
+	_, err := env.client("asta", env.store).Rollout(ctx, first, Request{Reason: "begin"})
 	g.Expect(err).NotTo(HaveOccurred())
 
-	stopped := o.client("jon", &crashStore{Store: o.store, writesLeft: after, applyLast: landed})
+	stopped := env.client("jon", &crashStore{Store: env.store, writesLeft: writesLeft, applyLast: applyLast})
 	stopped.opts.Patience = 50 * time.Millisecond
 	e, err := stopped.Rollout(ctx, second, Request{Reason: "stopped"})
 
-	next, nextErr := o.client("asta", o.store).Rollout(ctx, third, Request{Reason: "go on"})
+	next, nextErr := env.client("asta", env.store).Rollout(ctx, third, Request{Reason: "go on"})
 	g.Expect(nextErr).NotTo(HaveOccurred())
-	audit, auditErr := o.client("asta", o.store).Audit(ctx)
+	audit, auditErr := env.client("asta", env.store).Audit(ctx)
 	g.Expect(auditErr).NotTo(HaveOccurred())
 	inChain := audit.Entries[1].Op == e.Op
 	g.Expect(next.Revision).To(Equal(map[bool]uint64{false: 2, true: 3}[inChain]))
 
-	again, againErr := o.client("jon", o.store).Rollout(ctx, second, Request{Reason: "stopped", Op: e.Op})
+	again, againErr := env.client("jon", env.store).Rollout(ctx, second, Request{Reason: "stopped", Op: e.Op})
 	switch result.Of(err) {
 	case result.Complete:
 		g.Expect(inChain).To(BeTrue())
@@ -245,12 +245,12 @@
 // told so; when the platform is back, asking again with the id must tell, and
 // must not make the change a second time.
 func TestLostResponseIsResolvedByOperationID(t *testing.T) {
-	for _, lands := range []bool{false, true} {
+	for _, applied := range []bool{false, true} {
 		g := NewWithT(t)
 		ctx := context.Background()
-		o := newTestEnv(t)
-		digest := o.pushSignedOff(1)
-		c := o.client("asta", &crashStore{Store: o.store, applyLast: lands})
+		env := newTestEnv(t)
+		digest := env.pushSignedOff(1)
+		c := env.client("asta", &crashStore{Store: env.store, applyLast: applied})
 		c.opts.Patience = 50 * time.Millisecond
 		e, err := c.Rollout(ctx, digest, Request{Reason: "begin"})
 		g.Expect(result.Of(err)).To(Equal(result.WriteUnknown))
@@ -260,14 +260,14 @@
 		_, err = c.Rollout(ctx, digest, Request{Reason: "begin", Op: e.Op})
 		g.Expect(result.Of(err)).To(Equal(result.WriteUnknown), "not: nothing was changed")
 		for range 2 {
-			again, err := o.client("asta", o.store).Rollout(ctx, digest, Request{Reason: "begin", Op: e.Op})
+			again, err := env.client("asta", env.store).Rollout(ctx, digest, Request{Reason: "begin", Op: e.Op})
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(again.Revision).To(Equal(uint64(1)))
 			g.Expect(again.Op).To(Equal(e.Op))
 		}
-		_, err = o.client("asta", o.store).Rollout(ctx, o.pushSignedOff(2), Request{Reason: "begin", Op: e.Op})
+		_, err = env.client("asta", env.store).Rollout(ctx, env.pushSignedOff(2), Request{Reason: "begin", Op: e.Op})
 		g.Expect(result.Of(err)).To(Equal(result.KeyReused))
-		audit, err := c.withStore(o.store).Audit(ctx)
+		audit, err := c.withStore(env.store).Audit(ctx)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(audit.Entries).To(HaveLen(1))
 	}
@@ -285,9 +285,9 @@
 func TestConflictReportsWinningChange(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	o := newTestEnv(t)
-	first, second := o.pushSignedOff(1), o.pushSignedOff(2)
-	asta, jon := o.client("asta", o.store), o.client("jon", o.store)
+	env := newTestEnv(t)
+	first, second := env.pushSignedOff(1), env.pushSignedOff(2)
+	asta, jon := env.client("asta", env.store), env.client("jon", env.store)
 	_, err := asta.Rollout(ctx, first, Request{Reason: "more zones"})
 	g.Expect(err).NotTo(HaveOccurred())
 	op, err := NewOpID(1)
--- a/rollout/refusal.go
+++ b/rollout/refusal.go
@@ -30,15 +30,15 @@
 // recordIfRefused records a refused attempt. An attempt with an unknown outcome, a dry
 // run and a platform that is down leave no refusal: nothing is known, was
 // tried or can be written.
-func (c *Client) recordIfRefused(ctx context.Context, e Entry, err error, r Refusal, ask Request) (Entry, error) {
+func (c *Client) recordIfRefused(ctx context.Context, e Entry, err error, r Refusal, req Request) (Entry, error) {
 	if err == nil {
 		return e, nil
 	}
 	code := result.Of(err)
-	if ask.DryRun || c.opts.Key == nil || code == result.WriteUnknown || code == result.PlatformDown {
+	if req.DryRun || c.opts.Key == nil || code == result.WriteUnknown || code == result.PlatformDown {
 		return e, err
 	}
-	r.Deployment, r.Person, r.Reason = c.opts.Deployment, c.opts.Key.Person, ask.Reason
+	r.Deployment, r.Person, r.Reason = c.opts.Deployment, c.opts.Key.Person, req.Reason
 	r.Op, r.At = e.Op, c.opts.Now().UTC()
 	r.Code, r.Detail = code, err.Error()
 	payload, encodeErr := json.Marshal(r)
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -19,21 +19,21 @@
 	if err != nil {
 		return Entry{}, err
 	}
-	kept, err := c.readChain(ctx)
+	archived, err := c.readChain(ctx)
 	if err != nil {
 		return Entry{}, err
 	}
-	if len(kept) == 0 {
+	if len(archived) == 0 {
 		return Entry{}, result.Errorf(result.NotFound, "no entry is kept")
 	}
-	last := kept[len(kept)-1]
+	last := archived[len(archived)-1]
 	if s.revision() >= last.Entry.Revision {
 		return s.head.Entry, nil
 	}
-	if _, err := VerifyChain(last, kept); err != nil {
+	if _, err := VerifyChain(last, archived); err != nil {
 		return Entry{}, err
 	}
-	if s.head != nil && kept[s.revision()-1].Hash != s.head.Hash {
+	if s.head != nil && archived[s.revision()-1].Hash != s.head.Hash {
 		return Entry{}, result.Errorf(result.BrokenAudit, "revision %d as kept is not the head's", s.revision())
 	}
 	return last.Entry, c.replaceHead(ctx, s, last)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -36,104 +36,104 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &testEnv{t: t, store: platformsim.NewStore(), priv: map[string]*bundle.PrivateKey{}, data: data}
+	env := &testEnv{t: t, store: platformsim.NewStore(), priv: map[string]*bundle.PrivateKey{}, data: data}
 	var public []bundle.PublicKey
 	for _, person := range []string{"sigrun", "jon", "asta", "olaf"} {
 		key, err := bundle.NewPrivateKey(person+"-1", person)
 		if err != nil {
 			t.Fatal(err)
 		}
-		o.priv[person] = key
+		env.priv[person] = key
 		pub := key.Public()
 		pub.Retired = person == "olaf"
 		public = append(public, pub)
 	}
-	o.keys, err = bundle.NewKeyring(public...)
+	env.keys, err = bundle.NewKeyring(public...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return o
+	return env
 }
 
-func (o *testEnv) client(person string, store objstore.Store) *Client {
+func (env *testEnv) client(person string, store objstore.Store) *Client {
 	return NewClient(ClientOptions{
-		Deployment: "vatnsleit", Keys: o.keys, Store: store, Key: o.priv[person],
+		Deployment: "vatnsleit", Keys: env.keys, Store: store, Key: env.priv[person],
 		Patience: eventTimeout, Backoff: func(context.Context, int) { time.Sleep(time.Millisecond) },
 	})
 }
 
-// version returns the bundle under another name.
-func (o *testEnv) version(n int) []byte {
-	return []byte(strings.Replace(string(o.data), "vatnsleit-2026-12", fmt.Sprintf("version-%d", n), 1))
+// bundleVersion returns the bundle under another name.
+func (env *testEnv) bundleVersion(n int) []byte {
+	return []byte(strings.Replace(string(env.data), "vatnsleit-2026-12", fmt.Sprintf("version-%d", n), 1))
 }
 
 // pushSignedOff pushes version n and has jon sign it off.
-func (o *testEnv) pushSignedOff(n int) string {
-	o.t.Helper()
-	digest, err := o.client("sigrun", o.store).Push(context.Background(), o.version(n))
+func (env *testEnv) pushSignedOff(n int) string {
+	env.t.Helper()
+	digest, err := env.client("sigrun", env.store).Push(context.Background(), env.bundleVersion(n))
 	if err != nil {
-		o.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	o.signOff(digest)
+	env.signOff(digest)
 	return digest
 }
 
-func (o *testEnv) signOff(digest string) {
-	o.t.Helper()
-	if _, err := o.client("jon", o.store).SignOff(context.Background(), digest, "checked"); err != nil {
-		o.t.Fatal(err)
+func (env *testEnv) signOff(digest string) {
+	env.t.Helper()
+	if _, err := env.client("jon", env.store).SignOff(context.Background(), digest, "checked"); err != nil {
+		env.t.Fatal(err)
 	}
 }
 
-func (o *testEnv) follower(store objstore.Store) *Follower {
-	o.t.Helper()
-	return o.followerWith(Options{Store: store, Watch: true, RereadInterval: 10 * time.Millisecond})
+func (env *testEnv) follower(store objstore.Store) *Follower {
+	env.t.Helper()
+	return env.followerWith(Options{Store: store, Watch: true, RereadInterval: 10 * time.Millisecond})
 }
 
 // followerWith starts a keeper that stops with the test.
-func (o *testEnv) followerWith(opts Options) *Follower {
-	o.t.Helper()
-	opts.Deployment, opts.Keys = "vatnsleit", o.keys
-	k := NewFollower(opts)
-	k.Start()
-	o.t.Cleanup(func() {
+func (env *testEnv) followerWith(opts Options) *Follower {
+	env.t.Helper()
+	opts.Deployment, opts.Keys = "vatnsleit", env.keys
+	f := NewFollower(opts)
+	f.Start()
+	env.t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 		defer cancel()
-		if err := k.Stop(ctx); err != nil {
-			o.t.Error(err)
+		if err := f.Stop(ctx); err != nil {
+			env.t.Error(err)
 		}
 	})
-	return k
+	return f
 }
 
 func TestRolloutAndRecallReachFollower(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	o := newTestEnv(t)
-	first, second := o.pushSignedOff(1), o.pushSignedOff(2)
-	asta := o.client("asta", o.store)
-	k := o.follower(o.store)
-	g.Expect(k.Current()).To(BeNil())
+	env := newTestEnv(t)
+	first, second := env.pushSignedOff(1), env.pushSignedOff(2)
+	asta := env.client("asta", env.store)
+	f := env.follower(env.store)
+	g.Expect(f.Current()).To(BeNil())
 
 	_, err := asta.Rollout(ctx, first, Request{Reason: "begin"})
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = asta.Rollout(ctx, second, Request{Reason: "more targets"})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Eventually(k.Revision, eventTimeout).Should(Equal(uint64(2)))
-	g.Expect(k.Current().Digest).To(Equal(second))
+	g.Eventually(f.Revision, eventTimeout).Should(Equal(uint64(2)))
+	g.Expect(f.Current().Digest).To(Equal(second))
 
 	e, err := asta.Recall(ctx, second, Request{Reason: "half the targets are wrong"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(e.Revision).To(Equal(uint64(3)))
-	g.Eventually(k.Revision, eventTimeout).Should(Equal(uint64(3)))
-	g.Expect(k.Current().Digest).To(Equal(first))
+	g.Eventually(f.Revision, eventTimeout).Should(Equal(uint64(3)))
+	g.Expect(f.Current().Digest).To(Equal(first))
 
 	_, err = asta.Rollout(ctx, second, Request{Reason: "again"})
 	g.Expect(result.Of(err)).To(Equal(result.Recalled))
-	o.signOff(second)
+	env.signOff(second)
 	_, err = asta.Rollout(ctx, second, Request{Reason: "checked again"})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Eventually(k.Revision, eventTimeout).Should(Equal(uint64(4)))
+	g.Eventually(f.Revision, eventTimeout).Should(Equal(uint64(4)))
 
 	audit, err := asta.Audit(ctx)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/rollout/rotation_test.go
+++ b/rollout/rotation_test.go
@@ -18,12 +18,12 @@
 func TestKeyRotation(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	o := newTestEnv(t)
-	digest := o.pushSignedOff(1)
-	byOldKey := o.rollOutAll(digest)[0]
+	env := newTestEnv(t)
+	digest := env.pushSignedOff(1)
+	byOldKey := env.rollOutAll(digest)[0]
 	next, err := bundle.NewPrivateKey("jon-2", "jon")
 	g.Expect(err).NotTo(HaveOccurred())
-	both, err := bundle.NewKeyring(append(o.keys.Keys(), next.Public())...)
+	both, err := bundle.NewKeyring(append(env.keys.Keys(), next.Public())...)
 	g.Expect(err).NotTo(HaveOccurred())
 	retired := both.Keys()
 	for i := range retired {
@@ -32,20 +32,20 @@
 	after, err := bundle.NewKeyring(retired...)
 	g.Expect(err).NotTo(HaveOccurred())
 
-	o.keys = both
-	_, err = o.client("jon", o.store).SignOff(ctx, digest, "old key, still valid")
+	env.keys = both
+	_, err = env.client("jon", env.store).SignOff(ctx, digest, "old key, still valid")
 	g.Expect(err).NotTo(HaveOccurred())
-	o.priv["jon"] = next
-	_, err = o.client("jon", o.store).SignOff(ctx, digest, "new key")
+	env.priv["jon"] = next
+	_, err = env.client("jon", env.store).SignOff(ctx, digest, "new key")
 	g.Expect(err).NotTo(HaveOccurred())
 
-	k := NewFollower(Options{Deployment: "vatnsleit", Keys: after, Store: o.store})
-	all := o.fetch(o.packages(1))
-	g.Expect(result.Of(k.OfferHead(ctx, byOldKey, all))).To(Equal(result.UnknownKey))
-	o.keys = after
-	byNewKey := o.rollOutAll(digest)[0]
-	g.Expect(k.OfferHead(ctx, byNewKey, all)).To(Succeed())
-	audit, err := o.client("asta", o.store).Audit(ctx)
+	f := NewFollower(Options{Deployment: "vatnsleit", Keys: after, Store: env.store})
+	all := env.fetchFrom(env.packages(1))
+	g.Expect(result.Of(f.OfferHead(ctx, byOldKey, all))).To(Equal(result.UnknownKey))
+	env.keys = after
+	byNewKey := env.rollOutAll(digest)[0]
+	g.Expect(f.OfferHead(ctx, byNewKey, all)).To(Succeed())
+	audit, err := env.client("asta", env.store).Audit(ctx)
 	g.Expect(err).NotTo(HaveOccurred(), "the trail is still verified with the retired key")
 	g.Expect(audit.Entries).To(HaveLen(2))
 }
@@ -54,23 +54,23 @@
 // often as the watchers, 950 of them would take half of its reads.
 func TestIdleFollowerDoesNotRereadOften(t *testing.T) {
 	g := NewWithT(t)
-	o := newTestEnv(t)
-	o.rollOutAll(o.pushSignedOff(1))
-	k := NewFollower(Options{
-		Deployment: "vatnsleit", Keys: o.keys, Store: o.store,
+	env := newTestEnv(t)
+	env.rollOutAll(env.pushSignedOff(1))
+	f := NewFollower(Options{
+		Deployment: "vatnsleit", Keys: env.keys, Store: env.store,
 		RereadInterval: 5 * time.Millisecond, IdleInterval: time.Hour,
 	})
-	k.Start()
-	defer func() { g.Expect(k.Stop(context.Background())).To(Succeed()) }()
-	g.Eventually(k.Revision, eventTimeout).Should(Equal(uint64(1)))
-	before := o.store.Counters()
-	k.SetWatching(true)
-	g.Eventually(func() int { return o.store.Counters().Get - before.Get }, eventTimeout).Should(BeNumerically(">", 3))
-	k.SetWatching(false)
+	f.Start()
+	defer func() { g.Expect(f.Stop(context.Background())).To(Succeed()) }()
+	g.Eventually(f.Revision, eventTimeout).Should(Equal(uint64(1)))
+	before := env.store.Counters()
+	f.SetWatching(true)
+	g.Eventually(func() int { return env.store.Counters().Get - before.Get }, eventTimeout).Should(BeNumerically(">", 3))
+	f.SetWatching(false)
 	// One read may be under way and the change of mode makes one.
 	g.Eventually(func() bool {
-		calls := o.store.Counters().Get
+		calls := env.store.Counters().Get
 		time.Sleep(50 * time.Millisecond)
-		return o.store.Counters().Get == calls
+		return env.store.Counters().Get == calls
 	}, eventTimeout).Should(BeTrue())
 }
--- a/rollout/shaky_test.go
+++ b/rollout/shaky_test.go
@@ -21,8 +21,8 @@
 	late *sync.WaitGroup // writes still on their way
 }
 
-func newFaultyStore(store objstore.Store, seed uint64, late *sync.WaitGroup) *faultyStore {
-	return &faultyStore{Store: store, rng: rand.New(rand.NewPCG(seed, seed)), late: late}
+func newFaultyStore(store objstore.Store, seed uint64, lateWrites *sync.WaitGroup) *faultyStore {
+	return &faultyStore{Store: store, rng: rand.New(rand.NewPCG(seed, seed)), late: lateWrites}
 }
 
 func (s *faultyStore) randIntN(n int) int {
