--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -1,18 +1,19 @@
-// Package bundle defines what operators steer the system by: a versioned,
-// immutable description of which targets serve which searches, how much
-// coverage callers need and how long they may wait.
+// Package bundle defines the operators' configuration of a deployment: a
+// versioned, immutable description of which targets serve which searches, how much
+// coverage callers need and how long they may wait. It also signs and verifies
+// bundles and sign-offs.
 package bundle
 
-// Format is the version of the bundle's format that this code reads.
+// Format is the only version of the bundle format that this code reads.
 const Format = 1
 
-// Bundle is the whole configuration of a deployment. Once written it is known
-// by the digest of its bytes and never changes.
+// Bundle is the whole configuration of a deployment. It is immutable once written,
+// and identified by the digest of its bytes.
 type Bundle struct {
 	Format     int       `json:"format"`
 	Deployment string    `json:"deployment"`
-	Name       string    `json:"name"`   // the operators' own label
-	Author     string    `json:"author"` // may not sign it off
+	Name       string    `json:"name"`   // a label chosen by the operators
+	Author     string    `json:"author"` // the person who wrote it, who may not sign it off
 	Zones      []Zone    `json:"zones"`
 	Fleet      Fleet     `json:"fleet"`
 	Services   []Service `json:"services"`
@@ -27,49 +28,51 @@
 
 // Fleet bounds the VMs of the deployment.
 type Fleet struct {
-	// MaxVMs is the largest number of VMs alive at once, those that overlap
-	// during a replacement included. Shares of connections are cut by it.
+	// MaxVMs is the largest number of VMs that run at once, including those that
+	// overlap during a replacement. Each VM's share of a target's connections
+	// depends on it.
 	MaxVMs int `json:"max_vms"`
 }
 
 // Service is a set of targets that hold replicas of the same shards.
 type Service struct {
 	Name    string   `json:"name"`
-	Shards  int      `json:"shards"` // of the partition map at the time of writing
+	Shards  int      `json:"shards"` // number of shards in the partition map when the bundle was written
 	Drain   Drain    `json:"drain"`
 	Targets []Target `json:"targets"`
 }
 
-// Drain holds the times that govern targets on their way in and out.
+// Drain holds the times and limits that apply when targets start, fail or leave.
 type Drain struct {
 	HealthIntervalMS int `json:"health_interval_ms"` // between reads of a target's status
-	HealthTimeoutMS  int `json:"health_timeout_ms"`  // after which a read has failed
-	SuspectAfter     int `json:"suspect_after"`      // failed reads until a target counts as lost
-	WarmupMS         int `json:"warmup_ms"`          // a new target gets a rising share for this long
+	HealthTimeoutMS  int `json:"health_timeout_ms"`  // a read that takes longer has failed
+	SuspectAfter     int `json:"suspect_after"`      // number of failed reads after which a target counts as lost
+	WarmupMS         int `json:"warmup_ms"`          // a new target's share of the load increases over this time
 }
 
 // Target is one back end.
 type Target struct {
 	Name          string  `json:"name"`
 	Zone          string  `json:"zone"`
-	Address       string  `json:"address"` // IP and port
-	Leaves        int     `json:"leaves"`
-	Slots         int     `json:"slots"`       // requests that one leaf runs at once
-	Connections   int     `json:"connections"` // that the target accepts from the whole fleet
-	ConnectCostMS float64 `json:"connect_cost_ms"`
+	Address       string  `json:"address"`         // IP and port
+	Leaves        int     `json:"leaves"`          // number of workers
+	Slots         int     `json:"slots"`           // requests that one leaf runs at once
+	Connections   int     `json:"connections"`     // that the target accepts from the whole fleet
+	ConnectCostMS float64 `json:"connect_cost_ms"` // cost of a new connection
 }
 
-// SearchKind tells how a search behaves.
+// SearchKind is the kind of a search: whether it is idempotent and how its results
+// are ordered.
 type SearchKind string
 
 // The kinds of searches.
 const (
 	KindSearch SearchKind = "search" // idempotent, best matches first
-	KindBrowse SearchKind = "browse" // idempotent, pages in order of keys
+	KindBrowse SearchKind = "browse" // idempotent, pages in key order
 	KindSubmit SearchKind = "submit" // non-idempotent, runs at most once
 )
 
-// Search is one thing that callers may ask for.
+// Search is a named operation that callers may request.
 type Search struct {
 	Name      string     `json:"name"`
 	Kind      SearchKind `json:"kind"`
@@ -78,15 +81,15 @@
 	TimeLimit TimeLimit  `json:"time_limit"`
 	Hedge     Hedge      `json:"hedge"`
 	Retry     Retry      `json:"retry"`
-	MaxItems  int        `json:"max_items"` // largest limit a caller may ask for
+	MaxItems  int        `json:"max_items"` // largest limit that a caller may request
 	Policy    Policy     `json:"policy,omitempty"`
 }
 
-// Policy names a set of decisions. The empty value means PolicyAdaptive.
+// Policy selects how attempts are sent. The empty value means PolicyAdaptive.
 type Policy string
 
-// The policies. PolicyPlain is the baseline of comparisons: one attempt for
-// each shard to a random replica, without hedge, retry or admission.
+// The policies. PolicyPlain is the baseline for comparisons: one attempt for each
+// shard to a random replica, without hedge, retry or admission control.
 const (
 	PolicyAdaptive Policy = "adaptive"
 	PolicyPlain    Policy = "plain"
@@ -95,9 +98,9 @@
 // Coverage is the share of shards, from 0 to 1, that a caller needs.
 type Coverage struct {
 	Default float64 `json:"default"`
-	Min     float64 `json:"min"` // the least a caller may ask for
-	// GraceMS is how long a query goes on waiting for the missing shards once
-	// the needed coverage is reached.
+	Min     float64 `json:"min"` // the lowest coverage that a caller may request
+	// GraceMS is how long a query continues to wait for missing shards once the
+	// needed coverage is reached.
 	GraceMS int `json:"grace_ms"`
 }
 
@@ -108,20 +111,20 @@
 	MaxMS     int `json:"max_ms"`
 }
 
-// Hedge governs second attempts that run beside the first.
+// Hedge configures second attempts that run concurrently with the first.
 type Hedge struct {
-	Quantile   float64 `json:"quantile"`     // of observed latencies, after which a hedge is sent
+	Quantile   float64 `json:"quantile"`     // quantile of observed latencies after which a hedge is sent
 	MinDelayMS int     `json:"min_delay_ms"` // lower bound of that delay
-	Budget     float64 `json:"budget"`       // hedges per first attempt, at most
+	Budget     float64 `json:"budget"`       // maximum ratio of hedges to first attempts
 }
 
-// Retry governs attempts that follow a failed one.
+// Retry configures attempts that follow a failed one.
 type Retry struct {
-	MaxAttempts int     `json:"max_attempts"` // per shard, hedges included
-	Budget      float64 `json:"budget"`       // retries per first attempt, at most
+	MaxAttempts int     `json:"max_attempts"` // maximum per shard, hedges included
+	Budget      float64 `json:"budget"`       // maximum ratio of retries to first attempts
 }
 
-// Search returns the search of that name.
+// Search returns the search with that name.
 func (b *Bundle) Search(name string) (*Search, bool) {
 	for i := range b.Searches {
 		if b.Searches[i].Name == name {
@@ -131,7 +134,7 @@
 	return nil, false
 }
 
-// Service returns the service of that name.
+// Service returns the service with that name.
 func (b *Bundle) Service(name string) (*Service, bool) {
 	for i := range b.Services {
 		if b.Services[i].Name == name {
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -52,9 +52,10 @@
 	}
 }
 
-// A bundle with a fault would steer every VM, so a misspelt field, a value out
-// of range or a name that nothing has must be told before it is pushed, and all
-// of them in one go: an operator who mends one a time pushes ten times.
+// A bundle with a fault would misconfigure every VM. So unknown fields, values out
+// of range and references to missing names must be found before the bundle is
+// pushed, and all of them at once: an operator who gets one finding at a time
+// needs many pushes.
 func TestEachFaultYieldsFinding(t *testing.T) {
 	cases := []struct{ name, old, new, path, allowed string }{
 		{"unknown field", `"format": 1,`, `"format": 1, "colour": 2,`, "$.colour", "one of format"},
@@ -126,9 +127,9 @@
 	g.Expect(b.Deployment).To(Equal("vatnsleit"))
 }
 
-// An operator pushes a generated bundle that is too large for the platform. The
-// refusal must come before the first write, so that nothing half-written stays;
-// the bound is on the bytes as they travel, not as the operator sees them.
+// An operator pushes a generated bundle that is too large for the platform. It
+// must be refused before the first write, so that no partial data stays. The bound
+// is on the encoded size, not on the size of the operator's file.
 func TestOversizedBundleIsRejectedBeforeWrite(t *testing.T) {
 	g := NewWithT(t)
 	key := testKey(t, "sigrun-1", "sigrun")
@@ -138,9 +139,9 @@
 	g.Expect(result.Of(err)).To(Equal(result.BundleTooLarge))
 }
 
-// Somebody changes a bundle after its sign-off, signs with a key that no VM
-// knows, with a retired one, or in another's name. Whatever reaches a VM by any
-// path must fail its check, with the code that says why.
+// A sign-off was changed after it was signed, or was signed with an unknown key,
+// with a retired key or in another person's name. A VM must reject it, whichever
+// way it was received, with the code that names the reason.
 func TestInvalidSignaturesAreRejected(t *testing.T) {
 	alice, old, eve := testKey(t, "alice-2", "alice"), testKey(t, "alice-1", "alice"), testKey(t, "eve-1", "eve")
 	retired := old.Public()
@@ -185,15 +186,16 @@
 }
 
 func TestMain(m *testing.M) {
-	// The same random sequences in every run.
+	// Use the same random sequences in every run.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// TestParseAgreesWithEncodingJSON mutates a good bundle at random:
-// Parse never panics, and what it lets pass means the same to encoding/json.
+// TestParseAgreesWithEncodingJSON mutates a valid bundle at random: Parse must not
+// panic, and a document without findings must decode to the same value with
+// encoding/json.
 func TestParseAgreesWithEncodingJSON(t *testing.T) {
 	data := example(t, "pletenica")
 	rapid.Check(t, func(t *rapid.T) {
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -9,14 +9,16 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/strictjson"
 )
 
-// Finding is one fault of a bundle.
+// Finding is one fault of a bundle, with its path, the value found and the values
+// allowed.
 type Finding = strictjson.Finding
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 const nameRule = "1 to 63 lower-case letters, digits, '.', '_' or '-', starting with a letter or digit"
 
-// The ranges that a bundle's numbers must lie in.
+// Upper bounds of the numbers in a bundle. The number of zones, services and
+// searches is bounded by maxTargets too.
 const (
 	maxVMs           = 5000
 	maxShards        = 10000
@@ -25,7 +27,7 @@
 	maxSlots         = 1000
 	maxConnections   = 100000
 	maxConnectCostMS = 60000
-	maxTimeMS        = 600000 // ten minutes
+	maxTimeMS        = 600000 // 10 minutes
 	maxSuspectAfter  = 100
 	maxAttempts      = 10
 	maxItems         = 10000
@@ -40,7 +42,8 @@
 	return b, b.Check()
 }
 
-// Check returns all findings: ranges, cross-references and sums.
+// Check returns all findings: values out of range, duplicate names and addresses,
+// and references to names that do not exist.
 func (b *Bundle) Check() []Finding {
 	c := &checker{bundle: b}
 	c.equal("$.format", b.Format, Format)
@@ -89,7 +92,7 @@
 
 func (c *checker) unique(seen map[string]string, path, value string) {
 	if first, duplicate := seen[value]; duplicate {
-		c.add(path, fmt.Sprintf("%q, which stands at %s already", value, first), "each name once")
+		c.add(path, fmt.Sprintf("%q, which is already used at %s", value, first), "each name once")
 		return
 	}
 	seen[value] = path
@@ -130,8 +133,8 @@
 			c.unique(addresses, targetPath+".address", t.Address)
 			leaves += t.Leaves
 		}
-		// Each leaf holds at least one shard, so fewer shards than leaves only
-		// make replicas; no leaf at all serves nothing.
+		// Each leaf holds at least one shard, so a service with fewer shards than
+		// leaves just has replicas. Without a leaf nothing is served.
 		if leaves == 0 {
 			c.add(path+".targets", "0 leaves in all", "at least 1 leaf")
 		}
--- a/bundle/docs_test.go
+++ b/bundle/docs_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestDocNamesEveryField holds docs/BUNDLES.md against the types.
+// TestDocNamesEveryField checks that docs/BUNDLES.md describes each field of
+// Bundle.
 func TestDocNamesEveryField(t *testing.T) {
 	page, err := os.ReadFile("../docs/BUNDLES.md")
 	if err != nil {
@@ -20,7 +21,8 @@
 	})
 }
 
-// forEachField calls do with the name of each field that holds no struct.
+// forEachField calls do with the JSON name of each field that is not a struct or a
+// list of structs.
 func forEachField(typ reflect.Type, do func(name string)) {
 	for i := range typ.NumField() {
 		field := typ.Field(i)
--- a/bundle/key.go
+++ b/bundle/key.go
@@ -9,9 +9,9 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// PublicKey is a person's Ed25519 public key. A retired key still proves who
-// wrote a bundle or made an old change, but signs nothing into force. One
-// person may have several keys, of which two are active during a rotation.
+// PublicKey is a person's Ed25519 public key. A retired key still proves who wrote
+// a bundle or made an earlier change, but it can't sign a new change or sign-off.
+// A person may have several keys; two of them are active during a rotation.
 type PublicKey struct {
 	ID      string `json:"id"`
 	Person  string `json:"person"`
@@ -23,10 +23,10 @@
 type PrivateKey struct {
 	ID     string `json:"id"`
 	Person string `json:"person"`
-	Seed   []byte `json:"seed"` // of ed25519.SeedSize bytes
+	Seed   []byte `json:"seed"` // ed25519.SeedSize bytes
 }
 
-// NewPrivateKey makes a key from the system's random source.
+// NewPrivateKey generates a key from the system's random source.
 func NewPrivateKey(id, person string) (*PrivateKey, error) {
 	seed := make([]byte, ed25519.SeedSize)
 	if _, err := rand.Read(seed); err != nil {
@@ -35,13 +35,13 @@
 	return &PrivateKey{ID: id, Person: person, Seed: seed}, nil
 }
 
-// Public returns the public half, as it stands in settings files.
+// Public returns the public key in the form of a settings file.
 func (k *PrivateKey) Public() PublicKey {
 	pub := ed25519.NewKeyFromSeed(k.Seed).Public().(ed25519.PublicKey)
 	return PublicKey{ID: k.ID, Person: k.Person, Public: base64.StdEncoding.EncodeToString(pub)}
 }
 
-// Keyring holds the public keys that count. It never changes.
+// Keyring holds the trusted public keys, active and retired. It is immutable.
 type Keyring struct {
 	keys map[string]ringKey
 }
@@ -51,7 +51,8 @@
 	bytes ed25519.PublicKey
 }
 
-// NewKeyring checks the keys. Its errors have code BadSettings.
+// NewKeyring checks the keys and returns a keyring of them. Its errors have code
+// BadSettings.
 func NewKeyring(keys ...PublicKey) (*Keyring, error) {
 	ring := &Keyring{keys: make(map[string]ringKey, len(keys))}
 	for i, k := range keys {
@@ -72,7 +73,7 @@
 	return ring, nil
 }
 
-// Keys returns the keys in the order of their ids.
+// Keys returns the keys in the order of their IDs.
 func (r *Keyring) Keys() []PublicKey {
 	list := make([]PublicKey, 0, len(r.keys))
 	for _, k := range r.keys {
@@ -82,7 +83,8 @@
 	return list
 }
 
-// Check tells what is wrong with a key that was read from a file.
+// Check validates a key that was read from a file. Its errors have code
+// BadSettings.
 func (k *PrivateKey) Check() error {
 	if !namePattern.MatchString(k.ID) || !namePattern.MatchString(k.Person) {
 		return result.Errorf(result.BadSettings, "private key: found id %q and person %q, allowed is %s", k.ID, k.Person, nameRule)
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -12,23 +12,23 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Purpose says what a signature is for. It is part of what is signed, so that
-// a signature made for one purpose is worth nothing for another.
+// Purpose is what a signature is for. It is part of the signed message, so that a
+// signature made for one purpose is invalid for any other.
 type Purpose string
 
 // The purposes of signatures.
 const (
 	PurposeBundle  Purpose = "bundle"   // the author wrote this bundle
-	PurposeSignOff Purpose = "sign-off" // another person vouches for it
+	PurposeSignOff Purpose = "sign-off" // a person other than the author approves the bundle
 	PurposeEntry   Purpose = "entry"    // an operator made this change
 	PurposeRefusal Purpose = "refusal"  // an operator's change was refused
 )
 
-// signatureDomain starts every signed text, so that no key signs for us what was
-// meant for another system.
+// signatureDomain is the start of every signed message, so that a signature made
+// by the same key for another system is invalid here.
 const signatureDomain = "bramleybarrow 1 "
 
-// Signed is a payload with its signature. The payload travels as base64, so
+// Signed is a payload with its signature. The payload is encoded as base64, so
 // that no store or codec in between can reformat the signed bytes.
 type Signed struct {
 	Purpose   Purpose `json:"purpose"`
@@ -53,7 +53,7 @@
 	return append(text, payload...)
 }
 
-// ParseSigned reads the JSON form. It does not verify.
+// ParseSigned decodes the JSON form. It does not verify the signature.
 func ParseSigned(raw []byte) (Signed, error) {
 	var s Signed
 	if len(raw) > objstore.MaxValue {
@@ -74,7 +74,8 @@
 	return raw
 }
 
-// Hash identifies the signed object whatever JSON form it travels in.
+// Hash returns a hash of the signed object that does not depend on its JSON
+// formatting.
 func (s Signed) Hash() string {
 	sum := sha256.New()
 	sum.Write(signedMessage(s.Purpose, s.Payload))
@@ -83,7 +84,7 @@
 }
 
 // Verify returns the key that signed s for the purpose. Its errors have code
-// NotSigned, or UnknownKey for a key that the ring lacks or that is retired.
+// NotSigned, or UnknownKey for a key that is retired or not in the ring.
 func (r *Keyring) Verify(s Signed, purpose Purpose) (PublicKey, error) {
 	key, err := r.VerifyWithRetired(s, purpose)
 	if err != nil {
@@ -95,7 +96,8 @@
 	return key, nil
 }
 
-// VerifyWithRetired is Verify that also takes retired keys, for what lies in the past.
+// VerifyWithRetired is like Verify, but also accepts retired keys, for objects
+// that were signed in the past.
 func (r *Keyring) VerifyWithRetired(s Signed, purpose Purpose) (PublicKey, error) {
 	if s.Purpose != purpose {
 		return PublicKey{}, result.Errorf(result.NotSigned, "found a signature for %q, allowed is %q", s.Purpose, purpose)
@@ -110,13 +112,14 @@
 	return key.PublicKey, nil
 }
 
-// Digest returns the name under which a bundle's bytes are known.
+// Digest returns the SHA-256 digest in hex that identifies a bundle's bytes.
 func Digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// SignOff is what a person other than the author signs.
+// SignOff is the statement of a person other than the author that approves a
+// bundle.
 type SignOff struct {
 	Deployment string    `json:"deployment"`
 	Digest     string    `json:"digest"`
@@ -126,7 +129,7 @@
 	Reason     string    `json:"reason"`
 }
 
-// Sign returns the signed sign-off.
+// Sign returns the sign-off as a signed object.
 func (o SignOff) Sign(key *PrivateKey) Signed {
 	payload, err := json.Marshal(o)
 	if err != nil {
@@ -135,7 +138,8 @@
 	return Sign(PurposeSignOff, payload, key)
 }
 
-// OpenSignOff verifies a sign-off and returns its content.
+// OpenSignOff verifies a sign-off and returns its content. The key has to be
+// active and belong to the person that the sign-off names.
 func (r *Keyring) OpenSignOff(s Signed) (SignOff, error) {
 	var o SignOff
 	key, err := r.Verify(s, PurposeSignOff)
@@ -146,21 +150,23 @@
 		return o, result.Wrap(result.NotSigned, err, "sign-off")
 	}
 	if o.Person != key.Person {
-		return o, result.Errorf(result.NotSigned, "key %q is %s's, the sign-off names %q", s.Key, key.Person, o.Person)
+		return o, result.Errorf(result.NotSigned, "key %q belongs to %s, the sign-off names %q", s.Key, key.Person, o.Person)
 	}
 	return o, nil
 }
 
-// maxEnvelopeBytes is room for the purpose, key and signature around a payload.
+// maxEnvelopeBytes is reserved for the purpose, key and signature around a
+// payload.
 const maxEnvelopeBytes = 1 << 10
 
-// MaxBytes is the largest bundle, in bytes as written: signed and in base64 it
-// still fits into one value of the platform.
+// MaxBytes is the size of the largest bundle, in bytes as written. Signed and
+// encoded as base64, it still fits into one value of the platform.
 const MaxBytes = (objstore.MaxValue - maxEnvelopeBytes) / 4 * 3
 
-// Package signs a bundle's bytes as their author, for the platform and for
-// peers. It refuses what exceeds the platform's largest value before anything
-// is written, and an author that is not the key's owner.
+// Package signs a bundle's bytes as their author, for the platform and for peers.
+// It fails with BundleTooLarge for a bundle that would exceed the platform's
+// largest value, and with BadBundle for an invalid bundle or an author who does
+// not own the key.
 func Package(data []byte, key *PrivateKey) (Signed, error) {
 	if len(data) > MaxBytes {
 		return Signed{}, result.Errorf(result.BundleTooLarge, "found %d bytes, allowed are %d", len(data), MaxBytes)
@@ -176,8 +182,8 @@
 	return s, nil
 }
 
-// OpenBundle verifies a packaged bundle: the digest, the author's signature and all
-// checks. It does not look at sign-offs.
+// OpenBundle verifies a packaged bundle: the digest, the author's signature and
+// all checks. It does not verify sign-offs.
 func (r *Keyring) OpenBundle(raw []byte, digest string) (*Bundle, error) {
 	s, err := ParseSigned(raw)
 	if err != nil {
@@ -200,7 +206,9 @@
 	return b, nil
 }
 
-// CheckSignOff tells whether the sign-off vouches for the bundle.
+// CheckSignOff returns an error unless o approves the bundle b with that digest:
+// NotSigned if it is for another bundle or deployment, SelfSigned if it is by the
+// author.
 func (b *Bundle) CheckSignOff(o SignOff, digest string) error {
 	if o.Digest != digest || o.Deployment != b.Deployment {
 		return result.Errorf(result.NotSigned, "the sign-off is for bundle %s of %s", o.Digest, o.Deployment)
@@ -211,7 +219,7 @@
 	return nil
 }
 
-// BadBundle turns findings into an error of code BadBundle.
+// BadBundle returns an error with code BadBundle that lists the findings.
 func BadBundle(findings []strictjson.Finding) error {
 	text := ""
 	for i, f := range findings {
--- a/bundle/warn.go
+++ b/bundle/warn.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Warnings returns what is allowed but may not be meant.
+// Warnings returns findings that are valid but may be mistakes.
 func (b *Bundle) Warnings() []Finding {
 	c := &checker{bundle: b}
 	for i, s := range b.Services {
@@ -11,8 +11,8 @@
 			c.add(path+".name", fmt.Sprintf("%q, which no search uses", s.Name), "a service that a search names")
 		}
 		for j, t := range s.Targets {
-			// With fewer connections than VMs some VMs get none and have to
-			// reach the target through those that own its connections.
+			// With fewer connections than VMs, some VMs get none and have to reach
+			// the target through the VMs that own its connections.
 			if t.Connections < b.Fleet.MaxVMs {
 				c.add(fmt.Sprintf("%s.targets[%d].connections", path, j), fmt.Sprint(t.Connections),
 					fmt.Sprintf("%d (fleet.max_vms) or more, for each VM to have a connection of its own", b.Fleet.MaxVMs))
--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -13,29 +13,29 @@
 // Request is an operator's request for a change.
 type Request struct {
 	Reason string
-	// Op is empty for a new operation, or the id printed by an earlier run
-	// whose outcome is unknown.
+	// Op is empty for a new operation. To resume an operation with an unknown
+	// outcome, it is the id that the earlier run printed.
 	Op OpID
-	// Expect, if not 0, is the revision that the operator believes in force;
-	// another one is a conflict.
+	// Expect is the revision that the operator assumes to be in force. If it is
+	// not 0 and another revision is in force, the change fails with Conflict.
 	Expect uint64
-	DryRun bool // decide and check, but write nothing
+	DryRun bool // build and check the entry, but write nothing
 }
 
-// MaxReasonBytes bounds a reason, in bytes.
+// MaxReasonBytes is the maximum length of a reason, in bytes.
 const MaxReasonBytes = 1000
 
-// intent is what an operation is about.
+// intent is the action and the bundle that an operation is about.
 type intent struct {
 	action Action
 	digest string
 }
 
-// entryBuilder makes the next entry from the head as read.
+// entryBuilder builds the next entry on top of the head as read.
 type entryBuilder func(ctx context.Context, head *Head, change Change) (Entry, error)
 
-// makeChange makes one change, or finds out what became of it if ask names an
-// operation of an earlier run.
+// makeChange makes one change. If req names an operation of an earlier run, it
+// resolves the outcome of that operation instead.
 func (c *Client) makeChange(ctx context.Context, req Request, want intent, buildEntry entryBuilder) (Entry, error) {
 	if c.opts.Key == nil {
 		return Entry{}, result.Errorf(result.BadSettings, "a change needs your private key; pass --key or make one with keygen")
@@ -61,12 +61,12 @@
 	return c.commitChange(ctx, req, want, s, buildEntry)
 }
 
-// commitChange makes the change on top of the head as read. Its order of writes is
-// what the audit chain rests on: first the entry that the head holds is kept
-// under its own name, then the head is replaced on the condition that it is
-// still the one read. An operator who stops in between leaves either nothing, a
-// kept entry that is still the head's, or a whole change; the next operator
-// goes on from any of these.
+// commitChange makes the change on top of the head as read. The integrity of the
+// audit chain depends on the order of writes: first the entry in the head is
+// archived under its own name, then the head is replaced on condition that it is
+// still the version that was read. An operator who stops in between leaves
+// nothing, an archived entry that is still the head's, or a complete change. The
+// next operator can continue from each of these states.
 func (c *Client) commitChange(ctx context.Context, req Request, want intent, s headState, buildEntry entryBuilder) (Entry, error) {
 	entry, err := buildEntry(ctx, s.head, Change{
 		Op: req.Op, Person: c.opts.Key.Person, Reason: req.Reason, At: c.opts.Now().UTC(),
@@ -88,9 +88,10 @@
 	return accepted.Entry, want.checkMatches(accepted)
 }
 
-// resumeChange resolves an operation whose outcome was unknown. If it has not
-// landed and its turn has not passed, the operation goes on as if new: both
-// its writes expect the same version, so only one can take effect.
+// resumeChange resolves an operation whose outcome was unknown. If it was not
+// accepted and its revision is still the next one, the operation continues as if
+// it were new: the earlier write and the new one expect the same version, so only
+// one can take effect.
 func (c *Client) resumeChange(ctx context.Context, req Request, want intent, s headState, readErr error, buildEntry entryBuilder) (Entry, error) {
 	revision, err := req.Op.Revision()
 	if err != nil {
@@ -109,7 +110,7 @@
 		return Entry{Op: req.Op}, conflictError(accepted, s.head)
 	case s.revision()+1 != revision:
 		return Entry{Op: req.Op}, result.Errorf(result.BrokenAudit,
-			"operation %s is for revision %d and the head is at %d only; the store was set back", req.Op, revision, s.revision())
+			"operation %s is for revision %d and the head is at %d only; the store was reverted to an earlier state", req.Op, revision, s.revision())
 	}
 	e, err := c.commitChange(ctx, req, want, s, buildEntry)
 	if err != nil {
@@ -118,9 +119,9 @@
 	return e, err
 }
 
-// outcomeUnknown keeps an operator from being told that nothing was changed while
-// the write of an earlier run may still land. Only what was read of the
-// operation itself settles it.
+// outcomeUnknown returns err if err settles the outcome of the operation itself,
+// and WriteUnknown otherwise. The write of an earlier run may still take effect,
+// so an error that says that nothing was changed would be wrong.
 func outcomeUnknown(op OpID, err error) error {
 	switch result.Of(err) {
 	case result.Conflict, result.KeyReused, result.BrokenAudit, result.WriteUnknown:
@@ -129,8 +130,8 @@
 	return result.Wrap(result.WriteUnknown, err, fmt.Sprintf("run the same command again with --op %s to learn the outcome", op))
 }
 
-// checkMatches tells an operator who asked again for another change than the one that
-// the operation made.
+// checkMatches returns KeyReused if the operator resumed an operation that made
+// another change than the requested one.
 func (want intent) checkMatches(accepted *Head) error {
 	e := &accepted.Entry
 	if e.Action == want.action && e.Subject() == want.digest {
@@ -139,7 +140,7 @@
 	return result.Errorf(result.KeyReused, "operation %s is revision %d: %s of %s; leave --op out for another change", e.Op, e.Revision, e.Action, e.Subject())
 }
 
-// resolve applies Resolve, reading the kept entry if that is needed.
+// resolve calls Resolve and reads the archived entry if that is needed.
 func (c *Client) resolve(ctx context.Context, op OpID, revision uint64, head *Head) (Outcome, *Head, error) {
 	outcome := Resolve(op, revision, head, nil)
 	if outcome != OutcomeNeedArchived {
@@ -150,32 +151,34 @@
 		return outcome, nil, err
 	}
 	if archived == nil {
-		return outcome, nil, result.Errorf(result.BrokenAudit, "the head is at revision %d and revision %d is not kept", head.Entry.Revision, revision)
+		return outcome, nil, result.Errorf(result.BrokenAudit, "the head is at revision %d and revision %d is not archived", head.Entry.Revision, revision)
 	}
 	return Resolve(op, revision, head, archived), archived, nil
 }
 
-// conflictError tells what came first. now is the head, if it is known to be later.
+// conflictError returns a Conflict that describes the change that was accepted
+// first. latest is the current head, or nil if it is unknown.
 func conflictError(winner, latest *Head) error {
 	w := &winner.Entry
 	text := "revision %d came first: %s of %s by %s at %s, because %q"
 	args := []any{w.Revision, w.Action, w.Subject(), w.Person, w.At.Format("2006-01-02 15:04:05 MST"), w.Reason}
 	if latest != nil && latest.Entry.Revision > w.Revision {
-		text += "; the head is at revision %d by now"
+		text += "; the head is now at revision %d"
 		args = append(args, latest.Entry.Revision)
 	}
-	return result.Errorf(result.Conflict, text+"; look at it with audit and decide anew", args...)
+	return result.Errorf(result.Conflict, text+"; look at it with audit and decide again", args...)
 }
 
-// unexpectedRevision tells an operator that another revision is in force than thought.
+// unexpectedRevision returns a Conflict: the revision in force is not the one that
+// the operator expects.
 func unexpectedRevision(expect uint64, s headState) error {
 	if s.head == nil {
-		return result.Errorf(result.Conflict, "revision %d was expected and nothing is in force", expect)
+		return result.Errorf(result.Conflict, "revision %d was expected, but nothing is in force", expect)
 	}
 	return conflictError(s.head, s.head)
 }
 
-// Subject returns the digest that the change was about: rolled out or recalled.
+// Subject returns the digest of the bundle that the change rolled out or recalled.
 func (e *Entry) Subject() string {
 	if e.Action == ActionRecall {
 		return e.Recalled
@@ -183,7 +186,8 @@
 	return e.Digest
 }
 
-// archiveEntry keeps the head's entry under its own name.
+// archiveEntry stores the head's entry under its own name. It does nothing if the
+// entry is archived already.
 func (c *Client) archiveEntry(ctx context.Context, h *Head) error {
 	if h == nil {
 		return nil
@@ -199,25 +203,27 @@
 	return err == nil && s.Hash() == hash
 }
 
-// checkHeadNotReverted refuses to build on a head that the chain is already past.
-// It happens when the store was restored from an earlier copy: VMs would
-// ignore the new revision, since they have a higher one in force.
+// checkHeadNotReverted returns BrokenAudit if the audit chain has entries beyond
+// the head. That happens when the store was restored from an earlier copy. VMs
+// would ignore the new revision, since they have a higher one in force.
 func (c *Client) checkHeadNotReverted(ctx context.Context, s headState) error {
 	archived, err := c.readArchived(ctx, s.revision()+1)
 	if err != nil || archived == nil {
 		return err
 	}
-	// The head may have moved on since it was read; then the write will find out.
+	// The head may have advanced since it was read. In that case the conditional
+	// write fails.
 	now, err := c.readState(ctx)
 	if err != nil || now.version != s.version {
 		return err
 	}
-	return result.Errorf(result.BrokenAudit, "the head is at revision %d, but revision %d is kept already; the store was set back", s.revision(), archived.Entry.Revision)
+	return result.Errorf(result.BrokenAudit, "the head is at revision %d, but revision %d is archived already; the store was reverted to an earlier state", s.revision(), archived.Entry.Revision)
 }
 
-// writeHead replaces the head and returns what landed. A write whose answer was
-// lost, and a conflict, which may speak of an own earlier try, are resolved by
-// the operation id in what stands there.
+// writeHead replaces the head and returns the accepted head. If the response to a
+// write is lost, or the write conflicts, possibly with an earlier try of the same
+// operation, writeHead reads the head and resolves the outcome by the operation id
+// in it.
 func (c *Client) writeHead(ctx context.Context, base headState, e Entry) (*Head, error) {
 	signed := signEntry(e, c.opts.Key)
 	maybeSent := false
@@ -243,7 +249,8 @@
 	}
 }
 
-// timeoutError is the error of an operation that ran out of patience.
+// timeoutError returns the error of an operation that exceeded Patience:
+// WriteUnknown if a write may have reached the platform, else PlatformDown.
 func (c *Client) timeoutError(maybeSent bool, op OpID, err error) error {
 	if maybeSent {
 		return result.Errorf(result.WriteUnknown, "run the same command again with --op %s to learn the outcome", op)
@@ -251,10 +258,10 @@
 	return result.Wrap(result.PlatformDown, err, "nothing was changed")
 }
 
-// resolveWrite reads what became of the entry: the head that it landed as, a
-// conflict, or neither while that is open, which it also is while the platform
-// can't be read. What landed may differ from e in its time of signing, when an
-// earlier run with the same operation id wrote it.
+// resolveWrite finds out whether e was accepted. It returns the accepted head, a
+// Conflict, or nil and no error while the outcome is open, also if the platform
+// can't be read. The accepted entry may differ from e in At, if an earlier run
+// with the same operation id wrote it.
 func (c *Client) resolveWrite(ctx context.Context, e Entry) (*Head, error) {
 	now, err := c.readState(ctx)
 	if err != nil {
@@ -272,8 +279,8 @@
 	return nil, conflictError(accepted, now.head)
 }
 
-// archiveNow keeps an accepted entry at once. If it fails, whoever advances the
-// head next does it.
+// archiveNow archives an accepted entry at once. Failures are ignored: the
+// operator who advances the head next archives it.
 func (c *Client) archiveNow(ctx context.Context, h *Head) {
 	_ = c.put(ctx, KindAudit, AuditName(c.opts.Deployment, h.Entry.Revision), 0, h.Signed.Bytes())
 }
--- a/rollout/audit.go
+++ b/rollout/audit.go
@@ -6,21 +6,21 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Audit is the chain of accepted changes, oldest first, verified.
+// Audit is the verified chain of accepted changes, oldest first.
 type Audit struct {
 	Entries []Entry
-	// Head is the revision of the head object; the last entry is its own.
+	// Head is the revision of the head object, which holds the last entry.
 	Head uint64
 }
 
-// Audit reads the whole chain and verifies that it is unbroken: every revision
-// from 1 to the head's, each entry signed and naming the hash of the one
-// before, the last one equal to the head. Its error has code BrokenAudit if
-// it is not.
+// Audit reads the whole chain and verifies that it is unbroken: it has every
+// revision from 1 to the head's, each entry is signed and names the hash of the
+// entry before, and the last entry equals the head. Otherwise the error has code
+// BrokenAudit.
 func (c *Client) Audit(ctx context.Context) (Audit, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
-	// The head is read first: entries that are kept meanwhile lie beyond it.
+	// The head is read first: entries that are archived meanwhile are beyond it.
 	s, err := c.readState(ctx)
 	if err != nil {
 		return Audit{}, err
@@ -30,7 +30,7 @@
 		return Audit{}, err
 	}
 	if s.head == nil && len(archived) > 0 {
-		// The first rollout may have come between the two reads.
+		// The first rollout may have happened between the two reads.
 		if s, err = c.readState(ctx); err != nil {
 			return Audit{}, err
 		}
@@ -46,7 +46,7 @@
 	return a, nil
 }
 
-// readChain reads the kept entries in order, each verified by itself.
+// readChain reads the archived entries in order and verifies each by itself.
 func (c *Client) readChain(ctx context.Context) ([]*Head, error) {
 	objects, err := c.list(ctx, KindAudit, c.opts.Deployment+".")
 	if err != nil {
@@ -66,13 +66,13 @@
 	return archived, nil
 }
 
-// VerifyChain checks the kept entries, in order, against the head that was
-// read before them, and returns the chain up to the head. Entries past the head
-// were accepted since; they have to continue the chain too.
+// VerifyChain checks the archived entries, in order, against the head that was
+// read before them, and returns the chain up to the head. Entries beyond the head
+// were accepted after it was read; they have to continue the chain too.
 func VerifyChain(head *Head, archived []*Head) ([]*Head, error) {
 	if head == nil {
 		if len(archived) > 0 {
-			return nil, result.Errorf(result.BrokenAudit, "%d entries are kept and there is no head", len(archived))
+			return nil, result.Errorf(result.BrokenAudit, "%d entries are archived and there is no head", len(archived))
 		}
 		return nil, nil
 	}
@@ -81,7 +81,7 @@
 		all = append(append([]*Head{}, archived...), head)
 	}
 	if uint64(len(all)) < head.Entry.Revision {
-		return nil, result.Errorf(result.BrokenAudit, "the head is at revision %d and %d entries are kept", head.Entry.Revision, len(archived))
+		return nil, result.Errorf(result.BrokenAudit, "the head is at revision %d and %d entries are archived", head.Entry.Revision, len(archived))
 	}
 	prev := ""
 	for i, h := range all {
@@ -89,12 +89,12 @@
 			return nil, result.Errorf(result.BrokenAudit, "revision %d is missing, %d follows", i+1, h.Entry.Revision)
 		}
 		if h.Entry.Prev != prev {
-			return nil, result.Errorf(result.BrokenAudit, "revision %d does not follow from revision %d as kept", i+1, i)
+			return nil, result.Errorf(result.BrokenAudit, "revision %d does not follow from revision %d as archived", i+1, i)
 		}
 		prev = h.Hash
 	}
 	if all[head.Entry.Revision-1].Hash != head.Hash {
-		return nil, result.Errorf(result.BrokenAudit, "revision %d as kept is not the head's", head.Entry.Revision)
+		return nil, result.Errorf(result.BrokenAudit, "revision %d as archived is not the head's", head.Entry.Revision)
 	}
 	return all[:head.Entry.Revision], nil
 }
--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -10,8 +10,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Push writes a bundle to the platform and returns its digest. Pushing the
-// same bytes again is harmless.
+// Push signs a bundle, writes it to the platform and returns its digest. Pushing
+// the same bytes again has no effect.
 func (c *Client) Push(ctx context.Context, data []byte) (string, error) {
 	if c.opts.Key == nil {
 		return "", result.Errorf(result.BadSettings, "a push needs the author's private key; pass --key or make one with keygen")
@@ -43,7 +43,8 @@
 	return c.opts.Keys.OpenBundle(raw, digest)
 }
 
-// LoadBundleBytes returns the bytes of a verified bundle as its author wrote them.
+// LoadBundleBytes verifies a bundle and returns its bytes as the author wrote
+// them.
 func (c *Client) LoadBundleBytes(ctx context.Context, digest string) ([]byte, error) {
 	raw, err := c.readBundle(ctx, digest)
 	if err != nil {
@@ -66,14 +67,14 @@
 	return obj.Value, err
 }
 
-// BundleInfo is one bundle on the platform.
+// BundleInfo describes one bundle on the platform.
 type BundleInfo struct {
 	Digest     string `json:"digest"`
 	Deployment string `json:"deployment"`
 	Name       string `json:"name"`
 	Author     string `json:"author"`
 	Bytes      int    `json:"bytes"`
-	Fault      string `json:"fault,omitempty"` // why it cannot come into force
+	Fault      string `json:"fault,omitempty"` // why it can't come into force; empty if it is valid
 }
 
 // ListBundles returns the bundles on the platform.
@@ -98,8 +99,8 @@
 	return list, nil
 }
 
-// SignOff signs a bundle off, as somebody other than its author. The sign-off
-// counts until the bundle is recalled.
+// SignOff signs a bundle off. The signer has to be another person than the author.
+// The sign-off is valid until the bundle is recalled.
 func (c *Client) SignOff(ctx context.Context, digest, reason string) (bundle.SignOff, error) {
 	if c.opts.Key == nil {
 		return bundle.SignOff{}, result.Errorf(result.BadSettings, "a sign-off needs your private key; pass --key or make one with keygen")
@@ -137,7 +138,7 @@
 	return signOff, err
 }
 
-// loadApproved reads the bundle and the newest sign-off that counts for it.
+// loadApproved reads the bundle and its newest valid sign-off.
 func (c *Client) loadApproved(ctx context.Context, digest string) (Approved, error) {
 	b, err := c.LoadBundle(ctx, digest)
 	if err != nil {
@@ -177,7 +178,7 @@
 	return best, nil
 }
 
-// Rollout puts a bundle that was signed off into force.
+// Rollout puts a bundle with a valid sign-off into force.
 func (c *Client) Rollout(ctx context.Context, digest string, req Request) (Entry, error) {
 	entry, err := c.makeChange(ctx, req, intent{ActionRollout, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
 		approved, err := c.loadApproved(ctx, digest)
@@ -189,8 +190,9 @@
 	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRollout, Digest: digest}, req)
 }
 
-// Recall takes a bundle back as a whole. If it is in force, the latest bundle
-// that was in force before and was not recalled takes its place.
+// Recall recalls a bundle: its sign-offs become invalid. If the bundle is in
+// force, it is replaced by the latest bundle that was in force before and was not
+// recalled.
 func (c *Client) Recall(ctx context.Context, digest string, req Request) (Entry, error) {
 	entry, err := c.makeChange(ctx, req, intent{ActionRecall, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
 		if head == nil || digest != head.Entry.Digest {
@@ -208,8 +210,9 @@
 	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRecall, Digest: digest}, req)
 }
 
-// findFallback finds the bundle that takes the place of a recalled one: the latest
-// that VMs would take. One signed off by a key retired since is passed over.
+// findFallback returns the bundle that replaces a recalled one: the latest earlier
+// one that VMs would accept, or nil. It skips a bundle whose sign-off is by a key
+// that was retired since.
 func (c *Client) findFallback(ctx context.Context, head *Head, digest string) (*Approved, error) {
 	for _, past := range Fallbacks(head, digest) {
 		archived, err := c.readArchived(ctx, past.Revision)
@@ -217,7 +220,7 @@
 			return nil, err
 		}
 		if archived == nil {
-			return nil, result.Errorf(result.BrokenAudit, "revision %d is not kept", past.Revision)
+			return nil, result.Errorf(result.BrokenAudit, "revision %d is not archived", past.Revision)
 		}
 		signOff, err := c.opts.Keys.OpenSignOff(archived.Entry.SignOff)
 		if err != nil {
--- a/rollout/client.go
+++ b/rollout/client.go
@@ -18,12 +18,12 @@
 	Keys       *bundle.Keyring
 	Store      objstore.Store
 	Key        *bundle.PrivateKey // needed for changes only
-	// Patience bounds how long one operation asks the platform again after
-	// failures; default 30 s.
+	// Patience bounds how long one operation retries calls to the platform;
+	// default 30 s.
 	Patience    time.Duration
-	CallTimeout time.Duration // of one call, default 5 s
-	// Backoff waits between two tries; the default sleeps with jitter. Tests
-	// replace it.
+	CallTimeout time.Duration // of one call to the platform, default 5 s
+	// Backoff waits between two tries, which are counted from 0; the default
+	// sleeps with jitter. Tests replace it.
 	Backoff func(ctx context.Context, try int)
 	// Now is the operator's clock, default time.Now.
 	Now func() time.Time
@@ -35,19 +35,19 @@
 	DefaultCallTimeout = 5 * time.Second
 )
 
-// The bounds of the pause between two tries.
+// Bounds of the delay between two tries, before jitter.
 const (
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = time.Second
 )
 
-// Client is the operators' side: it pushes and signs bundles, rolls them out
-// and recalls them, and reads the audit chain. Its errors carry result codes.
+// Client is the operators' interface: it pushes and signs bundles, rolls them out,
+// recalls them and reads the audit chain. Its errors carry result codes.
 type Client struct {
 	opts ClientOptions
 }
 
-// NewClient returns a client.
+// NewClient returns a Client with defaults for the options that are not set.
 func NewClient(opts ClientOptions) *Client {
 	defaults.Positive(&opts.Patience, DefaultPatience)
 	defaults.Positive(&opts.CallTimeout, DefaultCallTimeout)
@@ -70,8 +70,8 @@
 	}
 }
 
-// get reads one object, asking again until ctx ends. A missing object is an
-// answer: it returns objstore.ErrNotFound.
+// get reads one object and retries until ctx ends. If the object is missing, it
+// returns objstore.ErrNotFound without retry.
 func (c *Client) get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	for try := 0; ; try++ {
 		call, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
@@ -87,12 +87,14 @@
 	}
 }
 
-// list reads the objects of a kind whose names start with prefix.
+// list reads the objects of a kind whose names start with prefix, in order of
+// their names.
 func (c *Client) list(ctx context.Context, kind, prefix string) ([]objstore.Object, error) {
 	return c.listFrom(ctx, kind, prefix, prefix)
 }
 
-// listFrom reads the objects whose names follow after and start with prefix.
+// listFrom reads the objects whose names come after the given one and start with
+// prefix.
 func (c *Client) listFrom(ctx context.Context, kind, prefix, after string) ([]objstore.Object, error) {
 	const pageSize = 100
 	var all []objstore.Object
@@ -133,9 +135,10 @@
 	}
 }
 
-// createOnce creates an object that is written once. If it exists, same decides
-// whether it is the one meant. Writing twice is harmless, so a lost answer is
-// resolved by asking again.
+// createOnce creates an object that is never overwritten. If the object exists
+// already, same reports whether its content is equivalent; if it is not, the error
+// is BrokenAudit. Repeating the write has no effect, so a lost response is handled
+// by a retry.
 func (c *Client) createOnce(ctx context.Context, kind, name string, value []byte, same func(existing []byte) bool) error {
 	if len(value) > objstore.MaxValue {
 		return result.Errorf(result.BundleTooLarge, "%s/%s has %d bytes, allowed are %d; nothing was written", kind, name, len(value), objstore.MaxValue)
@@ -154,14 +157,14 @@
 				return nil
 			}
 			if err == nil {
-				return result.Errorf(result.BrokenAudit, "%s/%s exists with another content", kind, name)
+				return result.Errorf(result.BrokenAudit, "%s/%s exists with different content", kind, name)
 			}
 			if !errors.Is(err, objstore.ErrNotFound) {
 				return err
 			}
 		}
 		if ctx.Err() != nil {
-			return result.Wrap(result.PlatformDown, err, "keeping "+kind+"/"+name)
+			return result.Wrap(result.PlatformDown, err, "creating "+kind+"/"+name)
 		}
 		c.opts.Backoff(ctx, try)
 	}
@@ -174,7 +177,7 @@
 	return err
 }
 
-// headState is the head as read, with its version at the store.
+// headState is the head as read, with its object version in the store.
 type headState struct {
 	head    *Head // nil before the first rollout
 	version uint64
@@ -187,8 +190,8 @@
 	return s.head.Entry.Revision
 }
 
-// readState reads the head. Its signature may be by a key retired since: the
-// operator is about to replace it.
+// readState reads the head. It accepts a signature by a retired key, since the
+// operator is about to replace the head.
 func (c *Client) readState(ctx context.Context) (headState, error) {
 	obj, err := c.get(ctx, KindHead, c.opts.Deployment)
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -204,7 +207,7 @@
 	return headState{head: head, version: obj.Version}, nil
 }
 
-// readArchived reads the entry kept under a revision, or nil if there is none.
+// readArchived reads the archived entry of a revision, or nil if there is none.
 func (c *Client) readArchived(ctx context.Context, revision uint64) (*Head, error) {
 	obj, err := c.get(ctx, KindAudit, AuditName(c.opts.Deployment, revision))
 	if errors.Is(err, objstore.ErrNotFound) {
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -1,12 +1,12 @@
-// Package rollout brings bundles into force: the head object that says which
-// bundle is in force under which revision, the audit chain that it ends, the
-// operators' changes to it, and the keeper that follows it on each VM.
+// Package rollout brings bundles into force. It has the head object, which names
+// the bundle in force and its revision; the audit chain, whose last entry is the
+// head; the operators' changes to the head; and the Follower, which applies the
+// head on each VM.
 //
 // The head object holds the latest entry of the audit chain, signed by the
-// operator who made the change. Before anybody advances the head, the entry
-// that it holds is kept under a name of its own. So the chain misses no change
-// that was accepted, and holds none that was not: nothing becomes an entry
-// except by having been the head.
+// operator who made the change. Before an operator advances the head, the entry in
+// it is archived under a name of its own. So the chain contains exactly the
+// accepted changes: an entry gets into the chain only by having been the head.
 package rollout
 
 import (
@@ -24,16 +24,16 @@
 	KindAudit   = "bramley-audit"    // name: AuditName
 	KindBundle  = "bramley-bundles"  // name: the digest; written once
 	KindSignOff = "bramley-signoffs" // name: digest, '.', key id, '.', revision
-	KindRefusal = "bramley-refusals" // name: deployment, '.', time, '.', operation id
+	KindRefusal = "bramley-refusals" // name: deployment, '.', time, '.', start of the refusal's hash
 )
 
-// The bounds on what a head carries along, which keep it at a few kilobytes.
+// Bounds of the lists in a head, which keep its size at a few kilobytes.
 const (
 	MaxHistory = 8  // bundles that a recall can fall back to
-	MaxRecalls = 32 // recalls remembered one by one
+	MaxRecalls = 32 // recalls that are listed; RecallFloor stands for older ones
 )
 
-// AuditName is the name under which an entry is kept. Names sort by revision.
+// AuditName is the name of an archived entry. Names sort by revision.
 func AuditName(deployment string, revision uint64) string {
 	return fmt.Sprintf("%s.%020d", deployment, revision)
 }
@@ -47,19 +47,19 @@
 	ActionRecall  Action = "recall"
 )
 
-// PastBundle is a bundle that was in force and was not recalled since.
+// PastBundle is a bundle that was in force earlier and was not recalled since.
 type PastBundle struct {
 	Digest   string `json:"digest"`
 	Revision uint64 `json:"revision"` // of an entry that put it into force
 }
 
-// Recall is a bundle that was taken back. A sign-off made before counts no more.
+// Recall is a recalled bundle. Sign-offs made before that revision are invalid.
 type Recall struct {
 	Digest   string `json:"digest"`
 	Revision uint64 `json:"revision"`
 }
 
-// Entry is one accepted change, and the state of the head after it.
+// Entry is one accepted change and the state of the head after it.
 type Entry struct {
 	Deployment string    `json:"deployment"`
 	Revision   uint64    `json:"revision"`
@@ -74,10 +74,10 @@
 	At         time.Time `json:"at"`   // by the operator's clock
 	Prev       string    `json:"prev"` // hash of the entry before; empty for the first
 
-	SignOff     bundle.Signed `json:"sign_off"` // of the bundle in force
-	History     []PastBundle  `json:"history"`  // newest first, without the bundle in force
-	Recalls     []Recall      `json:"recalls"`  // newest first
-	RecallFloor uint64        `json:"recall_floor"`
+	SignOff     bundle.Signed `json:"sign_off"`     // of the bundle in force
+	History     []PastBundle  `json:"history"`      // newest first, without the bundle in force
+	Recalls     []Recall      `json:"recalls"`      // newest first
+	RecallFloor uint64        `json:"recall_floor"` // highest revision of a recall that is no longer listed, or 0
 }
 
 // Head is a verified entry with the signed object that it came in.
@@ -87,7 +87,7 @@
 	Hash   string
 }
 
-// signEntry returns the signed form of e.
+// signEntry returns e as a signed object.
 func signEntry(e Entry, key *bundle.PrivateKey) bundle.Signed {
 	payload, err := json.Marshal(e)
 	if err != nil {
@@ -96,8 +96,8 @@
 	return bundle.Sign(bundle.PurposeEntry, payload, key)
 }
 
-// openHead verifies raw as an entry of the deployment. With old set, retired
-// keys count too.
+// openHead verifies raw as an entry of the deployment. Signatures by retired keys
+// are accepted only if allowRetired is set.
 func openHead(raw []byte, deployment string, keys *bundle.Keyring, allowRetired bool) (*Head, error) {
 	s, err := bundle.ParseSigned(raw)
 	if err != nil {
@@ -119,7 +119,7 @@
 	case h.Entry.Deployment != deployment:
 		return nil, result.Errorf(result.NotSigned, "the entry is of deployment %q, not %q", h.Entry.Deployment, deployment)
 	case h.Entry.Person != key.Person:
-		return nil, result.Errorf(result.NotSigned, "key %q is %s's, the entry names %q", key.ID, key.Person, h.Entry.Person)
+		return nil, result.Errorf(result.NotSigned, "key %q belongs to %s, the entry names %q", key.ID, key.Person, h.Entry.Person)
 	case h.Entry.Revision == 0:
 		return nil, result.Errorf(result.NotSigned, "the entry has revision 0")
 	}
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -10,19 +10,18 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// maxConcurrentReads bounds the reads of the head under way at once. A platform that
-// answers more slowly than the reads are due is still read, with delay.
+// maxConcurrentReads bounds the concurrent reads of the head. If the platform
+// takes longer than the interval between reads, reads still complete, with delay.
 const maxConcurrentReads = 4
 
-// The pauses between watches that failed.
+// Bounds of the delay between watches that failed.
 const (
 	minWatchRetryDelay = 200 * time.Millisecond
 	maxWatchRetryDelay = 2 * time.Second
 )
 
-// readLoop re-reads the head at an even pace, whatever watches say: a watch
-// that lost or withholds an event looks just like a platform where nothing
-// changed.
+// readLoop re-reads the head periodically, independent of watches: a watch that
+// loses or withholds an event can't be told from a platform where nothing changed.
 func (f *Follower) readLoop() error {
 	f.startRead()
 	for {
@@ -40,7 +39,8 @@
 	}
 }
 
-// readDelay spreads the VMs' reads by a tenth either way.
+// readDelay returns the delay until the next read: the interval, varied at random
+// by up to 10 % in both directions, so that the VMs' reads are spread.
 func (f *Follower) readDelay() time.Duration {
 	interval := f.opts.IdleInterval
 	if f.watching.Load() {
@@ -73,16 +73,16 @@
 		f.metrics.readsFailed.Inc()
 	}
 	if err != nil {
-		f.opts.Log.Debug("head not read", "error", err)
+		f.opts.Log.Debug("reading the head failed", "error", err)
 		return
 	}
 	if err := f.applyHead(ctx, obj.Value, f.fetchBundle); err != nil {
-		f.opts.Log.Debug("head not taken", "error", err)
+		f.opts.Log.Debug("head not applied", "error", err)
 	}
 }
 
-// get bounds each call by itself: on a platform that takes long for each, a
-// bound on head and bundle together would never let a bundle through.
+// get has a timeout for each call. On a platform that takes long for each call, a
+// common timeout for head and bundle would expire before every bundle is read.
 func (f *Follower) get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.opts.ReadTimeout)
 	defer cancel()
@@ -100,7 +100,7 @@
 	return obj.Value, nil
 }
 
-// watchLoop waits on the platform for hints that the head changed.
+// watchLoop watches the platform and triggers a read when the head changed.
 func (f *Follower) watchLoop() error {
 	var since uint64
 	delay := minWatchRetryDelay
@@ -113,11 +113,11 @@
 		}
 		start := time.Now()
 		change, err := f.watch(since)
-		// After a failure the next watch starts from the beginning, in case
-		// the store was set back to an earlier revision meanwhile.
+		// After a failure the next watch starts from the beginning, in case the
+		// store was reverted to an earlier revision meanwhile.
 		since = change.Revision
-		// A platform that answers at once without news must not be asked in a
-		// tight loop.
+		// If watches return at once without events, the loop must not call the
+		// platform without delay.
 		if err != nil || len(change.Events) == 0 && time.Since(start) < minWatchRetryDelay {
 			if !f.sleep(delay) {
 				return nil
@@ -149,7 +149,7 @@
 	return false
 }
 
-// sleep waits for d and tells whether the keeper is still alive.
+// sleep waits for d. It returns false if the follower is stopped first.
 func (f *Follower) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -17,8 +17,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// InForce is the bundle in force on a VM. It never changes; a query keeps the
-// pointer for its whole life and so lives under one revision.
+// InForce is the bundle in force on a VM. It is immutable; a query keeps the
+// pointer until it ends and so uses one revision throughout.
 type InForce struct {
 	Revision uint64
 	Digest   string
@@ -26,10 +26,10 @@
 	Since    time.Time // when it came into force on this VM
 
 	head *Head
-	raw  []byte // the packaged bundle, for peers
+	raw  []byte // the bundle as packaged and signed, for peers
 }
 
-// Options configures a Keeper. Zero values take the defaults.
+// Options configures a Follower. Zero values take the defaults.
 type Options struct {
 	Deployment string
 	Keys       *bundle.Keyring
@@ -37,8 +37,8 @@
 	Log        *slog.Logger
 	Metrics    *metrics.Set // may be nil
 	// Watch makes the VM watch the platform and re-read the head every
-	// RereadEvery; without it the VM re-reads every IdleEvery and is told by
-	// peers.
+	// RereadInterval. Without it, the VM re-reads the head every IdleInterval and
+	// relies on peers for earlier updates.
 	Watch          bool
 	RereadInterval time.Duration // default 1 s
 	IdleInterval   time.Duration // default 30 s
@@ -65,35 +65,36 @@
 	return o
 }
 
-// Follower keeps the revision in force on one VM.
+// Follower follows the head of a deployment on one VM and holds the bundle in
+// force. Its methods may be called concurrently.
 type Follower struct {
 	opts    Options
 	metrics *followerMetrics
 	tomb    tomb.Tomb
 
 	current     atomic.Pointer[InForce]
-	previous    atomic.Pointer[InForce] // what current replaced, which a recall mostly falls back to
-	lastContact atomic.Int64            // unix nanoseconds of the last read that the platform answered
+	previous    atomic.Pointer[InForce] // the bundle that current replaced; most recalls fall back to it
+	lastContact atomic.Int64            // Unix time in nanoseconds of the last read that the platform answered
 	watching    atomic.Bool
-	modeChanged chan struct{} // wakes the loops when watching changes
-	headChanged chan struct{} // wakes the reader when a watch tells of a change
-	readSlots   chan struct{} // bounds the reads under way
+	modeChanged chan struct{} // wakes readLoop when watching changes
+	headChanged chan struct{} // wakes readLoop when a watch reports a change
+	readSlots   chan struct{} // bounds the concurrent reads
 
-	// mu guards the fields below and orders changes of current. It is never
-	// held during I/O.
+	// mu guards the fields below and orders changes of current. It is never held
+	// during I/O.
 	mu          sync.Mutex
 	changed     chan struct{}
 	lastRefused refusedHead
 }
 
-// refusedHead is the last head that was not taken, so that a bad head is logged
-// once and not at each read.
+// refusedHead is the last head that was refused. It is remembered so that a bad
+// head is logged once and not at each read.
 type refusedHead struct {
 	hash string
 	err  error
 }
 
-// NewFollower returns a keeper that has nothing in force yet.
+// NewFollower returns a Follower that has nothing in force yet.
 func NewFollower(opts Options) *Follower {
 	f := &Follower{
 		opts:        opts.withDefaults(),
@@ -107,7 +108,7 @@
 	return f
 }
 
-// Start begins to follow the platform.
+// Start starts the goroutines that follow the platform.
 func (f *Follower) Start() {
 	f.tomb.Go(func() error {
 		f.tomb.Go(f.readLoop)
@@ -116,7 +117,7 @@
 	})
 }
 
-// Stop ends the keeper and waits for its goroutines, at most until ctx ends.
+// Stop stops the follower and waits for its goroutines, at most until ctx ends.
 func (f *Follower) Stop(ctx context.Context) error {
 	f.tomb.Kill(nil)
 	select {
@@ -127,10 +128,10 @@
 	}
 }
 
-// Current returns what is in force, or nil before the first.
+// Current returns what is in force, or nil before the first bundle.
 func (f *Follower) Current() *InForce { return f.current.Load() }
 
-// Revision returns the revision in force, or 0 before the first.
+// Revision returns the revision in force, or 0 before the first bundle.
 func (f *Follower) Revision() uint64 {
 	if cur := f.Current(); cur != nil {
 		return cur.Revision
@@ -138,14 +139,15 @@
 	return 0
 }
 
-// Changed returns a channel that is closed when something else comes into force.
+// Changed returns a channel that is closed when another revision comes into force.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// PlatformContact returns when the platform last answered a read of the head.
+// PlatformContact returns when the platform last answered a read of the head, or
+// the zero time if it never did.
 func (f *Follower) PlatformContact() time.Time {
 	ns := f.lastContact.Load()
 	if ns == 0 {
@@ -154,7 +156,8 @@
 	return time.Unix(0, ns)
 }
 
-// Head returns the signed head in force, for peers, or nil before the first.
+// Head returns the signed head in force, for peers, or nil before the first
+// bundle.
 func (f *Follower) Head() []byte {
 	if cur := f.Current(); cur != nil {
 		return cur.head.Signed.Bytes()
@@ -162,8 +165,8 @@
 	return nil
 }
 
-// RawBundle returns the packaged bundle of that digest if it is in force here
-// or was just before. Its receiver verifies it by itself.
+// RawBundle returns the packaged bundle with that digest if it is in force here or
+// was just before. The receiver has to verify it.
 func (f *Follower) RawBundle(digest string) ([]byte, bool) {
 	for _, held := range []*InForce{f.current.Load(), f.previous.Load()} {
 		if held != nil && held.Digest == digest {
@@ -173,14 +176,15 @@
 	return nil, false
 }
 
-// LastRefusal returns why the last head that was offered is not in force, or nil.
+// LastRefusal returns the error of the last refused head, or nil if a head came
+// into force since.
 func (f *Follower) LastRefusal() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastRefused.err
 }
 
-// SetWatching chooses between watching the platform and relying on peers.
+// SetWatching selects between watching the platform and relying on peers.
 func (f *Follower) SetWatching(on bool) {
 	if f.watching.Swap(on) != on {
 		wake(f.modeChanged)
@@ -194,12 +198,13 @@
 	}
 }
 
-// FetchFunc returns the packaged bundle of a digest.
+// FetchFunc returns the packaged bundle with the given digest.
 type FetchFunc func(ctx context.Context, digest string) ([]byte, error)
 
-// OfferHead takes a head that a peer handed over if it is higher than the one
-// in force, and fetches its bundle. It verifies as for the platform's, so a
-// peer can neither forge nor set back. A lower one is refused with StaleExchange.
+// OfferHead applies a head received from a peer if its revision is higher than the
+// one in force, and fetches its bundle. It verifies the head like one from the
+// platform, so a peer can neither forge a head nor revert to an earlier one. A
+// head with a lower revision is refused with StaleExchange.
 func (f *Follower) OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error {
 	return f.applyHead(ctx, raw, fetch)
 }
@@ -217,7 +222,7 @@
 	case HeadStale:
 		return result.Errorf(result.StaleExchange, "revision %d was offered, %d is in force", h.Entry.Revision, cur.Revision)
 	case HeadFork:
-		err := result.Errorf(result.BrokenAudit, "revision %d was offered with another content than the one in force", h.Entry.Revision)
+		err := result.Errorf(result.BrokenAudit, "revision %d was offered with different content than the one in force", h.Entry.Revision)
 		f.recordRefusal(h.Hash, err)
 		return err
 	}
@@ -237,7 +242,7 @@
 	return f.head
 }
 
-// loadInForce gets and verifies what h puts into force.
+// loadInForce fetches and verifies the bundle that h puts into force.
 func (f *Follower) loadInForce(ctx context.Context, h *Head, fetch FetchFunc) (*InForce, error) {
 	digest := h.Entry.Digest
 	raw, held := f.RawBundle(digest)
@@ -254,9 +259,9 @@
 	return &InForce{Revision: h.Entry.Revision, Digest: digest, Bundle: b, head: h, raw: raw}, nil
 }
 
-// verifyInForce checks everything that a bundle needs to come into force: its bytes,
-// its author, its checks, its deployment and a sign-off by another person that
-// no recall has voided.
+// verifyInForce checks everything that a bundle needs to come into force: its
+// bytes, its author's signature, its content, its deployment and a sign-off by
+// another person that is not invalidated by a recall.
 func verifyInForce(keys *bundle.Keyring, h *Head, raw []byte) (*bundle.Bundle, error) {
 	b, err := keys.OpenBundle(raw, h.Entry.Digest)
 	if err != nil {
@@ -275,8 +280,9 @@
 	return b, CheckRecalls(&h.Entry, signOff.After)
 }
 
-// install puts next into force unless something at least as high came first:
-// two offers may load their bundles at the same time and finish in any order.
+// install puts next into force unless the same or a higher revision came into
+// force meanwhile: two concurrent calls may load their bundles and finish in any
+// order.
 func (f *Follower) install(next *InForce) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/rollout/metrics.go
+++ b/rollout/metrics.go
@@ -8,17 +8,19 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// followerMetrics counts what a keeper reads and refuses.
+// followerMetrics counts the reads, watches, changes and refused heads of a
+// Follower.
 type followerMetrics struct {
 	set          *metrics.Set
 	reads        *metrics.Counter // answered by the platform
 	readsFailed  *metrics.Counter
-	readsSkipped *metrics.Counter // left out, since too many were under way
+	readsSkipped *metrics.Counter // not started, since maxConcurrentReads were running
 	watches      *metrics.Counter
-	changes      *metrics.Counter // of what is in force
+	changes      *metrics.Counter // of the revision in force
 }
 
-// newFollowerMetrics registers in set, or in none if set is nil.
+// newFollowerMetrics registers the metrics in set, or in a private set if set is
+// nil.
 func newFollowerMetrics(set *metrics.Set, revision func() float64) *followerMetrics {
 	if set == nil {
 		set = metrics.NewSet()
--- a/rollout/next.go
+++ b/rollout/next.go
@@ -12,15 +12,16 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// OpID names one operation: the revision that it wants to become, '-', and a
-// random part. The revision makes a lost answer easy to resolve: one entry
-// tells whether the operation landed.
+// OpID identifies one operation. It consists of the revision that the operation is
+// to become, '-' and a random part. With the revision, a lost response is easy to
+// resolve: the entry of that revision shows whether the operation was accepted.
 type OpID string
 
-// opRandomBytes makes two operators' ids differ.
+// opRandomBytes is the length of the random part, which makes ids of different
+// operators distinct.
 const opRandomBytes = 8
 
-// NewOpID returns a fresh id for an operation that is to become revision.
+// NewOpID returns a new id for an operation that is to become revision.
 func NewOpID(revision uint64) (OpID, error) {
 	var b [opRandomBytes]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -29,7 +30,7 @@
 	return OpID(fmt.Sprintf("%d-%s", revision, hex.EncodeToString(b[:]))), nil
 }
 
-// Revision returns the revision that the operation wants to become.
+// Revision returns the revision that the operation is to become.
 func (o OpID) Revision() (uint64, error) {
 	text, random, _ := strings.Cut(string(o), "-")
 	n, err := strconv.ParseUint(text, 10, 64)
@@ -39,20 +40,20 @@
 	return n, nil
 }
 
-// HeadRelation says what a VM does with a head that it is shown.
+// HeadRelation is the relation of an offered head to the one in force.
 type HeadRelation int
 
-// The verdicts.
+// The relations. Only a HeadNewer is put into force.
 const (
-	HeadNewer HeadRelation = iota // higher: put it into force
-	HeadSame                      // the one in force
-	HeadStale                     // lower: a lagging peer or a store that was set back
-	HeadFork                      // the revision in force with another content
+	HeadNewer HeadRelation = iota // higher revision, or nothing is in force
+	HeadSame                      // equal to the head in force
+	HeadStale                     // lower revision, from a lagging peer or a reverted store
+	HeadFork                      // the revision in force, but with different content
 )
 
-// CompareHeads decides what a verified head does to the one in force. A lower
-// revision never takes the place of a higher one, whoever offers it, and one
-// revision never stands for two contents.
+// CompareHeads compares a verified head with the one in force. A lower revision
+// never replaces a higher one, whoever offers it, and one revision never has two
+// different contents.
 func CompareHeads(current, offered *Head) HeadRelation {
 	switch {
 	case current == nil || offered.Entry.Revision > current.Entry.Revision:
@@ -66,7 +67,7 @@
 	}
 }
 
-// Change is what an operator asks for.
+// Change holds the operator's part of an entry.
 type Change struct {
 	Op     OpID
 	Person string
@@ -74,16 +75,16 @@
 	At     time.Time
 }
 
-// Approved is a bundle with the sign-off that a rollout rests on.
+// Approved is a bundle with the sign-off that allows its rollout.
 type Approved struct {
 	Digest  string
 	Name    string
 	SignOff bundle.Signed
-	After   uint64 // SignOff.After
+	After   uint64 // the revision in force when it was signed off
 }
 
-// NextRollout returns the entry that puts b into force on top of head, which
-// is nil before the first rollout.
+// NextRollout returns the entry that puts the approved bundle into force on top of
+// head, which is nil before the first rollout.
 func NextRollout(deployment string, head *Head, c Change, approved Approved) (Entry, error) {
 	e := nextEntry(deployment, head, c)
 	e.Action = ActionRollout
@@ -97,11 +98,11 @@
 	return e, CheckRecalls(&e, approved.After)
 }
 
-// NextRecall returns the entry that takes the bundle back. If it is the one in
-// force, fallback takes its place, which has to be one of Fallbacks.
+// NextRecall returns the entry that recalls the bundle. If that is the one in
+// force, fallback replaces it, which has to be one of Fallbacks.
 func NextRecall(head *Head, c Change, digest string, fallback *Approved) (Entry, error) {
 	if head == nil {
-		return Entry{}, result.Errorf(result.NothingBefore, "nothing was ever rolled out")
+		return Entry{}, result.Errorf(result.NothingBefore, "no bundle was rolled out yet")
 	}
 	e := nextEntry(head.Entry.Deployment, head, c)
 	e.Action = ActionRecall
@@ -124,7 +125,7 @@
 	return e, nil
 }
 
-// Fallbacks returns what may take the place of a recalled digest, best first.
+// Fallbacks returns the bundles that may replace a recalled digest, newest first.
 func Fallbacks(head *Head, digest string) []PastBundle {
 	return withoutDigest(head.Entry.History, digest)
 }
@@ -147,10 +148,11 @@
 	return e
 }
 
-// CheckRecalls refuses a bundle in force whose sign-off was made before it was
-// last recalled. Recalls that e no longer lists count as if they spoke of
-// every bundle, so that forgetting one never lets a recalled bundle back in;
-// a bundle that a recall falls back to is known not to be recalled.
+// CheckRecalls returns Recalled if the sign-off of the bundle in force was made
+// before the bundle's last recall. after is the revision in force at the time of
+// the sign-off. Recalls that e no longer lists count for every bundle, so that
+// dropping one from the list never lets a recalled bundle back in. Bundles that a
+// recall falls back to are exempt: they are known not to be recalled.
 func CheckRecalls(e *Entry, after uint64) error {
 	for _, r := range e.Recalls {
 		if r.Digest == e.Digest && after < r.Revision {
@@ -185,20 +187,21 @@
 	return kept
 }
 
-// Outcome is what became of an operation.
+// Outcome is the outcome of an operation, as far as known.
 type Outcome int
 
 // The outcomes.
 const (
-	OutcomeOpen         Outcome = iota // not landed so far; a write on its way still may
-	OutcomeAccepted                    // it is an entry of the chain
+	OutcomeOpen         Outcome = iota // not accepted so far; a write in flight may still be
+	OutcomeAccepted                    // the operation is an entry of the chain
 	OutcomeConflict                    // another operation became that revision
-	OutcomeNeedArchived                // the head has moved on; the kept entry tells
+	OutcomeNeedArchived                // the head is past the revision; the archived entry is needed
 )
 
-// Resolve tells what became of op from the head and, if the head is past the
-// operation's revision, from the entry kept under that revision. Only one
-// entry can have become a revision, so its operation id decides.
+// Resolve returns the outcome of op. It looks at the head or, if the head is past
+// the operation's revision, at the archived entry of that revision, which may be
+// nil if it was not read yet. Only one entry can have become a revision, so its
+// operation id decides.
 func Resolve(op OpID, revision uint64, head, archived *Head) Outcome {
 	if head == nil || head.Entry.Revision < revision {
 		return OutcomeOpen
--- a/rollout/refusal.go
+++ b/rollout/refusal.go
@@ -10,8 +10,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Refusal is an attempt at a change that did not take effect. Refusals are no
-// part of the chain; they are kept beside it as far as the platform allows.
+// Refusal records a change that was refused. Refusals are not part of the chain;
+// they are stored beside it on a best-effort basis.
 type Refusal struct {
 	Deployment string      `json:"deployment"`
 	Op         OpID        `json:"op,omitempty"`
@@ -24,12 +24,12 @@
 	Detail     string      `json:"detail"`
 }
 
-// refusalTimeout bounds what a refused operator waits for the record.
+// refusalTimeout bounds how long an operator waits until a refusal is recorded.
 const refusalTimeout = 2 * time.Second
 
-// recordIfRefused records a refused attempt. An attempt with an unknown outcome, a dry
-// run and a platform that is down leave no refusal: nothing is known, was
-// tried or can be written.
+// recordIfRefused records a refused change and returns its arguments e and err. It
+// records nothing if the outcome is unknown, for a dry run, which attempts no
+// change, and if the platform is down, since the record can't be written either.
 func (c *Client) recordIfRefused(ctx context.Context, e Entry, err error, r Refusal, req Request) (Entry, error) {
 	if err == nil {
 		return e, nil
@@ -49,12 +49,12 @@
 	defer cancel()
 	signed := bundle.Sign(bundle.PurposeRefusal, payload, c.opts.Key)
 	name := fmt.Sprintf("%s.%020d.%s", r.Deployment, r.At.UnixNano(), signed.Hash()[:16])
-	// The answer to the operator does not depend on the record.
+	// The response to the operator does not depend on the record.
 	_ = c.createOnce(ctx, KindRefusal, name, signed.Bytes(), func([]byte) bool { return true })
 	return e, err
 }
 
-// Refusals returns the refused attempts of the deployment, oldest first.
+// Refusals returns the recorded refusals of the deployment, oldest first.
 func (c *Client) Refusals(ctx context.Context) ([]Refusal, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
@@ -69,7 +69,7 @@
 			continue
 		}
 		if _, err := c.opts.Keys.VerifyWithRetired(signed, bundle.PurposeRefusal); err != nil {
-			continue // not written by one of us
+			continue // not signed by a known key
 		}
 		var r Refusal
 		if json.Unmarshal(signed.Payload, &r) == nil {
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -8,10 +8,11 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// RestoreHead writes the latest kept entry to the head again, after the head
-// object was lost, overwritten or set back to an earlier copy. It makes no new revision and
-// can put nothing into force that was not accepted before: the entry was the
-// head once, and is signed. It changes nothing if the head is the latest.
+// RestoreHead writes the latest archived entry to the head again, after the head
+// object was lost, overwritten or reverted to an earlier copy. It creates no new
+// revision and can't put anything into force that was not accepted before: the
+// entry is signed and was the head earlier. It changes nothing if the head is up
+// to date.
 func (c *Client) RestoreHead(ctx context.Context) (Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
@@ -24,7 +25,7 @@
 		return Entry{}, err
 	}
 	if len(archived) == 0 {
-		return Entry{}, result.Errorf(result.NotFound, "no entry is kept")
+		return Entry{}, result.Errorf(result.NotFound, "no entry is archived")
 	}
 	last := archived[len(archived)-1]
 	if s.revision() >= last.Entry.Revision {
@@ -34,12 +35,13 @@
 		return Entry{}, err
 	}
 	if s.head != nil && archived[s.revision()-1].Hash != s.head.Hash {
-		return Entry{}, result.Errorf(result.BrokenAudit, "revision %d as kept is not the head's", s.revision())
+		return Entry{}, result.Errorf(result.BrokenAudit, "revision %d as archived is not the head's", s.revision())
 	}
 	return last.Entry, c.replaceHead(ctx, s, last)
 }
 
-// readStateIfValid is readState that takes a head which is no signed entry for none.
+// readStateIfValid is like readState, but treats a head that is not a valid signed
+// entry as missing.
 func (c *Client) readStateIfValid(ctx context.Context) (headState, error) {
 	obj, err := c.get(ctx, KindHead, c.opts.Deployment)
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -55,8 +57,9 @@
 	return s, nil
 }
 
-// replaceHead is safe to repeat: the write depends on the version read, and a
-// conflict with an own earlier try shows as the head that was meant.
+// replaceHead writes h to the head. A retry is safe: the write depends on the
+// version that was read, and after a conflict with an earlier try of its own the
+// head already equals h.
 func (c *Client) replaceHead(ctx context.Context, s headState, h *Head) error {
 	for try := 0; ; try++ {
 		err := c.put(ctx, KindHead, c.opts.Deployment, s.version, h.Signed.Bytes())
@@ -71,7 +74,7 @@
 			if now.head != nil && now.head.Hash == h.Hash {
 				return nil
 			}
-			return result.Errorf(result.Conflict, "the head changed meanwhile; look at it with status and decide anew")
+			return result.Errorf(result.Conflict, "the head changed meanwhile; look at it with status and decide again")
 		}
 		if ctx.Err() != nil {
 			return result.Wrap(result.WriteUnknown, err, "run the same command again")
