--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -58,7 +58,7 @@
 	Leaves        int     `json:"leaves"`          // number of workers
 	Slots         int     `json:"slots"`           // requests that one leaf runs at once
 	Connections   int     `json:"connections"`     // that the target accepts from the whole fleet
-	ConnectCostMS float64 `json:"connect_cost_ms"` // cost of a new connection
+	ConnectCostMS float64 `json:"connect_cost_ms"` // time that the target needs to accept one connection
 }
 
 // SearchKind is the kind of a search: whether it is idempotent and how its results
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -182,7 +182,7 @@
 	err := b.CheckSignOff(SignOff{Deployment: "vatnsleit", Digest: "x", Person: "sigrun"}, "x")
 	g.Expect(result.Of(err)).To(Equal(result.SelfSigned))
 	_, err = Package(example(t, "vatnsleit"), testKey(t, "jon-1", "jon"))
-	g.Expect(result.Of(err)).To(Equal(result.BadBundle), "nobody pushes in another's name")
+	g.Expect(result.Of(err)).To(Equal(result.BadBundle), "only the author can push a bundle")
 }
 
 func TestMain(m *testing.M) {
--- a/rollout/audit.go
+++ b/rollout/audit.go
@@ -9,7 +9,7 @@
 // Audit is the verified chain of accepted changes, oldest first.
 type Audit struct {
 	Entries []Entry
-	// Head is the revision of the head object, which holds the last entry.
+	// Head is the revision of the head object, whose entry is the last of Entries.
 	Head uint64
 }
 
--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -73,7 +73,7 @@
 	Deployment string `json:"deployment"`
 	Name       string `json:"name"`
 	Author     string `json:"author"`
-	Bytes      int    `json:"bytes"`
+	Bytes      int    `json:"bytes"`           // size of the stored object, signature included
 	Fault      string `json:"fault,omitempty"` // why it can't come into force; empty if it is valid
 }
 
--- a/rollout/client.go
+++ b/rollout/client.go
@@ -42,7 +42,8 @@
 )
 
 // Client is the operators' interface: it pushes and signs bundles, rolls them out,
-// recalls them and reads the audit chain. Its errors carry result codes.
+// recalls them and reads the audit chain. It may be used concurrently. Its errors
+// carry result codes.
 type Client struct {
 	opts ClientOptions
 }
@@ -179,8 +180,8 @@
 
 // headState is the head as read, with its object version in the store.
 type headState struct {
-	head    *Head // nil before the first rollout
-	version uint64
+	head    *Head  // nil before the first rollout
+	version uint64 // object version in the store; 0 if there is no head object
 }
 
 func (s headState) revision() uint64 {
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -56,7 +56,7 @@
 // Recall is a recalled bundle. Sign-offs made before that revision are invalid.
 type Recall struct {
 	Digest   string `json:"digest"`
-	Revision uint64 `json:"revision"`
+	Revision uint64 `json:"revision"` // of the entry that recalled it
 }
 
 // Entry is one accepted change and the state of the head after it.
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -21,7 +21,7 @@
 )
 
 // readLoop re-reads the head periodically, independent of watches: a watch that
-// loses or withholds an event can't be told from a platform where nothing changed.
+// loses or withholds an event looks the same as a platform where nothing changed.
 func (f *Follower) readLoop() error {
 	f.startRead()
 	for {
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -66,7 +66,7 @@
 }
 
 // Follower follows the head of a deployment on one VM and holds the bundle in
-// force. Its methods may be called concurrently.
+// force. All methods but Start may be called concurrently.
 type Follower struct {
 	opts    Options
 	metrics *followerMetrics
--- a/rollout/keeper_test.go
+++ b/rollout/keeper_test.go
@@ -17,14 +17,14 @@
 )
 
 func TestMain(m *testing.M) {
-	// The same random sequences in every run.
+	// Use the same random sequences in every run.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 	goleak.VerifyTestMain(m)
 }
 
-// rollOutAll rolls digests out in order and returns the signed heads.
+// rollOutAll rolls the digests out in order and returns the signed heads.
 func (env *testEnv) rollOutAll(digests ...string) [][]byte {
 	env.t.Helper()
 	var heads [][]byte
@@ -46,7 +46,8 @@
 	return obj
 }
 
-// fetchFrom reads packaged bundles around all faults, as from a peer.
+// fetchFrom returns a FetchFunc that reads from packages, as if from a peer. It is
+// not affected by faults of the store.
 func (env *testEnv) fetchFrom(packages map[string][]byte) FetchFunc {
 	return func(_ context.Context, digest string) ([]byte, error) {
 		if raw, ok := packages[digest]; ok {
@@ -69,9 +70,9 @@
 	return all
 }
 
-// A VM hears of revision 2 from a slow peer and of revision 3 from the
-// platform. The bundle of 2 arrives after 3 is in force. A user would see the
-// VM fall back to 2; the cause would be a comparison made before the fetch only.
+// A VM gets revision 2 from a slow peer and revision 3 from the platform. The
+// bundle of revision 2 arrives after 3 is in force. If revisions were compared
+// only before the fetch, the VM would revert to 2.
 func TestLateBundleDoesNotReplaceNewerOne(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
@@ -97,9 +98,10 @@
 	g.Expect(f.Revision()).To(Equal(uint64(3)))
 }
 
-// The platform answers from a copy that lags, or its store is restored from an
-// old one, and then holds another entry under the revision in force. A user
-// would see VMs go back, or two VMs with different bundles under one revision.
+// The platform answers from a copy that lags, or its store is restored from an old
+// copy and then holds another entry under the revision in force. The test guards
+// against VMs that revert to an earlier revision, and against two VMs with
+// different bundles under one revision.
 func TestRevertedStoreDoesNotDowngradeVMs(t *testing.T) {
 	g := NewWithT(t)
 	env := newTestEnv(t)
@@ -119,15 +121,15 @@
 	other := newTestEnv(t)
 	other.keys, other.priv = env.keys, env.priv
 	other.rollOutAll(other.pushSignedOff(3), other.pushSignedOff(4))
-	fork := other.head()
-	store.setHead(&fork)
+	forked := other.head()
+	store.setHead(&forked)
 	g.Eventually(func() result.Code { return result.Of(f.LastRefusal()) }, eventTimeout).Should(Equal(result.BrokenAudit))
 	g.Expect(f.Current()).To(BeIdenticalTo(inForce))
 }
 
-// Operators build on a restored store whose chain is past its head. What they
-// roll out would never come into force, since VMs are at a higher revision; so
-// they must be told instead of "accepted".
+// An operator makes a change on a restored store whose audit chain is ahead of its
+// head. The change would never come into force, since VMs have a higher revision
+// in force. So the operator must get an error instead of "accepted".
 func TestRolloutOnRevertedStoreIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	env := newTestEnv(t)
@@ -144,7 +146,7 @@
 
 	version := env.head().Version
 	_, err = env.store.Put(context.Background(), KindHead, "vatnsleit", version, []byte("{}"))
-	g.Expect(err).NotTo(HaveOccurred(), "overwritten with what is no head")
+	g.Expect(err).NotTo(HaveOccurred(), "the head is overwritten with an invalid object")
 	for range 2 {
 		restored, err := asta.RestoreHead(context.Background())
 		g.Expect(err).NotTo(HaveOccurred())
@@ -156,10 +158,10 @@
 	g.Expect(e.Revision).To(Equal(uint64(3)))
 }
 
-// A head or bundle is handed to a VM that was changed after its sign-off, that
-// an unknown or retired key signed, that its author signed off, that was
-// recalled, or that is no bundle at all. A user would see a bundle in force
-// that nobody vouched for. The old one must stay, and the VM must say why.
+// A VM gets a head or bundle that was changed after its sign-off, was signed with
+// an unknown or retired key, was signed off by its author, was recalled, or is not
+// a valid bundle. It must not come into force: the bundle in force must stay, and
+// the VM must report the reason.
 func TestVMRejectsInvalidHeadsAndBundles(t *testing.T) {
 	env := newTestEnv(t)
 	digest := env.pushSignedOff(1)
@@ -198,11 +200,11 @@
 		{"another deployment", edited(func(e *Entry) { e.Deployment = "pletenica" }), env.priv["asta"], bytesOf[next], result.NotSigned},
 		{"no sign-off", edited(func(e *Entry) { e.SignOff = bundle.Signed{} }), env.priv["asta"], bytesOf[next], result.NotSigned},
 		{"sign-off by the author", edited(func(e *Entry) { e.SignOff = bySelf.Sign(env.priv["sigrun"]) }), env.priv["asta"], bytesOf[next], result.SelfSigned},
-		{"sign-off for elsewhere", edited(func(e *Entry) { e.SignOff = byOther.Sign(env.priv["jon"]) }), env.priv["asta"], bytesOf[next], result.NotSigned},
+		{"sign-off for another deployment", edited(func(e *Entry) { e.SignOff = byOther.Sign(env.priv["jon"]) }), env.priv["asta"], bytesOf[next], result.NotSigned},
 		{"sign-off changed", edited(func(e *Entry) { e.SignOff = changed }), env.priv["asta"], bytesOf[next], result.NotSigned},
 		{"sign-off by a retired key", edited(func(e *Entry) { e.SignOff = good.Sign(env.priv["olaf"]) }), env.priv["asta"], bytesOf[next], result.UnknownKey},
 		{"recalled since", edited(func(e *Entry) { e.Recalls = []Recall{{Digest: next, Revision: 2}} }), env.priv["asta"], bytesOf[next], result.Recalled},
-		{"recalls forgotten since", edited(func(e *Entry) { e.RecallFloor = 2 }), env.priv["asta"], bytesOf[next], result.Recalled},
+		{"recalls no longer listed", edited(func(e *Entry) { e.RecallFloor = 2 }), env.priv["asta"], bytesOf[next], result.Recalled},
 		{"other bytes than signed", entry, env.priv["asta"], bytesOf[digest], result.NotSigned},
 		{"malformed", edited(func(e *Entry) { e.Digest = bundle.Digest([]byte("{")) }), env.priv["asta"], notJSON.Bytes(), result.BadBundle},
 		{"too large", entry, env.priv["asta"], make([]byte, objstore.MaxValue+1), result.BundleTooLarge},
@@ -221,13 +223,13 @@
 	}
 }
 
-// At the moment of acceptance the platform's watches fall silent, or it answers
-// slowly. A user would see VMs that go on with the old bundle until the watch
-// ends by itself. Re-reads don't wait for watches and bring it.
+// While a bundle is rolled out, the platform's watches deliver no events, or the
+// platform answers slowly. VMs that depend on watches would keep the old bundle
+// until the watch times out. The periodic re-reads must bring the new one.
 func TestRolloutReachesVMWhilePlatformSlowOrWatchesSilent(t *testing.T) {
 	for name, faults := range map[string]platformsim.Faults{
 		"silent watches": {WatchesSilent: true},
-		"slow":           {SlowMS: 300}, // head and bundle together take longer than one read may
+		"slow":           {SlowMS: 300}, // head and bundle together take longer than ReadTimeout
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -243,8 +245,9 @@
 	}
 }
 
-// A faulty bundle is recalled while VMs can hear of it but not fetch bundles. A
-// user would see the faulty bundle stay in force. VMs still hold the one before.
+// A faulty bundle is recalled while VMs can get the new head but can't fetch
+// bundles. They must fall back to the previous bundle, which they still hold, or
+// the faulty one would stay in force.
 func TestRecallUsesPreviousBundleHeldByVM(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
@@ -260,9 +263,10 @@
 	g.Expect(f.Current().Digest).To(Equal(bundle.Digest(env.bundleVersion(1))))
 }
 
-// The platform goes down. One VM has revision 2, one was cut off before it and
-// has 1, one starts only now. Those that reach a peer must get 2 from it, and
-// the one that reaches nobody must go on with 1 and show how old its contact is.
+// The platform goes down. One VM has revision 2, one was disconnected before it
+// and has 1, and one starts only now. VMs that reach a peer must get revision 2
+// from it. A VM without a peer must continue with revision 1, and a VM that never
+// reached the platform must report no contact.
 func TestPeersForwardHeadDuringOutage(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
--- a/rollout/next.go
+++ b/rollout/next.go
@@ -195,7 +195,7 @@
 	OutcomeOpen         Outcome = iota // not accepted so far; a write in flight may still be
 	OutcomeAccepted                    // the operation is an entry of the chain
 	OutcomeConflict                    // another operation became that revision
-	OutcomeNeedArchived                // the head is past the revision; the archived entry is needed
+	OutcomeNeedArchived                // the head is past the revision; the archived entry decides
 )
 
 // Resolve returns the outcome of op. It looks at the head or, if the head is past
--- a/rollout/next_test.go
+++ b/rollout/next_test.go
@@ -10,10 +10,11 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// TestRandomChangesMatchModel drives random rollouts, recalls and sign-offs and
-// holds each entry against a model that remembers everything: a recalled bundle
-// never comes back without a newer sign-off, although a head remembers only the
-// last MaxRecalls; a recall falls back to the latest bundle not recalled.
+// TestRandomChangesMatchModel applies random rollouts, recalls and sign-offs and
+// compares each entry with a model that keeps the whole history. A recalled bundle
+// must never come back without a newer sign-off, although a head lists only the
+// last MaxRecalls recalls. A recall must fall back to the latest bundle that is
+// not recalled.
 func TestRandomChangesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		digests := rapid.IntRange(2, 60).Draw(t, "digests")
@@ -25,7 +26,7 @@
 			if rapid.Bool().Draw(t, "sign") && head != nil {
 				signed[d] = head.Entry.Revision
 			}
-			next, err := step(head, d, signed, rapid.Bool().Draw(t, "recall"))
+			next, err := applyChange(head, d, signed, rapid.Bool().Draw(t, "recall"))
 			if err != nil {
 				continue
 			}
@@ -38,7 +39,7 @@
 	})
 }
 
-func step(head *Head, d string, signed map[string]uint64, recall bool) (Entry, error) {
+func applyChange(head *Head, d string, signed map[string]uint64, recall bool) (Entry, error) {
 	if !recall {
 		return NextRollout("vatnsleit", head, Change{}, Approved{Digest: d, After: signed[d]})
 	}
@@ -66,15 +67,15 @@
 	g.Expect(len(e.Recalls)).To(BeNumerically("<=", MaxRecalls))
 	seen := map[string]bool{e.Digest: true, e.Recalled: true}
 	for _, p := range e.History {
-		g.Expect(seen[p.Digest]).To(BeFalse(), "%s stands twice, is in force or was recalled", p.Digest)
+		g.Expect(seen[p.Digest]).To(BeFalse(), "%s is listed twice, is in force or was recalled", p.Digest)
 		g.Expect(recalled[p.Digest]).To(BeNumerically("<", p.Revision))
 		seen[p.Digest] = true
 	}
 }
 
-// More bundles are recalled than a head lists one by one. Somebody rolls out the
-// first of them again on its old sign-off. A user would see a faulty bundle come
-// back, because the head forgot the recall.
+// More bundles are recalled than a head lists. Then the first of them is rolled
+// out again with its old sign-off. It must be refused, although the head no longer
+// lists its recall, or a faulty bundle would come back.
 func TestRecallNoLongerListedStillBlocksRollout(t *testing.T) {
 	g := NewWithT(t)
 	first, err := NextRollout("vatnsleit", nil, Change{}, Approved{Digest: "good"})
--- a/rollout/race_test.go
+++ b/rollout/race_test.go
@@ -21,14 +21,14 @@
 	raceFollowers = 3
 )
 
-// changeResult is what one operator was changeResult about one operation.
+// changeResult is the result that an operator got for one operation.
 type changeResult struct {
 	op       OpID
-	revision uint64 // that the operation wanted to become
+	revision uint64 // that the operation was to become
 	accepted bool
 }
 
-// headModel is the register that racing operators advance: the revision.
+// headModel models the head as a register that holds the revision.
 var headModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -40,12 +40,13 @@
 	},
 }
 
-// Several operators roll out and recall at the same time, none seeing the
-// others' changes; their writes lose answers, get lost or arrive late, and each
-// is paused at random. A user would see VMs fall back to an older bundle, a
-// change that nobody is accountable for, or an operator told "not accepted"
-// whose bundle is in force. The cause would be a check made before a write
-// instead of by it, or a lost answer taken for a failure.
+// Several operators roll out and recall at the same time without seeing the
+// others' changes. Their writes lose responses, get lost or arrive late, and each
+// operator is delayed at random. The test guards against VMs that revert to an
+// older bundle, a change that no operator made, and an operator who gets "not
+// accepted" although the bundle is in force. These faults come from a check made
+// before a write instead of by the write itself, or from a lost response treated
+// as a failure.
 func TestConcurrentOperatorsGetCorrectOutcomes(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runRace(t, seed) })
@@ -64,7 +65,7 @@
 		histories[i] = recordRevisions(t, followers[i])
 	}
 
-	var mu sync.Mutex // guards history
+	var mu sync.Mutex // guards ops
 	var ops []porcupine.Operation
 	start := time.Now()
 	var racing sync.WaitGroup
@@ -107,18 +108,18 @@
 			g.Expect(revisionOf[got.op]).To(Equal(got.revision))
 		}
 	}
-	g.Expect(revisionOf).To(HaveLen(accepted), "every entry was somebody's accepted change")
+	g.Expect(revisionOf).To(HaveLen(accepted), "every entry is an operator's accepted change")
 	g.Expect(porcupine.CheckOperations(headModel, ops)).To(BeTrue(), "revisions are linearizable")
 
 	for i, f := range followers {
 		g.Eventually(f.Revision, eventTimeout).Should(Equal(audit.Head))
 		g.Expect(f.Current().Digest).To(Equal(audit.Entries[audit.Head-1].Digest))
-		g.Expect(histories[i].decreased()).To(BeFalse(), "keeper %d went back", i)
+		g.Expect(histories[i].decreased()).To(BeFalse(), "follower %d reverted to an earlier revision", i)
 	}
 }
 
-// changeUntilResolved makes one random change and, while its outcome is unknown,
-// asks again with its id.
+// changeUntilResolved makes one random change. While the outcome is unknown, it
+// runs the change again with the same operation id.
 func changeUntilResolved(c *Client, rng *rand.Rand, digests []string) (changeResult, error) {
 	ctx := context.Background()
 	digest := digests[rng.IntN(len(digests))]
@@ -150,13 +151,13 @@
 	}
 }
 
-// revisionHistory records what a keeper has in force, in order.
+// revisionHistory records the revisions that a follower puts into force, in order.
 type revisionHistory struct {
 	mu   sync.Mutex // guards revs
 	revs []uint64
 }
 
-// recordRevisions records until the test ends.
+// recordRevisions records the follower's revisions until the test ends.
 func recordRevisions(t *testing.T, f *Follower) *revisionHistory {
 	h := &revisionHistory{}
 	done := make(chan struct{})
@@ -189,15 +190,15 @@
 	return false
 }
 
-// An operator's program is killed at one of its writes, before or after that
-// write takes effect. A user would see half a change: an entry in the trail for
-// a change that never came into force, or a revision that the trail lacks. The
-// next operator must be able to go on, and asking again with the operation's id
-// must tell the truth.
+// An operator's program is killed at one of its writes, before or after the write
+// takes effect. The test guards against partial changes: an entry in the audit
+// chain for a change that never came into force, or a revision that the chain
+// lacks. The next operator must be able to continue, and a retry with the
+// operation's id must return the correct outcome.
 func TestOperatorStoppedAtAnyWrite(t *testing.T) {
 	for writesLeft := range 3 {
 		for _, applyLast := range []bool{false, true} {
-			t.Run(fmt.Sprintf("write %d landed %v", writesLeft+1, applyLast), func(t *testing.T) {
+			t.Run(fmt.Sprintf("write %d applied %v", writesLeft+1, applyLast), func(t *testing.T) {
 				runStoppedOperator(t, writesLeft, applyLast)
 			})
 		}
@@ -228,7 +229,7 @@
 	case result.Complete:
 		g.Expect(inChain).To(BeTrue())
 	case result.PlatformDown:
-		g.Expect(inChain).To(BeFalse(), "told that nothing was changed")
+		g.Expect(inChain).To(BeFalse(), "PlatformDown says that nothing was changed")
 	default:
 		g.Expect(result.Of(err)).To(Equal(result.WriteUnknown))
 	}
@@ -240,10 +241,10 @@
 	}
 }
 
-// The answer to the write of the head is lost and the platform goes down at
-// once. The operator cannot know whether the bundle is in force and must be
-// told so; when the platform is back, asking again with the id must tell, and
-// must not make the change a second time.
+// The response to the write of the head is lost and the platform fails immediately
+// afterwards. The operator can't know whether the bundle is in force and must get
+// WriteUnknown. When the platform is available again, a retry with the operation
+// id must return the outcome and must not make the change a second time.
 func TestLostResponseIsResolvedByOperationID(t *testing.T) {
 	for _, applied := range []bool{false, true} {
 		g := NewWithT(t)
@@ -255,10 +256,11 @@
 		e, err := c.Rollout(ctx, digest, Request{Reason: "begin"})
 		g.Expect(result.Of(err)).To(Equal(result.WriteUnknown))
 
-		// Asked while the platform is still down, and about another bundle.
+		// A retry while the platform is still down. The retries below run with the
+		// platform available, the last one with another bundle.
 		c.opts.Store = &crashStore{down: true}
 		_, err = c.Rollout(ctx, digest, Request{Reason: "begin", Op: e.Op})
-		g.Expect(result.Of(err)).To(Equal(result.WriteUnknown), "not: nothing was changed")
+		g.Expect(result.Of(err)).To(Equal(result.WriteUnknown), "not PlatformDown, which says that nothing was changed")
 		for range 2 {
 			again, err := env.client("asta", env.store).Rollout(ctx, digest, Request{Reason: "begin", Op: e.Op})
 			g.Expect(err).NotTo(HaveOccurred())
@@ -279,9 +281,11 @@
 	return NewClient(opts)
 }
 
-// Two operators decide on the same head; one wins. The other's bundle must not
-// be in force, and he must learn what came first, by whom and why, or he would
-// believe his change made or repeat it blindly over the other's.
+// Two operators make a change on the same head, and one of them is accepted. The
+// other bundle must not come into force, and its operator must get a Conflict that
+// names the accepted change, the person and the reason. Otherwise the operator
+// would assume that the change was accepted, or repeat it over the other one
+// without knowing of it.
 func TestConflictReportsWinningChange(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -16,7 +16,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// eventTimeout bounds waits that end on an event.
+// eventTimeout bounds waits for an expected event.
 const eventTimeout = 20 * time.Second
 
 // testEnv holds the people, keys and store that the tests share.
@@ -25,11 +25,11 @@
 	store *platformsim.Store
 	keys  *bundle.Keyring
 	priv  map[string]*bundle.PrivateKey
-	data  []byte // of a bundle by sigrun
+	data  []byte // bundle written by sigrun
 }
 
-// newTestEnv has sigrun, the author, and jon and asta; each has one key, and
-// olaf's is retired.
+// newTestEnv returns an environment with four people who have one key each:
+// sigrun, the author of the bundle, jon, asta, and olaf, whose key is retired.
 func newTestEnv(t *testing.T) *testEnv {
 	t.Helper()
 	data, err := os.ReadFile("../examples/vatnsleit.json")
@@ -62,12 +62,12 @@
 	})
 }
 
-// bundleVersion returns the bundle under another name.
+// bundleVersion returns the bundle with another name, which depends on n.
 func (env *testEnv) bundleVersion(n int) []byte {
 	return []byte(strings.Replace(string(env.data), "vatnsleit-2026-12", fmt.Sprintf("version-%d", n), 1))
 }
 
-// pushSignedOff pushes version n and has jon sign it off.
+// pushSignedOff pushes version n, signs it off as jon and returns its digest.
 func (env *testEnv) pushSignedOff(n int) string {
 	env.t.Helper()
 	digest, err := env.client("sigrun", env.store).Push(context.Background(), env.bundleVersion(n))
@@ -90,7 +90,7 @@
 	return env.followerWith(Options{Store: store, Watch: true, RereadInterval: 10 * time.Millisecond})
 }
 
-// followerWith starts a keeper that stops with the test.
+// followerWith starts a follower that is stopped when the test ends.
 func (env *testEnv) followerWith(opts Options) *Follower {
 	env.t.Helper()
 	opts.Deployment, opts.Keys = "vatnsleit", env.keys
--- a/rollout/rotation_test.go
+++ b/rollout/rotation_test.go
@@ -11,10 +11,10 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Jon's key is replaced. While both are valid, either signs; a VM that starts
-// after the old one was retired must refuse what only the old one vouches for,
-// and take it once the new one does. Done in another order than the runbook's,
-// a user would see new VMs that never get ready.
+// Jon's key is replaced. While both keys are valid, either can sign. A VM that
+// starts after the old key was retired must refuse a sign-off made with only the
+// old key, and accept one made with the new key. If the steps are done in another
+// order than in the runbook, new VMs never become ready.
 func TestKeyRotation(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
@@ -46,12 +46,13 @@
 	byNewKey := env.rollOutAll(digest)[0]
 	g.Expect(f.OfferHead(ctx, byNewKey, all)).To(Succeed())
 	audit, err := env.client("asta", env.store).Audit(ctx)
-	g.Expect(err).NotTo(HaveOccurred(), "the trail is still verified with the retired key")
+	g.Expect(err).NotTo(HaveOccurred(), "the audit chain is still verified with the retired key")
 	g.Expect(audit.Entries).To(HaveLen(2))
 }
 
-// In a large fleet most VMs are told by peers. If they read the platform as
-// often as the watchers, 950 of them would take half of its reads.
+// In a large fleet most VMs get heads from peers. If they read the platform as
+// often as the VMs that watch it, 950 of them would use half of the platform's
+// reads.
 func TestIdleFollowerDoesNotRereadOften(t *testing.T) {
 	g := NewWithT(t)
 	env := newTestEnv(t)
@@ -67,7 +68,7 @@
 	f.SetWatching(true)
 	g.Eventually(func() int { return env.store.Counters().Get - before.Get }, eventTimeout).Should(BeNumerically(">", 3))
 	f.SetWatching(false)
-	// One read may be under way and the change of mode makes one.
+	// One read may be in progress, and the change of mode causes one more.
 	g.Eventually(func() bool {
 		calls := env.store.Counters().Get
 		time.Sleep(50 * time.Millisecond)
--- a/rollout/shaky_test.go
+++ b/rollout/shaky_test.go
@@ -10,19 +10,19 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-var errLost = errors.New("answer lost")
+var errLost = errors.New("response lost")
 
-// faultyStore is a store whose writes lose their answer, never arrive or arrive late,
-// and whose callers are paused at random before each call.
+// faultyStore is a store whose writes lose their response, never arrive or arrive
+// late, and that delays each call at random.
 type faultyStore struct {
 	objstore.Store
-	mu   sync.Mutex // guards rng
-	rng  *rand.Rand
-	late *sync.WaitGroup // writes still on their way
+	mu         sync.Mutex // guards rng
+	rng        *rand.Rand
+	lateWrites *sync.WaitGroup // counts the writes that have not arrived yet
 }
 
 func newFaultyStore(store objstore.Store, seed uint64, lateWrites *sync.WaitGroup) *faultyStore {
-	return &faultyStore{Store: store, rng: rand.New(rand.NewPCG(seed, seed)), late: lateWrites}
+	return &faultyStore{Store: store, rng: rand.New(rand.NewPCG(seed, seed)), lateWrites: lateWrites}
 }
 
 func (s *faultyStore) randIntN(n int) int {
@@ -50,9 +50,9 @@
 		_, _ = s.Store.Put(ctx, kind, name, expect, value)
 		return 0, errLost
 	case 2:
-		s.late.Add(1)
+		s.lateWrites.Add(1)
 		go func() {
-			defer s.late.Done()
+			defer s.lateWrites.Done()
 			s.pause()
 			s.pause()
 			_, _ = s.Store.Put(context.Background(), kind, name, expect, value)
@@ -62,11 +62,11 @@
 	return s.Store.Put(ctx, kind, name, expect, value)
 }
 
-// crashStore is a store seen by an operator who is stopped at one of his writes:
-// all calls from then on fail. With landed set that write takes effect.
+// crashStore simulates an operator who is stopped at a write: that write and all
+// calls after it fail. With applyLast set, the write still takes effect.
 type crashStore struct {
 	objstore.Store
-	writesLeft int // writes that pass
+	writesLeft int // number of writes that succeed before the failure
 	applyLast  bool
 	down       bool
 }
@@ -93,7 +93,7 @@
 	return 0, errLost
 }
 
-// staleStore hands out a head of the test's choice, as a stale or restored store.
+// staleStore returns a head that the test sets, like a lagging or restored store.
 type staleStore struct {
 	objstore.Store
 	mu   sync.Mutex // guards head
