--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -119,9 +119,9 @@
 	return e, err
 }
 
-// outcomeUnknown returns err if err settles the outcome of the operation itself,
-// and WriteUnknown otherwise. The write of an earlier run may still take effect,
-// so an error that says that nothing was changed would be wrong.
+// outcomeUnknown returns err if it is about the operation itself, and WriteUnknown
+// otherwise. The write of an earlier run may still take effect, so an error that
+// says that nothing was changed would be wrong.
 func outcomeUnknown(op OpID, err error) error {
 	switch result.Of(err) {
 	case result.Conflict, result.KeyReused, result.BrokenAudit, result.WriteUnknown:
@@ -258,10 +258,10 @@
 	return result.Wrap(result.PlatformDown, err, "nothing was changed")
 }
 
-// resolveWrite finds out whether e was accepted. It returns the accepted head, a
-// Conflict, or nil and no error while the outcome is open, also if the platform
-// can't be read. The accepted entry may differ from e in At, if an earlier run
-// with the same operation id wrote it.
+// resolveWrite finds out whether e was accepted. It returns the accepted head, an
+// error with code Conflict or BrokenAudit, or nil and no error while the outcome
+// is open, also if the platform can't be read. The accepted entry may differ from
+// e in At, if an earlier run with the same operation id wrote it.
 func (c *Client) resolveWrite(ctx context.Context, e Entry) (*Head, error) {
 	now, err := c.readState(ctx)
 	if err != nil {
