--- a/node/follow.go
+++ b/node/follow.go
@@ -42,7 +42,7 @@
 	n.health.Apply(force.Bundle)
 	n.monitor.Apply(endpoints)
 	n.applyDrains()
-	n.claims.SetFleet(force.Bundle.Fleet.MaxVMs)
+	n.claims.SetFleetSize(force.Bundle.Fleet.MaxVMs)
 	n.log.Info("revision in force", "revision", force.Revision, "digest", force.Digest)
 }
 
--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -36,9 +36,9 @@
 	runners := make([]*Runner, vms)
 	for i := range runners {
 		runners[i] = NewRunner(Options{Store: store, VM: fmt.Sprint("vm", i), Incarnation: "1", Metrics: set})
-		runners[i].SetFleet(vms)
+		runners[i].SetFleetSize(vms)
 	}
-	relayOver(b, runners)
+	connectOverLoopback(b, runners)
 	var left, done atomic.Int64
 	left.Store(int64(b.N))
 	var wg sync.WaitGroup
@@ -67,7 +67,7 @@
 	b.ReportMetric(float64(calls.Put)/n, "writes/request")
 	b.ReportMetric(float64(calls.Get)/n, "reads/request")
 	b.ReportMetric(float64(count.conflicts.Get())/float64(calls.Put), "conflicts/write")
-	b.ReportMetric(float64(count.fellBack.Get())/n, "fallbacks/request")
+	b.ReportMetric(float64(count.fallbacks.Get())/n, "fallbacks/request")
 	b.ReportMetric(float64(calls.Refused)/float64(calls.Put), "refused/call")
 	b.ReportMetric(float64(count.bytes.Get())/float64(calls.Put), "B/write")
 	b.ReportMetric(n/took.Seconds(), "requests/s")
@@ -76,19 +76,19 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// fleetOf is a list of VMs that all live.
-type fleetOf struct {
+// fakeFleet is a list of VMs that all live.
+type fakeFleet struct {
 	vms     []objstore.VM
 	options wire.Options
 }
 
-func (f *fleetOf) Live() []objstore.VM       { return f.vms }
-func (f *fleetOf) WireOptions() wire.Options { return f.options }
+func (f *fakeFleet) Live() []objstore.VM       { return f.vms }
+func (f *fakeFleet) WireOptions() wire.Options { return f.options }
 
-// relayOver connects the VMs over loopback.
-func relayOver(b *testing.B, runners []*Runner) {
+// connectOverLoopback connects the VMs over loopback.
+func connectOverLoopback(b *testing.B, runners []*Runner) {
 	var vms []objstore.VM
-	fleets := make([]*fleetOf, len(runners))
+	fleets := make([]*fakeFleet, len(runners))
 	for i, r := range runners {
 		o := wire.Options{
 			Self: wire.Identity{Deployment: "vatnsleit", VM: r.opts.VM, Incarnation: "1"},
@@ -103,12 +103,12 @@
 		}
 		b.Cleanup(server.Stop)
 		vms = append(vms, objstore.VM{Name: r.opts.VM, Address: server.Addr().String()})
-		fleets[i] = &fleetOf{options: o}
+		fleets[i] = &fakeFleet{options: o}
 	}
 	for i, r := range runners {
 		fleets[i].vms = vms
 		links := relay.NewLinks(relay.Options{Self: r.opts.VM, Fleet: fleets[i]})
 		b.Cleanup(links.Stop)
-		r.send.peers = links
+		r.dispatcher.peers = links
 	}
 }
--- a/once/cleaner.go
+++ b/once/cleaner.go
@@ -15,11 +15,11 @@
 
 // Bounds of the cleaner. Pages are short because a listing carries values.
 const (
-	cleaners       = 2 // VMs that clear at a time
-	cleanPage      = 4
-	cleanPerRound  = 200
-	cleanPause     = 20 * time.Millisecond // between pages
-	cleanerChanges = time.Hour
+	maxCleaners        = 2 // VMs that clear at a time
+	cleanPageSize      = 4
+	maxCleanedPerRound = 200
+	cleanPagePause     = 20 * time.Millisecond // between pages
+	cleanerRotation    = time.Hour
 )
 
 // cleaner removes segments whose keys are all older than Keep + Margin.
@@ -28,12 +28,12 @@
 	log   *slog.Logger
 	count counters
 	tomb  *tomb.Tomb
-	life  context.Context // ends when tomb dies
+	ctx   context.Context // ends when tomb dies
 }
 
 func startCleaner(opts Options) *cleaner {
 	t, life := tomb.WithContext(context.Background())
-	c := &cleaner{tomb: t, life: life, opts: opts, log: opts.Log, count: newCounters(opts.Metrics)}
+	c := &cleaner{tomb: t, ctx: life, opts: opts, log: opts.Log, count: newCounters(opts.Metrics)}
 	c.tomb.Go(c.loop)
 	return c
 }
@@ -48,8 +48,8 @@
 		<-c.tomb.Dying()
 		return nil
 	}
-	for c.sleep(c.opts.CleanEvery/2 + rand.N(c.opts.CleanEvery)) {
-		if err := c.round(); err != nil {
+	for c.sleep(c.opts.CleanInterval/2 + rand.N(c.opts.CleanInterval)) {
+		if err := c.cleanRound(); err != nil {
 			c.log.Warn("old claims stay for now", "error", err)
 		}
 	}
@@ -67,55 +67,55 @@
 	}
 }
 
-// round removes up to cleanPerRound old segments, if it is this VM's turn.
-func (c *cleaner) round() error {
-	vms, err := c.vms(c.life)
+// cleanRound removes up to cleanPerRound old segments, if it is this VM's turn.
+func (c *cleaner) cleanRound() error {
+	vms, err := c.listVMs(c.ctx)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if !chosen(vms, c.opts.VM, c.opts.Clock().Truncate(cleanerChanges)) {
+	if !isCleaner(vms, c.opts.VM, c.opts.Clock().Truncate(cleanerRotation)) {
 		return nil
 	}
-	before, err := c.raise(c.life)
+	before, err := c.advanceRecord(c.ctx)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	for removed := 0; removed < cleanPerRound; {
-		n, more, err := c.step(c.life, before)
+	for removed := 0; removed < maxCleanedPerRound; {
+		n, more, err := c.removePage(c.ctx, before)
 		if err != nil {
 			return errors.Trace(err)
 		}
 		removed += n
-		if !more || !c.sleep(cleanPause) {
+		if !more || !c.sleep(cleanPagePause) {
 			return nil
 		}
 	}
 	return nil
 }
 
-func (c *cleaner) vms(ctx context.Context) ([]objstore.VM, error) {
+func (c *cleaner) listVMs(ctx context.Context) ([]objstore.VM, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
 	vms, err := c.opts.Store.VMs(ctx)
 	return vms, errors.Trace(err)
 }
 
-// raise records that keys older than Keep + Margin are being cleared, and
+// advanceRecord records that keys older than Keep + Margin are being cleared, and
 // returns the time recorded.
-func (c *cleaner) raise(ctx context.Context) (time.Time, error) {
+func (c *cleaner) advanceRecord(ctx context.Context) (time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
-	before := c.opts.Clock().Add(-c.opts.Keep - c.opts.Margin)
-	return raiseCleared(ctx, c.opts.Store, c.opts.Deployment, before)
+	before := c.opts.Clock().Add(-c.opts.KeyTTL - c.opts.MaxClockSkew)
+	return advanceClearedRecord(ctx, c.opts.Store, c.opts.Deployment, before)
 }
 
-// step removes the segments of one page whose keys were all made before the
+// removePage removes the segments of one page whose keys were all made before the
 // time, from the oldest on. Names sort by time, so the first young one ends the
 // round.
-func (c *cleaner) step(ctx context.Context, before time.Time) (removed int, more bool, err error) {
+func (c *cleaner) removePage(ctx context.Context, before time.Time) (removed int, more bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
-	page, err := c.opts.Store.List(ctx, Kind, prefix(c.opts.Deployment), cleanPage)
+	page, err := c.opts.Store.List(ctx, Kind, prefix(c.opts.Deployment), cleanPageSize)
 	if err != nil {
 		return 0, false, errors.Trace(err)
 	}
@@ -134,10 +134,10 @@
 	return removed, page.More, nil
 }
 
-// chosen tells whether the VM is among the few that clear in the hour: the
+// isCleaner tells whether the VM is among the few that clear in the hour: the
 // first by rendezvous hashing over the platform's list. The list lags, so that
 // more or fewer may be at it; removal is conditional and does no harm twice.
-func chosen(vms []objstore.VM, name string, hour time.Time) bool {
+func isCleaner(vms []objstore.VM, name string, hour time.Time) bool {
 	rank := func(vm string) uint64 {
 		return xxhash.Sum64String(vm + hour.UTC().Format(time.RFC3339))
 	}
@@ -153,5 +153,5 @@
 			before++
 		}
 	}
-	return before < cleaners
+	return before < maxCleaners
 }
--- a/once/cleared.go
+++ b/once/cleared.go
@@ -16,40 +16,40 @@
 // says up to which time claims have been cleared.
 const ClearedKind = "claims-cleared"
 
-// cleared is the value of that object. Keys made before the time may have been
-// claimed and cleared. It only rises.
-type cleared struct {
+// clearedRecord is the value of that object. Keys made before the time may have been
+// claimed and clearedRecord. It only rises.
+type clearedRecord struct {
 	Before int64 `json:"before"` // Unix seconds
 }
 
-func readCleared(ctx context.Context, store objstore.Store, deployment string) (cleared, uint64, error) {
+func readClearedRecord(ctx context.Context, store objstore.Store, deployment string) (clearedRecord, uint64, error) {
 	object, err := store.Get(ctx, ClearedKind, deployment)
 	if errors.Is(err, objstore.ErrNotFound) {
-		return cleared{}, 0, nil
+		return clearedRecord{}, 0, nil
 	}
 	if err != nil {
-		return cleared{}, 0, errors.Trace(err)
+		return clearedRecord{}, 0, errors.Trace(err)
 	}
-	var c cleared
+	var c clearedRecord
 	// Read as "nothing was cleared", a record in another form would let cleared
 	// keys run again.
 	if findings := strictjson.Decode(object.Value, &c); len(findings) > 0 {
-		return cleared{}, 0, errors.Errorf("the record of cleared claims is not readable: %s", findings[0])
+		return clearedRecord{}, 0, errors.Errorf("the record of cleared claims is not readable: %s", findings[0])
 	}
 	return c, object.Version, nil
 }
 
-// raiseCleared makes the record say at least before and returns what it says.
+// advanceClearedRecord makes the record say at least before and returns what it says.
 // It must have succeeded before a claim older than that is removed.
-func raiseCleared(ctx context.Context, store objstore.Store, deployment string, before time.Time) (time.Time, error) {
-	have, version, err := readCleared(ctx, store, deployment)
+func advanceClearedRecord(ctx context.Context, store objstore.Store, deployment string, before time.Time) (time.Time, error) {
+	have, version, err := readClearedRecord(ctx, store, deployment)
 	if err != nil {
 		return time.Time{}, errors.Trace(err)
 	}
 	if have.Before >= before.Unix() {
 		return time.Unix(have.Before, 0), nil
 	}
-	value, err := json.Marshal(cleared{Before: before.Unix()})
+	value, err := json.Marshal(clearedRecord{Before: before.Unix()})
 	if err != nil {
 		return time.Time{}, errors.Trace(err)
 	}
@@ -67,16 +67,16 @@
 // Keys younger than half of Keep are not looked up, which keeps the read off
 // the usual path. So clocks may be wrong by as much as half of Keep.
 func (r *Runner) checkCleared(ctx context.Context, req Request) (Outcome, bool) {
-	if r.opts.Clock().Sub(req.Key.Made()) < r.opts.Keep/2 {
+	if r.opts.Clock().Sub(req.Key.Created()) < r.opts.KeyTTL/2 {
 		return Outcome{}, true
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.opts.CallTimeout)
 	defer cancel()
-	have, _, err := readCleared(ctx, r.opts.Store, req.Deployment)
+	have, _, err := readClearedRecord(ctx, r.opts.Store, req.Deployment)
 	if err != nil {
 		return claimFailed(err), false
 	}
-	if req.Key.Made().Unix() < have.Before {
+	if req.Key.Created().Unix() < have.Before {
 		return Outcome{Code: result.KeyExpired, Detail: "claims of that time have been cleared"}, false
 	}
 	return Outcome{}, true
--- a/once/committer.go
+++ b/once/committer.go
@@ -14,55 +14,55 @@
 )
 
 const (
-	maxLanes       = 16 // segments whose last known state is kept in memory
-	downAfter      = 3  // failed store calls in a row
-	probeEvery     = 500 * time.Millisecond
-	firstBackoff   = 20 * time.Millisecond
-	maxBackoff     = 500 * time.Millisecond
-	maxBackoffStep = 7
+	maxSegmentWriters = 16 // segments whose last known state is kept in memory
+	downThreshold     = 3  // failed store calls in a row
+	probeInterval     = 500 * time.Millisecond
+	minBackoff        = 20 * time.Millisecond
+	maxBackoff        = 500 * time.Millisecond
+	maxBackoffShift   = 7
 )
 
 var (
-	errBusy   = errors.New("too many operations are waiting")
-	errClosed = errors.New("this VM is stopping")
-	errDown   = errors.New("the platform does not answer")
-	errGaveUp = errors.New("the claim was not confirmed in time")
+	errBusy         = errors.New("too many operations are waiting")
+	errClosed       = errors.New("this VM is stopping")
+	errDown         = errors.New("the platform does not answer")
+	errClaimTimeout = errors.New("the claim was not confirmed in time")
 )
 
 // committer carries operations on segments out by group commit: while one
 // conditional update of a segment is on its way or waits for its turn, further
 // operations gather and go together with the next.
 type committer struct {
-	opts  Options
-	log   *slog.Logger
-	pace  *credit
-	count counters
-	tomb  *tomb.Tomb
-	life  context.Context // ends when tomb dies
+	opts   Options
+	log    *slog.Logger
+	credit *credit
+	count  counters
+	tomb   *tomb.Tomb
+	ctx    context.Context // ends when tomb dies
 
 	// mu guards the fields below and the queue, running and used fields of all
 	// lanes. No other lock is taken and no call is made while it is held.
-	mu        sync.Mutex
-	lanes     map[string]*lane
-	waiting   int // operations enqueued and not yet delivered, and those being relayed
-	fromPeers int // those of waiting that other VMs relayed to this one
-	closed    bool
-	idle      chan struct{} // closed once closed is set and waiting is 0
-	failures  int           // failed store calls in a row
-	lastProbe time.Time
+	mu          sync.Mutex
+	writers     map[string]*segmentWriter
+	waiting     int // operations enqueued and not yet delivered, and those being relayed
+	peerWaiting int // those of waiting that other VMs relayed to this one
+	closed      bool
+	idle        chan struct{} // closed once closed is set and waiting is 0
+	failures    int           // failed store calls in a row
+	lastProbe   time.Time
 }
 
 // pending is an operation on its way.
 type pending struct {
-	op    op
-	peer  bool         // relayed by another VM
-	state atomic.Int32 // of the waiter; see the constants below
-	done  chan reply   // gets at most one reply
-	// tried and expect are the lane's own: whether a write with this operation
+	op       op
+	fromPeer bool         // relayed by another VM
+	state    atomic.Int32 // of the waiter; see the constants below
+	done     chan reply   // gets at most one reply
+	// attempted and expect are the lane's own: whether a write with this operation
 	// was sent whose effect is not known, and which version the last one
 	// expected.
-	tried  bool
-	expect uint64
+	attempted       bool
+	expectedVersion uint64
 }
 
 // The states of a waiter. Both ends leave stateWaiting by compare-and-swap, so
@@ -76,14 +76,14 @@
 func newCommitter(opts Options) *committer {
 	t, life := tomb.WithContext(context.Background())
 	c := &committer{
-		tomb:  t,
-		life:  life,
-		opts:  opts,
-		log:   opts.Log,
-		pace:  newCredit(opts.FleetWrites, opts.FleetWrites/defaultFleet, time.Now()),
-		count: newCounters(opts.Metrics),
-		lanes: make(map[string]*lane),
-		idle:  make(chan struct{}),
+		tomb:    t,
+		ctx:     life,
+		opts:    opts,
+		log:     opts.Log,
+		credit:  newCredit(opts.FleetWriteRate, opts.FleetWriteRate/defaultFleetSize, time.Now()),
+		count:   newCounters(opts.Metrics),
+		writers: make(map[string]*segmentWriter),
+		idle:    make(chan struct{}),
 	}
 	// Keeps the tomb alive between lanes.
 	c.tomb.Go(func() error {
@@ -98,13 +98,13 @@
 func (c *committer) abandon(name string, o op) {
 	o.kind = opRelease
 	c.count.abandoned.Inc()
-	c.background(name, o)
+	c.commitInBackground(name, o)
 }
 
-// do carries out a claim and waits for the reply. After an error the claim is
+// submit carries out a claim and waits for the reply. After an error the claim is
 // abandoned: the caller must not hand anything over, and the committer removes
 // the claim if it landed.
-func (c *committer) do(ctx context.Context, name string, o op) (reply, error) {
+func (c *committer) submit(ctx context.Context, name string, o op) (reply, error) {
 	p := &pending{op: o, done: make(chan reply, 1)}
 	if err := c.admit(name, p); err != nil {
 		if o.bar {
@@ -119,7 +119,7 @@
 	case <-c.tomb.Dying():
 	}
 	if p.state.CompareAndSwap(stateWaiting, stateAbandoned) {
-		return reply{}, errGaveUp
+		return reply{}, errClaimTimeout
 	}
 	return <-p.done, nil
 }
@@ -130,24 +130,24 @@
 	if c.closed {
 		return errClosed
 	}
-	if c.waiting-c.fromPeers >= c.opts.MaxPending {
+	if c.waiting-c.peerWaiting >= c.opts.MaxPending {
 		return errBusy
 	}
-	if !c.mayTry() {
+	if !c.allowAttempt() {
 		return errDown
 	}
 	c.enqueue(name, p)
 	return nil
 }
 
-// mayTry returns false if the platform is down, so that claims are refused at
+// allowAttempt returns false if the platform is down, so that claims are refused at
 // once instead of after ClaimWait. One is let through now and then to find out
 // when the platform is back. It must be called with mu held.
-func (c *committer) mayTry() bool {
-	if c.failures < downAfter {
+func (c *committer) allowAttempt() bool {
+	if c.failures < downThreshold {
 		return true
 	}
-	if time.Since(c.lastProbe) < probeEvery {
+	if time.Since(c.lastProbe) < probeInterval {
 		return false
 	}
 	c.lastProbe = time.Now()
@@ -163,15 +163,15 @@
 	if c.closed {
 		return nil, errClosed
 	}
-	if c.fromPeers+len(ops) > c.opts.MaxFromPeers {
+	if c.peerWaiting+len(ops) > c.opts.MaxPeerPending {
 		return nil, errBusy
 	}
-	if !c.mayTry() {
+	if !c.allowAttempt() {
 		return nil, errDown
 	}
 	list := make([]*pending, len(ops))
 	for i, o := range ops {
-		list[i] = &pending{op: o, peer: true, done: make(chan reply, 1)}
+		list[i] = &pending{op: o, fromPeer: true, done: make(chan reply, 1)}
 		c.enqueue(name, list[i])
 	}
 	return list, nil
@@ -184,16 +184,16 @@
 	if c.closed {
 		return errClosed
 	}
-	if c.waiting-c.fromPeers >= c.opts.MaxPending {
+	if c.waiting-c.peerWaiting >= c.opts.MaxPending {
 		return errBusy
 	}
 	c.waiting++
 	return nil
 }
 
-// aside runs f, which close waits for like for an operation. It returns false if
+// runTracked runs f, which close waits for like for an operation. It returns false if
 // the committer has stopped.
-func (c *committer) aside(f func()) bool {
+func (c *committer) runTracked(f func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
@@ -203,15 +203,15 @@
 	}
 	c.waiting++
 	c.tomb.Go(func() error {
-		defer c.retire(false)
+		defer c.untrack(false)
 		f()
 		return nil
 	})
 	return true
 }
 
-// background carries out a settle or a release for as long as it takes.
-func (c *committer) background(name string, o op) <-chan reply {
+// commitInBackground carries out a settle or a release for as long as it takes.
+func (c *committer) commitInBackground(name string, o op) <-chan reply {
 	p := &pending{op: o, done: make(chan reply, 1)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -226,22 +226,22 @@
 		return // stopped without its outcomes; close has said so
 	default:
 	}
-	l := c.lanes[name]
+	l := c.writers[name]
 	if l == nil {
 		c.evict()
-		l = &lane{name: name}
-		c.lanes[name] = l
+		l = &segmentWriter{name: name}
+		c.writers[name] = l
 	}
 	l.queue = append(l.queue, p)
-	l.used = time.Now()
+	l.lastUsed = time.Now()
 	c.waiting++
-	if p.peer {
-		c.fromPeers++
+	if p.fromPeer {
+		c.peerWaiting++
 	}
 	if !l.running {
 		l.running = true
 		c.tomb.Go(func() error {
-			c.runLane(l)
+			c.runWriter(l)
 			return nil
 		})
 	}
@@ -249,23 +249,23 @@
 
 // evict makes room for one more lane. It must be called with mu held.
 func (c *committer) evict() {
-	if len(c.lanes) < maxLanes {
+	if len(c.writers) < maxSegmentWriters {
 		return
 	}
-	var oldest *lane
-	for _, l := range c.lanes {
-		if !l.running && (oldest == nil || l.used.Before(oldest.used)) {
+	var oldest *segmentWriter
+	for _, l := range c.writers {
+		if !l.running && (oldest == nil || l.lastUsed.Before(oldest.lastUsed)) {
 			oldest = l
 		}
 	}
 	if oldest != nil {
-		delete(c.lanes, oldest.name)
+		delete(c.writers, oldest.name)
 	}
 }
 
-// take removes and returns what waits in the lane. With stop set, an empty
+// takeQueue removes and returns what waits in the lane. With stop set, an empty
 // queue ends the lane's goroutine.
-func (c *committer) take(l *lane, stop bool) []*pending {
+func (c *committer) takeQueue(l *segmentWriter, stop bool) []*pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	batch := l.queue
@@ -277,25 +277,25 @@
 }
 
 // deliver ends an operation.
-func (c *committer) deliver(l *lane, p *pending, rep reply) {
+func (c *committer) deliver(l *segmentWriter, p *pending, rep reply) {
 	abandoned := !p.state.CompareAndSwap(stateWaiting, stateDelivered)
 	if !abandoned {
 		p.done <- rep
-	} else if !p.peer && (rep.verdict == verdictDone || p.op.bar) {
+	} else if !p.fromPeer && (rep.verdict == verdictDone || p.op.bar) {
 		// This claim was won after its request had been told "not run", so that
 		// it would block the key for ever.
 		c.release(l, p)
 	}
-	c.retire(p.peer)
+	c.untrack(p.fromPeer)
 }
 
-// retire takes an operation off the counts.
-func (c *committer) retire(peer bool) {
+// untrack takes an operation off the counts.
+func (c *committer) untrack(peer bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waiting--
 	if peer {
-		c.fromPeers--
+		c.peerWaiting--
 	}
 	c.checkIdle()
 }
@@ -316,20 +316,20 @@
 // another VM relayed must stay: that VM may have found it by a read of its own,
 // taken it for won and handed the request over. Were it removed here, a second
 // sending would win the key and run the request again.
-func (c *committer) release(l *lane, p *pending) {
+func (c *committer) release(l *segmentWriter, p *pending) {
 	o := p.op
 	o.kind = opRelease
-	next := &pending{op: o, done: make(chan reply, 1), tried: p.tried, expect: p.expect}
+	next := &pending{op: o, done: make(chan reply, 1), attempted: p.attempted, expectedVersion: p.expectedVersion}
 	c.count.abandoned.Inc()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.enqueue(l.name, next)
 }
 
-func (c *committer) noteCall(err error) {
+func (c *committer) recordCall(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err == nil || answered(err) {
+	if err == nil || isPlatformAnswer(err) {
 		c.failures = 0
 		return
 	}
@@ -337,8 +337,8 @@
 	c.count.failures.Inc()
 }
 
-// answered tells errors that a working platform gives.
-func answered(err error) bool {
+// isPlatformAnswer tells errors that a working platform gives.
+func isPlatformAnswer(err error) bool {
 	for _, known := range []error{objstore.ErrNotFound, objstore.ErrConflict, objstore.ErrTooLarge, objstore.ErrBusy} {
 		if errors.Is(err, known) {
 			return true
@@ -349,7 +349,7 @@
 
 // backoff waits before the next try. It returns false if the committer stops.
 func (c *committer) backoff(try int) bool {
-	ceiling := min(firstBackoff<<min(try, maxBackoffStep), maxBackoff)
+	ceiling := min(minBackoff<<min(try, maxBackoffShift), maxBackoff)
 	timer := time.NewTimer(time.Duration(rand.Int64N(int64(ceiling))) + time.Millisecond)
 	defer timer.Stop()
 	select {
--- a/once/course.go
+++ b/once/course.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// course decides which way one operation goes: to the VM that commits its
+// relayState decides which way one operation goes: to the VM that commits its
 // segment, or by this VM's own conditional update, and what has to follow. It
 // has neither clock nor lock; events and the time go in, the next step comes
 // out.
@@ -13,21 +13,21 @@
 // taken for this operation's own. What the committer does later can't win the
 // key again, since the entry is there; and if the entry is to go, bar leaves the
 // id behind.
-type course struct {
-	relayUntil time.Time // no new relaying from here on; the rest is for the own update
-	// doubt says that another VM may carry the operation out, now or at any time
+type relayState struct {
+	relayDeadline time.Time // no new relaying from here on; the rest is for the own update
+	// mayApplyElsewhere says that another VM may carry the operation out, now or at any time
 	// later. It never goes back: nobody can be asked to forget.
-	doubt bool
+	mayApplyElsewhere bool
 }
 
 // event is what became of relaying.
 type event int
 
 const (
-	eventDecided   event = iota // the committer's verdict is final
-	eventUndecided              // the committer lives and waits for the platform
-	eventNotTaken               // it will never carry the operation out
-	eventLost                   // no answer
+	eventDecided     event = iota // the committer's verdict is final
+	eventUndecided                // the committer lives and waits for the platform
+	eventNotAccepted              // it will never carry the operation out
+	eventUnknown                  // no answer
 )
 
 // step is what to do next.
@@ -41,8 +41,8 @@
 
 // start returns the first step. remote says whether another VM is the
 // committer.
-func (c *course) start(remote bool, now time.Time) step {
-	if remote && now.Before(c.relayUntil) {
+func (c *relayState) start(remote bool, now time.Time) step {
+	if remote && now.Before(c.relayDeadline) {
 		return stepRelay
 	}
 	return stepDirect
@@ -51,19 +51,19 @@
 // next returns the step after an event. A committer that waits for the platform
 // is asked again: if each VM went to a slow platform by itself, it would become
 // slower for all. One that is silent is not asked again.
-func (c *course) next(e event, now time.Time) step {
+func (c *relayState) next(e event, now time.Time) step {
 	switch e {
 	case eventDecided:
 		return stepEnd
 	case eventUndecided:
-		c.doubt = true
+		c.mayApplyElsewhere = true
 		return c.start(true, now)
-	case eventLost:
-		c.doubt = true
+	case eventUnknown:
+		c.mayApplyElsewhere = true
 	}
 	return stepDirect
 }
 
 // mustBar tells whether a claim that ended without being won has to be barred,
 // so that no other VM enters it later.
-func (c *course) mustBar(won bool) bool { return c.doubt && !won }
+func (c *relayState) mustBar(won bool) bool { return c.mayApplyElsewhere && !won }
--- a/once/course_test.go
+++ b/once/course_test.go
@@ -8,24 +8,24 @@
 	"pgregory.net/rapid"
 )
 
-// TestCourseProperties: an operation is relayed only in the first part of its
+// TestRelayStateProperties: an operation is relayed only in the first part of its
 // time and never again after a silence, it always comes to an end or to this
 // VM's own update, and what a VM may still carry out is never forgotten.
-func TestCourseProperties(t *testing.T) {
+func TestRelayStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		begin := time.Unix(1700000000, 0)
 		now := begin
-		way := &course{relayUntil: begin.Add(time.Second)}
+		way := &relayState{relayDeadline: begin.Add(time.Second)}
 		next := way.start(rapid.Bool().Draw(t, "remote"), now)
 		inDoubt := false
 		for next == stepRelay {
-			g.Expect(now).To(BeTemporally("<", way.relayUntil))
-			e := event(rapid.IntRange(int(eventDecided), int(eventLost)).Draw(t, "event"))
+			g.Expect(now).To(BeTemporally("<", way.relayDeadline))
+			e := event(rapid.IntRange(int(eventDecided), int(eventUnknown)).Draw(t, "event"))
 			now = now.Add(time.Duration(rapid.IntRange(1, 600).Draw(t, "ms")) * time.Millisecond)
 			next = way.next(e, now)
-			inDoubt = inDoubt || e == eventLost || e == eventUndecided
-			g.Expect(way.doubt).To(Equal(inDoubt))
+			inDoubt = inDoubt || e == eventUnknown || e == eventUndecided
+			g.Expect(way.mayApplyElsewhere).To(Equal(inDoubt))
 			switch e {
 			case eventDecided:
 				g.Expect(next).To(Equal(stepEnd))
@@ -40,10 +40,10 @@
 	})
 }
 
-// TestCreditIsNeverMade: VMs whose lists differ pass on to one another what they
+// TestCreditIsConserved: VMs whose lists differ pass on to one another what they
 // have saved, and some of it is lost. Together they never write more than they
 // have earned, and none holds more than its bound.
-func TestCreditIsNeverMade(t *testing.T) {
+func TestCreditIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		const fleet = 280.0
@@ -70,16 +70,16 @@
 					written++
 				}
 			case 1:
-				given := c.give(now)
+				given := c.withdraw(now)
 				g.Expect(given).To(And(BeNumerically(">=", 0), BeNumerically("<=", 1)))
-				credits[rapid.IntRange(0, len(credits)-1).Draw(t, "to")].receive(given, now)
+				credits[rapid.IntRange(0, len(credits)-1).Draw(t, "to")].deposit(given, now)
 			case 2:
-				c.give(now) // lost on its way
+				c.withdraw(now) // lost on its way
 			}
 			each := fleet / float64(vms)
-			earned := float64(len(credits)) * (min(minSaved, each) + each*now.Sub(begin).Seconds())
+			earned := float64(len(credits)) * (min(minBurst, each) + each*now.Sub(begin).Seconds())
 			g.Expect(written).To(BeNumerically("<=", earned+1e-6))
-			g.Expect(c.balance).To(BeNumerically("<=", max(minSaved, each, fleet/maxSavedParts)))
+			g.Expect(c.balance).To(BeNumerically("<=", max(minBurst, each, fleet/depositCapDivisor)))
 		}
 	})
 }
--- a/once/credit.go
+++ b/once/credit.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// minSaved is how many writes a VM may save up however small its share: a
+	// minBurst is how many writes a VM may save up however small its share: a
 	// claim, an outcome and some for others.
-	minSaved = 4
-	// reserved are kept back when writes are passed on: one for this VM's own
+	minBurst = 4
+	// reserve are kept back when writes are passed on: one for this VM's own
 	// update, should the VM that commits for it be lost.
-	reserved = 1
-	// maxSavedParts is the part of the fleet's writes in a second that one VM
+	reserve = 1
+	// depositCapDivisor is the part of the fleet's writes in a second that one VM
 	// may hold of what others passed to it.
-	maxSavedParts = 4
+	depositCapDivisor = 4
 )
 
 // credit is this VM's right to write to the platform. Each VM earns the fleet's
@@ -24,39 +24,39 @@
 // whatever their lists of live VMs say, and the VM that commits for many has
 // nearly all of it. It is safe for concurrent use.
 type credit struct {
-	fleet float64 // writes per second of all VMs
+	fleetRate float64 // writes per second of all VMs
 
 	mu      sync.Mutex // guards the fields below; no other lock is taken under it
 	rate    float64    // writes per second
 	balance float64
-	at      time.Time // up to which rate is in balance
+	updated time.Time // up to which rate is in balance
 }
 
 func newCredit(fleet, rate float64, now time.Time) *credit {
-	return &credit{fleet: fleet, rate: rate, at: now, balance: min(minSaved, rate)}
+	return &credit{fleetRate: fleet, rate: rate, updated: now, balance: min(minBurst, rate)}
 }
 
-// earnedMax is up to where earned writes are saved: those of one second.
-func (c *credit) earnedMax() float64 { return max(minSaved, c.rate) }
+// burst is up to where earned writes are saved: those of one second.
+func (c *credit) burst() float64 { return max(minBurst, c.rate) }
 
 // setRate sets what this VM earns.
 func (c *credit) setRate(rate float64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.earn(now)
+	c.accrue(now)
 	c.rate = rate
-	c.balance = min(c.balance, c.earnedMax())
+	c.balance = min(c.balance, c.burst())
 }
 
-// earn must be called with mu held.
-func (c *credit) earn(now time.Time) {
-	if now.Before(c.at) {
+// accrue must be called with mu held.
+func (c *credit) accrue(now time.Time) {
+	if now.Before(c.updated) {
 		return
 	}
-	earned := c.rate * now.Sub(c.at).Seconds()
-	c.at = now
-	if c.balance < c.earnedMax() {
-		c.balance = min(c.balance+earned, c.earnedMax())
+	earned := c.rate * now.Sub(c.updated).Seconds()
+	c.updated = now
+	if c.balance < c.burst() {
+		c.balance = min(c.balance+earned, c.burst())
 	}
 }
 
@@ -65,7 +65,7 @@
 func (c *credit) take(now time.Time) (wait time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.earn(now)
+	c.accrue(now)
 	if c.balance >= 1 {
 		c.balance--
 		return 0, true
@@ -73,12 +73,12 @@
 	return time.Duration((1 - c.balance) / c.rate * float64(time.Second)), false
 }
 
-// give returns up to one write to be passed on, none of the reserve.
-func (c *credit) give(now time.Time) float64 {
+// withdraw returns up to one write to be passed on, none of the reserve.
+func (c *credit) withdraw(now time.Time) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.earn(now)
-	given := min(c.balance-reserved, 1)
+	c.accrue(now)
+	given := min(c.balance-reserve, 1)
 	if given <= 0 {
 		return 0
 	}
@@ -86,15 +86,15 @@
 	return given
 }
 
-// receive adds what another VM passed on, at most one write at a time.
-func (c *credit) receive(given float64, now time.Time) {
+// deposit adds what another VM passed on, at most one write at a time.
+func (c *credit) deposit(given float64, now time.Time) {
 	if !(given > 0 && given <= 1) { // NaN is neither
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.earn(now)
-	if limit := c.fleet / maxSavedParts; c.balance < limit {
+	c.accrue(now)
+	if limit := c.fleetRate / depositCapDivisor; c.balance < limit {
 		c.balance = min(c.balance+given, limit)
 	}
 }
--- a/once/fault_test.go
+++ b/once/fault_test.go
@@ -12,7 +12,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-const waitLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // clock is moved by hand.
 type clock struct{ offset atomic.Int64 }
@@ -30,20 +30,20 @@
 // paused; another VM runs the request; a day later its claim is cleared; the
 // first VM goes on, finds no claim and wins one. Only a check after the claim
 // knows that this is too late.
-func TestVMPausedOverClearingDoesNotRun(t *testing.T) {
+func TestVMPausedDuringCleanupDoesNotRun(t *testing.T) {
 	g := NewWithT(t)
 	var c clock
 	store := newFaultStore(1)
-	a, b := vm(t, store, "a", c.set), vm(t, store, "b", c.set)
-	req, w := request("d"), accepted()
+	a, b := startRunner(t, store, "a", c.set), startRunner(t, store, "b", c.set)
+	req, w := request("d"), acceptedWork()
 	var paused atomic.Bool
 	store.beforePut = func(string) error {
 		if !paused.CompareAndSwap(false, true) {
 			return nil
 		}
 		g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
-		c.advance(b.opts.Keep + b.opts.Margin + 2*window)
-		g.Expect(startedCleaner(b).round()).To(Succeed())
+		c.advance(b.opts.KeyTTL + b.opts.MaxClockSkew + 2*window)
+		g.Expect(startedCleaner(b).cleanRound()).To(Succeed())
 		g.Expect(store.names("vatnsleit.")).To(BeEmpty())
 		return nil
 	}
@@ -53,7 +53,7 @@
 
 // startedCleaner returns r's cleaner as if it were set to the test's deployment.
 func startedCleaner(r *Runner) *cleaner {
-	c := *r.clean
+	c := *r.cleaner
 	c.opts.Deployment = "vatnsleit"
 	return &c
 }
@@ -65,16 +65,16 @@
 	g := NewWithT(t)
 	var right, slow clock
 	store := newFaultStore(1)
-	a, b := vm(t, store, "a", right.set), vm(t, store, "b", slow.set)
-	req, w := request("d"), accepted()
+	a, b := startRunner(t, store, "a", right.set), startRunner(t, store, "b", slow.set)
+	req, w := request("d"), acceptedWork()
 	g.Expect(a.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
-	day := a.opts.Keep + a.opts.Margin + 2*window
+	day := a.opts.KeyTTL + a.opts.MaxClockSkew + 2*window
 	right.advance(day)
 	slow.advance(day - time.Hour)
-	g.Expect(startedCleaner(a).round()).To(Succeed())
+	g.Expect(startedCleaner(a).cleanRound()).To(Succeed())
 	g.Expect(store.names("vatnsleit.")).To(BeEmpty())
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.KeyExpired))
-	store.cutCleared.Store(true)
+	store.failClearedReads.Store(true)
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.ClaimsDown))
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
@@ -83,13 +83,13 @@
 // run. The platform takes the claim but its answer is lost, and it stays down
 // until the VM has given up and said "not run". The claim must be removed when
 // the platform is back.
-func TestClaimThatLandedUnseenIsReleased(t *testing.T) {
+func TestClaimWithLostAnswerIsReleased(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
-	a, b := vm(t, store, "a", shortWaits), vm(t, store, "b")
-	req, w := request("d"), accepted()
+	a, b := startRunner(t, store, "a", shortWaits), startRunner(t, store, "b")
+	req, w := request("d"), acceptedWork()
 	store.afterPut = func(string, error) error {
-		if !store.healed.Load() && store.cut.CompareAndSwap(false, true) {
+		if !store.recovered.Load() && store.failAll.CompareAndSwap(false, true) {
 			return errLost
 		}
 		return nil
@@ -98,31 +98,31 @@
 	g.Expect(out.Code).To(Equal(result.ClaimsDown))
 	g.Expect(out.RetryAfter).To(BeNumerically(">", 0))
 	g.Expect(w.ran.Load()).To(BeZero())
-	store.cut.Store(false)
-	store.healed.Store(true)
-	g.Eventually(func() result.Code { return b.Run(t.Context(), req, w.run).Code }, waitLimit).Should(Equal(result.Accepted))
+	store.failAll.Store(false)
+	store.recovered.Store(true)
+	g.Eventually(func() result.Code { return b.Run(t.Context(), req, w.run).Code }, testTimeout).Should(Equal(result.Accepted))
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
 // The same, but the platform carries the write out only after the VM has found
 // no claim and believes to be done. The write must find nothing to land on.
-func TestClaimThatLandsLateIsFencedOff(t *testing.T) {
+func TestDelayedClaimWriteIsFencedOff(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
-	a, b := vm(t, store, "a", shortWaits), vm(t, store, "b")
-	req, w := request("d"), accepted()
+	a, b := startRunner(t, store, "a", shortWaits), startRunner(t, store, "b")
+	req, w := request("d"), acceptedWork()
 	late := make(chan func() error, 1)
-	store.hold = func(land func() error) bool {
-		if store.healed.Load() || !store.cut.CompareAndSwap(false, true) {
+	store.delayPut = func(land func() error) bool {
+		if store.recovered.Load() || !store.failAll.CompareAndSwap(false, true) {
 			return false
 		}
 		late <- land
 		return true
 	}
 	g.Expect(a.Run(t.Context(), req, w.run).Code).To(Equal(result.ClaimsDown))
-	store.cut.Store(false)
-	store.healed.Store(true)
-	g.Eventually(a.commit.pending, waitLimit).Should(BeZero())
+	store.failAll.Store(false)
+	store.recovered.Store(true)
+	g.Eventually(a.committer.pending, testTimeout).Should(BeZero())
 	g.Expect((<-late)()).To(MatchError(objstore.ErrConflict))
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
 }
@@ -130,21 +130,21 @@
 // A waterworks' report waits out its whole time limit while the platform is
 // down. After a few failed calls the answer is immediate, says "not run" and
 // when to come back.
-func TestPlatformDownIsToldAtOnce(t *testing.T) {
+func TestPlatformOutageFailsFast(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
-	a := vm(t, store, "a", func(o *Options) { o.ClaimWait = time.Hour })
-	w := accepted()
-	store.cut.Store(true)
+	a := startRunner(t, store, "a", func(o *Options) { o.ClaimWait = time.Hour })
+	w := acceptedWork()
+	store.failAll.Store(true)
 	ctx, cancel := context.WithCancel(t.Context())
 	first := make(chan Outcome, 1)
 	go func() { first <- a.Run(ctx, request("d"), w.run) }()
-	g.Eventually(a.commit.isDown, waitLimit).Should(BeTrue())
+	g.Eventually(a.committer.isDown, testTimeout).Should(BeTrue())
 	cancel()
 	g.Expect((<-first).Code).To(Equal(result.ClaimsDown))
-	a.commit.mu.Lock()
-	a.commit.lastProbe = time.Now().Add(time.Hour)
-	a.commit.mu.Unlock()
+	a.committer.mu.Lock()
+	a.committer.lastProbe = time.Now().Add(time.Hour)
+	a.committer.mu.Unlock()
 	out := a.Run(t.Context(), request("d"), w.run)
 	g.Expect(out.Code).To(Equal(result.ClaimsDown))
 	g.Expect(out.RetryAfter).To(BeNumerically(">", 0))
@@ -154,19 +154,19 @@
 // A bookmark sync sends duplicate notices: the target ran it, the platform goes
 // down before the outcome is kept, and the sender tries again at another VM.
 // Until the outcome is in, that VM knows only that the key is claimed.
-func TestOutcomeIsKeptAfterAnOutage(t *testing.T) {
+func TestOutcomeIsStoredAfterOutage(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
-	a, b := vm(t, store, "a", shortWaits), vm(t, store, "b")
-	req, w := request("d"), accepted()
+	a, b := startRunner(t, store, "a", shortWaits), startRunner(t, store, "b")
+	req, w := request("d"), acceptedWork()
 	out := a.Run(t.Context(), req, func(ctx context.Context) Outcome {
-		store.cutPuts.Store(true)
+		store.failPuts.Store(true)
 		return w.run(ctx)
 	})
 	g.Expect(out.Code).To(Equal(result.Accepted))
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.InProgress))
-	store.cutPuts.Store(false)
-	g.Eventually(func() bool { return b.Run(t.Context(), req, w.run).Kept }, waitLimit).Should(BeTrue())
+	store.failPuts.Store(false)
+	g.Eventually(func() bool { return b.Run(t.Context(), req, w.run).Replayed }, testTimeout).Should(BeTrue())
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
@@ -176,16 +176,16 @@
 	g := NewWithT(t)
 	var c clock
 	store := newFaultStore(1)
-	a, b := vm(t, store, "a", shortWaits), vm(t, store, "b", c.set)
-	req, w := request("d"), accepted()
+	a, b := startRunner(t, store, "a", shortWaits), startRunner(t, store, "b", c.set)
+	req, w := request("d"), acceptedWork()
 	a.Run(t.Context(), req, func(ctx context.Context) Outcome {
-		store.cutPuts.Store(true)
+		store.failPuts.Store(true)
 		return w.run(ctx)
 	})
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	g.Expect(a.Close(ended)).To(HaveOccurred())
-	store.cutPuts.Store(false)
+	store.failPuts.Store(false)
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.InProgress))
 	c.advance(time.Minute)
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.OutcomeUnknown))
@@ -194,16 +194,16 @@
 
 // A report refused by every target is refused for ever. "Not run" must give
 // the key free, at this VM and at others.
-func TestNotRunGivesTheKeyFree(t *testing.T) {
+func TestNotRunReleasesKey(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
-	a, b := vm(t, store, "a"), vm(t, store, "b")
-	req, w := request("d"), accepted()
+	a, b := startRunner(t, store, "a"), startRunner(t, store, "b")
+	req, w := request("d"), acceptedWork()
 	refused := func(context.Context) Outcome { return Outcome{Code: result.NotStarted} }
 	g.Expect(a.Run(t.Context(), req, refused).Code).To(Equal(result.NotStarted))
 	g.Expect(b.Run(t.Context(), req, refused).Code).To(Equal(result.NotStarted))
 	g.Expect(a.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
-	g.Expect(b.Run(t.Context(), req, w.run).Kept).To(BeTrue())
+	g.Expect(b.Run(t.Context(), req, w.run).Replayed).To(BeTrue())
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
@@ -212,17 +212,17 @@
 func TestCloseWaitsForOutcomes(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
-	a, b := vm(t, store, "a", shortWaits), vm(t, store, "b")
-	req, w := request("d"), accepted()
+	a, b := startRunner(t, store, "a", shortWaits), startRunner(t, store, "b")
+	req, w := request("d"), acceptedWork()
 	a.Run(t.Context(), req, func(ctx context.Context) Outcome {
-		store.cutPuts.Store(true)
+		store.failPuts.Store(true)
 		return w.run(ctx)
 	})
 	closed := make(chan error, 1)
 	go func() { closed <- a.Close(t.Context()) }()
-	g.Eventually(a.commit.isClosed, waitLimit).Should(BeTrue())
+	g.Eventually(a.committer.isClosed, testTimeout).Should(BeTrue())
 	g.Expect(a.Run(t.Context(), request("d"), w.run).Code).To(Equal(result.ClaimsDown))
-	store.cutPuts.Store(false)
-	g.Eventually(closed, waitLimit).Should(Receive(BeNil()))
-	g.Expect(b.Run(t.Context(), req, w.run).Kept).To(BeTrue())
+	store.failPuts.Store(false)
+	g.Eventually(closed, testTimeout).Should(Receive(BeNil()))
+	g.Expect(b.Run(t.Context(), req, w.run).Replayed).To(BeTrue())
 }
--- a/once/fuzz_test.go
+++ b/once/fuzz_test.go
@@ -74,7 +74,7 @@
 		store := platformsim.NewStore()
 		_, err := store.Put(context.Background(), ClearedKind, "d", 0, []byte(text))
 		g.Expect(err).NotTo(HaveOccurred())
-		_, _, err = readCleared(context.Background(), store, "d")
+		_, _, err = readClearedRecord(context.Background(), store, "d")
 		g.Expect(err).To(HaveOccurred(), text)
 	}
 }
--- a/once/key.go
+++ b/once/key.go
@@ -11,13 +11,13 @@
 // Key is a caller's idempotency key. It carries the time at which the caller
 // made it, so that its age is known even after its claim has been cleared.
 type Key struct {
-	text string
-	made time.Time
+	text    string
+	created time.Time
 }
 
-// keyForm allows ten digits of seconds at most, which lasts until 2286 and
+// keyPattern allows ten digits of seconds at most, which lasts until 2286 and
 // keeps the names of segments in the order of time.
-var keyForm = regexp.MustCompile(`^([0-9]{1,10})-([A-Za-z0-9_-]{8,64})$`)
+var keyPattern = regexp.MustCompile(`^([0-9]{1,10})-([A-Za-z0-9_-]{8,64})$`)
 
 // ParseKey reads a key of the form "<unix seconds>-<8..64 of [A-Za-z0-9_-]>".
 // Its errors have code result.KeyRequired.
@@ -25,7 +25,7 @@
 	if s == "" {
 		return Key{}, result.Errorf(result.KeyRequired, "no key was sent")
 	}
-	parts := keyForm.FindStringSubmatch(s)
+	parts := keyPattern.FindStringSubmatch(s)
 	if parts == nil {
 		return Key{}, result.Errorf(result.KeyRequired, "the key %.80q has another form", s)
 	}
@@ -35,11 +35,11 @@
 	}
 	// One key has one spelling: "07-x" and "7-x" would be two claims.
 	text := strconv.FormatInt(seconds, 10) + "-" + parts[2]
-	return Key{text: text, made: time.Unix(seconds, 0)}, nil
+	return Key{text: text, created: time.Unix(seconds, 0)}, nil
 }
 
 // String returns the key as it is stored.
 func (k Key) String() string { return k.text }
 
-// Made returns the time that the key carries.
-func (k Key) Made() time.Time { return k.made }
+// Created returns the time that the key carries.
+func (k Key) Created() time.Time { return k.created }
--- a/once/key_test.go
+++ b/once/key_test.go
@@ -42,14 +42,14 @@
 // A renewal is sent again with a key of yesterday, or with one from a clock
 // that is ahead. Both are refused before anything is claimed: the first may
 // have run and been cleared, the second would outlive its clearing.
-func TestKeysOutOfTimeAreRefused(t *testing.T) {
+func TestKeysOutsideValidityAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
-	a, w := vm(t, store, "a"), accepted()
+	a, w := startRunner(t, store, "a"), acceptedWork()
 	req := request("d")
 	for made, want := range map[time.Duration]result.Code{
-		-a.opts.Keep - time.Minute:  result.KeyExpired,
-		a.opts.Margin + time.Minute: result.BadRequest,
+		-a.opts.KeyTTL - time.Minute:      result.KeyExpired,
+		a.opts.MaxClockSkew + time.Minute: result.BadRequest,
 	} {
 		key, err := ParseKey(fmt.Sprintf("%d-abcdefgh", time.Now().Add(made).Unix()))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -61,12 +61,12 @@
 }
 
 // The cleaner takes old segments of its own deployment only, a few at a time.
-func TestCleanerTakesOldSegmentsInSteps(t *testing.T) {
+func TestCleanerRemovesOldSegmentsInPages(t *testing.T) {
 	g := NewWithT(t)
 	var c clock
 	store := newFaultStore(1)
-	a := vm(t, store, "a", c.set)
-	for i := range 2*cleanPage + 1 {
+	a := startRunner(t, store, "a", c.set)
+	for i := range 2*cleanPageSize + 1 {
 		for _, deployment := range []string{"vatnsleit", "pletenica"} {
 			name := segmentName(deployment, time.Now().Add(-time.Duration(i)*window))
 			_, err := store.Put(t.Context(), Kind, name, 0, []byte("{}"))
@@ -80,21 +80,21 @@
 	g.Expect(err).NotTo(HaveOccurred())
 
 	clean := startedCleaner(a)
-	g.Expect(clean.round()).To(Succeed())
+	g.Expect(clean.cleanRound()).To(Succeed())
 	g.Expect(store.names("vatnsleit.")).To(HaveLen(len(old) + 1))
-	c.advance(a.opts.Keep + a.opts.Margin + window)
-	before, err := clean.raise(t.Context())
+	c.advance(a.opts.KeyTTL + a.opts.MaxClockSkew + window)
+	before, err := clean.advanceRecord(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
-	removed, more, err := clean.step(t.Context(), before)
+	removed, more, err := clean.removePage(t.Context(), before)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(removed).To(Equal(cleanPage))
+	g.Expect(removed).To(Equal(cleanPageSize))
 	g.Expect(more).To(BeTrue())
-	g.Expect(clean.round()).To(Succeed())
+	g.Expect(clean.cleanRound()).To(Succeed())
 	g.Expect(store.names("vatnsleit.")).To(Equal([]string{young}))
 	g.Expect(store.names("pletenica.")).To(Equal(others))
 }
 
-func TestFewVMsClear(t *testing.T) {
+func TestFewVMsRunCleaner(t *testing.T) {
 	g := NewWithT(t)
 	var vms []objstore.VM
 	for i := range 50 {
@@ -105,13 +105,13 @@
 	for hour := range 24 {
 		count := 0
 		for _, v := range vms[:50] {
-			if chosen(vms, v.Name, time.Unix(int64(hour)*3600, 0)) {
+			if isCleaner(vms, v.Name, time.Unix(int64(hour)*3600, 0)) {
 				count++
 				turns[v.Name] = true
 			}
 		}
-		g.Expect(count).To(Equal(cleaners))
+		g.Expect(count).To(Equal(maxCleaners))
 	}
 	g.Expect(len(turns)).To(BeNumerically(">", 10), "the work changes hands")
-	g.Expect(chosen(nil, "alone", time.Now())).To(BeTrue())
+	g.Expect(isCleaner(nil, "alone", time.Now())).To(BeTrue())
 }
--- a/once/lane.go
+++ b/once/lane.go
@@ -8,15 +8,15 @@
 	"github.com/juju/errors"
 )
 
-// lane is the committer's view of one segment. One goroutine at a time works
+// segmentWriter is the committer's view of one segment. One goroutine at a time works
 // on it.
-type lane struct {
+type segmentWriter struct {
 	name string
 
 	// Guarded by committer.mu.
-	queue   []*pending
-	running bool
-	used    time.Time
+	queue    []*pending
+	running  bool
+	lastUsed time.Time
 
 	// The lane's goroutine alone uses these. The state was read or written
 	// earlier and may be old; a conditional update finds out.
@@ -25,9 +25,9 @@
 	state   segment
 }
 
-func (c *committer) runLane(l *lane) {
+func (c *committer) runWriter(l *segmentWriter) {
 	for {
-		batch := c.take(l, true)
+		batch := c.takeQueue(l, true)
 		if len(batch) == 0 {
 			return
 		}
@@ -39,11 +39,11 @@
 
 // commit carries the batch out, together with what comes in meanwhile. It
 // returns false if the committer stops.
-func (c *committer) commit(l *lane, batch []*pending) bool {
+func (c *committer) commit(l *segmentWriter, batch []*pending) bool {
 	fresh := false // the state was read after all of the batch had come in
 	paced := false
 	for try := 0; ; try++ {
-		if more := c.take(l, false); len(more) > 0 {
+		if more := c.takeQueue(l, false); len(more) > 0 {
 			batch = append(batch, more...)
 			fresh = false
 		}
@@ -71,7 +71,7 @@
 		}
 		if !paced {
 			paced = true
-			waited, ok := c.waitTurn()
+			waited, ok := c.waitForCredit()
 			if !ok {
 				return false
 			}
@@ -86,7 +86,7 @@
 		}
 		if errors.Is(err, objstore.ErrTooLarge) {
 			c.log.Error("a claims object is too large", "object", l.name)
-			c.deliverAll(l, batch, refuseAll(replies))
+			c.deliverAll(l, batch, rejectAll(replies))
 			return true
 		}
 		paced = false
@@ -98,40 +98,40 @@
 
 // dropAbandoned removes claims whose caller no longer waits. One that took
 // part in a write may have landed, or land later, and is released.
-func (c *committer) dropAbandoned(l *lane, batch []*pending) []*pending {
+func (c *committer) dropAbandoned(l *segmentWriter, batch []*pending) []*pending {
 	kept := batch[:0]
 	for _, p := range batch {
 		if p.state.Load() != stateAbandoned {
 			kept = append(kept, p)
 			continue
 		}
-		if !p.peer && (p.tried || p.op.bar) {
+		if !p.fromPeer && (p.attempted || p.op.bar) {
 			c.release(l, p)
 		}
-		c.retire(p.peer)
+		c.untrack(p.fromPeer)
 	}
 	return kept
 }
 
-func (c *committer) deliverAll(l *lane, batch []*pending, replies []reply) {
+func (c *committer) deliverAll(l *segmentWriter, batch []*pending, replies []reply) {
 	for i, p := range batch {
 		c.deliver(l, p, replies[i])
 	}
 }
 
-// creditPoll is how often a lane looks whether another VM has passed on what
+// creditPollInterval is how often a lane looks whether another VM has passed on what
 // pays for its write.
-const creditPoll = 5 * time.Millisecond
+const creditPollInterval = 5 * time.Millisecond
 
-// waitTurn holds this VM to the writes that it may send.
-func (c *committer) waitTurn() (waited, ok bool) {
+// waitForCredit holds this VM to the writes that it may send.
+func (c *committer) waitForCredit() (waited, ok bool) {
 	for {
-		wait, paid := c.pace.take(time.Now())
+		wait, paid := c.credit.take(time.Now())
 		if paid {
 			return waited, true
 		}
 		waited = true
-		timer := time.NewTimer(min(wait, creditPoll))
+		timer := time.NewTimer(min(wait, creditPollInterval))
 		select {
 		case <-timer.C:
 		case <-c.tomb.Dying():
@@ -141,14 +141,14 @@
 	}
 }
 
-func (c *committer) load(l *lane) error {
-	ctx, cancel := context.WithTimeout(c.life, c.opts.CallTimeout)
+func (c *committer) load(l *segmentWriter) error {
+	ctx, cancel := context.WithTimeout(c.ctx, c.opts.CallTimeout)
 	defer cancel()
 	c.count.reads.Inc()
 	object, err := c.opts.Store.Get(ctx, Kind, l.name)
-	c.noteCall(err)
+	c.recordCall(err)
 	if errors.Is(err, objstore.ErrNotFound) {
-		l.known, l.version, l.state = true, 0, segment{part: isPart(l.name)}
+		l.known, l.version, l.state = true, 0, segment{overflow: isOverflow(l.name)}
 		return nil
 	}
 	if err != nil {
@@ -163,22 +163,22 @@
 	return nil
 }
 
-func (c *committer) write(l *lane, next segment, batch []*pending) error {
+func (c *committer) write(l *segmentWriter, next segment, batch []*pending) error {
 	value, err := next.encode()
 	if err != nil {
 		return errors.Trace(err)
 	}
 	for _, p := range batch {
-		p.tried = true
-		p.expect = l.version
+		p.attempted = true
+		p.expectedVersion = l.version
 	}
-	ctx, cancel := context.WithTimeout(c.life, c.opts.CallTimeout)
+	ctx, cancel := context.WithTimeout(c.ctx, c.opts.CallTimeout)
 	defer cancel()
 	c.count.writes.Inc()
-	c.count.written.Add(len(batch))
+	c.count.operations.Add(len(batch))
 	c.count.bytes.Add(len(value))
 	version, err := c.opts.Store.Put(ctx, Kind, l.name, l.version, value)
-	c.noteCall(err)
+	c.recordCall(err)
 	if err == nil {
 		l.version, l.state = version, next
 		return nil
@@ -219,9 +219,9 @@
 // platform may carry out a write long after its sender gave up. It would show
 // as a key that is in progress for ever. A write that expects the version that
 // such a one expects leaves it nothing to land on.
-func needsFence(l *lane, batch []*pending) bool {
+func needsFence(l *segmentWriter, batch []*pending) bool {
 	for _, p := range batch {
-		if p.op.kind == opRelease && p.tried && p.expect == l.version {
+		if p.op.kind == opRelease && p.attempted && p.expectedVersion == l.version {
 			return true
 		}
 	}
@@ -236,8 +236,8 @@
 	return ops
 }
 
-// refuseAll turns replies into those of a write that cannot be made.
-func refuseAll(replies []reply) []reply {
+// rejectAll turns replies into those of a write that cannot be made.
+func rejectAll(replies []reply) []reply {
 	for i := range replies {
 		replies[i].verdict = verdictFull
 	}
--- a/once/name.go
+++ b/once/name.go
@@ -23,20 +23,20 @@
 	return fmt.Sprintf("%s%010d", prefix(deployment), made.Unix())
 }
 
-// parts is how many parts a second has beside its segment. Like window it is part
+// overflowSegments is how many overflowSegments a second has beside its segment. Like window it is part
 // of the stored form.
-const parts = 8
+const overflowSegments = 8
 
-// partName returns the object that holds a key whose second's segment is sealed.
+// overflowName returns the object that holds a key whose second's segment is sealed.
 // Names of parts follow that of their segment.
-func partName(segment, id string) string {
-	return fmt.Sprintf("%s%s%d", segment, partMark, xxhash.Sum64String(id)%parts)
+func overflowName(segment, id string) string {
+	return fmt.Sprintf("%s%s%d", segment, overflowSeparator, xxhash.Sum64String(id)%overflowSegments)
 }
 
-const partMark = "+"
+const overflowSeparator = "+"
 
-func isPart(name string) bool {
-	return strings.Contains(name[strings.LastIndex(name, ".")+1:], partMark)
+func isOverflow(name string) bool {
+	return strings.Contains(name[strings.LastIndex(name, ".")+1:], overflowSeparator)
 }
 
 func prefix(deployment string) string { return deployment + "." }
@@ -48,7 +48,7 @@
 	if !ok {
 		return time.Time{}, false
 	}
-	start, _, _ = strings.Cut(start, partMark)
+	start, _, _ = strings.Cut(start, overflowSeparator)
 	seconds, err := strconv.ParseInt(start, 10, 64)
 	if err != nil {
 		return time.Time{}, false
--- a/once/peers.go
+++ b/once/peers.go
@@ -19,113 +19,113 @@
 // b.HoldMS have passed. It never asks a third VM, whichever one this VM believes
 // to be the committer. An error means that none was taken.
 func (r *Runner) Commit(ctx context.Context, b relay.Batch) ([]relay.Reply, error) {
-	ops, err := fromBatch(b)
+	ops, err := opsFromBatch(b)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	list, err := r.commit.admitPeer(b.Segment, ops)
+	list, err := r.committer.admitPeer(b.Segment, ops)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	r.commit.pace.receive(b.Credit, time.Now())
+	r.committer.credit.deposit(b.Credit, time.Now())
 	hold := min(time.Duration(b.HoldMS)*time.Millisecond, maxHold)
 	ctx, cancel := context.WithTimeout(ctx, hold)
 	defer cancel()
 	replies := make([]relay.Reply, len(list))
 	for i, p := range list {
-		replies[i] = r.commit.await(ctx, p)
+		replies[i] = r.committer.awaitPeerOp(ctx, p)
 	}
 	return replies, nil
 }
 
-// await returns the verdict on an operation of another VM. One that has none
+// awaitPeerOp returns the verdict on an operation of another VM. One that has none
 // when ctx ends is dropped, unless its write is under way.
-func (c *committer) await(ctx context.Context, p *pending) relay.Reply {
+func (c *committer) awaitPeerOp(ctx context.Context, p *pending) relay.Reply {
 	select {
 	case rep := <-p.done:
-		return toReply(rep)
+		return toRelayReply(rep)
 	case <-ctx.Done():
 	case <-c.tomb.Dying():
 	}
 	if p.state.CompareAndSwap(stateWaiting, stateAbandoned) {
 		return relay.Reply{Verdict: relay.Undecided}
 	}
-	return toReply(<-p.done)
+	return toRelayReply(<-p.done)
 }
 
-var kindNames = map[opKind]relay.Kind{opClaim: relay.Claim, opSettle: relay.Settle, opRelease: relay.Release}
+var relayKinds = map[opKind]relay.Kind{opClaim: relay.Claim, opComplete: relay.Complete, opRelease: relay.Release}
 
-var verdictNames = map[verdict]relay.Verdict{
+var relayVerdicts = map[verdict]relay.Verdict{
 	verdictDone: relay.Done, verdictHeld: relay.Held, verdictFull: relay.Full, verdictMoved: relay.Moved, verdictGone: relay.Gone,
 }
 
-func toRelay(o op) relay.Op {
-	return relay.Op{Kind: kindNames[o.kind], ID: o.id, Entry: toEntry(o.entry)}
+func toRelayOp(o op) relay.Op {
+	return relay.Op{Kind: relayKinds[o.kind], ID: o.id, Entry: toRelayEntry(o.entry)}
 }
 
-func toEntry(e entry) relay.Entry {
+func toRelayEntry(e entry) relay.Entry {
 	wire := relay.Entry{Digest: e.Digest, Op: e.Op, Holder: e.Holder, UntilMS: e.UntilMS}
 	if k := e.Outcome; k != nil {
-		wire.Outcome = &relay.Kept{Code: k.Code, Result: k.Result, Detail: k.Detail}
+		wire.Outcome = &relay.Outcome{Code: k.Code, Result: k.Result, Detail: k.Detail}
 	}
 	return wire
 }
 
-func fromEntry(wire relay.Entry) entry {
+func fromRelayEntry(wire relay.Entry) entry {
 	e := entry{Digest: wire.Digest, Op: wire.Op, Holder: wire.Holder, UntilMS: wire.UntilMS}
 	if k := wire.Outcome; k != nil {
-		e.Outcome = &kept{Code: k.Code, Result: json.RawMessage(k.Result), Detail: k.Detail}
+		e.Outcome = &storedOutcome{Code: k.Code, Result: json.RawMessage(k.Result), Detail: k.Detail}
 	}
 	return e
 }
 
-func fromBatch(b relay.Batch) ([]op, error) {
+func opsFromBatch(b relay.Batch) ([]op, error) {
 	ops := make([]op, len(b.Ops))
 	for i, wire := range b.Ops {
-		ops[i] = op{id: wire.ID, entry: fromEntry(wire.Entry)}
+		ops[i] = op{id: wire.ID, entry: fromRelayEntry(wire.Entry)}
 		switch wire.Kind {
 		case relay.Claim:
 			ops[i].kind = opClaim
-		case relay.Settle:
-			ops[i].kind = opSettle
+		case relay.Complete:
+			ops[i].kind = opComplete
 		case relay.Release:
 			ops[i].kind = opRelease
 		default:
 			return nil, errors.NotValidf("operation %q", wire.Kind)
 		}
-		if ops[i].kind == opSettle && ops[i].entry.Outcome == nil || ops[i].entry.Op == "" || ops[i].id == "" {
+		if ops[i].kind == opComplete && ops[i].entry.Outcome == nil || ops[i].entry.Op == "" || ops[i].id == "" {
 			return nil, errors.NotValidf("operation %q without its outcome, id or key", wire.Kind)
 		}
 	}
 	return ops, nil
 }
 
-func toReply(rep reply) relay.Reply {
-	wire := relay.Reply{Verdict: verdictNames[rep.verdict]}
+func toRelayReply(rep reply) relay.Reply {
+	wire := relay.Reply{Verdict: relayVerdicts[rep.verdict]}
 	if rep.verdict == verdictHeld {
-		held := toEntry(rep.held)
+		held := toRelayEntry(rep.held)
 		wire.Held = &held
 	}
 	return wire
 }
 
-// fromRelay returns the reply and what it means for the operation's course. A
+// fromRelayReply returns the reply and what it means for the operation's course. A
 // reply that can't be understood leaves open what was done.
-func fromRelay(got relay.Reply, fate relay.Fate) (reply, event) {
+func fromRelayReply(got relay.Reply, fate relay.Delivery) (reply, event) {
 	switch {
-	case fate == relay.NotTaken:
-		return reply{}, eventNotTaken
-	case fate == relay.Lost:
-		return reply{}, eventLost
+	case fate == relay.NotAccepted:
+		return reply{}, eventNotAccepted
+	case fate == relay.Unknown:
+		return reply{}, eventUnknown
 	case got.Verdict == relay.Undecided:
 		return reply{}, eventUndecided
 	case got.Verdict == relay.Held && got.Held != nil:
-		return reply{verdict: verdictHeld, held: fromEntry(*got.Held)}, eventDecided
+		return reply{verdict: verdictHeld, held: fromRelayEntry(*got.Held)}, eventDecided
 	}
-	for v, name := range verdictNames {
+	for v, name := range relayVerdicts {
 		if name == got.Verdict && v != verdictHeld {
 			return reply{verdict: v}, eventDecided
 		}
 	}
-	return reply{}, eventLost
+	return reply{}, eventUnknown
 }
--- a/once/race_test.go
+++ b/once/race_test.go
@@ -21,14 +21,14 @@
 	raceTurns = 6
 )
 
-// racing starts VMs on a store that loses writes, loses answers, carries some
+// newRace starts VMs on a store that loses writes, loses answers, carries some
 // writes out late, and pauses senders.
 //
 // With relayed set the VMs commit for one another, and their messages are lost,
 // come late or twice.
-func racing(t *testing.T, seed uint64, relayed bool) *race {
+func newRace(t *testing.T, seed uint64, relayed bool) *race {
 	store := newFaultStore(seed)
-	store.loseAnswer, store.loseWrite, store.late = 0.15, 0.1, 0.1
+	store.loseAnswer, store.loseWrite, store.lateWrite = 0.15, 0.1, 0.1
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 2))
 	store.beforePut = func(string) error {
@@ -40,29 +40,29 @@
 	}
 	runners := make([]*Runner, raceVMs)
 	for i := range runners {
-		runners[i] = vm(t, store, fmt.Sprint("vm", i))
+		runners[i] = startRunner(t, store, fmt.Sprint("vm", i))
 	}
 	late := &sync.WaitGroup{}
 	if relayed {
-		late = connect(runners, seed, true)
+		late = connectPeers(runners, seed, true)
 	}
-	return &race{runners: runners, store: store, late: late}
+	return &race{runners: runners, store: store, lateMessages: late}
 }
 
 type race struct {
-	runners []*Runner
-	store   *faultStore
-	late    *sync.WaitGroup // messages that come late
-	killed  *Runner
+	runners      []*Runner
+	store        *faultStore
+	lateMessages *sync.WaitGroup // messages that come late
+	killed       *Runner
 }
 
-// everySeed runs the test with each seed, with and without relaying.
-func everySeed(t *testing.T, test func(t *testing.T, seed uint64, r *race)) {
+// forEachSeed runs the test with each seed, with and without relaying.
+func forEachSeed(t *testing.T, test func(t *testing.T, seed uint64, r *race)) {
 	for _, relayed := range []bool{false, true} {
 		for seed := uint64(1); seed <= raceSeeds; seed++ {
 			t.Run(fmt.Sprintf("relayed %v, seed %d", relayed, seed), func(t *testing.T) {
 				t.Parallel()
-				test(t, seed, racing(t, seed, relayed))
+				test(t, seed, newRace(t, seed, relayed))
 			})
 		}
 	}
@@ -80,9 +80,9 @@
 	_ = r.killed.Close(ended)
 }
 
-// settle ends the VMs and waits for writes that land late. The VMs end first:
+// closeAndWait ends the VMs and waits for writes that land late. The VMs end first:
 // they still release claims in the background, which may make for more of these.
-func (r *race) settle(t *testing.T) {
+func (r *race) closeAndWait(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	for _, vm := range r.runners {
@@ -90,18 +90,18 @@
 			NewWithT(t).Expect(vm.Close(ctx)).To(Succeed())
 		}
 	}
-	r.late.Wait()
+	r.lateMessages.Wait()
 	r.store.lateWG.Wait()
 }
 
-// claimIn and claimOut are the register's operations for porcupine.
-type claimIn struct {
+// claimInput and claimOut are the register's operations for porcupine.
+type claimInput struct {
 	key     int
 	op      string
 	release bool
 }
 
-type claimOut struct {
+type claimOutput struct {
 	known  bool
 	winner string // who holds the key after a claim
 }
@@ -111,14 +111,14 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, raceKeys)
 		for _, o := range history {
-			key := o.Input.(claimIn).key
+			key := o.Input.(claimInput).key
 			parts[key] = append(parts[key], o)
 		}
 		return parts
 	},
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		holder, in, out := state.(string), input.(claimIn), output.(claimOut)
+		holder, in, out := state.(string), input.(claimInput), output.(claimOutput)
 		after := holder
 		switch {
 		case in.release && holder == in.op:
@@ -142,7 +142,7 @@
 // key at once, are paused before or after their conditional update, and lose
 // its answer. Were a claim not a single register, both would believe in it.
 func TestClaimsAreLinearizable(t *testing.T) {
-	everySeed(t, func(t *testing.T, seed uint64, r *race) {
+	forEachSeed(t, func(t *testing.T, seed uint64, r *race) {
 		h := &history{start: time.Now()}
 		base := request("d")
 		var wg sync.WaitGroup
@@ -150,13 +150,13 @@
 			wg.Go(func() { h.drive(vm, base, i, rand.New(rand.NewPCG(seed, uint64(10+i)))) })
 		}
 		wg.Wait()
-		r.settle(t)
+		r.closeAndWait(t)
 		g := NewWithT(t)
 		verdict := porcupine.CheckOperationsTimeout(claimModel, h.ops, time.Minute)
 		g.Expect(verdict).To(Equal(porcupine.Ok))
 		// Each claim was released or given up. None may be left, or its key would
 		// show as in progress for ever.
-		left, err := r.store.segment(segmentName(base.Deployment, base.Key.Made()))
+		left, err := r.store.segment(segmentName(base.Deployment, base.Key.Created()))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(left.Entries).To(BeEmpty())
 	})
@@ -168,11 +168,11 @@
 	ops   []porcupine.Operation
 }
 
-const never = int64(1) << 62
+const farFuture = int64(1) << 62
 
 func (h *history) now() int64 { return int64(time.Since(h.start)) }
 
-func (h *history) add(client int, in claimIn, out claimOut, call, end int64) {
+func (h *history) add(client int, in claimInput, out claimOutput, call, end int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: call, Return: end})
@@ -184,8 +184,8 @@
 		req := base
 		req.Search = fmt.Sprint("search", key)
 		claim := r.newClaim(context.Background(), req)
-		in := claimIn{key: key, op: claim.entry.Op}
-		name := segmentName(req.Deployment, req.Key.Made())
+		in := claimInput{key: key, op: claim.entry.Op}
+		name := segmentName(req.Deployment, req.Key.Created())
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(10+rng.IntN(60))*time.Millisecond)
 		call := h.now()
 		_, rep, err := r.claim(ctx, name, &claim)
@@ -194,28 +194,28 @@
 		switch {
 		case err != nil:
 			// It may land until it is released in the background.
-			h.add(client, in, claimOut{}, call, never)
+			h.add(client, in, claimOutput{}, call, farFuture)
 			in.release = true
-			h.add(client, in, claimOut{}, end, never)
+			h.add(client, in, claimOutput{}, end, farFuture)
 		case rep.verdict == verdictHeld:
 			if claim.bar {
 				// A committer in doubt may enter it until it is barred in the background.
-				h.add(client, in, claimOut{}, call, never)
-				h.add(client, claimIn{key: key, op: in.op, release: true}, claimOut{}, end, never)
+				h.add(client, in, claimOutput{}, call, farFuture)
+				h.add(client, claimInput{key: key, op: in.op, release: true}, claimOutput{}, end, farFuture)
 			}
-			h.add(client, in, claimOut{known: true, winner: rep.held.Op}, call, end)
+			h.add(client, in, claimOutput{known: true, winner: rep.held.Op}, call, end)
 		default:
-			h.add(client, in, claimOut{known: true, winner: in.op}, call, end)
+			h.add(client, in, claimOutput{known: true, winner: in.op}, call, end)
 			call = h.now()
 			<-r.finish(name, claim, opRelease, nil)
 			in.release = true
-			h.add(client, in, claimOut{known: true}, call, h.now())
+			h.add(client, in, claimOutput{known: true}, call, h.now())
 		}
 	}
 }
 
-// sending is one call of Run and what it was told.
-type sending struct {
+// submission is one call of Run and what it was told.
+type submission struct {
 	key  int
 	name string
 	out  Outcome
@@ -226,7 +226,7 @@
 // answers. What was told "not run" was not run, and all who are told the
 // outcome are told the same.
 func TestRunAtMostOnce(t *testing.T) {
-	everySeed(t, func(t *testing.T, seed uint64, r *race) {
+	forEachSeed(t, func(t *testing.T, seed uint64, r *race) {
 		g := NewWithT(t)
 		reqs := make([]Request, raceKeys)
 		for i := range reqs {
@@ -234,8 +234,8 @@
 		}
 		var mu sync.Mutex // guards ran and told
 		ran := make(map[int][]string)
-		var told []sending
-		send := func(vm *Runner, s sending, limit time.Duration) {
+		var told []submission
+		send := func(vm *Runner, s submission, limit time.Duration) {
 			ctx, cancel := context.WithTimeout(context.Background(), limit)
 			defer cancel()
 			s.out = vm.Run(ctx, reqs[s.key], func(context.Context) Outcome {
@@ -253,14 +253,14 @@
 			rng := rand.New(rand.NewPCG(seed, uint64(20+i)))
 			wg.Go(func() {
 				for turn := range raceTurns {
-					s := sending{key: rng.IntN(raceKeys), name: fmt.Sprintf(`"%d/%d"`, i, turn)}
+					s := submission{key: rng.IntN(raceKeys), name: fmt.Sprintf(`"%d/%d"`, i, turn)}
 					send(vm, s, time.Duration(10+rng.IntN(60))*time.Millisecond)
 				}
 			})
 		}
 		wg.Go(func() { r.kill(seed) })
 		wg.Wait()
-		r.settle(t)
+		r.closeAndWait(t)
 		for key := range ran {
 			g.Expect(ran[key]).To(HaveLen(1), "key %d ran twice", key)
 		}
--- a/once/relay/link.go
+++ b/once/relay/link.go
@@ -12,42 +12,42 @@
 // link is the way to one VM. Its goroutine dials, sends batches, and ends when
 // nothing was sent for a while or the connection breaks.
 type link struct {
-	owner *Links
-	vm    objstore.VM
-	wake  chan struct{}
-	calls chan struct{} // one token per batch under way
+	links     *Links
+	vm        objstore.VM
+	wake      chan struct{}
+	callSlots chan struct{} // one token per batch under way
 
 	queue []*pending // guarded by Links.mu
 }
 
 // pending is an operation on its way. sent and gone are guarded by Links.mu.
 type pending struct {
-	ask  Ask
-	done chan answer // holds one
-	sent bool        // part of a batch
-	gone bool        // given up before
+	req       OpRequest
+	done      chan answer // holds one
+	sent      bool        // part of a batch
+	cancelled bool        // given up before
 }
 
 type answer struct {
-	reply Reply
-	fate  Fate
+	reply    Reply
+	delivery Delivery
 }
 
 func (k *link) run() error {
 	conn, err := k.dial()
 	if err != nil {
-		k.owner.avoid(k.vm, err)
-		k.end()
+		k.links.avoid(k.vm, err)
+		k.remove()
 		return nil
 	}
 	defer conn.Wait()
 	defer conn.Close()
-	defer k.end()
-	idle := time.NewTimer(k.owner.opts.Idle)
+	defer k.remove()
+	idle := time.NewTimer(k.links.opts.IdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
-		case <-k.owner.tomb.Dying():
+		case <-k.links.tomb.Dying():
 			return nil
 		case <-conn.Done():
 			return nil
@@ -55,18 +55,18 @@
 			return nil
 		case <-k.wake:
 		}
-		if ended(conn) {
+		if isClosed(conn) {
 			return nil // what waits was never sent
 		}
-		time.Sleep(gather)
-		for _, batch := range batches(k.take()) {
-			k.send(conn, batch)
+		time.Sleep(batchDelay)
+		for _, batch := range splitBatches(k.takeQueue()) {
+			k.sendBatch(conn, batch)
 		}
-		idle.Reset(k.owner.opts.Idle)
+		idle.Reset(k.links.opts.IdleTimeout)
 	}
 }
 
-func ended(conn *wire.Conn) bool {
+func isClosed(conn *wire.Conn) bool {
 	select {
 	case <-conn.Done():
 		return true
@@ -76,9 +76,9 @@
 }
 
 func (k *link) dial() (*wire.Conn, error) {
-	ctx, cancel := context.WithTimeout(k.owner.life, k.owner.opts.Silent)
+	ctx, cancel := context.WithTimeout(k.links.ctx, k.links.opts.ResponseTimeout)
 	defer cancel()
-	o := k.owner.opts.Fleet.WireOptions()
+	o := k.links.opts.Fleet.WireOptions()
 	o.Use = Use
 	o.Handler = nil // the other end has nothing to ask
 	conn, err := wire.Dial(ctx, k.vm.Address, o, &wire.Counters{})
@@ -94,28 +94,28 @@
 	return conn, nil
 }
 
-// end takes the link out of the table. What waits was never sent.
-func (k *link) end() {
-	k.owner.mu.Lock()
-	if k.owner.links[k.vm.Address] == k {
-		delete(k.owner.links, k.vm.Address)
+// remove takes the link out of the table. What waits was never sent.
+func (k *link) remove() {
+	k.links.mu.Lock()
+	if k.links.links[k.vm.Address] == k {
+		delete(k.links.links, k.vm.Address)
 	}
 	queue := k.queue
 	k.queue = nil
-	k.owner.mu.Unlock()
+	k.links.mu.Unlock()
 	for _, p := range queue {
-		p.done <- answer{fate: NotTaken}
+		p.done <- answer{delivery: NotAccepted}
 	}
 }
 
-// take returns what waits, marked as sent before it is: who gives up in between
+// takeQueue returns what waits, marked as sent before it is: who gives up in between
 // must not believe that the other VM will never carry it out.
-func (k *link) take() []*pending {
-	k.owner.mu.Lock()
-	defer k.owner.mu.Unlock()
+func (k *link) takeQueue() []*pending {
+	k.links.mu.Lock()
+	defer k.links.mu.Unlock()
 	var taken []*pending
 	for _, p := range k.queue {
-		if !p.gone {
+		if !p.cancelled {
 			p.sent = true
 			taken = append(taken, p)
 		}
@@ -124,15 +124,15 @@
 	return taken
 }
 
-// batches parts operations by segment and size.
-func batches(queue []*pending) [][]*pending {
+// splitBatches parts operations by segment and size.
+func splitBatches(queue []*pending) [][]*pending {
 	var list [][]*pending
 	open := map[string]int{} // by segment, the batch that has room
 	for _, p := range queue {
-		at, ok := open[p.ask.Segment]
+		at, ok := open[p.req.Segment]
 		if !ok || len(list[at]) == MaxOps {
 			at = len(list)
-			open[p.ask.Segment] = at
+			open[p.req.Segment] = at
 			list = append(list, nil)
 		}
 		list[at] = append(list[at], p)
@@ -140,54 +140,54 @@
 	return list
 }
 
-// send has a batch carried out apart from the link's goroutine, once there is
+// sendBatch has a batch carried out apart from the link's goroutine, once there is
 // room for it.
-func (k *link) send(conn *wire.Conn, batch []*pending) {
+func (k *link) sendBatch(conn *wire.Conn, batch []*pending) {
 	select {
-	case k.calls <- struct{}{}:
+	case k.callSlots <- struct{}{}:
 	case <-conn.Done():
-		tell(batch, nil, NotTaken)
+		deliver(batch, nil, NotAccepted)
 		return
 	}
-	k.owner.tomb.Go(func() error {
-		defer func() { <-k.calls }()
+	k.links.tomb.Go(func() error {
+		defer func() { <-k.callSlots }()
 		k.commit(conn, batch)
 		return nil
 	})
 }
 
 func (k *link) commit(conn *wire.Conn, batch []*pending) {
-	o := k.owner.opts
-	ctx, cancel := context.WithTimeout(k.owner.life, o.Silent)
+	o := k.links.opts
+	ctx, cancel := context.WithTimeout(k.links.ctx, o.ResponseTimeout)
 	defer cancel()
 	message := Batch{
-		Segment: batch[0].ask.Segment,
+		Segment: batch[0].req.Segment,
 		HoldMS:  o.Hold.Milliseconds(),
-		Credit:  batch[0].ask.Credit(),
+		Credit:  batch[0].req.Credit(),
 	}
 	for _, p := range batch {
-		message.Ops = append(message.Ops, p.ask.Op)
+		message.Ops = append(message.Ops, p.req.Op)
 	}
 	var got Replies
 	err := conn.Call(ctx, MethodCommit, message, &got)
 	if err == nil && len(got.Replies) == len(batch) {
-		tell(batch, got.Replies, Answered)
+		deliver(batch, got.Replies, Answered)
 		return
 	}
-	k.owner.avoid(k.vm, err) // before the batch falls back, so that others follow
-	if refused(err) {
-		tell(batch, nil, NotTaken)
+	k.links.avoid(k.vm, err) // before the batch falls back, so that others follow
+	if isRefusal(err) {
+		deliver(batch, nil, NotAccepted)
 		return
 	}
 	// It is frozen, cut off or gone. A connection that went silent is not used
 	// again, for the VM may be reached by a new one. It is closed first: who is told
 	// may come back at once, and what is then sent on it would be lost as well.
 	conn.Close()
-	tell(batch, nil, Lost)
+	deliver(batch, nil, Unknown)
 }
 
-// refused tells errors which are the other VM's own word that it took nothing.
-func refused(err error) bool {
+// isRefusal tells errors which are the other VM's own word that it took nothing.
+func isRefusal(err error) bool {
 	switch result.Of(err) {
 	case result.PeerBusy, result.UnknownMethod, result.BadMessage:
 		return true
@@ -195,9 +195,9 @@
 	return false
 }
 
-func tell(batch []*pending, replies []Reply, fate Fate) {
+func deliver(batch []*pending, replies []Reply, fate Delivery) {
 	for i, p := range batch {
-		a := answer{fate: fate}
+		a := answer{delivery: fate}
 		if replies != nil {
 			a.reply = replies[i]
 		}
--- a/once/relay/links.go
+++ b/once/relay/links.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	defaultHold     = 250 * time.Millisecond
-	defaultSilent   = 500 * time.Millisecond
-	defaultAvoidFor = 2 * time.Second
-	defaultIdle     = 10 * time.Second
-
-	// listFor is for how long a list of live VMs is used.
-	listFor = 100 * time.Millisecond
-	// gather is how long a first operation waits for others to the same VM. It
+	defaultHold            = 250 * time.Millisecond
+	defaultResponseTimeout = 500 * time.Millisecond
+	defaultAvoidFor        = 2 * time.Second
+	defaultIdleTimeout     = 10 * time.Second
+
+	// liveListTTL is for how long a list of live VMs is used.
+	liveListTTL = 100 * time.Millisecond
+	// batchDelay is how long a first operation waits for others to the same VM. It
 	// is small against an update of a segment.
-	gather = 500 * time.Microsecond
-	// maxCalls is how many batches are under way to one VM; wire serves twice as
+	batchDelay = 500 * time.Microsecond
+	// maxConcurrentBatches is how many batches are under way to one VM; wire serves twice as
 	// many for one connection.
-	maxCalls = 8
+	maxConcurrentBatches = 8
 )
 
 // Fleet is what the exchange tells of the other VMs. peer.Exchange implements it.
@@ -42,26 +42,26 @@
 	Fleet Fleet
 	Log   *slog.Logger
 
-	Hold     time.Duration // within which the other VM answers, decided or not; default 250 ms
-	Silent   time.Duration // after which it counts as lost; default 500 ms
-	AvoidFor time.Duration // for which a lost VM is not chosen; default 2 s
-	Idle     time.Duration // after which an unused connection is closed; default 10 s
+	Hold            time.Duration // within which the other VM answers, decided or not; default 250 ms
+	ResponseTimeout time.Duration // after which it counts as lost; default 500 ms
+	AvoidFor        time.Duration // for which a lost VM is not chosen; default 2 s
+	IdleTimeout     time.Duration // after which an unused connection is closed; default 10 s
 }
 
-// Fate is what became of an operation that was to be relayed.
-type Fate int
+// Delivery is what became of an operation that was to be relayed.
+type Delivery int
 
 const (
 	// Answered means that the reply is the other VM's.
-	Answered Fate = iota
-	// NotTaken means that the other VM never carries the operation out.
-	NotTaken
-	// Lost means that it may, now or at any time later.
-	Lost
+	Answered Delivery = iota
+	// NotAccepted means that the other VM never carries the operation out.
+	NotAccepted
+	// Unknown means that it may, now or at any time later.
+	Unknown
 )
 
-// Ask is one operation with what goes along.
-type Ask struct {
+// OpRequest is one operation with what goes along.
+type OpRequest struct {
 	Segment string
 	Op      Op
 	Credit  func() float64 // called once for each batch
@@ -72,26 +72,26 @@
 type Links struct {
 	opts Options
 	tomb *tomb.Tomb
-	life context.Context // ends with tomb
+	ctx  context.Context // ends with tomb
 
-	mu      sync.Mutex // guards all below and the fields of all links and asks
-	links   map[string]*link
-	avoided map[string]time.Time // until when, by VM
-	live    []objstore.VM
-	listed  time.Time
+	mu       sync.Mutex // guards all below and the fields of all links and asks
+	links    map[string]*link
+	avoided  map[string]time.Time // until when, by VM
+	live     []objstore.VM
+	listedAt time.Time
 }
 
 // NewLinks returns Links without any connection.
 func NewLinks(o Options) *Links {
 	defaults.Positive(&o.Hold, defaultHold)
-	defaults.Positive(&o.Silent, defaultSilent)
+	defaults.Positive(&o.ResponseTimeout, defaultResponseTimeout)
 	defaults.Positive(&o.AvoidFor, defaultAvoidFor)
-	defaults.Positive(&o.Idle, defaultIdle)
+	defaults.Positive(&o.IdleTimeout, defaultIdleTimeout)
 	if o.Log == nil {
 		o.Log = logging.Discard()
 	}
 	t, life := tomb.WithContext(context.Background())
-	l := &Links{opts: o, tomb: t, life: life, links: map[string]*link{}, avoided: map[string]time.Time{}}
+	l := &Links{opts: o, tomb: t, ctx: life, links: map[string]*link{}, avoided: map[string]time.Time{}}
 	// Keeps the tomb alive between links.
 	l.tomb.Go(func() error {
 		<-l.tomb.Dying()
@@ -112,8 +112,8 @@
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.listed) > listFor {
-		l.live, l.listed = l.opts.Fleet.Live(), now
+	if now.Sub(l.listedAt) > liveListTTL {
+		l.live, l.listedAt = l.opts.Fleet.Live(), now
 	}
 	vm, ok := Choose(segment, l.live, func(name string) bool { return now.Before(l.avoided[name]) })
 	return vm, ok && vm.Name != l.opts.Self
@@ -121,16 +121,16 @@
 
 // Commit has one operation carried out by a VM. It returns when that VM has
 // answered or counts as lost, or ctx ends.
-func (l *Links) Commit(ctx context.Context, vm objstore.VM, a Ask) (Reply, Fate) {
-	p := &pending{ask: a, done: make(chan answer, 1)}
+func (l *Links) Commit(ctx context.Context, vm objstore.VM, a OpRequest) (Reply, Delivery) {
+	p := &pending{req: a, done: make(chan answer, 1)}
 	if !l.enqueue(vm, p) {
-		return Reply{}, NotTaken
+		return Reply{}, NotAccepted
 	}
 	select {
 	case got := <-p.done:
-		return got.reply, got.fate
+		return got.reply, got.delivery
 	case <-ctx.Done():
-		return Reply{}, l.giveUp(p)
+		return Reply{}, l.cancel(p)
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 	k := l.links[vm.Address]
 	if k == nil {
-		k = &link{owner: l, vm: vm, wake: make(chan struct{}, 1), calls: make(chan struct{}, maxCalls)}
+		k = &link{links: l, vm: vm, wake: make(chan struct{}, 1), callSlots: make(chan struct{}, maxConcurrentBatches)}
 		l.links[vm.Address] = k
 		l.tomb.Go(k.run)
 	}
@@ -157,15 +157,15 @@
 	return true
 }
 
-// giveUp takes an operation back. Once it is part of a batch it can't be.
-func (l *Links) giveUp(p *pending) Fate {
+// cancel takes an operation back. Once it is part of a batch it can't be.
+func (l *Links) cancel(p *pending) Delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.sent {
-		return Lost
+		return Unknown
 	}
-	p.gone = true
-	return NotTaken
+	p.cancelled = true
+	return NotAccepted
 }
 
 // avoid keeps a VM from being chosen for a while.
--- a/once/relay/messages.go
+++ b/once/relay/messages.go
@@ -38,9 +38,9 @@
 
 // The kinds of operations.
 const (
-	Claim   Kind = "claim"
-	Settle  Kind = "settle"
-	Release Kind = "release"
+	Claim    Kind = "claim"
+	Complete Kind = "settle"
+	Release  Kind = "release"
 )
 
 // Op is one operation on one key. It may be carried out more than once.
@@ -52,16 +52,16 @@
 
 // Entry is a key's entry in a segment.
 type Entry struct {
-	Digest  string `json:"digest"`
-	Op      string `json:"op"`
-	Holder  string `json:"holder"`
-	UntilMS int64  `json:"until_ms"`
-	Outcome *Kept  `json:"outcome,omitempty"`
+	Digest  string   `json:"digest"`
+	Op      string   `json:"op"`
+	Holder  string   `json:"holder"`
+	UntilMS int64    `json:"until_ms"`
+	Outcome *Outcome `json:"outcome,omitempty"`
 }
 
-// Kept is the outcome of a key. Result is the target's, byte by byte: as JSON
+// Outcome is the outcome of a key. Result is the target's, byte by byte: as JSON
 // within JSON it would be rewritten on its way.
-type Kept struct {
+type Outcome struct {
 	Code   result.Code `json:"code"`
 	Result []byte      `json:"result,omitempty"`
 	Detail string      `json:"detail,omitempty"`
--- a/once/relay/relay_test.go
+++ b/once/relay/relay_test.go
@@ -20,7 +20,7 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-const testLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -30,7 +30,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func none(string) bool { return false }
+func avoidNone(string) bool { return false }
 
 // TestChooseProperties: VMs with the same list choose the same VM in whatever
 // order they hold it, one that is avoided is never chosen, and when a VM leaves
@@ -49,12 +49,12 @@
 		}
 		for second := range 20 {
 			segment := fmt.Sprintf("d.%010d", 1700000000+second)
-			chosen, ok := Choose(segment, vms, none)
+			chosen, ok := Choose(segment, vms, avoidNone)
 			g.Expect(ok).To(BeTrue())
-			same, _ := Choose(segment, reversed, none)
+			same, _ := Choose(segment, reversed, avoidNone)
 			g.Expect(same).To(Equal(chosen))
 			other, found := Choose(segment, vms, func(vm string) bool { return vm == names[0] })
-			left, foundToo := Choose(segment, without, none)
+			left, foundToo := Choose(segment, without, avoidNone)
 			g.Expect(other).To(Equal(left))
 			g.Expect(found).To(Equal(foundToo))
 			if chosen.Name != names[0] {
@@ -64,7 +64,7 @@
 	})
 }
 
-func TestSegmentsAreSharedOut(t *testing.T) {
+func TestSegmentsAreEvenlyDistributed(t *testing.T) {
 	g := NewWithT(t)
 	var vms []objstore.VM
 	for i := range 10 {
@@ -72,7 +72,7 @@
 	}
 	count := map[string]int{}
 	for second := range 1000 {
-		vm, _ := Choose(fmt.Sprintf("d.%010d", 1700000000+second), vms, none)
+		vm, _ := Choose(fmt.Sprintf("d.%010d", 1700000000+second), vms, avoidNone)
 		count[vm.Name]++
 	}
 	for _, vm := range vms {
@@ -93,14 +93,14 @@
 func (f *fakeFleet) Live() []objstore.VM       { return f.vms }
 func (f *fakeFleet) WireOptions() wire.Options { return f.options }
 
-// linked starts a VM "b" with the committer, behind a fault proxy, and returns
+// newTestLinks starts a VM "b" with the committer, behind a fault proxy, and returns
 // the links of a VM "a" to it.
-func linked(t *testing.T, c Committer) (*Links, *faultproxy.Proxy, objstore.VM) {
-	return linkedWith(t, c, 0)
+func newTestLinks(t *testing.T, c Committer) (*Links, *faultproxy.Proxy, objstore.VM) {
+	return newTestLinksWithTimeout(t, c, 0)
 }
 
-// linkedWith is linked with another time after which a silent VM is lost, 0 for the usual.
-func linkedWith(t *testing.T, c Committer, silent time.Duration) (*Links, *faultproxy.Proxy, objstore.VM) {
+// newTestLinksWithTimeout is linked with another time after which a silent VM is lost, 0 for the usual.
+func newTestLinksWithTimeout(t *testing.T, c Committer, silent time.Duration) (*Links, *faultproxy.Proxy, objstore.VM) {
 	g := NewWithT(t)
 	options := func(vm string) wire.Options {
 		return wire.Options{
@@ -120,24 +120,24 @@
 	t.Cleanup(func() { _ = proxy.Close() })
 	b := objstore.VM{Name: "b", Address: proxy.Address()}
 	links := NewLinks(Options{
-		Self: "a", Silent: silent,
+		Self: "a", ResponseTimeout: silent,
 		Fleet: &fakeFleet{vms: []objstore.VM{{Name: "a"}, b}, options: options("a")},
 	})
 	t.Cleanup(links.Stop)
 	return links, proxy, b
 }
 
-func ask(id string) Ask {
-	return Ask{Segment: "d.1700000000", Op: Op{Kind: Claim, ID: id, Entry: Entry{Op: id}}, Credit: func() float64 { return 0 }}
+func opRequest(id string) OpRequest {
+	return OpRequest{Segment: "d.1700000000", Op: Op{Kind: Claim, ID: id, Entry: Entry{Op: id}}, Credit: func() float64 { return 0 }}
 }
 
 // A VM is silent for one operation, and the next one, which a caller sends at that very
 // moment, is lost with it: it went out on the connection that was being closed. It waits for
 // a new one, or is known not to have been taken.
-func TestOperationAfterALostOneIsNotLostWithIt(t *testing.T) {
+func TestOperationAfterTimeoutIsNotLost(t *testing.T) {
 	g := NewWithT(t)
 	silence := make(chan struct{})
-	links, _, b := linkedWith(t, committerFunc(func(ctx context.Context, batch Batch) ([]Reply, error) {
+	links, _, b := newTestLinksWithTimeout(t, committerFunc(func(ctx context.Context, batch Batch) ([]Reply, error) {
 		if batch.Ops[0].ID == "held" {
 			select {
 			case <-silence:
@@ -147,27 +147,27 @@
 		return make([]Reply, len(batch.Ops)), nil
 	}), 250*time.Millisecond)
 	defer close(silence)
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for range 20 {
-		_, fate := links.Commit(ctx, b, ask("held"))
-		g.Expect(fate).To(Equal(Lost))
-		_, fate = links.Commit(ctx, b, ask("next"))
-		g.Expect(fate).NotTo(Equal(Lost))
+		_, fate := links.Commit(ctx, b, opRequest("held"))
+		g.Expect(fate).To(Equal(Unknown))
+		_, fate = links.Commit(ctx, b, opRequest("next"))
+		g.Expect(fate).NotTo(Equal(Unknown))
 	}
 }
 
 // A claim's VM says "not run" and leaves the claim as it is, and the VM that
 // commits enters it a moment later: the key is blocked. Only a word of that VM,
 // or that the message never left, may count as "not taken".
-func TestOnlyCertaintyIsNotTaken(t *testing.T) {
+func TestNotAcceptedOnlyWhenCertain(t *testing.T) {
 	g := NewWithT(t)
 	taken := make(chan struct{}, 1)
 	block := make(chan struct{})
 	unblock := sync.OnceFunc(func() { close(block) })
 	defer unblock()
 	var refuse atomic.Bool
-	links, proxy, b := linked(t, committerFunc(func(_ context.Context, batch Batch) ([]Reply, error) {
+	links, proxy, b := newTestLinks(t, committerFunc(func(_ context.Context, batch Batch) ([]Reply, error) {
 		if refuse.Load() {
 			return nil, errors.New("stopping")
 		}
@@ -181,16 +181,16 @@
 		}
 		return replies, nil
 	}))
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 
-	rep, fate := links.Commit(ctx, b, ask("plain"))
+	rep, fate := links.Commit(ctx, b, opRequest("plain"))
 	g.Expect(fate).To(Equal(Answered))
 	g.Expect(rep.Verdict).To(Equal(Done))
 
 	// The VM is frozen: it has the operation and does not answer.
-	_, fate = links.Commit(ctx, b, ask("held"))
-	g.Expect(fate).To(Equal(Lost))
+	_, fate = links.Commit(ctx, b, opRequest("held"))
+	g.Expect(fate).To(Equal(Unknown))
 	<-taken
 	unblock()
 	for second := range 20 {
@@ -200,24 +200,24 @@
 
 	// It refuses.
 	refuse.Store(true)
-	_, fate = links.Commit(ctx, b, ask("refused"))
-	g.Expect(fate).To(Equal(NotTaken))
+	_, fate = links.Commit(ctx, b, opRequest("refused"))
+	g.Expect(fate).To(Equal(NotAccepted))
 	refuse.Store(false)
 
 	// The connection goes silent.
-	_, fate = links.Commit(ctx, b, ask("again"))
+	_, fate = links.Commit(ctx, b, opRequest("again"))
 	g.Expect(fate).To(Equal(Answered))
 	proxy.Silence()
-	_, fate = links.Commit(ctx, b, ask("silent"))
-	g.Expect(fate).To(Equal(Lost))
+	_, fate = links.Commit(ctx, b, opRequest("silent"))
+	g.Expect(fate).To(Equal(Unknown))
 
 	// Its address answers nobody, and then it is gone.
 	proxy.SetFaults(faultproxy.Faults{Refuse: true})
 	proxy.Cut()
-	g.Eventually(func() Fate {
-		_, fate := links.Commit(ctx, b, ask("unreached"))
+	g.Eventually(func() Delivery {
+		_, fate := links.Commit(ctx, b, opRequest("unreached"))
 		return fate
-	}, testLimit).Should(Equal(NotTaken))
+	}, testTimeout).Should(Equal(NotAccepted))
 }
 
 // What is asked of one VM at a time goes in few messages, apart by segment.
@@ -225,19 +225,19 @@
 	g := NewWithT(t)
 	var queue []*pending
 	for i := range 3 * MaxOps {
-		a := ask(fmt.Sprint(i))
+		a := opRequest(fmt.Sprint(i))
 		a.Segment = fmt.Sprint(i % 2)
-		queue = append(queue, &pending{ask: a})
+		queue = append(queue, &pending{req: a})
 	}
 	seen := map[string]bool{}
-	list := batches(queue)
+	list := splitBatches(queue)
 	g.Expect(list).To(HaveLen(4))
 	for _, batch := range list {
 		g.Expect(len(batch)).To(BeNumerically("<=", MaxOps))
 		for _, p := range batch {
-			g.Expect(p.ask.Segment).To(Equal(batch[0].ask.Segment))
-			g.Expect(seen[p.ask.Op.ID]).To(BeFalse())
-			seen[p.ask.Op.ID] = true
+			g.Expect(p.req.Segment).To(Equal(batch[0].req.Segment))
+			g.Expect(seen[p.req.Op.ID]).To(BeFalse())
+			seen[p.req.Op.ID] = true
 		}
 	}
 	g.Expect(seen).To(HaveLen(3 * MaxOps))
--- a/once/runner.go
+++ b/once/runner.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	retryInProgress = 200 * time.Millisecond
-	retryDown       = time.Second
-	opIDBytes       = 8
+	retryAfterInProgress = 200 * time.Millisecond
+	retryAfterDown       = time.Second
+	opIDBytes            = 8
 
-	detailNotKept = "the result was too large to be kept; the request was run once"
+	detailNotStored = "the result was too large to be kept; the request was run once"
 )
 
 // Runner claims keys and runs the requests whose claim it won. It is safe for
 // concurrent use.
 type Runner struct {
-	opts   Options
-	holder string
-	commit *committer
-	send   *sender
-	clean  *cleaner
+	opts       Options
+	holder     string
+	committer  *committer
+	dispatcher *dispatcher
+	cleaner    *cleaner
 }
 
 // NewRunner starts a Runner. Close ends it.
 func NewRunner(opts Options) *Runner {
 	opts = opts.withDefaults()
 	r := &Runner{
-		opts:   opts,
-		holder: opts.VM + "/" + opts.Incarnation,
-		commit: newCommitter(opts),
+		opts:      opts,
+		holder:    opts.VM + "/" + opts.Incarnation,
+		committer: newCommitter(opts),
 	}
-	r.send = newSender(opts, r.commit)
-	r.clean = startCleaner(opts)
+	r.dispatcher = newDispatcher(opts, r.committer)
+	r.cleaner = startCleaner(opts)
 	return r
 }
 
-// SetFleet tells how many VMs share the platform's writes, this one included.
-func (r *Runner) SetFleet(vms int) {
-	r.commit.pace.setRate(r.opts.FleetWrites/float64(max(vms, 1)), time.Now())
+// SetFleetSize tells how many VMs share the platform's writes, this one included.
+func (r *Runner) SetFleetSize(vms int) {
+	r.committer.credit.setRate(r.opts.FleetWriteRate/float64(max(vms, 1)), time.Now())
 }
 
 // Close waits until the outcomes of all requests are kept or ctx ends, and
@@ -52,8 +52,8 @@
 // returns an error if outcomes could not be kept; their requests will be told
 // as unknown.
 func (r *Runner) Close(ctx context.Context) error {
-	r.clean.stop()
-	return errors.Trace(r.commit.close(ctx))
+	r.cleaner.stop()
+	return errors.Trace(r.committer.close(ctx))
 }
 
 // Run claims the request's key and, if this call won it, calls run, which may
@@ -65,7 +65,7 @@
 		return out
 	}
 	claim := r.newClaim(ctx, req)
-	name := segmentName(req.Deployment, req.Key.Made())
+	name := segmentName(req.Deployment, req.Key.Created())
 	name, rep, err := r.claim(ctx, name, &claim)
 	if err != nil {
 		return claimFailed(err)
@@ -82,15 +82,15 @@
 	}
 	if ctx.Err() != nil {
 		r.finish(name, claim, opRelease, nil)
-		return Outcome{Code: result.CannotMeetLimit, Detail: "the time limit passed while the key was claimed", RetryAfter: retryInProgress}
+		return Outcome{Code: result.CannotMeetLimit, Detail: "the time limit passed while the key was claimed", RetryAfter: retryAfterInProgress}
 	}
 	out := run(ctx)
-	r.keep(ctx, name, claim, out)
+	r.storeOutcome(ctx, name, claim, out)
 	return out
 }
 
 func (r *Runner) newClaim(ctx context.Context, req Request) op {
-	until := r.opts.Clock().Add(r.opts.RunLimit)
+	until := r.opts.Clock().Add(r.opts.RunTimeout)
 	if deadline, ok := ctx.Deadline(); ok {
 		until = r.opts.Clock().Add(time.Until(deadline))
 	}
@@ -106,15 +106,15 @@
 	}
 }
 
-// keep stores the outcome and waits for it a little, so that a second sending
+// storeOutcome stores the outcome and waits for it a little, so that a second sending
 // is told the same. The answer does not depend on it: if the write stays out,
 // a second sending is told "in progress" or "unknown" and never runs.
-func (r *Runner) keep(ctx context.Context, name string, claim op, out Outcome) {
+func (r *Runner) storeOutcome(ctx context.Context, name string, claim op, out Outcome) {
 	var done <-chan reply
 	if out.Code.Info().Ran == result.RanNo {
 		done = r.finish(name, claim, opRelease, nil)
 	} else {
-		done = r.finish(name, claim, opSettle, r.keptOf(out))
+		done = r.finish(name, claim, opComplete, r.storedOutcomeOf(out))
 	}
 	timer := time.NewTimer(r.opts.OutcomeWait)
 	defer timer.Stop()
@@ -131,39 +131,39 @@
 func (r *Runner) claim(ctx context.Context, name string, claim *op) (string, reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.ClaimWait)
 	defer cancel()
-	rep, err := r.send.claim(ctx, name, claim)
+	rep, err := r.dispatcher.claim(ctx, name, claim)
 	if err == nil && rep.verdict == verdictMoved {
-		name = partName(name, claim.id)
-		rep, err = r.send.claim(ctx, name, claim)
+		name = overflowName(name, claim.id)
+		rep, err = r.dispatcher.claim(ctx, name, claim)
 	}
 	return name, rep, err
 }
 
-func (r *Runner) keptOf(out Outcome) *kept {
-	k := &kept{Code: out.Code, Result: out.Result, Detail: out.Detail}
-	if len(k.Detail) > maxDetail {
-		k.Detail = k.Detail[:maxDetail]
+func (r *Runner) storedOutcomeOf(out Outcome) *storedOutcome {
+	k := &storedOutcome{Code: out.Code, Result: out.Result, Detail: out.Detail}
+	if len(k.Detail) > maxDetailBytes {
+		k.Detail = k.Detail[:maxDetailBytes]
 	}
-	if len(k.Result) > r.opts.MaxResult {
+	if len(k.Result) > r.opts.MaxResultBytes {
 		k.Result = nil
-		k.Detail = detailNotKept
+		k.Detail = detailNotStored
 	}
 	return k
 }
 
-func (r *Runner) finish(name string, claim op, kind opKind, k *kept) <-chan reply {
+func (r *Runner) finish(name string, claim op, kind opKind, k *storedOutcome) <-chan reply {
 	claim.kind = kind
 	claim.entry.Outcome = k
-	return r.send.finish(name, claim)
+	return r.dispatcher.finish(name, claim)
 }
 
 func (r *Runner) checkAge(key Key) (Outcome, bool) {
-	age := r.opts.Clock().Sub(key.Made())
-	if age > r.opts.Keep {
-		return Outcome{Code: result.KeyExpired, Detail: fmt.Sprintf("the key is %v old, allowed are %v", age.Round(time.Second), r.opts.Keep)}, false
+	age := r.opts.Clock().Sub(key.Created())
+	if age > r.opts.KeyTTL {
+		return Outcome{Code: result.KeyExpired, Detail: fmt.Sprintf("the key is %v old, allowed are %v", age.Round(time.Second), r.opts.KeyTTL)}, false
 	}
-	if age < -r.opts.Margin {
-		return Outcome{Code: result.BadRequest, Detail: fmt.Sprintf("the key's time is %v in the future, allowed are %v", (-age).Round(time.Second), r.opts.Margin)}, false
+	if age < -r.opts.MaxClockSkew {
+		return Outcome{Code: result.BadRequest, Detail: fmt.Sprintf("the key's time is %v in the future, allowed are %v", (-age).Round(time.Second), r.opts.MaxClockSkew)}, false
 	}
 	return Outcome{}, true
 }
@@ -173,10 +173,10 @@
 		return Outcome{Code: result.KeyReused}
 	}
 	if held.Outcome != nil {
-		return Outcome{Code: held.Outcome.Code, Result: held.Outcome.Result, Detail: held.Outcome.Detail, Kept: true}
+		return Outcome{Code: held.Outcome.Code, Result: held.Outcome.Result, Detail: held.Outcome.Detail, Replayed: true}
 	}
 	if r.opts.Clock().UnixMilli() <= held.UntilMS {
-		return Outcome{Code: result.InProgress, RetryAfter: retryInProgress}
+		return Outcome{Code: result.InProgress, RetryAfter: retryAfterInProgress}
 	}
 	return Outcome{Code: result.OutcomeUnknown, Detail: "the VM that claimed the key has not reported an outcome"}
 }
@@ -186,9 +186,9 @@
 // here.
 func claimFailed(err error) Outcome {
 	if errors.Is(err, errBusy) {
-		return Outcome{Code: result.Overloaded, Detail: "too many requests wait for their claim", RetryAfter: retryDown}
+		return Outcome{Code: result.Overloaded, Detail: "too many requests wait for their claim", RetryAfter: retryAfterDown}
 	}
-	return Outcome{Code: result.ClaimsDown, Detail: err.Error(), RetryAfter: retryDown}
+	return Outcome{Code: result.ClaimsDown, Detail: err.Error(), RetryAfter: retryAfterDown}
 }
 
 func newOpID() string {
--- a/once/runner_test.go
+++ b/once/runner_test.go
@@ -24,9 +24,9 @@
 	goleak.VerifyTestMain(m)
 }
 
-// vm starts a Runner that ends with the test.
-func vm(t *testing.T, store objstore.Store, name string, change ...func(*Options)) *Runner {
-	opts := Options{Store: store, VM: name, Incarnation: "1", CallTimeout: 5 * time.Second, ClaimWait: 10 * time.Second, OutcomeWait: 10 * time.Second, FleetWrites: 70000}
+// startRunner starts a Runner that ends with the test.
+func startRunner(t *testing.T, store objstore.Store, name string, change ...func(*Options)) *Runner {
+	opts := Options{Store: store, VM: name, Incarnation: "1", CallTimeout: 5 * time.Second, ClaimWait: 10 * time.Second, OutcomeWait: 10 * time.Second, FleetWriteRate: 70000}
 	for _, f := range change {
 		f(&opts)
 	}
@@ -55,7 +55,7 @@
 	out Outcome
 }
 
-func accepted() *work {
+func acceptedWork() *work {
 	return &work{out: Outcome{Code: result.Accepted, Result: []byte(`{"filed":"<1>"}`)}}
 }
 
@@ -64,16 +64,16 @@
 	return w.out
 }
 
-func TestSecondSendingIsToldTheSame(t *testing.T) {
+func TestDuplicateRequestGetsStoredOutcome(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
-	a, b := vm(t, store, "a"), vm(t, store, "b")
-	w := accepted()
+	a, b := startRunner(t, store, "a"), startRunner(t, store, "b")
+	w := acceptedWork()
 	req := request("d1")
 
 	g.Expect(a.Run(t.Context(), req, w.run)).To(Equal(w.out))
 	again := b.Run(t.Context(), req, w.run)
-	g.Expect(again.Kept).To(BeTrue())
+	g.Expect(again.Replayed).To(BeTrue())
 	g.Expect(again.Code).To(Equal(result.Accepted))
 	g.Expect(string(again.Result)).To(Equal(`{"filed":"<1>"}`))
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
--- a/once/segment.go
+++ b/once/segment.go
@@ -13,12 +13,12 @@
 // Bounds of a segment, in bytes of its estimated JSON. The room between the
 // two is left for the outcomes of claims that are already in.
 const (
-	maxForClaims  = objstore.MaxValue / 2
-	maxForResults = objstore.MaxValue * 3 / 4
-	entryOverhead = 160 // field names, quotes and numbers of an entry
-	maxDetail     = 256
-	barOverhead   = 10 // quotes, value and comma of a barred id
-	escaped       = 6  // bytes that JSON needs for one byte of text, at most
+	maxSizeForClaims  = objstore.MaxValue / 2
+	maxSizeForResults = objstore.MaxValue * 3 / 4
+	entryOverhead     = 160 // field names, quotes and numbers of an entry
+	maxDetailBytes    = 256
+	barredOverhead    = 10 // quotes, value and comma of a barred id
+	maxJSONExpansion  = 6  // bytes that JSON needs for one byte of text, at most
 )
 
 // segment is the value of one claims object. It is immutable: apply returns a
@@ -29,33 +29,33 @@
 	Barred map[string]bool `json:"barred,omitempty"`
 	// Sealed says that the segment of a second was full once. It takes no further
 	// keys, whatever is released later: they are in one of its parts.
-	Sealed bool `json:"sealed,omitempty"`
-	part   bool // of a second, so that nothing follows when it is full
-	size   int
+	Sealed   bool `json:"sealed,omitempty"`
+	overflow bool // of a second, so that nothing follows when it is full
+	size     int
 }
 
 // entry is one claimed key. Without an outcome the request may have been
 // handed to a target: there is no state between the claim and the hand-over.
 type entry struct {
-	Digest  string `json:"digest"`
-	Op      string `json:"op"`       // id of the operation that won the claim
-	Holder  string `json:"holder"`   // VM and incarnation
-	UntilMS int64  `json:"until_ms"` // Unix milliseconds at which the holder should be done
-	Outcome *kept  `json:"outcome,omitempty"`
+	Digest  string         `json:"digest"`
+	Op      string         `json:"op"`       // id of the operation that won the claim
+	Holder  string         `json:"holder"`   // VM and incarnation
+	UntilMS int64          `json:"until_ms"` // Unix milliseconds at which the holder should be done
+	Outcome *storedOutcome `json:"outcome,omitempty"`
 }
 
-// kept is an outcome that a second sending of the same key is told.
-type kept struct {
+// storedOutcome is an outcome that a second sending of the same key is told.
+type storedOutcome struct {
 	Code   result.Code     `json:"code"`
 	Result json.RawMessage `json:"result,omitempty"`
 	Detail string          `json:"detail,omitempty"`
 }
 
-func (k *kept) size() int {
+func (k *storedOutcome) size() int {
 	if k == nil {
 		return 0
 	}
-	return len(k.Result) + escaped*len(k.Detail)
+	return len(k.Result) + maxJSONExpansion*len(k.Detail)
 }
 
 func (e entry) size(id string) int {
@@ -66,9 +66,9 @@
 type opKind int
 
 const (
-	opClaim   opKind = iota // enter the key unless it is there
-	opSettle                // add the outcome to one's own claim
-	opRelease               // remove one's own claim: nothing was handed over
+	opClaim    opKind = iota // enter the key unless it is there
+	opComplete               // add the outcome to one's own claim
+	opRelease                // remove one's own claim: nothing was handed over
 )
 
 // op is one operation on one key. Applying it twice is the same as once.
@@ -105,7 +105,7 @@
 // apply runs the batch in order and returns the segment after it, a reply per
 // op, and whether anything changed.
 func (s segment) apply(batch []op) (segment, []reply, bool) {
-	next := segment{Entries: maps.Clone(s.Entries), Barred: maps.Clone(s.Barred), Sealed: s.Sealed, part: s.part, size: s.size}
+	next := segment{Entries: maps.Clone(s.Entries), Barred: maps.Clone(s.Barred), Sealed: s.Sealed, overflow: s.overflow, size: s.size}
 	if next.Entries == nil {
 		next.Entries = make(map[string]entry)
 	}
@@ -125,8 +125,8 @@
 	switch o.kind {
 	case opClaim:
 		return s.claim(o, have, present, mine)
-	case opSettle:
-		return s.settle(o, have, mine)
+	case opComplete:
+		return s.complete(o, have, mine)
 	default:
 		return s.release(o, have, mine)
 	}
@@ -146,25 +146,25 @@
 	if s.Sealed {
 		return reply{verdict: verdictMoved}, false
 	}
-	if s.size+o.entry.size(o.id) > maxForClaims {
-		return s.full()
+	if s.size+o.entry.size(o.id) > maxSizeForClaims {
+		return s.rejectFull()
 	}
 	s.put(o.id, o.entry)
 	return reply{verdict: verdictDone}, true
 }
 
-// full seals the segment of a second. Were room that is released later given to
+// rejectFull seals the segment of a second. Were room that is released later given to
 // new keys, a key that has been claimed in its part could be claimed here once
 // more, and run twice.
-func (s *segment) full() (reply, bool) {
-	if s.part {
+func (s *segment) rejectFull() (reply, bool) {
+	if s.overflow {
 		return reply{verdict: verdictFull}, false
 	}
 	s.Sealed = true
 	return reply{verdict: verdictMoved}, true
 }
 
-func (s *segment) settle(o op, have entry, mine bool) (reply, bool) {
+func (s *segment) complete(o op, have entry, mine bool) (reply, bool) {
 	if !mine {
 		return reply{verdict: verdictGone}, false
 	}
@@ -172,8 +172,8 @@
 		return reply{verdict: verdictDone}, false
 	}
 	have.Outcome = o.entry.Outcome
-	if s.size+have.Outcome.size() > maxForResults {
-		have.Outcome = &kept{Code: have.Outcome.Code, Detail: detailNotKept}
+	if s.size+have.Outcome.size() > maxSizeForResults {
+		have.Outcome = &storedOutcome{Code: have.Outcome.Code, Detail: detailNotStored}
 	}
 	s.put(o.id, have)
 	return reply{verdict: verdictDone}, true
@@ -199,7 +199,7 @@
 		s.Barred = make(map[string]bool)
 	}
 	s.Barred[opID] = true
-	s.size += len(opID) + barOverhead
+	s.size += len(opID) + barredOverhead
 	return true
 }
 
@@ -224,7 +224,7 @@
 // release wrote in a form of its own would otherwise be passed over and lost with
 // the next update, and its request could run again.
 func decodeSegment(name string, value []byte) (segment, error) {
-	s := segment{part: isPart(name)}
+	s := segment{overflow: isOverflow(name)}
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&s); err != nil {
@@ -240,7 +240,7 @@
 		s.Barred = nil // as it is read back
 	}
 	for opID := range s.Barred {
-		s.size += len(opID) + barOverhead
+		s.size += len(opID) + barredOverhead
 	}
 	return s, nil
 }
--- a/once/segment_test.go
+++ b/once/segment_test.go
@@ -18,9 +18,9 @@
 	o := op{kind: kind, id: fmt.Sprintf("report/1700000000-key%05d", rapid.IntRange(0, 4).Draw(t, "id"))}
 	o.entry.Op = fmt.Sprintf("op%d", rapid.IntRange(0, 9).Draw(t, "op"))
 	o.entry.Digest = "d"
-	if kind == opSettle {
+	if kind == opComplete {
 		size := rapid.SampledFrom([]int{2, 16 << 10, 200 << 10}).Draw(t, "size")
-		o.entry.Outcome = &kept{Code: result.Accepted, Result: []byte(fmt.Sprintf(`"%0*d"`, size, 1))}
+		o.entry.Outcome = &storedOutcome{Code: result.Accepted, Result: []byte(fmt.Sprintf(`"%0*d"`, size, 1))}
 	}
 	return o
 }
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestFullSegmentKeepsRoomForOutcomes(t *testing.T) {
+func TestFullSegmentReservesSpaceForOutcomes(t *testing.T) {
 	g := NewWithT(t)
 	var s segment
 	var claims []op
@@ -86,8 +86,8 @@
 		claims = append(claims, o)
 	}
 	for i := range claims {
-		claims[i].kind = opSettle
-		claims[i].entry.Outcome = &kept{Code: result.Accepted, Result: []byte(fmt.Sprintf(`"%0*d"`, 1<<10, i))}
+		claims[i].kind = opComplete
+		claims[i].entry.Outcome = &storedOutcome{Code: result.Accepted, Result: []byte(fmt.Sprintf(`"%0*d"`, 1<<10, i))}
 	}
 	s, replies, _ := s.apply(claims)
 	g.Expect(replies).To(HaveEach(reply{verdict: verdictDone}))
@@ -101,15 +101,15 @@
 	o := op{kind: rapid.SampledFrom([]opKind{opClaim, opClaim, opRelease}).Draw(t, "kind")}
 	o.id = fmt.Sprintf("report/1700000000-key%05d", rapid.IntRange(0, 3).Draw(t, "id"))
 	o.entry.Op = fmt.Sprintf("op%d", rapid.IntRange(0, 5).Draw(t, "op"))
-	o.entry.Digest = fmt.Sprintf("%0*d", rapid.SampledFrom([]int{1, maxForClaims / 2}).Draw(t, "size"), 1)
+	o.entry.Digest = fmt.Sprintf("%0*d", rapid.SampledFrom([]int{1, maxSizeForClaims / 2}).Draw(t, "size"), 1)
 	return o
 }
 
-// TestSealedSegmentTakesNoKeys: a report runs twice. The segment of its second is
+// TestSealedSegmentAcceptsNoKeys: a report runs twice. The segment of its second is
 // full, so that its key is claimed in its part; then a release makes room, and
 // a second sending claims the key in the segment. A sealed segment must take no
 // key again, and what moved must never be claimed beside it.
-func TestSealedSegmentTakesNoKeys(t *testing.T) {
+func TestSealedSegmentAcceptsNoKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		var s segment
@@ -132,34 +132,34 @@
 	})
 }
 
-// TestMoreKeysThanASegmentHolds: on the first of the month thousands of reports
+// TestOverflowSegmentsTakeExcessKeys: on the first of the month thousands of reports
 // are filed within a second, and all but 1,800 are refused. What does not fit
 // goes into parts, each key into one.
-func TestMoreKeysThanASegmentHolds(t *testing.T) {
+func TestOverflowSegmentsTakeExcessKeys(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
-	a, b := vm(t, store, "a"), vm(t, store, "b")
-	connect([]*Runner{a, b}, 1, false)
-	filler := segment{Entries: map[string]entry{"x": {Op: "x", Digest: fmt.Sprintf("%0*d", maxForClaims-2*entryOverhead, 1)}}}
+	a, b := startRunner(t, store, "a"), startRunner(t, store, "b")
+	connectPeers([]*Runner{a, b}, 1, false)
+	filler := segment{Entries: map[string]entry{"x": {Op: "x", Digest: fmt.Sprintf("%0*d", maxSizeForClaims-2*entryOverhead, 1)}}}
 	value, err := filler.encode()
 	g.Expect(err).NotTo(HaveOccurred())
 	req := request("d")
-	name := segmentName(req.Deployment, req.Key.Made())
+	name := segmentName(req.Deployment, req.Key.Created())
 	_, err = store.Put(t.Context(), Kind, name, 0, value)
 	g.Expect(err).NotTo(HaveOccurred())
-	w := accepted()
+	w := acceptedWork()
 	const keys = 20
 	for i := range keys {
 		req.Search = fmt.Sprint("search", i)
 		g.Expect(a.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
-		g.Expect(b.Run(t.Context(), req, w.run).Kept).To(BeTrue())
+		g.Expect(b.Run(t.Context(), req, w.run).Replayed).To(BeTrue())
 	}
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(keys))
 	names := store.names(name)
-	g.Expect(len(names)).To(And(BeNumerically(">", 2), BeNumerically("<=", 1+parts)))
+	g.Expect(len(names)).To(And(BeNumerically(">", 2), BeNumerically("<=", 1+overflowSegments)))
 	for _, part := range names {
 		end, ok := windowEnd(req.Deployment, part)
 		g.Expect(ok).To(BeTrue())
-		g.Expect(end).To(Equal(req.Key.Made().Add(window)))
+		g.Expect(end).To(Equal(req.Key.Created().Add(window)))
 	}
 }
--- a/once/store_test.go
+++ b/once/store_test.go
@@ -23,19 +23,19 @@
 	gets    int
 	lists   int
 
-	loseAnswer float64                            // share of writes that land and fail
-	loseWrite  float64                            // share of writes that fail and do not land
-	late       float64                            // share of writes that fail and land later
-	cut        atomic.Bool                        // every call fails, nothing lands
-	cutCleared atomic.Bool                        // the record of cleared claims cannot be read
-	healed     atomic.Bool                        // for the hooks
-	cutPuts    atomic.Bool                        // writes fail and do not land
-	latency    time.Duration                      // of each call
-	beforePut  func(name string) error            // called without mu
-	afterPut   func(name string, err error) error // called without mu
-	hold       func(land func() error) bool       // takes a write to land it later
-	lateWG     sync.WaitGroup
-	vms        []objstore.VM
+	loseAnswer       float64                            // share of writes that land and fail
+	loseWrite        float64                            // share of writes that fail and do not land
+	lateWrite        float64                            // share of writes that fail and land later
+	failAll          atomic.Bool                        // every call fails, nothing lands
+	failClearedReads atomic.Bool                        // the record of cleared claims cannot be read
+	recovered        atomic.Bool                        // for the hooks
+	failPuts         atomic.Bool                        // writes fail and do not land
+	latency          time.Duration                      // of each call
+	beforePut        func(name string) error            // called without mu
+	afterPut         func(name string, err error) error // called without mu
+	delayPut         func(land func() error) bool       // takes a write to land it later
+	lateWG           sync.WaitGroup
+	vms              []objstore.VM
 }
 
 var errLost = errors.New("connection reset")
@@ -45,7 +45,7 @@
 }
 
 func (s *faultStore) wait(ctx context.Context) error {
-	if s.cut.Load() {
+	if s.failAll.Load() {
 		return errLost
 	}
 	if s.latency > 0 {
@@ -58,7 +58,7 @@
 	if err := s.wait(ctx); err != nil {
 		return objstore.Object{}, err
 	}
-	if s.cutCleared.Load() && kind == ClearedKind {
+	if s.failClearedReads.Load() && kind == ClearedKind {
 		return objstore.Object{}, errLost
 	}
 	s.mu.Lock()
@@ -80,10 +80,10 @@
 	if err := s.wait(ctx); err != nil {
 		return 0, err
 	}
-	if s.cutPuts.Load() {
+	if s.failPuts.Load() {
 		return 0, errLost
 	}
-	if s.hold != nil && s.hold(func() error { _, err := s.put(kind, name, expect, value); return err }) {
+	if s.delayPut != nil && s.delayPut(func() error { _, err := s.put(kind, name, expect, value); return err }) {
 		return 0, errLost
 	}
 	s.mu.Lock()
@@ -96,7 +96,7 @@
 	case fate < s.loseWrite+s.loseAnswer:
 		_, _ = s.put(kind, name, expect, value)
 		return 0, errLost
-	case fate < s.loseWrite+s.loseAnswer+s.late:
+	case fate < s.loseWrite+s.loseAnswer+s.lateWrite:
 		s.lateWG.Go(func() {
 			time.Sleep(delay)
 			_, _ = s.put(kind, name, expect, value)
@@ -178,7 +178,7 @@
 func (c *committer) isDown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failures >= downAfter
+	return c.failures >= downThreshold
 }
 
 func (c *committer) isClosed() bool {
