--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -10,8 +10,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Push writes a bundle to the platform and returns its digest. Pushing the
-// same bytes again is harmless.
+// Push signs a bundle, writes it to the platform and returns its digest. Pushing
+// the same bytes again has no effect.
 func (c *Client) Push(ctx context.Context, data []byte) (string, error) {
 	if c.opts.Key == nil {
 		return "", result.Errorf(result.BadSettings, "a push needs the author's private key; pass --key or make one with keygen")
@@ -43,7 +43,8 @@
 	return c.opts.Keys.OpenBundle(raw, digest)
 }
 
-// LoadBundleBytes returns the bytes of a verified bundle as its author wrote them.
+// LoadBundleBytes verifies a bundle and returns its bytes as the author wrote
+// them.
 func (c *Client) LoadBundleBytes(ctx context.Context, digest string) ([]byte, error) {
 	raw, err := c.readBundle(ctx, digest)
 	if err != nil {
@@ -66,14 +67,14 @@
 	return obj.Value, err
 }
 
-// BundleInfo is one bundle on the platform.
+// BundleInfo describes one bundle on the platform.
 type BundleInfo struct {
 	Digest     string `json:"digest"`
 	Deployment string `json:"deployment"`
 	Name       string `json:"name"`
 	Author     string `json:"author"`
-	Bytes      int    `json:"bytes"`
-	Fault      string `json:"fault,omitempty"` // why it cannot come into force
+	Bytes      int    `json:"bytes"`           // size of the stored object, signature included
+	Fault      string `json:"fault,omitempty"` // why it can't come into force; empty if it is valid
 }
 
 // ListBundles returns the bundles on the platform.
@@ -98,8 +99,8 @@
 	return list, nil
 }
 
-// SignOff signs a bundle off, as somebody other than its author. The sign-off
-// counts until the bundle is recalled.
+// SignOff signs a bundle off. The signer has to be another person than the author.
+// The sign-off is valid until the bundle is recalled.
 func (c *Client) SignOff(ctx context.Context, digest, reason string) (bundle.SignOff, error) {
 	if c.opts.Key == nil {
 		return bundle.SignOff{}, result.Errorf(result.BadSettings, "a sign-off needs your private key; pass --key or make one with keygen")
@@ -114,18 +115,18 @@
 	if err != nil {
 		return bundle.SignOff{}, err
 	}
-	off := bundle.SignOff{
+	signOff := bundle.SignOff{
 		Deployment: c.opts.Deployment, Digest: digest, Person: c.opts.Key.Person,
 		After: s.revision(), At: c.opts.Now().UTC(), Reason: reason,
 	}
-	if err := b.CheckSignOff(off, digest); err != nil {
-		return off, err
+	if err := b.CheckSignOff(signOff, digest); err != nil {
+		return signOff, err
 	}
-	signed := off.Sign(c.opts.Key)
+	signed := signOff.Sign(c.opts.Key)
 	if _, err := c.opts.Keys.OpenSignOff(signed); err != nil {
-		return off, err
+		return signOff, err
 	}
-	name := fmt.Sprintf("%s.%s.%020d", digest, c.opts.Key.ID, off.After)
+	name := fmt.Sprintf("%s.%s.%020d", digest, c.opts.Key.ID, signOff.After)
 	err = c.createOnce(ctx, KindSignOff, name, signed.Bytes(), func(existing []byte) bool {
 		old, err := bundle.ParseSigned(existing)
 		if err != nil {
@@ -134,10 +135,10 @@
 		_, err = c.opts.Keys.OpenSignOff(old)
 		return err == nil
 	})
-	return off, err
+	return signOff, err
 }
 
-// loadApproved reads the bundle and the newest sign-off that counts for it.
+// loadApproved reads the bundle and its newest valid sign-off.
 func (c *Client) loadApproved(ctx context.Context, digest string) (Approved, error) {
 	b, err := c.LoadBundle(ctx, digest)
 	if err != nil {
@@ -159,16 +160,16 @@
 			refused = err
 			continue
 		}
-		off, err := c.opts.Keys.OpenSignOff(signed)
+		signOff, err := c.opts.Keys.OpenSignOff(signed)
 		if err == nil {
-			err = b.CheckSignOff(off, digest)
+			err = b.CheckSignOff(signOff, digest)
 		}
 		if err != nil {
 			refused = err
 			continue
 		}
-		if !found || off.After >= best.After {
-			best.SignOff, best.After, found = signed, off.After, true
+		if !found || signOff.After >= best.After {
+			best.SignOff, best.After, found = signed, signOff.After, true
 		}
 	}
 	if !found {
@@ -177,22 +178,23 @@
 	return best, nil
 }
 
-// Rollout puts a bundle that was signed off into force.
-func (c *Client) Rollout(ctx context.Context, digest string, ask Request) (Entry, error) {
-	entry, err := c.makeChange(ctx, ask, intent{ActionRollout, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
-		b, err := c.loadApproved(ctx, digest)
+// Rollout puts a bundle with a valid sign-off into force.
+func (c *Client) Rollout(ctx context.Context, digest string, req Request) (Entry, error) {
+	entry, err := c.makeChange(ctx, req, intent{ActionRollout, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
+		approved, err := c.loadApproved(ctx, digest)
 		if err != nil {
 			return Entry{}, err
 		}
-		return NextRollout(c.opts.Deployment, head, change, b)
+		return NextRollout(c.opts.Deployment, head, change, approved)
 	})
-	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRollout, Digest: digest}, ask)
+	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRollout, Digest: digest}, req)
 }
 
-// Recall takes a bundle back as a whole. If it is in force, the latest bundle
-// that was in force before and was not recalled takes its place.
-func (c *Client) Recall(ctx context.Context, digest string, ask Request) (Entry, error) {
-	entry, err := c.makeChange(ctx, ask, intent{ActionRecall, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
+// Recall recalls a bundle: its sign-offs become invalid. If the bundle is in
+// force, it is replaced by the latest bundle that was in force before and was not
+// recalled.
+func (c *Client) Recall(ctx context.Context, digest string, req Request) (Entry, error) {
+	entry, err := c.makeChange(ctx, req, intent{ActionRecall, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
 		if head == nil || digest != head.Entry.Digest {
 			if _, err := c.readBundle(ctx, digest); err != nil {
 				return Entry{}, err
@@ -205,21 +207,22 @@
 		}
 		return NextRecall(head, change, digest, fallback)
 	})
-	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRecall, Digest: digest}, ask)
+	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRecall, Digest: digest}, req)
 }
 
-// findFallback finds the bundle that takes the place of a recalled one: the latest
-// that VMs would take. One signed off by a key retired since is passed over.
+// findFallback returns the bundle that replaces a recalled one: the latest earlier
+// one that VMs would accept, or nil. It skips a bundle whose sign-off is by a key
+// that was retired since.
 func (c *Client) findFallback(ctx context.Context, head *Head, digest string) (*Approved, error) {
 	for _, past := range Fallbacks(head, digest) {
-		kept, err := c.readArchived(ctx, past.Revision)
+		archived, err := c.readArchived(ctx, past.Revision)
 		if err != nil {
 			return nil, err
 		}
-		if kept == nil {
-			return nil, result.Errorf(result.BrokenAudit, "revision %d is not kept", past.Revision)
+		if archived == nil {
+			return nil, result.Errorf(result.BrokenAudit, "revision %d is not archived", past.Revision)
 		}
-		off, err := c.opts.Keys.OpenSignOff(kept.Entry.SignOff)
+		signOff, err := c.opts.Keys.OpenSignOff(archived.Entry.SignOff)
 		if err != nil {
 			continue
 		}
@@ -229,7 +232,7 @@
 			}
 			continue
 		}
-		return &Approved{Digest: past.Digest, Name: kept.Entry.Name, SignOff: kept.Entry.SignOff, After: off.After}, nil
+		return &Approved{Digest: past.Digest, Name: archived.Entry.Name, SignOff: archived.Entry.SignOff, After: signOff.After}, nil
 	}
 	return nil, nil
 }
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -17,8 +17,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// InForce is the bundle in force on a VM. It never changes; a query keeps the
-// pointer for its whole life and so lives under one revision.
+// InForce is the bundle in force on a VM. It is immutable; a query keeps the
+// pointer until it ends and so uses one revision throughout.
 type InForce struct {
 	Revision uint64
 	Digest   string
@@ -26,10 +26,10 @@
 	Since    time.Time // when it came into force on this VM
 
 	head *Head
-	raw  []byte // the packaged bundle, for peers
+	raw  []byte // the bundle as packaged and signed, for peers
 }
 
-// Options configures a Keeper. Zero values take the defaults.
+// Options configures a Follower. Zero values take the defaults.
 type Options struct {
 	Deployment string
 	Keys       *bundle.Keyring
@@ -37,8 +37,8 @@
 	Log        *slog.Logger
 	Metrics    *metrics.Set // may be nil
 	// Watch makes the VM watch the platform and re-read the head every
-	// RereadEvery; without it the VM re-reads every IdleEvery and is told by
-	// peers.
+	// RereadInterval. Without it, the VM re-reads the head every IdleInterval and
+	// relies on peers for earlier updates.
 	Watch          bool
 	RereadInterval time.Duration // default 1 s
 	IdleInterval   time.Duration // default 30 s
@@ -65,107 +65,110 @@
 	return o
 }
 
-// Follower keeps the revision in force on one VM.
+// Follower follows the head of a deployment on one VM and holds the bundle in
+// force. All methods but Start may be called concurrently.
 type Follower struct {
 	opts    Options
 	metrics *followerMetrics
 	tomb    tomb.Tomb
 
 	current     atomic.Pointer[InForce]
-	previous    atomic.Pointer[InForce] // what current replaced, which a recall mostly falls back to
-	lastContact atomic.Int64            // unix nanoseconds of the last read that the platform answered
+	previous    atomic.Pointer[InForce] // the bundle that current replaced; most recalls fall back to it
+	lastContact atomic.Int64            // Unix time in nanoseconds of the last read that the platform answered
 	watching    atomic.Bool
-	modeChanged chan struct{} // wakes the loops when watching changes
-	headChanged chan struct{} // wakes the reader when a watch tells of a change
-	readSlots   chan struct{} // bounds the reads under way
+	modeChanged chan struct{} // wakes readLoop when watching changes
+	headChanged chan struct{} // wakes readLoop when a watch reports a change
+	readSlots   chan struct{} // bounds the concurrent reads
 
-	// mu guards the fields below and orders changes of current. It is never
-	// held during I/O.
+	// mu guards the fields below and orders changes of current. It is never held
+	// during I/O.
 	mu          sync.Mutex
 	changed     chan struct{}
 	lastRefused refusedHead
 }
 
-// refusedHead is the last head that was not taken, so that a bad head is logged
-// once and not at each read.
+// refusedHead is the last head that was refused. It is remembered so that a bad
+// head is logged once and not at each read.
 type refusedHead struct {
 	hash string
 	err  error
 }
 
-// NewFollower returns a keeper that has nothing in force yet.
+// NewFollower returns a Follower that has nothing in force yet.
 func NewFollower(opts Options) *Follower {
-	k := &Follower{
+	f := &Follower{
 		opts:        opts.withDefaults(),
 		modeChanged: make(chan struct{}, 1),
 		headChanged: make(chan struct{}, 1),
 		readSlots:   make(chan struct{}, maxConcurrentReads),
 		changed:     make(chan struct{}),
 	}
-	k.metrics = newFollowerMetrics(opts.Metrics, func() float64 { return float64(k.Revision()) })
-	k.watching.Store(opts.Watch)
-	return k
+	f.metrics = newFollowerMetrics(opts.Metrics, func() float64 { return float64(f.Revision()) })
+	f.watching.Store(opts.Watch)
+	return f
 }
 
-// Start begins to follow the platform.
-func (k *Follower) Start() {
-	k.tomb.Go(func() error {
-		k.tomb.Go(k.readLoop)
-		k.tomb.Go(k.watchLoop)
+// Start starts the goroutines that follow the platform.
+func (f *Follower) Start() {
+	f.tomb.Go(func() error {
+		f.tomb.Go(f.readLoop)
+		f.tomb.Go(f.watchLoop)
 		return nil
 	})
 }
 
-// Stop ends the keeper and waits for its goroutines, at most until ctx ends.
-func (k *Follower) Stop(ctx context.Context) error {
-	k.tomb.Kill(nil)
+// Stop stops the follower and waits for its goroutines, at most until ctx ends.
+func (f *Follower) Stop(ctx context.Context) error {
+	f.tomb.Kill(nil)
 	select {
-	case <-k.tomb.Dead():
-		return k.tomb.Err()
+	case <-f.tomb.Dead():
+		return f.tomb.Err()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Current returns what is in force, or nil before the first.
-func (k *Follower) Current() *InForce { return k.current.Load() }
+// Current returns what is in force, or nil before the first bundle.
+func (f *Follower) Current() *InForce { return f.current.Load() }
 
-// Revision returns the revision in force, or 0 before the first.
-func (k *Follower) Revision() uint64 {
-	if cur := k.Current(); cur != nil {
+// Revision returns the revision in force, or 0 before the first bundle.
+func (f *Follower) Revision() uint64 {
+	if cur := f.Current(); cur != nil {
 		return cur.Revision
 	}
 	return 0
 }
 
-// Changed returns a channel that is closed when something else comes into force.
-func (k *Follower) Changed() <-chan struct{} {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.changed
+// Changed returns a channel that is closed when another revision comes into force.
+func (f *Follower) Changed() <-chan struct{} {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.changed
 }
 
-// PlatformContact returns when the platform last answered a read of the head.
-func (k *Follower) PlatformContact() time.Time {
-	ns := k.lastContact.Load()
+// PlatformContact returns when the platform last answered a read of the head, or
+// the zero time if it never did.
+func (f *Follower) PlatformContact() time.Time {
+	ns := f.lastContact.Load()
 	if ns == 0 {
 		return time.Time{}
 	}
 	return time.Unix(0, ns)
 }
 
-// Head returns the signed head in force, for peers, or nil before the first.
-func (k *Follower) Head() []byte {
-	if cur := k.Current(); cur != nil {
+// Head returns the signed head in force, for peers, or nil before the first
+// bundle.
+func (f *Follower) Head() []byte {
+	if cur := f.Current(); cur != nil {
 		return cur.head.Signed.Bytes()
 	}
 	return nil
 }
 
-// RawBundle returns the packaged bundle of that digest if it is in force here
-// or was just before. Its receiver verifies it by itself.
-func (k *Follower) RawBundle(digest string) ([]byte, bool) {
-	for _, held := range []*InForce{k.current.Load(), k.previous.Load()} {
+// RawBundle returns the packaged bundle with that digest if it is in force here or
+// was just before. The receiver has to verify it.
+func (f *Follower) RawBundle(digest string) ([]byte, bool) {
+	for _, held := range []*InForce{f.current.Load(), f.previous.Load()} {
 		if held != nil && held.Digest == digest {
 			return held.raw, true
 		}
@@ -173,17 +176,18 @@
 	return nil, false
 }
 
-// LastRefusal returns why the last head that was offered is not in force, or nil.
-func (k *Follower) LastRefusal() error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lastRefused.err
+// LastRefusal returns the error of the last refused head, or nil if a head came
+// into force since.
+func (f *Follower) LastRefusal() error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.lastRefused.err
 }
 
-// SetWatching chooses between watching the platform and relying on peers.
-func (k *Follower) SetWatching(on bool) {
-	if k.watching.Swap(on) != on {
-		wake(k.modeChanged)
+// SetWatching selects between watching the platform and relying on peers.
+func (f *Follower) SetWatching(on bool) {
+	if f.watching.Swap(on) != on {
+		wake(f.modeChanged)
 	}
 }
 
@@ -194,39 +198,40 @@
 	}
 }
 
-// FetchFunc returns the packaged bundle of a digest.
+// FetchFunc returns the packaged bundle with the given digest.
 type FetchFunc func(ctx context.Context, digest string) ([]byte, error)
 
-// OfferHead takes a head that a peer handed over if it is higher than the one
-// in force, and fetches its bundle. It verifies as for the platform's, so a
-// peer can neither forge nor set back. A lower one is refused with StaleExchange.
-func (k *Follower) OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error {
-	return k.applyHead(ctx, raw, fetch)
+// OfferHead applies a head received from a peer if its revision is higher than the
+// one in force, and fetches its bundle. It verifies the head like one from the
+// platform, so a peer can neither forge a head nor revert to an earlier one. A
+// head with a lower revision is refused with StaleExchange.
+func (f *Follower) OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error {
+	return f.applyHead(ctx, raw, fetch)
 }
 
-func (k *Follower) applyHead(ctx context.Context, raw []byte, fetch FetchFunc) error {
-	h, err := openHead(raw, k.opts.Deployment, k.opts.Keys, false)
+func (f *Follower) applyHead(ctx context.Context, raw []byte, fetch FetchFunc) error {
+	h, err := openHead(raw, f.opts.Deployment, f.opts.Keys, false)
 	if err != nil {
-		k.recordRefusal(bundle.Digest(raw), err)
+		f.recordRefusal(bundle.Digest(raw), err)
 		return err
 	}
-	cur := k.Current()
+	cur := f.Current()
 	switch CompareHeads(cur.headOrNil(), h) {
 	case HeadSame:
 		return nil
 	case HeadStale:
 		return result.Errorf(result.StaleExchange, "revision %d was offered, %d is in force", h.Entry.Revision, cur.Revision)
 	case HeadFork:
-		err := result.Errorf(result.BrokenAudit, "revision %d was offered with another content than the one in force", h.Entry.Revision)
-		k.recordRefusal(h.Hash, err)
+		err := result.Errorf(result.BrokenAudit, "revision %d was offered with different content than the one in force", h.Entry.Revision)
+		f.recordRefusal(h.Hash, err)
 		return err
 	}
-	next, err := k.loadInForce(ctx, h, fetch)
+	next, err := f.loadInForce(ctx, h, fetch)
 	if err != nil {
-		k.recordRefusal(h.Hash, err)
+		f.recordRefusal(h.Hash, err)
 		return err
 	}
-	k.install(next)
+	f.install(next)
 	return nil
 }
 
@@ -237,26 +242,26 @@
 	return f.head
 }
 
-// loadInForce gets and verifies what h puts into force.
-func (k *Follower) loadInForce(ctx context.Context, h *Head, fetch FetchFunc) (*InForce, error) {
+// loadInForce fetches and verifies the bundle that h puts into force.
+func (f *Follower) loadInForce(ctx context.Context, h *Head, fetch FetchFunc) (*InForce, error) {
 	digest := h.Entry.Digest
-	raw, held := k.RawBundle(digest)
+	raw, held := f.RawBundle(digest)
 	if !held {
 		var err error
 		if raw, err = fetch(ctx, digest); err != nil {
 			return nil, err
 		}
 	}
-	b, err := verifyInForce(k.opts.Keys, h, raw)
+	b, err := verifyInForce(f.opts.Keys, h, raw)
 	if err != nil {
 		return nil, err
 	}
 	return &InForce{Revision: h.Entry.Revision, Digest: digest, Bundle: b, head: h, raw: raw}, nil
 }
 
-// verifyInForce checks everything that a bundle needs to come into force: its bytes,
-// its author, its checks, its deployment and a sign-off by another person that
-// no recall has voided.
+// verifyInForce checks everything that a bundle needs to come into force: its
+// bytes, its author's signature, its content, its deployment and a sign-off by
+// another person that is not invalidated by a recall.
 func verifyInForce(keys *bundle.Keyring, h *Head, raw []byte) (*bundle.Bundle, error) {
 	b, err := keys.OpenBundle(raw, h.Entry.Digest)
 	if err != nil {
@@ -265,44 +270,45 @@
 	if b.Deployment != h.Entry.Deployment {
 		return nil, result.Errorf(result.BadBundle, "$.deployment: found %q, allowed is %q", b.Deployment, h.Entry.Deployment)
 	}
-	off, err := keys.OpenSignOff(h.Entry.SignOff)
+	signOff, err := keys.OpenSignOff(h.Entry.SignOff)
 	if err != nil {
 		return nil, err
 	}
-	if err := b.CheckSignOff(off, h.Entry.Digest); err != nil {
+	if err := b.CheckSignOff(signOff, h.Entry.Digest); err != nil {
 		return nil, err
 	}
-	return b, CheckRecalls(&h.Entry, off.After)
+	return b, CheckRecalls(&h.Entry, signOff.After)
 }
 
-// install puts next into force unless something at least as high came first:
-// two offers may load their bundles at the same time and finish in any order.
-func (k *Follower) install(next *InForce) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	was := k.current.Load()
-	if CompareHeads(was.headOrNil(), next.head) != HeadNewer {
+// install puts next into force unless the same or a higher revision came into
+// force meanwhile: two concurrent calls may load their bundles and finish in any
+// order.
+func (f *Follower) install(next *InForce) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	previous := f.current.Load()
+	if CompareHeads(previous.headOrNil(), next.head) != HeadNewer {
 		return
 	}
-	if was != nil && was.Digest != next.Digest {
-		k.previous.Store(was)
+	if previous != nil && previous.Digest != next.Digest {
+		f.previous.Store(previous)
 	}
 	next.Since = time.Now()
-	k.current.Store(next)
-	k.lastRefused = refusedHead{}
-	k.metrics.changes.Inc()
-	close(k.changed)
-	k.changed = make(chan struct{})
-	k.opts.Log.Info("bundle in force", "revision", next.Revision, "digest", next.Digest, "name", next.Bundle.Name)
+	f.current.Store(next)
+	f.lastRefused = refusedHead{}
+	f.metrics.changes.Inc()
+	close(f.changed)
+	f.changed = make(chan struct{})
+	f.opts.Log.Info("bundle in force", "revision", next.Revision, "digest", next.Digest, "name", next.Bundle.Name)
 }
 
-func (k *Follower) recordRefusal(hash string, err error) {
-	k.metrics.countRefused(result.Of(err))
-	k.mu.Lock()
-	known := k.lastRefused.hash == hash && k.lastRefused.err.Error() == err.Error()
-	k.lastRefused = refusedHead{hash: hash, err: err}
-	k.mu.Unlock()
-	if !known {
-		k.opts.Log.Error("head refused, the bundle in force stays", "revision", k.Revision(), "error", err)
+func (f *Follower) recordRefusal(hash string, err error) {
+	f.metrics.countRefused(result.Of(err))
+	f.mu.Lock()
+	logged := f.lastRefused.hash == hash && f.lastRefused.err.Error() == err.Error()
+	f.lastRefused = refusedHead{hash: hash, err: err}
+	f.mu.Unlock()
+	if !logged {
+		f.opts.Log.Error("head refused, the bundle in force stays", "revision", f.Revision(), "error", err)
 	}
 }
