--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -17,8 +17,9 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// BenchmarkRun measures store calls per request, on a platform that answers in
-// 3 ms and takes 300 writes and 2000 reads a second. The VMs share 280 writes.
+// BenchmarkRun measures store calls per request, on a platform that answers in 3 ms
+// and accepts 300 writes and 2000 reads per second. The VMs share 280 writes per
+// second.
 func BenchmarkRun(b *testing.B) {
 	for _, vms := range []int{1, 7, 50} {
 		for _, callers := range []int{1, 16, 64, 256} {
@@ -76,7 +77,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// fakeFleet is a list of VMs that all live.
+// fakeFleet is a fixed list of VMs that are all alive.
 type fakeFleet struct {
 	vms     []objstore.VM
 	options wire.Options
--- a/once/cleaner.go
+++ b/once/cleaner.go
@@ -13,27 +13,27 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Bounds of the cleaner. Pages are short because a listing carries values.
+// Limits of the cleaner. Pages are short because a listing contains the values.
 const (
-	maxCleaners        = 2 // VMs that clear at a time
-	cleanPageSize      = 4
-	maxCleanedPerRound = 200
+	maxCleaners        = 2                     // VMs that remove claims at the same time
+	cleanPageSize      = 4                     // segments
+	maxCleanedPerRound = 200                   // segments
 	cleanPagePause     = 20 * time.Millisecond // between pages
-	cleanerRotation    = time.Hour
+	cleanerRotation    = time.Hour             // after which other VMs are chosen
 )
 
-// cleaner removes segments whose keys are all older than Keep + Margin.
+// cleaner removes segments whose keys are all older than KeyTTL + MaxClockSkew.
 type cleaner struct {
 	opts  Options
 	log   *slog.Logger
 	count counters
 	tomb  *tomb.Tomb
-	ctx   context.Context // ends when tomb dies
+	ctx   context.Context // canceled when the tomb is killed
 }
 
 func startCleaner(opts Options) *cleaner {
-	t, life := tomb.WithContext(context.Background())
-	c := &cleaner{tomb: t, ctx: life, opts: opts, log: opts.Log, count: newCounters(opts.Metrics)}
+	t, ctx := tomb.WithContext(context.Background())
+	c := &cleaner{tomb: t, ctx: ctx, opts: opts, log: opts.Log, count: newCounters(opts.Metrics)}
 	c.tomb.Go(c.loop)
 	return c
 }
@@ -50,7 +50,7 @@
 	}
 	for c.sleep(c.opts.CleanInterval/2 + rand.N(c.opts.CleanInterval)) {
 		if err := c.cleanRound(); err != nil {
-			c.log.Warn("old claims stay for now", "error", err)
+			c.log.Warn("old claims were not removed; the cleaner tries again later", "error", err)
 		}
 	}
 	return nil
@@ -67,7 +67,8 @@
 	}
 }
 
-// cleanRound removes up to cleanPerRound old segments, if it is this VM's turn.
+// cleanRound removes old segments, if this VM is one of the cleaners. It stops
+// after the page that reaches maxCleanedPerRound.
 func (c *cleaner) cleanRound() error {
 	vms, err := c.listVMs(c.ctx)
 	if err != nil {
@@ -100,8 +101,8 @@
 	return vms, errors.Trace(err)
 }
 
-// advanceRecord records that keys older than Keep + Margin are being cleared, and
-// returns the time recorded.
+// advanceRecord records that keys older than KeyTTL + MaxClockSkew are being
+// removed, and returns the recorded time.
 func (c *cleaner) advanceRecord(ctx context.Context) (time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -109,9 +110,9 @@
 	return advanceClearedRecord(ctx, c.opts.Store, c.opts.Deployment, before)
 }
 
-// removePage removes the segments of one page whose keys were all made before the
-// time, from the oldest on. Names sort by time, so the first young one ends the
-// round.
+// removePage lists one page of the oldest segments and removes those whose keys
+// were all created before the given time. Names sort by time, so it stops at the
+// first newer segment. more reports whether further old segments may exist.
 func (c *cleaner) removePage(ctx context.Context, before time.Time) (removed int, more bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -134,24 +135,25 @@
 	return removed, page.More, nil
 }
 
-// isCleaner tells whether the VM is among the few that clear in the hour: the
-// first by rendezvous hashing over the platform's list. The list lags, so that
-// more or fewer may be at it; removal is conditional and does no harm twice.
-func isCleaner(vms []objstore.VM, name string, hour time.Time) bool {
+// isCleaner reports whether the VM is one of the maxCleaners VMs that remove claims
+// in the hour. They are the first by rendezvous hashing over the platform's list.
+// The list lags, so more or fewer VMs may be active; removal is conditional, so
+// that removing a segment twice is harmless.
+func isCleaner(vms []objstore.VM, self string, hour time.Time) bool {
 	rank := func(vm string) uint64 {
 		return xxhash.Sum64String(vm + hour.UTC().Format(time.RFC3339))
 	}
 	var names []string
 	for _, vm := range vms {
-		if !vm.Leaving && vm.Name != name {
+		if !vm.Leaving && vm.Name != self {
 			names = append(names, vm.Name)
 		}
 	}
-	before := 0
+	lowerRanked := 0
 	for _, other := range slices.Compact(slices.Sorted(slices.Values(names))) {
-		if rank(other) < rank(name) {
-			before++
+		if rank(other) < rank(self) {
+			lowerRanked++
 		}
 	}
-	return before < maxCleaners
+	return lowerRanked < maxCleaners
 }
--- a/once/committer.go
+++ b/once/committer.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	maxSegmentWriters = 16 // segments whose last known state is kept in memory
-	downThreshold     = 3  // failed store calls in a row
-	probeInterval     = 500 * time.Millisecond
+	maxSegmentWriters = 16                     // segments whose last known state is kept in memory
+	downThreshold     = 3                      // failed store calls in a row that mean the platform is down
+	probeInterval     = 500 * time.Millisecond // between claims that are let through while the platform is down
 	minBackoff        = 20 * time.Millisecond
 	maxBackoff        = 500 * time.Millisecond
-	maxBackoffShift   = 7
+	maxBackoffShift   = 7 // bounds the shift of minBackoff
 )
 
 var (
@@ -29,44 +29,44 @@
 	errClaimTimeout = errors.New("the claim was not confirmed in time")
 )
 
-// committer carries operations on segments out by group commit: while one
-// conditional update of a segment is on its way or waits for its turn, further
-// operations gather and go together with the next.
+// committer applies operations to segments by group commit: while one conditional
+// update of a segment is in flight or waits for credit, further operations queue up
+// and are sent together with the next update.
 type committer struct {
 	opts   Options
 	log    *slog.Logger
 	credit *credit
 	count  counters
 	tomb   *tomb.Tomb
-	ctx    context.Context // ends when tomb dies
+	ctx    context.Context // canceled when the tomb is killed
 
-	// mu guards the fields below and the queue, running and used fields of all
-	// lanes. No other lock is taken and no call is made while it is held.
+	// mu guards the fields below and the queue, running and lastUsed fields of all
+	// segment writers. No other lock is taken and no call is made while it is held.
 	mu          sync.Mutex
 	writers     map[string]*segmentWriter
-	waiting     int // operations enqueued and not yet delivered, and those being relayed
-	peerWaiting int // those of waiting that other VMs relayed to this one
+	waiting     int // operations that are queued and not yet delivered, or being relayed
+	peerWaiting int // operations in waiting that other VMs relayed to this one
 	closed      bool
 	idle        chan struct{} // closed once closed is set and waiting is 0
 	failures    int           // failed store calls in a row
-	lastProbe   time.Time
+	lastProbe   time.Time     // when a claim was last let through while the platform was down
 }
 
-// pending is an operation on its way.
+// pending is an operation that is queued or being written.
 type pending struct {
 	op       op
 	fromPeer bool         // relayed by another VM
-	state    atomic.Int32 // of the waiter; see the constants below
-	done     chan reply   // gets at most one reply
-	// attempted and expect are the lane's own: whether a write with this operation
-	// was sent whose effect is not known, and which version the last one
-	// expected.
+	state    atomic.Int32 // of the goroutine that waits; one of the constants below
+	done     chan reply   // receives at most one reply
+	// attempted and expectedVersion are used by the segment writer only: whether a
+	// write with this operation was sent whose effect is unknown, and which version
+	// the last such write expected.
 	attempted       bool
 	expectedVersion uint64
 }
 
-// The states of a waiter. Both ends leave stateWaiting by compare-and-swap, so
-// that a claim is either delivered or abandoned, never both.
+// The states of a waiter. stateWaiting is left by compare-and-swap only, so that a
+// claim is either delivered or abandoned, never both.
 const (
 	stateWaiting int32 = iota
 	stateDelivered
@@ -74,10 +74,10 @@
 )
 
 func newCommitter(opts Options) *committer {
-	t, life := tomb.WithContext(context.Background())
+	t, ctx := tomb.WithContext(context.Background())
 	c := &committer{
 		tomb:    t,
-		ctx:     life,
+		ctx:     ctx,
 		opts:    opts,
 		log:     opts.Log,
 		credit:  newCredit(opts.FleetWriteRate, opts.FleetWriteRate/defaultFleetSize, time.Now()),
@@ -85,7 +85,7 @@
 		writers: make(map[string]*segmentWriter),
 		idle:    make(chan struct{}),
 	}
-	// Keeps the tomb alive between lanes.
+	// Keeps the tomb alive while no segment writer runs.
 	c.tomb.Go(func() error {
 		<-c.tomb.Dying()
 		return nil
@@ -93,7 +93,7 @@
 	return c
 }
 
-// abandon queues the removal of a claim that this VM no longer waits for and
+// abandon queues the removal of a claim that this VM no longer waits for and that
 // another VM may enter.
 func (c *committer) abandon(name string, o op) {
 	o.kind = opRelease
@@ -101,9 +101,10 @@
 	c.commitInBackground(name, o)
 }
 
-// submit carries out a claim and waits for the reply. After an error the claim is
-// abandoned: the caller must not hand anything over, and the committer removes
-// the claim if it landed.
+// submit applies a claim and waits for the reply. After an error the claim is
+// abandoned: the caller must not hand anything over, and the committer removes the
+// claim if it was stored. The error is errClosed, errBusy, errDown or
+// errClaimTimeout.
 func (c *committer) submit(ctx context.Context, name string, o op) (reply, error) {
 	p := &pending{op: o, done: make(chan reply, 1)}
 	if err := c.admit(name, p); err != nil {
@@ -141,8 +142,8 @@
 }
 
 // allowAttempt returns false if the platform is down, so that claims are refused at
-// once instead of after ClaimWait. One is let through now and then to find out
-// when the platform is back. It must be called with mu held.
+// once instead of after ClaimWait. One claim per probeInterval is let through to
+// detect that the platform is back. It must be called with mu held.
 func (c *committer) allowAttempt() bool {
 	if c.failures < downThreshold {
 		return true
@@ -154,9 +155,9 @@
 	return true
 }
 
-// admitPeer takes operations that another VM relayed, all or none. Their bound
-// is apart from that of callers' work, and they never go to a third VM, so that
-// VMs can't block one another in a circle.
+// admitPeer queues operations that another VM relayed, either all or none. Their
+// limit is separate from that of this VM's own callers, and they are never relayed
+// to a third VM, so that VMs cannot block one another in a cycle.
 func (c *committer) admitPeer(name string, ops []op) ([]*pending, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,7 +178,8 @@
 	return list, nil
 }
 
-// admitRelayed counts in a claim that is being relayed; retire counts it out.
+// admitRelayed counts a claim that is being relayed; untrack removes it from the
+// count.
 func (c *committer) admitRelayed() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,8 +193,8 @@
 	return nil
 }
 
-// runTracked runs f, which close waits for like for an operation. It returns false if
-// the committer has stopped.
+// runTracked runs f in a goroutine. close waits for it as for an operation. It
+// returns false if the committer has stopped.
 func (c *committer) runTracked(f func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,7 +212,8 @@
 	return true
 }
 
-// commitInBackground carries out a settle or a release for as long as it takes.
+// commitInBackground queues a completion or a release, which is retried until it
+// succeeds or the committer stops. The channel gets the reply.
 func (c *committer) commitInBackground(name string, o op) <-chan reply {
 	p := &pending{op: o, done: make(chan reply, 1)}
 	c.mu.Lock()
@@ -219,43 +222,46 @@
 	return p.done
 }
 
-// enqueue must be called with mu held.
+// enqueue adds an operation to the queue of its segment, and starts the segment's
+// writer if it does not run. It must be called with mu held.
 func (c *committer) enqueue(name string, p *pending) {
 	select {
 	case <-c.tomb.Dying():
-		return // stopped without its outcomes; close has said so
+		return // stopped before all outcomes were stored; close has returned an error
 	default:
 	}
-	l := c.writers[name]
-	if l == nil {
+	w := c.writers[name]
+	if w == nil {
 		c.evict()
-		l = &segmentWriter{name: name}
-		c.writers[name] = l
+		w = &segmentWriter{name: name}
+		c.writers[name] = w
 	}
-	l.queue = append(l.queue, p)
-	l.lastUsed = time.Now()
+	w.queue = append(w.queue, p)
+	w.lastUsed = time.Now()
 	c.waiting++
 	if p.fromPeer {
 		c.peerWaiting++
 	}
-	if !l.running {
-		l.running = true
+	if !w.running {
+		w.running = true
 		c.tomb.Go(func() error {
-			c.runWriter(l)
+			c.runWriter(w)
 			return nil
 		})
 	}
 }
 
-// evict makes room for one more lane. It must be called with mu held.
+// evict drops the state of the segment that was unused the longest, if
+// maxSegmentWriters are held and one of them is not running. It must be called with
+// mu held.
 func (c *committer) evict() {
 	if len(c.writers) < maxSegmentWriters {
 		return
 	}
 	var oldest *segmentWriter
-	for _, l := range c.writers {
-		if !l.running && (oldest == nil || l.lastUsed.Before(oldest.lastUsed)) {
-			oldest = l
+	for _, w := range c.writers {
+		if !w.running && (oldest == nil || w.lastUsed.Before(oldest.lastUsed)) {
+			oldest = w
 		}
 	}
 	if oldest != nil {
@@ -263,33 +269,33 @@
 	}
 }
 
-// takeQueue removes and returns what waits in the lane. With stop set, an empty
-// queue ends the lane's goroutine.
-func (c *committer) takeQueue(l *segmentWriter, stop bool) []*pending {
+// takeQueue removes and returns the operations that wait for the writer. With stop
+// set, an empty queue marks the writer as not running.
+func (c *committer) takeQueue(w *segmentWriter, stop bool) []*pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	batch := l.queue
-	l.queue = nil
+	batch := w.queue
+	w.queue = nil
 	if len(batch) == 0 && stop {
-		l.running = false
+		w.running = false
 	}
 	return batch
 }
 
-// deliver ends an operation.
-func (c *committer) deliver(l *segmentWriter, p *pending, rep reply) {
+// deliver completes an operation with its reply.
+func (c *committer) deliver(w *segmentWriter, p *pending, rep reply) {
 	abandoned := !p.state.CompareAndSwap(stateWaiting, stateDelivered)
 	if !abandoned {
 		p.done <- rep
 	} else if !p.fromPeer && (rep.verdict == verdictDone || p.op.bar) {
-		// This claim was won after its request had been told "not run", so that
-		// it would block the key for ever.
-		c.release(l, p)
+		// The claim was won after its caller got the answer "not run", so it would
+		// block the key forever.
+		c.release(w, p)
 	}
 	c.untrack(p.fromPeer)
 }
 
-// untrack takes an operation off the counts.
+// untrack removes an operation from the counts.
 func (c *committer) untrack(peer bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -300,7 +306,8 @@
 	c.checkIdle()
 }
 
-// checkIdle must be called with mu held.
+// checkIdle closes idle if no operations are left after close. It must be called
+// with mu held.
 func (c *committer) checkIdle() {
 	if !c.closed || c.waiting > 0 {
 		return
@@ -312,18 +319,18 @@
 	}
 }
 
-// release queues the removal of an abandoned claim of this VM's own. One that
+// release queues the removal of an abandoned claim of this VM's own. A claim that
 // another VM relayed must stay: that VM may have found it by a read of its own,
-// taken it for won and handed the request over. Were it removed here, a second
-// sending would win the key and run the request again.
-func (c *committer) release(l *segmentWriter, p *pending) {
+// regarded it as won and handed the request over. If it were removed here, a later
+// request with the same key would win the key and run again.
+func (c *committer) release(w *segmentWriter, p *pending) {
 	o := p.op
 	o.kind = opRelease
 	next := &pending{op: o, done: make(chan reply, 1), attempted: p.attempted, expectedVersion: p.expectedVersion}
 	c.count.abandoned.Inc()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.enqueue(l.name, next)
+	c.enqueue(w.name, next)
 }
 
 func (c *committer) recordCall(err error) {
@@ -337,7 +344,8 @@
 	c.count.failures.Inc()
 }
 
-// isPlatformAnswer tells errors that a working platform gives.
+// isPlatformAnswer reports whether the error is one that a working platform
+// returns.
 func isPlatformAnswer(err error) bool {
 	for _, known := range []error{objstore.ErrNotFound, objstore.ErrConflict, objstore.ErrTooLarge, objstore.ErrBusy} {
 		if errors.Is(err, known) {
@@ -347,7 +355,8 @@
 	return false
 }
 
-// backoff waits before the next try. It returns false if the committer stops.
+// backoff waits a random time before the next try. It returns false if the
+// committer stops.
 func (c *committer) backoff(try int) bool {
 	ceiling := min(minBackoff<<min(try, maxBackoffShift), maxBackoff)
 	timer := time.NewTimer(time.Duration(rand.Int64N(int64(ceiling))) + time.Millisecond)
@@ -360,7 +369,8 @@
 	}
 }
 
-// close waits for all operations or for ctx, and stops the lanes.
+// close rejects new operations, waits until all operations are complete or ctx
+// ends, and stops the segment writers. It returns an error if operations are left.
 func (c *committer) close(ctx context.Context) error {
 	c.mu.Lock()
 	c.closed = true
@@ -371,13 +381,13 @@
 	case <-ctx.Done():
 	}
 	c.mu.Lock()
-	c.tomb.Kill(nil) // under mu: who sees the tomb alive may still start a goroutine
+	c.tomb.Kill(nil) // under mu: a goroutine that sees the tomb alive under mu may still call tomb.Go
 	c.mu.Unlock()
 	_ = c.tomb.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.waiting > 0 {
-		return errors.Errorf("%d claims keep no outcome", c.waiting)
+		return errors.Errorf("%d operations on claims were not completed before the VM stopped", c.waiting)
 	}
 	return nil
 }
--- a/once/counters.go
+++ b/once/counters.go
@@ -6,14 +6,14 @@
 type counters struct {
 	reads      *metrics.Counter
 	writes     *metrics.Counter // conditional updates sent
-	operations *metrics.Counter // claims, outcomes and releases in them
-	bytes      *metrics.Counter // of the values in them
+	operations *metrics.Counter // claims, outcomes and releases in these updates
+	bytes      *metrics.Counter // size of the values in these updates
 	conflicts  *metrics.Counter
-	failures   *metrics.Counter // store calls without an answer
-	abandoned  *metrics.Counter // claims given up that may have landed
+	failures   *metrics.Counter // store calls that failed without an answer of the platform
+	abandoned  *metrics.Counter // abandoned claims that may have been stored
 	cleared    *metrics.Counter // segments removed
-	relayed    *metrics.Counter // operations that another VM carried out
-	fallbacks  *metrics.Counter // operations that another VM should have carried out and did not
+	relayed    *metrics.Counter // operations applied by another VM
+	fallbacks  *metrics.Counter // operations that had another VM as committer and were applied here
 }
 
 func newCounters(set *metrics.Set) counters {
--- a/once/course_test.go
+++ b/once/course_test.go
@@ -9,23 +9,24 @@
 )
 
 // TestRelayStateProperties: an operation is relayed only in the first part of its
-// time and never again after a silence, it always comes to an end or to this
-// VM's own update, and what a VM may still carry out is never forgotten.
+// time and never again after a missing answer. It always ends with a final verdict
+// or this VM's own update. That another VM may still apply the operation is never
+// forgotten.
 func TestRelayStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		begin := time.Unix(1700000000, 0)
 		now := begin
-		way := &relayState{relayDeadline: begin.Add(time.Second)}
-		next := way.start(rapid.Bool().Draw(t, "remote"), now)
-		inDoubt := false
+		state := &relayState{relayDeadline: begin.Add(time.Second)}
+		next := state.start(rapid.Bool().Draw(t, "remote"), now)
+		mayApply := false
 		for next == stepRelay {
-			g.Expect(now).To(BeTemporally("<", way.relayDeadline))
+			g.Expect(now).To(BeTemporally("<", state.relayDeadline))
 			e := event(rapid.IntRange(int(eventDecided), int(eventUnknown)).Draw(t, "event"))
 			now = now.Add(time.Duration(rapid.IntRange(1, 600).Draw(t, "ms")) * time.Millisecond)
-			next = way.next(e, now)
-			inDoubt = inDoubt || e == eventUnknown || e == eventUndecided
-			g.Expect(way.mayApplyElsewhere).To(Equal(inDoubt))
+			next = state.next(e, now)
+			mayApply = mayApply || e == eventUnknown || e == eventUndecided
+			g.Expect(state.mayApplyElsewhere).To(Equal(mayApply))
 			switch e {
 			case eventDecided:
 				g.Expect(next).To(Equal(stepEnd))
@@ -35,14 +36,14 @@
 				g.Expect(next).To(Equal(stepDirect))
 			}
 		}
-		g.Expect(way.mustBar(true)).To(BeFalse(), "a claim that was won stays")
-		g.Expect(way.mustBar(false)).To(Equal(inDoubt))
+		g.Expect(state.mustBar(true)).To(BeFalse(), "a claim that was won is not barred")
+		g.Expect(state.mustBar(false)).To(Equal(mayApply))
 	})
 }
 
-// TestCreditIsConserved: VMs whose lists differ pass on to one another what they
-// have saved, and some of it is lost. Together they never write more than they
-// have earned, and none holds more than its bound.
+// TestCreditIsConserved: VMs with different lists of VMs transfer accrued credit to
+// one another, and some transfers are lost. Together they never write more than
+// they accrued, and no VM holds more than its limit.
 func TestCreditIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -74,7 +75,7 @@
 				g.Expect(given).To(And(BeNumerically(">=", 0), BeNumerically("<=", 1)))
 				credits[rapid.IntRange(0, len(credits)-1).Draw(t, "to")].deposit(given, now)
 			case 2:
-				c.withdraw(now) // lost on its way
+				c.withdraw(now) // the transfer is lost
 			}
 			each := fleet / float64(vms)
 			earned := float64(len(credits)) * (min(minBurst, each) + each*now.Sub(begin).Seconds())
--- a/once/credit.go
+++ b/once/credit.go
@@ -6,40 +6,41 @@
 )
 
 const (
-	// minBurst is how many writes a VM may save up however small its share: a
-	// claim, an outcome and some for others.
+	// minBurst is the number of writes that a VM may accumulate however small its
+	// share is: enough for a claim, an outcome and some writes for others.
 	minBurst = 4
-	// reserve are kept back when writes are passed on: one for this VM's own
-	// update, should the VM that commits for it be lost.
+	// reserve is the number of writes that a VM does not transfer: one for this
+	// VM's own update, in case the VM that commits for it is lost.
 	reserve = 1
-	// depositCapDivisor is the part of the fleet's writes in a second that one VM
-	// may hold of what others passed to it.
+	// depositCapDivisor limits the credit that transfers from others may build up
+	// on one VM, to the fleet's writes in one second divided by it.
 	depositCapDivisor = 4
 )
 
-// credit is this VM's right to write to the platform. Each VM earns the fleet's
-// rate divided by the number of VMs in the bundle, and may pass what it has
-// saved to the VM that commits for it. What is passed on is gone here, and lost
-// if the message is. So all VMs together never write more than they earned,
-// whatever their lists of live VMs say, and the VM that commits for many has
-// nearly all of it. It is safe for concurrent use.
+// credit is this VM's budget of writes to the platform. Each VM accrues the fleet's
+// rate divided by the number of VMs in the bundle, and may transfer what it has
+// accumulated to the VM that commits for it. The transferred amount is deducted
+// here, and is lost if the message is lost. So all VMs together never write more
+// than they accrued, whatever their lists of live VMs contain, and the VM that
+// commits for many has nearly all of it. It is safe for concurrent use.
 type credit struct {
 	fleetRate float64 // writes per second of all VMs
 
 	mu      sync.Mutex // guards the fields below; no other lock is taken under it
 	rate    float64    // writes per second
-	balance float64
-	updated time.Time // up to which rate is in balance
+	balance float64    // writes that may be sent now
+	updated time.Time  // time up to which balance includes the accrued writes
 }
 
 func newCredit(fleet, rate float64, now time.Time) *credit {
 	return &credit{fleetRate: fleet, rate: rate, updated: now, balance: min(minBurst, rate)}
 }
 
-// burst is up to where earned writes are saved: those of one second.
+// burst returns the limit up to which writes accrue: those of one second, and at
+// least minBurst.
 func (c *credit) burst() float64 { return max(minBurst, c.rate) }
 
-// setRate sets what this VM earns.
+// setRate sets the number of writes per second that this VM accrues.
 func (c *credit) setRate(rate float64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +49,8 @@
 	c.balance = min(c.balance, c.burst())
 }
 
-// accrue must be called with mu held.
+// accrue adds the writes of the time since the last call. It must be called with mu
+// held.
 func (c *credit) accrue(now time.Time) {
 	if now.Before(c.updated) {
 		return
@@ -60,8 +62,8 @@
 	}
 }
 
-// take pays for one write, or returns after what time it could be paid for at
-// the latest.
+// take deducts one write. If the balance is too low, it returns false and the
+// longest time until one write has accrued.
 func (c *credit) take(now time.Time) (wait time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,28 +75,29 @@
 	return time.Duration((1 - c.balance) / c.rate * float64(time.Second)), false
 }
 
-// withdraw returns up to one write to be passed on, none of the reserve.
+// withdraw deducts and returns up to one write to transfer, without touching the
+// reserve.
 func (c *credit) withdraw(now time.Time) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.accrue(now)
-	given := min(c.balance-reserve, 1)
-	if given <= 0 {
+	amount := min(c.balance-reserve, 1)
+	if amount <= 0 {
 		return 0
 	}
-	c.balance -= given
-	return given
+	c.balance -= amount
+	return amount
 }
 
-// deposit adds what another VM passed on, at most one write at a time.
-func (c *credit) deposit(given float64, now time.Time) {
-	if !(given > 0 && given <= 1) { // NaN is neither
+// deposit adds credit that another VM transferred, at most one write at a time.
+func (c *credit) deposit(amount float64, now time.Time) {
+	if !(amount > 0 && amount <= 1) { // also rejects NaN
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.accrue(now)
 	if limit := c.fleetRate / depositCapDivisor; c.balance < limit {
-		c.balance = min(c.balance+given, limit)
+		c.balance = min(c.balance+amount, limit)
 	}
 }
--- a/once/doc.go
+++ b/once/doc.go
@@ -1,10 +1,9 @@
 // Package once runs non-idempotent requests at most once across all VMs.
 //
-// Before anything is handed to a target, the VM claims the request's key on
-// the platform by a conditional update. Claims live in segments: one object
-// holds all keys that callers made in one second. A conditional update of a
-// segment carries many claims and outcomes at once (group commit), so the
-// number of requests is not bound to the number of writes that the platform
-// takes. docs/design/once.md has the reasons and the
-// figures.
+// Before a request is handed to a target, the VM claims the request's key by a
+// conditional update on the platform. Claims are stored in segments: one object
+// holds all keys that callers created within one second. One conditional update of
+// a segment carries many claims and outcomes (group commit), so the rate of
+// requests is not limited by the number of writes that the platform accepts. See
+// docs/design/once.md for the reasons and the figures.
 package once
--- a/once/fault_test.go
+++ b/once/fault_test.go
@@ -14,22 +14,22 @@
 
 const testTimeout = 20 * time.Second
 
-// clock is moved by hand.
+// clock runs ahead of the real time by an offset that the test sets.
 type clock struct{ offset atomic.Int64 }
 
 func (c *clock) now() time.Time          { return time.Now().Add(time.Duration(c.offset.Load())) }
 func (c *clock) advance(d time.Duration) { c.offset.Add(int64(d)) }
 func (c *clock) set(o *Options)          { o.Clock = c.now }
 
-// shortWaits makes a Runner give up soon.
+// shortWaits makes a Runner give up after at most 50 ms.
 func shortWaits(o *Options) {
 	o.ClaimWait, o.OutcomeWait, o.CallTimeout = 50*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
 }
 
-// A farm's withdrawal report is filed twice. A VM checks the key's age and is
-// paused; another VM runs the request; a day later its claim is cleared; the
-// first VM goes on, finds no claim and wins one. Only a check after the claim
-// knows that this is too late.
+// Guards against a second run of a request whose claim was removed. VM a checks the
+// age of a key and is paused. VM b runs the request, and a day later its claim is
+// removed. Then VM a continues, finds no claim and wins one. Only a check after the
+// claim detects that the key has expired.
 func TestVMPausedDuringCleanupDoesNotRun(t *testing.T) {
 	g := NewWithT(t)
 	var c clock
@@ -51,16 +51,17 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// startedCleaner returns r's cleaner as if it were set to the test's deployment.
+// startedCleaner returns a copy of r's cleaner that is configured for the test's
+// deployment.
 func startedCleaner(r *Runner) *cleaner {
 	c := *r.cleaner
 	c.opts.Deployment = "vatnsleit"
 	return &c
 }
 
-// A renewal that ran yesterday runs again: its claim was cleared, and a VM whose
-// clock is an hour slow takes its key for young enough. The record of what was
-// cleared knows better. While it can't be read, nothing is run.
+// Guards against a second run of a request of the previous day. Its claim was
+// removed, and a VM whose clock is one hour slow still accepts the key. The record
+// of removed claims rejects it. While the record cannot be read, nothing is run.
 func TestVMWithASlowClockDoesNotRunClearedKeys(t *testing.T) {
 	g := NewWithT(t)
 	var right, slow clock
@@ -79,10 +80,10 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// An inspector's request is told "in progress" for ever although it was never
-// run. The platform takes the claim but its answer is lost, and it stays down
-// until the VM has given up and said "not run". The claim must be removed when
-// the platform is back.
+// Guards against a request that is reported as "in progress" forever although it
+// never ran. The platform stores the claim but its answer is lost, and the platform
+// stays down until the VM has given up and answered "not run". The claim must be
+// removed when the platform is back.
 func TestClaimWithLostAnswerIsReleased(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -104,19 +105,19 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// The same, but the platform carries the write out only after the VM has found
-// no claim and believes to be done. The write must find nothing to land on.
+// As above, but the platform applies the write only after the VM has found no claim
+// and considers the removal complete. The write must fail with a version conflict.
 func TestDelayedClaimWriteIsFencedOff(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
 	a, b := startRunner(t, store, "a", shortWaits), startRunner(t, store, "b")
 	req, w := request("d"), acceptedWork()
 	late := make(chan func() error, 1)
-	store.delayPut = func(land func() error) bool {
+	store.delayPut = func(apply func() error) bool {
 		if store.recovered.Load() || !store.failAll.CompareAndSwap(false, true) {
 			return false
 		}
-		late <- land
+		late <- apply
 		return true
 	}
 	g.Expect(a.Run(t.Context(), req, w.run).Code).To(Equal(result.ClaimsDown))
@@ -127,9 +128,9 @@
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
 }
 
-// A waterworks' report waits out its whole time limit while the platform is
-// down. After a few failed calls the answer is immediate, says "not run" and
-// when to come back.
+// Guards against requests that wait for their whole time limit while the platform
+// is down. After a few failed calls the answer must be immediate, mean "not run"
+// and say when to retry.
 func TestPlatformOutageFailsFast(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -151,9 +152,10 @@
 	g.Expect(w.ran.Load()).To(BeZero())
 }
 
-// A bookmark sync sends duplicate notices: the target ran it, the platform goes
-// down before the outcome is kept, and the sender tries again at another VM.
-// Until the outcome is in, that VM knows only that the key is claimed.
+// Guards against a second run after a lost outcome. The target ran the request, the
+// platform goes down before the outcome is stored, and the caller retries at
+// another VM. Until the outcome is stored, that VM knows only that the key is
+// claimed.
 func TestOutcomeIsStoredAfterOutage(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -170,8 +172,9 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// A VM is lost between claim and answer. Whether the target ran the report is
-// not known, so that another VM must not run it, and says so.
+// Guards against a second run after the loss of a VM between claim and answer. It
+// is unknown whether the target ran the request, so another VM must not run it, and
+// must answer that the outcome is unknown.
 func TestClaimOfALostVMIsNeverRunAgain(t *testing.T) {
 	g := NewWithT(t)
 	var c clock
@@ -192,8 +195,8 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// A report refused by every target is refused for ever. "Not run" must give
-// the key free, at this VM and at others.
+// Guards against a key that stays blocked after every target has refused its
+// request. The outcome "not run" must release the key, for this VM and for others.
 func TestNotRunReleasesKey(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -207,8 +210,9 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// A VM that stops drops an outcome that waits for its write, and a second
-// sending is told "unknown" for ever. Close waits for it.
+// Guards against a VM that stops and drops an outcome that waits for its write, so
+// that later requests with the key get the answer "unknown" forever. Close waits
+// for the outcome.
 func TestCloseWaitsForOutcomes(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
--- a/once/fuzz_test.go
+++ b/once/fuzz_test.go
@@ -9,8 +9,9 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/platformsim"
 )
 
-// FuzzParseKey: a key has one spelling. If two spellings of one key were stored as
-// two claims, a request that is sent again in the other would run twice.
+// FuzzParseKey: each key has one canonical form. If two forms of one key were
+// stored as two claims, a request that is repeated in the other form would run
+// twice.
 func FuzzParseKey(f *testing.F) {
 	for _, text := range []string{"1700000000-abcdefgh", "007-abcdefgh", "7-abcdefgh", "-1-abcdefgh", "9999999999-________", "1-short", "1700000000-abcdéfgh"} {
 		f.Add(text)
@@ -28,9 +29,9 @@
 	})
 }
 
-// FuzzSegment: a segment that was written by another release, or damaged, is
-// either refused or goes through unchanged. One that lost a claim on the way would
-// let its request run again.
+// FuzzSegment: a segment that was written by another release, or damaged, is either
+// rejected or decoded and encoded without change. If a claim were lost, its request
+// could run again.
 func FuzzSegment(f *testing.F) {
 	for _, text := range append(foreignSegments, `{"entries":{}}`, `{"entries":{"k":{"op":"o","outcome":{"code":1}}}}`) {
 		f.Add([]byte(text))
@@ -55,9 +56,10 @@
 	`{"entries":{"k":{"op":"o","part":1}}}`, `{"entries":{}} {"entries":{"k":{"op":"o"}}}`,
 }
 
-// TestForeignSegmentIsRefused: VMs of two releases run side by side, and the newer
-// one writes claims in another form. The older one read them as no claims at all,
-// entered the key of a request that had been run, and handed it to a target again.
+// TestForeignSegmentIsRefused: VMs of two releases run at the same time, and the
+// newer release stores claims in another form. When the older release read them as
+// an empty segment, it claimed the key of a request that had been run, and handed
+// it to a target again.
 func TestForeignSegmentIsRefused(t *testing.T) {
 	for _, text := range foreignSegments {
 		_, err := decodeSegment("d.1", []byte(text))
@@ -65,9 +67,9 @@
 	}
 }
 
-// TestForeignRecordOfClearedClaims: the record that says which claims were cleared
-// was written in another form. Read as "none", it let a VM with a slow clock run a
-// key again whose claim is long gone.
+// TestForeignRecordOfClearedClaims: the record of removed claims was written in
+// another form. When it was read as "none", a VM with a slow clock ran a key again
+// whose claim had been removed long before.
 func TestForeignRecordOfClearedClaims(t *testing.T) {
 	for _, text := range []string{`null`, `{}`, `{"until":1700000000}`, `{"before":1700000000,"part":1}`} {
 		g := NewWithT(t)
--- a/once/key_test.go
+++ b/once/key_test.go
@@ -17,7 +17,7 @@
 		text, want string
 	}{
 		{"1700000000-abcdefgh", "1700000000-abcdefgh"},
-		{"0017-abc_-9XY", "17-abc_-9XY"}, // one key has one spelling
+		{"0017-abc_-9XY", "17-abc_-9XY"}, // canonical form
 		{"1700000000-" + strings.Repeat("a", 64), "1700000000-" + strings.Repeat("a", 64)},
 		{"", ""},
 		{"1700000000-abcdefg", ""},
@@ -39,9 +39,9 @@
 	}
 }
 
-// A renewal is sent again with a key of yesterday, or with one from a clock
-// that is ahead. Both are refused before anything is claimed: the first may
-// have run and been cleared, the second would outlive its clearing.
+// Keys that are too old or too far in the future are rejected before anything is
+// claimed. The request of an old key may have run and its claim may have been
+// removed; a key of the future would still be valid after its claim was removed.
 func TestKeysOutsideValidityAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -60,7 +60,7 @@
 	g.Expect(store.puts + store.gets).To(BeZero())
 }
 
-// The cleaner takes old segments of its own deployment only, a few at a time.
+// The cleaner removes old segments of its own deployment only, one page at a time.
 func TestCleanerRemovesOldSegmentsInPages(t *testing.T) {
 	g := NewWithT(t)
 	var c clock
@@ -112,6 +112,6 @@
 		}
 		g.Expect(count).To(Equal(maxCleaners))
 	}
-	g.Expect(len(turns)).To(BeNumerically(">", 10), "the work changes hands")
+	g.Expect(len(turns)).To(BeNumerically(">", 10), "the cleaners must change")
 	g.Expect(isCleaner(nil, "alone", time.Now())).To(BeTrue())
 }
--- a/once/lane.go
+++ b/once/lane.go
@@ -8,8 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// segmentWriter is the committer's view of one segment. One goroutine at a time works
-// on it.
+// segmentWriter applies operations to one segment for the committer. At most one
+// goroutine works on it at a time.
 type segmentWriter struct {
 	name string
 
@@ -18,41 +18,41 @@
 	running  bool
 	lastUsed time.Time
 
-	// The lane's goroutine alone uses these. The state was read or written
-	// earlier and may be old; a conditional update finds out.
-	known   bool
+	// Used by the writer's goroutine only. The state was read or written earlier
+	// and may be outdated; a conditional update detects that.
+	known   bool // version and state are set
 	version uint64
 	state   segment
 }
 
-func (c *committer) runWriter(l *segmentWriter) {
+func (c *committer) runWriter(w *segmentWriter) {
 	for {
-		batch := c.takeQueue(l, true)
+		batch := c.takeQueue(w, true)
 		if len(batch) == 0 {
 			return
 		}
-		if !c.commit(l, batch) {
+		if !c.commit(w, batch) {
 			return
 		}
 	}
 }
 
-// commit carries the batch out, together with what comes in meanwhile. It
-// returns false if the committer stops.
-func (c *committer) commit(l *segmentWriter, batch []*pending) bool {
-	fresh := false // the state was read after all of the batch had come in
+// commit applies the batch, together with operations that arrive in the meantime.
+// It returns false if the committer stops.
+func (c *committer) commit(w *segmentWriter, batch []*pending) bool {
+	fresh := false // the state was read after the whole batch had arrived
 	paced := false
 	for try := 0; ; try++ {
-		if more := c.takeQueue(l, false); len(more) > 0 {
+		if more := c.takeQueue(w, false); len(more) > 0 {
 			batch = append(batch, more...)
 			fresh = false
 		}
-		batch = c.dropAbandoned(l, batch)
+		batch = c.dropAbandoned(w, batch)
 		if len(batch) == 0 {
 			return true
 		}
-		if !l.known {
-			if err := c.load(l); err != nil {
+		if !w.known {
+			if err := c.load(w); err != nil {
 				if !c.backoff(try) {
 					return false
 				}
@@ -60,13 +60,13 @@
 			}
 			fresh = true
 		}
-		next, replies, changed := l.state.apply(opsOf(batch))
+		next, replies, changed := w.state.apply(opsOf(batch))
 		if !fresh && needsFresh(batch, replies) {
-			l.known = false
+			w.known = false
 			continue
 		}
-		if !changed && !needsFence(l, batch) {
-			c.deliverAll(l, batch, replies)
+		if !changed && !needsFence(w, batch) {
+			c.deliverAll(w, batch, replies)
 			return true
 		}
 		if !paced {
@@ -76,17 +76,17 @@
 				return false
 			}
 			if waited {
-				continue // take along what gathered meanwhile
+				continue // include operations that arrived during the wait
 			}
 		}
-		err := c.write(l, next, batch)
+		err := c.write(w, next, batch)
 		if err == nil {
-			c.deliverAll(l, batch, replies)
+			c.deliverAll(w, batch, replies)
 			return true
 		}
 		if errors.Is(err, objstore.ErrTooLarge) {
-			c.log.Error("a claims object is too large", "object", l.name)
-			c.deliverAll(l, batch, rejectAll(replies))
+			c.log.Error("a claims object is too large", "object", w.name)
+			c.deliverAll(w, batch, rejectAll(replies))
 			return true
 		}
 		paced = false
@@ -96,9 +96,9 @@
 	}
 }
 
-// dropAbandoned removes claims whose caller no longer waits. One that took
-// part in a write may have landed, or land later, and is released.
-func (c *committer) dropAbandoned(l *segmentWriter, batch []*pending) []*pending {
+// dropAbandoned removes claims whose caller no longer waits. A claim that was part
+// of a write may be stored, now or later, and is released.
+func (c *committer) dropAbandoned(w *segmentWriter, batch []*pending) []*pending {
 	kept := batch[:0]
 	for _, p := range batch {
 		if p.state.Load() != stateAbandoned {
@@ -106,24 +106,25 @@
 			continue
 		}
 		if !p.fromPeer && (p.attempted || p.op.bar) {
-			c.release(l, p)
+			c.release(w, p)
 		}
 		c.untrack(p.fromPeer)
 	}
 	return kept
 }
 
-func (c *committer) deliverAll(l *segmentWriter, batch []*pending, replies []reply) {
+func (c *committer) deliverAll(w *segmentWriter, batch []*pending, replies []reply) {
 	for i, p := range batch {
-		c.deliver(l, p, replies[i])
+		c.deliver(w, p, replies[i])
 	}
 }
 
-// creditPollInterval is how often a lane looks whether another VM has passed on what
-// pays for its write.
+// creditPollInterval is how often a segment writer checks whether another VM has
+// transferred the credit for its write.
 const creditPollInterval = 5 * time.Millisecond
 
-// waitForCredit holds this VM to the writes that it may send.
+// waitForCredit waits until this VM has credit for one write and deducts it. ok is
+// false if the committer stops.
 func (c *committer) waitForCredit() (waited, ok bool) {
 	for {
 		wait, paid := c.credit.take(time.Now())
@@ -141,61 +142,61 @@
 	}
 }
 
-func (c *committer) load(l *segmentWriter) error {
+func (c *committer) load(w *segmentWriter) error {
 	ctx, cancel := context.WithTimeout(c.ctx, c.opts.CallTimeout)
 	defer cancel()
 	c.count.reads.Inc()
-	object, err := c.opts.Store.Get(ctx, Kind, l.name)
+	object, err := c.opts.Store.Get(ctx, Kind, w.name)
 	c.recordCall(err)
 	if errors.Is(err, objstore.ErrNotFound) {
-		l.known, l.version, l.state = true, 0, segment{overflow: isOverflow(l.name)}
+		w.known, w.version, w.state = true, 0, segment{overflow: isOverflow(w.name)}
 		return nil
 	}
 	if err != nil {
 		return errors.Trace(err)
 	}
-	state, err := decodeSegment(l.name, object.Value)
+	state, err := decodeSegment(w.name, object.Value)
 	if err != nil {
-		c.log.Error("claims refused", "object", l.name, "error", err)
+		c.log.Error("cannot decode the claims object", "object", w.name, "error", err)
 		return errors.Trace(err)
 	}
-	l.known, l.version, l.state = true, object.Version, state
+	w.known, w.version, w.state = true, object.Version, state
 	return nil
 }
 
-func (c *committer) write(l *segmentWriter, next segment, batch []*pending) error {
+func (c *committer) write(w *segmentWriter, next segment, batch []*pending) error {
 	value, err := next.encode()
 	if err != nil {
 		return errors.Trace(err)
 	}
 	for _, p := range batch {
 		p.attempted = true
-		p.expectedVersion = l.version
+		p.expectedVersion = w.version
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, c.opts.CallTimeout)
 	defer cancel()
 	c.count.writes.Inc()
 	c.count.operations.Add(len(batch))
 	c.count.bytes.Add(len(value))
-	version, err := c.opts.Store.Put(ctx, Kind, l.name, l.version, value)
+	version, err := c.opts.Store.Put(ctx, Kind, w.name, w.version, value)
 	c.recordCall(err)
 	if err == nil {
-		l.version, l.state = version, next
+		w.version, w.state = version, next
 		return nil
 	}
 	if errors.Is(err, objstore.ErrConflict) {
 		c.count.conflicts.Inc()
 	}
 	if !errors.Is(err, objstore.ErrBusy) {
-		// The write may have taken effect, now or later. The operations' own ids
-		// in the segment tell after a new read which of them landed.
-		l.known = false
+		// The write may have taken effect, or may do so later. After a new read,
+		// the operation ids in the segment show which operations were stored.
+		w.known = false
 	}
 	return errors.Trace(err)
 }
 
-// needsFresh tells replies that a newer state could change. An outcome is
-// final; all else is not.
+// needsFresh reports whether any reply could be different with a newer state. Only
+// a stored outcome is final.
 func needsFresh(batch []*pending, replies []reply) bool {
 	for i, rep := range replies {
 		switch rep.verdict {
@@ -214,14 +215,14 @@
 	return false
 }
 
-// needsFence tells whether a write must move the segment's version on although
-// its content stays. An abandoned claim that is absent may still land: the
-// platform may carry out a write long after its sender gave up. It would show
-// as a key that is in progress for ever. A write that expects the version that
-// such a one expects leaves it nothing to land on.
-func needsFence(l *segmentWriter, batch []*pending) bool {
+// needsFence reports whether a write must change the segment's version although the
+// content stays the same. An abandoned claim that is absent may still be stored,
+// because the platform may apply a write long after its sender gave up. Its key
+// would then be reported as in progress forever. If a write moves the segment past
+// the version that the old write expects, the old write fails.
+func needsFence(w *segmentWriter, batch []*pending) bool {
 	for _, p := range batch {
-		if p.op.kind == opRelease && p.attempted && p.expectedVersion == l.version {
+		if p.op.kind == opRelease && p.attempted && p.expectedVersion == w.version {
 			return true
 		}
 	}
@@ -236,7 +237,7 @@
 	return ops
 }
 
-// rejectAll turns replies into those of a write that cannot be made.
+// rejectAll changes the replies to those of a write that cannot be made.
 func rejectAll(replies []reply) []reply {
 	for i := range replies {
 		replies[i].verdict = verdictFull
--- a/once/options.go
+++ b/once/options.go
@@ -12,7 +12,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	defaultKeyTTL         = 24 * time.Hour
 	defaultMaxClockSkew   = 5 * time.Minute
@@ -28,43 +28,43 @@
 	defaultCleanInterval  = time.Minute
 )
 
-// Options configures a Runner. Only Store, VM and Incarnation are needed.
+// Options configures a Runner. Only Store, VM and Incarnation are required.
 type Options struct {
 	Store       objstore.Store
-	VM          string // of this process, as in the platform's list
-	Incarnation string // new at each start of this process
+	VM          string // name of this VM in the platform's list
+	Incarnation string // different at each start of this process
 	Clock       func() time.Time
 	Log         *slog.Logger
 	Metrics     *metrics.Set
 
-	// KeyTTL is how long after a key was made it may be sent. All VMs must have
-	// the same.
+	// KeyTTL is how long after its creation a key may be used. It must be the same
+	// on all VMs.
 	KeyTTL time.Duration
-	// MaxClockSkew is more than the clocks of any two VMs differ. Claims are cleared
-	// Keep + MaxClockSkew after their key was made.
+	// MaxClockSkew must be more than the clocks of any two VMs differ. Claims are
+	// removed KeyTTL + MaxClockSkew after their key was created.
 	MaxClockSkew time.Duration
 
-	ClaimWait   time.Duration // longest wait for a claim
-	OutcomeWait time.Duration // longest wait for the outcome to be kept before the caller is answered
-	CallTimeout time.Duration // of one store call
-	RunTimeout  time.Duration // of a request whose context has no deadline
+	ClaimWait   time.Duration // limit for winning a claim
+	OutcomeWait time.Duration // limit for storing the outcome before the caller gets its answer
+	CallTimeout time.Duration // limit of one store call
+	RunTimeout  time.Duration // limit of a request whose context has no deadline
 
 	// FleetWriteRate is how many conditional updates per second all VMs together
-	// may send; SetFleet cuts it into shares, which VMs pass on to the VM that
-	// commits for them.
+	// may send. SetFleetSize divides it into equal shares, which VMs transfer to
+	// the VM that commits for them.
 	FleetWriteRate float64
-	MaxPending     int // operations waiting for a write; above it requests are refused
-	// MaxPeerPending bounds the operations of other VMs that wait for a write,
-	// apart from MaxPending.
+	MaxPending     int // limit of operations waiting for a write; requests above it are refused
+	// MaxPeerPending limits the operations of other VMs that wait for a write. They
+	// do not count towards MaxPending.
 	MaxPeerPending int
-	MaxResultBytes int // bytes of a result that is kept
+	MaxResultBytes int // largest result that is stored, in bytes
 
-	// Peers are the ways to the VMs that commit for this one; without it this VM
-	// commits by itself. *relay.Links implements it.
+	// Peers sends operations to the VMs that commit for this one. If it is nil,
+	// this VM commits everything itself. *relay.Links implements it.
 	Peers Peers
 
-	// Deployment, if set, is the one whose old claims this VM helps to clear
-	// every CleanEvery.
+	// Deployment, if set, is the deployment whose expired claims this VM helps to
+	// remove, about every CleanInterval.
 	Deployment    string
 	CleanInterval time.Duration
 }
@@ -98,14 +98,14 @@
 	Deployment string
 	Search     string
 	Key        Key
-	Digest     string // of the payload; a key stands for one payload only
+	Digest     string // of the payload; a key identifies one payload only
 }
 
-// Outcome is what a caller is told.
+// Outcome is the answer to a caller.
 type Outcome struct {
 	Code       result.Code
 	Result     json.RawMessage // the target's, if Code is Accepted
 	Detail     string
-	RetryAfter time.Duration // 0 if coming back makes no sense
-	Replayed   bool          // told from the kept outcome of an earlier sending
+	RetryAfter time.Duration // 0 if a retry makes no sense
+	Replayed   bool          // this is the stored outcome of an earlier request with the same key
 }
--- a/once/peers.go
+++ b/once/peers.go
@@ -12,12 +12,13 @@
 
 var _ relay.Committer = (*Runner)(nil)
 
-// maxHold bounds how long a batch of another VM is worked on.
+// maxHold limits how long Commit works on a batch of another VM.
 const maxHold = time.Second
 
-// Commit carries out the operations that another VM relays to this one, until
-// b.HoldMS have passed. It never asks a third VM, whichever one this VM believes
-// to be the committer. An error means that none was taken.
+// Commit applies the operations that another VM relays to this one. Operations
+// without a verdict after b.HoldMS are answered as relay.Undecided. It never calls
+// a third VM, even if this VM believes that another one is the committer. An error
+// means that no operation was accepted.
 func (r *Runner) Commit(ctx context.Context, b relay.Batch) ([]relay.Reply, error) {
 	ops, err := opsFromBatch(b)
 	if err != nil {
@@ -38,8 +39,8 @@
 	return replies, nil
 }
 
-// awaitPeerOp returns the verdict on an operation of another VM. One that has none
-// when ctx ends is dropped, unless its write is under way.
+// awaitPeerOp returns the verdict on an operation of another VM. An operation that
+// has no verdict when ctx ends is dropped, unless its write is in flight.
 func (c *committer) awaitPeerOp(ctx context.Context, p *pending) relay.Reply {
 	select {
 	case rep := <-p.done:
@@ -109,13 +110,14 @@
 	return wire
 }
 
-// fromRelayReply returns the reply and what it means for the operation's course. A
-// reply that can't be understood leaves open what was done.
-func fromRelayReply(got relay.Reply, fate relay.Delivery) (reply, event) {
+// fromRelayReply converts the result of relaying an operation. A reply with an
+// unknown verdict is an eventUnknown: it leaves open whether the operation was
+// applied.
+func fromRelayReply(got relay.Reply, delivery relay.Delivery) (reply, event) {
 	switch {
-	case fate == relay.NotAccepted:
+	case delivery == relay.NotAccepted:
 		return reply{}, eventNotAccepted
-	case fate == relay.Unknown:
+	case delivery == relay.Unknown:
 		return reply{}, eventUnknown
 	case got.Verdict == relay.Undecided:
 		return reply{}, eventUndecided
--- a/once/peers_test.go
+++ b/once/peers_test.go
@@ -15,19 +15,20 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// fakePeers are one VM's ways to the others, in one process. Its faults follow a
-// seed: VMs differ on who commits, messages are lost, come late or twice, and
-// answers are lost.
+// fakePeers connects one VM to the others within the process. Its faults follow a
+// seed: VMs disagree about the committer, messages are lost, delayed or duplicated,
+// and answers are lost.
 type fakePeers struct {
 	runners      []*Runner
 	faults       bool
-	lateMessages *sync.WaitGroup
+	lateMessages *sync.WaitGroup // delayed deliveries
 
 	mu  sync.Mutex // guards rng
 	rng *rand.Rand
 }
 
-// connectPeers lets the VMs commit for one another.
+// connectPeers lets the VMs commit for one another. The WaitGroup counts delayed
+// deliveries.
 func connectPeers(runners []*Runner, seed uint64, faults bool) *sync.WaitGroup {
 	late := &sync.WaitGroup{}
 	for i, r := range runners {
@@ -36,10 +37,10 @@
 	return late
 }
 
-func (p *fakePeers) draw(n int) int {
+func (p *fakePeers) draw(bound int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rng.IntN(n)
+	return p.rng.IntN(bound)
 }
 
 func (p *fakePeers) Committer(string) (objstore.VM, bool) {
@@ -50,9 +51,9 @@
 	return objstore.VM{Name: strconv.Itoa(at)}, p.runners[at].dispatcher.peers != p
 }
 
-func (p *fakePeers) Commit(ctx context.Context, vm objstore.VM, a relay.OpRequest) (relay.Reply, relay.Delivery) {
+func (p *fakePeers) Commit(ctx context.Context, vm objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
 	at, _ := strconv.Atoi(vm.Name)
-	batch := relay.Batch{Segment: a.Segment, HoldMS: 20, Credit: a.Credit(), Ops: []relay.Op{a.Op}}
+	batch := relay.Batch{Segment: req.Segment, HoldMS: 20, Credit: req.Credit(), Ops: []relay.Op{req.Op}}
 	deliver := func() (relay.Reply, relay.Delivery) {
 		replies, err := p.runners[at].Commit(context.Background(), batch)
 		if err != nil {
@@ -71,15 +72,15 @@
 		})
 	}
 	switch p.draw(8) {
-	case 0: // lost
+	case 0: // the message is lost
 		return relay.Reply{}, relay.Unknown
-	case 1: // the other VM is frozen and goes on later
+	case 1: // the other VM is frozen and continues later
 		later()
 		return relay.Reply{}, relay.Unknown
-	case 2: // carried out, the answer is lost
+	case 2: // applied, but the answer is lost
 		_, _ = deliver()
 		return relay.Reply{}, relay.Unknown
-	case 3: // again later, from a VM that the first committer was not
+	case 3: // applied, the answer is lost, and a second delivery follows later
 		later()
 		_, _ = deliver()
 		return relay.Reply{}, relay.Unknown
@@ -87,8 +88,8 @@
 	return deliver()
 }
 
-// frozenPeer is a committer that takes what it is given and carries it out when the
-// test says so.
+// frozenPeer is a committer that accepts operations without an answer and applies
+// them when the test calls deliverNext.
 type frozenPeer struct {
 	to      *Runner
 	batches chan relay.Batch
@@ -96,8 +97,8 @@
 
 func (h *frozenPeer) Committer(string) (objstore.VM, bool) { return objstore.VM{Name: "held"}, true }
 
-func (h *frozenPeer) Commit(_ context.Context, _ objstore.VM, a relay.OpRequest) (relay.Reply, relay.Delivery) {
-	h.batches <- relay.Batch{Segment: a.Segment, HoldMS: 1000, Ops: []relay.Op{a.Op}}
+func (h *frozenPeer) Commit(_ context.Context, _ objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
+	h.batches <- relay.Batch{Segment: req.Segment, HoldMS: 1000, Ops: []relay.Op{req.Op}}
 	return relay.Reply{}, relay.Unknown
 }
 
@@ -111,10 +112,10 @@
 	return &frozenPeer{to: startRunner(t, store, "c"), batches: make(chan relay.Batch, 8)}
 }
 
-// A farm's report is refused for ever under its key, though it was told "not
-// run" and never ran. The VM that commits is frozen with the claim in its queue;
-// the farm's VM goes to the platform by itself, wins, every target refuses, and
-// the key is given free. Then the frozen VM goes on and enters the claim.
+// Guards against a key that stays blocked although its request never ran. The
+// committer is frozen with the claim in its queue. VM a updates the segment itself,
+// wins the claim, every target refuses the request, and the key is released. Then
+// the committer continues and must not enter the claim.
 func TestResumedCommitterDoesNotUndoRelease(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -127,9 +128,9 @@
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
 }
 
-// The same, but the farm's VM can't reach the platform in its time either and
-// says "not run" without a claim. Its fence has to hold what the committer, whom
-// nobody can ask, may do whenever it goes on.
+// As above, but VM a cannot reach the platform in time either and answers "not run"
+// without a claim. The barred id must prevent the committer, which cannot be
+// called, from entering the claim whenever it continues.
 func TestResumedCommitterDoesNotEnterAbandonedClaim(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -145,9 +146,9 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// A bookmark sync that runs is told "in progress" by its own claim. The VM that
-// commits enters the claim and dies before it answers. The update of the VM that
-// asked finds an entry and must know it for its own.
+// Guards against a request that gets the answer "in progress" because of its own
+// claim. The committer enters the claim and stops before it answers. The update of
+// VM a finds the entry and must recognize it as its own.
 func TestClaimEnteredByLostCommitterIsRecognized(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -158,22 +159,22 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// answerLosingPeer carries operations out and loses the answers.
+// answerLosingPeer applies operations and loses the answers.
 type answerLosingPeer struct {
 	*frozenPeer
 	t *testing.T
 }
 
-func (l answerLosingPeer) Commit(ctx context.Context, vm objstore.VM, a relay.OpRequest) (relay.Reply, relay.Delivery) {
-	_, _ = l.frozenPeer.Commit(ctx, vm, a)
+func (l answerLosingPeer) Commit(ctx context.Context, vm objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
+	_, _ = l.frozenPeer.Commit(ctx, vm, req)
 	l.deliverNext(l.t)
 	return relay.Reply{}, relay.Unknown
 }
 
-// A withdrawal report runs twice. The VM that commits carries the claim out,
-// but too late for its own limit, and clears it away as one that nobody waits
-// for. The VM that asked has found the entry meanwhile, taken it for won and
-// handed the report over; a second sending finds the key free.
+// Guards against a second run. The committer writes the claim, but after its own
+// time limit, and removes it as a claim whose caller has given up. Meanwhile VM a
+// has found the entry, regarded it as won and handed the request over; a later
+// request with the key then finds no claim.
 func TestCommitterKeepsClaimAfterLateAnswer(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -199,47 +200,48 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// slowPeer gives up on an operation whose write has landed.
+// slowPeer gives up on an operation whose write has been stored.
 type slowPeer struct {
 	*frozenPeer
 	once            sync.Once
 	entered, resume chan struct{}
 }
 
-func (s *slowPeer) Commit(_ context.Context, _ objstore.VM, a relay.OpRequest) (relay.Reply, relay.Delivery) {
+func (s *slowPeer) Commit(_ context.Context, _ objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-s.entered
 		cancel()
 	}()
-	replies, err := s.to.Commit(ctx, relay.Batch{Segment: a.Segment, HoldMS: 1000, Ops: []relay.Op{a.Op}})
+	replies, err := s.to.Commit(ctx, relay.Batch{Segment: req.Segment, HoldMS: 1000, Ops: []relay.Op{req.Op}})
 	if err != nil || replies[0].Verdict != relay.Undecided {
 		return relay.Reply{}, relay.NotAccepted
 	}
 	return relay.Reply{}, relay.Unknown
 }
 
-// A VM that commits for others leaves, and each of their requests waits until it
-// counts as lost. It must finish what it took and refuse the rest at once.
+// Guards against requests of other VMs that wait until a leaving committer counts
+// as lost. It must finish the operations that it accepted and refuse others at
+// once.
 func TestLeavingCommitterFinishesAcceptedWork(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
 	a, c := startRunner(t, store, "a"), startRunner(t, store, "c")
 	connectPeers([]*Runner{c, a}, 1, false)
-	entered, held := make(chan struct{}), make(chan struct{})
-	resume := sync.OnceFunc(func() { close(held) })
+	entered, blocked := make(chan struct{}), make(chan struct{})
+	resume := sync.OnceFunc(func() { close(blocked) })
 	defer resume()
 	var first sync.Once
 	store.beforePut = func(string) error {
 		first.Do(func() {
 			close(entered)
-			<-held
+			<-blocked
 		})
 		return nil
 	}
 	w := acceptedWork()
-	told := make(chan Outcome, 1)
-	go func() { told <- a.Run(context.Background(), request("d"), w.run) }()
+	outcome := make(chan Outcome, 1)
+	go func() { outcome <- a.Run(context.Background(), request("d"), w.run) }()
 	<-entered
 	closed := make(chan error, 1)
 	go func() { closed <- c.Close(context.Background()) }()
@@ -247,14 +249,15 @@
 	_, err := c.Commit(t.Context(), relay.Batch{Segment: "d.1", HoldMS: 1000, Ops: []relay.Op{{Kind: relay.Claim, ID: "k", Entry: relay.Entry{Op: "o"}}}})
 	g.Expect(err).To(MatchError(errClosed))
 	resume()
-	g.Expect((<-told).Code).To(Equal(result.Accepted))
+	g.Expect((<-outcome).Code).To(Equal(result.Accepted))
 	g.Expect(<-closed).To(Succeed())
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
-	g.Expect(a.committer.count.fallbacks.Get()).To(BeEquivalentTo(1), "the outcome went by a's own update")
+	g.Expect(a.committer.count.fallbacks.Get()).To(BeEquivalentTo(1), "the outcome must be stored by a's own update")
 }
 
-// The VMs of a large fleet all have their claims committed by one, which is then
-// refused its callers' own requests: work for others has a bound of its own.
+// Guards against a committer that refuses its own callers' requests because the VMs
+// of a large fleet all relay their claims to it. Operations of other VMs have a
+// separate limit.
 func TestPeerWorkHasSeparateLimit(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
--- a/once/race_test.go
+++ b/once/race_test.go
@@ -21,11 +21,11 @@
 	raceTurns = 6
 )
 
-// newRace starts VMs on a store that loses writes, loses answers, carries some
-// writes out late, and pauses senders.
+// newRace starts VMs on a store that loses writes, loses answers, applies some
+// writes late, and delays senders.
 //
-// With relayed set the VMs commit for one another, and their messages are lost,
-// come late or twice.
+// With relayed set, the VMs commit for one another, and their messages are lost,
+// delayed or duplicated.
 func newRace(t *testing.T, seed uint64, relayed bool) *race {
 	store := newFaultStore(seed)
 	store.loseAnswer, store.loseWrite, store.lateWrite = 0.15, 0.1, 0.1
@@ -52,8 +52,8 @@
 type race struct {
 	runners      []*Runner
 	store        *faultStore
-	lateMessages *sync.WaitGroup // messages that come late
-	killed       *Runner
+	lateMessages *sync.WaitGroup // delayed messages between VMs
+	killed       *Runner         // nil if none was killed
 }
 
 // forEachSeed runs the test with each seed, with and without relaying.
@@ -68,7 +68,7 @@
 	}
 }
 
-// kill ends a VM in the middle of its work, by the seed in half of the races.
+// kill stops a VM in the middle of its work, in the races with an odd seed.
 func (r *race) kill(seed uint64) {
 	if seed%2 == 0 {
 		return
@@ -80,8 +80,9 @@
 	_ = r.killed.Close(ended)
 }
 
-// closeAndWait ends the VMs and waits for writes that land late. The VMs end first:
-// they still release claims in the background, which may make for more of these.
+// closeAndWait closes the VMs and waits for delayed writes. The VMs are closed
+// first: they still release claims in the background, which may cause more delayed
+// writes.
 func (r *race) closeAndWait(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -94,7 +95,7 @@
 	r.store.lateWG.Wait()
 }
 
-// claimInput and claimOut are the register's operations for porcupine.
+// claimInput and claimOutput are the register's operations for porcupine.
 type claimInput struct {
 	key     int
 	op      string
@@ -103,7 +104,7 @@
 
 type claimOutput struct {
 	known  bool
-	winner string // who holds the key after a claim
+	winner string // operation that holds the key after a claim
 }
 
 // claimModel is one register per key: free, or held by an operation.
@@ -138,9 +139,10 @@
 	},
 }).ToModel()
 
-// TestClaimsAreLinearizable: two VMs run one withdrawal report. Both claim its
-// key at once, are paused before or after their conditional update, and lose
-// its answer. Were a claim not a single register, both would believe in it.
+// TestClaimsAreLinearizable guards against two VMs that both run one request. Both
+// claim its key at the same time, are paused before or after their conditional
+// update, and lose its answer. If a claim were not a single register, both could
+// consider it won.
 func TestClaimsAreLinearizable(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64, r *race) {
 		h := &history{start: time.Now()}
@@ -154,8 +156,8 @@
 		g := NewWithT(t)
 		verdict := porcupine.CheckOperationsTimeout(claimModel, h.ops, time.Minute)
 		g.Expect(verdict).To(Equal(porcupine.Ok))
-		// Each claim was released or given up. None may be left, or its key would
-		// show as in progress for ever.
+		// Each claim was released or abandoned. No entry may be left, or its key
+		// would be reported as in progress forever.
 		left, err := r.store.segment(segmentName(base.Deployment, base.Key.Created()))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(left.Entries).To(BeEmpty())
@@ -193,13 +195,15 @@
 		end := h.now()
 		switch {
 		case err != nil:
-			// It may land until it is released in the background.
+			// The claim may be stored at any time until it is released in the
+			// background.
 			h.add(client, in, claimOutput{}, call, farFuture)
 			in.release = true
 			h.add(client, in, claimOutput{}, end, farFuture)
 		case rep.verdict == verdictHeld:
 			if claim.bar {
-				// A committer in doubt may enter it until it is barred in the background.
+				// Another VM may enter the claim until it is barred in the
+				// background.
 				h.add(client, in, claimOutput{}, call, farFuture)
 				h.add(client, claimInput{key: key, op: in.op, release: true}, claimOutput{}, end, farFuture)
 			}
@@ -214,17 +218,17 @@
 	}
 }
 
-// submission is one call of Run and what it was told.
+// submission is one call of Run and its outcome.
 type submission struct {
 	key  int
 	name string
 	out  Outcome
 }
 
-// TestRunAtMostOnce: a bookmark sync fires twice. Its sender doubts and sends
-// the key to all VMs at once and again, while the platform loses writes and
-// answers. What was told "not run" was not run, and all who are told the
-// outcome are told the same.
+// TestRunAtMostOnce: the VMs get requests with the same keys at the same time and
+// repeatedly, while the platform loses writes and answers and a VM is killed. Each
+// request runs at most once. A call that got the answer "not run" did not run it,
+// and all calls that got the outcome got the same one.
 func TestRunAtMostOnce(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64, r *race) {
 		g := NewWithT(t)
@@ -232,10 +236,10 @@
 		for i := range reqs {
 			reqs[i] = request("d")
 		}
-		var mu sync.Mutex // guards ran and told
+		var mu sync.Mutex // guards ran and completed
 		ran := make(map[int][]string)
-		var told []submission
-		send := func(vm *Runner, s submission, limit time.Duration) {
+		var completed []submission
+		submit := func(vm *Runner, s submission, limit time.Duration) {
 			ctx, cancel := context.WithTimeout(context.Background(), limit)
 			defer cancel()
 			s.out = vm.Run(ctx, reqs[s.key], func(context.Context) Outcome {
@@ -246,7 +250,7 @@
 			})
 			mu.Lock()
 			defer mu.Unlock()
-			told = append(told, s)
+			completed = append(completed, s)
 		}
 		var wg sync.WaitGroup
 		for i, vm := range r.runners {
@@ -254,7 +258,7 @@
 			wg.Go(func() {
 				for turn := range raceTurns {
 					s := submission{key: rng.IntN(raceKeys), name: fmt.Sprintf(`"%d/%d"`, i, turn)}
-					send(vm, s, time.Duration(10+rng.IntN(60))*time.Millisecond)
+					submit(vm, s, time.Duration(10+rng.IntN(60))*time.Millisecond)
 				}
 			})
 		}
@@ -264,7 +268,7 @@
 		for key := range ran {
 			g.Expect(ran[key]).To(HaveLen(1), "key %d ran twice", key)
 		}
-		for _, s := range told {
+		for _, s := range completed {
 			if s.out.Code == result.Accepted {
 				g.Expect(ran[s.key]).To(Equal([]string{string(s.out.Result)}))
 			}
--- a/once/relay/choose.go
+++ b/once/relay/choose.go
@@ -6,8 +6,8 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// Choose returns the VM that commits a segment, the first by rendezvous hashing
-// of those that are not avoided, and false if there is none.
+// Choose returns the VM that commits a segment: the first by rendezvous hashing
+// among the VMs for which avoided returns false. It returns false if there is none.
 func Choose(segment string, vms []objstore.VM, avoided func(vm string) bool) (objstore.VM, bool) {
 	var first objstore.VM
 	var best uint64
--- a/once/relay/link.go
+++ b/once/relay/link.go
@@ -9,23 +9,24 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// link is the way to one VM. Its goroutine dials, sends batches, and ends when
-// nothing was sent for a while or the connection breaks.
+// link is the connection to one VM, with its queue. Its goroutine dials, sends
+// batches, and ends when nothing was sent for IdleTimeout or the connection breaks.
 type link struct {
-	links     *Links
+	parent    *Links
 	vm        objstore.VM
-	wake      chan struct{}
-	callSlots chan struct{} // one token per batch under way
+	wake      chan struct{} // signals that operations were queued
+	callSlots chan struct{} // one token per batch in flight
 
 	queue []*pending // guarded by Links.mu
 }
 
-// pending is an operation on its way. sent and gone are guarded by Links.mu.
+// pending is an operation that is queued or sent. sent and cancelled are guarded by
+// Links.mu.
 type pending struct {
 	req       OpRequest
-	done      chan answer // holds one
-	sent      bool        // part of a batch
-	cancelled bool        // given up before
+	done      chan answer // buffers one
+	sent      bool        // it was put into a batch
+	cancelled bool        // its caller gave up before it was sent
 }
 
 type answer struct {
@@ -36,18 +37,18 @@
 func (k *link) run() error {
 	conn, err := k.dial()
 	if err != nil {
-		k.links.avoid(k.vm, err)
+		k.parent.avoid(k.vm, err)
 		k.remove()
 		return nil
 	}
 	defer conn.Wait()
 	defer conn.Close()
 	defer k.remove()
-	idle := time.NewTimer(k.links.opts.IdleTimeout)
+	idle := time.NewTimer(k.parent.opts.IdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
-		case <-k.links.tomb.Dying():
+		case <-k.parent.tomb.Dying():
 			return nil
 		case <-conn.Done():
 			return nil
@@ -56,13 +57,13 @@
 		case <-k.wake:
 		}
 		if isClosed(conn) {
-			return nil // what waits was never sent
+			return nil // queued operations were never sent
 		}
 		time.Sleep(batchDelay)
 		for _, batch := range splitBatches(k.takeQueue()) {
 			k.sendBatch(conn, batch)
 		}
-		idle.Reset(k.links.opts.IdleTimeout)
+		idle.Reset(k.parent.opts.IdleTimeout)
 	}
 }
 
@@ -76,11 +77,11 @@
 }
 
 func (k *link) dial() (*wire.Conn, error) {
-	ctx, cancel := context.WithTimeout(k.links.ctx, k.links.opts.ResponseTimeout)
+	ctx, cancel := context.WithTimeout(k.parent.ctx, k.parent.opts.ResponseTimeout)
 	defer cancel()
-	o := k.links.opts.Fleet.WireOptions()
+	o := k.parent.opts.Fleet.WireOptions()
 	o.Use = Use
-	o.Handler = nil // the other end has nothing to ask
+	o.Handler = nil // the other VM makes no calls on this connection
 	conn, err := wire.Dial(ctx, k.vm.Address, o, &wire.Counters{})
 	if err != nil {
 		return nil, err
@@ -89,30 +90,32 @@
 	if conn.Peer().VM != k.vm.Name {
 		conn.Close()
 		conn.Wait()
-		return nil, result.Errorf(result.ExchangeFailed, "VM %q found at the address of %q", conn.Peer().VM, k.vm.Name)
+		return nil, result.Errorf(result.ExchangeFailed, "VM %q answered at the address of VM %q", conn.Peer().VM, k.vm.Name)
 	}
 	return conn, nil
 }
 
-// remove takes the link out of the table. What waits was never sent.
+// remove removes the link from the table and answers its queued operations, which
+// were never sent.
 func (k *link) remove() {
-	k.links.mu.Lock()
-	if k.links.links[k.vm.Address] == k {
-		delete(k.links.links, k.vm.Address)
+	k.parent.mu.Lock()
+	if k.parent.links[k.vm.Address] == k {
+		delete(k.parent.links, k.vm.Address)
 	}
 	queue := k.queue
 	k.queue = nil
-	k.links.mu.Unlock()
+	k.parent.mu.Unlock()
 	for _, p := range queue {
 		p.done <- answer{delivery: NotAccepted}
 	}
 }
 
-// takeQueue returns what waits, marked as sent before it is: who gives up in between
-// must not believe that the other VM will never carry it out.
+// takeQueue returns the queued operations and marks them as sent before they are: a
+// caller that gives up in between must not assume that the other VM will never
+// apply its operation.
 func (k *link) takeQueue() []*pending {
-	k.links.mu.Lock()
-	defer k.links.mu.Unlock()
+	k.parent.mu.Lock()
+	defer k.parent.mu.Unlock()
 	var taken []*pending
 	for _, p := range k.queue {
 		if !p.cancelled {
@@ -124,24 +127,24 @@
 	return taken
 }
 
-// splitBatches parts operations by segment and size.
+// splitBatches divides operations into batches of one segment and at most MaxOps.
 func splitBatches(queue []*pending) [][]*pending {
 	var list [][]*pending
-	open := map[string]int{} // by segment, the batch that has room
+	open := map[string]int{} // index of the batch that is not full, by segment
 	for _, p := range queue {
-		at, ok := open[p.req.Segment]
-		if !ok || len(list[at]) == MaxOps {
-			at = len(list)
-			open[p.req.Segment] = at
+		index, ok := open[p.req.Segment]
+		if !ok || len(list[index]) == MaxOps {
+			index = len(list)
+			open[p.req.Segment] = index
 			list = append(list, nil)
 		}
-		list[at] = append(list[at], p)
+		list[index] = append(list[index], p)
 	}
 	return list
 }
 
-// sendBatch has a batch carried out apart from the link's goroutine, once there is
-// room for it.
+// sendBatch starts a goroutine that sends a batch. It waits until fewer than
+// maxConcurrentBatches are in flight.
 func (k *link) sendBatch(conn *wire.Conn, batch []*pending) {
 	select {
 	case k.callSlots <- struct{}{}:
@@ -149,7 +152,7 @@
 		deliver(batch, nil, NotAccepted)
 		return
 	}
-	k.links.tomb.Go(func() error {
+	k.parent.tomb.Go(func() error {
 		defer func() { <-k.callSlots }()
 		k.commit(conn, batch)
 		return nil
@@ -157,8 +160,8 @@
 }
 
 func (k *link) commit(conn *wire.Conn, batch []*pending) {
-	o := k.links.opts
-	ctx, cancel := context.WithTimeout(k.links.ctx, o.ResponseTimeout)
+	o := k.parent.opts
+	ctx, cancel := context.WithTimeout(k.parent.ctx, o.ResponseTimeout)
 	defer cancel()
 	message := Batch{
 		Segment: batch[0].req.Segment,
@@ -174,19 +177,21 @@
 		deliver(batch, got.Replies, Answered)
 		return
 	}
-	k.links.avoid(k.vm, err) // before the batch falls back, so that others follow
+	k.parent.avoid(k.vm, err) // before the batch is answered, so that its callers do not choose this VM again
 	if isRefusal(err) {
 		deliver(batch, nil, NotAccepted)
 		return
 	}
-	// It is frozen, cut off or gone. A connection that went silent is not used
-	// again, for the VM may be reached by a new one. It is closed first: who is told
-	// may come back at once, and what is then sent on it would be lost as well.
+	// The VM is frozen, disconnected or stopped. A silent connection is not used
+	// again, because a new one may reach the VM. It is closed before the callers
+	// get their answers: they may send the next operation at once, and on this
+	// connection it would be lost as well.
 	conn.Close()
 	deliver(batch, nil, Unknown)
 }
 
-// isRefusal tells errors which are the other VM's own word that it took nothing.
+// isRefusal reports whether the error is the other VM's answer that it accepted
+// nothing.
 func isRefusal(err error) bool {
 	switch result.Of(err) {
 	case result.PeerBusy, result.UnknownMethod, result.BadMessage:
@@ -195,9 +200,9 @@
 	return false
 }
 
-func deliver(batch []*pending, replies []Reply, fate Delivery) {
+func deliver(batch []*pending, replies []Reply, delivery Delivery) {
 	for i, p := range batch {
-		a := answer{delivery: fate}
+		a := answer{delivery: delivery}
 		if replies != nil {
 			a.reply = replies[i]
 		}
--- a/once/relay/links.go
+++ b/once/relay/links.go
@@ -20,68 +20,69 @@
 	defaultAvoidFor        = 2 * time.Second
 	defaultIdleTimeout     = 10 * time.Second
 
-	// liveListTTL is for how long a list of live VMs is used.
+	// liveListTTL is how long a list of live VMs is reused.
 	liveListTTL = 100 * time.Millisecond
-	// batchDelay is how long a first operation waits for others to the same VM. It
-	// is small against an update of a segment.
+	// batchDelay is how long the first queued operation waits for others to the
+	// same VM. It is short compared with an update of a segment.
 	batchDelay = 500 * time.Microsecond
-	// maxConcurrentBatches is how many batches are under way to one VM; wire serves twice as
-	// many for one connection.
+	// maxConcurrentBatches limits the batches in flight to one VM. Package wire
+	// serves twice as many for one connection.
 	maxConcurrentBatches = 8
 )
 
-// Fleet is what the exchange tells of the other VMs. peer.Exchange implements it.
+// Fleet is the information about the other VMs. peer.Exchange implements it.
 type Fleet interface {
-	Live() []objstore.VM
+	Live() []objstore.VM // the VMs that are alive, including this one
 	WireOptions() wire.Options
 }
 
-// Options configure Links. Self and Fleet are required.
+// Options configures Links. Self and Fleet are required.
 type Options struct {
 	Self  string // this VM's name
 	Fleet Fleet
 	Log   *slog.Logger
 
-	Hold            time.Duration // within which the other VM answers, decided or not; default 250 ms
-	ResponseTimeout time.Duration // after which it counts as lost; default 500 ms
-	AvoidFor        time.Duration // for which a lost VM is not chosen; default 2 s
-	IdleTimeout     time.Duration // after which an unused connection is closed; default 10 s
+	Hold            time.Duration // after it the other VM answers even without verdicts; default 250 ms
+	ResponseTimeout time.Duration // without an answer for this time, the VM counts as lost; default 500 ms
+	AvoidFor        time.Duration // how long a lost VM is not chosen; default 2 s
+	IdleTimeout     time.Duration // an unused connection is closed after it; default 10 s
 }
 
-// Delivery is what became of an operation that was to be relayed.
+// Delivery says whether a relayed operation reached the other VM.
 type Delivery int
 
 const (
-	// Answered means that the reply is the other VM's.
+	// Answered means that the reply is that of the other VM.
 	Answered Delivery = iota
-	// NotAccepted means that the other VM never carries the operation out.
+	// NotAccepted means that the other VM will never apply the operation.
 	NotAccepted
-	// Unknown means that it may, now or at any time later.
+	// Unknown means that the other VM may have applied the operation, or may apply
+	// it at any later time.
 	Unknown
 )
 
-// OpRequest is one operation with what goes along.
+// OpRequest is one operation to relay.
 type OpRequest struct {
 	Segment string
 	Op      Op
-	Credit  func() float64 // called once for each batch
+	Credit  func() float64 // returns the credit to transfer; called once per batch
 }
 
-// Links are this VM's connections to the VMs that commit for it. They are safe
-// for concurrent use.
+// Links holds this VM's connections to the VMs that commit for it. It is safe for
+// concurrent use.
 type Links struct {
 	opts Options
 	tomb *tomb.Tomb
-	ctx  context.Context // ends with tomb
+	ctx  context.Context // canceled when the tomb is killed
 
-	mu       sync.Mutex // guards all below and the fields of all links and asks
-	links    map[string]*link
-	avoided  map[string]time.Time // until when, by VM
-	live     []objstore.VM
-	listedAt time.Time
+	mu       sync.Mutex           // guards the fields below and those that name it
+	links    map[string]*link     // by address
+	avoided  map[string]time.Time // end of the avoidance, by VM
+	live     []objstore.VM        // the last list of live VMs
+	listedAt time.Time            // when live was read
 }
 
-// NewLinks returns Links without any connection.
+// NewLinks returns Links without any connection. Call Stop to end it.
 func NewLinks(o Options) *Links {
 	defaults.Positive(&o.Hold, defaultHold)
 	defaults.Positive(&o.ResponseTimeout, defaultResponseTimeout)
@@ -90,9 +91,9 @@
 	if o.Log == nil {
 		o.Log = logging.Discard()
 	}
-	t, life := tomb.WithContext(context.Background())
-	l := &Links{opts: o, tomb: t, ctx: life, links: map[string]*link{}, avoided: map[string]time.Time{}}
-	// Keeps the tomb alive between links.
+	t, ctx := tomb.WithContext(context.Background())
+	l := &Links{opts: o, tomb: t, ctx: ctx, links: map[string]*link{}, avoided: map[string]time.Time{}}
+	// Keeps the tomb alive while there is no link.
 	l.tomb.Go(func() error {
 		<-l.tomb.Dying()
 		return nil
@@ -100,14 +101,14 @@
 	return l
 }
 
-// Stop closes all connections. Operations under way are lost.
+// Stop closes all connections. The results of operations in flight are lost.
 func (l *Links) Stop() {
 	l.tomb.Kill(nil)
 	_ = l.tomb.Wait()
 }
 
-// Committer returns the VM that commits the segment, and false if this VM does
-// so itself.
+// Committer returns the VM that commits the segment. It returns false if that is
+// this VM.
 func (l *Links) Committer(segment string) (objstore.VM, bool) {
 	now := time.Now()
 	l.mu.Lock()
@@ -119,10 +120,10 @@
 	return vm, ok && vm.Name != l.opts.Self
 }
 
-// Commit has one operation carried out by a VM. It returns when that VM has
-// answered or counts as lost, or ctx ends.
-func (l *Links) Commit(ctx context.Context, vm objstore.VM, a OpRequest) (Reply, Delivery) {
-	p := &pending{req: a, done: make(chan answer, 1)}
+// Commit sends one operation to a VM. It returns when the VM has answered or counts
+// as lost, or when ctx ends.
+func (l *Links) Commit(ctx context.Context, vm objstore.VM, req OpRequest) (Reply, Delivery) {
+	p := &pending{req: req, done: make(chan answer, 1)}
 	if !l.enqueue(vm, p) {
 		return Reply{}, NotAccepted
 	}
@@ -134,7 +135,8 @@
 	}
 }
 
-// enqueue returns false if the links are being stopped.
+// enqueue queues an operation for a VM, and creates the link to it if there is
+// none. It returns false if the links are being stopped.
 func (l *Links) enqueue(vm objstore.VM, p *pending) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +147,7 @@
 	}
 	k := l.links[vm.Address]
 	if k == nil {
-		k = &link{links: l, vm: vm, wake: make(chan struct{}, 1), callSlots: make(chan struct{}, maxConcurrentBatches)}
+		k = &link{parent: l, vm: vm, wake: make(chan struct{}, 1), callSlots: make(chan struct{}, maxConcurrentBatches)}
 		l.links[vm.Address] = k
 		l.tomb.Go(k.run)
 	}
@@ -157,7 +159,8 @@
 	return true
 }
 
-// cancel takes an operation back. Once it is part of a batch it can't be.
+// cancel withdraws an operation. This is not possible once the operation is part of
+// a batch.
 func (l *Links) cancel(p *pending) Delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -168,9 +171,9 @@
 	return NotAccepted
 }
 
-// avoid keeps a VM from being chosen for a while.
-func (l *Links) avoid(vm objstore.VM, why error) {
-	l.opts.Log.Debug("claims go elsewhere for a while", "vm", vm.Name, "error", why)
+// avoid excludes a VM from being chosen for AvoidFor.
+func (l *Links) avoid(vm objstore.VM, cause error) {
+	l.opts.Log.Debug("VM is not chosen as committer for a while", "vm", vm.Name, "error", cause)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
--- a/once/relay/relay_test.go
+++ b/once/relay/relay_test.go
@@ -32,9 +32,9 @@
 
 func avoidNone(string) bool { return false }
 
-// TestChooseProperties: VMs with the same list choose the same VM in whatever
-// order they hold it, one that is avoided is never chosen, and when a VM leaves
-// only its own segments change hands.
+// TestChooseProperties: VMs with the same list choose the same VM in any order of
+// the list, an avoided VM is never chosen, and when a VM leaves only its own
+// segments move to others.
 func TestChooseProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -80,7 +80,7 @@
 	}
 }
 
-// committerFunc is a Committer.
+// committerFunc implements Committer.
 type committerFunc func(ctx context.Context, b Batch) ([]Reply, error)
 
 func (f committerFunc) Commit(ctx context.Context, b Batch) ([]Reply, error) { return f(ctx, b) }
@@ -93,13 +93,14 @@
 func (f *fakeFleet) Live() []objstore.VM       { return f.vms }
 func (f *fakeFleet) WireOptions() wire.Options { return f.options }
 
-// newTestLinks starts a VM "b" with the committer, behind a fault proxy, and returns
-// the links of a VM "a" to it.
+// newTestLinks starts a VM "b" with the committer, behind a fault proxy, and
+// returns the links of a VM "a" to it.
 func newTestLinks(t *testing.T, c Committer) (*Links, *faultproxy.Proxy, objstore.VM) {
 	return newTestLinksWithTimeout(t, c, 0)
 }
 
-// newTestLinksWithTimeout is linked with another time after which a silent VM is lost, 0 for the usual.
+// newTestLinksWithTimeout is newTestLinks with the given ResponseTimeout; 0 selects
+// the default.
 func newTestLinksWithTimeout(t *testing.T, c Committer, silent time.Duration) (*Links, *faultproxy.Proxy, objstore.VM) {
 	g := NewWithT(t)
 	options := func(vm string) wire.Options {
@@ -131,9 +132,10 @@
 	return OpRequest{Segment: "d.1700000000", Op: Op{Kind: Claim, ID: id, Entry: Entry{Op: id}}, Credit: func() float64 { return 0 }}
 }
 
-// A VM is silent for one operation, and the next one, which a caller sends at that very
-// moment, is lost with it: it went out on the connection that was being closed. It waits for
-// a new one, or is known not to have been taken.
+// Guards against the loss of an operation because of the one before it. A VM does
+// not answer one operation, and the next one, which a caller sends at the same
+// moment, is sent on the connection that is being closed. It must wait for a new
+// connection, or be reported as not accepted.
 func TestOperationAfterTimeoutIsNotLost(t *testing.T) {
 	g := NewWithT(t)
 	silence := make(chan struct{})
@@ -150,19 +152,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for range 20 {
-		_, fate := links.Commit(ctx, b, opRequest("held"))
-		g.Expect(fate).To(Equal(Unknown))
-		_, fate = links.Commit(ctx, b, opRequest("next"))
-		g.Expect(fate).NotTo(Equal(Unknown))
+		_, delivery := links.Commit(ctx, b, opRequest("held"))
+		g.Expect(delivery).To(Equal(Unknown))
+		_, delivery = links.Commit(ctx, b, opRequest("next"))
+		g.Expect(delivery).NotTo(Equal(Unknown))
 	}
 }
 
-// A claim's VM says "not run" and leaves the claim as it is, and the VM that
-// commits enters it a moment later: the key is blocked. Only a word of that VM,
-// or that the message never left, may count as "not taken".
+// Guards against a key that stays blocked. If an operation is wrongly reported as
+// not accepted, the VM that sent the claim answers "not run" without removing the
+// claim, and the committer enters it a moment later. NotAccepted may be reported
+// only if the committer said so or the message was never sent.
 func TestNotAcceptedOnlyWhenCertain(t *testing.T) {
 	g := NewWithT(t)
-	taken := make(chan struct{}, 1)
+	accepted := make(chan struct{}, 1)
 	block := make(chan struct{})
 	unblock := sync.OnceFunc(func() { close(block) })
 	defer unblock()
@@ -172,7 +175,7 @@
 			return nil, errors.New("stopping")
 		}
 		if batch.Ops[0].ID == "held" {
-			taken <- struct{}{}
+			accepted <- struct{}{}
 			<-block
 		}
 		replies := make([]Reply, len(batch.Ops))
@@ -184,43 +187,44 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 
-	rep, fate := links.Commit(ctx, b, opRequest("plain"))
-	g.Expect(fate).To(Equal(Answered))
+	rep, delivery := links.Commit(ctx, b, opRequest("plain"))
+	g.Expect(delivery).To(Equal(Answered))
 	g.Expect(rep.Verdict).To(Equal(Done))
 
 	// The VM is frozen: it has the operation and does not answer.
-	_, fate = links.Commit(ctx, b, opRequest("held"))
-	g.Expect(fate).To(Equal(Unknown))
-	<-taken
+	_, delivery = links.Commit(ctx, b, opRequest("held"))
+	g.Expect(delivery).To(Equal(Unknown))
+	<-accepted
 	unblock()
 	for second := range 20 {
 		_, remote := links.Committer(fmt.Sprint("d.", second))
-		g.Expect(remote).To(BeFalse(), "a lost VM is not chosen for a while")
+		g.Expect(remote).To(BeFalse(), "a lost VM must not be chosen for a while")
 	}
 
-	// It refuses.
+	// The VM refuses the operation.
 	refuse.Store(true)
-	_, fate = links.Commit(ctx, b, opRequest("refused"))
-	g.Expect(fate).To(Equal(NotAccepted))
+	_, delivery = links.Commit(ctx, b, opRequest("refused"))
+	g.Expect(delivery).To(Equal(NotAccepted))
 	refuse.Store(false)
 
-	// The connection goes silent.
-	_, fate = links.Commit(ctx, b, opRequest("again"))
-	g.Expect(fate).To(Equal(Answered))
+	// The connection becomes silent.
+	_, delivery = links.Commit(ctx, b, opRequest("again"))
+	g.Expect(delivery).To(Equal(Answered))
 	proxy.Silence()
-	_, fate = links.Commit(ctx, b, opRequest("silent"))
-	g.Expect(fate).To(Equal(Unknown))
+	_, delivery = links.Commit(ctx, b, opRequest("silent"))
+	g.Expect(delivery).To(Equal(Unknown))
 
-	// Its address answers nobody, and then it is gone.
+	// The address closes new connections at once, and the open one is cut.
 	proxy.SetFaults(faultproxy.Faults{Refuse: true})
 	proxy.Cut()
 	g.Eventually(func() Delivery {
-		_, fate := links.Commit(ctx, b, opRequest("unreached"))
-		return fate
+		_, delivery := links.Commit(ctx, b, opRequest("unreached"))
+		return delivery
 	}, testTimeout).Should(Equal(NotAccepted))
 }
 
-// What is asked of one VM at a time goes in few messages, apart by segment.
+// Operations that are queued for one VM at the same time are sent in few messages,
+// separated by segment.
 func TestBatches(t *testing.T) {
 	g := NewWithT(t)
 	var queue []*pending
--- a/once/relay/serve.go
+++ b/once/relay/serve.go
@@ -7,13 +7,14 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Committer carries out the operations of other VMs. Its error says that it has
-// taken none of the batch, and won't.
+// Committer applies the operations of other VMs. An error means that none of the
+// batch was or will be applied.
 type Committer interface {
 	Commit(ctx context.Context, b Batch) ([]Reply, error)
 }
 
-// Handle serves the methods of this package; it never calls another VM.
+// Handle serves the methods of this package. It never calls another VM. An error of
+// c is returned with the code result.PeerBusy.
 func Handle(ctx context.Context, c Committer, method string, params json.RawMessage) (any, error) {
 	if method != MethodCommit {
 		return nil, result.Errorf(result.UnknownMethod, "%q", method)
--- a/once/runner.go
+++ b/once/runner.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	retryAfterInProgress = 200 * time.Millisecond
-	retryAfterDown       = time.Second
+	retryAfterInProgress = 200 * time.Millisecond // while the first request with the key is running
+	retryAfterDown       = time.Second            // when the platform is down or too many claims wait
 	opIDBytes            = 8
 
 	detailNotStored = "the result was too large to be kept; the request was run once"
@@ -23,13 +23,13 @@
 // concurrent use.
 type Runner struct {
 	opts       Options
-	holder     string
+	holder     string // VM and incarnation, as in entry.Holder
 	committer  *committer
 	dispatcher *dispatcher
 	cleaner    *cleaner
 }
 
-// NewRunner starts a Runner. Close ends it.
+// NewRunner starts a Runner. Call Close to stop it.
 func NewRunner(opts Options) *Runner {
 	opts = opts.withDefaults()
 	r := &Runner{
@@ -42,24 +42,24 @@
 	return r
 }
 
-// SetFleetSize tells how many VMs share the platform's writes, this one included.
+// SetFleetSize sets how many VMs share the platform's writes, including this one.
 func (r *Runner) SetFleetSize(vms int) {
 	r.committer.credit.setRate(r.opts.FleetWriteRate/float64(max(vms, 1)), time.Now())
 }
 
-// Close waits until the outcomes of all requests are kept or ctx ends, and
-// stops the background work. Call it after the last Run has returned. It
-// returns an error if outcomes could not be kept; their requests will be told
-// as unknown.
+// Close stops the background work after the outcomes of all requests are stored or
+// ctx ends. Call it after the last Run has returned. It returns an error if
+// outcomes could not be stored; later requests with their keys get the answer
+// "unknown".
 func (r *Runner) Close(ctx context.Context) error {
 	r.cleaner.stop()
 	return errors.Trace(r.committer.close(ctx))
 }
 
-// Run claims the request's key and, if this call won it, calls run, which may
-// hand the request to one target. The outcome is kept for later sendings of
-// the key. An outcome of run whose code says "not run" gives the key free
-// again. run is called at most once.
+// Run claims the request's key and, if this call won it, calls run, which may hand
+// the request to one target. The outcome is stored for later requests with the same
+// key. If the code of run's outcome means "not run", the key is released. run is
+// called at most once.
 func (r *Runner) Run(ctx context.Context, req Request, run func(ctx context.Context) Outcome) Outcome {
 	if out, ok := r.checkAge(req.Key); !ok {
 		return out
@@ -106,9 +106,10 @@
 	}
 }
 
-// storeOutcome stores the outcome and waits for it a little, so that a second sending
-// is told the same. The answer does not depend on it: if the write stays out,
-// a second sending is told "in progress" or "unknown" and never runs.
+// storeOutcome stores the outcome and waits for it up to OutcomeWait, so that later
+// requests with the same key get the same answer. The caller's answer does not
+// depend on it: until the outcome is stored, a later request gets the answer "in
+// progress" or "unknown" and never runs.
 func (r *Runner) storeOutcome(ctx context.Context, name string, claim op, out Outcome) {
 	var done <-chan reply
 	if out.Code.Info().Ran == result.RanNo {
@@ -125,9 +126,9 @@
 	}
 }
 
-// claim makes the claim, in the segment or, if that is sealed, in the key's part,
-// and returns where. It sets claim.bar if another VM may yet enter the claim
-// there by itself.
+// claim makes the claim, in the segment or, if that is sealed, in the key's
+// overflow segment, and returns the name of the segment that was used. It sets
+// claim.bar if another VM may still enter the claim there.
 func (r *Runner) claim(ctx context.Context, name string, claim *op) (string, reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.ClaimWait)
 	defer cancel()
@@ -181,12 +182,12 @@
 	return Outcome{Code: result.OutcomeUnknown, Detail: "the VM that claimed the key has not reported an outcome"}
 }
 
-// claimFailed says "not run". It is true although the claim may have landed:
-// only the call of Run that made the claim hands the request over, and it ends
-// here.
+// claimFailed returns an outcome that means "not run". This is true although the
+// claim may have been stored: only the call of Run that made the claim hands the
+// request over, and that call ends here.
 func claimFailed(err error) Outcome {
 	if errors.Is(err, errBusy) {
-		return Outcome{Code: result.Overloaded, Detail: "too many requests wait for their claim", RetryAfter: retryAfterDown}
+		return Outcome{Code: result.Overloaded, Detail: "too many requests are waiting for their claim", RetryAfter: retryAfterDown}
 	}
 	return Outcome{Code: result.ClaimsDown, Detail: err.Error(), RetryAfter: retryAfterDown}
 }
--- a/once/runner_test.go
+++ b/once/runner_test.go
@@ -14,8 +14,8 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fixes the seed of the property tests and looks for goroutines that
-// outlive their Runner.
+// TestMain fixes the seed of the property tests and checks that no goroutine
+// outlives its Runner.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -24,7 +24,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// startRunner starts a Runner that ends with the test.
+// startRunner starts a Runner that is closed at the end of the test.
 func startRunner(t *testing.T, store objstore.Store, name string, change ...func(*Options)) *Runner {
 	opts := Options{Store: store, VM: name, Incarnation: "1", CallTimeout: 5 * time.Second, ClaimWait: 10 * time.Second, OutcomeWait: 10 * time.Second, FleetWriteRate: 70000}
 	for _, f := range change {
@@ -49,7 +49,7 @@
 	return Request{Deployment: "vatnsleit", Search: "withdrawal-report", Key: key, Digest: digest}
 }
 
-// work counts how often it ran and ends with out.
+// work counts its runs and returns out.
 type work struct {
 	ran atomic.Int64
 	out Outcome
--- a/once/segment.go
+++ b/once/segment.go
@@ -10,41 +10,44 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of a segment, in bytes of its estimated JSON. The room between the
-// two is left for the outcomes of claims that are already in.
+// Limits of a segment, in bytes of its estimated JSON. The space between
+// maxSizeForClaims and maxSizeForResults is reserved for the outcomes of claims
+// that are already stored.
 const (
 	maxSizeForClaims  = objstore.MaxValue / 2
 	maxSizeForResults = objstore.MaxValue * 3 / 4
 	entryOverhead     = 160 // field names, quotes and numbers of an entry
-	maxDetailBytes    = 256
-	barredOverhead    = 10 // quotes, value and comma of a barred id
-	maxJSONExpansion  = 6  // bytes that JSON needs for one byte of text, at most
+	maxDetailBytes    = 256 // of a stored outcome's detail
+	barredOverhead    = 10  // quotes, value and comma of a barred id
+	maxJSONExpansion  = 6   // largest number of bytes that JSON needs for one byte of text
 )
 
-// segment is the value of one claims object. It is immutable: apply returns a
-// new one.
+// segment is the value of one claims object. It is immutable: apply returns a new
+// one.
 type segment struct {
 	Entries map[string]entry `json:"entries"` // by search and key
-	// Barred are the ids of claims that must not enter any more; see op.bar.
+	// Barred holds the operation ids of claims that must never be entered; see
+	// op.bar.
 	Barred map[string]bool `json:"barred,omitempty"`
-	// Sealed says that the segment of a second was full once. It takes no further
-	// keys, whatever is released later: they are in one of its parts.
+	// Sealed says that the segment of a second has been full. It accepts no new
+	// keys, whatever is released later, because they are claimed in one of the
+	// overflow segments.
 	Sealed   bool `json:"sealed,omitempty"`
-	overflow bool // of a second, so that nothing follows when it is full
-	size     int
+	overflow bool // this is an overflow segment: when it is full, there is no other one
+	size     int  // estimated size of the JSON in bytes
 }
 
-// entry is one claimed key. Without an outcome the request may have been
-// handed to a target: there is no state between the claim and the hand-over.
+// entry is one claimed key. While it has no outcome, the request may have been
+// handed to a target: no state is stored between the claim and the hand-over.
 type entry struct {
 	Digest  string         `json:"digest"`
 	Op      string         `json:"op"`       // id of the operation that won the claim
 	Holder  string         `json:"holder"`   // VM and incarnation
-	UntilMS int64          `json:"until_ms"` // Unix milliseconds at which the holder should be done
+	UntilMS int64          `json:"until_ms"` // Unix milliseconds; the time by which the holder should be done
 	Outcome *storedOutcome `json:"outcome,omitempty"`
 }
 
-// storedOutcome is an outcome that a second sending of the same key is told.
+// storedOutcome is the outcome that later requests with the same key get.
 type storedOutcome struct {
 	Code   result.Code     `json:"code"`
 	Result json.RawMessage `json:"result,omitempty"`
@@ -62,47 +65,48 @@
 	return entryOverhead + len(id) + len(e.Digest) + len(e.Op) + len(e.Holder) + e.Outcome.size()
 }
 
-// opKind is what an operation wants of a segment.
+// opKind is the kind of change that an operation makes to a segment.
 type opKind int
 
 const (
-	opClaim    opKind = iota // enter the key unless it is there
-	opComplete               // add the outcome to one's own claim
-	opRelease                // remove one's own claim: nothing was handed over
+	opClaim    opKind = iota // add an entry for the key unless there is one
+	opComplete               // add the outcome to the operation's own claim
+	opRelease                // remove the operation's own claim: nothing was handed over
 )
 
-// op is one operation on one key. Applying it twice is the same as once.
+// op is one operation on one key. It is idempotent: applying it twice has the same
+// effect as once.
 type op struct {
 	kind  opKind
 	id    string // search and key
-	entry entry  // entry.Op identifies the claim in all three kinds
-	// bar makes a release leave the claim's id behind. The claim was handed to
-	// another VM that has not said what became of it. That VM may be frozen with
-	// the claim in its queue, and enter it when nobody waits for it any more: the
-	// key would show as in progress for ever, after its sender was told "not run".
-	// Moving the object's version on does not stop a VM that reads before it
-	// writes; the id does.
+	entry entry  // entry.Op identifies the claim for all three kinds
+	// bar makes a release store the claim's id as barred. It is set when the claim
+	// was sent to another VM whose answer is missing. That VM may be frozen with
+	// the claim in its queue and enter it after its caller has given up: the key
+	// would be reported as in progress forever, although its caller got the answer
+	// "not run". Changing the object's version does not stop a VM that reads before
+	// it writes; the barred id does.
 	bar bool
 }
 
-// verdict is what became of an op.
+// verdict is the result of an op.
 type verdict int
 
 const (
-	verdictDone  verdict = iota // the segment says what the op wanted
-	verdictHeld                 // claim: another operation's entry is there
-	verdictFull                 // claim: the segment has no room
-	verdictMoved                // claim: the segment is sealed; the key belongs into its part
-	verdictGone                 // settle: the claim is no longer there; claim: it is barred
+	verdictDone  verdict = iota // the segment is in the state that the op requested
+	verdictHeld                 // claim: the key has an entry of another operation
+	verdictFull                 // claim: there is no space for the key
+	verdictMoved                // claim: the segment is sealed; the key belongs in its overflow segment
+	verdictGone                 // complete: the claim no longer exists; claim: it is barred
 )
 
-// reply is a verdict with the entry that is in the way, if one is.
+// reply is a verdict, with the conflicting entry for verdictHeld.
 type reply struct {
 	verdict verdict
 	held    entry
 }
 
-// apply runs the batch in order and returns the segment after it, a reply per
+// apply applies the batch in order. It returns the resulting segment, one reply per
 // op, and whether anything changed.
 func (s segment) apply(batch []op) (segment, []reply, bool) {
 	next := segment{Entries: maps.Clone(s.Entries), Barred: maps.Clone(s.Barred), Sealed: s.Sealed, overflow: s.overflow, size: s.size}
@@ -120,20 +124,20 @@
 }
 
 func (s *segment) applyOne(o op) (reply, bool) {
-	have, present := s.Entries[o.id]
-	mine := present && have.Op == o.entry.Op
+	existing, present := s.Entries[o.id]
+	sameOp := present && existing.Op == o.entry.Op
 	switch o.kind {
 	case opClaim:
-		return s.claim(o, have, present, mine)
+		return s.claim(o, existing, present, sameOp)
 	case opComplete:
-		return s.complete(o, have, mine)
+		return s.complete(o, existing, sameOp)
 	default:
-		return s.release(o, have, mine)
+		return s.release(o, existing, sameOp)
 	}
 }
 
-func (s *segment) claim(o op, have entry, present, mine bool) (reply, bool) {
-	if mine {
+func (s *segment) claim(o op, existing entry, present, sameOp bool) (reply, bool) {
+	if sameOp {
 		// An earlier write of this claim took effect and its answer was lost.
 		return reply{verdict: verdictDone}, false
 	}
@@ -141,7 +145,7 @@
 		return reply{verdict: verdictGone}, false
 	}
 	if present {
-		return reply{verdict: verdictHeld, held: have}, false
+		return reply{verdict: verdictHeld, held: existing}, false
 	}
 	if s.Sealed {
 		return reply{verdict: verdictMoved}, false
@@ -153,9 +157,10 @@
 	return reply{verdict: verdictDone}, true
 }
 
-// rejectFull seals the segment of a second. Were room that is released later given to
-// new keys, a key that has been claimed in its part could be claimed here once
-// more, and run twice.
+// rejectFull rejects a claim for lack of space, and seals the segment if it is not
+// an overflow segment. If space that is released later were given to new keys, a
+// key that has been claimed in its overflow segment could also be claimed here, and
+// run twice.
 func (s *segment) rejectFull() (reply, bool) {
 	if s.overflow {
 		return reply{verdict: verdictFull}, false
@@ -164,33 +169,33 @@
 	return reply{verdict: verdictMoved}, true
 }
 
-func (s *segment) complete(o op, have entry, mine bool) (reply, bool) {
-	if !mine {
+func (s *segment) complete(o op, existing entry, sameOp bool) (reply, bool) {
+	if !sameOp {
 		return reply{verdict: verdictGone}, false
 	}
-	if have.Outcome != nil {
+	if existing.Outcome != nil {
 		return reply{verdict: verdictDone}, false
 	}
-	have.Outcome = o.entry.Outcome
-	if s.size+have.Outcome.size() > maxSizeForResults {
-		have.Outcome = &storedOutcome{Code: have.Outcome.Code, Detail: detailNotStored}
+	existing.Outcome = o.entry.Outcome
+	if s.size+existing.Outcome.size() > maxSizeForResults {
+		existing.Outcome = &storedOutcome{Code: existing.Outcome.Code, Detail: detailNotStored}
 	}
-	s.put(o.id, have)
+	s.put(o.id, existing)
 	return reply{verdict: verdictDone}, true
 }
 
-func (s *segment) release(o op, have entry, mine bool) (reply, bool) {
+func (s *segment) release(o op, existing entry, sameOp bool) (reply, bool) {
 	barred := o.bar && s.bar(o.entry.Op)
 	// A claim with an outcome was handed over and stays.
-	if !mine || have.Outcome != nil {
+	if !sameOp || existing.Outcome != nil {
 		return reply{verdict: verdictDone}, barred
 	}
-	s.size -= have.size(o.id)
+	s.size -= existing.size(o.id)
 	delete(s.Entries, o.id)
 	return reply{verdict: verdictDone}, true
 }
 
-// bar keeps a claim from entering, and tells whether that is new.
+// bar marks a claim's id as barred and reports whether that is new.
 func (s *segment) bar(opID string) bool {
 	if s.Barred[opID] {
 		return false
@@ -211,7 +216,8 @@
 	s.size += e.size(id)
 }
 
-// encode keeps results as the target wrote them, '<' and '&' included.
+// encode returns the segment's JSON. It leaves results as the target wrote them,
+// without escaping '<' and '&'.
 func (s segment) encode() ([]byte, error) {
 	var value bytes.Buffer
 	encoder := json.NewEncoder(&value)
@@ -220,24 +226,24 @@
 	return value.Bytes(), errors.Trace(err)
 }
 
-// decodeSegment refuses what it doesn't understand in full. A claim that another
-// release wrote in a form of its own would otherwise be passed over and lost with
-// the next update, and its request could run again.
+// decodeSegment returns an error for any value that it does not understand in full.
+// If it ignored a claim that another release stored in a different form, the claim
+// would be lost with the next update, and its request could run again.
 func decodeSegment(name string, value []byte) (segment, error) {
 	s := segment{overflow: isOverflow(name)}
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&s); err != nil {
-		return segment{}, errors.Annotate(err, "a claims object is not readable")
+		return segment{}, errors.Annotate(err, "cannot decode a claims object")
 	}
 	if s.Entries == nil || decoder.More() {
-		return segment{}, errors.New("a claims object is not readable: no entries, or more behind them")
+		return segment{}, errors.New("cannot decode a claims object: it has no entries or trailing data")
 	}
 	for id, e := range s.Entries {
 		s.size += e.size(id)
 	}
 	if len(s.Barred) == 0 {
-		s.Barred = nil // as it is read back
+		s.Barred = nil // so that decoding an encoded segment returns an equal one
 	}
 	for opID := range s.Barred {
 		s.size += len(opID) + barredOverhead
--- a/once/segment_test.go
+++ b/once/segment_test.go
@@ -25,18 +25,18 @@
 	return o
 }
 
-// TestSegmentProperties drives segments through random batches. A key has one
-// holder at a time, a settled key never changes again, sending a batch a second
-// time with no release in it changes nothing, and the stored form reads back
-// and fits into a value.
+// TestSegmentProperties applies random batches to a segment. A key has one holder
+// at a time; a key with an outcome never changes again; a batch without a release
+// changes nothing when it is applied a second time; the encoded form decodes to the
+// same segment and fits into a value.
 func TestSegmentProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		var s segment
 		for range rapid.IntRange(1, 12).Draw(t, "batches") {
 			batch := rapid.SliceOfN(rapid.Custom(drawOp), 1, 6).Draw(t, "batch")
-			// A settle is sent after its claim has been delivered, so never before
-			// it in a batch.
+			// A completion is sent after its claim has been delivered, so it never
+			// precedes the claim in a batch.
 			slices.SortStableFunc(batch, func(a, b op) int { return cmp.Compare(a.kind, b.kind) })
 			next, replies, changed := s.apply(batch)
 			hasRelease := false
@@ -48,7 +48,7 @@
 			}
 			for id, before := range s.Entries {
 				if before.Outcome != nil {
-					g.Expect(next.Entries[id]).To(Equal(before), "a settled key changed")
+					g.Expect(next.Entries[id]).To(Equal(before), "a completed key changed")
 				}
 				if after, ok := next.Entries[id]; ok && !hasRelease {
 					g.Expect(after.Op).To(Equal(before.Op), "a key changed its holder")
@@ -56,7 +56,7 @@
 			}
 			if !hasRelease {
 				_, _, again := next.apply(batch)
-				g.Expect(again).To(BeFalse(), "a batch has an effect twice")
+				g.Expect(again).To(BeFalse(), "applying a batch a second time changed the segment")
 			}
 			if !changed {
 				g.Expect(next.Entries).To(HaveLen(len(s.Entries)))
@@ -96,7 +96,7 @@
 	g.Expect(len(value)).To(BeNumerically("<=", objstore.MaxValue))
 }
 
-// drawFullOp is an operation on a key of a second that has little room left.
+// drawFullOp draws an operation on a key of a second that has little space left.
 func drawFullOp(t *rapid.T) op {
 	o := op{kind: rapid.SampledFrom([]opKind{opClaim, opClaim, opRelease}).Draw(t, "kind")}
 	o.id = fmt.Sprintf("report/1700000000-key%05d", rapid.IntRange(0, 3).Draw(t, "id"))
@@ -105,10 +105,11 @@
 	return o
 }
 
-// TestSealedSegmentAcceptsNoKeys: a report runs twice. The segment of its second is
-// full, so that its key is claimed in its part; then a release makes room, and
-// a second sending claims the key in the segment. A sealed segment must take no
-// key again, and what moved must never be claimed beside it.
+// TestSealedSegmentAcceptsNoKeys guards against a request that runs twice. The
+// segment of its second is full, so its key is claimed in its overflow segment.
+// Then a release frees space, and a later request claims the key in the segment. A
+// sealed segment must accept no key again, and a key that moved must never be
+// claimed in it.
 func TestSealedSegmentAcceptsNoKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -132,9 +133,9 @@
 	})
 }
 
-// TestOverflowSegmentsTakeExcessKeys: on the first of the month thousands of reports
-// are filed within a second, and all but 1,800 are refused. What does not fit
-// goes into parts, each key into one.
+// TestOverflowSegmentsTakeExcessKeys: when thousands of requests arrive within one
+// second, one segment holds about 1,800 claims. The other keys must go into
+// overflow segments, each key into one, instead of being refused.
 func TestOverflowSegmentsTakeExcessKeys(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
--- a/once/sender.go
+++ b/once/sender.go
@@ -10,107 +10,112 @@
 	"github.com/bramleybarrow/bramleybarrow/once/relay"
 )
 
-// Peers have operations carried out by other VMs.
+// Peers sends operations to other VMs, which apply them. It must be safe for
+// concurrent use.
 type Peers interface {
-	// Committer returns the VM that commits a segment, and false if this VM does.
+	// Committer returns the VM that commits a segment. It returns false if that is
+	// this VM.
 	Committer(segment string) (objstore.VM, bool)
-	// Commit has an operation carried out by a VM. It returns when that VM has
-	// answered or counts as lost, or ctx ends.
-	Commit(ctx context.Context, vm objstore.VM, a relay.OpRequest) (relay.Reply, relay.Delivery)
+	// Commit sends an operation to a VM. It returns when the VM has answered or
+	// counts as lost, or when ctx ends.
+	Commit(ctx context.Context, vm objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery)
 }
 
-// relayWaitDivisor is the part of the time for a claim that may pass before this VM
-// goes to the platform by itself. The other part holds one call of it.
+// relayWaitDivisor divides the time limit of a claim. After this fraction of the
+// time, this VM stops relaying and updates the segment itself. The remaining time
+// is enough for one call of the platform.
 const relayWaitDivisor = 2
 
-// dispatcher carries operations out on the way that their course takes.
+// dispatcher applies operations by relaying them or by this VM's own update, as
+// their relayState decides.
 type dispatcher struct {
 	committer *committer
 	peers     Peers
-	relayWait time.Duration // for relaying
+	relayWait time.Duration // limit for relaying one operation
 }
 
 func newDispatcher(o Options, commit *committer) *dispatcher {
 	return &dispatcher{committer: commit, peers: o.Peers, relayWait: o.ClaimWait / relayWaitDivisor}
 }
 
-// claim carries out a claim and waits for its reply. After an error, or a reply
-// that gives the key to another, the caller must hand nothing over; a claim
-// that landed, or may land, is removed in the background. It sets o.bar if
-// another VM may carry the claim out later.
-func (s *dispatcher) claim(ctx context.Context, name string, o *op) (reply, error) {
-	if err := s.committer.admitRelayed(); err != nil {
+// claim applies a claim and waits for its reply. After an error, or a reply that
+// another operation holds the key, the caller must not hand anything over; a claim
+// that was stored, or may be, is removed in the background. It sets o.bar if
+// another VM may apply the claim later.
+func (d *dispatcher) claim(ctx context.Context, name string, o *op) (reply, error) {
+	if err := d.committer.admitRelayed(); err != nil {
 		return reply{}, errors.Trace(err)
 	}
-	way := s.newRelayState(ctx)
-	rep, decided := s.relay(ctx, name, *o, way)
-	s.committer.untrack(false)
-	o.bar = way.mayApplyElsewhere
+	state := d.newRelayState(ctx)
+	rep, decided := d.relay(ctx, name, *o, state)
+	d.committer.untrack(false)
+	o.bar = state.mayApplyElsewhere
 	if !decided {
 		var err error
-		if rep, err = s.committer.submit(ctx, name, *o); err != nil {
+		if rep, err = d.committer.submit(ctx, name, *o); err != nil {
 			return reply{}, errors.Trace(err)
 		}
 	}
-	if way.mustBar(rep.verdict == verdictDone) {
-		s.committer.abandon(name, *o)
+	if state.mustBar(rep.verdict == verdictDone) {
+		d.committer.abandon(name, *o)
 	}
 	return rep, nil
 }
 
-func (s *dispatcher) newRelayState(ctx context.Context) *relayState {
+func (d *dispatcher) newRelayState(ctx context.Context) *relayState {
 	now := time.Now()
-	wait := s.relayWait
+	wait := d.relayWait
 	if end, ok := ctx.Deadline(); ok {
 		wait = min(wait, end.Sub(now)/relayWaitDivisor)
 	}
 	return &relayState{relayDeadline: now.Add(wait)}
 }
 
-// relay has the operation carried out by the segment's committer, if that is
-// another VM. It returns false if this VM has to do it.
-func (s *dispatcher) relay(ctx context.Context, name string, o op, way *relayState) (reply, bool) {
-	if s.peers == nil {
+// relay sends the operation to the segment's committer, if that is another VM. It
+// returns false if this VM has to apply the operation.
+func (d *dispatcher) relay(ctx context.Context, name string, o op, state *relayState) (reply, bool) {
+	if d.peers == nil {
 		return reply{}, false
 	}
-	ctx, cancel := context.WithDeadline(ctx, way.relayDeadline)
+	ctx, cancel := context.WithDeadline(ctx, state.relayDeadline)
 	defer cancel()
-	vm, remote := s.peers.Committer(name)
-	for next := way.start(remote, time.Now()); next == stepRelay; {
-		got, fate := s.peers.Commit(ctx, vm, relay.OpRequest{Segment: name, Op: toRelayOp(o), Credit: s.withdrawCredit})
-		rep, e := fromRelayReply(got, fate)
-		if next = way.next(e, time.Now()); next == stepEnd {
-			s.committer.count.relayed.Inc()
+	vm, remote := d.peers.Committer(name)
+	for next := state.start(remote, time.Now()); next == stepRelay; {
+		got, delivery := d.peers.Commit(ctx, vm, relay.OpRequest{Segment: name, Op: toRelayOp(o), Credit: d.withdrawCredit})
+		rep, ev := fromRelayReply(got, delivery)
+		if next = state.next(ev, time.Now()); next == stepEnd {
+			d.committer.count.relayed.Inc()
 			return rep, true
 		}
 	}
 	if remote {
-		s.committer.count.fallbacks.Inc()
+		d.committer.count.fallbacks.Inc()
 	}
 	return reply{}, false
 }
 
-func (s *dispatcher) withdrawCredit() float64 { return s.committer.credit.withdraw(time.Now()) }
+func (d *dispatcher) withdrawCredit() float64 { return d.committer.credit.withdraw(time.Now()) }
 
-// finish carries out a settle or a release for as long as it takes. Both may be
-// carried out twice and at any time later. A release that has to bar its claim
-// goes by this VM's own update: the committer in doubt is not asked again.
-func (s *dispatcher) finish(name string, o op) <-chan reply {
-	if s.peers == nil || o.bar && o.kind == opRelease {
-		return s.committer.commitInBackground(name, o)
+// finish starts a completion or a release, which is retried until it succeeds or
+// the committer stops; the channel gets the reply. Both may be applied twice and at
+// any later time. A release that has to bar its claim uses this VM's own update: it
+// is not relayed to the committer that may still apply the claim.
+func (d *dispatcher) finish(name string, o op) <-chan reply {
+	if d.peers == nil || o.bar && o.kind == opRelease {
+		return d.committer.commitInBackground(name, o)
 	}
 	done := make(chan reply, 1)
-	s.committer.runTracked(func() {
-		rep, decided := s.relay(s.committer.ctx, name, o, s.newRelayState(s.committer.ctx))
+	d.committer.runTracked(func() {
+		rep, decided := d.relay(d.committer.ctx, name, o, d.newRelayState(d.committer.ctx))
 		if decided {
 			done <- rep
 			return
 		}
-		direct := s.committer.commitInBackground(name, o)
+		direct := d.committer.commitInBackground(name, o)
 		select {
 		case rep = <-direct:
 			done <- rep
-		case <-s.committer.tomb.Dying():
+		case <-d.committer.tomb.Dying():
 		}
 	})
 	return done
--- a/once/store_test.go
+++ b/once/store_test.go
@@ -14,7 +14,8 @@
 )
 
 // faultStore is a platform in memory whose faults follow a seed. Versions start
-// again at 1 after a removal, which is the worst that the interface allows.
+// again at 1 after a removal, which is the worst behavior that the interface
+// allows.
 type faultStore struct {
 	mu      sync.Mutex // guards all fields
 	objects map[string]objstore.Object
@@ -23,17 +24,17 @@
 	gets    int
 	lists   int
 
-	loseAnswer       float64                            // share of writes that land and fail
-	loseWrite        float64                            // share of writes that fail and do not land
-	lateWrite        float64                            // share of writes that fail and land later
-	failAll          atomic.Bool                        // every call fails, nothing lands
+	loseAnswer       float64                            // share of writes that are applied and return an error
+	loseWrite        float64                            // share of writes that return an error and are not applied
+	lateWrite        float64                            // share of writes that return an error and are applied later
+	failAll          atomic.Bool                        // every call fails, nothing is applied
 	failClearedReads atomic.Bool                        // the record of cleared claims cannot be read
-	recovered        atomic.Bool                        // for the hooks
-	failPuts         atomic.Bool                        // writes fail and do not land
+	recovered        atomic.Bool                        // set by tests, read by their hooks
+	failPuts         atomic.Bool                        // writes return an error and are not applied
 	latency          time.Duration                      // of each call
 	beforePut        func(name string) error            // called without mu
 	afterPut         func(name string, err error) error // called without mu
-	delayPut         func(land func() error) bool       // takes a write to land it later
+	delayPut         func(apply func() error) bool      // returns true to fail a write, which it may apply later
 	lateWG           sync.WaitGroup
 	vms              []objstore.VM
 }
@@ -87,16 +88,16 @@
 		return 0, errLost
 	}
 	s.mu.Lock()
-	fate := s.rng.Float64()
+	draw := s.rng.Float64()
 	delay := time.Duration(s.rng.IntN(20)) * time.Millisecond
 	s.mu.Unlock()
 	switch {
-	case fate < s.loseWrite:
+	case draw < s.loseWrite:
 		return 0, errLost
-	case fate < s.loseWrite+s.loseAnswer:
+	case draw < s.loseWrite+s.loseAnswer:
 		_, _ = s.put(kind, name, expect, value)
 		return 0, errLost
-	case fate < s.loseWrite+s.loseAnswer+s.lateWrite:
+	case draw < s.loseWrite+s.loseAnswer+s.lateWrite:
 		s.lateWG.Go(func() {
 			time.Sleep(delay)
 			_, _ = s.put(kind, name, expect, value)
@@ -168,7 +169,7 @@
 	return s.vms, s.wait(ctx)
 }
 
-// What tests wait for.
+// Conditions that tests wait for.
 func (c *committer) pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
