--- a/once/committer.go
+++ b/once/committer.go
@@ -251,9 +251,9 @@
 	}
 }
 
-// evict drops the state of the segment that was unused the longest, if
-// maxSegmentWriters are held and one of them is not running. It must be called with
-// mu held.
+// evict drops the state of the segment that was unused the longest and whose writer
+// does not run, if maxSegmentWriters states are held. While all writers run, it
+// drops none and the number may exceed the limit. It must be called with mu held.
 func (c *committer) evict() {
 	if len(c.writers) < maxSegmentWriters {
 		return
--- a/once/segment.go
+++ b/once/segment.go
@@ -54,11 +54,11 @@
 	Detail string          `json:"detail,omitempty"`
 }
 
-func (k *storedOutcome) size() int {
-	if k == nil {
+func (o *storedOutcome) size() int {
+	if o == nil {
 		return 0
 	}
-	return len(k.Result) + maxJSONExpansion*len(k.Detail)
+	return len(o.Result) + maxJSONExpansion*len(o.Detail)
 }
 
 func (e entry) size(id string) int {
@@ -81,11 +81,11 @@
 	id    string // search and key
 	entry entry  // entry.Op identifies the claim for all three kinds
 	// bar makes a release store the claim's id as barred. It is set when the claim
-	// was sent to another VM whose answer is missing. That VM may be frozen with
-	// the claim in its queue and enter it after its caller has given up: the key
-	// would be reported as in progress forever, although its caller got the answer
-	// "not run". Changing the object's version does not stop a VM that reads before
-	// it writes; the barred id does.
+	// was sent to another VM that has not given a final answer. That VM may be
+	// frozen with the claim in its queue and enter it after its caller has given
+	// up: the key would be reported as in progress forever, although its caller got
+	// the answer "not run". Changing the object's version does not stop a VM that
+	// reads before it writes; the barred id does.
 	bar bool
 }
 
--- a/once/sender.go
+++ b/once/sender.go
@@ -34,8 +34,8 @@
 	relayWait time.Duration // limit for relaying one operation
 }
 
-func newDispatcher(o Options, commit *committer) *dispatcher {
-	return &dispatcher{committer: commit, peers: o.Peers, relayWait: o.ClaimWait / relayWaitDivisor}
+func newDispatcher(o Options, c *committer) *dispatcher {
+	return &dispatcher{committer: c, peers: o.Peers, relayWait: o.ClaimWait / relayWaitDivisor}
 }
 
 // claim applies a claim and waits for its reply. After an error, or a reply that
