--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -57,7 +57,7 @@
 const callLinger = 100 * time.Millisecond
 
 // ask makes one call to another VM.
-func (r *runner) ask(a scatter.Ask) {
+func (r *runner) ask(a scatter.CallVM) {
 	ctx, cancel := context.WithDeadline(r.attempts, a.AnswerBy.Add(callLinger))
 	defer cancel()
 	sent := func() { r.post(event{call: a.Call, sent: true}) }
@@ -77,7 +77,7 @@
 		r.post(event{call: a.Call, end: end, neverSent: errors.As(err, &neverSent)})
 	}
 	r.e.mu.Lock()
-	r.e.table.EndedAtVM(time.Now(), a.VM.Name, end)
+	r.e.table.CallEnded(time.Now(), a.VM.Name, end)
 	r.e.mu.Unlock()
 	if end != scatter.EndAnswered {
 		r.e.livenessDue.raise()
@@ -86,7 +86,7 @@
 	r.e.stats.call(end)
 }
 
-func (r *runner) callFor(a scatter.Ask) *gatherCall {
+func (r *runner) callFor(a scatter.CallVM) *gatherCall {
 	services := make([]string, len(a.Shards))
 	for i, shard := range a.Shards {
 		services[i] = r.spec.Services[shard]
@@ -99,11 +99,11 @@
 		Header:      r.req.HTTP.Header,
 		Services:    services,
 		Views:       a.Views,
-		Needed:      a.Needed,
-		Again:       a.Again,
+		Needed:      a.Required,
+		Again:       a.Redelegated,
 		Top:         r.req.Top,
 		MaxAttempts: r.spec.MaxAttempts,
-		AimUS:       r.spec.Aim.Microseconds(),
+		AimUS:       r.spec.LatencyObjective.Microseconds(),
 		InterimUS:   time.Until(a.InterimBy).Microseconds(),
 		AnswerUS:    time.Until(a.AnswerBy).Microseconds(),
 		DeadlineUS:  time.Until(r.req.Deadline).Microseconds(),
@@ -121,7 +121,7 @@
 var errBadGather = errors.New("edge: answer does not fit the call")
 
 // fromPeer numbers the shards of an answer as the query does.
-func fromPeer(a scatter.Ask, ans *gatherAnswer) (*ShardsAnswer, error) {
+func fromPeer(a scatter.CallVM, ans *gatherAnswer) (*ShardsAnswer, error) {
 	if len(ans.Included) != len(ans.Receipts) {
 		return nil, errBadGather
 	}
@@ -144,7 +144,7 @@
 	}, nil
 }
 
-func shardsOf(a scatter.Ask, indexes []int) ([]int, error) {
+func shardsOf(a scatter.CallVM, indexes []int) ([]int, error) {
 	var shards []int
 	for _, i := range indexes {
 		if i < 0 || i >= len(a.Shards) {
@@ -175,22 +175,22 @@
 		},
 	}
 	spec := scatter.Spec{
-		Services:    call.Services,
-		Gathered:    true,
-		Idempotent:  true,
-		MaxAttempts: call.MaxAttempts,
-		Aim:         time.Duration(call.AimUS) * time.Microsecond,
-		AnswerBy:    in(call.AnswerUS),
-		Deadline:    req.Deadline,
-		Request:     call.ID,
-		Delegated:   true,
-		Views:       call.Views,
-		Needed:      call.Needed,
-		Again:       call.Again,
-		Weight:      scatter.DelegateWeight,
+		Services:         call.Services,
+		Gathered:         true,
+		Idempotent:       true,
+		MaxAttempts:      call.MaxAttempts,
+		LatencyObjective: time.Duration(call.AimUS) * time.Microsecond,
+		AnswerBy:         in(call.AnswerUS),
+		Deadline:         req.Deadline,
+		RequestID:        call.ID,
+		Delegated:        true,
+		Views:            call.Views,
+		Required:         call.Needed,
+		Redelegated:      call.Again,
+		BudgetWeight:     scatter.DelegateWeight,
 	}
 	if call.Again {
-		spec.Weight = 0 // counted where it was asked for before
+		spec.BudgetWeight = 0 // counted where it was asked for before
 	}
 	r := e.newRunner(req, spec)
 	told := make(map[scatter.AttemptID]bool)
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -39,7 +39,7 @@
 	Self     string  // name of this VM
 	Zone     string  // of this VM
 	Power    float64 // of this VM, in cores
-	Budget   scatter.BudgetTerms
+	Budget   scatter.BudgetConfig
 	Seed     uint64 // of random choices
 	Log      *slog.Logger
 }
@@ -77,9 +77,9 @@
 	now := time.Now()
 	shards := m.Shards()
 	for name, svc := range m.Services {
-		e.table.SetTerms(now, name, scatter.Terms{MaxConnections: svc.MaxConnections, Shard: shards[name]})
+		e.table.SetServiceConfig(now, name, scatter.ServiceConfig{MaxConnections: svc.MaxConnections, Shard: shards[name]})
 	}
-	e.table.SetShards(now, m.Widest())
+	e.table.SetMaxShards(now, m.Widest())
 	return true
 }
 
@@ -92,7 +92,7 @@
 	for _, c := range changes {
 		e.table.Apply(now, c)
 	}
-	e.table.Rearrange(now)
+	e.table.Repartition(now)
 	e.mu.Unlock()
 	e.feed.addLeafs(changes)
 	for _, c := range changes {
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -158,17 +158,17 @@
 // serve runs a request to its end.
 func (e *Engine) serve(r *http.Request, req *Request, route *routing.Route) *Result {
 	spec := scatter.Spec{
-		Services:    route.Gather,
-		Gathered:    route.Gathered(),
-		Idempotent:  route.Kind == routing.Idempotent,
-		MaxAttempts: route.MaxAttempts,
-		MinShare:    route.MinShare,
-		Aim:         route.Aim,
-		AnswerBy:    req.AnswerBy,
-		Deadline:    req.Deadline,
-		Delegate:    route.Gathered(),
-		Request:     req.ID,
-		Weight:      1,
+		Services:         route.Gather,
+		Gathered:         route.Gathered(),
+		Idempotent:       route.Kind == routing.Idempotent,
+		MaxAttempts:      route.MaxAttempts,
+		MinShare:         route.MinShare,
+		LatencyObjective: route.Aim,
+		AnswerBy:         req.AnswerBy,
+		Deadline:         req.Deadline,
+		MayDelegate:      route.Gathered(),
+		RequestID:        req.ID,
+		BudgetWeight:     1,
 	}
 	if !spec.Gathered {
 		spec.Services = []string{e.rotation.Next(route)}
--- a/edge/log.go
+++ b/edge/log.go
@@ -39,7 +39,7 @@
 	}
 	return []any{
 		"wait_ms", out.Refusal.Wait.Milliseconds(),
-		"wait_limit_ms", out.Refusal.Longest.Milliseconds(),
+		"wait_limit_ms", out.Refusal.Limit.Milliseconds(),
 		"retry_after_ms", out.RetryAfter.Milliseconds(),
 	}
 }
@@ -113,7 +113,7 @@
 		"request", r.req.ID,
 		"service", r.spec.Services[s.Shard],
 		"leaf", s.Leaf.ID,
-		"why", s.Why.String(),
+		"why", s.Reason.String(),
 		"end", endNames[ev.end],
 		"status", status,
 		"ms", time.Since(s.SentAt).Milliseconds(),
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -89,7 +89,7 @@
 		return
 	}
 	n.engine.mu.Lock()
-	n.engine.table.FailedLivenessCheck(time.Now(), vm.Name)
+	n.engine.table.LivenessCheckFailed(time.Now(), vm.Name)
 	n.engine.mu.Unlock()
 	n.engine.silentVMs.raise()
 	n.log.Info("VM does not say that it lives", "vm", vm.Name, "zone", vm.Zone, "error", err)
@@ -108,7 +108,7 @@
 func (n *Node) probeVM(ctx context.Context, d delegates, vm scatter.VM) {
 	_, err := d.connect(ctx, vm)
 	n.engine.mu.Lock()
-	n.engine.table.ProbedVM(time.Now(), vm.Name, err == nil)
+	n.engine.table.RecordVMProbe(time.Now(), vm.Name, err == nil)
 	n.engine.mu.Unlock()
 	if err == nil {
 		n.log.Info("VM answers again", "vm", vm.Name, "zone", vm.Zone)
@@ -128,11 +128,11 @@
 func (n *Node) probeLeaf(ctx context.Context, leaf registry.Leaf) {
 	id := scatter.LeafID{ID: leaf.ID, Born: leaf.Born}
 	n.engine.mu.Lock()
-	peer := leafhttp.Peer{Key: poolKey(id), Address: leaf.Address, Transient: !n.engine.table.Keeps(id)}
+	peer := leafhttp.Peer{Key: poolKey(id), Address: leaf.Address, Transient: !n.engine.table.KeepsConnection(id)}
 	n.engine.mu.Unlock()
 	err := n.engine.pool.Warm(ctx, peer)
 	n.engine.mu.Lock()
-	cleared := n.engine.table.ProbedLeaf(time.Now(), id, err == nil)
+	cleared := n.engine.table.RecordLeafProbe(time.Now(), id, err == nil)
 	n.engine.mu.Unlock()
 	if cleared {
 		n.log.Info("leaf can be reached again", "leaf", leaf.ID, "service", leaf.Service)
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -32,20 +32,20 @@
 func TestVMThatDoesNotSayThatItLivesIsNotCalled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	table := scatter.NewTable(scatter.VM{Name: "vm-a", Zone: "a"}, scatter.BudgetTerms{}, now, rand.New(rand.NewPCG(1, 2)))
+	table := scatter.NewTable(scatter.VM{Name: "vm-a", Zone: "a"}, scatter.BudgetConfig{}, now, rand.New(rand.NewPCG(1, 2)))
 	table.SetVMs(now, []scatter.VM{{Name: "vm-b", Zone: "b"}, {Name: "vm-c", Zone: "c"}, {Name: "vm-d", Zone: "d"}})
-	table.SetTerms(now, "shard", scatter.Terms{Shard: true})
+	table.SetServiceConfig(now, "shard", scatter.ServiceConfig{Shard: true})
 	for _, zone := range []string{"b", "c", "d"} {
 		table.Apply(now, registry.Change{Leaf: registry.Leaf{ID: "leaf-" + zone, Service: "shard", Zone: zone}})
 	}
 	n := &Node{log: logging.Discard(), engine: &Engine{
 		table: table, peers: &darkVMs{dark: "vm-c"}, silentVMs: newAlarm(),
 	}}
-	table.EndedAtVM(now, "vm-b", scatter.EndSilent)
+	table.CallEnded(now, "vm-b", scatter.EndSilent)
 	made, _ := n.checkVMs(t.Context())
 	g.Expect(made).To(gomega.BeTrue())
 	var called []string
-	for _, vm := range table.Partners(now) {
+	for _, vm := range table.Delegates(now) {
 		called = append(called, vm.Name)
 	}
 	g.Expect(called).To(gomega.ConsistOf("vm-d"))
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -78,10 +78,10 @@
 	r.heldTo = time.Now().Add(d)
 }
 
-func (r *relay) reading() scatter.Reading {
+func (r *relay) reading() scatter.StoreReaders {
 	r.e.mu.Lock()
 	defer r.e.mu.Unlock()
-	return r.e.table.Reading(time.Now())
+	return r.e.table.StoreReaders(time.Now())
 }
 
 // leader returns the VM to follow, false if this one is to read the store itself.
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -41,9 +41,9 @@
 	for i := range 20 {
 		// One of many names sorts behind two others.
 		name := string(rune('a' + i))
-		e.table = scatter.NewTable(scatter.VM{Name: name, Zone: "a"}, scatter.BudgetTerms{}, time.Now(), rand.New(rand.NewPCG(1, 2)))
+		e.table = scatter.NewTable(scatter.VM{Name: name, Zone: "a"}, scatter.BudgetConfig{}, time.Now(), rand.New(rand.NewPCG(1, 2)))
 		e.table.SetVMs(time.Now(), []scatter.VM{{Name: "vm-1", Zone: "a"}, {Name: "vm-2", Zone: "a"}})
-		if !e.table.Reading(time.Now()).Self {
+		if !e.table.StoreReaders(time.Now()).Self {
 			break
 		}
 	}
--- a/edge/run.go
+++ b/edge/run.go
@@ -195,7 +195,7 @@
 		case scatter.Send:
 			r.shards[a.Attempt] = a.Shard
 			go r.send(a)
-		case scatter.Ask:
+		case scatter.CallVM:
 			go r.ask(a)
 		case scatter.Finish:
 			return a.Outcome, true
@@ -211,7 +211,7 @@
 func (r *runner) send(s scatter.Send) {
 	ctx, cancel := context.WithDeadline(r.attempts, s.Until.Add(r.linger()))
 	defer cancel()
-	peer := leafhttp.Peer{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.Keep}
+	peer := leafhttp.Peer{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
 	var word LeafWord
 	// A leaf may send the answer to an earlier request late, where the next is expected.
 	own := func(ans *leafhttp.Answer) bool {
@@ -232,14 +232,14 @@
 	r.e.mu.Lock()
 	now := time.Now()
 	if err == nil && word.HasLoad {
-		r.e.table.Report(now, s.Leaf, word.Load)
+		r.e.table.RecordLoad(now, s.Leaf, word.Load)
 	}
-	r.e.table.Ended(now, s.Leaf, s.SentAt, ev.end)
+	r.e.table.AttemptEnded(now, s.Leaf, s.SentAt, ev.end)
 	r.e.mu.Unlock()
 	if ev.end == scatter.EndSilent || ev.end == scatter.EndUnreachable {
 		r.e.silentLeafs.raise()
 	}
-	r.e.stats.attempt(s.Why, ev.end)
+	r.e.stats.attempt(s.Reason, ev.end)
 	r.noteEnd(s, ev, err)
 	r.post(ev)
 }
@@ -265,7 +265,7 @@
 		return nil, scatter.EndMoved
 	case r.spec.Gathered && rep.failed() && time.Until(s.Until) < expirySlack:
 		if word.NotRun {
-			return nil, scatter.EndUnbegun
+			return nil, scatter.EndNotStarted
 		}
 		return nil, scatter.EndExpired
 	case word.NotRun:
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -57,8 +57,8 @@
 }
 
 // terms returns the budget as the core takes it.
-func (b BudgetSettings) terms() scatter.BudgetTerms {
-	return scatter.BudgetTerms{
+func (b BudgetSettings) terms() scatter.BudgetConfig {
+	return scatter.BudgetConfig{
 		Ratio:  b.Ratio,
 		Floor:  b.Floor,
 		Window: time.Duration(b.WindowS * float64(time.Second)),
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -35,7 +35,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var peers []leafhttp.Peer
-	for _, l := range e.table.Unused() {
+	for _, l := range e.table.UnusedLeafs() {
 		key := poolKey(scatter.LeafID{ID: l.ID, Born: l.Born})
 		peers = append(peers, leafhttp.Peer{Key: key, Address: l.Address})
 	}
@@ -44,7 +44,7 @@
 
 func (e *Engine) warmPartners(ctx context.Context) {
 	e.mu.Lock()
-	partners := e.table.Partners(time.Now())
+	partners := e.table.Delegates(time.Now())
 	d := e.peers
 	e.mu.Unlock()
 	for _, vm := range partners {
--- a/policy/action.go
+++ b/policy/action.go
@@ -4,14 +4,14 @@
 
 // Spec is what a query asks for and what bounds it.
 type Spec struct {
-	Deadline    time.Time     // by which the answer must be decided
-	Need        float64       // coverage the caller needs, 0 to 1
-	Grace       time.Duration // waited for the rest once Need is reached
-	Pinned      string        // snapshot that a cursor names; empty: free choice
-	HedgeAt     float64       // quantile of latencies after which to hedge; 0: never
-	HedgeMin    time.Duration // lower bound of the hedge's delay
-	MaxAttempts int           // per shard, hedges included
-	Plain       bool          // one attempt each, to a random replica
+	Deadline       time.Time     // by which the answer must be decided
+	MinCoverage    float64       // coverage the caller needs, 0 to 1
+	Grace          time.Duration // waited for the rest once Need is reached
+	PinnedSnapshot string        // snapshot that a cursor names; empty: free choice
+	HedgeQuantile  float64       // quantile of latencies after which to hedge; 0: never
+	MinHedgeDelay  time.Duration // lower bound of the hedge's delay
+	MaxAttempts    int           // per shard, hedges included
+	Plain          bool          // one attempt each, to a random replica
 }
 
 // AttemptID numbers the attempts of one query, from 1.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -45,21 +45,21 @@
 			case "done":
 				if running > 0 {
 					running--
-					pressure := rapid.SampledFrom([]Pressure{NoPressure, Queueing, Refusing}).Draw(t, "pressure")
-					refusing = refusing || pressure == Refusing
+					pressure := rapid.SampledFrom([]Pressure{NoPressure, TargetsQueueing, TargetsRefusing}).Draw(t, "pressure")
+					refusing = refusing || pressure == TargetsRefusing
 					took := time.Duration(rapid.IntRange(1, 50).Draw(t, "took")) * time.Millisecond
 					settle(a.Done(at(ms), QueryEnd{Took: took, Pressure: pressure}))
 				}
 			case "leave":
 				for id := range waiting {
-					if !a.Leave(id) {
+					if !a.Abandon(id) {
 						t.Fatal("a waiting ticket was not found")
 					}
 					delete(waiting, id)
 					break
 				}
 			case "sweep":
-				settle(a.Sweep(at(ms)))
+				settle(a.ProcessQueue(at(ms)))
 			}
 			if running != a.running {
 				t.Fatalf("running is %d, want %d", a.running, running)
@@ -82,7 +82,7 @@
 
 // A caller waits in a queue until its time is over, though it was clear from
 // the start that its turn would come too late. It has to be refused on arrival.
-func TestHopelessQueryIsRefusedOnArrival(t *testing.T) {
+func TestQueryThatWouldMissDeadlineIsRefusedOnArrival(t *testing.T) {
 	g := NewWithT(t)
 	a := NewAdmission(0)
 	for range int(minCeiling) {
@@ -107,20 +107,20 @@
 		a.Done(at(ms), QueryEnd{Took: time.Millisecond, Pressure: p})
 	}
 	for i := range 50 {
-		end(i*200, Queueing)
+		end(i*200, TargetsQueueing)
 	}
 	g.Expect(a.limit).To(Equal(floorPerShare), "slow attempts alone would waste slots")
 	for i := range 50 {
-		end(10000+i*200, Refusing)
+		end(10000+i*200, TargetsRefusing)
 	}
 	g.Expect(a.limit).To(Equal(minLimit))
-	end(30000, Queueing)
+	end(30000, TargetsQueueing)
 	g.Expect(a.limit).To(Equal(minLimit), "a lower limit is not raised by queues")
 }
 
 // Under lasting overload every caller waits for as long as a query takes, and
 // then for the query. The wait fills no slot that the next caller would not.
-func TestWaitForAdmissionIsAPartOfAQuery(t *testing.T) {
+func TestAdmissionWaitIsShorterThanAQuery(t *testing.T) {
 	g := NewWithT(t)
 	a := NewAdmission(0)
 	a.ceiling, a.limit = 2, 2
@@ -133,6 +133,6 @@
 			a.Arrive(at(ms), at(ms+1000))
 		}
 	}
-	g.Expect(a.need()).To(BeNumerically("~", 60*time.Millisecond, 10*time.Millisecond))
-	g.Expect(a.expectedWait(len(a.queue))).To(BeNumerically("<=", a.need()*2/3))
+	g.Expect(a.expectedDuration()).To(BeNumerically("~", 60*time.Millisecond, 10*time.Millisecond))
+	g.Expect(a.expectedWait(len(a.queue))).To(BeNumerically("<=", a.expectedDuration()*2/3))
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -5,64 +5,64 @@
 // send starts an attempt on a shard, or notes why none can be started.
 func (q *Query) send(now time.Time, shard int, hedge bool) []Action {
 	s := &q.shards[shard]
-	id, ok := q.pick(now, shard, hedge)
+	id, ok := q.pickReplica(now, shard, hedge)
 	if !ok {
 		if !hedge {
-			q.wait(now, shard)
-			q.settle(shard)
+			q.waitForReplica(now, shard)
+			q.updatePhase(shard)
 		}
 		return nil
 	}
-	s.pending = time.Time{}
+	s.retryAt = time.Time{}
 	s.tried = append(s.tried, id)
 	s.sent++
-	s.flying++
-	q.next++
+	s.inFlight++
+	q.lastAttempt++
 	q.sent++
-	a := &attempt{id: q.next, shard: shard, replica: id, sentAt: now}
-	a.expires = now.Add(q.attemptTimeout(now))
+	a := &attempt{id: q.lastAttempt, shard: shard, replica: id, sentAt: now}
+	a.expiresAt = now.Add(q.attemptTimeout(now))
 	q.attempts[a.id] = a
-	q.settle(shard)
-	q.wakeFor(now, a)
-	q.table.Begin(id)
+	q.updatePhase(shard)
+	q.scheduleWake(now, a)
+	q.table.BeginAttempt(id)
 	return []Action{Send{
 		Attempt:  a.id,
 		Replica:  id,
 		Shard:    shard,
 		Snapshot: q.snapshot.Name,
 		Hedge:    hedge,
-		Timeout:  a.expires.Sub(now),
+		Timeout:  a.expiresAt.Sub(now),
 	}}
 }
 
-func (q *Query) pick(now time.Time, shard int, hedge bool) (ReplicaID, bool) {
+func (q *Query) pickReplica(now time.Time, shard int, hedge bool) (ReplicaID, bool) {
 	if q.spec.Plain {
 		return q.table.PickRandom(q.snapshot.Name, shard)
 	}
 	s := &q.shards[shard]
 	id, ok := q.table.Pick(now, q.snapshot.Name, shard, s.tried, hedge)
-	if !ok && !hedge && s.flying == 0 {
+	if !ok && !hedge && s.inFlight == 0 {
 		// Every replica was tried: one that has recovered may be tried again.
 		id, ok = q.table.Pick(now, q.snapshot.Name, shard, nil, false)
 	}
 	return id, ok
 }
 
-// wait lets a shard whose replicas are all busy or resting be looked at again,
+// waitForReplica lets a shard whose replicas are all busy or resting be looked at again,
 // if one of them takes attempts before the deadline.
-func (q *Query) wait(now time.Time, shard int) {
+func (q *Query) waitForReplica(now time.Time, shard int) {
 	s := &q.shards[shard]
 	if s.reason == "" {
 		s.reason = ReasonNoReplica
 	}
 	at, ok := q.table.ReadyAgain(now, q.snapshot.Name, shard, nil)
 	if q.spec.Plain || !ok || !at.Before(q.spec.Deadline) {
-		s.pending = time.Time{}
+		s.retryAt = time.Time{}
 		return
 	}
 	s.reason = ReasonBusy
-	s.pending = at
-	q.wake = earlier(q.wake, at)
+	s.retryAt = at
+	q.wakeAt = earlier(q.wakeAt, at)
 }
 
 // The timeout of one attempt, so that a connection that went silent costs a
@@ -83,7 +83,7 @@
 		return left
 	}
 	limit := max(slow*attemptTimeoutFactor, attemptTimeoutMin)
-	if q.table.Pace.AtEase() {
+	if q.table.Median.NearBaseline() {
 		// One that takes half of the time left while targets are at ease is lost
 		// rather than slow. Without this bound its timeout can pass the deadline,
 		// and nobody tries again: a few lost attempts raise the quantile. In a
@@ -99,8 +99,8 @@
 		return nil
 	}
 	s.reason = reason
-	q.settle(a.shard)
-	if s.flying > 0 {
+	q.updatePhase(a.shard)
+	if s.inFlight > 0 {
 		return nil // the other attempt may still answer
 	}
 	return q.retry(now, a.shard)
@@ -113,39 +113,39 @@
 func (q *Query) retry(now time.Time, shard int) []Action {
 	s := &q.shards[shard]
 	if q.exhausted(s) {
-		s.pending = time.Time{}
-		q.settle(shard)
+		s.retryAt = time.Time{}
+		q.updatePhase(shard)
 		return nil
 	}
-	if _, ok := q.pick(now, shard, false); !ok {
-		q.wait(now, shard)
-		q.settle(shard)
+	if _, ok := q.pickReplica(now, shard, false); !ok {
+		q.waitForReplica(now, shard)
+		q.updatePhase(shard)
 		return nil
 	}
 	if !q.table.Retries.Take() {
-		if s.waits++; s.waits > maxBudgetWaits {
-			s.pending = time.Time{}
-			q.settle(shard)
+		if s.budgetWaits++; s.budgetWaits > maxBudgetWaits {
+			s.retryAt = time.Time{}
+			q.updatePhase(shard)
 			return nil
 		}
-		s.pending = now.Add(budgetPause)
-		q.wake = earlier(q.wake, s.pending)
-		q.settle(shard)
+		s.retryAt = now.Add(budgetRetryDelay)
+		q.wakeAt = earlier(q.wakeAt, s.retryAt)
+		q.updatePhase(shard)
 		return nil
 	}
 	q.retries++
 	return q.send(now, shard, false)
 }
 
-// budgetPause is how soon a retry that found the budget empty is tried again.
-const budgetPause = 10 * time.Millisecond
+// budgetRetryDelay is how soon a retry that found the budget empty is tried again.
+const budgetRetryDelay = 10 * time.Millisecond
 
 // maxBudgetWaits is how often a shard may find the budget empty.
 const maxBudgetWaits = 2
 
-// refusedFactor is how many times MaxAttempts may be sent where targets refuse
+// maxRefusedFactor is how many times MaxAttempts may be sent where targets refuse
 // to start them.
-const refusedFactor = 3
+const maxRefusedFactor = 3
 
 // exhausted reports whether a shard may get no further attempt. Attempts that a
 // target refused to start count less: they cost it next to nothing.
@@ -153,11 +153,11 @@
 	if q.spec.Plain {
 		return s.sent > 0
 	}
-	return s.sent-s.refused >= q.spec.MaxAttempts || s.sent >= q.spec.MaxAttempts*refusedFactor
+	return s.sent-s.refused >= q.spec.MaxAttempts || s.sent >= q.spec.MaxAttempts*maxRefusedFactor
 }
 
-// end removes an attempt from the flying ones; nil if it is not among them.
-func (q *Query) end(now time.Time, id AttemptID, e AttemptEnd) *attempt {
+// endAttempt removes an attempt from the flying ones; nil if it is not among them.
+func (q *Query) endAttempt(now time.Time, id AttemptID, e AttemptEnd) *attempt {
 	a := q.attempts[id]
 	if a == nil {
 		return nil
@@ -168,15 +168,15 @@
 		q.shards[a.shard].refused++
 	}
 	e.Took = now.Sub(a.sentAt)
-	q.table.End(a.replica, e, now)
-	q.shards[a.shard].flying--
-	q.settle(a.shard)
+	q.table.EndAttempt(a.replica, e, now)
+	q.shards[a.shard].inFlight--
+	q.updatePhase(a.shard)
 	return a
 }
 
 // cancelShard gives up the attempts still in flight on a shard.
 func (q *Query) cancelShard(now time.Time, shard int) []Action {
-	if q.shards[shard].flying == 0 {
+	if q.shards[shard].inFlight == 0 {
 		return nil
 	}
 	return q.cancelWhere(now, func(a *attempt) bool { return a.shard == shard })
@@ -186,7 +186,7 @@
 	var acts []Action
 	for _, id := range sortedKeys(q.attempts) {
 		if match(q.attempts[id]) {
-			q.end(now, id, AttemptEnd{Cancelled: true})
+			q.endAttempt(now, id, AttemptEnd{Cancelled: true})
 			acts = append(acts, Cancel{Attempt: id})
 		}
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -15,10 +15,10 @@
 			b.ResetTimer()
 			for i := range b.N {
 				now := at(i)
-				q := NewQuery(Spec{Deadline: now.Add(time.Second), Need: 1, HedgeAt: 0.95, MaxAttempts: 3}, f.table)
+				q := NewQuery(Spec{Deadline: now.Add(time.Second), MinCoverage: 1, HedgeQuantile: 0.95, MaxAttempts: 3}, f.table)
 				for _, s := range sends(q.Start(now)) {
-					q.Answered(now.Add(time.Millisecond), s.Attempt, answer(s))
-					q.Wake()
+					q.HandleAnswer(now.Add(time.Millisecond), s.Attempt, answer(s))
+					q.NextTick()
 				}
 			}
 		})
--- a/policy/budget.go
+++ b/policy/budget.go
@@ -15,13 +15,13 @@
 // NewBudget returns a full budget of the given share of first attempts.
 func NewBudget(share float64) *Budget {
 	b := &Budget{share: share}
-	b.tokens = b.ceiling()
+	b.tokens = b.capacity()
 	return b
 }
 
-// First counts n first attempts.
-func (b *Budget) First(n int) {
-	b.tokens = min(b.tokens+b.share*float64(n), b.ceiling())
+// RecordFirst counts n first attempts.
+func (b *Budget) RecordFirst(n int) {
+	b.tokens = min(b.tokens+b.share*float64(n), b.capacity())
 }
 
 // Take spends the budget for one extra attempt and reports whether it could.
@@ -33,7 +33,7 @@
 	return true
 }
 
-func (b *Budget) ceiling() float64 {
+func (b *Budget) capacity() float64 {
 	if b.share <= 0 {
 		return 0
 	}
@@ -46,5 +46,5 @@
 		return
 	}
 	b.share = share
-	b.tokens = b.ceiling()
+	b.tokens = b.capacity()
 }
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -32,7 +32,7 @@
 	if best == nil {
 		return Snapshot{}, false
 	}
-	return best.snapshot.public(), true
+	return best.snapshot.snapshot(), true
 }
 
 // FindSnapshot returns a snapshot by name, for a query that is pinned to it, if
@@ -42,22 +42,22 @@
 	if s == nil || t.candidate(s).readable == 0 {
 		return Snapshot{}, false
 	}
-	return s.public(), true
+	return s.snapshot(), true
 }
 
-func (s *snapshotState) public() Snapshot {
+func (s *snapshotState) snapshot() Snapshot {
 	return Snapshot{Name: s.name, Seq: s.seq, Shards: s.shards}
 }
 
 // candidate is a snapshot with what makes it a good or a bad choice.
 type candidate struct {
-	snapshot *snapshotState
-	readable int // shards with a usable replica
-	spread   int // usable replicas of the shard that has fewest
+	snapshot    *snapshotState
+	readable    int // shards with a usable replica
+	minReplicas int // usable replicas of the shard that has fewest
 }
 
 func (t *Table) candidate(s *snapshotState) *candidate {
-	c := &candidate{snapshot: s, spread: -1}
+	c := &candidate{snapshot: s, minReplicas: -1}
 	for shard := range s.shards {
 		n := 0
 		for _, r := range s.holders[shard] {
@@ -68,16 +68,16 @@
 		if n > 0 {
 			c.readable++
 		}
-		if c.spread < 0 || n < c.spread {
-			c.spread = n
+		if c.minReplicas < 0 || n < c.minReplicas {
+			c.minReplicas = n
 		}
 	}
 	return c
 }
 
-// thinFactor is how many times fewer replicas a newer complete snapshot may
+// maxReplicaRatio is how many times fewer replicas a newer complete snapshot may
 // have than an older complete one and still be preferred.
-const thinFactor = 2
+const maxReplicaRatio = 2
 
 func (c *candidate) betterThan(o *candidate) bool {
 	whole, otherWhole := c.complete(), o.complete()
@@ -93,9 +93,9 @@
 		return c.snapshot.seq > o.snapshot.seq
 	}
 	if c.snapshot.seq > o.snapshot.seq {
-		return c.spread*thinFactor >= o.spread
+		return c.minReplicas*maxReplicaRatio >= o.minReplicas
 	}
-	return c.spread > o.spread*thinFactor
+	return c.minReplicas > o.minReplicas*maxReplicaRatio
 }
 
 func (c *candidate) complete() bool { return c.readable == c.snapshot.shards }
@@ -113,12 +113,12 @@
 
 // Costs of a replica, used to compare two of them.
 const (
-	defaultLatency = 5 * time.Millisecond // of a replica not yet tried
-	otherZoneCost  = time.Millisecond     // added outside the VM's zone
-	reportLife     = 2 * time.Second      // after which reported load counts nothing
-	reportTrust    = 0.5                  // of a fresh report, since it lags and may mislead
-	reportCap      = 2                    // calls of others per slot, at most, in a comparison
-	queuePerSlot   = 2                    // own calls in flight per slot, at most
+	defaultLatency  = 5 * time.Millisecond // of a replica not yet tried
+	otherZoneCost   = time.Millisecond     // added outside the VM's zone
+	maxReportAge    = 2 * time.Second      // after which reported load counts nothing
+	reportWeight    = 0.5                  // of a fresh report, since it lags and may mislead
+	reportedLoadCap = 2                    // calls of others per slot, at most, in a comparison
+	maxCallsPerSlot = 2                    // own calls in flight per slot, at most
 )
 
 // Pick chooses the replica for an attempt on a shard: of two random usable
@@ -131,13 +131,13 @@
 	if s == nil {
 		return ReplicaID{}, false
 	}
-	usable := t.gather(s.holders[shard], tried, func(r *replica) bool {
-		return !r.resting(now) && t.hasRoom(r, now, idle)
+	usable := t.usableReplicas(s.holders[shard], tried, func(r *replica) bool {
+		return !r.inCooldown(now) && t.hasCapacity(r, now, idle)
 	})
 	if len(usable) == 0 && !idle {
 		// All rest after failures. To try one is better than to wait.
-		usable = t.gather(s.holders[shard], tried, func(r *replica) bool {
-			return !r.refusing(now) && t.hasRoom(r, now, idle)
+		usable = t.usableReplicas(s.holders[shard], tried, func(r *replica) bool {
+			return !r.refusing(now) && t.hasCapacity(r, now, idle)
 		})
 	}
 	if len(usable) == 0 {
@@ -170,9 +170,9 @@
 	return usable[t.rng.IntN(len(usable))].id, true
 }
 
-// gather returns the usable replicas that match and were not tried. The list is
+// usableReplicas returns the usable replicas that match and were not tried. The list is
 // good until the next call.
-func (t *Table) gather(holders []*replica, tried []ReplicaID, match func(*replica) bool) []*replica {
+func (t *Table) usableReplicas(holders []*replica, tried []ReplicaID, match func(*replica) bool) []*replica {
 	t.scratch = t.scratch[:0]
 	for _, r := range holders {
 		if r.target.usable() && match(r) && !slices.Contains(tried, r.id) {
@@ -182,13 +182,13 @@
 	return t.scratch
 }
 
-// hasRoom reports whether r takes one more call of this VM: into its queue, or
+// hasCapacity reports whether r takes one more call of this VM: into its queue, or
 // if idle is set into a free slot.
-func (t *Table) hasRoom(r *replica, now time.Time, idle bool) bool {
+func (t *Table) hasCapacity(r *replica, now time.Time, idle bool) bool {
 	if !idle {
-		return r.outstanding < r.slots*queuePerSlot
+		return r.outstanding < r.slots*maxCallsPerSlot
 	}
-	return t.othersLoad(r, now)+float64(r.outstanding) < float64(r.slots)
+	return t.otherVMsLoad(r, now)+float64(r.outstanding) < float64(r.slots)
 }
 
 // cost is the expected time of one more call on r. What is reported counts up to
@@ -199,7 +199,7 @@
 	if base == 0 {
 		base = defaultLatency
 	}
-	others := min(t.othersLoad(r, now), float64(r.slots)*reportCap*reportTrust)
+	others := min(t.otherVMsLoad(r, now), float64(r.slots)*reportedLoadCap*reportWeight)
 	ahead := float64(r.outstanding) + others
 	cost := time.Duration(float64(base) * (1 + ahead/float64(r.slots)))
 	if !r.sameZone {
@@ -208,22 +208,22 @@
 	return cost + t.warmupCost(r, now)
 }
 
-// othersLoad estimates the calls of other VMs on r from the reported load. The
+// otherVMsLoad estimates the calls of other VMs on r from the reported load. The
 // report counts less the older it is.
-func (t *Table) othersLoad(r *replica, now time.Time) float64 {
+func (t *Table) otherVMsLoad(r *replica, now time.Time) float64 {
 	age := now.Sub(r.reportedAt)
-	if age >= reportLife {
+	if age >= maxReportAge {
 		return 0
 	}
-	others := max(r.reported-float64(r.ownAtLoad), 0)
-	fresh := 1 - float64(age)/float64(reportLife)
-	return others * fresh * reportTrust
+	others := max(r.reportedLoad-float64(r.outstandingAtReport), 0)
+	fresh := 1 - float64(age)/float64(maxReportAge)
+	return others * fresh * reportWeight
 }
 
 // warmupCost makes a target that has just begun to serve look slow at first, so
 // that its share of attempts rises over the warm-up.
 func (t *Table) warmupCost(r *replica, now time.Time) time.Duration {
-	served := now.Sub(r.target.servingFrom)
+	served := now.Sub(r.target.servingSince)
 	if t.warmup <= 0 || served >= t.warmup {
 		return 0
 	}
@@ -244,7 +244,7 @@
 		if !r.target.usable() || slices.Contains(tried, r.id) {
 			continue
 		}
-		at := later(later(r.rest.end(), r.target.rest.end()), now.Add(pendingPause))
+		at := later(later(r.cooldown.end(), r.target.cooldown.end()), now.Add(minRecheckInterval))
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
@@ -252,9 +252,9 @@
 	return first, !first.IsZero()
 }
 
-// pendingPause is the least time between two looks for a replica of a shard all
+// minRecheckInterval is the least time between two looks for a replica of a shard all
 // of whose replicas are busy or resting.
-const pendingPause = 2 * time.Millisecond
+const minRecheckInterval = 2 * time.Millisecond
 
 // sortedKeys returns a map's keys in order, so that choices repeat under a seed.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
--- a/policy/conclude.go
+++ b/policy/conclude.go
@@ -7,47 +7,47 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// conclude appends a Finish, or the start of another pass, where that is due.
-func (q *Query) conclude(now time.Time, acts []Action) []Action {
+// finishOrRestart appends a Finish, or the start of another pass, where that is due.
+func (q *Query) finishOrRestart(now time.Time, acts []Action) []Action {
 	open := q.phases[phaseOpen]
-	lost := q.phases[phaseLost] + q.phases[phaseMoved]
+	lost := q.phases[phaseLost] + q.phases[phaseNoHolder]
 	switch {
 	case open == 0 && lost == 0:
-		return append(acts, q.finish(now, EndAnswered)...)
-	case q.phases[phaseMoved] > 0 && q.mayRestart(now):
+		return append(acts, q.finish(now, EndComplete)...)
+	case q.phases[phaseNoHolder] > 0 && q.mayRestart(now):
 		return append(acts, q.restart(now)...)
 	case open == 0:
-		return append(acts, q.finish(now, EndGivenUp)...)
-	case q.best(lost) < q.spec.Need:
-		return append(acts, q.finish(now, EndGivenUp)...)
+		return append(acts, q.finish(now, EndInsufficient)...)
+	case q.reachableCoverage(lost) < q.spec.MinCoverage:
+		return append(acts, q.finish(now, EndInsufficient)...)
 	}
-	if q.enough(now) {
-		return append(acts, q.finish(now, EndEnough)...)
+	if q.sufficient(now) {
+		return append(acts, q.finish(now, EndSufficient)...)
 	}
 	return acts
 }
 
-// best is the coverage that can still be reached with lost shards missing.
-func (q *Query) best(lost int) float64 {
+// reachableCoverage is the coverage that can still be reached with lost shards missing.
+func (q *Query) reachableCoverage(lost int) float64 {
 	return float64(len(q.shards)-lost) / float64(len(q.shards))
 }
 
-// enough reports whether the needed coverage, short of all shards, is reached
+// sufficient reports whether the needed coverage, short of all shards, is reached
 // and the grace has passed.
-func (q *Query) enough(now time.Time) bool {
-	if ratio(q.full, q.partial, len(q.shards)) < q.spec.Need {
+func (q *Query) sufficient(now time.Time) bool {
+	if ratio(q.fullShards, q.partialShare, len(q.shards)) < q.spec.MinCoverage {
 		return false
 	}
-	if q.enoughAt.IsZero() {
-		q.enoughAt = now
+	if q.sufficientAt.IsZero() {
+		q.sufficientAt = now
 	}
-	return !now.Before(q.enoughAt.Add(q.spec.Grace))
+	return !now.Before(q.sufficientAt.Add(q.spec.Grace))
 }
 
 // mayRestart reports whether the query may begin again, and has the time for
 // the slower half of a pass.
 func (q *Query) mayRestart(now time.Time) bool {
-	if q.spec.Pinned != "" || q.spec.Plain || q.restarts >= maxRestarts {
+	if q.spec.PinnedSnapshot != "" || q.spec.Plain || q.restarts >= maxRestarts {
 		return false
 	}
 	median, _ := q.table.Latency.Quantile(now, 0.5)
@@ -60,40 +60,40 @@
 func (q *Query) restart(now time.Time) []Action {
 	snap, ok := q.table.ChooseSnapshot(now)
 	if !ok || snap.Name == q.snapshot.Name {
-		return q.stay(now)
+		return q.continuePass(now)
 	}
 	q.restarts++
 	acts := q.cancelWhere(now, func(*attempt) bool { return true })
-	return append(acts, q.begin(now, snap)...)
+	return append(acts, q.startPass(now, snap)...)
 }
 
-// stay goes on with the present snapshot without the shards that are lost.
-func (q *Query) stay(now time.Time) []Action {
-	lost := q.phases[phaseLost] + q.phases[phaseMoved]
-	if q.phases[phaseOpen] == 0 || q.best(lost) < q.spec.Need {
-		return q.finish(now, EndGivenUp)
+// continuePass goes on with the present snapshot without the shards that are lost.
+func (q *Query) continuePass(now time.Time) []Action {
+	lost := q.phases[phaseLost] + q.phases[phaseNoHolder]
+	if q.phases[phaseOpen] == 0 || q.reachableCoverage(lost) < q.spec.MinCoverage {
+		return q.finish(now, EndInsufficient)
 	}
-	if q.enough(now) {
-		return q.finish(now, EndEnough)
+	if q.sufficient(now) {
+		return q.finish(now, EndSufficient)
 	}
 	return nil
 }
 
-func (q *Query) finish(now time.Time, how End) []Action {
+func (q *Query) finish(now time.Time, how EndReason) []Action {
 	acts := q.cancelWhere(now, func(*attempt) bool { return true })
 	q.done = true
 	return append(acts, Finish{Outcome: Outcome{
-		End:      how,
-		Snapshot: q.snapshot,
-		Coverage: CoverageOf(q),
-		Answers:  q.answers(),
-		Sent:     q.sent,
-		Refused:  q.refused,
-		Shed:     q.shed,
-		Hedges:   q.hedges,
-		Retries:  q.retries,
-		Restarts: q.restarts,
-		Last:     q.last,
+		End:        how,
+		Snapshot:   q.snapshot,
+		Coverage:   CoverageOf(q),
+		Answers:    q.collectAnswers(),
+		Sent:       q.sent,
+		Refused:    q.refused,
+		Shed:       q.shed,
+		Hedges:     q.hedges,
+		Retries:    q.retries,
+		Restarts:   q.restarts,
+		LastAnswer: q.lastAnswer,
 	}})
 }
 
@@ -105,7 +105,7 @@
 	return q.finish(now, EndAbandoned)
 }
 
-func (q *Query) answers() []*target.LeafAnswer {
+func (q *Query) collectAnswers() []*target.LeafAnswer {
 	var list []*target.LeafAnswer
 	for i := range q.shards {
 		if a := q.shards[i].answer; a != nil {
--- a/policy/coverage.go
+++ b/policy/coverage.go
@@ -22,22 +22,22 @@
 	ReasonUnanswered   Reason = "unanswered"    // still running when the query ended
 )
 
-// End is how a query came to its decision.
-type End int
+// EndReason is how a query came to its decision.
+type EndReason int
 
 // The ends of a query.
 const (
-	EndAnswered   End = iota // every shard answered
-	EndEnough                // the needed coverage was reached and the grace passed
-	EndGivenUp               // no attempt is left that could reach the needed coverage
-	EndDeadline              // the time was over
-	EndNoSnapshot            // nothing could be read at all
-	EndAbandoned             // the caller went away
+	EndComplete     EndReason = iota // every shard answered
+	EndSufficient                    // the needed coverage was reached and the grace passed
+	EndInsufficient                  // no attempt is left that could reach the needed coverage
+	EndDeadline                      // the time was over
+	EndNoSnapshot                    // nothing could be read at all
+	EndAbandoned                     // the caller went away
 )
 
 // Outcome is what a query came to.
 type Outcome struct {
-	End      End
+	End      EndReason
 	Snapshot Snapshot
 	Coverage Coverage
 	Answers  []*target.LeafAnswer // at most one of each shard, in order of shards
@@ -49,14 +49,14 @@
 	Retries  int
 	Restarts int // passes begun again on another snapshot
 
-	Last LastAnswer
+	LastAnswer LastAnswer
 }
 
 // LastAnswer tells of the attempt whose answer came last. It is the one that a
 // query answered in whole waited for.
 type LastAnswer struct {
-	Held time.Duration // from the start of the query until the attempt was sent
-	Took time.Duration // from there to its answer
+	SentAfter time.Duration // from the start of the query until the attempt was sent
+	Took      time.Duration // from there to its answer
 }
 
 // NotRun reports whether it is certain that no target started any part.
@@ -118,8 +118,8 @@
 	return 0, float64(a.Records-a.Missing) / float64(a.Records)
 }
 
-// Whole reports whether no record is missing.
-func (c Coverage) Whole() bool { return c.Shards > 0 && c.Answered == c.Shards }
+// Complete reports whether no record is missing.
+func (c Coverage) Complete() bool { return c.Shards > 0 && c.Answered == c.Shards }
 
 // CoverageOf counts what a query's answers cover so far.
 func CoverageOf(q *Query) Coverage {
@@ -128,7 +128,7 @@
 		s := &q.shards[shard]
 		switch {
 		case s.answer == nil:
-			c.addLost(q, shard)
+			c.addUnanswered(q, shard)
 		case s.answer.Complete:
 			c.Answered++
 			c.Records += s.answer.Records
@@ -139,9 +139,9 @@
 	return c
 }
 
-func (c *Coverage) addLost(q *Query, shard int) {
+func (c *Coverage) addUnanswered(q *Query, shard int) {
 	reason := q.shards[shard].reason
-	if reason == "" || q.shards[shard].flying > 0 {
+	if reason == "" || q.shards[shard].inFlight > 0 {
 		reason = ReasonUnanswered
 	}
 	n, known := q.table.Records(q.snapshot.Name, shard)
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// hedge sends second attempts beside slow first ones. It does so only once half
+// sendHedges sends second attempts beside slow first ones. It does so only once half
 // of the shards have answered, or but one: when all are slow, the targets are
 // overloaded and second attempts would make that worse.
-func (q *Query) hedge(now time.Time) []Action {
+func (q *Query) sendHedges(now time.Time) []Action {
 	due, ok := q.hedgeDelay(now)
 	if !ok || q.unanswered() > max(len(q.shards)/2, 1) {
 		return nil
@@ -35,12 +35,12 @@
 }
 
 func (q *Query) hedgeDelay(now time.Time) (time.Duration, bool) {
-	if q.spec.Plain || q.spec.HedgeAt <= 0 {
+	if q.spec.Plain || q.spec.HedgeQuantile <= 0 {
 		return 0, false
 	}
-	d, ok := q.table.Latency.Quantile(now, q.spec.HedgeAt)
+	d, ok := q.table.Latency.Quantile(now, q.spec.HedgeQuantile)
 	if !ok {
 		return 0, false
 	}
-	return max(d, q.spec.HedgeMin), true
+	return max(d, q.spec.MinHedgeDelay), true
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Begin counts an attempt handed to a replica.
-func (t *Table) Begin(id ReplicaID) {
+// BeginAttempt counts an attempt handed to a replica.
+func (t *Table) BeginAttempt(id ReplicaID) {
 	if r := t.replica(id); r != nil {
 		r.outstanding++
 	}
 }
 
-// Lacks takes a leaf's word that it does not hold a shard of a snapshot, which
+// RemoveHolding takes a leaf's word that it does not hold a shard of a snapshot, which
 // comes earlier than its next status.
-func (t *Table) Lacks(id ReplicaID, snapshot string, shard int) {
+func (t *Table) RemoveHolding(id ReplicaID, snapshot string, shard int) {
 	r := t.replica(id)
 	key := holdingKey{snapshot, shard}
 	if r == nil {
@@ -19,20 +19,20 @@
 	}
 	if _, ok := r.holdings[key]; ok {
 		delete(r.holdings, key)
-		t.unlist(r, key)
+		t.removeHolder(r, key)
 	}
 }
 
 // latencyWeight is the weight of a new sample in a replica's smoothed latency.
 const latencyWeight = 0.2
 
-// End counts the end of an attempt on a replica.
-func (t *Table) End(id ReplicaID, end AttemptEnd, now time.Time) {
+// EndAttempt counts the end of an attempt on a replica.
+func (t *Table) EndAttempt(id ReplicaID, end AttemptEnd, now time.Time) {
 	if end.Answered {
 		t.Latency.Add(now, end.Took)
-		t.Pace.Add(end.Took)
+		t.Median.Add(end.Took)
 	}
-	t.noteShed(end)
+	t.recordShed(end)
 	r := t.replica(id)
 	if r == nil {
 		return
@@ -40,23 +40,23 @@
 	r.outstanding = max(r.outstanding-1, 0)
 	switch {
 	case end.Answered:
-		r.answered()
-		r.smooth(end.Took)
+		r.recordAnswer()
+		r.recordLatency(end.Took)
 	case end.Cancelled:
 		// A loser of a hedge was at least this slow.
-		r.smooth(max(end.Took, r.latency))
+		r.recordLatency(max(end.Took, r.latency))
 		if t.stalled(end.Took, now) {
-			r.fail(now.Add(-end.Took), now)
+			r.recordFailure(now.Add(-end.Took), now)
 		}
-	case end.Gone:
-		r.answered()
+	case end.SnapshotGone:
+		r.recordAnswer()
 	case end.NoConnection:
-		r.target.rest.refuse(now, end.RetryAfter)
-		r.target.rest.fail(now.Add(-end.Took), now)
+		r.target.cooldown.recordRefusal(now, end.RetryAfter)
+		r.target.cooldown.recordFailure(now.Add(-end.Took), now)
 	case end.Refused:
-		r.rest.refuse(now, end.RetryAfter)
+		r.cooldown.recordRefusal(now, end.RetryAfter)
 	default:
-		r.fail(now.Add(-end.Took), now)
+		r.recordFailure(now.Add(-end.Took), now)
 	}
 }
 
@@ -74,7 +74,7 @@
 	return ok && took >= slow
 }
 
-func (r *replica) smooth(d time.Duration) {
+func (r *replica) recordLatency(d time.Duration) {
 	if r.latency == 0 {
 		r.latency = d
 		return
@@ -82,24 +82,24 @@
 	r.latency += time.Duration(latencyWeight * float64(d-r.latency))
 }
 
-// fail counts a failure of a leaf and of its target.
-func (r *replica) fail(sentAt, now time.Time) {
-	r.rest.fail(sentAt, now)
-	r.target.rest.fail(sentAt, now)
+// recordFailure counts a failure of a leaf and of its target.
+func (r *replica) recordFailure(sentAt, now time.Time) {
+	r.cooldown.recordFailure(sentAt, now)
+	r.target.cooldown.recordFailure(sentAt, now)
 }
 
-// answered takes that a leaf, and so its target, is alive.
-func (r *replica) answered() {
-	r.rest.answered()
-	r.target.rest.answered()
+// recordAnswer takes that a leaf, and so its target, is alive.
+func (r *replica) recordAnswer() {
+	r.cooldown.recordAnswer()
+	r.target.cooldown.recordAnswer()
 }
 
-func (r *replica) resting(now time.Time) bool {
-	return r.rest.resting(now) || r.target.rest.resting(now)
+func (r *replica) inCooldown(now time.Time) bool {
+	return r.cooldown.active(now) || r.target.cooldown.active(now)
 }
 
 func (r *replica) refusing(now time.Time) bool {
-	return r.rest.refusing(now) || r.target.rest.refusing(now)
+	return r.cooldown.refusing(now) || r.target.cooldown.refusing(now)
 }
 
 func (t *Table) replica(id ReplicaID) *replica {
@@ -112,10 +112,10 @@
 
 // AttemptEnd is how an attempt ended. With none of the flags set, it failed.
 type AttemptEnd struct {
-	Answered  bool
-	Cancelled bool // by this VM, while still running
-	Refused   bool // by the target, which did not start it
-	Gone      bool // refused only because the leaf lacks the snapshot
+	Answered     bool
+	Cancelled    bool // by this VM, while still running
+	Refused      bool // by the target, which did not start it
+	SnapshotGone bool // refused only because the leaf lacks the snapshot
 	// NoConnection: this VM had none to the target. The target rests longer each
 	// time, since its other leaves cannot be reached either and each try spends
 	// the budget of retries.
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -7,9 +7,9 @@
 
 // The grades of pressure.
 const (
-	NoPressure Pressure = iota
-	Queueing            // attempts wait in targets' queues
-	Refusing            // targets turn attempts away: some of what was sent is wasted
+	NoPressure      Pressure = iota
+	TargetsQueueing          // attempts wait in targets' queues
+	TargetsRefusing          // targets turn attempts away: some of what was sent is wasted
 )
 
 // Signs of pressure. A single refusal is none: one leaf's queue is full now and
@@ -19,35 +19,35 @@
 // not loaded, and the others have slots to spare. Nor is a slow
 // query: one straggler or silent connection makes it, while slots are free.
 const (
-	shedShare = 0.1  // of the latest attempts
-	shedStep  = 0.02 // weight of one attempt in that share
-	slowShare = 0.25 // of the time limit, taken by the median attempt, also if that is its pace at ease
+	maxShedShare     = 0.1  // of the latest attempts
+	shedWeight       = 0.02 // weight of one attempt in that share
+	slowAttemptShare = 0.25 // of the time limit, taken by the median attempt, also if that is its pace at ease
 )
 
 // Pressure returns what the end of a query with that time limit shows.
 func (t *Table) Pressure(out *Outcome, limit time.Duration) Pressure {
-	if t.shed > shedShare {
-		return Refusing
+	if t.shedShare > maxShedShare {
+		return TargetsRefusing
 	}
 	for _, gap := range out.Coverage.Gaps {
 		if gap.Reason == ReasonShed || (gap.Reason == ReasonBusy && out.Shed > 0) {
-			return Refusing
+			return TargetsRefusing
 		}
 	}
-	if t.Pace.Slow() || t.Pace.Recent().Seconds() > slowShare*limit.Seconds() {
-		return Queueing
+	if t.Median.Slow() || t.Median.Recent().Seconds() > slowAttemptShare*limit.Seconds() {
+		return TargetsQueueing
 	}
 	return NoPressure
 }
 
-// noteShed follows the share of attempts that are turned away for want of slots.
+// recordShed follows the share of attempts that are turned away for want of slots.
 // Those that were cancelled say nothing of it.
-func (t *Table) noteShed(end AttemptEnd) {
+func (t *Table) recordShed(end AttemptEnd) {
 	switch {
 	case end.Cancelled:
 	case end.Shed:
-		t.shed += shedStep * (1 - t.shed)
+		t.shedShare += shedWeight * (1 - t.shedShare)
 	default:
-		t.shed -= shedStep * t.shed
+		t.shedShare -= shedWeight * t.shedShare
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -7,16 +7,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// retried runs a query of two shards, of which one attempt fails as given and its
+// runWithRetry runs a query of two shards, of which one attempt fails as given and its
 // retry answers.
-func (f *fleet) retried(g *WithT, ms int, failure Failure) *Outcome {
+func (f *testFleet) runWithRetry(g *WithT, ms int, failure Failure) *Outcome {
 	q := NewQuery(spec(), f.table)
 	first := sends(q.Start(at(ms)))
-	again := sends(q.Failed(at(ms+1), first[0].Attempt, failure))
+	again := sends(q.HandleFailure(at(ms+1), first[0].Attempt, failure))
 	g.Expect(again).To(HaveLen(1))
-	q.Answered(at(ms+2), first[1].Attempt, answer(first[1]))
-	out := outcome(q.Answered(at(ms+3), again[0].Attempt, answer(again[0])))
-	g.Expect(out.End).To(Equal(EndAnswered))
+	q.HandleAnswer(at(ms+2), first[1].Attempt, answer(first[1]))
+	out := outcome(q.HandleAnswer(at(ms+3), again[0].Attempt, answer(again[0])))
+	g.Expect(out.End).To(Equal(EndComplete))
 	return out
 }
 
@@ -24,22 +24,22 @@
 // its targets, and are answered by replicas elsewhere that have slots to spare.
 // The attempts counted as refused for want of slots, the limit of admission fell
 // to one query at a time, and callers were refused for long after.
-func TestUnreachableTargetsAreNoSignOfLoad(t *testing.T) {
+func TestUnreachableTargetsDoNotCountAsOverload(t *testing.T) {
 	g := NewWithT(t)
 	for failure, want := range map[Failure]Pressure{
 		{Reason: ReasonUnreachable, NoConnection: true}: NoPressure,
 		{Reason: ReasonBusy, NoConnection: true}:        NoPressure, // all connections are silent
 		{Reason: ReasonNoReplica}:                       NoPressure,
 		{Reason: ReasonTimeout}:                         NoPressure,
-		{Reason: ReasonShed}:                            Refusing,
-		{Reason: ReasonBusy}:                            Refusing,
+		{Reason: ReasonShed}:                            TargetsRefusing,
+		{Reason: ReasonBusy}:                            TargetsRefusing,
 	} {
 		failure.Refused = true
 		f := newFleet(2, 4, 1)
 		f.table.Retries.SetShare(1)
 		var out *Outcome
 		for i := range 30 { // each a second after the one before, when all rests are over
-			out = f.retried(g, i*1000, failure)
+			out = f.runWithRetry(g, i*1000, failure)
 		}
 		g.Expect(f.table.Pressure(out, time.Second)).To(Equal(want), "%+v", failure)
 	}
@@ -49,41 +49,41 @@
 // away now and then, and the retry is answered at once. Of a search over four
 // shards that is a fifth of the attempts. It counted as overload, and callers of
 // idle targets were refused.
-func TestSingleRefusalIsNoSignOfLoad(t *testing.T) {
+func TestSingleRefusalDoesNotCountAsOverload(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(4, 2, 1)
-	out := f.four(g, 0, true)
+	out := f.runFourShards(g, 0, true)
 	g.Expect(out.Shed).To(Equal(1))
 	g.Expect(f.table.Pressure(out, time.Second)).To(Equal(NoPressure))
 	for i := 1; i <= 200; i++ { // one query in four meets a refusal
-		out = f.four(g, i*1000, i%4 == 0)
+		out = f.runFourShards(g, i*1000, i%4 == 0)
 		g.Expect(f.table.Pressure(out, time.Second)).To(Equal(NoPressure), "query %d", i)
 	}
 }
 
-// four runs a query of four shards, with or without an attempt that is shed.
-func (f *fleet) four(g *WithT, ms int, shed bool) *Outcome {
+// runFourShards runs a query of runFourShards shards, with or without an attempt that is shed.
+func (f *testFleet) runFourShards(g *WithT, ms int, shed bool) *Outcome {
 	q := NewQuery(spec(), f.table)
 	attempts := sends(q.Start(at(ms)))
 	if shed {
-		again := sends(q.Failed(at(ms+1), attempts[0].Attempt, Failure{Reason: ReasonShed, Refused: true}))
+		again := sends(q.HandleFailure(at(ms+1), attempts[0].Attempt, Failure{Reason: ReasonShed, Refused: true}))
 		g.Expect(again).To(HaveLen(1))
 		attempts[0] = again[0]
 	}
 	var out *Outcome
 	for _, s := range attempts {
-		out = outcome(q.Answered(at(ms+2), s.Attempt, answer(s)))
+		out = outcome(q.HandleAnswer(at(ms+2), s.Attempt, answer(s)))
 	}
 	return out
 }
 
 // A shard has no answer since all of its replicas rest after failures. That is no
 // want of slots, unless some attempt was turned away for one.
-func TestRestingReplicasAreNoSignOfLoad(t *testing.T) {
+func TestReplicasInCooldownDoNotCountAsOverload(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 1, 1)
 	out := Outcome{Sent: 20, Coverage: Coverage{Gaps: []ShardGap{{Reason: ReasonBusy}}}}
 	g.Expect(f.table.Pressure(&out, time.Second)).To(Equal(NoPressure))
 	out.Shed = 1
-	g.Expect(f.table.Pressure(&out, time.Second)).To(Equal(Refusing))
+	g.Expect(f.table.Pressure(&out, time.Second)).To(Equal(TargetsRefusing))
 }
--- a/policy/query.go
+++ b/policy/query.go
@@ -18,23 +18,23 @@
 	spec  Spec
 	table *Table
 
-	snapshot Snapshot
-	shards   []shardState
-	attempts map[AttemptID]*attempt
-	next     AttemptID
-	restarts int
-	enoughAt time.Time // when the needed coverage was reached
-	done     bool
+	snapshot     Snapshot
+	shards       []shardState
+	attempts     map[AttemptID]*attempt
+	lastAttempt  AttemptID
+	restarts     int
+	sufficientAt time.Time // when the needed coverage was reached
+	done         bool
 
 	// Kept up to date with each change of a shard, since a query of hundreds of
 	// shards cannot afford to look at all of them at each event.
-	phases  [phaseCount]int // shards in each phase
-	full    int             // shards that answered in full
-	partial float64         // shares read of shards that answered in part
-	wake    time.Time       // no later than anything that Tick has to do
+	phases       [phaseCount]int // shards in each phase
+	fullShards   int             // shards that answered in full
+	partialShare float64         // shares read of shards that answered in part
+	wakeAt       time.Time       // no later than anything that Tick has to do
 
-	began time.Time
-	last  LastAnswer
+	startedAt  time.Time
+	lastAnswer LastAnswer
 
 	sent, hedges, retries int
 	refused               int // attempts that no target started
@@ -51,42 +51,42 @@
 
 // Start chooses the snapshot and sends the first attempts.
 func (q *Query) Start(now time.Time) []Action {
-	q.began = now
-	snap, ok := q.choose(now)
+	q.startedAt = now
+	snap, ok := q.chooseSnapshot(now)
 	if !ok {
 		return q.finish(now, EndNoSnapshot)
 	}
-	return q.begin(now, snap)
+	return q.startPass(now, snap)
 }
 
-func (q *Query) choose(now time.Time) (Snapshot, bool) {
-	if q.spec.Pinned != "" {
-		return q.table.FindSnapshot(q.spec.Pinned)
+func (q *Query) chooseSnapshot(now time.Time) (Snapshot, bool) {
+	if q.spec.PinnedSnapshot != "" {
+		return q.table.FindSnapshot(q.spec.PinnedSnapshot)
 	}
 	return q.table.ChooseSnapshot(now)
 }
 
-// begin starts a pass over all shards of one snapshot.
-func (q *Query) begin(now time.Time, snap Snapshot) []Action {
+// startPass starts a pass over all shards of one snapshot.
+func (q *Query) startPass(now time.Time, snap Snapshot) []Action {
 	q.snapshot = snap
 	q.shards = make([]shardState, snap.Shards)
-	q.enoughAt = time.Time{}
+	q.sufficientAt = time.Time{}
 	q.phases = [phaseCount]int{phaseOpen: snap.Shards}
-	q.full = 0
-	q.partial = 0
-	q.wake = q.spec.Deadline
-	q.table.Hedges.First(snap.Shards)
-	q.table.Retries.First(snap.Shards)
+	q.fullShards = 0
+	q.partialShare = 0
+	q.wakeAt = q.spec.Deadline
+	q.table.Hedges.RecordFirst(snap.Shards)
+	q.table.Retries.RecordFirst(snap.Shards)
 	var acts []Action
 	for shard := range q.shards {
 		acts = append(acts, q.send(now, shard, false)...)
 	}
-	return q.conclude(now, acts)
+	return q.finishOrRestart(now, acts)
 }
 
-// Answered takes the answer of an attempt. The caller has checked its echo.
-func (q *Query) Answered(now time.Time, id AttemptID, answer *target.LeafAnswer) []Action {
-	a := q.end(now, id, AttemptEnd{Answered: true})
+// HandleAnswer takes the answer of an attempt. The caller has checked its echo.
+func (q *Query) HandleAnswer(now time.Time, id AttemptID, answer *target.LeafAnswer) []Action {
+	a := q.endAttempt(now, id, AttemptEnd{Answered: true})
 	if a == nil || q.done {
 		return nil
 	}
@@ -95,14 +95,14 @@
 		return nil
 	}
 	s.answer = answer
-	q.last = LastAnswer{Held: a.sentAt.Sub(q.began), Took: now.Sub(a.sentAt)}
-	s.pending = time.Time{}
-	q.settle(a.shard)
+	q.lastAnswer = LastAnswer{SentAfter: a.sentAt.Sub(q.startedAt), Took: now.Sub(a.sentAt)}
+	s.retryAt = time.Time{}
+	q.updatePhase(a.shard)
 	full, share := readShare(answer)
-	q.full += full
-	q.partial += share
+	q.fullShards += full
+	q.partialShare += share
 	acts := q.cancelShard(now, a.shard)
-	return q.conclude(now, acts)
+	return q.finishOrRestart(now, acts)
 }
 
 // Failure is why an attempt gave no answer.
@@ -113,13 +113,13 @@
 	RetryAfter   time.Duration // stated with a refusal
 }
 
-// Failed takes that an attempt ended without an answer.
-func (q *Query) Failed(now time.Time, id AttemptID, f Failure) []Action {
+// HandleFailure takes that an attempt ended without an answer.
+func (q *Query) HandleFailure(now time.Time, id AttemptID, f Failure) []Action {
 	gone := f.Reason == ReasonSnapshotGone
 	shed := f.Refused && !f.NoConnection && (f.Reason == ReasonShed || f.Reason == ReasonBusy)
-	a := q.end(now, id, AttemptEnd{
+	a := q.endAttempt(now, id, AttemptEnd{
 		Refused:      f.Refused,
-		Gone:         gone,
+		SnapshotGone: gone,
 		NoConnection: f.NoConnection,
 		Shed:         shed,
 		RetryAfter:   f.RetryAfter,
@@ -131,9 +131,9 @@
 		q.shed++
 	}
 	if gone {
-		q.table.Lacks(a.replica, q.snapshot.Name, a.shard)
+		q.table.RemoveHolding(a.replica, q.snapshot.Name, a.shard)
 	}
-	return q.conclude(now, q.afterFailure(now, a, f.Reason))
+	return q.finishOrRestart(now, q.afterFailure(now, a, f.Reason))
 }
 
 // Tick takes that time has passed. Call it at the time that Wake returned.
@@ -144,34 +144,34 @@
 	if !now.Before(q.spec.Deadline) {
 		return q.finish(now, EndDeadline)
 	}
-	acts := q.expire(now)
-	acts = append(acts, q.lookAgain(now)...)
-	acts = append(acts, q.hedge(now)...)
-	q.wake = q.nextWake(now)
-	return q.conclude(now, acts)
+	acts := q.expireAttempts(now)
+	acts = append(acts, q.retryPending(now)...)
+	acts = append(acts, q.sendHedges(now)...)
+	q.wakeAt = q.recomputeWake(now)
+	return q.finishOrRestart(now, acts)
 }
 
-// expire gives up attempts that have had no answer within their timeout.
-func (q *Query) expire(now time.Time) []Action {
+// expireAttempts gives up attempts that have had no answer within their timeout.
+func (q *Query) expireAttempts(now time.Time) []Action {
 	var acts []Action
 	for _, id := range sortedKeys(q.attempts) {
 		a := q.attempts[id]
-		if now.Before(a.expires) {
+		if now.Before(a.expiresAt) {
 			continue
 		}
-		q.end(now, id, AttemptEnd{})
+		q.endAttempt(now, id, AttemptEnd{})
 		acts = append(acts, Cancel{Attempt: id})
 		acts = append(acts, q.afterFailure(now, a, ReasonTimeout)...)
 	}
 	return acts
 }
 
-// lookAgain tries shards whose replicas were all busy or resting.
-func (q *Query) lookAgain(now time.Time) []Action {
+// retryPending tries shards whose replicas were all busy or resting.
+func (q *Query) retryPending(now time.Time) []Action {
 	var acts []Action
 	for shard := range q.shards {
 		s := &q.shards[shard]
-		if s.pending.IsZero() || now.Before(s.pending) {
+		if s.retryAt.IsZero() || now.Before(s.retryAt) {
 			continue
 		}
 		if s.sent == 0 {
@@ -185,40 +185,40 @@
 
 func (q *Query) unanswered() int { return len(q.shards) - q.phases[phaseAnswered] }
 
-// hedgePoll is how soon a hedge that was due but not sent, for want of an idle
+// hedgeRetryInterval is how soon a hedge that was due but not sent, for want of an idle
 // replica or of budget, is tried again.
-const hedgePoll = 5 * time.Millisecond
+const hedgeRetryInterval = 5 * time.Millisecond
 
-// Wake returns when Tick has to be called next if nothing else happens. It may
+// NextTick returns when Tick has to be called next if nothing else happens. It may
 // be earlier than needed.
-func (q *Query) Wake() time.Time {
-	if q.enoughAt.IsZero() {
-		return q.wake
+func (q *Query) NextTick() time.Time {
+	if q.sufficientAt.IsZero() {
+		return q.wakeAt
 	}
-	return earlier(q.wake, q.enoughAt.Add(q.spec.Grace))
+	return earlier(q.wakeAt, q.sufficientAt.Add(q.spec.Grace))
 }
 
-// wakeFor moves the wake forward to what an attempt may need.
-func (q *Query) wakeFor(now time.Time, a *attempt) {
-	q.wake = earlier(q.wake, a.expires)
+// scheduleWake moves the wake forward to what an attempt may need.
+func (q *Query) scheduleWake(now time.Time, a *attempt) {
+	q.wakeAt = earlier(q.wakeAt, a.expiresAt)
 	due, hedging := q.hedgeDelay(now)
 	if hedging && !q.shards[a.shard].hedged {
-		q.wake = earlier(q.wake, later(a.sentAt.Add(due), now.Add(hedgePoll)))
+		q.wakeAt = earlier(q.wakeAt, later(a.sentAt.Add(due), now.Add(hedgeRetryInterval)))
 	}
 }
 
-// nextWake looks at everything that Tick may have to do.
-func (q *Query) nextWake(now time.Time) time.Time {
-	q.wake = q.spec.Deadline
+// recomputeWake looks at everything that Tick may have to do.
+func (q *Query) recomputeWake(now time.Time) time.Time {
+	q.wakeAt = q.spec.Deadline
 	for _, a := range q.attempts {
-		q.wakeFor(now, a)
+		q.scheduleWake(now, a)
 	}
 	for i := range q.shards {
-		if at := q.shards[i].pending; !at.IsZero() {
-			q.wake = earlier(q.wake, at)
+		if at := q.shards[i].retryAt; !at.IsZero() {
+			q.wakeAt = earlier(q.wakeAt, at)
 		}
 	}
-	return q.wake
+	return q.wakeAt
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/policy/query_test.go
+++ b/policy/query_test.go
@@ -18,27 +18,27 @@
 // at returns a time n milliseconds after the tests' epoch.
 func at(n int) time.Time { return epoch.Add(time.Duration(n) * time.Millisecond) }
 
-// fleet is a table with one leaf per target, target t-S-R holding replica R of
+// testFleet is a table with one leaf per target, target t-S-R holding replica R of
 // shard S.
-type fleet struct {
+type testFleet struct {
 	shards, replicas int
 	table            *Table
 }
 
-func newFleet(shards, replicas int, seed uint64) *fleet {
-	f := &fleet{shards: shards, replicas: replicas, table: NewTable("a", rand.New(rand.NewPCG(seed, 1)))}
+func newFleet(shards, replicas int, seed uint64) *testFleet {
+	f := &testFleet{shards: shards, replicas: replicas, table: NewTable("a", rand.New(rand.NewPCG(seed, 1)))}
 	svc := &bundle.Service{Name: "s", Shards: shards, Drain: bundle.Drain{SuspectAfter: 2}}
-	f.each(func(name string, _ int) {
+	f.eachTarget(func(name string, _ int) {
 		svc.Targets = append(svc.Targets, bundle.Target{Name: name, Zone: "a", Leaves: 1, Slots: 2})
 	})
 	f.table.Apply(svc)
 	f.table.Hedges.SetShare(0.05)
 	f.table.Retries.SetShare(0.1)
-	f.hold(0, "v1", 1, shards)
+	f.reportHoldings(0, "v1", 1, shards)
 	return f
 }
 
-func (f *fleet) each(do func(name string, shard int)) {
+func (f *testFleet) eachTarget(do func(name string, shard int)) {
 	for s := range f.shards {
 		for r := range f.replicas {
 			do(targetName(s, r), s)
@@ -48,10 +48,10 @@
 
 func targetName(shard, replica int) string { return fmt.Sprintf("t-%d-%d", shard, replica) }
 
-// hold makes every target report its shard of the named snapshots.
-func (f *fleet) hold(ms int, name string, seq int64, shards int) {
-	f.each(func(tname string, shard int) {
-		f.table.Status(tname, statusOf("i1", target.StateServing, target.Holding{
+// reportHoldings makes every target report its shard of the named snapshots.
+func (f *testFleet) reportHoldings(ms int, name string, seq int64, shards int) {
+	f.eachTarget(func(tname string, shard int) {
+		f.table.ApplyStatus(tname, statusOf("i1", target.StateServing, target.Holding{
 			Snapshot: name, Seq: seq, Shards: shards, Shard: shard, Records: 100,
 		}), at(ms))
 	})
@@ -66,7 +66,7 @@
 }
 
 func spec() Spec {
-	return Spec{Deadline: at(200), Need: 1, HedgeAt: 0.95, MaxAttempts: 3}
+	return Spec{Deadline: at(200), MinCoverage: 1, HedgeQuantile: 0.95, MaxAttempts: 3}
 }
 
 func sends(acts []Action) []Send {
@@ -100,14 +100,14 @@
 // failures, refusals, index switches, drains and time.
 func TestQueryInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &driver{
-			t:      t,
-			f:      newFleet(rapid.IntRange(1, 6).Draw(t, "shards"), rapid.IntRange(1, 3).Draw(t, "replicas"), rapid.Uint64().Draw(t, "seed")),
-			flying: map[AttemptID]Send{},
-			sent:   map[int]int{},
+		d := &queryDriver{
+			t:        t,
+			f:        newFleet(rapid.IntRange(1, 6).Draw(t, "shards"), rapid.IntRange(1, 3).Draw(t, "replicas"), rapid.Uint64().Draw(t, "seed")),
+			inFlight: map[AttemptID]Send{},
+			sent:     map[int]int{},
 		}
 		d.q = NewQuery(spec(), d.f.table)
-		d.take(d.q.Start(at(0)))
+		d.apply(d.q.Start(at(0)))
 		for i := 0; i < 400 && d.out == nil; i++ {
 			d.step()
 		}
@@ -118,62 +118,62 @@
 	})
 }
 
-type driver struct {
-	t      *rapid.T
-	f      *fleet
-	q      *Query
-	ms     int
-	flying map[AttemptID]Send
-	sent   map[int]int // attempts by shard in the present pass
+type queryDriver struct {
+	t        *rapid.T
+	f        *testFleet
+	q        *Query
+	ms       int
+	inFlight map[AttemptID]Send
+	sent     map[int]int // attempts by shard in the present pass
 
 	refused map[int]int // of these, by a target
 	pass    string      // snapshot of the present pass
 	out     *Outcome
 }
 
-func (d *driver) step() {
+func (d *queryDriver) step() {
 	kinds := []string{"tick", "answer", "fail", "refuse", "switch", "drain", "lost"}
 	switch rapid.SampledFrom(kinds).Draw(d.t, "event") {
 	case "tick":
 		d.ms += rapid.IntRange(0, 30).Draw(d.t, "ms")
-		d.take(d.q.Tick(at(d.ms)))
+		d.apply(d.q.Tick(at(d.ms)))
 		if d.ms >= 200 && d.out == nil {
 			d.t.Fatal("a tick at the deadline did not finish the query")
 		}
 	case "answer":
-		d.pick(func(s Send) { d.take(d.q.Answered(at(d.ms), s.Attempt, answer(s))) })
+		d.pick(func(s Send) { d.apply(d.q.HandleAnswer(at(d.ms), s.Attempt, answer(s))) })
 	case "fail":
-		d.pick(func(s Send) { d.take(d.q.Failed(at(d.ms), s.Attempt, Failure{Reason: ReasonBroken})) })
+		d.pick(func(s Send) { d.apply(d.q.HandleFailure(at(d.ms), s.Attempt, Failure{Reason: ReasonBroken})) })
 	case "refuse":
 		d.pick(func(s Send) {
 			d.refused[s.Shard]++
-			d.take(d.q.Failed(at(d.ms), s.Attempt, Failure{Reason: ReasonShed, Refused: true}))
+			d.apply(d.q.HandleFailure(at(d.ms), s.Attempt, Failure{Reason: ReasonShed, Refused: true}))
 		})
 	case "switch":
-		d.f.hold(d.ms, "v2", 2, d.f.shards)
+		d.f.reportHoldings(d.ms, "v2", 2, d.f.shards)
 	case "drain":
-		d.f.table.Drain(d.anyTarget(), "i1")
+		d.f.table.MarkDraining(d.anyTarget(), "i1")
 	case "lost":
-		d.f.table.StatusFailed(d.anyTarget())
+		d.f.table.StatusReadFailed(d.anyTarget())
 	}
 }
 
-func (d *driver) anyTarget() string {
+func (d *queryDriver) anyTarget() string {
 	shard := rapid.IntRange(0, d.f.shards-1).Draw(d.t, "shard")
 	return targetName(shard, rapid.IntRange(0, d.f.replicas-1).Draw(d.t, "replica"))
 }
 
-func (d *driver) pick(do func(Send)) {
-	if len(d.flying) == 0 {
+func (d *queryDriver) pick(do func(Send)) {
+	if len(d.inFlight) == 0 {
 		return
 	}
-	id := rapid.SampledFrom(sortedKeys(d.flying)).Draw(d.t, "attempt")
-	s := d.flying[id]
-	delete(d.flying, id)
+	id := rapid.SampledFrom(sortedKeys(d.inFlight)).Draw(d.t, "attempt")
+	s := d.inFlight[id]
+	delete(d.inFlight, id)
 	do(s)
 }
 
-func (d *driver) take(acts []Action) {
+func (d *queryDriver) apply(acts []Action) {
 	for _, act := range acts {
 		if d.out != nil {
 			d.t.Fatal("an action follows Finish")
@@ -182,16 +182,16 @@
 		case Send:
 			d.checkSend(a)
 		case Cancel:
-			delete(d.flying, a.Attempt)
+			delete(d.inFlight, a.Attempt)
 		case Finish:
 			d.out = &a.Outcome
 		}
 	}
 }
 
-func (d *driver) checkSend(s Send) {
+func (d *queryDriver) checkSend(s Send) {
 	if s.Snapshot != d.pass {
-		for _, old := range d.flying {
+		for _, old := range d.inFlight {
 			if old.Snapshot != s.Snapshot {
 				d.t.Fatalf("attempt on %s while one on %s is in flight", s.Snapshot, old.Snapshot)
 			}
@@ -207,12 +207,12 @@
 	if d.f.table.targets[s.Replica.Target].draining() {
 		d.t.Fatal("an attempt went to a target that is leaving")
 	}
-	d.flying[s.Attempt] = s
+	d.inFlight[s.Attempt] = s
 }
 
-func (d *driver) checkOutcome() {
+func (d *queryDriver) checkOutcome() {
 	c := d.out.Coverage
-	if len(d.flying) != 0 {
+	if len(d.inFlight) != 0 {
 		d.t.Fatal("attempts are in flight after Finish")
 	}
 	if c.Answered != len(d.out.Answers) || c.Answered+len(c.Gaps) != c.Shards {
@@ -232,7 +232,7 @@
 
 // A caller sees a page that stops short although an older index is whole: the
 // index is being switched, and the new version has reached few replicas.
-func TestSnapshotChoicePrefersWholeOverNew(t *testing.T) {
+func TestChooseSnapshotPrefersCompleteOverNewer(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(4, 2, 1)
 	both := func(shard int) []target.Holding {
@@ -242,11 +242,11 @@
 		}
 	}
 	for shard := range 3 {
-		f.table.Status(targetName(shard, 0), statusOf("i1", target.StateServing, both(shard)...), at(1))
+		f.table.ApplyStatus(targetName(shard, 0), statusOf("i1", target.StateServing, both(shard)...), at(1))
 	}
 	snap, _ := f.table.ChooseSnapshot(at(2))
 	g.Expect(snap.Name).To(Equal("v1"), "v2 lacks a shard")
-	f.table.Status(targetName(3, 0), statusOf("i1", target.StateServing, both(3)...), at(3))
+	f.table.ApplyStatus(targetName(3, 0), statusOf("i1", target.StateServing, both(3)...), at(3))
 	snap, _ = f.table.ChooseSnapshot(at(4))
 	g.Expect(snap.Name).To(Equal("v2"), "v2 is whole and holds half of the replicas")
 }
@@ -260,33 +260,33 @@
 	q := NewQuery(spec(), f.table)
 	first := sends(q.Start(at(0)))
 	g.Expect(first).To(HaveLen(3))
-	q.Answered(at(1), first[0].Attempt, answer(first[0]))
-	f.hold(2, "v2", 2, 3)
-	again := sends(q.Failed(at(3), first[1].Attempt, Failure{Reason: ReasonSnapshotGone, Refused: true}))
+	q.HandleAnswer(at(1), first[0].Attempt, answer(first[0]))
+	f.reportHoldings(2, "v2", 2, 3)
+	again := sends(q.HandleFailure(at(3), first[1].Attempt, Failure{Reason: ReasonSnapshotGone, Refused: true}))
 	g.Expect(again).To(HaveLen(3))
 	var last []Action
 	for _, s := range again {
 		g.Expect(s.Snapshot).To(Equal("v2"))
-		last = q.Answered(at(5), s.Attempt, answer(s))
+		last = q.HandleAnswer(at(5), s.Attempt, answer(s))
 	}
 	out := outcome(last)
-	g.Expect(out.Coverage.Whole()).To(BeTrue())
+	g.Expect(out.Coverage.Complete()).To(BeTrue())
 	g.Expect(out.Snapshot.Name).To(Equal("v2"))
 	g.Expect(out.Restarts).To(Equal(1))
 }
 
 // A caller that needs everything waits until its time limit although a shard
 // is lost for good. It has to hear so at once.
-func TestGivenUpQueryEndsAtOnce(t *testing.T) {
+func TestQueryEndsOnceCoverageIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 1, 1)
 	q := NewQuery(spec(), f.table)
 	s := sends(q.Start(at(0)))
-	f.table.StatusFailed(targetName(0, 0))
-	f.table.StatusFailed(targetName(0, 0))
-	out := outcome(q.Failed(at(1), s[0].Attempt, Failure{Reason: ReasonBroken}))
+	f.table.StatusReadFailed(targetName(0, 0))
+	f.table.StatusReadFailed(targetName(0, 0))
+	out := outcome(q.HandleFailure(at(1), s[0].Attempt, Failure{Reason: ReasonBroken}))
 	g.Expect(out).NotTo(BeNil())
-	g.Expect(out.End).To(Equal(EndGivenUp))
+	g.Expect(out.End).To(Equal(EndInsufficient))
 	g.Expect(out.Coverage.Missing).To(Equal(int64(200)), "neither shard was read")
 }
 
@@ -299,25 +299,25 @@
 	a := answer(s[0])
 	a.Complete = false
 	a.Missing = 25
-	q.Answered(at(1), s[0].Attempt, a)
-	out := outcome(q.Answered(at(2), s[1].Attempt, answer(s[1])))
-	g.Expect(out.Coverage.Whole()).To(BeFalse())
+	q.HandleAnswer(at(1), s[0].Attempt, a)
+	out := outcome(q.HandleAnswer(at(2), s[1].Attempt, answer(s[1])))
+	g.Expect(out.Coverage.Complete()).To(BeFalse())
 	g.Expect(out.Coverage.Missing).To(Equal(int64(25)))
 	g.Expect(out.Coverage.Ratio()).To(BeNumerically("~", 0.875, 1e-9))
 }
 
 // A drained target gets new work again: a late status of the same incarnation
 // still says that it serves. Only a new incarnation may clear the drain.
-func TestDrainSticksToIncarnation(t *testing.T) {
+func TestDrainLastsForItsIncarnation(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 1, 1)
 	name := targetName(0, 0)
 	hold := target.Holding{Snapshot: "v1", Seq: 1, Shards: 1, Records: 1}
-	g.Expect(f.table.Drain(name, "i1")).To(BeTrue())
-	f.table.Status(name, statusOf("i1", target.StateServing, hold), at(1))
+	g.Expect(f.table.MarkDraining(name, "i1")).To(BeTrue())
+	f.table.ApplyStatus(name, statusOf("i1", target.StateServing, hold), at(1))
 	_, ok := f.table.Pick(at(2), "v1", 0, nil, false)
 	g.Expect(ok).To(BeFalse())
-	f.table.Status(name, statusOf("i2", target.StateServing, hold), at(3))
+	f.table.ApplyStatus(name, statusOf("i2", target.StateServing, hold), at(3))
 	_, ok = f.table.Pick(at(4), "v1", 0, nil, false)
 	g.Expect(ok).To(BeTrue())
 }
@@ -336,7 +336,7 @@
 		s := sends(q.Start(at(0)))
 		first += len(s)
 		for i := range 8 {
-			q.Answered(at(1), s[i].Attempt, answer(s[i]))
+			q.HandleAnswer(at(1), s[i].Attempt, answer(s[i]))
 		}
 		hedges += len(sends(q.Tick(at(40))))
 		q.Abandon(at(41))
@@ -348,7 +348,7 @@
 // Searches are late again and again while connections to one target are
 // silent: a hedge answers in its place and the first attempt is cancelled, so
 // nothing fails, the target keeps its share and the budget of hedges runs out.
-func TestStalledReplicaRests(t *testing.T) {
+func TestStalledReplicaEntersCooldown(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 2, 1)
 	for range 100 {
@@ -356,8 +356,8 @@
 	}
 	id := ReplicaID{Target: targetName(0, 0)}
 	stall := func(ms int) {
-		f.table.Begin(id)
-		f.table.End(id, AttemptEnd{Cancelled: true, Took: 30 * time.Millisecond}, at(ms))
+		f.table.BeginAttempt(id)
+		f.table.EndAttempt(id, AttemptEnd{Cancelled: true, Took: 30 * time.Millisecond}, at(ms))
 	}
 	picked := func(ms int) bool {
 		for range 50 {
@@ -392,31 +392,31 @@
 
 // A search is slow because its first attempt on one shard failed; the operator
 // sees only a fast last attempt. What went before it has to be told apart.
-func TestLastAnswerTellsWhatWasHeld(t *testing.T) {
+func TestLastAnswerSeparatesSendDelayFromLatency(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 2, 1)
 	q := NewQuery(spec(), f.table)
 	s := sends(q.Start(at(0)))
-	q.Answered(at(5), s[0].Attempt, answer(s[0]))
-	again := sends(q.Failed(at(30), s[1].Attempt, Failure{Reason: ReasonBroken}))
+	q.HandleAnswer(at(5), s[0].Attempt, answer(s[0]))
+	again := sends(q.HandleFailure(at(30), s[1].Attempt, Failure{Reason: ReasonBroken}))
 	g.Expect(again).To(HaveLen(1))
-	out := outcome(q.Answered(at(38), again[0].Attempt, answer(again[0])))
-	g.Expect(out.Last).To(Equal(LastAnswer{Held: 30 * time.Millisecond, Took: 8 * time.Millisecond}))
+	out := outcome(q.HandleAnswer(at(38), again[0].Attempt, answer(again[0])))
+	g.Expect(out.LastAnswer).To(Equal(LastAnswer{SentAfter: 30 * time.Millisecond, Took: 8 * time.Millisecond}))
 }
 
 // Searches wait in one replica's queue while another one idles: that one shows a
 // heavy load which it doesn't have. Own calls show which of them is quick, and
 // have to outweigh the report.
-func TestMisreportedLoadIsOutweighed(t *testing.T) {
+func TestMeasuredLatencyOutweighsMisreportedLoad(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 2, 1)
 	shows := func(replica int, load float64, took time.Duration) ReplicaID {
 		id := ReplicaID{Target: targetName(0, replica)}
 		st := statusOf("i1", target.StateServing, target.Holding{Snapshot: "v1", Seq: 1, Shards: 1, Records: 100})
 		st.Leaves[0].Load = load
-		f.table.Status(id.Target, st, at(0))
-		f.table.Begin(id)
-		f.table.End(id, AttemptEnd{Answered: true, Took: took}, at(0))
+		f.table.ApplyStatus(id.Target, st, at(0))
+		f.table.BeginAttempt(id)
+		f.table.EndAttempt(id, AttemptEnd{Answered: true, Took: took}, at(0))
 		return id
 	}
 	idle := shows(0, 20, 10*time.Millisecond)
@@ -435,7 +435,7 @@
 // A connection went silent and took an attempt along. Latencies have been uneven,
 // so that four times their 99th percentile is nearly the time limit: the attempt was
 // given up when no time was left for another, and the caller got half an answer.
-func TestLostAttemptLeavesTimeForAnother(t *testing.T) {
+func TestLostAttemptTimesOutInTimeForRetry(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 2, 1)
 	for i := range 200 {
@@ -443,16 +443,16 @@
 		if i%20 == 0 {
 			took = 50 * time.Millisecond
 		}
-		f.table.End(ReplicaID{Target: targetName(0, 0)}, AttemptEnd{Answered: true, Took: took}, at(0))
+		f.table.EndAttempt(ReplicaID{Target: targetName(0, 0)}, AttemptEnd{Answered: true, Took: took}, at(0))
 	}
-	f.table.Pace.Learn(at(0), false)
+	f.table.Median.UpdateBaseline(at(0), false)
 	sp := spec()
-	sp.HedgeAt = 0
+	sp.HedgeQuantile = 0
 	sp.Deadline = at(200)
 	q := NewQuery(sp, f.table)
 	s := sends(q.Start(at(0)))
-	q.Answered(at(5), s[0].Attempt, answer(s[0]))
-	g.Expect(q.Wake()).To(Equal(at(100)))
+	q.HandleAnswer(at(5), s[0].Attempt, answer(s[0]))
+	g.Expect(q.NextTick()).To(Equal(at(100)))
 	again := sends(q.Tick(at(100)))
 	g.Expect(again).To(HaveLen(1))
 	g.Expect(again[0].Replica).NotTo(Equal(s[1].Replica))
@@ -461,18 +461,18 @@
 // Targets have queues, and an attempt has waited for half of its query's time. Given
 // up then, its slot was wasted and the next attempt waited as long: a tenth less was
 // served at twice the capacity. It is left to its timeout.
-func TestQueuedAttemptIsNotTakenForLost(t *testing.T) {
+func TestQueuedAttemptKeepsItsTimeout(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 2, 1)
-	feed(&f.table.Pace, 0, 500, 5000, 10*time.Millisecond, false)
-	feed(&f.table.Pace, 5000, 500, 500, 20*time.Millisecond, true)
+	addSamples(&f.table.Median, 0, 500, 5000, 10*time.Millisecond, false)
+	addSamples(&f.table.Median, 5000, 500, 500, 20*time.Millisecond, true)
 	for range 200 {
 		f.table.Latency.Add(at(5500), 60*time.Millisecond)
 	}
 	sp := spec()
-	sp.HedgeAt = 0
+	sp.HedgeQuantile = 0
 	sp.Deadline = at(5700)
 	q := NewQuery(sp, f.table)
 	sends(q.Start(at(5500)))
-	g.Expect(q.Wake()).To(Equal(at(5700)))
+	g.Expect(q.NextTick()).To(Equal(at(5700)))
 }
--- a/policy/shard.go
+++ b/policy/shard.go
@@ -7,24 +7,24 @@
 )
 
 type shardState struct {
-	answer  *target.LeafAnswer
-	tried   []ReplicaID
-	flying  int // attempts in flight
-	sent    int
-	refused int // of sent, by a target that did not start them
-	waits   int // for the budget of retries
-	hedged  bool
-	phase   phase
-	reason  Reason    // of the last failure
-	pending time.Time // when to look for a replica again; zero: not waiting
+	answer      *target.LeafAnswer
+	tried       []ReplicaID
+	inFlight    int // attempts in flight
+	sent        int
+	refused     int // of sent, by a target that did not start them
+	budgetWaits int // for the budget of retries
+	hedged      bool
+	phase       phase
+	reason      Reason    // of the last failure
+	retryAt     time.Time // when to look for a replica again; zero: not waiting
 }
 
 type attempt struct {
-	id      AttemptID
-	shard   int
-	replica ReplicaID
-	sentAt  time.Time
-	expires time.Time
+	id        AttemptID
+	shard     int
+	replica   ReplicaID
+	sentAt    time.Time
+	expiresAt time.Time
 }
 
 // phase is how far a shard has come.
@@ -34,27 +34,27 @@
 	phaseOpen     phase = iota // may still answer
 	phaseAnswered              // has answered
 	phaseLost                  // cannot answer any more
-	phaseMoved                 // lost because no replica holds its snapshot now
+	phaseNoHolder              // lost because no replica holds its snapshot now
 	phaseCount
 )
 
-func (s *shardState) findPhase() phase {
+func (s *shardState) currentPhase() phase {
 	switch {
 	case s.answer != nil:
 		return phaseAnswered
-	case s.flying > 0 || !s.pending.IsZero():
+	case s.inFlight > 0 || !s.retryAt.IsZero():
 		return phaseOpen
 	case s.reason == ReasonSnapshotGone || s.reason == ReasonNoReplica:
-		return phaseMoved
+		return phaseNoHolder
 	default:
 		return phaseLost
 	}
 }
 
-// settle recounts a shard after a change.
-func (q *Query) settle(shard int) {
+// updatePhase recounts a shard after a change.
+func (q *Query) updatePhase(shard int) {
 	s := &q.shards[shard]
 	q.phases[s.phase]--
-	s.phase = s.findPhase()
+	s.phase = s.currentPhase()
 	q.phases[s.phase]++
 }
--- a/policy/status.go
+++ b/policy/status.go
@@ -7,19 +7,19 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Status takes a target's own account of itself.
-func (t *Table) Status(name string, st target.Status, now time.Time) {
+// ApplyStatus takes a target's own account of itself.
+func (t *Table) ApplyStatus(name string, st target.Status, now time.Time) {
 	ts := t.targets[name]
 	if ts == nil {
 		return
 	}
 	if ts.incarnation != st.Incarnation {
-		ts.begin(st.Incarnation)
+		ts.startIncarnation(st.Incarnation)
 	}
 	if st.State == target.StateServing && !ts.usable() {
-		ts.servingFrom = now
+		ts.servingSince = now
 	}
-	ts.seen = true
+	ts.statusRead = true
 	ts.lost = false
 	ts.failedReads = 0
 	ts.state = st.State
@@ -29,28 +29,28 @@
 			continue
 		}
 		r := ts.replicas[leaf.Leaf]
-		r.reported = leaf.Load
+		r.reportedLoad = leaf.Load
 		r.reportedAt = now
-		r.ownAtLoad = r.outstanding
-		t.learnMaps(leaf.Holdings)
-		t.hold(r, leaf.Holdings)
+		r.outstandingAtReport = r.outstanding
+		t.mergePartitionMaps(leaf.Holdings)
+		t.setHoldings(r, leaf.Holdings)
 	}
 }
 
-// begin forgets what was known of an earlier incarnation.
-func (ts *targetState) begin(incarnation string) {
+// startIncarnation forgets what was known of an earlier incarnation.
+func (ts *targetState) startIncarnation(incarnation string) {
 	ts.incarnation = incarnation
-	ts.rest = rest{}
+	ts.cooldown = cooldown{}
 	for _, r := range ts.replicas {
-		r.rest = rest{}
+		r.cooldown = cooldown{}
 		r.latency = 0
 	}
 }
 
-// hold replaces a leaf's holdings and keeps the lists of holders true. Only what
+// setHoldings replaces a leaf's holdings and keeps the lists of holders true. Only what
 // changed is touched: a status comes from every target at each interval, and
 // almost all of them repeat the last one.
-func (t *Table) hold(r *replica, list []target.Holding) {
+func (t *Table) setHoldings(r *replica, list []target.Holding) {
 	next := make(map[holdingKey]struct{}, len(list))
 	for _, h := range list {
 		key := holdingKey{h.Snapshot, h.Shard}
@@ -65,15 +65,15 @@
 	}
 	for key := range r.holdings {
 		if _, has := next[key]; !has {
-			t.unlist(r, key)
+			t.removeHolder(r, key)
 		}
 	}
 	r.holdings = next
 }
 
-// unlist takes a replica out of a list of holders, and drops the snapshot if
+// removeHolder takes a replica out of a list of holders, and drops the snapshot if
 // nobody holds any of it.
-func (t *Table) unlist(r *replica, key holdingKey) {
+func (t *Table) removeHolder(r *replica, key holdingKey) {
 	s := t.snapshots[key.snapshot]
 	if s == nil {
 		return
@@ -89,10 +89,10 @@
 	}
 }
 
-// learnMaps takes the partition maps and sizes that a leaf states. The number
+// mergePartitionMaps takes the partition maps and sizes that a leaf states. The number
 // of shards of a known snapshot never shrinks: if two leaves disagree, the
 // larger map counts, which can only understate coverage.
-func (t *Table) learnMaps(list []target.Holding) {
+func (t *Table) mergePartitionMaps(list []target.Holding) {
 	for _, h := range list {
 		if h.Shards <= 0 || h.Shard < 0 || h.Shard >= h.Shards {
 			continue
@@ -112,42 +112,42 @@
 	}
 }
 
-// StatusFailed takes that a target's status could not be read.
-func (t *Table) StatusFailed(name string) {
+// StatusReadFailed takes that a target's status could not be read.
+func (t *Table) StatusReadFailed(name string) {
 	ts := t.targets[name]
 	if ts == nil {
 		return
 	}
 	ts.failedReads++
-	if ts.failedReads >= t.suspect {
+	if ts.failedReads >= t.suspectAfter {
 		ts.lost = true
 	}
 }
 
-// Lost takes that a target can't be read by any VM that has connections to it.
-func (t *Table) Lost(name string) {
+// MarkLost takes that a target can't be read by any VM that has connections to it.
+func (t *Table) MarkLost(name string) {
 	if ts := t.targets[name]; ts != nil {
 		ts.lost = true
 	}
 }
 
-// Seen takes the state that a target put into an answer's headers. It reports
+// ObserveState takes the state that a target put into an answer's headers. It reports
 // whether this is the first word of a drain.
-func (t *Table) Seen(name, incarnation string, state target.State) bool {
+func (t *Table) ObserveState(name, incarnation string, state target.State) bool {
 	ts := t.targets[name]
 	if ts == nil || incarnation == "" || state != target.StateDraining {
 		return false
 	}
-	return t.Drain(name, incarnation)
+	return t.MarkDraining(name, incarnation)
 }
 
-// Drain takes, from any source, that an incarnation of a target is leaving. It
+// MarkDraining takes, from any source, that an incarnation of a target is leaving. It
 // reports whether that is news.
-func (t *Table) Drain(name, incarnation string) bool {
+func (t *Table) MarkDraining(name, incarnation string) bool {
 	ts := t.targets[name]
-	if ts == nil || ts.drained == incarnation {
+	if ts == nil || ts.drainedIncarnation == incarnation {
 		return false
 	}
-	ts.drained = incarnation
+	ts.drainedIncarnation = incarnation
 	return true
 }
--- a/policy/submit.go
+++ b/policy/submit.go
@@ -6,15 +6,15 @@
 // replica only after the last one answered that it did not start the request,
 // so the request is started at most once.
 type Submission struct {
-	table    *Table
-	snapshot Snapshot
-	shard    int
-	tried    []ReplicaID
-	max      int
-	present  ReplicaID
-	sentAt   time.Time
-	open     bool // handed over, and the end not yet known
-	closed   bool // may have been started: never offered again
+	table       *Table
+	snapshot    Snapshot
+	shard       int
+	tried       []ReplicaID
+	maxAttempts int
+	current     ReplicaID
+	sentAt      time.Time
+	inFlight    bool // handed over, and the end not yet known
+	closed      bool // may have been started: never offered again
 }
 
 // NewSubmission returns the decision for a request whose key hashes to hash. It
@@ -25,10 +25,10 @@
 		return nil, false
 	}
 	return &Submission{
-		table:    table,
-		snapshot: snap,
-		shard:    int(hash % uint64(snap.Shards)),
-		max:      max(maxAttempts, 1),
+		table:       table,
+		snapshot:    snap,
+		shard:       int(hash % uint64(snap.Shards)),
+		maxAttempts: max(maxAttempts, 1),
 	}, true
 }
 
@@ -36,7 +36,7 @@
 // zero, all replicas are busy or resting, and Next is to be asked again then. If
 // wait is zero too, the request must not be or cannot be handed over any more.
 func (s *Submission) Next(now time.Time) (send Send, wait time.Time, ok bool) {
-	if s.open || s.closed || len(s.tried) >= s.max {
+	if s.inFlight || s.closed || len(s.tried) >= s.maxAttempts {
 		return Send{}, time.Time{}, false
 	}
 	id, ok := s.table.Pick(now, s.snapshot.Name, s.shard, s.tried, false)
@@ -45,10 +45,10 @@
 		return Send{}, wait, false
 	}
 	s.tried = append(s.tried, id)
-	s.present = id
+	s.current = id
 	s.sentAt = now
-	s.open = true
-	s.table.Begin(id)
+	s.inFlight = true
+	s.table.BeginAttempt(id)
 	return Send{
 		Attempt:  AttemptID(len(s.tried)),
 		Replica:  id,
@@ -57,15 +57,15 @@
 	}, time.Time{}, true
 }
 
-// Ended takes how the handing over ended. Only a refusal, by which the target
+// HandleEnd takes how the handing over ended. Only a refusal, by which the target
 // says that it did not start the request, leaves it open to be offered again.
-func (s *Submission) Ended(now time.Time, end AttemptEnd) {
-	if !s.open {
+func (s *Submission) HandleEnd(now time.Time, end AttemptEnd) {
+	if !s.inFlight {
 		return
 	}
 	end.Took = now.Sub(s.sentAt)
-	s.table.End(s.present, end, now)
-	s.open = false
+	s.table.EndAttempt(s.current, end, now)
+	s.inFlight = false
 	s.closed = !end.Refused
 }
 
--- a/policy/table.go
+++ b/policy/table.go
@@ -24,11 +24,11 @@
 
 	outstanding int           // this VM's calls in flight
 	latency     time.Duration // smoothed, of this VM's own calls; 0 before the first
-	rest        rest          // of this leaf
+	cooldown    cooldown      // of this leaf
 
-	reported   float64 // load at the last status
-	reportedAt time.Time
-	ownAtLoad  int // outstanding when the status was read
+	reportedLoad        float64 // load at the last status
+	reportedAt          time.Time
+	outstandingAtReport int // outstanding when the status was read
 
 	holdings map[holdingKey]struct{}
 }
@@ -40,27 +40,27 @@
 
 // targetState is what this VM knows of one target.
 type targetState struct {
-	name        string
-	incarnation string
-	state       target.State
-	seen        bool // a status was read at all
-	lost        bool // too many status reads failed in a row
-	failedReads int
-	drained     string // incarnation that is known to be leaving
-	servingFrom time.Time
-	rest        rest // of all leaves: they share the target's connections
-	replicas    []*replica
+	name               string
+	incarnation        string
+	state              target.State
+	statusRead         bool // a status was read at all
+	lost               bool // too many status reads failed in a row
+	failedReads        int
+	drainedIncarnation string // incarnation that is known to be leaving
+	servingSince       time.Time
+	cooldown           cooldown // of all leaves: they share the target's connections
+	replicas           []*replica
 }
 
 // draining reports whether the present incarnation is leaving. A drain sticks
 // to its incarnation, so a late status that still says "serving" cannot bring
 // the target back; only a new incarnation clears it.
 func (t *targetState) draining() bool {
-	return t.state == target.StateDraining || (t.drained != "" && t.drained == t.incarnation)
+	return t.state == target.StateDraining || (t.drainedIncarnation != "" && t.drainedIncarnation == t.incarnation)
 }
 
 func (t *targetState) usable() bool {
-	return t.seen && !t.lost && !t.draining() && t.state == target.StateServing
+	return t.statusRead && !t.lost && !t.draining() && t.state == target.StateServing
 }
 
 // snapshotState is the partition map of one snapshot and its known sizes.
@@ -75,17 +75,17 @@
 // Table is what one VM knows of the targets of one service, and the choices
 // made from it.
 type Table struct {
-	zone      string
-	rng       *rand.Rand
-	suspect   int
-	warmup    time.Duration
-	targets   map[string]*targetState
-	snapshots map[string]*snapshotState
-	scratch   []*replica // reused by Pick
-	shed      float64    // share of the latest attempts that were turned away for want of slots
+	zone         string
+	rng          *rand.Rand
+	suspectAfter int
+	warmup       time.Duration
+	targets      map[string]*targetState
+	snapshots    map[string]*snapshotState
+	scratch      []*replica // reused by Pick
+	shedShare    float64    // share of the latest attempts that were turned away for want of slots
 
 	Latency *latency.Record // of attempts that answered
-	Pace    Pace            // the same, for admission
+	Median  MedianLatency   // the same, for admission
 	Hedges  *Budget
 	Retries *Budget
 }
@@ -106,7 +106,7 @@
 // Apply takes the service's description from the bundle in force. Targets that
 // stay keep what is known of them.
 func (t *Table) Apply(svc *bundle.Service) {
-	t.suspect = max(svc.Drain.SuspectAfter, 1)
+	t.suspectAfter = max(svc.Drain.SuspectAfter, 1)
 	t.warmup = time.Duration(svc.Drain.WarmupMS) * time.Millisecond
 	named := make(map[string]bool, len(svc.Targets))
 	for i := range svc.Targets {
@@ -114,7 +114,7 @@
 		named[spec.Name] = true
 		known := t.targets[spec.Name]
 		if known != nil && len(known.replicas) != spec.Leaves {
-			t.forget(known)
+			t.removeReplicas(known)
 			known = nil
 		}
 		if known == nil {
@@ -127,16 +127,16 @@
 	}
 	for name, ts := range t.targets {
 		if !named[name] {
-			t.forget(ts)
+			t.removeReplicas(ts)
 			delete(t.targets, name)
 		}
 	}
 }
 
-// forget takes a target's replicas out of the lists of holders.
-func (t *Table) forget(ts *targetState) {
+// removeReplicas takes a target's replicas out of the lists of holders.
+func (t *Table) removeReplicas(ts *targetState) {
 	for _, r := range ts.replicas {
-		t.hold(r, nil)
+		t.setHoldings(r, nil)
 	}
 }
 
--- a/query/admit.go
+++ b/query/admit.go
@@ -52,7 +52,7 @@
 	}
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
-	if svc.admit.Leave(id) {
+	if svc.admit.Abandon(id) {
 		delete(svc.waiting, id)
 		return policy.Verdict{Ticket: id, Decision: policy.Refuse, RetryAfter: retryPause}
 	}
@@ -68,7 +68,7 @@
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
 	now := e.now()
-	svc.table.Pace.Learn(now, svc.admit.Crowded())
+	svc.table.Median.UpdateBaseline(now, svc.admit.OverShare())
 	svc.done(now, policy.QueryEnd{
 		Took:     now.Sub(began),
 		Pressure: svc.table.Pressure(out, req.Limit),
--- a/query/engine.go
+++ b/query/engine.go
@@ -194,8 +194,8 @@
 		return
 	}
 	svc.mu.Lock()
-	svc.table.Status(name, st, at)
-	news := st.State == target.StateDraining && svc.table.Drain(name, st.Incarnation)
+	svc.table.ApplyStatus(name, st, at)
+	news := st.State == target.StateDraining && svc.table.MarkDraining(name, st.Incarnation)
 	svc.mu.Unlock()
 	if news {
 		e.opt.OnDrain(name, st.Incarnation)
@@ -210,7 +210,7 @@
 	}
 	e.opt.Log.Debug("status of a target could not be read", "target", name, "error", err)
 	svc.mu.Lock()
-	svc.table.StatusFailed(name)
+	svc.table.StatusReadFailed(name)
 	svc.mu.Unlock()
 }
 
@@ -222,7 +222,7 @@
 		return
 	}
 	svc.mu.Lock()
-	svc.table.Lost(name)
+	svc.table.MarkLost(name)
 	svc.mu.Unlock()
 }
 
@@ -236,7 +236,7 @@
 		return
 	}
 	svc.mu.Lock()
-	news := svc.table.Seen(name, incarnation, state)
+	news := svc.table.ObserveState(name, incarnation, state)
 	svc.mu.Unlock()
 	if news {
 		e.opt.OnDrain(name, incarnation)
@@ -250,6 +250,6 @@
 		return
 	}
 	svc.mu.Lock()
-	svc.table.Drain(name, incarnation)
+	svc.table.MarkDraining(name, incarnation)
 	svc.mu.Unlock()
 }
--- a/query/metrics.go
+++ b/query/metrics.go
@@ -55,9 +55,9 @@
 func (m *instruments) ended(out *policy.Outcome) {
 	m.hedges.Add(out.Hedges)
 	m.retries.Add(out.Retries)
-	if out.End != policy.EndAnswered {
+	if out.End != policy.EndComplete {
 		return
 	}
-	m.took(phaseHeld, out.Last.Held)
-	m.took(phaseAttempt, out.Last.Took)
+	m.took(phaseHeld, out.LastAnswer.SentAfter)
+	m.took(phaseAttempt, out.LastAnswer.Took)
 }
--- a/query/request.go
+++ b/query/request.go
@@ -57,13 +57,13 @@
 func (r *Request) spec() policy.Spec {
 	s := r.Search
 	return policy.Spec{
-		Deadline:    r.deadline(),
-		Need:        r.Need,
-		Grace:       time.Duration(s.Coverage.GraceMS) * time.Millisecond,
-		Pinned:      r.Snapshot,
-		HedgeAt:     s.Hedge.Quantile,
-		HedgeMin:    time.Duration(s.Hedge.MinDelayMS) * time.Millisecond,
-		MaxAttempts: max(s.Retry.MaxAttempts, 1),
-		Plain:       r.plain(),
+		Deadline:       r.deadline(),
+		MinCoverage:    r.Need,
+		Grace:          time.Duration(s.Coverage.GraceMS) * time.Millisecond,
+		PinnedSnapshot: r.Snapshot,
+		HedgeQuantile:  s.Hedge.Quantile,
+		MinHedgeDelay:  time.Duration(s.Hedge.MinDelayMS) * time.Millisecond,
+		MaxAttempts:    max(s.Retry.MaxAttempts, 1),
+		Plain:          r.plain(),
 	}
 }
--- a/query/run.go
+++ b/query/run.go
@@ -94,7 +94,7 @@
 	now := r.engine.now()
 	r.query = policy.NewQuery(r.req.spec(), r.svc.table)
 	acts := r.query.Start(now)
-	return r.query.Wake(), acts
+	return r.query.NextTick(), acts
 }
 
 // take feeds an event, and those that have come meanwhile, under one lock.
@@ -108,7 +108,7 @@
 		case ev = <-r.events:
 			acts = append(acts, r.feed(now, ev)...)
 		default:
-			return r.query.Wake(), acts
+			return r.query.NextTick(), acts
 		}
 	}
 }
@@ -116,9 +116,9 @@
 // feed passes an event to the policy. It must hold svc.mu.
 func (r *runner) feed(now time.Time, ev event) []policy.Action {
 	if ev.answer != nil {
-		return r.query.Answered(now, ev.attempt, ev.answer)
+		return r.query.HandleAnswer(now, ev.attempt, ev.answer)
 	}
-	return r.query.Failed(now, ev.attempt, ev.failure)
+	return r.query.HandleFailure(now, ev.attempt, ev.failure)
 }
 
 func (r *runner) tick() (time.Time, []policy.Action) {
@@ -126,7 +126,7 @@
 	defer r.svc.mu.Unlock()
 	now := r.engine.now()
 	acts := r.query.Tick(now)
-	return r.query.Wake(), acts
+	return r.query.NextTick(), acts
 }
 
 // abandon ends a query whose caller went away.
--- a/query/submit.go
+++ b/query/submit.go
@@ -80,7 +80,7 @@
 		}
 		answer, err := e.handOver(ctx, req, send)
 		svc.mu.Lock()
-		sub.Ended(e.now(), endOf(err))
+		sub.HandleEnd(e.now(), endOf(err))
 		svc.mu.Unlock()
 		if err == nil {
 			return Submitted{Code: result.Accepted, Result: answer.Result}
