--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -21,17 +21,17 @@
 
 // admit decides whether the request is worth beginning, by the shards that this VM asks itself;
 // a VM that is called decides by its own. Those that can't answer in time are closed.
-func (q *Query) admit(now time.Time, own []int) bool {
-	q.omissionsLeft = q.omissionsAllowed(len(own))
+func (q *Query) admit(now time.Time, ownShards []int) bool {
+	q.omissionsLeft = q.omissionsAllowed(len(ownShards))
 	if !q.spec.Gathered || q.table.admitAll {
 		return true
 	}
-	usual, _ := q.table.typicalDuration(now, q.durationKey())
-	slack := max(q.spec.AnswerBy.Sub(now)-usual, 0)
+	typical, _ := q.table.typicalDuration(now, q.durationKey())
+	slack := max(q.spec.AnswerBy.Sub(now)-typical, 0)
 	var waits []time.Duration
 	var late []int
-	for _, i := range own {
-		wait := q.eta(now, &q.shards[i]) - usual
+	for _, i := range ownShards {
+		wait := q.eta(now, &q.shards[i]) - typical
 		waits = append(waits, wait)
 		if wait > slack {
 			late = append(late, i)
@@ -66,11 +66,11 @@
 
 // omissionsAllowed is how many shards an answer can do without, of a delegated request how many of those
 // that this VM asks.
-func (q *Query) omissionsAllowed(own int) int {
+func (q *Query) omissionsAllowed(ownShards int) int {
 	if !q.spec.Delegated {
 		return q.maxOmissions()
 	}
-	return own - min(q.spec.Required, own)
+	return ownShards - min(q.spec.Required, ownShards)
 }
 
 // maxOmissions is how many shards an answer can do without.
@@ -106,8 +106,8 @@
 }
 
 // refuse closes all shards.
-func (q *Query) refuse(now time.Time, why Refusal) {
-	q.refusal = &why
+func (q *Query) refuse(now time.Time, refusal Refusal) {
+	q.refusal = &refusal
 	for i := range q.shards {
 		if s := &q.shards[i]; !s.declined {
 			q.omitShard(now, s)
@@ -115,7 +115,7 @@
 	}
 	left := float64(q.spec.Deadline.Sub(now))
 	random := minReturnShare + (maxReturnShare-minReturnShare)*q.table.rng.Float64()
-	after := min(why.Wait-why.Limit+time.Duration(random*left), time.Duration(maxReturnShare*left))
+	after := min(refusal.Wait-refusal.Limit+time.Duration(random*left), time.Duration(maxReturnShare*left))
 	q.retryAfter = min(max(after, minRetryAfter), maxRetryAfter)
 }
 
@@ -138,7 +138,7 @@
 // eta is the time until a shard would answer, at the best of its leafs, behind the requests
 // that wait for one of them already.
 func (q *Query) eta(now time.Time, s *shard) time.Duration {
-	usual, _ := q.table.typicalDuration(now, q.durationKey())
+	typical, _ := q.table.typicalDuration(now, q.durationKey())
 	best := time.Duration(never)
 	slots := 0.0 // of leafs as quick as usual
 	var work time.Duration
@@ -146,7 +146,7 @@
 		if l.suspicion.active {
 			continue
 		}
-		best = min(best, l.eta(now, usual))
+		best = min(best, l.eta(now, typical))
 		slots += float64(l.Slots) / l.slowdown.factor(now)
 		work = max(work, l.typicalWork)
 	}
@@ -158,8 +158,8 @@
 }
 
 // eta is the time until the leaf would answer a request that usually takes the time given.
-func (l *leaf) eta(now time.Time, usual time.Duration) time.Duration {
-	d := l.expected(now, usual) + l.backlog(now)
+func (l *leaf) eta(now time.Time, typical time.Duration) time.Duration {
+	d := l.expected(now, typical) + l.backlog(now)
 	if l.cooldown.active(now) {
 		d += l.cooldown.until.Sub(now)
 	}
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -16,46 +16,46 @@
 )
 
 // trySend sends an attempt on a shard, or notes why none can be sent.
-func (q *Query) trySend(now time.Time, i int, why AttemptReason) []Action {
+func (q *Query) trySend(now time.Time, i int, reason AttemptReason) []Action {
 	s := &q.shards[i]
 	leafs := q.candidates(s)
-	c := leafFilter{exclude: s.tried, idleOnly: why == Hedge}
+	filter := leafFilter{exclude: s.tried, idleOnly: reason == Hedge}
 	if q.spec.Gathered {
-		c.answerBy = q.usefulUntil(now)
-		late := c.answerBy.After(q.spec.AnswerBy)
+		filter.answerBy = q.usefulUntil(now)
+		late := filter.answerBy.After(q.spec.AnswerBy)
 		if late && q.enough(q.answered()) {
 			if s.inFlight == 0 {
 				s.close(GapLate)
 			}
 			return nil
 		}
-		c.idleOnly = c.idleOnly || late
+		filter.idleOnly = filter.idleOnly || late
 	}
-	l := q.table.pickLeaf(now, q.durationKey(), leafs, c)
-	if l == nil && why != Hedge && s.inFlight == 0 {
+	l := q.table.pickLeaf(now, q.durationKey(), leafs, filter)
+	if l == nil && reason != Hedge && s.inFlight == 0 {
 		// All cool down after failures, or each was tried. One of them is better than
 		// none: a leaf that refused or was out of reach may be well again.
 		l = q.table.pickCoolingDown(now, leafs, s.tried)
 		if l == nil && (s.maybeRan == 0 || s.shared) {
-			c.exclude = nil
-			l = q.table.pickLeaf(now, q.durationKey(), leafs, c)
+			filter.exclude = nil
+			l = q.table.pickLeaf(now, q.durationKey(), leafs, filter)
 		}
 	}
 	if l == nil {
-		q.waitForLeaf(now, s, why)
+		q.waitForLeaf(now, s, reason)
 		return nil
 	}
-	if !q.spendBudget(now, s, why) {
-		if why != Hedge && s.inFlight == 0 {
+	if !q.spendBudget(now, s, reason) {
+		if reason != Hedge && s.inFlight == 0 {
 			s.close(GapBudget)
 		}
 		return nil
 	}
-	return []Action{q.send(now, i, l, why)}
+	return []Action{q.send(now, i, l, reason)}
 }
 
 // spendBudget counts the arrival that an attempt is going to cause.
-func (q *Query) spendBudget(now time.Time, s *shard, why AttemptReason) bool {
+func (q *Query) spendBudget(now time.Time, s *shard, reason AttemptReason) bool {
 	b := q.table.budget(now, s.service)
 	if !s.budgetCounted {
 		s.budgetCounted = true
@@ -64,18 +64,18 @@
 	if !s.arrived && s.inFlight == 0 && s.call == 0 && !q.spec.Redelegated {
 		return true
 	}
-	spare := 0.0
-	if why == Hedge {
-		spare = hedgeReserve
+	reserve := 0.0
+	if reason == Hedge {
+		reserve = hedgeReserve
 	}
-	return b.spend(now, spare)
+	return b.spend(now, reserve)
 }
 
-func (q *Query) send(now time.Time, i int, l *leaf, why AttemptReason) Action {
+func (q *Query) send(now time.Time, i int, l *leaf, reason AttemptReason) Action {
 	s := &q.shards[i]
 	q.lastAttempt++
 	q.sent++
-	switch why {
+	switch reason {
 	case Hedge:
 		q.hedges++
 		s.hedged = true
@@ -89,8 +89,8 @@
 	s.maybeRan++
 	s.hedgeAt = now.Add(q.hedgeDelay(now, l))
 	q.schedulePoll(s, time.Time{})
-	usual, known := q.table.typicalDuration(now, q.durationKey())
-	l.recordSent(pendingRequest{sentAt: now, typical: usual, known: known})
+	typical, known := q.table.typicalDuration(now, q.durationKey())
+	l.recordSent(pendingRequest{sentAt: now, typical: typical, known: known})
 	q.attempts[q.lastAttempt] = &attempt{shard: i, leaf: l.id, sentAt: now}
 	return Send{
 		Attempt:        q.lastAttempt,
@@ -101,7 +101,7 @@
 		Until:          q.usefulUntil(now),
 		OtherZone:      !l.sameZone,
 		KeepConnection: q.table.KeepsConnection(l.id),
-		Reason:         why,
+		Reason:         reason,
 	}
 }
 
@@ -117,8 +117,8 @@
 	if !q.spec.Gathered {
 		return q.spec.Deadline
 	}
-	usual, _ := q.table.typicalDuration(now, q.durationKey())
-	if now.Add(usual).Before(q.spec.AnswerBy) {
+	typical, _ := q.table.typicalDuration(now, q.durationKey())
+	if now.Add(typical).Before(q.spec.AnswerBy) {
 		return earlier(q.spec.AnswerBy, q.spec.Deadline)
 	}
 	late := now.Add(time.Duration(lateShare * float64(q.spec.LatencyObjective)))
@@ -127,8 +127,8 @@
 
 // waitForLeaf lets a shard that has leafs, none of which takes a request just now, be
 // looked at again.
-func (q *Query) waitForLeaf(now time.Time, s *shard, why AttemptReason) {
-	if why == Hedge {
+func (q *Query) waitForLeaf(now time.Time, s *shard, reason AttemptReason) {
+	if reason == Hedge {
 		return
 	}
 	if s.inFlight > 0 || !now.Before(q.waitUntil()) {
@@ -187,9 +187,9 @@
 		s.close(GapAttempts)
 		return nil
 	}
-	why := Retry
+	reason := Retry
 	if s.sends == 0 {
-		why = FirstAttempt
+		reason = FirstAttempt
 	}
-	return q.trySend(now, i, why)
+	return q.trySend(now, i, reason)
 }
--- a/scatter/budget.go
+++ b/scatter/budget.go
@@ -44,16 +44,16 @@
 
 // spend spends one extra arrival and reports whether it could. It leaves spare
 // arrivals unspent, so that hedges don't use up what retries need.
-func (b *budget) spend(now time.Time, spare float64) bool {
+func (b *budget) spend(now time.Time, reserve float64) bool {
 	step := b.advance(now)
-	var first, extra float64
+	var requests, extra float64
 	for i := range b.steps {
-		first += b.steps[i].requests
+		requests += b.steps[i].requests
 		extra += b.steps[i].extra
 	}
 	oldest := b.steps[(b.newest+1)%int64(len(b.steps))].requests
-	allowed := b.config.Ratio*usableRatio*(first-oldest) + b.floor
-	if extra+1+spare > allowed {
+	allowed := b.config.Ratio*usableRatio*(requests-oldest) + b.floor
+	if extra+1+reserve > allowed {
 		return false
 	}
 	step.extra++
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -148,7 +148,7 @@
 }
 
 // callVM makes a call; again says that another VM was called for the same shards.
-func (q *Query) callVM(now time.Time, d delegation, again bool) Action {
+func (q *Query) callVM(now time.Time, d delegation, redelegated bool) Action {
 	id := CallID(len(q.calls) + 1)
 	v, shards := d.vm, d.shards
 	v.inFlight++
@@ -157,7 +157,7 @@
 		s := &q.shards[i]
 		views[n] = q.table.View(s.service)
 		s.call = id
-		s.redelegated = s.redelegated || again
+		s.redelegated = s.redelegated || redelegated
 		q.shareShard(s, v.Zone)
 		if !s.budgetCounted {
 			s.budgetCounted = true
@@ -168,7 +168,7 @@
 	interim := now.Add(time.Duration(interimShare * float64(left)))
 	due := q.failoverTime(now, interim)
 	q.calls[id] = &call{
-		vm: v.Name, partition: d.partition, redelegated: again, shards: shards, sentAt: now,
+		vm: v.Name, partition: d.partition, redelegated: redelegated, shards: shards, sentAt: now,
 		failoverAt: due,
 	}
 	return CallVM{
@@ -178,7 +178,7 @@
 		Shards:      shards,
 		Views:       views,
 		Required:    max(len(shards)-q.omissionsLeft, 0),
-		Redelegated: again,
+		Redelegated: redelegated,
 		InterimBy:   interim,
 		AnswerBy:    now.Add(max(time.Duration(answerShare*float64(left)), left-callSlack)),
 	}
@@ -231,11 +231,11 @@
 	if ans.Refused {
 		return q.callRefused(now, c, id, ans.RetryAfter)
 	}
-	heard := len(ans.Included) > 0 || ans.Last // and not only what was declined
-	if heard && !c.answered {
+	answered := len(ans.Included) > 0 || ans.Last // and not only what was declined
+	if answered && !c.answered {
 		q.table.durationsOf(q.callDurationKey()).Add(now, now.Sub(c.sentAt))
 	}
-	c.answered = c.answered || heard
+	c.answered = c.answered || answered
 	c.finished = c.finished || ans.Last
 	acts := q.reclaim(now, id, ans.Declined)
 	if c.resolved {
--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -61,7 +61,7 @@
 		calls := vmCalls(q.Start(w.now))
 		w.Expect(calls).To(gomega.HaveLen(1))
 		ran := make(map[int]map[LeafID]bool)
-		note := func(list []Send, shard func(int) int) {
+		record := func(list []Send, shard func(int) int) {
 			for _, s := range list {
 				i := shard(s.Shard)
 				if ran[i] == nil {
@@ -80,21 +80,21 @@
 				peer.table.AttemptEnded(peer.now, LeafID{ID: service + "@" + zone, Born: 1}, peer.now, EndUnreachable)
 			}
 		}
-		sub := peer.gathered(nil)
+		peerSpec := peer.gathered(nil)
 		for _, i := range calls[0].Shards {
-			sub.Services = append(sub.Services, names[i])
+			peerSpec.Services = append(peerSpec.Services, names[i])
 		}
-		sub.RequestID, sub.Delegated, sub.Views = request, true, calls[0].Views
-		own := func(i int) int { return calls[0].Shards[i] }
-		theirs := NewQuery(sub, peer.table)
-		note(sends(theirs.Start(peer.now)), own)
+		peerSpec.RequestID, peerSpec.Delegated, peerSpec.Views = request, true, calls[0].Views
+		callerShard := func(i int) int { return calls[0].Shards[i] }
+		peerQuery := NewQuery(peerSpec, peer.table)
+		record(sends(peerQuery.Start(peer.now)), callerShard)
 		peer.wait(40 * time.Millisecond)
-		note(sends(theirs.Tick(peer.now)), own)
+		record(sends(peerQuery.Tick(peer.now)), callerShard)
 
 		w.now = q.Wake(w.now)
-		note(sends(q.Tick(w.now)), func(i int) int { return i })
+		record(sends(q.Tick(w.now)), func(i int) int { return i })
 		w.wait(30 * time.Millisecond)
-		note(sends(q.Tick(w.now)), func(i int) int { return i })
+		record(sends(q.Tick(w.now)), func(i int) int { return i })
 		for _, leafs := range ran {
 			w.Expect(len(leafs)).To(gomega.BeNumerically("<=", 2))
 		}
@@ -133,7 +133,7 @@
 		q := NewQuery(spec, w.table)
 		acts := q.Start(w.now)
 		ran := make([]map[LeafID]bool, shards)
-		note := func(acts []Action, shard func(int) int) {
+		record := func(acts []Action, shard func(int) int) {
 			for _, s := range sends(acts) {
 				i := shard(s.Shard)
 				if ran[i] == nil {
@@ -143,28 +143,28 @@
 			}
 		}
 		direct := func(i int) int { return i }
-		note(acts, direct)
+		record(acts, direct)
 		if calls := vmCalls(acts); len(calls) > 0 {
 			call := calls[0]
-			own := func(i int) int { return call.Shards[i] }
-			sub := peer.gathered(nil)
+			callerShard := func(i int) int { return call.Shards[i] }
+			peerSpec := peer.gathered(nil)
 			for _, i := range call.Shards {
-				sub.Services = append(sub.Services, names[i])
+				peerSpec.Services = append(peerSpec.Services, names[i])
 			}
-			sub.RequestID, sub.Delegated, sub.Views = request, true, call.Views
-			theirs := NewQuery(sub, peer.table)
-			note(theirs.Start(peer.now), own)
+			peerSpec.RequestID, peerSpec.Delegated, peerSpec.Views = request, true, call.Views
+			peerQuery := NewQuery(peerSpec, peer.table)
+			record(peerQuery.Start(peer.now), callerShard)
 			var declined []int
-			for _, i := range theirs.Declined() {
-				declined = append(declined, own(i))
+			for _, i := range peerQuery.Declined() {
+				declined = append(declined, callerShard(i))
 			}
 			peer.wait(60 * time.Millisecond)
-			note(theirs.Tick(peer.now), own)
-			note(q.CallReply(w.now, call.Call, CallAnswer{Declined: declined}), direct)
+			record(peerQuery.Tick(peer.now), callerShard)
+			record(q.CallReply(w.now, call.Call, CallAnswer{Declined: declined}), direct)
 		}
 		for range 3 {
 			w.wait(30 * time.Millisecond)
-			note(q.Tick(w.now), direct)
+			record(q.Tick(w.now), direct)
 		}
 		for i, leafs := range ran {
 			w.Expect(len(leafs)).To(gomega.BeNumerically("<=", 2), names[i])
@@ -359,19 +359,19 @@
 // again once it was reached.
 func TestSilentLeafIsAvoidedAtOnce(t *testing.T) {
 	w := newWorld(t)
-	dark := w.leaf("ledger", homeZone)
+	silent := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
 	q := NewQuery(w.single("ledger", true), w.table)
 	first := sends(q.Start(w.now))[0]
-	w.Expect(first.Leaf).To(gomega.Equal(dark))
+	w.Expect(first.Leaf).To(gomega.Equal(silent))
 	w.wait(460 * time.Millisecond)
-	w.table.AttemptEnded(w.now, dark, first.SentAt, EndSilent)
+	w.table.AttemptEnded(w.now, silent, first.SentAt, EndSilent)
 	w.wait(200 * time.Millisecond)
-	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).NotTo(gomega.Equal(dark))
+	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).NotTo(gomega.Equal(silent))
 	w.wait(100 * time.Millisecond)
-	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).NotTo(gomega.Equal(dark))
-	w.Expect(w.table.RecordLeafProbe(w.now, dark, true)).To(gomega.BeTrue())
-	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(dark))
+	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).NotTo(gomega.Equal(silent))
+	w.Expect(w.table.RecordLeafProbe(w.now, silent, true)).To(gomega.BeTrue())
+	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(silent))
 }
 
 // A VM gives up on shards long before the caller's aim: what it leaves for the way back grew
--- a/scatter/gap.go
+++ b/scatter/gap.go
@@ -69,9 +69,9 @@
 }
 
 // close makes no further attempt on a shard.
-func (s *shard) close(why GapCause) {
+func (s *shard) close(cause GapCause) {
 	if !s.closed {
 		s.closed = true
-		s.gap = why
+		s.gap = cause
 	}
 }
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -63,11 +63,11 @@
 func (l *leaf) available(now time.Time) bool { return !l.suspicion.active && !l.cooldown.active(now) }
 
 // preferredTo reports which of two leafs that are not asked is the better one to ask.
-func (l *leaf) preferredTo(o *leaf) bool {
-	if l.suspicion.active != o.suspicion.active {
-		return o.suspicion.active
+func (l *leaf) preferredTo(other *leaf) bool {
+	if l.suspicion.active != other.suspicion.active {
+		return other.suspicion.active
 	}
-	return l.cooldown.until.Before(o.cooldown.until)
+	return l.cooldown.until.Before(other.cooldown.until)
 }
 
 // usable reports whether the leaf takes requests.
@@ -145,14 +145,14 @@
 }
 
 // expected is the time that a kind of request takes here which takes usual elsewhere.
-func (l *leaf) expected(now time.Time, usual time.Duration) time.Duration {
-	return time.Duration(l.slowdown.factor(now) * float64(usual))
+func (l *leaf) expected(now time.Time, typical time.Duration) time.Duration {
+	return time.Duration(l.slowdown.factor(now) * float64(typical))
 }
 
 // cost is the time that one more request is expected to take, with a surcharge for
 // what else it costs. Usual is what its kind takes.
-func (l *leaf) cost(now time.Time, aim, usual time.Duration) time.Duration {
-	base := l.expected(now, usual)
+func (l *leaf) cost(now time.Time, aim, typical time.Duration) time.Duration {
+	base := l.expected(now, typical)
 	ahead := float64(len(l.inFlight)) + l.othersEstimate(now) + 1 - float64(l.Slots)
 	cost := base + time.Duration(max(ahead, 0)/float64(l.Slots)*float64(base))
 	if !l.sameZone {
--- a/scatter/overtake.go
+++ b/scatter/overtake.go
@@ -31,8 +31,8 @@
 // ackDue returns when a VM in a zone that has not acknowledged a call is overtaken.
 func (q *Query) ackDue(now time.Time, zone string) time.Time {
 	wait := max(time.Duration(ackShare*float64(q.spec.AnswerBy.Sub(now))), minAckWait)
-	lately := q.table.ackTimes[zone].longest(now)
-	return now.Add(max(wait, time.Duration(ackFactor*float64(lately))))
+	recent := q.table.ackTimes[zone].longest(now)
+	return now.Add(max(wait, time.Duration(ackFactor*float64(recent))))
 }
 
 // acknowledged takes the first word of a VM on a call: it lives, and its answer is awaited.
@@ -88,9 +88,9 @@
 // failOver asks for what a VM has not answered: through another VM that owns these leafs, and
 // so has connections to them and most of the budget. If there is none, what the first one may
 // have asked is asked for directly.
-func (q *Query) failOver(now time.Time, id CallID, mayHaveAsked bool) []Action {
+func (q *Query) failOver(now time.Time, id CallID, mayHaveSent bool) []Action {
 	c := q.calls[id]
-	again := mayHaveAsked || c.redelegated
+	redelegated := mayHaveSent || c.redelegated
 	open := q.unanswered(id)
 	var v *vm
 	if len(open) >= minDelegated {
@@ -98,8 +98,8 @@
 	}
 	switch {
 	case v != nil:
-		return []Action{q.callVM(now, delegation{vm: v, partition: c.partition, shards: open}, again)}
-	case again:
+		return []Action{q.callVM(now, delegation{vm: v, partition: c.partition, shards: open}, redelegated)}
+	case redelegated:
 		return q.sendDirectly(now, id)
 	}
 	return nil
@@ -145,11 +145,11 @@
 	if len(shards) == 0 {
 		return
 	}
-	rivals, lost := q.overlapping(shards)
-	if lost >= len(shards) {
+	overlaps, dropped := q.overlapping(shards)
+	if dropped >= len(shards) {
 		return
 	}
-	for _, n := range rivals {
+	for _, n := range overlaps {
 		q.setUsed(n, false)
 	}
 	q.setUsed(len(q.callAnswers)-1, true)
@@ -157,16 +157,16 @@
 
 // overlapping returns the included answers that share a shard with these, and how many shards they
 // have.
-func (q *Query) overlapping(shards []int) (list []int, have int) {
+func (q *Query) overlapping(shards []int) (list []int, total int) {
 	for _, i := range shards {
 		n := q.shards[i].includedAnswer - 1
 		if n < 0 || slices.Contains(list, n) {
 			continue
 		}
 		list = append(list, n)
-		have += len(q.callAnswers[n].shards)
+		total += len(q.callAnswers[n].shards)
 	}
-	return list, have
+	return list, total
 }
 
 // setUsed includes an answer or leaves it out.
--- a/scatter/query_test.go
+++ b/scatter/query_test.go
@@ -172,11 +172,11 @@
 	w.table.Apply(w.now, registry.Change{Leaf: registry.Leaf{
 		ID: old.ID, Born: 2, Service: "ledger", Zone: homeZone, Slots: 2, Address: "127.0.0.1:1",
 	}})
-	young := LeafID{ID: old.ID, Born: 2}
-	w.Expect(w.table.findLeaf(young).cooldown.active(w.now)).To(gomega.BeFalse())
+	renewed := LeafID{ID: old.ID, Born: 2}
+	w.Expect(w.table.findLeaf(renewed).cooldown.active(w.now)).To(gomega.BeFalse())
 	w.Expect(w.table.findLeaf(old)).To(gomega.BeNil())
 	w.table.AttemptEnded(w.now, old, w.now, EndUnreachable)
-	w.Expect(w.table.findLeaf(young).cooldown.active(w.now)).To(gomega.BeFalse())
+	w.Expect(w.table.findLeaf(renewed).cooldown.active(w.now)).To(gomega.BeFalse())
 }
 
 // Whatever leafs do and whenever, a query ends exactly once, by its deadline, asks no
@@ -308,21 +308,21 @@
 func TestLeafThatFailsEveryOtherRequestIsLeftAside(t *testing.T) {
 	for _, end := range []End{EndBroken, EndFailed} {
 		w := newWorld(t)
-		grey := w.leaf("ledger", homeZone)
+		failing := w.leaf("ledger", homeZone)
 		w.leaf("ledger", "other")
 		first := func() Send { return sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0] }
 		for i := range 6 {
 			s := first()
 			w.wait(5 * time.Millisecond)
-			if s.Leaf == grey && i%2 == 0 {
+			if s.Leaf == failing && i%2 == 0 {
 				w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, end)
 			} else {
 				w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 			}
 		}
-		w.Expect(first().Leaf).NotTo(gomega.Equal(grey))
+		w.Expect(first().Leaf).NotTo(gomega.Equal(failing))
 		w.wait(4 * failureHalfLife)
-		w.Expect(first().Leaf).To(gomega.Equal(grey))
+		w.Expect(first().Leaf).To(gomega.Equal(failing))
 	}
 }
 
--- a/scatter/readers_test.go
+++ b/scatter/readers_test.go
@@ -34,7 +34,7 @@
 		follows[v.Name] = others[first].Name
 	}
 	g.Expect(reads).To(gomega.Equal(1))
-	for _, whom := range follows {
-		g.Expect(follows).NotTo(gomega.HaveKey(whom), "who is followed reads the store")
+	for _, followed := range follows {
+		g.Expect(follows).NotTo(gomega.HaveKey(followed), "who is followed reads the store")
 	}
 }
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -44,19 +44,19 @@
 
 // recordAnswer takes an answer to a request that was sent at sentAt and usually takes the time
 // given. Slow answers to requests in flight together count once: one pause makes them all.
-func (s *slowdown) recordAnswer(now, sentAt time.Time, usual time.Duration) {
-	s.add(now, sentAt, now.Sub(sentAt), usual, excessWeight)
+func (s *slowdown) recordAnswer(now, sentAt time.Time, typical time.Duration) {
+	s.add(now, sentAt, now.Sub(sentAt), typical, excessWeight)
 }
 
 // recordExpired takes that the leaf was still at work when the time of a request was over. How long
 // it would have taken is not known. Such a leaf is too slow for its requests, and it tells so
 // much more seldom than others do.
-func (s *slowdown) recordExpired(now, sentAt time.Time, usual time.Duration) {
-	s.add(now, sentAt, expiredFactor*now.Sub(sentAt), usual, expiredWeight)
+func (s *slowdown) recordExpired(now, sentAt time.Time, typical time.Duration) {
+	s.add(now, sentAt, expiredFactor*now.Sub(sentAt), typical, expiredWeight)
 }
 
-func (s *slowdown) add(now, sentAt time.Time, took, usual time.Duration, weight float64) {
-	ratio := float64(took) / (float64(usual) * s.statedFactor(now))
+func (s *slowdown) add(now, sentAt time.Time, took, typical time.Duration, weight float64) {
+	ratio := float64(took) / (float64(typical) * s.statedFactor(now))
 	if ratio > slowThreshold {
 		if sentAt.Before(s.slowAt) {
 			return
--- a/scatter/suspicion_test.go
+++ b/scatter/suspicion_test.go
@@ -46,11 +46,11 @@
 	s := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0]
 	w.table.AttemptEnded(w.now, near, s.SentAt, EndUnreachable)
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))).To(gomega.HaveLen(1))
-	rests := w.leaf("ledger", "other")
-	w.table.AttemptEnded(w.now, rests, w.now, EndBroken)
-	w.table.AttemptEnded(w.now.Add(time.Millisecond), rests, w.now.Add(time.Millisecond), EndBroken)
+	failing := w.leaf("ledger", "other")
+	w.table.AttemptEnded(w.now, failing, w.now, EndBroken)
+	w.table.AttemptEnded(w.now.Add(time.Millisecond), failing, w.now.Add(time.Millisecond), EndBroken)
 	again := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now.Add(time.Millisecond)))
-	w.Expect(again[0].Leaf).To(gomega.Equal(rests), "one that answers now and then is the better guess")
+	w.Expect(again[0].Leaf).To(gomega.Equal(failing), "one that answers now and then is the better guess")
 }
 
 // A leaf was taken for dark while this VM was frozen, and its answer comes late. It lives,
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -206,21 +206,21 @@
 
 // pickLeaf chooses the leaf for a request: of those that are asked and not full, the one that is
 // expected to answer first.
-func (t *Table) pickLeaf(now time.Time, kind durationKey, leafs []*leaf, c leafFilter) *leaf {
+func (t *Table) pickLeaf(now time.Time, kind durationKey, leafs []*leaf, filter leafFilter) *leaf {
 	var best *leaf
 	var bestCost time.Duration
-	usual, _ := t.typicalDuration(now, kind)
+	typical, _ := t.typicalDuration(now, kind)
 	for _, l := range leafs {
-		if slices.Contains(c.exclude, l.id) || !l.hasCapacity() || !l.available(now) {
+		if slices.Contains(filter.exclude, l.id) || !l.hasCapacity() || !l.available(now) {
 			continue
 		}
-		if c.idleOnly && !l.idle(now) {
+		if filter.idleOnly && !l.idle(now) {
 			continue
 		}
-		if !c.answerBy.IsZero() && now.Add(l.eta(now, usual)/sendMargin).After(c.answerBy) {
+		if !filter.answerBy.IsZero() && now.Add(l.eta(now, typical)/sendMargin).After(filter.answerBy) {
 			continue
 		}
-		cost := l.cost(now, kind.objective, usual)
+		cost := l.cost(now, kind.objective, typical)
 		// A little chance keeps VMs that know the same from all going one way.
 		cost += time.Duration(t.rng.Int64N(int64(costJitter)))
 		if best == nil || cost < bestCost {
