--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -8,19 +8,20 @@
 
 // Admission of gathered requests.
 //
-// The load it answers: some shards have fewer slots than requests need, since a leaf is slow,
-// dark or gone. Once these are more than an answer may leave out, no request is answered in
-// time, although most of the slots would do: each one waits behind parts of others that are
-// as late, keeps the slots of all other shards busy, fails, and comes back.
+// The problem: some shards have fewer slots than requests need, since a leaf is slow,
+// unreachable or stopped. Once there are more such shards than an answer may leave out, no
+// request is answered in time, although the slots would suffice for most requests. Each
+// request waits behind parts of others that are equally late, occupies slots of all other
+// shards, fails, and is retried.
 //
-// So before anything is sent, the VM that asks the leafs forecasts when each shard could
-// answer, from the leafs' stated load and pace, its own requests in flight, and how long
-// requests of that kind usually take. Parts that would come too late are not sent, and a
-// request that lacks too many of them is refused at once: it has not run, and its caller is
-// told when to come back.
-
-// admit decides whether the request is worth beginning, by the shards that this VM asks itself;
-// a VM that is called decides by its own. Those that can't answer in time are closed.
+// Therefore, before anything is sent, the VM that queries the leafs forecasts when each shard
+// could answer. The forecast uses the load and slowdown that the leafs state, the VM's own
+// requests in flight, and the typical duration of that kind of request. Parts that would be
+// too late are not sent. A request that lacks too many parts is refused at once: it has not
+// run, and its caller is told when to retry.
+
+// admit decides whether to start the request, from the shards that this VM queries itself; a
+// VM that is called decides for its own shards. Shards that can't answer in time are closed.
 func (q *Query) admit(now time.Time, ownShards []int) bool {
 	q.omissionsLeft = q.omissionsAllowed(len(ownShards))
 	if !q.spec.Gathered || q.table.admitAll {
@@ -50,22 +51,22 @@
 	return true
 }
 
-// Parameters of holding back own shards.
+// Parameters of holding back this VM's own shards.
 const (
-	holdThreshold = 0.05 // share of refused calls from which they are held
-	// holdTime is about what a call and its refusal take.
+	holdThreshold = 0.05 // share of refused calls above which they are held back
+	// holdTime is about as long as a call and its refusal take.
 	holdTime = 3 * time.Millisecond
 )
 
-// holdsOwnShards reports whether the shards that this VM asks itself wait until called VMs had the
-// time to refuse. Where calls are refused now and then, leafs would work on the other shards
-// for nobody, and the caller could not be told that its request has not run.
+// holdsOwnShards reports whether the shards that this VM queries itself wait until called VMs
+// have had time to refuse. Where calls are refused occasionally, leafs would otherwise work on
+// the other shards without use, and the caller could not be told that its request has not run.
 func (q *Query) holdsOwnShards(now time.Time, calls []delegation) bool {
 	return len(calls) > 0 && q.table.callRefusalRate.current(now) > holdThreshold
 }
 
-// omissionsAllowed is how many shards an answer can do without, of a delegated request how many of those
-// that this VM asks.
+// omissionsAllowed returns how many shards an answer may leave out. For a delegated request
+// these are shards that this VM queries.
 func (q *Query) omissionsAllowed(ownShards int) int {
 	if !q.spec.Delegated {
 		return q.maxOmissions()
@@ -73,7 +74,7 @@
 	return ownShards - min(q.spec.Required, ownShards)
 }
 
-// maxOmissions is how many shards an answer can do without.
+// maxOmissions returns how many shards an answer may leave out.
 func (q *Query) maxOmissions() int {
 	n := float64(len(q.shards))
 	return len(q.shards) - max(int(math.Ceil(q.spec.MinShare*n-roundingSlack)), 1)
@@ -82,7 +83,7 @@
 // roundingSlack keeps a share that is a whole number of shards from being rounded up.
 const roundingSlack = 1e-9
 
-// omitShard closes a shard that is not asked. The request counts for its budget all the same.
+// omitShard closes a shard that is not queried. The request still counts for its budget.
 func (q *Query) omitShard(now time.Time, s *shard) {
 	s.close(GapForecast)
 	if !s.budgetCounted {
@@ -91,21 +92,22 @@
 	}
 }
 
-// Parameters of the time that a refused caller is told, as parts of the time that it has left:
-// random between these, so that those who were refused together don't come back together. Most
-// callers don't wait for longer, and what remains does for another attempt.
+// Bounds of the retry delay of a refused caller, as shares of the time that it has left. The
+// delay is random between them, so that callers that were refused together don't return
+// together. Most callers wait no longer than that, and the remaining time is enough for
+// another attempt.
 const (
 	minReturnShare = 0.1
 	maxReturnShare = 0.33
 )
 
-// Refusal is the forecast for which a request was refused.
+// Refusal is the forecast that led to refusing a request.
 type Refusal struct {
-	Wait  time.Duration // at the scarcest shard that the answer needs
-	Limit time.Duration // that would have been borne
+	Wait  time.Duration // expected at the scarcest shard that the answer needs
+	Limit time.Duration // longest wait that would have been accepted
 }
 
-// refuse closes all shards.
+// refuse closes all shards and sets the retry delay.
 func (q *Query) refuse(now time.Time, refusal Refusal) {
 	q.refusal = &refusal
 	for i := range q.shards {
@@ -121,29 +123,31 @@
 
 // Parameters of a forecast.
 const (
-	// maxWaitShare is the part of the slack, which is what a request has beyond its usual
-	// time, that it may have to wait at a shard that it needs. Other VMs begin requests at
-	// the same time, some work takes longer than usual, and leafs pause.
+	// maxWaitShare is the share of the slack that a request may have to wait at a shard
+	// that it needs. The slack is the time that it has beyond its typical duration. Other
+	// VMs start requests at the same time, some work takes longer than usual, and leafs
+	// pause.
 	maxWaitShare = 0.4
-	// sendMargin is how many times too late a part must be expected for not being sent.
+	// sendMargin is the tolerance for sending a part that is expected to be late: it is not
+	// sent if its expected duration exceeds the time left by more than this factor.
 	sendMargin = 2
-	// drainShare is the part of what a leaf can run that its queue has become shorter by since
-	// the last report: other VMs go on sending.
+	// drainShare is the share of a leaf's capacity by which its queue is taken to have
+	// shrunk since the last report: other VMs keep sending.
 	drainShare = 0.5
 )
 
-// never is the forecast of a shard without a leaf that could be asked.
+// never is the forecast for a shard without a leaf that could be queried.
 const never = time.Hour
 
-// eta is the time until a shard would answer, at the best of its leafs, behind the requests
-// that wait for one of them already.
+// eta returns the time until a shard would answer, at the best of its leafs, behind the
+// requests that already wait for one of them.
 func (q *Query) eta(now time.Time, s *shard) time.Duration {
 	typical, _ := q.table.typicalDuration(now, q.durationKey())
 	best := time.Duration(never)
-	slots := 0.0 // of leafs as quick as usual
+	slots := 0.0 // in leafs of usual speed
 	var work time.Duration
 	for _, l := range q.candidates(s) {
-		if l.suspicion.active {
+		if l.suspicion.raised {
 			continue
 		}
 		best = min(best, l.eta(now, typical))
@@ -157,7 +161,7 @@
 	return best + time.Duration(ahead/slots*float64(work))
 }
 
-// eta is the time until the leaf would answer a request that usually takes the time given.
+// eta returns the time until the leaf would answer a request with the given typical duration.
 func (l *leaf) eta(now time.Time, typical time.Duration) time.Duration {
 	d := l.expected(now, typical) + l.backlog(now)
 	if l.cooldown.active(now) {
@@ -169,7 +173,7 @@
 	return d
 }
 
-// backlog is the time until a slot of the leaf is free.
+// backlog returns the time until a slot of the leaf is free.
 func (l *leaf) backlog(now time.Time) time.Duration {
 	ahead := float64(len(l.inFlight)) + l.queued(now) + 1 - float64(l.Slots)
 	if ahead <= 0 {
@@ -178,8 +182,8 @@
 	return time.Duration(ahead / float64(l.Slots) * float64(l.expected(now, l.typicalWork)))
 }
 
-// queued is how many requests of other VMs the leaf has: those of the last report, less what
-// it has worked off since.
+// queued returns how many requests of other VMs the leaf has: those of the last report, less
+// those that it has completed since.
 func (l *leaf) queued(now time.Time) float64 {
 	age := now.Sub(l.reportedAt)
 	if age >= reportLifetime || l.othersReported == 0 {
--- a/scatter/allowed.go
+++ b/scatter/allowed.go
@@ -8,28 +8,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Two VMs may ask leafs of one shard: the one that was called, and the one that called,
-// when it has waited for too long. Neither knows in time what the other did. Both compute
-// the same leafs from the request's id, one fewer than the request allows. The one that
-// called asks these only; the other may ask one more of its own choice. Together they ask no
-// more than the request allows, even if one of them freezes between any two steps.
+// Two VMs may send requests to leafs of one shard: the called VM, and the calling VM once it
+// has waited too long. Neither knows in time what the other did. Both compute the same leafs
+// from the request's id, one fewer than the request allows. The calling VM uses only these;
+// the called VM may use one more of its own choice. Together they use no more leafs than the
+// request allows, even if one of them freezes between any two steps.
 //
-// A second VM that is called, since the first one is silent, asks the computed ones only.
+// A second VM, called because the first one is silent, uses the computed leafs only.
 //
-// The VM that was called asks these leafs all the time and knows which are slow or dark.
-// If it too were held to those that were computed, a shard with two bad leafs of three would be
-// lost to every second request, with a good leaf idle.
+// The called VM sends requests to these leafs all the time and knows which are slow or
+// unreachable. If it too were restricted to the computed leafs, a shard with two bad leafs of
+// three would be lost to every second request, while a good leaf is idle.
 //
-// They compute the same only if both know the same leafs. A change reaches one VM up to
-// some seconds before another, and much later one that has lost the store. So a call
-// carries what the caller knows as a View, and the called VM declines a shard of which
-// it has another.
+// They compute the same leafs only if both know the same list. A change reaches one VM up to
+// some seconds before another, and a VM that has lost the store much later. Therefore a call
+// carries the caller's list as a View, and the called VM declines shards for which its own
+// view differs.
 
-// View identifies the leafs of a service that a VM takes for usable. VMs with the same
-// leafs have the same view.
+// View identifies the set of usable leafs of a service, as one VM knows it. VMs that know the
+// same leafs have the same view.
 type View uint32
 
-// View returns this VM's view of a service.
+// View returns this VM's view of a service, 0 for an unknown one.
 func (t *Table) View(service string) View {
 	s := t.services[service]
 	if s == nil {
@@ -42,9 +42,9 @@
 	return s.view
 }
 
-// viewVersion changes with each release that decides otherwise who may ask which leafs. While VMs
-// are replaced one after another, those of two forms have different views and decline each
-// other's shards; together they might ask one leaf more than a request allows.
+// viewVersion changes with each release that changes the rule for which VM may use which
+// leafs. During a rolling upgrade, VMs of two versions have different views and decline each
+// other's shards. Otherwise they might together use one leaf more than a request allows.
 const viewVersion = 3
 
 func viewOf(leafs []*leaf) View {
@@ -58,9 +58,9 @@
 	return View(sum)
 }
 
-// commonLeafs returns the leafs of a shard that two VMs may ask, for a request that may run on
-// attempts leafs: one in the zone given first, and one fewer in all than attempts. One whose
-// address has moved counts among them, since only this VM may know.
+// commonLeafs returns the leafs of a shard that two VMs may use for a request that may run on
+// attempts leafs: one fewer than attempts, but at least one, starting with those in the given
+// zone. A leaf whose address was reused counts among them, since only this VM may know of that.
 func (t *Table) commonLeafs(service, zone, request string, attempts int) []LeafID {
 	s := t.services[service]
 	if s == nil {
@@ -99,21 +99,21 @@
 	return q.table.usableLeafs(s.service)
 }
 
-// recordChoice notes that the VM that was called asks a leaf of its own choice.
+// recordChoice records that the called VM uses a leaf of its own choice.
 func (s *shard) recordChoice(id LeafID) {
 	if s.shared && !slices.Contains(s.commonLeafs, id) {
 		s.ownChoice = id
 	}
 }
 
-// clearChoice notes that an attempt ran nothing, so that another leaf may be chosen.
+// clearChoice records that an attempt ran nothing, so that another leaf may be chosen.
 func (s *shard) clearChoice(id LeafID) {
 	if s.ownChoice == id {
 		s.ownChoice = LeafID{}
 	}
 }
 
-// usableAmong returns those of some leafs that still take requests.
+// usableAmong returns those of the given leafs that still take requests.
 func (t *Table) usableAmong(ids []LeafID) []*leaf {
 	var list []*leaf
 	for _, id := range ids {
@@ -136,7 +136,8 @@
 	}
 }
 
-// rank orders the leafs of a shard, differently for each request.
+// rank returns the position of a leaf in the order of a shard's leafs, which differs for each
+// request.
 func rank(request, leaf string) uint64 {
 	return xxhash.Sum64String(request + "/" + leaf)
 }
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// sendsPerAttempt is how many times MaxAttempts a shard may be sent where leafs
-// refuse or can't be reached, neither of which runs anything.
+// sendsPerAttempt bounds how often a shard may be sent, as a multiple of MaxAttempts. Sends
+// beyond MaxAttempts follow refusals or failed connections, neither of which runs anything.
 const sendsPerAttempt = 3
 
-// Pauses before a shard without a leaf to send to is looked at again.
+// Limits on waiting for a leaf with capacity.
 const (
-	pollInterval = 8 * time.Millisecond
-	// queueShare is the part of the aim that a request to one service waits for a
-	// leaf to have room. A caller that is refused by then can still come back in
-	// time; one that waits longer mostly gets a late answer.
+	pollInterval = 8 * time.Millisecond // before a shard without a leaf to send to is checked again
+	// queueShare bounds how long a request to one service waits for a leaf with capacity,
+	// as a share of the latency objective. A caller that is refused by then can still
+	// retry in time; one that waits longer mostly gets a late answer.
 	queueShare = 0.2
 )
 
-// trySend sends an attempt on a shard, or notes why none can be sent.
+// trySend sends an attempt on a shard. If none can be sent, it returns no action and lets the
+// shard wait or closes it, unless the attempt is a hedge.
 func (q *Query) trySend(now time.Time, i int, reason AttemptReason) []Action {
 	s := &q.shards[i]
 	leafs := q.candidates(s)
@@ -33,10 +34,11 @@
 	}
 	l := q.table.pickLeaf(now, q.durationKey(), leafs, filter)
 	if l == nil && reason != Hedge && s.inFlight == 0 {
-		// All cool down after failures, or each was tried. One of them is better than
-		// none: a leaf that refused or was out of reach may be well again.
+		// All leafs are in cooldown after failures, or each was tried. Using one of
+		// them is better than none: a leaf that refused or was unreachable may have
+		// recovered.
 		l = q.table.pickCoolingDown(now, leafs, s.tried)
-		if l == nil && (s.maybeRan == 0 || s.shared) {
+		if l == nil && (s.possibleRuns == 0 || s.shared) {
 			filter.exclude = nil
 			l = q.table.pickLeaf(now, q.durationKey(), leafs, filter)
 		}
@@ -54,7 +56,8 @@
 	return []Action{q.send(now, i, l, reason)}
 }
 
-// spendBudget counts the arrival that an attempt is going to cause.
+// spendBudget accounts for the arrival that an attempt is going to cause, and reports whether
+// the budget allows it.
 func (q *Query) spendBudget(now time.Time, s *shard, reason AttemptReason) bool {
 	b := q.table.budget(now, s.service)
 	if !s.budgetCounted {
@@ -86,9 +89,9 @@
 	s.recordChoice(l.id)
 	s.sends++
 	s.inFlight++
-	s.maybeRan++
+	s.possibleRuns++
 	s.hedgeAt = now.Add(q.hedgeDelay(now, l))
-	q.schedulePoll(s, time.Time{})
+	q.setPollAt(s, time.Time{})
 	typical, known := q.table.typicalDuration(now, q.durationKey())
 	l.recordSent(pendingRequest{sentAt: now, typical: typical, known: known})
 	q.attempts[q.lastAttempt] = &attempt{shard: i, leaf: l.id, sentAt: now}
@@ -105,14 +108,15 @@
 	}
 }
 
-// lateShare is the part of the aim that a leaf is given for a part that can't come before
-// AnswerBy any more. The answer is late then, but it is one. Only leafs with a free slot are
-// asked for it.
+// lateShare is the time that a leaf is given for a part that can no longer arrive before
+// AnswerBy, as a share of the latency objective. The answer is then late, but is an answer.
+// Only leafs with a free slot get such a request.
 const lateShare = 0.5
 
-// usefulUntil returns when an attempt that is sent now ends being of use. Parts of a gathered
-// answer are of none once it was given: with the caller's whole time, which may be many times
-// the aim, leafs that are short of slots spend them on parts that nobody waits for.
+// usefulUntil returns until when the answer to an attempt that is sent now is useful. Parts of
+// a gathered answer are useless once the answer was sent. If leafs were given the caller's
+// whole time, which may be many times the latency objective, those short of slots would spend
+// them on parts that no caller waits for.
 func (q *Query) usefulUntil(now time.Time) time.Time {
 	if !q.spec.Gathered {
 		return q.spec.Deadline
@@ -125,8 +129,9 @@
 	return earlier(late, q.spec.Deadline)
 }
 
-// waitForLeaf lets a shard that has leafs, none of which takes a request just now, be
-// looked at again.
+// waitForLeaf schedules another check of a shard that has leafs, none of which takes a request
+// at the moment. It closes the shard if the time for waiting is over or there is no usable
+// leaf.
 func (q *Query) waitForLeaf(now time.Time, s *shard, reason AttemptReason) {
 	if reason == Hedge {
 		return
@@ -138,16 +143,16 @@
 		return
 	}
 	if !q.table.HasUsableLeaf(s.service) && (!q.spec.Gathered || q.spec.Delegated) {
-		// A caller who is told at once can turn elsewhere, and so can another VM,
-		// which may know leafs that this one, just started, does not.
+		// A caller that gets the error at once can turn elsewhere. So can another VM,
+		// which may know leafs that this one does not if it has just started.
 		s.close(GapNoLeaf)
 		return
 	}
-	q.schedulePoll(s, now.Add(pollInterval))
+	q.setPollAt(s, now.Add(pollInterval))
 }
 
-// schedulePoll sets when a leaf of a shard is looked for again, zero for never.
-func (q *Query) schedulePoll(s *shard, at time.Time) {
+// setPollAt sets when this query checks again for a leaf of a shard, zero for never.
+func (q *Query) setPollAt(s *shard, at time.Time) {
 	if s.waitingOn != nil {
 		s.waitingOn.waiting--
 		s.waitingOn = nil
@@ -179,11 +184,11 @@
 		s.close(GapLate)
 		return nil
 	}
-	if s.maybeRan >= q.spec.MaxAttempts || s.sends >= q.spec.MaxAttempts*sendsPerAttempt {
+	if s.possibleRuns >= q.spec.MaxAttempts || s.sends >= q.spec.MaxAttempts*sendsPerAttempt {
 		s.close(GapAttempts)
 		return nil
 	}
-	if s.maybeRan > 0 && !q.spec.Idempotent {
+	if s.possibleRuns > 0 && !q.spec.Idempotent {
 		s.close(GapAttempts)
 		return nil
 	}
--- a/scatter/budget.go
+++ b/scatter/budget.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// BudgetConfig bound the extra arrivals at each service: hedges, retries, and
-// whatever else reaches a leaf beyond the first arrival of a request.
+// BudgetConfig bounds the extra arrivals at each service: hedges, retries, and everything else
+// that reaches a leaf beyond the first arrival of a request.
 type BudgetConfig struct {
-	Ratio  float64       // extra arrivals for each request
-	Floor  float64       // extra arrivals in a window, beside the ratio, of all VMs together
-	Window time.Duration // sliding
+	Ratio  float64       // extra arrivals per request
+	Floor  float64       // extra arrivals per window in addition to the ratio, of all VMs together
+	Window time.Duration // length of the sliding window
 }
 
-// usableRatio is the share of the ratio that a VM uses. Windows of several VMs,
-// whose clocks and wake-ups differ, don't end at one moment.
+// usableRatio is the share of the ratio that a VM uses. The windows of several VMs, whose
+// clocks and wake-ups differ, don't end at the same moment.
 const usableRatio = 0.9
 
-// budgetSteps is how many steps a window is counted in. The step under way counts
-// as a whole among extra arrivals and not at all among requests, so the bound holds
-// for every sliding window.
+// budgetSteps is the number of steps in which a window is counted. The step in progress counts
+// in full among extra arrivals and not at all among requests, so the bound holds for every
+// sliding window.
 const budgetSteps = 40
 
-// budget bounds the extra arrivals that this VM causes at one service. No VM knows
-// what the others spend; each one spends the ratio of its own requests and its part
-// of the floor, so that the sum holds however requests are spread.
+// budget bounds the extra arrivals that this VM causes at one service. No VM knows what the
+// others spend. Each VM spends the ratio of its own requests and its share of the floor, so
+// the total bound holds however requests are distributed.
 type budget struct {
 	config    BudgetConfig
-	floor     float64 // this VM's part of the terms' floor
+	floor     float64 // this VM's share of the configured floor
 	steps     [budgetSteps + 1]budgetStep
-	newest    int64 // of the newest step
+	newest    int64 // number of the newest step
 	startedAt time.Time
 }
 
 type budgetStep struct{ requests, extra float64 }
 
-func newBudget(terms BudgetConfig, now time.Time) *budget {
-	return &budget{config: terms, startedAt: now}
+func newBudget(config BudgetConfig, now time.Time) *budget {
+	return &budget{config: config, startedAt: now}
 }
 
-// countRequest counts a request by weight: a request that another VM sends on counts in
-// part there and in part here.
+// countRequest counts a request with the given weight: a request that one VM delegates to
+// another counts in part at each of them.
 func (b *budget) countRequest(now time.Time, weight float64) {
 	b.advance(now).requests += weight
 }
 
-// spend spends one extra arrival and reports whether it could. It leaves spare
-// arrivals unspent, so that hedges don't use up what retries need.
+// spend takes one extra arrival from the budget and reports whether it could. It leaves
+// reserve arrivals unspent, so that hedges don't use up what retries need.
 func (b *budget) spend(now time.Time, reserve float64) bool {
 	step := b.advance(now)
 	var requests, extra float64
@@ -60,7 +60,7 @@
 	return true
 }
 
-// advance clears the steps that have left the window and returns the newest.
+// advance clears the steps that have left the window and returns the newest step.
 func (b *budget) advance(now time.Time) *budgetStep {
 	length := b.config.Window / budgetSteps
 	number := int64(now.Sub(b.startedAt) / max(length, time.Millisecond))
--- a/scatter/conclude.go
+++ b/scatter/conclude.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// conclude ends the query if its course is decided, and returns acts otherwise.
+// conclude ends the query if its outcome is decided, and returns acts otherwise.
 func (q *Query) conclude(now time.Time, acts []Action) []Action {
 	if q.done {
 		return nil
@@ -20,7 +20,7 @@
 		out.Gaps = q.gaps()
 	}
 	for i := range q.shards {
-		q.schedulePoll(&q.shards[i], time.Time{})
+		q.setPollAt(&q.shards[i], time.Time{})
 	}
 	out.Refusal = q.refusal
 	out.Sent, out.Hedges, out.Retries, out.Called = q.sent, q.hedges, q.retries, len(q.calls)
@@ -46,23 +46,23 @@
 	}
 }
 
-// failureOutcome is the outcome of a query without an answer. Only if no attempt may have
-// run is the caller told so; mayHaveRun is the verdict otherwise.
+// failureOutcome returns the outcome of a query without an answer. The caller is told that
+// nothing ran only if no attempt may have run; mayHaveRun is the verdict otherwise.
 func (q *Query) failureOutcome(mayHaveRun Verdict) Outcome {
 	if q.failedAttempt != 0 && !q.spec.Gathered {
 		return Outcome{Verdict: LeafFailed, Attempt: q.failedAttempt}
 	}
 	for i := range q.shards {
-		if s := &q.shards[i]; s.maybeRan > 0 || s.call != 0 || s.redelegated {
+		if s := &q.shards[i]; s.possibleRuns > 0 || s.call != 0 || s.redelegated {
 			return Outcome{Verdict: mayHaveRun}
 		}
 	}
 	return Outcome{Verdict: NotRun, RetryAfter: q.retryAfterOrDefault()}
 }
 
-// Bounds of what a refused caller is told.
+// Bounds of the retry delay of a refused caller.
 const (
-	retryAfterShare = 0.25 // of the aim, about the time in which a queue drains
+	retryAfterShare = 0.25 // of the latency objective; about the time in which a queue drains
 	minRetryAfter   = 10 * time.Millisecond
 	maxRetryAfter   = time.Second
 )
@@ -97,14 +97,14 @@
 	return Outcome{}, false
 }
 
-// callPending reports whether another VM may yet answer a shard, also one that has been
-// overtaken: it may be slow rather than gone, and the budget may not have allowed to ask
-// leafs directly.
+// callPending reports whether another VM may still answer a shard. This includes a call that
+// failed over: its VM may be slow rather than stopped, and the budget may not have allowed
+// direct requests to leafs.
 func (q *Query) callPending(s *shard) bool {
 	return s.call != 0 && !q.calls[s.call].finished
 }
 
-// answered returns how many shards have an answer.
+// answered returns the number of shards that have an answer.
 func (q *Query) answered() int {
 	n := 0
 	for i := range q.shards {
@@ -115,7 +115,7 @@
 	return n
 }
 
-// enough reports whether n shards make an answer.
+// enough reports whether n answered shards are sufficient for an answer.
 func (q *Query) enough(n int) bool {
 	return n > 0 && float64(n) >= q.spec.MinShare*float64(len(q.shards))
 }
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -7,73 +7,76 @@
 	"time"
 )
 
-// Two loads make one VM let others ask leafs for it.
+// Delegation: this VM lets other VMs query leafs for it, for two reasons.
 //
-// Bytes between zones are dear, and a gathered request moves many: the greatest
-// records of 20 shards come from 20 times as many. Shards without a leaf near are
-// asked for through a VM that is near their leafs and passes on only the records that
-// can still be among the greatest.
+// Traffic between zones is expensive, and a gathered request causes much of it: the greatest
+// records of 20 shards are chosen from 20 times as many. Shards without a leaf in this VM's
+// zone are queried through a VM in the zone of their leafs. That VM passes on only the records
+// that can still be among the greatest.
 //
-// Where many VMs stand before many shards, a leaf has fewer connections than there are
-// VMs, and asking every shard takes one small VM longer than its caller waits. The VMs
-// of a zone then divide its leafs into parts, and near shards too are asked for through
-// VMs that own their part. With few VMs there is one part, which all of them own.
+// With many VMs and many shards, a leaf accepts fewer connections than there are VMs, and
+// querying every shard takes one small VM longer than its caller waits. The VMs of a zone then
+// divide its leafs into partitions, and shards with leafs in this zone are also queried
+// through the VMs that own their partition. With few VMs there is one partition, which all of
+// them own.
 //
-// It costs two more hops within the region. A VM that is frozen, cut off or killed is overtaken
-// (overtake.go).
+// Delegation costs two more hops within the region. Calls to a VM that is frozen, disconnected
+// or stopped fail over (see overtake.go).
 
-// Parameters of delegating.
+// Parameters of delegation.
 const (
-	// minDelegated is the number of shards from which a message to another VM is
-	// smaller than the answers that it saves.
+	// minDelegated is the number of shards from which a message to another VM is smaller
+	// than the answers that it saves.
 	minDelegated = 3
-	// interimShare is the part of the time until AnswerBy after which the other VM
-	// tells what it has. A VM that says nothing by then is overtaken.
+	// interimShare is the share of the time until AnswerBy after which the other VM sends
+	// what it has. If it has sent nothing by then, the call fails over.
 	interimShare = 0.5
-	// answerShare is the part that it has in all at the least: what is left is for its
-	// answer and for answering the caller, callSlack at the most.
+	// answerShare is the minimum share of the time until AnswerBy that the other VM has.
+	// The remaining time, callSlack at the most, is for sending its answer and for
+	// answering the caller.
 	answerShare = 0.85
-	// callSlack is for the way to the other VM and back.
+	// callSlack is the time for the way to the other VM and back.
 	callSlack = 8 * time.Millisecond
-	// failoverQuantile and callFactor say when a silent VM is overtaken, callLatest by
-	// when at the latest, as a part of the time until AnswerBy.
+	// failoverQuantile and failoverFactor determine when a call to a silent VM fails over;
+	// failoverLatestShare is the latest time, as a share of the time until AnswerBy.
 	failoverQuantile    = 0.95
 	failoverFactor      = 1.2
 	failoverLatestShare = 0.85
 )
 
-// zonePartition is where a shard is asked for: through the VMs that own a part of a zone.
+// zonePartition identifies a leaf partition of a zone. Its shards are queried through the VMs
+// that own it.
 type zonePartition struct {
 	zone      string
 	partition int
 }
 
-// delegation is a call to make: the VM, whose part it is called for, and the shards.
+// delegation is a call to make: the VM, the partition, and the indexes of the shards.
 type delegation struct {
 	vm        *vm
 	partition zonePartition
 	shards    []int
 }
 
-// delegations chooses VMs for the shards that this VM does not own: near ones in this zone,
-// the others in as few zones as possible.
+// delegations chooses VMs for the shards that this VM does not own: VMs in this zone for
+// shards with a leaf here, and VMs in as few other zones as possible for the others.
 func (q *Query) delegations(now time.Time) []delegation {
-	near, far := q.splitByProximity(now)
-	byPlace := make(map[zonePartition][]int)
-	q.assignToPartitions(byPlace, q.table.zone, near)
-	for len(far) > 0 {
-		zone, shards := q.zoneWithMostShards(far)
+	local, remote := q.splitByProximity(now)
+	byPartition := make(map[zonePartition][]int)
+	q.assignToPartitions(byPartition, q.table.zone, local)
+	for len(remote) > 0 {
+		zone, shards := q.zoneWithMostShards(remote)
 		if len(shards) < minDelegated {
 			break
 		}
 		for _, i := range shards {
-			delete(far, i)
+			delete(remote, i)
 		}
-		q.assignToPartitions(byPlace, zone, shards)
+		q.assignToPartitions(byPartition, zone, shards)
 	}
 	var calls []delegation
-	for _, p := range slices.SortedFunc(maps.Keys(byPlace), compareZonePartitions) {
-		shards := byPlace[p]
+	for _, p := range slices.SortedFunc(maps.Keys(byPartition), compareZonePartitions) {
+		shards := byPartition[p]
 		if len(shards) < minDelegated && p.zone != q.table.zone {
 			continue
 		}
@@ -88,51 +91,51 @@
 	return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.partition, b.partition))
 }
 
-// assignToPartitions sorts shards of one zone by the part of it that they belong to, those of this
-// VM's own part left out.
-func (q *Query) assignToPartitions(byPlace map[zonePartition][]int, zone string, shards []int) {
+// assignToPartitions groups shards of one zone by leaf partition, leaving out those in
+// partitions that this VM owns.
+func (q *Query) assignToPartitions(byPartition map[zonePartition][]int, zone string, shards []int) {
 	z := q.table.zones[zone]
 	if z == nil {
 		return
 	}
 	for _, i := range shards {
-		part := z.partitionOf(q.shards[i].service)
-		if !z.owns(part) {
-			p := zonePartition{zone: zone, partition: part}
-			byPlace[p] = append(byPlace[p], i)
+		partition := z.partitionOf(q.shards[i].service)
+		if !z.owns(partition) {
+			p := zonePartition{zone: zone, partition: partition}
+			byPartition[p] = append(byPartition[p], i)
 		}
 	}
 }
 
-// splitByProximity returns the shards that have a leaf near, and the zones of the leafs of
-// those that have others only. Leafs that are not asked don't count.
-func (q *Query) splitByProximity(now time.Time) (near []int, far map[int][]string) {
-	far = make(map[int][]string)
+// splitByProximity returns the shards that have a leaf in this VM's zone, and for the other
+// shards the zones of their leafs. Leafs that are not available don't count.
+func (q *Query) splitByProximity(now time.Time) (local []int, remote map[int][]string) {
+	remote = make(map[int][]string)
 	for i := range q.shards {
 		var zones []string
-		isNear := false
+		hasLocal := false
 		for _, l := range q.table.usableLeafs(q.shards[i].service) {
 			if !l.available(now) {
 				continue
 			}
-			isNear = isNear || l.sameZone
+			hasLocal = hasLocal || l.sameZone
 			zones = append(zones, l.Zone)
 		}
 		switch {
-		case isNear:
-			near = append(near, i)
+		case hasLocal:
+			local = append(local, i)
 		case len(zones) > 0:
-			far[i] = zones
+			remote[i] = zones
 		}
 	}
-	return near, far
+	return local, remote
 }
 
-// zoneWithMostShards returns the zone that has leafs of most open shards, a random one of
+// zoneWithMostShards returns the zone that has leafs of the most open shards, a random one of
 // several, and these shards.
-func (q *Query) zoneWithMostShards(open map[int][]string) (string, []int) {
+func (q *Query) zoneWithMostShards(remote map[int][]string) (string, []int) {
 	byZone := make(map[string][]int)
-	for i, zones := range open {
+	for i, zones := range remote {
 		for _, z := range zones {
 			if list := byZone[z]; len(list) == 0 || list[len(list)-1] != i {
 				byZone[z] = append(list, i)
@@ -147,7 +150,7 @@
 	return best, shards
 }
 
-// callVM makes a call; again says that another VM was called for the same shards.
+// callVM makes a call; redelegated says that another VM was called for the same shards before.
 func (q *Query) callVM(now time.Time, d delegation, redelegated bool) Action {
 	id := CallID(len(q.calls) + 1)
 	v, shards := d.vm, d.shards
@@ -184,8 +187,8 @@
 	}
 }
 
-// failoverTime returns when a VM that has not answered is overtaken: once it takes longer
-// than first answers mostly do, but not before it could have answered in part.
+// failoverTime returns when a call that has no answer yet fails over: once it takes longer
+// than most first answers do, but not before the VM could have sent an interim answer.
 func (q *Query) failoverTime(now, interim time.Time) time.Time {
 	due := interim.Add(callSlack)
 	if d, known := q.table.durationsOf(q.callDurationKey()).Quantile(now, failoverQuantile); known {
@@ -195,32 +198,32 @@
 	return earlier(due, last)
 }
 
-// delegatedWeight is the part of a delegated request that counts for the budget of
-// the VM that delegates; the other VM counts the rest (DelegateWeight). That one hedges;
-// this one needs the budget only when it is overtaken.
+// delegatedWeight is the part of a delegated request that counts for the budget of the
+// delegating VM; the other VM counts the remainder (DelegateWeight). The other VM sends the
+// hedges; the delegating VM needs the budget only when the call fails over.
 const delegatedWeight = 0.15
 
-// DelegateWeight is the Weight of a request that another VM delegated.
+// DelegateWeight is the BudgetWeight of a request that another VM delegated.
 const DelegateWeight = 1 - delegatedWeight
 
 func (q *Query) callDurationKey() durationKey {
 	return durationKey{objective: q.spec.LatencyObjective, byVM: true, shard: q.spec.Gathered}
 }
 
-// CallAnswer is what another VM says of the shards that it was asked for. An empty one
+// CallAnswer is another VM's answer for the shards that it was called for. An empty one
 // acknowledges the call.
 type CallAnswer struct {
-	Included []int // shards that its answer includes
-	Declined []int // shards that it has not asked and never will
+	Included []int // shards that the answer includes
+	Declined []int // shards that it has not queried and never will
 	Last     bool  // no other answer follows
 	// Refused says that no leaf has run any of the shards for that VM, and none will. It
 	// ends the call.
 	Refused    bool
-	RetryAfter time.Duration // if Refused: when the caller should come back
+	RetryAfter time.Duration // if Refused: when the caller should retry
 }
 
-// CallReply takes an answer of another VM. Where a shard was answered directly meanwhile,
-// the call's answer counts: it can't be taken apart, and either is as good.
+// CallReply handles an answer of another VM. Where a shard was meanwhile answered directly,
+// the call's answer counts: it can't be split, and either answer is as good.
 func (q *Query) CallReply(now time.Time, id CallID, ans CallAnswer) []Action {
 	c := q.calls[id]
 	if c == nil || q.done {
@@ -231,7 +234,7 @@
 	if ans.Refused {
 		return q.callRefused(now, c, id, ans.RetryAfter)
 	}
-	answered := len(ans.Included) > 0 || ans.Last // and not only what was declined
+	answered := len(ans.Included) > 0 || ans.Last // an answer that only declines shards does not count
 	if answered && !c.answered {
 		q.table.durationsOf(q.callDurationKey()).Add(now, now.Sub(c.sentAt))
 	}
@@ -242,7 +245,8 @@
 		return q.conclude(now, acts)
 	}
 	if !ans.Last {
-		// It lives and goes on. Little is gained by asking beside it.
+		// The VM is alive and still at work. Querying leafs in parallel would gain
+		// little.
 		if len(ans.Included) > 0 {
 			c.failoverAt = q.spec.AnswerBy
 		}
@@ -253,8 +257,8 @@
 	return q.conclude(now, append(acts, q.sendDirectly(now, id)...))
 }
 
-// callRefused takes that no leaf has run any shard of a call, nor will for that VM. Shards that
-// were not asked directly meanwhile are closed: the others can't make up for them.
+// callRefused handles a reply that no leaf has run any shard of a call, nor will for that VM.
+// Shards that were not meanwhile sent directly are closed: the others can't make up for them.
 func (q *Query) callRefused(now time.Time, c *call, id CallID, retryAfter time.Duration) []Action {
 	c.finished, c.resolved = true, true
 	q.table.callRefusalRate.add(now, 1)
@@ -265,7 +269,7 @@
 			continue
 		}
 		s.call = 0
-		s.arrived = true // leafs may have refused it
+		s.arrived = true // leafs may have received and refused it
 		if s.sends == 0 {
 			s.close(GapForecast)
 		}
@@ -273,8 +277,8 @@
 	return q.conclude(now, nil)
 }
 
-// CallFail takes that another VM gave no answer. With neverSent it got no call, so that
-// its shards are this VM's alone again.
+// CallFail handles a call that ended without an answer. With neverSent the other VM did not
+// get the call, so its shards are this VM's alone again.
 func (q *Query) CallFail(now time.Time, id CallID, neverSent bool) []Action {
 	c := q.calls[id]
 	if c == nil || q.done || c.finished {
@@ -296,9 +300,9 @@
 	return q.conclude(now, acts)
 }
 
-// reclaim asks for shards that were delegated, but that the other VM never asked: the
-// first attempt is the first arrival, and costs nothing of the budget. Where this VM or a
-// second one may have asked already, all stays as it is.
+// reclaim sends shards that were delegated but that the other VM never queried. The first
+// attempt is the first arrival, and costs nothing of the budget. Shards that this VM or a
+// second VM may already have queried are left as they are.
 func (q *Query) reclaim(now time.Time, id CallID, shards []int) []Action {
 	var acts []Action
 	for _, i := range shards {
--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -308,7 +308,7 @@
 	}
 	w.wait(2 * memberRetention)
 	w.table.SetVMs(w.now, others[1:])
-	w.Expect(w.table.zones[homeZone].members).NotTo(gomega.ContainElement(zoneMember{name: "vm-00", power: 1}))
+	w.Expect(w.table.zones[homeZone].ranked).NotTo(gomega.ContainElement(zoneMember{name: "vm-00", power: 1}))
 }
 
 // A page fails although its parts are on their way: the VM that was called is a little
@@ -344,7 +344,7 @@
 			w.table.RecordVMProbe(w.now, vm.Name, false)
 		}
 	}
-	w.wait(maxProbe)
+	w.wait(maxVMProbePause)
 	suspects, _ := w.table.SuspectVMs(w.now)
 	w.Expect(suspects).To(gomega.HaveLen(1))
 	w.table.RecordVMProbe(w.now, name, true)
--- a/scatter/faults.go
+++ b/scatter/faults.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// failureRate follows the share of a leaf's requests that it fails, or turns away without being full,
-// while others succeed. A
-// cooldown after failures in a row does not find such a leaf: it answers every other request,
-// and says that it is healthy. Each failure costs a retry, which has to be paid for, and
-// the time until then.
+// failureRate tracks the share of a leaf's requests that it fails, or refuses without being
+// full, while others succeed. A cooldown after consecutive failures does not detect such a
+// leaf: it answers every other request, and says that it is healthy. Each failure costs time
+// and a retry, which the budget has to pay for.
+//
+// It also tracks the share of calls that other VMs refuse.
 type failureRate struct {
-	rate      float64 // smoothed, when it was last seen
+	rate      float64 // smoothed, as of updatedAt
 	updatedAt time.Time
 }
 
-// Parameters of the share of failed requests.
+// Parameters of the failure rate.
 const (
 	failureWeight   = 0.15            // of the latest request
-	failureHalfLife = 4 * time.Second // in which half of it is forgotten, so that the leaf is tried again
-	// failureCost is the part of the aim that a leaf is charged which fails every request.
-	// A leaf in another zone takes its place after three failures in a row (farShare), not
-	// after one.
+	failureHalfLife = 4 * time.Second // in which half of the rate is forgotten, so that the leaf is tried again
+	// failureCost is the surcharge on a leaf that fails every request, as a share of the
+	// latency objective. A leaf in another zone takes its place after three consecutive
+	// failures (see crossZoneShare), not after one.
 	failureCost = 0.8
 )
 
-// current returns the current of requests that are expected to fail.
+// current returns the share of requests that are expected to fail.
 func (f *failureRate) current(now time.Time) float64 {
 	if f.rate == 0 {
 		return 0
@@ -33,7 +34,7 @@
 	return f.rate * math.Exp2(-float64(now.Sub(f.updatedAt))/float64(failureHalfLife))
 }
 
-// add takes the end of a request: 1 for a failed one, 0 for another.
+// add records the end of a request: 1 for a failed one, 0 for any other.
 func (f *failureRate) add(now time.Time, failed float64) {
 	old := f.current(now)
 	f.rate = old + failureWeight*(failed-old)
--- a/scatter/floor.go
+++ b/scatter/floor.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Parts of the floor of the budget. All VMs together may spend it once in a window, and
+// Shares of the floor of the budget. All VMs together may spend the floor once per window, and
 // none knows what the others spend.
 const (
-	// ownersFloorShare is the part of the floor that the owners of a shard divide among them,
-	// where most arrivals at a shard are theirs. Divided by all VMs alike, a part of a
-	// large fleet's floor is less than one arrival.
+	// ownersFloorShare is the share of the floor that the owners of a shard divide among
+	// them. Most arrivals at a shard are theirs. Divided equally among all VMs, one VM's
+	// share of the floor is less than one arrival in a large fleet.
 	ownersFloorShare = 0.5
-	// firstWindowShare is the part of its share that a VM spends in its first window: an
-	// earlier life of it may have spent the whole share in the same window. Both
-	// together stay within the spare share, firstWindowShare <= spareVMs - 1.
+	// firstWindowShare is the fraction of its share that a VM spends in its first window:
+	// an earlier incarnation may have spent the whole share in the same window. Both
+	// together stay within the headroom as long as firstWindowShare <= vmHeadroom - 1.
 	firstWindowShare = 0.25
 )
 
-// budget returns the budget of a service with this VM's present part of the floor.
+// budget returns the budget of a service, with this VM's current share of the floor.
 func (t *Table) budget(now time.Time, name string) *budget {
 	s := t.service(now, name)
 	s.budget.floor = t.floorShare(now, name, s.shard)
 	return s.budget
 }
 
-// floorShare returns this VM's part of the floor for a service. A VM that does not know yet
-// how many others there are has none.
+// floorShare returns this VM's share of the floor for a service, in arrivals per window. A VM
+// that does not yet know how many others there are has none.
 func (t *Table) floorShare(now time.Time, name string, shard bool) float64 {
 	if !t.vmsKnown {
 		return 0
@@ -40,8 +40,8 @@
 	return t.budgetConfig.Floor * share
 }
 
-// ownerShare is this VM's part of what the owners of a service divide among them by power, as
-// calls are; 0 if it is none of them.
+// ownerShare returns this VM's part of the share that the owners of a service divide by power,
+// as calls are divided; 0 if it is not an owner.
 func (t *Table) ownerShare(name string) float64 {
 	if !t.ownsService(name) {
 		return 0
@@ -75,8 +75,8 @@
 	return zones
 }
 
-// ownsService reports whether this VM owns the part of its zone that a service's leafs
-// would belong to.
+// ownsService reports whether this VM owns the leaf partition of its zone that a service's
+// leafs would belong to.
 func (t *Table) ownsService(name string) bool {
 	z := t.zones[t.zone]
 	return z.owns(z.partitionOf(name))
--- a/scatter/gap.go
+++ b/scatter/gap.go
@@ -6,21 +6,21 @@
 	Cause GapCause
 }
 
-// GapCause says why a shard had no answer.
+// GapCause is the reason why a shard had no answer.
 type GapCause int
 
-// The causes, in the order in which they are written.
+// The causes, in the order in which they are written out.
 const (
-	GapSlow       GapCause = iota // a leaf was asked and had not answered
-	GapNoCapacity                 // its leafs were full, or left alone after failures
-	GapBudget                     // the budget did not allow to ask again
-	GapLate                       // an attempt had failed, too late for another one
-	GapAttempts                   // all attempts had ended without an answer
-	GapNoLeaf                     // no leaf is known that takes requests
+	GapSlow       GapCause = iota // a leaf got the request and had not answered
+	GapNoCapacity                 // its leafs were full, or got no requests after failures
+	GapBudget                     // the budget did not allow another attempt
+	GapLate                       // an attempt failed too late for another one
+	GapAttempts                   // all attempts ended without an answer
+	GapNoLeaf                     // no known leaf takes requests
 	GapForecast                   // no leaf could have answered in time
-	GapCall                       // the VM that was called had no answer to it
-	GapSilent                     // the VM that was called did not answer
-	GapDeclined                   // left to the VM that called
+	GapCall                       // the called VM had no answer for it
+	GapSilent                     // the called VM did not answer
+	GapDeclined                   // left to the calling VM
 	gapCauses
 )
 
@@ -31,7 +31,7 @@
 	}[c]
 }
 
-// GapCauses are all causes.
+// GapCauses returns all causes.
 func GapCauses() []GapCause {
 	list := make([]GapCause, gapCauses)
 	for i := range list {
@@ -68,7 +68,7 @@
 	}
 }
 
-// close makes no further attempt on a shard.
+// close ends all further attempts on a shard and records the cause.
 func (s *shard) close(cause GapCause) {
 	if !s.closed {
 		s.closed = true
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// hedgeReserve is what hedges leave of the budget for retries: a hedge saves time, a
-// retry saves the answer.
+// hedgeReserve is the number of arrivals in the budget that hedges leave for retries: a hedge
+// saves time, a retry saves the answer.
 const hedgeReserve = 1
 
-// Parameters of the moment to hedge.
+// Parameters of the time to hedge.
 const (
-	hedgeQuantile     = 0.9  // of recent durations; beyond it lie the pauses of leafs
-	hedgeFactor       = 1.3  // times that quantile, so that spread alone hedges little
-	hedgeLatestShare  = 0.4  // of the aim: later, the second answer would be late as well
-	hedgeDefaultShare = 0.35 // of the aim, until durations are known
+	hedgeQuantile     = 0.9  // of recent durations; pauses of leafs lie beyond it
+	hedgeFactor       = 1.3  // multiple of that quantile, so that ordinary variation causes few hedges
+	hedgeLatestShare  = 0.4  // of the latency objective: later, the second answer would be late as well
+	hedgeDefaultShare = 0.35 // of the latency objective, until durations are known
 	minHedgeDelay     = 4 * time.Millisecond
 
-	// hedgeAnswerFactor is how many times that quantile a second answer is given, and
-	// hedgeSlack what is added for the way. A part of a gathered answer is of use
-	// until AnswerBy, and a hedge is an answer's bytes from another zone: it is sent
-	// as late as it may still be in time, since of the leafs that are slow many have
+	// hedgeAnswerFactor is the time that a second answer is given, as a multiple of that
+	// quantile, and hedgeSlack is added for the network. A part of a gathered answer is
+	// useful until AnswerBy, and the answer to a hedge is traffic from another zone. So a
+	// hedge is sent as late as its answer may still be in time: many slow leafs have
 	// answered by then.
 	hedgeAnswerFactor = 2.5
 	hedgeSlack        = 4 * time.Millisecond
 )
 
-// hedgeDelay is how long an attempt at a leaf may take before a second leaf is asked.
+// hedgeDelay returns how long an attempt at a leaf may take before a second leaf is tried.
 //
-// A leaf that states that its machine is slow is given as much longer. It is hedged
-// nonetheless while a second answer that takes the quantile is still in time, or at half of
-// the time if none would be: where many leafs are slow, the quantile of all may lie beyond
+// A leaf that states that its machine is slow gets proportionally longer. It is still hedged
+// while a second answer that takes the quantile would be in time, or after half of the time if
+// none would be: where many leafs are slow, the quantile over all leafs may lie beyond
 // AnswerBy.
 func (q *Query) hedgeDelay(now time.Time, l *leaf) time.Duration {
 	d, known := q.table.durationsOf(q.durationKey()).Quantile(now, hedgeQuantile)
@@ -45,11 +45,11 @@
 	return max(min(delay, last), inTime, minHedgeDelay)
 }
 
-// hedgeRetryPause is how soon a hedge that was due, but had no idle leaf or no budget, is
-// tried again.
+// hedgeRetryPause is the time until a hedge that was due, but had no idle leaf or no budget,
+// is tried again.
 const hedgeRetryPause = 6 * time.Millisecond
 
-// hedge asks a second leaf of each shard whose first one is slow.
+// hedge sends a second attempt for each shard whose first attempt is slow.
 func (q *Query) hedge(now time.Time) []Action {
 	if !q.hedgingAllowed() || now.Before(q.hedgeRetryAt) {
 		return nil
@@ -72,10 +72,10 @@
 func (q *Query) hedgingAllowed() bool { return q.spec.Idempotent && q.spec.MaxAttempts > 1 }
 
 func (q *Query) mayHedge(s *shard) bool {
-	return s.inFlight == 1 && !s.answered() && !s.hedged && s.maybeRan < q.spec.MaxAttempts
+	return s.inFlight == 1 && !s.answered() && !s.hedged && s.possibleRuns < q.spec.MaxAttempts
 }
 
-// nextHedge returns when the first hedge falls due, zero if none will.
+// nextHedge returns when the first hedge is due, zero if none will be.
 func (q *Query) nextHedge() time.Time {
 	if !q.hedgingAllowed() {
 		return time.Time{}
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -7,29 +7,29 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// LeafID names one lifetime of a leaf. It is comparable.
+// LeafID identifies one incarnation of a leaf. It is comparable.
 type LeafID struct {
 	ID   string
-	Born int64 // in Unix milliseconds
+	Born int64 // Unix time of its start, in milliseconds
 }
 
-// Load is what a leaf says of itself with an answer.
+// Load is the load that a leaf states with an answer.
 type Load struct {
 	Running  int
 	Waiting  int
 	Slots    int
-	Slowdown float64 // how long work takes on the leaf's machine now, 1 as usual; 0 if not stated
+	Slowdown float64 // duration of work on the leaf's machine, as a multiple of the usual; 0 if not stated
 }
 
-// leaf is what this VM knows of one lifetime of a leaf.
+// leaf is what this VM knows of one incarnation of a leaf.
 type leaf struct {
 	registry.Leaf
 	id            LeafID
 	sameZone      bool // in this VM's availability zone
-	maxInFlight   int  // requests of this VM in flight at most
-	addressReused bool // another leaf answered at its address, where it will not be again
+	maxInFlight   int  // limit of this VM's requests in flight
+	addressReused bool // another leaf answered at its address; this leaf will not be there again
 
-	inFlight  []pendingRequest // the oldest first
+	inFlight  []pendingRequest // oldest first
 	slowdown  slowdown
 	cooldown  cooldown
 	failures  failureRate
@@ -38,34 +38,34 @@
 	othersReported float64 // requests of other VMs at the last report
 	reportedAt     time.Time
 	freeSlots      int           // at the last report
-	halfOpen       bool          // its latest request expired: one at a time until one is answered
-	typicalWork    time.Duration // smoothed: what requests usually take that were sent here
+	halfOpen       bool          // its latest request expired: one request at a time until one is answered
+	typicalWork    time.Duration // smoothed typical duration of the requests that were sent here
 }
 
-// pendingRequest is a request on its way.
+// pendingRequest is a request in flight.
 type pendingRequest struct {
 	sentAt  time.Time
-	typical time.Duration // that its kind takes at a leaf which is as usual
-	known   bool          // usual comes from answers
+	typical time.Duration // duration of its kind at a leaf of usual speed
+	known   bool          // typical was measured, and is not the default
 }
 
-// Parameters of what a leaf is expected to take.
+// Parameters of the time that a leaf is expected to take.
 const (
-	reportLifetime = time.Second           // after which a reported load counts nothing
-	reportWeight   = 0.5                   // of a fresh report, which lags
-	stallFactor    = 3                     // times the expected time without an answer, after which a leaf is taken to pause
-	minStall       = 20 * time.Millisecond // the least such time
-	workWeight     = 0.1                   // of a new request in what requests usually take
-	stallCost      = 80 * time.Millisecond // expected of a leaf that pauses, which takes some 100 ms
+	reportLifetime = time.Second           // age at which a reported load no longer counts
+	reportWeight   = 0.5                   // of a fresh report, which lags behind
+	stallFactor    = 3                     // multiple of the expected time after which a silent leaf counts as stalled
+	minStall       = 20 * time.Millisecond // lower bound of that time
+	workWeight     = 0.1                   // of a new request in typicalWork
+	stallCost      = 80 * time.Millisecond // expected delay at a stalled leaf; a pause takes about 100 ms
 )
 
-// available reports whether requests may be sent to the leaf, as far as is known of it.
-func (l *leaf) available(now time.Time) bool { return !l.suspicion.active && !l.cooldown.active(now) }
+// available reports whether requests may be sent to the leaf, as far as this VM knows.
+func (l *leaf) available(now time.Time) bool { return !l.suspicion.raised && !l.cooldown.active(now) }
 
-// preferredTo reports which of two leafs that are not asked is the better one to ask.
+// preferredTo reports whether l is a better choice than other, where neither is available.
 func (l *leaf) preferredTo(other *leaf) bool {
-	if l.suspicion.active != other.suspicion.active {
-		return other.suspicion.active
+	if l.suspicion.raised != other.suspicion.raised {
+		return other.suspicion.raised
 	}
 	return l.cooldown.until.Before(other.cooldown.until)
 }
@@ -73,9 +73,9 @@
 // usable reports whether the leaf takes requests.
 func (l *leaf) usable() bool { return !l.Draining && !l.addressReused }
 
-// crossZoneShare is the part of a request's aim that a leaf in another zone is charged, while
-// one is chosen. Bytes between zones are dear, and a near leaf that is slower by less than
-// that still answers in time.
+// crossZoneShare is the surcharge on the cost of a leaf in another zone, as a share of the
+// latency objective. Traffic between zones is expensive, and a leaf in this zone that is
+// slower by less than that still answers in time.
 const crossZoneShare = 0.25
 
 func (l *leaf) recordSent(f pendingRequest) {
@@ -86,7 +86,8 @@
 	l.typicalWork += time.Duration(workWeight * float64(f.typical-l.typicalWork))
 }
 
-// removeInFlight takes one request that was sent at the time given out of flight.
+// removeInFlight removes one request that was sent at sentAt from those in flight, and returns
+// it.
 func (l *leaf) removeInFlight(sentAt time.Time) pendingRequest {
 	i := slices.IndexFunc(l.inFlight, func(f pendingRequest) bool { return f.sentAt.Equal(sentAt) })
 	if i < 0 {
@@ -105,7 +106,7 @@
 	}
 }
 
-// recordLoad takes the load that a leaf stated; own requests are not among the others'.
+// recordLoad records the load that the leaf stated, without this VM's own requests.
 func (l *leaf) recordLoad(now time.Time, load Load) {
 	others := load.Running + load.Waiting - len(l.inFlight)
 	l.othersReported = float64(max(others, 0))
@@ -116,11 +117,11 @@
 	}
 }
 
-// recordRefusal takes that the leaf did not run a request. One that is full for a moment is left
-// alone for that moment. One that says with its refusal that it has a free slot turns requests
-// away for another reason: it is no less likely to refuse the next one.
+// recordRefusal records that the leaf did not run a request. A leaf that is full for a moment
+// gets no request for that moment. A leaf that states a free slot with its refusal refuses for
+// another reason, and is just as likely to refuse the next request.
 func (l *leaf) recordRefusal(now time.Time) {
-	l.cooldown.recordRefusal(now, refusedCooldown)
+	l.cooldown.startAtLeast(now, refusedCooldown)
 	if l.reportedAt.Equal(now) && l.freeSlots > 0 {
 		l.failures.add(now, 1)
 	}
@@ -134,8 +135,8 @@
 	return l.othersReported * reportWeight * (1 - float64(age)/float64(reportLifetime))
 }
 
-// stalled reports whether the oldest request in flight has been silent for longer
-// than usual: the leaf pauses, or is gone without a word.
+// stalled reports whether the oldest request in flight has had no answer for longer than
+// usual: the leaf has paused, or has stopped without notice.
 func (l *leaf) stalled(now time.Time) bool {
 	if len(l.inFlight) == 0 {
 		return false
@@ -144,33 +145,35 @@
 	return now.Sub(oldest.sentAt) > max(stallFactor*l.expected(now, oldest.typical), minStall)
 }
 
-// expected is the time that a kind of request takes here which takes usual elsewhere.
+// expected returns the time that a kind of request takes at this leaf, where typical is its
+// duration at a leaf of usual speed.
 func (l *leaf) expected(now time.Time, typical time.Duration) time.Duration {
 	return time.Duration(l.slowdown.factor(now) * float64(typical))
 }
 
-// cost is the time that one more request is expected to take, with a surcharge for
-// what else it costs. Usual is what its kind takes.
-func (l *leaf) cost(now time.Time, aim, typical time.Duration) time.Duration {
+// cost returns the time that one more request is expected to take, plus surcharges for other
+// costs. typical is the usual duration of its kind.
+func (l *leaf) cost(now time.Time, objective, typical time.Duration) time.Duration {
 	base := l.expected(now, typical)
 	ahead := float64(len(l.inFlight)) + l.othersEstimate(now) + 1 - float64(l.Slots)
 	cost := base + time.Duration(max(ahead, 0)/float64(l.Slots)*float64(base))
 	if !l.sameZone {
-		cost += time.Duration(crossZoneShare * float64(aim))
+		cost += time.Duration(crossZoneShare * float64(objective))
 	}
 	if l.stalled(now) {
 		cost += stallCost
 	}
-	return cost + time.Duration(failureCost*l.failures.current(now)*float64(aim))
+	return cost + time.Duration(failureCost*l.failures.current(now)*float64(objective))
 }
 
-// idle reports whether a request would get a slot at once, as far as is known.
+// idle reports whether a request would get a slot at once, as far as this VM knows.
 func (l *leaf) idle(now time.Time) bool {
 	return !l.stalled(now) && float64(len(l.inFlight))+l.othersEstimate(now) < float64(l.Slots)
 }
 
-// hasCapacity reports whether this VM may send one more request. A leaf that was too slow for its
-// latest one is tried with a single request, so that no more are lost if it still is.
+// hasCapacity reports whether this VM may send one more request. A leaf that was too slow for
+// its latest request is tried with a single one, so that no more are lost if it is still too
+// slow.
 func (l *leaf) hasCapacity() bool {
 	if l.halfOpen {
 		return len(l.inFlight) == 0
--- a/scatter/liveness_test.go
+++ b/scatter/liveness_test.go
@@ -34,7 +34,7 @@
 	lost := due[0]
 	w.table.LivenessCheckFailed(w.now, lost.Name)
 	w.Expect(w.table.Delegates(w.now)).NotTo(gomega.ContainElement(lost))
-	w.wait(firstProbe)
+	w.wait(firstProbePause)
 	suspects, _ := w.table.SuspectVMs(w.now)
 	w.Expect(suspects).To(gomega.ContainElements(silent, lost))
 }
--- a/scatter/overtake.go
+++ b/scatter/overtake.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Parameters of the time within which a VM acknowledges a call. One that is frozen, cut off or
-// gone does not, and is overtaken while there is time for another one to do all of the work.
+// Parameters of the time within which a VM has to acknowledge a call. A VM that is frozen,
+// disconnected or stopped does not, and the call fails over while there is time for another VM
+// to do all of the work.
 const (
 	ackShare   = 0.2 // of the time until AnswerBy
 	minAckWait = 10 * time.Millisecond
-	// ackFactor is how many times longer than lately an acknowledgement may take.
+	// ackFactor is the accepted wait as a multiple of the longest recent acknowledgement.
 	ackFactor   = 1.5
-	ackHalfLife = 10 * time.Second // in which half of a long one is forgotten
+	ackHalfLife = 10 * time.Second // after which half of a long acknowledgement time is forgotten
 )
 
-// CallSent takes that a call was written to its connection. Until then the other VM may be well:
-// a connection to it has to be made.
+// CallSent records that a call was written to its connection. Before that, silence says
+// nothing about the other VM: a connection to it has to be made first.
 func (q *Query) CallSent(now time.Time, id CallID) []Action {
 	c := q.calls[id]
 	if c == nil || q.done || c.acked {
@@ -28,14 +29,15 @@
 	return nil
 }
 
-// ackDue returns when a VM in a zone that has not acknowledged a call is overtaken.
+// ackDue returns when a call to a VM in a zone fails over unless it is acknowledged.
 func (q *Query) ackDue(now time.Time, zone string) time.Time {
 	wait := max(time.Duration(ackShare*float64(q.spec.AnswerBy.Sub(now))), minAckWait)
 	recent := q.table.ackTimes[zone].longest(now)
 	return now.Add(max(wait, time.Duration(ackFactor*float64(recent))))
 }
 
-// acknowledged takes the first word of a VM on a call: it lives, and its answer is awaited.
+// acknowledged records the first message of a VM on a call: the VM is alive, and this VM waits
+// for its answer.
 func (q *Query) acknowledged(now time.Time, c *call) {
 	if c.acked {
 		return
@@ -49,7 +51,7 @@
 	q.table.ackTimes[c.partition.zone] = ackTime{took: took, at: now}
 }
 
-// ackTime is the longest time that VMs of a zone took lately to acknowledge a call.
+// ackTime is the longest time that VMs of a zone recently took to acknowledge a call.
 type ackTime struct {
 	took time.Duration
 	at   time.Time
@@ -59,14 +61,14 @@
 	return time.Duration(float64(a.took) * math.Exp2(-float64(now.Sub(a.at))/float64(ackHalfLife)))
 }
 
-// Overtaking.
+// Failover of calls.
 //
-// The load it answers: hundreds of VMs, of which some freeze or are lost together. Each VM makes
-// a call every few seconds, so that it learns of a lost one by a request of its own. A VM that
-// owns none of a shard's leafs has no connections to them and next to nothing of the budget; so
-// the shards of a VM that is silent or gone are asked for through another owner.
+// The problem: of hundreds of VMs, some freeze or are lost together. Each VM makes a call only
+// every few seconds, so it detects a lost VM through a request of its own. A VM that owns none
+// of a shard's leafs has no connections to them and almost none of the budget. Therefore the
+// shards of a VM that is silent or lost are queried through another owner.
 
-// failOverOverdueCalls asks elsewhere for the shards of VMs that are silent.
+// failOverOverdueCalls fails over the calls to VMs that are silent.
 func (q *Query) failOverOverdueCalls(now time.Time) []Action {
 	var acts []Action
 	for id := CallID(1); int(id) <= len(q.calls); id++ {
@@ -76,7 +78,8 @@
 		}
 		c.resolved = true
 		if c.acked {
-			// It lives, and its leafs are slow: another VM would only ask them once more.
+			// The VM is alive and its leafs are slow: another VM would only query
+			// them a second time.
 			acts = append(acts, q.sendDirectly(now, id)...)
 		} else {
 			acts = append(acts, q.failOver(now, id, true)...)
@@ -85,9 +88,9 @@
 	return acts
 }
 
-// failOver asks for what a VM has not answered: through another VM that owns these leafs, and
-// so has connections to them and most of the budget. If there is none, what the first one may
-// have asked is asked for directly.
+// failOver sends the unanswered shards of a call to another VM that owns their leafs, and so
+// has connections to them and most of the budget. If there is none, shards that the first VM
+// may have queried are sent directly.
 func (q *Query) failOver(now time.Time, id CallID, mayHaveSent bool) []Action {
 	c := q.calls[id]
 	redelegated := mayHaveSent || c.redelegated
@@ -105,7 +108,7 @@
 	return nil
 }
 
-// vmsCalledFor returns the VMs that were called for a part of a zone.
+// vmsCalledFor returns the VMs that were called for a leaf partition.
 func (q *Query) vmsCalledFor(p zonePartition) []string {
 	var names []string
 	for _, c := range q.calls {
@@ -116,7 +119,8 @@
 	return names
 }
 
-// unanswered returns the shards of a call that nobody else was asked for.
+// unanswered returns the open shards of a call: unanswered, not closed, neither in flight to a
+// leaf nor part of a later call.
 func (q *Query) unanswered(id CallID) []int {
 	var list []int
 	for _, i := range q.calls[id].shards {
@@ -128,8 +132,8 @@
 	return list
 }
 
-// sendDirectly sends what a call has not answered. These may be second arrivals, so
-// each is paid for as a retry.
+// sendDirectly sends the unanswered shards of a call to leafs. These may be second arrivals,
+// so each is paid for as a retry.
 func (q *Query) sendDirectly(now time.Time, id CallID) []Action {
 	var acts []Action
 	for _, i := range q.unanswered(id) {
@@ -138,8 +142,8 @@
 	return acts
 }
 
-// includeAnswer takes the shards of an answer. Two VMs may have been called for one shard: of answers
-// that share one, those with more shards count.
+// includeAnswer records the shards of an answer. Two VMs may have been called for one shard:
+// of overlapping answers, those with more shards in total are used.
 func (q *Query) includeAnswer(shards []int) {
 	q.callAnswers = append(q.callAnswers, callAnswer{shards: shards})
 	if len(shards) == 0 {
@@ -155,8 +159,8 @@
 	q.setUsed(len(q.callAnswers)-1, true)
 }
 
-// overlapping returns the included answers that share a shard with these, and how many shards they
-// have.
+// overlapping returns the indexes of the used answers that share a shard with these, and their
+// total number of shards.
 func (q *Query) overlapping(shards []int) (list []int, total int) {
 	for _, i := range shards {
 		n := q.shards[i].includedAnswer - 1
@@ -169,7 +173,7 @@
 	return list, total
 }
 
-// setUsed includes an answer or leaves it out.
+// setUsed includes an answer in the result or leaves it out.
 func (q *Query) setUsed(n int, used bool) {
 	q.callAnswers[n].used = used
 	for _, i := range q.callAnswers[n].shards {
@@ -177,7 +181,7 @@
 		s.includedAnswer = 0
 		if used {
 			s.includedAnswer = n + 1
-			q.schedulePoll(s, time.Time{})
+			q.setPollAt(s, time.Time{})
 		}
 	}
 }
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Spec is one request as the core sees it.
+// Spec describes one request.
 type Spec struct {
 	Services   []string // one shard each; a request to a single service has one
 	Gathered   bool
 	Idempotent bool
-	// MaxAttempts is how many leafs may run the request, for each shard.
+	// MaxAttempts is how many leafs may run the request, per shard.
 	MaxAttempts int
-	// MinShare is the share of the shards without which an answer is a failure.
+	// MinShare is the minimum share of answered shards, from 0 to 1, for an answer to
+	// count.
 	MinShare         float64
 	LatencyObjective time.Duration
-	// AnswerBy is when a gathered request is answered with what has come in.
+	// AnswerBy is when a gathered request is answered with the parts received so far.
 	AnswerBy time.Time
 	Deadline time.Time
-	// MayDelegate allows to ask other VMs for the shards that have no leaf near.
+	// MayDelegate allows calls to other VMs for shards without a leaf in this zone.
 	MayDelegate bool
 	// RequestID is the id of the caller's request, the same at all VMs that take part.
 	RequestID string
-	// Delegated says that another VM asked for it. Views are what that one knows of each
-	// service; a shard of which this VM knows otherwise is declined.
+	// Delegated says that another VM called this one for the request. Views holds that
+	// VM's view of each service; a shard is declined if this VM's view of it differs.
 	Delegated bool
 	Views     []View
-	// Required is how many of Services the whole answer can't do without, of a request that
-	// another VM delegates; 0 if it doesn't say.
+	// Required is how many of Services the whole answer can't do without, for a request
+	// that another VM delegates; 0 if not stated.
 	Required int
-	// Redelegated says that yet another VM was asked for the same before: each arrival is a further
-	// one, and leafs are chosen as if that one had asked them too.
+	// Redelegated says that another VM was called for the same shards before. Each arrival
+	// is then an extra one, and leafs are chosen as if that VM had used them too.
 	Redelegated bool
-	// BudgetWeight is the part of a request that counts here for the budget, from 0 to 1:
-	// of one that another VM passes on, it counts the rest.
+	// BudgetWeight is the part of the request that counts for this VM's budget, from 0 to
+	// 1. For a delegated request, the other VM counts the remainder.
 	BudgetWeight float64
 }
 
@@ -40,58 +41,59 @@
 // CallID numbers the calls to other VMs of one query, from 1.
 type CallID int
 
-// Action is something to be done for a query: Send, Ask, or Finish.
+// Action is something that the caller has to do for a query: Send, CallVM, or Finish.
 type Action interface{ action() }
 
-// Send hands the request to a leaf.
+// Send sends the request to a leaf.
 type Send struct {
 	Attempt AttemptID
 	Shard   int
 	Leaf    LeafID
 	Address string
 	SentAt  time.Time
-	// Until is when the leaf is to stop: later, its answer is of no use.
+	// Until is when the leaf has to stop: a later answer is useless.
 	Until          time.Time
-	OtherZone      bool // in another availability zone
-	KeepConnection bool // the connection, for later requests
+	OtherZone      bool // the leaf is in another availability zone
+	KeepConnection bool // for later requests
 	Reason         AttemptReason
 }
 
-// CallVM lets another VM ask the leafs of some shards.
+// CallVM calls another VM to query the leafs of some shards.
 type CallVM struct {
 	Call        CallID
 	VM          VM
 	SentAt      time.Time
 	Shards      []int
 	Views       []View // one for each of Shards
-	Required    int    // of Shards, without which there is no answer
-	Redelegated bool   // another VM was asked before, which is silent
-	// InterimBy is when that VM answers with what it has, and AnswerBy when it gives
-	// up on the rest.
+	Required    int    // how many of Shards the answer can't do without
+	Redelegated bool   // another VM was called for the shards before and is silent
+	// InterimBy is when that VM answers with what it has, and AnswerBy when it stops
+	// waiting for the other shards.
 	InterimBy time.Time
 	AnswerBy  time.Time
 }
 
-// Finish ends the query. What is in flight is the caller's to let end or cut.
+// Finish ends the query. The caller decides whether requests in flight complete or are
+// cancelled.
 type Finish struct{ Outcome Outcome }
 
 func (Send) action()   {}
 func (CallVM) action() {}
 func (Finish) action() {}
 
-// AttemptReason says what made an attempt necessary.
+// AttemptReason is the reason for an attempt.
 type AttemptReason int
 
-// The reasons of an attempt.
+// The reasons for an attempt.
 const (
 	FirstAttempt AttemptReason = iota
 	Retry                      // after a failure
-	Hedge                      // beside one that is slow
+	Hedge                      // in parallel to a slow attempt
 )
 
 // String returns the word used in logs and metrics.
-func (w AttemptReason) String() string {
-	return [...]string{"first", "retry", "hedge"}[w]
+func (r AttemptReason) String() string {
+	return [...]string{"first", "retry", "hedge"}[r]
 }
 
 // Verdict is how a query ended.
@@ -102,8 +104,8 @@
 	Answered     Verdict = iota // by a leaf, or with enough shards
 	LeafFailed                  // a leaf ran it and failed; its answer is passed on
 	NotRun                      // no leaf ran it or ever will
-	Unknown                     // a leaf may have run it; no answer is to be had
-	TimedOut                    // a leaf may have run it; the time is over
+	Unknown                     // a leaf may have run it; there will be no answer
+	TimedOut                    // a leaf may have run it; the deadline passed
 	Abandoned                   // the caller left
 	TooFewShards                // leafs ran it, but too few shards answered
 )
@@ -113,31 +115,31 @@
 	return [...]string{"answered", "leaf_failed", "not_run", "unknown", "timed_out", "abandoned", "short"}[v]
 }
 
-// Outcome is what a query came to.
+// Outcome is the result of a query.
 type Outcome struct {
 	Verdict Verdict
-	// Attempt is the one whose answer is passed on, for a request to one service.
+	// Attempt is the attempt whose answer is passed on, for a request to one service.
 	Attempt AttemptID
 	// Parts are the attempts whose answers are included, for a gathered request.
 	Parts []AttemptID
-	// CallAnswers are the answers of other VMs that are included, numbered from 0 in the order
-	// in which CallReply took them. Their shards are not among Parts.
+	// CallAnswers are the included answers of other VMs, numbered from 0 in the order in
+	// which CallReply received them. Their shards are not among Parts.
 	CallAnswers []int
-	Missing     int           // shards that are left out
+	Missing     int           // number of shards that are left out
 	Gaps        []Gap         // the shards without an answer, also of a request that failed
-	RetryAfter  time.Duration // with NotRun: when to come back
-	Refusal     *Refusal      // if this VM's own forecast refused it
+	RetryAfter  time.Duration // with NotRun: the delay after which the caller should retry
+	Refusal     *Refusal      // set if this VM's own forecast refused the request
 
 	Sent, Hedges, Retries int
-	Called                int // calls to other VMs
+	Called                int // number of calls to other VMs
 }
 
-// Query is the course of one request. Feed it Start once, then the events; carry out
-// the actions that each returns, until Finish.
+// Query is one request in progress. Callers call Start once, then pass in the events, and
+// carry out the returned actions until Finish. It is not safe for concurrent use.
 //
-// Invariants: exactly one Finish; attempts that may have run <= MaxAttempts for each
-// shard; of a request that is not idempotent no attempt is sent after one that may
-// have run; every attempt after a shard's first arrival was taken from the budget.
+// Invariants: there is exactly one Finish; for each shard, at most MaxAttempts attempts may
+// have run; for a request that is not idempotent, no attempt is sent after one that may have
+// run; every attempt after a shard's first arrival was taken from the budget.
 type Query struct {
 	spec      Spec
 	table     *Table
@@ -147,14 +149,14 @@
 
 	attempts      map[AttemptID]*attempt
 	calls         map[CallID]*call
-	callAnswers   []callAnswer // of other VMs, in the order in which they came
+	callAnswers   []callAnswer // in the order of arrival
 	lastAttempt   AttemptID    // newest number
-	failedAttempt AttemptID    // the latest with a leaf's own failure
-	hedgeRetryAt  time.Time    // no hedge before; one that was due found no idle leaf or no budget
+	failedAttempt AttemptID    // the latest one with a leaf's own failure
+	hedgeRetryAt  time.Time    // no hedge before this time: one that was due found no idle leaf or no budget
 
-	omissionsLeft int           // shards that may be left out besides those that are
+	omissionsLeft int           // further shards that may be left out
 	refusal       *Refusal      // nil if this VM did not refuse
-	retryAfter    time.Duration // that a refused caller is told; 0 if nobody refused
+	retryAfter    time.Duration // delay stated to a refused caller; 0 if no VM refused
 
 	sent, hedges, retries int
 }
@@ -164,24 +166,24 @@
 	service        string
 	tried          []LeafID
 	sends          int
-	inFlight       int  // attempts without an end
-	maybeRan       int  // attempts that ran or may have
+	inFlight       int  // attempts that have not ended
+	possibleRuns   int  // attempts that ran or may have run
 	arrived        bool // an attempt reached a leaf or may have
-	budgetCounted  bool // as a first arrival
+	budgetCounted  bool // the budget counted it as a first arrival
 	hedged         bool
 	hedgeAt        time.Time // when the latest attempt is slow enough for a hedge
 	pollAt         time.Time // when to look for a leaf again; zero if not waiting
-	waitingOn      *service  // that counts it among the waiting, nil for none
+	waitingOn      *service  // service that counts the shard as waiting, nil for none
 	closed         bool      // no further attempt will be made
 	gap            GapCause  // why it was closed
-	declined       bool      // left to the VM that called
-	answer         AttemptID // 0 without one
-	call           CallID    // that it was delegated to last; 0 if to none
-	redelegated    bool      // it was delegated twice
-	shared         bool      // another VM may ask it too
-	commonLeafs    []LeafID  // that either VM may ask, if it is shared
-	ownChoice      LeafID    // that only this VM asks, if it is shared; zero for none
-	includedAnswer int       // the number of the included answer of another VM that has it, from 1; 0 without one
+	declined       bool      // left to the calling VM
+	answer         AttemptID // 0 for none
+	call           CallID    // the latest call for the shard; 0 for none
+	redelegated    bool      // a second VM was called for it
+	shared         bool      // another VM may query it too
+	commonLeafs    []LeafID  // if shared: leafs that either VM may use
+	ownChoice      LeafID    // if shared: the leaf that only this VM uses; zero for none
+	includedAnswer int       // position of the included call answer that has the shard, from 1; 0 for none
 }
 
 func (s *shard) answered() bool { return s.answer != 0 || s.includedAnswer != 0 }
@@ -198,26 +200,26 @@
 	redelegated bool // follows another call for the same shards
 	shards      []int
 	sentAt      time.Time
-	acked       bool      // the VM has said anything
-	failoverAt  time.Time // when its shards are asked for elsewhere
-	// writtenAt is when the call went out, zero before; ackDue is by when it must be
-	// acknowledged, zero before it went out and once it was.
+	acked       bool      // the VM has sent any message
+	failoverAt  time.Time // when it fails over
+	// writtenAt is when the call was sent, zero before. ackDue is by when it has to be
+	// acknowledged, zero before it was sent and once it was acknowledged.
 	writtenAt, ackDue time.Time
-	answered          bool // it has answered, perhaps in part
-	finished          bool // nothing more will come of it
-	resolved          bool
+	answered          bool // the VM has answered, perhaps in part
+	finished          bool // no further answer will arrive
+	resolved          bool // no failover is pending: its shards were answered, failed over, or sent directly
 }
 
-// overdueTime is when the shards of a call are asked for elsewhere unless its VM says something.
+// overdueTime returns when the call fails over unless its VM sends a message.
 func (c *call) overdueTime() time.Time { return earlier(c.failoverAt, c.ackDue) }
 
-// callAnswer is what one answer of another VM includes. It can't be taken apart.
+// callAnswer is one answer of another VM. It can't be split.
 type callAnswer struct {
 	shards []int
 	used   bool
 }
 
-// NewQuery returns a query that has not begun.
+// NewQuery returns a query that has not started.
 func NewQuery(spec Spec, table *Table) *Query {
 	q := &Query{
 		spec:     spec,
@@ -255,7 +257,7 @@
 		switch {
 		case s.call != 0 || s.closed:
 		case hold:
-			q.schedulePoll(s, now.Add(holdTime))
+			q.setPollAt(s, now.Add(holdTime))
 		default:
 			acts = append(acts, q.trySend(now, i, FirstAttempt)...)
 		}
@@ -263,7 +265,7 @@
 	return q.conclude(now, acts)
 }
 
-// decline leaves the shards of which this VM knows other leafs to the VM that called.
+// decline leaves shards for which this VM's view differs to the calling VM.
 func (q *Query) decline() {
 	for i := range q.shards {
 		s := &q.shards[i]
@@ -275,7 +277,7 @@
 	}
 }
 
-// ownShards returns the shards whose leafs this VM asks itself.
+// ownShards returns the open shards that this VM queries itself.
 func (q *Query) ownShards(calls []delegation) []int {
 	delegated := make(map[int]bool)
 	for _, d := range calls {
@@ -292,14 +294,14 @@
 	return list
 }
 
-// shareShard fixes the leafs that may run a shard for either VM, where another may ask for it too.
+// shareShard fixes the leafs that either VM may use for a shard that another VM may query too.
 func (q *Query) shareShard(s *shard, zone string) {
 	s.shared = true
 	s.commonLeafs = q.table.commonLeafs(s.service, zone, q.spec.RequestID, q.spec.MaxAttempts)
 }
 
-// Declined returns the shards of a delegated query that this VM does not ask, since it
-// knows other leafs of them than the VM that called.
+// Declined returns the shards of a delegated query that this VM does not query, since its view
+// differs from that of the calling VM.
 func (q *Query) Declined() []int {
 	var list []int
 	for i := range q.shards {
@@ -310,7 +312,7 @@
 	return list
 }
 
-// Reply takes a leaf's answer. Failed says that it is the leaf's own failure.
+// Reply handles a leaf's answer. failed says that the answer is the leaf's own failure.
 func (q *Query) Reply(now time.Time, id AttemptID, failed bool) []Action {
 	a := q.attempts[id]
 	if a == nil || q.done {
@@ -326,12 +328,12 @@
 	q.table.recordDuration(now, q.durationKey(), a)
 	if s.answer == 0 {
 		s.answer = id
-		q.schedulePoll(s, time.Time{})
+		q.setPollAt(s, time.Time{})
 	}
 	return q.conclude(now, nil)
 }
 
-// Fail takes that an attempt ended without an answer.
+// Fail handles an attempt that ended without an answer.
 func (q *Query) Fail(now time.Time, id AttemptID, end End) []Action {
 	a := q.attempts[id]
 	if a == nil || q.done {
@@ -341,7 +343,7 @@
 	s := &q.shards[a.shard]
 	s.inFlight--
 	if !end.mayHaveRun() {
-		s.maybeRan--
+		s.possibleRuns--
 		s.clearChoice(a.leaf)
 	}
 	if end != EndUnreachable {
@@ -350,7 +352,7 @@
 	return q.conclude(now, q.retryShard(now, a.shard))
 }
 
-// Tick takes that time has passed. Call it at the time that Wake returned.
+// Tick handles the passing of time. It has to be called at the time that Wake returned.
 func (q *Query) Tick(now time.Time) []Action {
 	if q.done {
 		return nil
@@ -359,14 +361,15 @@
 		return q.finish(q.atDeadline())
 	}
 	if out, decided := q.decide(now); decided {
-		// Whatever is overdue after a pause of this VM, an answer comes first.
+		// If an answer is due, it precedes everything else that became overdue while
+		// this VM was paused.
 		return q.finish(out)
 	}
 	acts := q.failOverOverdueCalls(now)
 	for i := range q.shards {
 		s := &q.shards[i]
 		if !s.pollAt.IsZero() && !now.Before(s.pollAt) {
-			q.schedulePoll(s, time.Time{})
+			q.setPollAt(s, time.Time{})
 			acts = append(acts, q.retryShard(now, i)...)
 		}
 	}
@@ -374,7 +377,7 @@
 	return q.conclude(now, acts)
 }
 
-// AnsweredAttempts returns the attempts that answered a shard so far, for a query that
+// AnsweredAttempts returns the attempts that have answered a shard so far, for a query that
 // delegates nothing.
 func (q *Query) AnsweredAttempts() []AttemptID {
 	var ids []AttemptID
@@ -386,7 +389,7 @@
 	return ids
 }
 
-// Abandon takes that the caller left.
+// Abandon ends the query since the caller left.
 func (q *Query) Abandon() []Action {
 	if q.done {
 		return nil
@@ -405,7 +408,7 @@
 	return a
 }
 
-// Wake returns when Tick has to be called next if nothing else happens.
+// Wake returns when Tick has to be called next if there is no other event.
 func (q *Query) Wake(now time.Time) time.Time {
 	wake := q.spec.Deadline
 	if q.spec.Gathered && now.Before(q.spec.AnswerBy) {
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -5,52 +5,59 @@
 	"time"
 )
 
-// slowdown is how much longer than usual work takes at a leaf. Usual is the median of all
-// leafs for one kind of request.
+// slowdown estimates by which factor work takes longer than usual at a leaf. Usual is the
+// median of all leafs for one kind of request.
 //
-// A leaf states how its machine does; its pauses, queues and the way to it show in its
-// answers only. Both are kept apart, since a pause says nothing of the next request: with
-// one smoothed latency, a leaf that had paused once would be asked less for seconds.
+// A leaf states the slowdown of its machine. Its pauses, its queues and the network show only
+// in its answers. The two are kept apart, since a pause says nothing about the next request:
+// with one smoothed latency, a leaf that paused once would get fewer requests for seconds.
 type slowdown struct {
-	stated   float64 // of the leaf's machine, smoothed: 1 as usual; 0 before the first word
+	stated   float64 // factor stated for the leaf's machine, smoothed: 1 as usual; 0 before the first statement
 	statedAt time.Time
-	excess   float64 // of answers, beyond what is stated, smoothed; 0 before the first
+	excess   float64 // factor of answers beyond what is stated, smoothed; 0 before the first
 	excessAt time.Time
-	slowAt   time.Time // when the latest slow answer came
+	slowAt   time.Time // when the latest slow answer was received
 }
 
-// Parameters of a speed.
+// Parameters of the slowdown.
 const (
-	statedWeight     = 0.5             // of a new word: machines change many times a second around a mean that lasts for seconds
-	minStated        = 0.2             // a leaf that states less counts as this quick
-	maxStated        = 50              // ... more, as this slow
-	excessWeight     = 0.2             // of a new answer
-	expiredFactor    = 2               // times the time after which a request expired, that it counts as
-	expiredWeight    = 0.5             // of an expired request
-	maxExcessStep    = 3               // times the smoothed excess that a new answer counts as at most
-	slowThreshold    = 2               // times what is expected, from which an answer is slow
-	slowdownHalfLife = 2 * time.Second // in which half of what sets a leaf apart is forgotten: one that was slow and gets no requests is tried again
+	// statedWeight is the weight of a new statement: machines change many times a second
+	// around a mean that lasts for seconds.
+	statedWeight = 0.5
+	minStated    = 0.2 // lower bound of a stated factor
+	maxStated    = 50  // upper bound of a stated factor
+	excessWeight = 0.2 // of a new answer
+	// expiredFactor is the multiple of the time after which a request expired that it
+	// counts as having taken.
+	expiredFactor = 2
+	expiredWeight = 0.5 // of an expired request
+	maxExcessStep = 3   // a new answer counts as at most this multiple of the smoothed excess
+	slowThreshold = 2   // multiple of the expected time from which an answer is slow
+	// slowdownHalfLife is the time in which half of a leaf's deviation is forgotten, so that
+	// a leaf that was slow and gets no requests is tried again.
+	slowdownHalfLife = 2 * time.Second
 )
 
-// recordStated takes what a leaf says of its machine.
-func (s *slowdown) recordStated(now time.Time, pace float64) {
-	pace = min(max(pace, minStated), maxStated)
+// recordStated records the slowdown that a leaf states for its machine.
+func (s *slowdown) recordStated(now time.Time, factor float64) {
+	factor = min(max(factor, minStated), maxStated)
 	if s.stated == 0 {
-		s.stated = pace
+		s.stated = factor
 	}
-	s.stated += statedWeight * (pace - s.stated)
+	s.stated += statedWeight * (factor - s.stated)
 	s.statedAt = now
 }
 
-// recordAnswer takes an answer to a request that was sent at sentAt and usually takes the time
-// given. Slow answers to requests in flight together count once: one pause makes them all.
+// recordAnswer records an answer to a request that was sent at sentAt, where typical is the
+// usual duration of its kind. Slow answers to requests that were in flight together count
+// once, since one pause causes them all.
 func (s *slowdown) recordAnswer(now, sentAt time.Time, typical time.Duration) {
 	s.add(now, sentAt, now.Sub(sentAt), typical, excessWeight)
 }
 
-// recordExpired takes that the leaf was still at work when the time of a request was over. How long
-// it would have taken is not known. Such a leaf is too slow for its requests, and it tells so
-// much more seldom than others do.
+// recordExpired records that the leaf was still at work when the time of a request was over.
+// How long the request would have taken is not known. Such a leaf is too slow for its
+// requests, and shows it much less often than other leafs answer.
 func (s *slowdown) recordExpired(now, sentAt time.Time, typical time.Duration) {
 	s.add(now, sentAt, expiredFactor*now.Sub(sentAt), typical, expiredWeight)
 }
@@ -68,14 +75,15 @@
 	s.excessAt = now
 }
 
-// factor is how many times the usual the next request is expected to take.
+// factor returns the expected duration of the next request as a multiple of the usual
+// duration.
 func (s *slowdown) factor(now time.Time) float64 { return s.statedFactor(now) * s.excessFactor(now) }
 
 func (s *slowdown) statedFactor(now time.Time) float64 { return decayed(s.stated, now.Sub(s.statedAt)) }
 
 func (s *slowdown) excessFactor(now time.Time) float64 { return decayed(s.excess, now.Sub(s.excessAt)) }
 
-// decayed moves a factor towards 1 by its age; 0 stands for one that is not known.
+// decayed moves a factor towards 1 with its age; 0 stands for an unknown factor.
 func decayed(factor float64, age time.Duration) float64 {
 	if factor == 0 {
 		return 1
--- a/scatter/suspicion_test.go
+++ b/scatter/suspicion_test.go
@@ -29,7 +29,7 @@
 			if len(due) > 0 {
 				w.Expect(w.table.RecordLeafProbe(w.now, near, false)).To(gomega.BeFalse())
 				_, next = w.table.SuspectLeafs(w.now)
-				w.Expect(next.Sub(w.now)).To(gomega.BeNumerically("<=", maxLeafProbe))
+				w.Expect(next.Sub(w.now)).To(gomega.BeNumerically("<=", maxLeafProbePause))
 			}
 			w.Expect(next).NotTo(gomega.BeZero())
 		}
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -10,7 +10,7 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// Table is what this VM knows of leafs and of other VMs.
+// Table is what this VM knows of leafs and of other VMs. It is not safe for concurrent use.
 type Table struct {
 	self          string // name of this VM
 	zone          string
@@ -19,52 +19,51 @@
 	budgetConfig  BudgetConfig
 	leafs         map[string]*leaf // by id
 	services      map[string]*service
-	vms           map[string]*vm          // the others
-	members       map[string]memberInfo   // of other VMs, those that left lately included
-	zones         map[string]*zoneMembers // these and this VM
-	ownersPerLeaf int                     // VMs that ask one leaf, in all zones together
-	maxShards     int                     // of the widest request
-	shardsPerZone int                     // ... that have a leaf in one zone
-	vmsKnown      bool                    // the other VMs were listed once
+	vms           map[string]*vm          // the other VMs
+	members       map[string]memberInfo   // by name: the other VMs, including those that left recently
+	zones         map[string]*zoneMembers // by zone: members and this VM
+	leafOwners    int                     // VMs that send requests to one leaf, over all zones
+	maxShards     int                     // shards of the widest request
+	shardsPerZone int                     // of these, the shards that have a leaf in one zone
+	vmsKnown      bool                    // SetVMs was called at least once
 	liveness      livenessRound
-	startedAt     time.Time // start of this VM's process
+	startedAt     time.Time // when this VM's process started
 	durations     map[durationKey]*latency.Record
 
 	ackTimes        map[string]ackTime // by zone
 	callRefusalRate failureRate        // share of calls that other VMs refuse
-	admitAll        bool               // for tests: no request is refused by forecast
+	admitAll        bool               // for tests: the forecast refuses no request
 }
 
-// service is the leafs and the budget of one service.
+// service holds the leafs and the budget of one service.
 type service struct {
 	name           string
 	leafs          []*leaf
 	budget         *budget
 	maxConnections int
-	waiting        int  // shards of queries in progress that wait for a leaf to take them
-	shard          bool // asked by gathered requests only, so mostly by its owners
+	waiting        int  // shards of queries in progress that wait for a leaf with capacity
+	shard          bool // used by gathered requests only, so mostly by the owners of its leafs
 	view           View
-	viewKnown      bool // false after a change
+	viewKnown      bool // false after a change of the leafs
 }
 
-// durationKey tells apart requests whose durations don't compare. Routes of one aim
-// carry one kind of request.
+// durationKey identifies requests whose durations are comparable. Routes with the same latency
+// objective are taken to carry one kind of request.
 type durationKey struct {
 	objective time.Duration
-	byVM      bool // of answers by another VM
-	shard     bool // of one shard of a gathered request
+	byVM      bool // answers by another VM
+	shard     bool // answers for one shard of a gathered request
 }
 
-// NewTable returns the table of the VM self, which knows nothing yet. Its process started at
-// born.
-func NewTable(self VM, terms BudgetConfig, born time.Time, rng *rand.Rand) *Table {
+// NewTable returns an empty table for the VM self, whose process started at born.
+func NewTable(self VM, budgetConfig BudgetConfig, startedAt time.Time, rng *rand.Rand) *Table {
 	t := &Table{
 		self:         self.Name,
 		zone:         self.Zone,
 		power:        self.Power,
 		rng:          rng,
-		budgetConfig: terms,
-		startedAt:    born,
+		budgetConfig: budgetConfig,
+		startedAt:    startedAt,
 		leafs:        make(map[string]*leaf),
 		services:     make(map[string]*service),
 		vms:          make(map[string]*vm),
@@ -76,38 +75,38 @@
 	return t
 }
 
-// ServiceConfig is what is in force for a service.
+// ServiceConfig is the configuration in force for a service.
 type ServiceConfig struct {
 	MaxConnections int  // that a leaf accepts from all VMs together; 0 for no limit
-	Shard          bool // only gathered requests ask it
+	Shard          bool // only gathered requests use the service
 }
 
-// SetServiceConfig takes what is in force for a service.
-func (t *Table) SetServiceConfig(now time.Time, name string, terms ServiceConfig) {
+// SetServiceConfig sets the configuration in force for a service.
+func (t *Table) SetServiceConfig(now time.Time, name string, config ServiceConfig) {
 	s := t.service(now, name)
-	s.maxConnections = terms.MaxConnections
-	s.shard = terms.Shard
+	s.maxConnections = config.MaxConnections
+	s.shard = config.Shard
 	t.shareConnections(s)
 }
 
-// Apply takes a change of the list of leafs.
-func (t *Table) Apply(now time.Time, c registry.Change) {
-	id := LeafID{ID: c.Leaf.ID, Born: c.Leaf.Born}
-	old := t.leafs[c.Leaf.ID]
-	if old != nil && (c.Gone || old.id != id || old.Service != c.Leaf.Service || old.Address != c.Leaf.Address) {
+// Apply applies a change of the list of leafs.
+func (t *Table) Apply(now time.Time, change registry.Change) {
+	id := LeafID{ID: change.Leaf.ID, Born: change.Leaf.Born}
+	old := t.leafs[change.Leaf.ID]
+	if old != nil && (change.Gone || old.id != id || old.Service != change.Leaf.Service || old.Address != change.Leaf.Address) {
 		t.removeLeaf(old)
 		old = nil
 	}
-	if c.Gone {
+	if change.Gone {
 		return
 	}
-	s := t.service(now, c.Leaf.Service)
+	s := t.service(now, change.Leaf.Service)
 	s.viewKnown = false
 	if old != nil {
-		old.Leaf = c.Leaf
+		old.Leaf = change.Leaf
 		return
 	}
-	l := &leaf{Leaf: c.Leaf, id: id, sameZone: c.Leaf.Zone == t.zone}
+	l := &leaf{Leaf: change.Leaf, id: id, sameZone: change.Leaf.Zone == t.zone}
 	l.Slots = max(l.Slots, 1)
 	t.leafs[l.ID] = l
 	s.leafs = append(s.leafs, l)
@@ -130,20 +129,21 @@
 	return s
 }
 
-// Parts of what VMs share. The list of VMs lags, and VMs are added or replaced.
+// Limits on what this VM uses of resources that VMs share. The list of VMs lags behind, and
+// VMs are added or replaced.
 const (
-	// connectionShare is the part of a leaf's connections that VMs use: a leaf
-	// accepts fewer while its queue is long, and resets the rest.
+	// connectionShare is the share of a leaf's connections that VMs use. A leaf accepts
+	// fewer while its queue is long, and resets the others.
 	connectionShare = 0.8
-	// vmHeadroom is how many VMs there may be for each one that is known.
+	// vmHeadroom is the number of VMs to allow for per known VM.
 	vmHeadroom = 1.25
-	// queuePerSlot bounds the requests of this VM at a leaf. More than that wait
-	// longer than it takes to ask another leaf.
+	// queuePerSlot bounds the requests of this VM at a leaf, per slot of the leaf.
+	// Requests beyond it wait longer than a request to another leaf takes.
 	queuePerSlot = 2
 )
 
-// shareConnections sets how many requests this VM may have in flight at each leaf:
-// one for each connection of its share.
+// shareConnections sets how many requests this VM may have in flight at each leaf: one for
+// each connection of its share.
 func (t *Table) shareConnections(s *service) {
 	share := t.connectionsPerLeaf(s)
 	for _, l := range s.leafs {
@@ -151,21 +151,21 @@
 	}
 }
 
-// connectionsPerLeaf is this VM's share of the connectionsPerLeaf that a leaf of the service accepts. Less
-// than one allows a connection now and then, but none that stays open unused.
+// connectionsPerLeaf returns this VM's share of the connections that a leaf of the service
+// accepts. A share below one allows an occasional connection, but none that stays open unused.
 func (t *Table) connectionsPerLeaf(s *service) float64 {
 	if s.maxConnections == 0 {
 		return math.Inf(1)
 	}
 	vms := len(t.members) + 1
 	if s.shard && t.ownsService(s.name) {
-		vms = t.ownersPerLeaf
+		vms = t.leafOwners
 	}
 	return float64(s.maxConnections) * connectionShare / (float64(vms) * vmHeadroom)
 }
 
-// KeepsConnection reports whether connections to a leaf are kept when a request is over. VMs that ask it
-// now and then would hold all that it accepts.
+// KeepsConnection reports whether a connection to a leaf is kept open after a request. VMs
+// that use the leaf only occasionally would otherwise hold all connections that it accepts.
 func (t *Table) KeepsConnection(id LeafID) bool {
 	l := t.findLeaf(id)
 	return l != nil && t.connectionsPerLeaf(t.services[l.Service]) >= 1
@@ -179,7 +179,7 @@
 	return l
 }
 
-// usableLeafs returns the leafs of a service that take requests, those that cool down included.
+// usableLeafs returns the leafs of a service that take requests, including those in cooldown.
 func (t *Table) usableLeafs(name string) []*leaf {
 	s := t.services[name]
 	if s == nil {
@@ -197,15 +197,15 @@
 // HasUsableLeaf reports whether a service has a leaf that takes requests.
 func (t *Table) HasUsableLeaf(name string) bool { return len(t.usableLeafs(name)) > 0 }
 
-// leafFilter is what limits the leafs for a request.
+// leafFilter restricts the leafs that may be picked for a request.
 type leafFilter struct {
-	exclude  []LeafID  // not these again
+	exclude  []LeafID  // already tried
 	idleOnly bool      // only leafs that would start at once
-	answerBy time.Time // only leafs that are expected to answer until then; zero for all
+	answerBy time.Time // only leafs that are expected to answer by then; zero for all
 }
 
-// pickLeaf chooses the leaf for a request: of those that are asked and not full, the one that is
-// expected to answer first.
+// pickLeaf returns the leaf for a request: of the available leafs with capacity, the one that
+// is expected to answer first. It returns nil if there is none.
 func (t *Table) pickLeaf(now time.Time, kind durationKey, leafs []*leaf, filter leafFilter) *leaf {
 	var best *leaf
 	var bestCost time.Duration
@@ -221,7 +221,8 @@
 			continue
 		}
 		cost := l.cost(now, kind.objective, typical)
-		// A little chance keeps VMs that know the same from all going one way.
+		// Random jitter keeps VMs with the same knowledge from all picking the same
+		// leaf.
 		cost += time.Duration(t.rng.Int64N(int64(costJitter)))
 		if best == nil || cost < bestCost {
 			best, bestCost = l, cost
@@ -230,11 +231,11 @@
 	return best
 }
 
-// costJitter is the difference in cost below which either leaf will do.
+// costJitter is the difference in cost below which either of two leafs may be picked.
 const costJitter = time.Millisecond
 
-// pickCoolingDown chooses, for requests that have no other, the leaf that is to be asked again
-// first. Those that are suspect come last.
+// pickCoolingDown returns, for requests that have no other leaf, the unavailable leaf that
+// becomes available first. Suspect leafs come last. It returns nil if there is none.
 func (t *Table) pickCoolingDown(now time.Time, leafs []*leaf, tried []LeafID) *leaf {
 	var best *leaf
 	for _, l := range leafs {
@@ -248,7 +249,7 @@
 	return best
 }
 
-// durationsOf returns the durations of one kind of request.
+// durationsOf returns the recorded durations of one kind of request.
 func (t *Table) durationsOf(key durationKey) *latency.Record {
 	r := t.durations[key]
 	if r == nil {
@@ -258,8 +259,8 @@
 	return r
 }
 
-// recordDuration records how long an answer took, as it would have at a leaf whose machine is as
-// usual: what is expected of one leaf must not follow from how slow others are.
+// recordDuration records how long an answer took, scaled to a leaf whose machine runs at its
+// usual speed: the duration expected of one leaf must not depend on how slow other leafs are.
 func (t *Table) recordDuration(now time.Time, kind durationKey, a *attempt) {
 	took := now.Sub(a.sentAt)
 	if l := t.findLeaf(a.leaf); l != nil {
@@ -268,15 +269,16 @@
 	t.durationsOf(kind).Add(now, took)
 }
 
-// Parameters of what is usual.
+// Parameters of the typical duration.
 const (
-	typicalQuantile = 0.5 // the median: pauses and slow leafs are fewer than half
-	// defaultTypicalShare is the part of its aim that a kind of request is taken to need while too
-	// few answers are known.
+	typicalQuantile = 0.5 // the median: fewer than half of the answers come from paused or slow leafs
+	// defaultTypicalShare is the typical duration while too few answers are known, as a
+	// share of the latency objective.
 	defaultTypicalShare = 0.1
 )
 
-// typicalDuration is how long one kind of request mostly takes at a leaf, and whether that is known.
+// typicalDuration returns how long one kind of request typically takes at a leaf, and whether
+// that follows from enough answers.
 func (t *Table) typicalDuration(now time.Time, kind durationKey) (d time.Duration, known bool) {
 	d, known = t.durationsOf(kind).Quantile(now, typicalQuantile)
 	if !known {
@@ -285,36 +287,37 @@
 	return d, known
 }
 
-// UnusedLeafs returns the near leafs of this VM's part that it has no request at, so that
-// connections to them can be opened before they are needed.
+// UnusedLeafs returns the leafs in this VM's zone and partition that have no request of this
+// VM in flight, so that connections to them can be opened before they are needed. Leafs that
+// drain or are suspect are left out.
 func (t *Table) UnusedLeafs() []registry.Leaf {
 	z := t.zones[t.zone]
 	var list []registry.Leaf
 	for _, l := range t.leafs {
-		if l.sameZone && !l.Draining && !l.suspicion.active && len(l.inFlight) == 0 && z.owns(z.partitionOf(l.Service)) {
+		if l.sameZone && !l.Draining && !l.suspicion.raised && len(l.inFlight) == 0 && z.owns(z.partitionOf(l.Service)) {
 			list = append(list, l.Leaf)
 		}
 	}
 	return list
 }
 
-// End is how a request to a leaf ended.
+// End is how a request to a leaf, or a call to another VM, ended.
 type End int
 
-// The ends.
+// The possible ends.
 const (
-	EndAnswered    End = iota // with an answer, of whatever status
-	EndUnreachable            // no connection; nothing reached the leaf
-	EndRefused                // the leaf says that it did not run it
-	EndBroken                 // it may have run: cut, reset, spoilt
-	EndSilent                 // it may have run: nothing came while it was waited for
+	EndAnswered    End = iota // answered, with any status
+	EndUnreachable            // no connection: nothing reached the leaf
+	EndRefused                // the leaf says that it did not run the request
+	EndBroken                 // may have run: the connection was cut or reset, or the answer was corrupt
+	EndSilent                 // may have run: no answer while this VM waited for it
 	EndMoved                  // another leaf has the address; nothing ran
-	EndFailed                 // with the leaf's own failure for an answer
-	EndExpired                // the leaf stopped when the time that it was given was over
-	EndNotStarted             // that time was over before the leaf began
+	EndFailed                 // answered with the leaf's own failure
+	EndExpired                // the leaf stopped when the time given to it was over
+	EndNotStarted             // the time given to the leaf was over before it started
 )
 
-// showsAlive reports whether the end shows that the leaf lives.
+// showsAlive reports whether the end shows that the leaf is alive.
 func (e End) showsAlive() bool {
 	switch e {
 	case EndAnswered, EndFailed, EndRefused, EndExpired, EndNotStarted:
@@ -323,7 +326,7 @@
 	return false
 }
 
-// mayHaveRun reports whether the leaf mayHaveRun the request or may have.
+// mayHaveRun reports whether the leaf ran the request or may have run it.
 func (e End) mayHaveRun() bool {
 	switch e {
 	case EndUnreachable, EndRefused, EndMoved, EndNotStarted:
@@ -332,11 +335,11 @@
 	return true
 }
 
-// refusedCooldown is how long a leaf that refused is left alone: about the time in which
-// one request ends and frees a slot.
+// refusedCooldown is how long a leaf that refused a request gets no other: about the time in
+// which one request ends and frees a slot.
 const refusedCooldown = 15 * time.Millisecond
 
-// AttemptEnded takes the end of a request to a leaf, also long after the query itself.
+// AttemptEnded records how a request to a leaf ended. It may come long after the query ended.
 func (t *Table) AttemptEnded(now time.Time, id LeafID, sentAt time.Time, end End) {
 	l := t.findLeaf(id)
 	if l == nil {
@@ -360,14 +363,14 @@
 		}
 	case EndUnreachable:
 		l.cooldown.recordUnreachable(now)
-		l.suspicion.begin(now)
+		l.suspicion.raise(now)
 	case EndRefused:
 		l.recordRefusal(now)
 	case EndMoved:
 		l.addressReused = true
 	case EndSilent:
 		l.cooldown.recordSilence(sentAt, now)
-		l.suspicion.begin(now)
+		l.suspicion.raise(now)
 		l.failures.add(now, 1)
 	case EndBroken:
 		l.cooldown.recordFailure(sentAt, now)
@@ -375,7 +378,8 @@
 	}
 }
 
-// RecordLoad takes the load that a leaf stated with an answer. It comes before Ended, at the same time.
+// RecordLoad records the load that a leaf stated with an answer. It has to be called before
+// AttemptEnded, with the same time.
 func (t *Table) RecordLoad(now time.Time, id LeafID, load Load) {
 	if l := t.findLeaf(id); l != nil {
 		l.recordLoad(now, load)
--- a/scatter/vm.go
+++ b/scatter/vm.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// VM is another VM that can ask the leafs near it.
+// VM is a VM that can query the leafs near it.
 type VM struct {
 	Name    string
 	Zone    string
-	Address string  // IP and port of its inner listener
-	Power   float64 // processor, in cores
-	Key     string  // that a caller of this VM must have; secret
+	Address string  // IP and port of its internal listener
+	Power   float64 // processor cores
+	Key     string  // that a caller of this VM must present; secret
 }
 
 type vm struct {
@@ -22,16 +22,16 @@
 	suspicion suspicion
 }
 
-// available reports whether requests may be sent to the VM.
-func (v *vm) available(now time.Time) bool { return !v.suspicion.active && !v.cooldown.active(now) }
+// available reports whether calls may be sent to the VM.
+func (v *vm) available(now time.Time) bool { return !v.suspicion.raised && !v.cooldown.active(now) }
 
-// memberRetention is how long a VM that left keeps its place among those that divide the
-// leafs of its zone. Most come back within seconds under their old name. Without it
-// nearly every VM would get another part at each restart of one, and open connections
-// to other leafs while the zone is short of VMs anyway.
+// memberRetention is how long a VM that left remains a member of its zone, among which leafs
+// are divided. Most VMs return within seconds under their old name. Without it, nearly every
+// VM would get another partition at each restart of one, and open connections to other leafs
+// while the zone is short of VMs anyway.
 const memberRetention = 20 * time.Second
 
-// SetVMs takes the other VMs. Those that stay keep what is known of them.
+// SetVMs sets the list of the other VMs. What is known of those that stay is kept.
 func (t *Table) SetVMs(now time.Time, others []VM) {
 	next := make(map[string]*vm, len(others))
 	for _, v := range others {
@@ -47,26 +47,26 @@
 	t.vmsKnown = true
 }
 
-// memberInfo is where a VM stands, and when it was last listed.
+// memberInfo is what is known of a member of a zone, and when it was last listed.
 type memberInfo struct {
 	zone  string
 	power float64
 	seen  time.Time
 }
 
-// Parameters of the VMs that are called for a part.
+// Parameters of the VMs that are called for a partition.
 const (
-	// delegatesPerPartition is how many of the owners of a part a VM calls, as long as they answer.
-	// Each VM has others, so that connections between VMs grow with the number of parts
-	// rather than of VMs.
+	// delegatesPerPartition is how many of the owners of a partition a VM calls, as long
+	// as they answer. Different VMs call different owners, so the number of connections
+	// between VMs grows with the number of partitions rather than of VMs.
 	delegatesPerPartition = 2
-	// minDelegatePower is the part of the power of the strongest owner that another one must have
-	// to be called beside it: a request waits for the slowest of its calls.
+	// minDelegatePower is the minimum power of a further delegate, as a share of the power
+	// of the strongest owner: a request waits for the slowest of its calls.
 	minDelegatePower = 0.5
 )
 
-// delegates returns the VMs that this one calls for a part of a zone, leaving out those
-// that cool down or are under suspicion, and those named except.
+// delegates returns the VMs that this one calls for a leaf partition, leaving out those in
+// cooldown or under suspicion, and those named in except.
 func (t *Table) delegates(now time.Time, p zonePartition, except []string) []*vm {
 	z := t.zones[p.zone]
 	if z == nil {
@@ -87,8 +87,9 @@
 	return list[:min(len(list), delegatesPerPartition)]
 }
 
-// pickVM chooses a VM to ask the leafs of a part of a zone, other than those named except: of
-// two random partners, the one with fewer of this VM's calls for its power.
+// pickVM returns the VM to call for a leaf partition, leaving out those named in except: of
+// two random delegates, the one with fewer of this VM's calls relative to its power. It
+// returns nil if there is none.
 func (t *Table) pickVM(now time.Time, p zonePartition, except []string) *vm {
 	list := t.delegates(now, p, except)
 	if len(list) == 0 {
@@ -101,8 +102,8 @@
 	return a
 }
 
-// Delegates returns all VMs that this one calls, so that connections to them can be
-// opened before they are needed.
+// Delegates returns all VMs that this one calls, so that connections to them can be opened
+// before they are needed.
 func (t *Table) Delegates(now time.Time) []VM {
 	var list []VM
 	zones := t.shardZones()
@@ -110,11 +111,11 @@
 		if !zones[name] {
 			continue
 		}
-		for part := range z.partitions {
-			if z.owns(part) {
+		for partition := range z.partitions {
+			if z.owns(partition) {
 				continue
 			}
-			for _, v := range t.delegates(now, zonePartition{zone: name, partition: part}, nil) {
+			for _, v := range t.delegates(now, zonePartition{zone: name, partition: partition}, nil) {
 				list = append(list, v.VM)
 			}
 		}
@@ -133,7 +134,7 @@
 	return zones
 }
 
-// drawByPower draws a VM by its power.
+// drawByPower returns a random VM, with a probability in proportion to its power.
 func (t *Table) drawByPower(list []*vm) *vm {
 	total := 0.0
 	for _, v := range list {
@@ -148,7 +149,7 @@
 	return list[len(list)-1]
 }
 
-// CallEnded takes the end of a call to another VM, also long after the query.
+// CallEnded records how a call to another VM ended. It may come long after the query ended.
 func (t *Table) CallEnded(now time.Time, name string, end End) {
 	v := t.vms[name]
 	if v == nil {
@@ -160,9 +161,9 @@
 		v.cooldown.recordAnswer()
 	case EndUnreachable:
 		v.cooldown.recordUnreachable(now)
-		v.suspicion.begin(now)
+		v.suspicion.raise(now)
 	default:
-		v.suspicion.begin(now)
+		v.suspicion.raise(now)
 		t.liveness.request(now)
 	}
 }
--- a/scatter/zone.go
+++ b/scatter/zone.go
@@ -9,59 +9,61 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ownersPerLeaf is how many VMs of a zone ask the same leafs, as long as the zone has
-// as many. Fewer would be too few when some are lost. With more, a leaf's connections
-// would not do for all of them, and each would be used too seldom to stay open.
+// ownersPerLeaf is how many VMs of a zone send requests to the same leafs, as long as the zone
+// has as many. Fewer would be too few when some are lost. With more, a leaf's connections
+// would not suffice for all of them, and each would be used too rarely to stay open.
 const ownersPerLeaf = 4
 
-// callCost is the processor time that a call to another VM costs the calling one, in
-// requests to leafs.
+// callCost is the processor time that a call to another VM costs the calling VM, in multiples
+// of a request to a leaf.
 const callCost = 3
 
-// zoneMembers is the VMs of one zone, this one included, those of most power first, then in the
-// order of their names. All VMs that know the same list divide the leafs alike.
+// zoneMembers holds the VMs of one zone, this one included, ordered by descending power and
+// then by name. All VMs that know the same list divide the leafs in the same way.
 //
-// The leafs of a zone are divided into parts. The first VMs of the list own one part each, the
-// next ones as well, until each part has ownersPerLeaf; a small zone has one part, which all of
-// its VMs own.
+// The leafs of a zone are divided into partitions. The first VMs of the list own one partition
+// each, and so do the next ones, until each partition has ownersPerLeaf owners. A small zone
+// has one partition, which all of its VMs own.
 type zoneMembers struct {
-	members    []zoneMember
+	ranked     []zoneMember
 	self       int // index of this VM, -1 in other zones
 	partitions int
-	owners     int // VMs that own a part: the first ones of the list
+	owners     int // number of VMs that own a partition: the first ones of the list
 }
 
-// zoneMember is a VM that has a place in its zone.
+// zoneMember is a VM of a zone.
 type zoneMember struct {
 	name  string
 	power float64
 }
 
-// arrange orders the VMs of a zone and divides its leafs for requests to a number of its shards.
+// arrange orders the VMs of a zone and divides its leafs into partitions, for requests to the
+// given number of its shards.
 func (z *zoneMembers) arrange(self string, shards int) {
-	slices.SortFunc(z.members, func(a, b zoneMember) int {
+	slices.SortFunc(z.ranked, func(a, b zoneMember) int {
 		return cmp.Or(cmp.Compare(b.power, a.power), cmp.Compare(a.name, b.name))
 	})
-	z.self = slices.IndexFunc(z.members, func(v zoneMember) bool { return v.name == self })
+	z.self = slices.IndexFunc(z.ranked, func(v zoneMember) bool { return v.name == self })
 	z.partitions = z.fastestPartitioning(shards)
-	z.owners = len(z.members)
-	if len(z.members) >= 2*ownersPerLeaf {
+	z.owners = len(z.ranked)
+	if len(z.ranked) >= 2*ownersPerLeaf {
 		z.owners = z.partitions * ownersPerLeaf
 	}
 }
 
-// fastestPartitioning returns the number of parts with which a request has its answers first. More
-// parts are asked side by side, but each is a call, and the part of the weakest VM that leads
-// one takes longest. Power, and with it the time of one request to a leaf, differs between VMs.
+// fastestPartitioning returns the number of partitions with which a request is answered
+// fastest. More partitions are queried in parallel, but each costs a call, and the partition
+// whose strongest owner has the least power takes longest. VMs differ in power, and so in the
+// processor time of one request to a leaf.
 func (z *zoneMembers) fastestPartitioning(shards int) int {
-	most := len(z.members) / ownersPerLeaf
+	most := len(z.ranked) / ownersPerLeaf
 	if most <= 1 {
 		return 1
 	}
-	caller := max(z.members[len(z.members)/2].power, minPower)
+	caller := max(z.ranked[len(z.ranked)/2].power, minPower)
 	best, least := 1, math.Inf(1)
 	for n := 1; n <= most; n++ {
-		weakest := max(z.members[n-1].power, minPower)
+		weakest := max(z.ranked[n-1].power, minPower)
 		took := float64(n)*callCost/caller + float64(shards)/float64(n)/weakest
 		if took < least {
 			best, least = n, took
@@ -70,36 +72,36 @@
 	return best
 }
 
-// minPower stands for the power of a VM that states none, in cores.
+// minPower is the power in cores assumed for a VM that states none.
 const minPower = 0.01
 
-// partitionOf returns the part of a zone that a service's leafs belong to.
+// partitionOf returns the partition of the zone that a service's leafs belong to.
 func (z *zoneMembers) partitionOf(service string) int {
 	return int(xxhash.Sum64String(service) % uint64(z.partitions))
 }
 
-// owns reports whether this VM asks the leafs of a part.
-func (z *zoneMembers) owns(part int) bool {
-	return z.self >= 0 && z.self < z.owners && z.self%z.partitions == part
+// owns reports whether this VM owns a partition.
+func (z *zoneMembers) owns(partition int) bool {
+	return z.self >= 0 && z.self < z.owners && z.self%z.partitions == partition
 }
 
-// ownersOf returns the VMs that ask the leafs of a part, those of most power first.
-func (z *zoneMembers) ownersOf(part int) []zoneMember {
+// ownersOf returns the VMs that own a partition, in descending order of power.
+func (z *zoneMembers) ownersOf(partition int) []zoneMember {
 	var list []zoneMember
-	for i := part; i < z.owners; i += z.partitions {
-		list = append(list, z.members[i])
+	for i := partition; i < z.owners; i += z.partitions {
+		list = append(list, z.ranked[i])
 	}
 	return list
 }
 
-// SetMaxShards takes how many shards the widest request asks.
+// SetMaxShards sets how many shards the widest request has.
 func (t *Table) SetMaxShards(now time.Time, n int) {
 	t.maxShards = n
 	t.Repartition(now)
 }
 
-// Repartition divides the leafs anew if their number makes it necessary. It follows a batch of
-// changes of the list of leafs.
+// Repartition divides the leafs again if their number requires it. It has to be called after
+// each batch of changes of the list of leafs.
 func (t *Table) Repartition(now time.Time) {
 	if n := t.countShardsPerZone(); n != t.shardsPerZone {
 		t.shardsPerZone = n
@@ -107,8 +109,9 @@
 	}
 }
 
-// countShardsPerZone is how many shards of the widest request have a leaf in one zone, taken that
-// leafs are spread alike. Single leafs that come and go don't change it.
+// countShardsPerZone returns how many shards of the widest request have a leaf in one zone,
+// assuming that leafs are spread evenly. Single leafs that are added or removed don't change
+// it.
 func (t *Table) countShardsPerZone() int {
 	zones := make(map[string]bool)
 	services, leafs := 0, 0
@@ -129,9 +132,10 @@
 	return int(math.Ceil(float64(t.maxShards) * min(replicas/float64(len(zones)), 1)))
 }
 
-// partitionZones orders the VMs of each zone, those that left lately included.
+// partitionZones orders the VMs of each zone, including those that left recently, and divides
+// the leafs.
 func (t *Table) partitionZones(now time.Time) {
-	zones := map[string]*zoneMembers{t.zone: {members: []zoneMember{{name: t.self, power: t.power}}}}
+	zones := map[string]*zoneMembers{t.zone: {ranked: []zoneMember{{name: t.self, power: t.power}}}}
 	for name, p := range t.members {
 		if now.Sub(p.seen) > memberRetention {
 			delete(t.members, name)
@@ -140,12 +144,12 @@
 		if zones[p.zone] == nil {
 			zones[p.zone] = &zoneMembers{}
 		}
-		zones[p.zone].members = append(zones[p.zone].members, zoneMember{name: name, power: p.power})
+		zones[p.zone].ranked = append(zones[p.zone].ranked, zoneMember{name: name, power: p.power})
 	}
-	t.ownersPerLeaf = 0
+	t.leafOwners = 0
 	for _, z := range zones {
 		z.arrange(t.self, t.shardsPerZone)
-		t.ownersPerLeaf += (z.owners + z.partitions - 1) / z.partitions
+		t.leafOwners += (z.owners + z.partitions - 1) / z.partitions
 	}
 	t.zones = zones
 	for _, s := range t.services {
