--- a/scatter/admission_test.go
+++ b/scatter/admission_test.go
@@ -10,8 +10,9 @@
 // partWork is how long a leaf works on a part.
 const partWork = 28 * time.Millisecond
 
-// newScarceSimulation is a load on 20 shards of two leafs, of which four shards have lost one. What is
-// left of these runs four fifths of the requests, and an answer may leave two shards out.
+// newScarceSimulation returns a load on 20 shards with two leafs each, of which four shards
+// have practically lost one. The slots left there suffice for four fifths of the requests, and
+// an answer may leave out two shards.
 func newScarceSimulation(t *testing.T) (*simulation, func() Spec) {
 	w := newWorld(t)
 	p := newSimulation(w, 5)
@@ -28,11 +29,12 @@
 	}
 }
 
-// failedShare is how many of 100 callers may be failed where slots do for most of them.
+// failedShare is how many of 100 callers may fail where the slots suffice for most of them.
 const failedShare = 4
 
-// Slots of four shards do for four fifths of the requests. One in five is begun, keeps the
-// slots of all shards busy, and fails when its time is over.
+// Guards against failed requests where the slots of four shards suffice for four fifths of the
+// requests. Without admission, one request in five is started, occupies slots of all shards,
+// and fails when its time is over.
 func TestScarceShardsServeNearTheirCapacity(t *testing.T) {
 	const length = 10 * time.Second
 	p, request := newScarceSimulation(t)
@@ -43,7 +45,8 @@
 	p.Expect(p.longestRefusal).To(gomega.BeZero())
 }
 
-// The same load with all requests let in, which is what the test above guards against.
+// Shows the failure that the test above guards against: the same load with all requests
+// admitted.
 func TestScarceShardsFailCallersWithoutAdmission(t *testing.T) {
 	p, request := newScarceSimulation(t)
 	for _, table := range p.tables {
@@ -53,7 +56,8 @@
 	p.Expect(100 * (p.failed + p.late)).To(gomega.BeNumerically(">", 2*failedShare*p.callers))
 }
 
-// Shards have slots to spare, and leafs are uneven: no caller is refused.
+// Guards against refusing callers while shards have slots to spare and leafs are unevenly
+// loaded.
 func TestNoCallerIsRefusedWithSpareSlots(t *testing.T) {
 	p, request := newScarceSimulation(t)
 	for _, l := range p.leafs {
@@ -64,8 +68,9 @@
 	p.Expect(p.credit).To(gomega.Equal(float64(p.callers)))
 }
 
-// A called VM refuses, since shards that only it asks are short of slots, while this VM's own
-// leafs work on the others for nobody; and the caller hears 502, for parts of it have run.
+// Guards against useless work and status 502 where a called VM refuses. Shards that only it
+// queries are short of slots, while this VM's own leafs work on the other shards; since parts
+// of the request have run, the caller gets 502.
 func TestOwnShardsWaitWhereCallsAreRefused(t *testing.T) {
 	w := newWorld(t)
 	names := append(w.shards(8, "other"), "own-1", "own-2")
@@ -95,8 +100,9 @@
 	w.Expect(sends(q.Tick(w.now))).To(gomega.HaveLen(2))
 }
 
-// Queries wait for a service before its first leaf is known. Were they taken off a count that
-// they were not added to, shards would be forecast to answer before they are asked.
+// Guards against an inconsistent count of waiting requests when queries wait for a service
+// before its first leaf is known. If they were subtracted from a count that they were not
+// added to, shards would be forecast to answer before they are queried.
 func TestWaitingRequestsAreCountedOnce(t *testing.T) {
 	w := newWorld(t)
 	q := NewQuery(w.gathered([]string{"late"}), w.table)
--- a/scatter/allowed_test.go
+++ b/scatter/allowed_test.go
@@ -9,10 +9,11 @@
 	"github.com/onsi/gomega"
 )
 
-// Two leafs of three are dark or slow, and answers lack their shard though the third would
-// do: the VM that was called was held to two leafs by the request's id. It asks the third,
-// and no fourth; what the other VM may ask stays within what the request allows.
-func TestCalledVMAsksTheLeafThatAnswers(t *testing.T) {
+// Guards against answers that lack a shard of which two leafs of three are unreachable or
+// slow, although the third would do: the called VM was restricted to two leafs computed from
+// the request's id. It uses the third and no fourth, and the leafs that the calling VM may use
+// stay within what the request allows.
+func TestCalledVMUsesTheLeafThatAnswers(t *testing.T) {
 	for i := range 40 {
 		w := newWorld(t)
 		w.becomeVM("vm-other", "other", ampleBudget)
@@ -31,7 +32,7 @@
 		w.Expect(first).To(gomega.HaveLen(1))
 		w.Expect(first[0].Leaf).To(gomega.Equal(good))
 
-		// What it asks besides is what the other VM may ask too.
+		// Otherwise it uses only leafs that the calling VM may use too.
 		w.wait(5 * time.Millisecond)
 		common := w.table.commonLeafs("shard", "other", spec.RequestID, spec.MaxAttempts)
 		w.Expect(common).To(gomega.HaveLen(spec.MaxAttempts - 1))
@@ -41,8 +42,8 @@
 	}
 }
 
-// The leaf that was chosen refuses, or cannot be reached: it runs nothing, and another may be
-// chosen in its place.
+// Guards against losing a shard because the chosen leaf refuses or is unreachable. That leaf
+// runs nothing, so another may be chosen.
 func TestCalledVMChoosesAgainAfterARefusal(t *testing.T) {
 	for _, end := range []End{EndRefused, EndUnreachable, EndMoved} {
 		w := newWorld(t)
@@ -64,15 +65,16 @@
 	}
 }
 
-// VMs are replaced by a new release one after another. A VM of the old one reckons other
-// leafs that both may ask; the two must not take each other's view for their own.
+// Guards against mixing two rules for common leafs during a rolling upgrade. A VM of the old
+// release computes other common leafs; the two VMs must not regard each other's view as equal
+// to their own.
 func TestVMsOfTwoReleasesDeclineEachOthersShards(t *testing.T) {
 	w := newWorld(t)
 	id := w.leaf("shard", homeZone)
 	spec := w.gathered([]string{"shard"})
 	spec.Delegated = true
-	former := View(xxhash.Sum64String(id.ID + "/1")) // the view of the release before forms
-	spec.Views = []View{former}
+	oldView := View(xxhash.Sum64String(id.ID + "/1")) // the view of the release before viewVersion
+	spec.Views = []View{oldView}
 	q := NewQuery(spec, w.table)
 	w.Expect(sends(q.Start(w.now))).To(gomega.BeEmpty())
 	w.Expect(q.Declined()).To(gomega.Equal([]int{0}))
--- a/scatter/budget_test.go
+++ b/scatter/budget_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Leafs get more than the agreed extra load: retries and hedges came in a burst at the
-// seam of two windows. In every sliding window the extra arrivals stay within the
-// ratio of the requests and this VM's part of the floor.
+// Guards against more extra load on leafs than allowed by a burst of retries and hedges around
+// the boundary of two windows. In every sliding window, the extra arrivals stay within the
+// ratio of the requests plus this VM's share of the floor.
 func TestBudgetHoldsInEverySlidingWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
@@ -47,7 +47,8 @@
 	return n
 }
 
-// A budget that is never refilled would refuse every retry after the first minute.
+// Guards against a budget that is never refilled: it would refuse every retry after the first
+// minute.
 func TestBudgetFillsAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -11,8 +11,8 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// newDelegatedQuery returns a query whose shards all have leafs in two other zones only, and
-// the call that it begins with.
+// newDelegatedQuery returns a query whose shards have leafs in two other zones only, and the
+// call that it starts with.
 func newDelegatedQuery(w *world, shards int) (*Query, CallVM) {
 	names := w.shards(shards, "other", "third")
 	w.table.SetVMs(w.now, []VM{{Name: "vm-other", Zone: "other", Power: 1}, {Name: "vm-third", Zone: "third", Power: 1}})
@@ -41,9 +41,9 @@
 	return list
 }
 
-// Leafs do three times the work for one request: another VM had asked two leafs of a
-// shard and then froze, and this VM asked a third one directly. Whatever both do, and
-// whichever leafs the other VM avoids, they ask two leafs of three.
+// Guards against three leafs working on one shard of a request: another VM sent it to two
+// leafs and then froze, and this VM sent it to a third one directly. Whatever both VMs do, and
+// whichever leafs the other VM avoids, they use two leafs of three.
 func TestTwoVMsUseNoMoreLeafsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request := rapid.StringMatching("[0-9a-f]{16}").Draw(t, "request")
@@ -71,7 +71,7 @@
 			}
 		}
 
-		// The other VM asks each shard, and hedges each.
+		// The other VM sends each shard to a leaf, and hedges each.
 		peer := newWorld(t)
 		peer.becomeVM(calls[0].VM.Name, calls[0].VM.Zone, ampleBudget)
 		peer.shards(10, "other", "third", "fourth")
@@ -101,10 +101,10 @@
 	})
 }
 
-// Leafs do three times the work for one request, while leafs are replaced: the VM that
-// was called has lost the store and knows leafs that are gone; it asks one of these, the
-// caller's VM two others. It declines shards that it knows otherwise, and what both ask
-// together stays within what the request allows.
+// Guards against three leafs working on one shard of a request while leafs are replaced. The
+// called VM has lost the store and still knows removed leafs; it would use one of these, and
+// the calling VM two others. The called VM declines shards for which its view differs, and
+// both together use no more leafs than the request allows.
 func TestVMsWithDifferentViewsUseNoMoreLeafsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const shards = 6
@@ -118,11 +118,11 @@
 		peer.shards(shards, "other", "third", "fourth")
 		for _, service := range names {
 			switch rapid.IntRange(0, 3).Draw(t, "what the caller learned") {
-			case 1: // a leaf is gone
+			case 1: // a leaf was removed
 				w.table.Apply(w.now, registry.Change{Leaf: registry.Leaf{ID: service + "@other", Born: 1, Service: service}, Gone: true})
-			case 2: // a leaf is new
+			case 2: // a leaf was added
 				w.leaf(service, "fifth")
-			case 3: // a leaf leaves
+			case 3: // a leaf drains
 				w.table.Apply(w.now, registry.Change{Leaf: registry.Leaf{
 					ID: service + "@third", Born: 1, Service: service, Zone: "third", Slots: 2, Address: "127.0.0.1:1", Draining: true,
 				}})
@@ -173,7 +173,7 @@
 	})
 }
 
-// exhaustBudgets leaves nothing of the budgets of a query's services.
+// exhaustBudgets spends the budgets of all services of a query.
 func (w *world) exhaustBudgets(q *Query) {
 	for i := range q.shards {
 		b := w.table.budget(w.now, q.shards[i].service)
@@ -183,9 +183,10 @@
 	}
 }
 
-// A VM learns of a new leaf before its neighbour does. Its neighbour declines that shard,
-// which is then asked for at once and costs nothing of the budget: nobody has asked it.
-func TestDeclinedShardIsAskedAtOnce(t *testing.T) {
+// Guards against losing a shard that the called VM declines because this VM has learned of a
+// new leaf earlier. The shard is sent at once and costs nothing of the budget, since it was
+// sent to no leaf before.
+func TestDeclinedShardIsSentAtOnce(t *testing.T) {
 	w := newWorld(t)
 	q, call := newDelegatedQuery(w, 10)
 	w.exhaustBudgets(q)
@@ -199,11 +200,11 @@
 	w.Expect(out.Missing).To(gomega.Equal(0))
 }
 
-// ampleBudget is a budget that leaves room for every hedge.
+// ampleBudget allows every hedge.
 var ampleBudget = BudgetConfig{Ratio: 0.2, Floor: 1000, Window: 10 * time.Second}
 
-// A VM that was asked freezes. Its shards are asked for directly, one leaf each since
-// it may have asked one, and an answer that comes late after all is included once.
+// Guards against losing the shards of a called VM that freezes. They are sent directly to one
+// leaf each, since the VM may have used one; if its answer still arrives, it is included once.
 func TestSilentVMFailsOverToLeafs(t *testing.T) {
 	w := newWorld(t)
 	q, call := newDelegatedQuery(w, 10)
@@ -220,8 +221,8 @@
 	w.Expect(out.Parts).To(gomega.Equal([]AttemptID{direct[0].Attempt}))
 }
 
-// A VM is gone: the connection is refused. Nothing was asked, so the shards are asked
-// for directly at once, and that VM rests.
+// Guards against waiting for a VM whose address refuses connections. Nothing was sent, so the
+// shards are sent directly at once, and the VM gets no calls for a while.
 func TestUnreachableVMCostsNoTime(t *testing.T) {
 	w := newWorld(t)
 	q, call := newDelegatedQuery(w, 10)
@@ -230,7 +231,8 @@
 	w.Expect(w.table.pickVM(w.now, zonePartition{zone: call.VM.Zone}, nil)).To(gomega.BeNil())
 }
 
-// Shards with a leaf near are asked for directly; others go to as few VMs as hold them.
+// Guards against delegating shards that have a leaf in this VM's zone; the others go to as few
+// VMs as possible.
 func TestNearShardsAreNotDelegated(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(8, "other", "third")
@@ -249,9 +251,10 @@
 	}
 }
 
-// A zone has twelve VMs before 60 shards. One VM that asks them all is late, and a leaf
-// has too few connections for every VM. The VMs divide the leafs: this one asks its own
-// part, one owner each is asked for the others, and all VMs divide them alike.
+// Guards against one VM querying all 60 shards of a zone with twelve VMs: it would be late,
+// and a leaf accepts too few connections for all VMs. The VMs divide the leafs. Each queries
+// its own partition and calls one owner for each of the others, and all VMs compute the same
+// partitions.
 func TestManyVMsDivideTheLeafsOfTheirZone(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(60, homeZone)
@@ -268,7 +271,7 @@
 	w.Expect(calls).To(gomega.HaveLen(2))
 	w.Expect(len(sends(acts)) + len(calls[0].Shards) + len(calls[1].Shards)).To(gomega.Equal(60))
 
-	// Whom this VM asks for a part owns it by its own reckoning.
+	// The VM that is called for a partition owns it according to its own table.
 	peer := newWorld(t)
 	peer.becomeVM(calls[0].VM.Name, homeZone, BudgetConfig{})
 	list := []VM{{Name: "vm-home", Zone: homeZone, Power: 1}}
@@ -285,8 +288,8 @@
 	}
 }
 
-// A VM restarts. Its neighbours divide the leafs anew, each gets another part, and all of
-// them open connections to leafs that they did not ask before, while callers wait.
+// Guards against a restart of one VM that changes the partitions of all others. They would all
+// open connections to leafs that they did not use before, while callers wait.
 func TestVMRestartDoesNotChangePartitions(t *testing.T) {
 	w := newWorld(t)
 	var others []VM
@@ -311,9 +314,9 @@
 	w.Expect(w.table.zones[homeZone].ranked).NotTo(gomega.ContainElement(zoneMember{name: "vm-00", power: 1}))
 }
 
-// A page fails although its parts are on their way: the VM that was called is a little
-// late, nothing is left of the budget for asking leafs directly, and the daemon takes the
-// shards for lost.
+// Guards against a failed request although its parts are on the way. The called VM is slightly
+// late, and the budget allows no direct requests to leafs; the shards must not be counted as
+// lost.
 func TestAnswerAfterFailoverStillCounts(t *testing.T) {
 	w := newWorld(t)
 	q, call := newDelegatedQuery(w, 10)
@@ -328,9 +331,10 @@
 	w.Expect(out.Missing).To(gomega.Equal(0))
 }
 
-// A third of the VMs is cut off for seconds. Requests of one VM are seconds apart, and
-// each would ask the same silent VMs again, lose half of its time and go without their
-// shards. After one silent call a VM is asked only when a connection to it was made.
+// Guards against repeated calls to silent VMs. A third of the VMs is disconnected for seconds.
+// Requests of one VM are seconds apart, and each would call the same silent VMs, lose half of
+// its time and lack their shards. After one silent call, a VM is called again only once a
+// connection to it was made.
 func TestSilentVMIsCalledAgainOnlyAfterSuccessfulProbe(t *testing.T) {
 	w := newWorld(t)
 	_, call := newDelegatedQuery(w, 10)
@@ -354,9 +358,9 @@
 	w.Expect(next).To(gomega.BeZero())
 }
 
-// A leaf's machine loses power. Every request that is sent there is lost until it is
-// hedged, so after the first one that got no answer at all the leaf rests, and is asked
-// again once it was reached.
+// Guards against repeated requests to a leaf whose machine lost power: each is lost until it
+// is hedged. After the first request without any answer the leaf gets no others until a
+// connection to it was made.
 func TestSilentLeafIsAvoidedAtOnce(t *testing.T) {
 	w := newWorld(t)
 	silent := w.leaf("ledger", homeZone)
@@ -374,9 +378,9 @@
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(silent))
 }
 
-// A VM gives up on shards long before the caller's aim: what it leaves for the way back grew
-// with the aim.
-func TestCalledVMHasNearlyAllOfALongAim(t *testing.T) {
+// Guards against a called VM that gives up on shards long before the latency objective,
+// because the time reserved for the way back grew with the objective.
+func TestCalledVMHasNearlyAllOfALongObjective(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(10, "other")
 	w.table.SetVMs(w.now, []VM{{Name: "vm-other", Zone: "other", Power: 1}})
@@ -390,8 +394,9 @@
 	}
 }
 
-// A called VM reaches no leaf, and says so when it was overtaken and the caller's own attempts
-// have found the same. Nothing has run, and the caller is told so.
+// Guards against a lost proof that nothing ran. A called VM reaches no leaf, and says so after
+// the call failed over and the calling VM's own attempts had the same result. The caller is
+// told that nothing ran.
 func TestRefusalAfterFailoverProvesNotRun(t *testing.T) {
 	w := newWorld(t)
 	q, call := newDelegatedQuery(w, 10)
--- a/scatter/floor_test.go
+++ b/scatter/floor_test.go
@@ -8,7 +8,7 @@
 	"github.com/onsi/gomega"
 )
 
-// fleetOf returns the names and zones of VMs: n in each zone.
+// fleetOf returns n VMs in each zone.
 func fleetOf(n int, zones ...string) []VM {
 	var list []VM
 	for _, zone := range zones {
@@ -19,9 +19,9 @@
 	return list
 }
 
-// tableOf returns the table of one VM of a fleet that was born at a time.
-func tableOf(vms []VM, self VM, terms BudgetConfig, now, born time.Time) *Table {
-	t := NewTable(self, terms, born, nil)
+// tableOf returns the table of one VM of a fleet, whose process started at startedAt.
+func tableOf(vms []VM, self VM, config BudgetConfig, now, startedAt time.Time) *Table {
+	t := NewTable(self, config, startedAt, nil)
 	var others []VM
 	for _, v := range vms {
 		if v.Name != self.Name {
@@ -32,9 +32,9 @@
 	return t
 }
 
-// A shard's leafs get more extra arrivals than agreed: 80 VMs each take their part of
-// the floor, most are killed and take it again in their next life within the window.
-// The sum of all parts stays below the floor whatever each of them does.
+// Guards against more extra arrivals at a shard's leafs than allowed: 80 VMs each take their
+// share of the floor, and most are killed and take it again in their next incarnation within
+// the window. The sum of all shares stays below the floor whatever each VM does.
 func TestFloorSharesStayBelowFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
@@ -53,9 +53,9 @@
 	}
 }
 
-// A page lacks a shard although another leaf has it: its leaf pauses, and the VM that
-// owns it may hedge once in ten seconds, since the floor is kept for 80 VMs of which
-// 20 ask that leaf.
+// Guards against an answer that lacks a shard although another leaf has it. Its leaf pauses,
+// and the VM that owns it could hedge only once in ten seconds, since the floor was divided
+// among 80 VMs of which 20 use that leaf.
 func TestOwnersOfAShardMayHedgeItMoreThanOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
@@ -76,8 +76,8 @@
 	g.Expect(others).To(gomega.HaveEach(gomega.BeNumerically(">=", 1)))
 }
 
-// A VM that has just started takes itself for the only one until it has read who else
-// there is. It spends nothing of the floor that others may be spending.
+// Guards against a VM that has just started and takes itself for the only one until it has
+// read the list of VMs. It spends nothing of the floor that others may be spending.
 func TestVMWithoutVMListSpendsNoFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
--- a/scatter/harness_test.go
+++ b/scatter/harness_test.go
@@ -11,7 +11,7 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// world is a table with leafs, and a clock that only the test moves.
+// world is a table with leafs, and a clock that only the test advances.
 type world struct {
 	*gomega.WithT
 	table *Table
@@ -28,14 +28,14 @@
 	return w
 }
 
-// becomeVM makes the table that of another VM, which has run for a while and knows no
-// others.
-func (w *world) becomeVM(name, zone string, terms BudgetConfig) {
-	w.table = NewTable(VM{Name: name, Zone: zone, Power: 1}, terms, w.now.Add(-terms.Window), rand.New(rand.NewPCG(1, 2)))
+// becomeVM replaces the table by that of another VM, which started more than a budget window
+// ago and knows no other VMs.
+func (w *world) becomeVM(name, zone string, config BudgetConfig) {
+	w.table = NewTable(VM{Name: name, Zone: zone, Power: 1}, config, w.now.Add(-config.Window), rand.New(rand.NewPCG(1, 2)))
 	w.table.SetVMs(w.now, nil)
 }
 
-// leaf adds a leaf and returns its id.
+// leaf adds a leaf with two slots and returns its id.
 func (w *world) leaf(service, zone string) LeafID {
 	id := fmt.Sprintf("%s@%s", service, zone)
 	w.table.Apply(w.now, registry.Change{Leaf: registry.Leaf{
@@ -44,7 +44,7 @@
 	return LeafID{ID: id, Born: 1}
 }
 
-// shards adds n services with a leaf in each of the zones.
+// shards adds n services with a leaf in each of the zones, and returns their names.
 func (w *world) shards(n int, zones ...string) []string {
 	names := make([]string, n)
 	for i := range names {
@@ -58,7 +58,7 @@
 
 func (w *world) wait(d time.Duration) { w.now = w.now.Add(d) }
 
-// gathered is a request to shards with an aim of 100 ms.
+// gathered returns a gathered request with a latency objective of 100 ms.
 func (w *world) gathered(services []string) Spec {
 	return Spec{
 		Services: services, Gathered: true, Idempotent: true, MaxAttempts: 2, MinShare: 0.9,
@@ -67,7 +67,7 @@
 	}
 }
 
-// single is a request to one service with an aim of 100 ms.
+// single returns a request to one service with a latency objective of 100 ms.
 func (w *world) single(service string, idempotent bool) Spec {
 	return Spec{
 		Services: []string{service}, Idempotent: idempotent, MaxAttempts: 2,
@@ -96,7 +96,7 @@
 	return out
 }
 
-// outcome returns the end of a query, nil if it goes on.
+// outcome returns the outcome of a query, nil if it is still in progress.
 func outcome(acts []Action) *Outcome {
 	for _, a := range acts {
 		if f, ok := a.(Finish); ok {
--- a/scatter/hedge_test.go
+++ b/scatter/hedge_test.go
@@ -8,8 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// learnShards lets the leafs of n gathered requests answer, the slow ones after the time
-// given, which their machines state or not, the others after 8 ms.
+// learnShards plays n gathered requests. The slow leafs answer after took, which their
+// machines state if stated is set; the others answer after 8 ms.
 func (w *world) learnShards(names []string, n int, slow map[string]bool, took time.Duration, stated bool) {
 	for range n {
 		q := NewQuery(w.gathered(names), w.table)
@@ -35,9 +35,10 @@
 	}
 }
 
-// A fifth of the leafs is slow, and then one leaf goes dark. Callers get answers without
-// its shard, or none: by the time in which nine of ten leafs answer, the slow ones included,
-// a second leaf was to be asked only when the request was over.
+// Guards against a hedge that comes too late. A fifth of the leafs is slow, and then one leaf
+// goes silent. Callers got answers without its shard, or none: the hedge was due after the
+// time in which nine of ten leafs answer, slow ones included, and by then the request was
+// over.
 func TestSilentLeafIsHedgedWhileOthersAreSlow(t *testing.T) {
 	for _, stated := range []bool{true, false} {
 		t.Run(fmt.Sprintf("stated %v", stated), func(t *testing.T) {
--- a/scatter/liveness_test.go
+++ b/scatter/liveness_test.go
@@ -14,9 +14,9 @@
 	}
 }
 
-// A third of the VMs loses power at once. Each of those that are left finds each loss by a
-// call that is not answered, and every request of some seconds lacks the shards of one or
-// two calls. After the first such call all VMs that are called are asked whether they live.
+// Guards against detecting each of many lost VMs by a call of its own. A third of the VMs
+// loses power at once, and for some seconds every request lacks the shards of one or two
+// calls. After the first silent call, the liveness of all VMs that are called is checked.
 func TestSilentVMTriggersLivenessRound(t *testing.T) {
 	w := newWorld(t)
 	w.ownedShards("other", "third")
@@ -28,8 +28,8 @@
 	w.table.CallEnded(w.now, silent.Name, EndSilent)
 	due := w.table.DueForLivenessCheck(w.now)
 	w.Expect(due).NotTo(gomega.BeEmpty())
-	w.Expect(due).NotTo(gomega.ContainElement(silent), "it is under suspicion already")
-	w.Expect(w.table.DueForLivenessCheck(w.now)).To(gomega.BeEmpty(), "once is enough")
+	w.Expect(due).NotTo(gomega.ContainElement(silent), "it is already suspect")
+	w.Expect(w.table.DueForLivenessCheck(w.now)).To(gomega.BeEmpty(), "one round is enough")
 
 	lost := due[0]
 	w.table.LivenessCheckFailed(w.now, lost.Name)
@@ -39,8 +39,8 @@
 	w.Expect(suspects).To(gomega.ContainElements(silent, lost))
 }
 
-// Calls fail by the hundred, and each had all VMs asked once more: the messages alone take
-// what processor time is left.
+// Guards against a round of liveness checks after each of hundreds of failed calls: the
+// messages alone would use up the remaining processor time.
 func TestLivenessRoundsAreRateLimited(t *testing.T) {
 	w := newWorld(t)
 	w.ownedShards("other", "third")
--- a/scatter/load_test.go
+++ b/scatter/load_test.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// simulation is a load on a world's leafs in virtual time: callers that arrive at random, leafs
-// with slots and queues that stop at the time that they are given, and one VM's decisions.
+// simulation is a load on a world's leafs in virtual time: callers that arrive at random,
+// leafs with slots and queues that stop work at the time given to them, and VMs that make the
+// decisions.
 type simulation struct {
 	*world
-	tables []*Table // of the VMs
+	tables []*Table // one for each VM
 	rng    *rand.Rand
 	leafs  map[LeafID]*simulatedLeaf
 	events simulatedEvents
 	serial int
 
 	callers, inTime, late, refused, failed int
-	credit                                 float64 // shares of shards in answers in time, squared
+	credit                                 float64 // sum over the answers in time of the squared share of answered shards
 	longestRefusal                         time.Duration
 }
 
-// simulatedLeaf takes work to finish a part, times its pace.
+// simulatedLeaf takes the time work, multiplied by its slowdown, to finish a part.
 type simulatedLeaf struct {
 	slots     int
 	work      time.Duration
@@ -38,7 +39,7 @@
 
 type simulatedEvent struct {
 	at     time.Time
-	serial int // keeps events of one moment in order
+	serial int // keeps events of the same time in order
 	do     func()
 }
 
@@ -59,7 +60,8 @@
 	return last
 }
 
-// newSimulation returns a play with a number of VMs, which stand beside the world's own leafs.
+// newSimulation returns a simulation with a number of VMs, separate from the world's own
+// leafs.
 func newSimulation(w *world, vms int) *simulation {
 	p := &simulation{world: w, rng: rand.New(rand.NewPCG(3, 4)), leafs: make(map[LeafID]*simulatedLeaf)}
 	for range vms {
@@ -69,7 +71,7 @@
 	return p
 }
 
-// shards adds services with a leaf in each of the zones, that all VMs know.
+// shards adds services with a leaf in each of the zones, known to all VMs.
 func (p *simulation) shards(n int, work time.Duration, zones ...string) []string {
 	var names []string
 	for _, t := range p.tables {
@@ -87,7 +89,7 @@
 	heap.Push(&p.events, simulatedEvent{at: p.now.Add(d), serial: p.serial, do: do})
 }
 
-// run plays for a time callers that arrive perSecond times a second, each with a request.
+// run simulates callers, perSecond of them per second for the given time, each with a request.
 func (p *simulation) run(length time.Duration, perSecond float64, request func() Spec) {
 	end := p.now.Add(length)
 	var arrive func()
@@ -161,7 +163,7 @@
 	p.start(l)
 }
 
-// start begins with what waits while a slot is free.
+// start starts queued parts while slots are free.
 func (p *simulation) start(l *simulatedLeaf) {
 	for l.running < l.slots && len(l.queue) > 0 {
 		part := l.queue[0]
--- a/scatter/overtake_test.go
+++ b/scatter/overtake_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// newQueryWithTwoOwners returns a query whose shards have leafs in a zone with two VMs, and the call that it
-// begins with.
+// newQueryWithTwoOwners returns a query whose shards have leafs in zones with two VMs each,
+// and the call that it starts with.
 func newQueryWithTwoOwners(w *world, shards int) (*Query, CallVM) {
 	return newQueryWithOwners(w, 2, shards)
 }
 
-// newQueryWithOwners returns a query whose shards have leafs in a zone with a number of VMs, and the call that
-// it begins with.
+// newQueryWithOwners returns a query whose shards have leafs in zones with the given number of
+// VMs each, and the call that it starts with.
 func newQueryWithOwners(w *world, owners, shards int) (*Query, CallVM) {
 	names := w.shards(shards, "other", "third", "fourth")
 	w.table.SetVMs(w.now, fleetOf(owners, "other", "third", "fourth"))
@@ -28,7 +28,8 @@
 	return q, calls[0]
 }
 
-// nextFailover lets a call be silent until another VM is called.
+// nextFailover advances the clock until an unanswered call fails over to another VM, and
+// returns the new call.
 func (w *world) nextFailover(q *Query) CallVM {
 	w.now = q.Wake(w.now)
 	acts := q.Tick(w.now)
@@ -38,8 +39,8 @@
 	return calls[0]
 }
 
-// Guards against losing the shards of a silent VM: those that call it own none of its leafs, and
-// their part of the budget is less than one arrival.
+// Guards against losing the shards of a silent VM: the VMs that call it own none of its leafs,
+// and their share of the budget is less than one arrival.
 func TestSilentVMFailsOverToAnotherOwner(t *testing.T) {
 	w := newWorld(t)
 	q, first := newQueryWithTwoOwners(w, 10)
@@ -54,7 +55,8 @@
 	w.Expect(out.Missing).To(gomega.BeZero())
 }
 
-// Guards against failing where VMs are lost together, two that own the same leafs among them.
+// Guards against a failed request where several VMs are lost together, two owners of the same
+// leafs among them.
 func TestSecondSilentVMFailsOverAsWell(t *testing.T) {
 	w := newWorld(t)
 	q, first := newQueryWithOwners(w, 3, 10)
@@ -71,7 +73,8 @@
 	w.Expect(names).To(gomega.HaveLen(3))
 }
 
-// Guards against asking thirty leafs over new connections, since the VM that was called is gone.
+// Guards against requests to thirty leafs over new connections because the called VM is
+// unreachable.
 func TestUnreachableVMFailsOverToAnotherOwner(t *testing.T) {
 	w := newWorld(t)
 	q, first := newQueryWithTwoOwners(w, 10)
@@ -80,10 +83,11 @@
 	w.Expect(sends(acts)).To(gomega.BeEmpty())
 	second := vmCalls(acts)[0]
 	w.Expect(second.VM.Name).NotTo(gomega.Equal(first.VM.Name))
-	w.Expect(second.Redelegated).To(gomega.BeFalse(), "nobody has asked for the shards")
+	w.Expect(second.Redelegated).To(gomega.BeFalse(), "no VM has sent the shards to a leaf")
 }
 
-// Guards against an answer that counts a shard twice: the first VM was slow, not gone.
+// Guards against an answer that counts a shard twice: the first VM was slow, not lost, and
+// answered after the call had failed over.
 func TestAnswersOfTwoVMsCountEachShardOnce(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -112,7 +116,8 @@
 	}
 }
 
-// Guards against telling a caller that its request has not run, since the second VM refused it.
+// Guards against telling a caller that its request has not run because the second VM refused
+// it: the first VM may have run it.
 func TestRefusalOfSecondVMDoesNotProveNotRun(t *testing.T) {
 	w := newWorld(t)
 	q, _ := newQueryWithTwoOwners(w, 10)
@@ -125,7 +130,7 @@
 	w.Expect(out.Verdict).NotTo(gomega.Equal(NotRun))
 }
 
-// Guards against more leafs at work for one request than it allows: two VMs were called for the
+// Guards against more leafs working on one request than it allows: two VMs were called for the
 // same shards, and neither knows what the other did.
 func TestTwoCalledVMsUseNoMoreLeafsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -167,8 +172,8 @@
 	})
 }
 
-// Guards against losing half of a request's time to a VM that is frozen or cut off, and against
-// overtaking one that lives and has not answered yet.
+// Guards against losing half of a request's time to a VM that is frozen or disconnected, and
+// against failing over from a VM that is alive and has not answered yet.
 func TestUnacknowledgedCallFailsOverEarly(t *testing.T) {
 	w := newWorld(t)
 	q, first := newQueryWithTwoOwners(w, 10)
@@ -186,10 +191,11 @@
 	w.now = q.Wake(w.now)
 	acts := q.Tick(w.now)
 	w.Expect(w.now.Sub(began)).To(gomega.BeNumerically(">", q.spec.AnswerBy.Sub(began)/2))
-	w.Expect(vmCalls(acts)).To(gomega.BeEmpty(), "its leafs are slow, and another VM would ask them once more")
+	w.Expect(vmCalls(acts)).To(gomega.BeEmpty(), "its leafs are slow, and another VM would query them a second time")
 }
 
-// Guards against overtaking all VMs of a region that is far away.
+// Guards against failing over from all VMs that are far away in the network: their
+// acknowledgements always take long.
 func TestSlowAcknowledgementsAreWaitedFor(t *testing.T) {
 	w := newWorld(t)
 	q, first := newQueryWithTwoOwners(w, 10)
@@ -209,8 +215,8 @@
 	w.Expect(next.Wake(w.now)).To(gomega.BeTemporally(">", w.now.Add(took)))
 }
 
-// Guards against calling two VMs for everything after a start of all VMs, when connections between
-// them have yet to be made.
+// Guards against calling two VMs for all shards after all VMs restarted, when connections
+// between them have yet to be made.
 func TestCallWaitingForConnectionDoesNotFailOverEarly(t *testing.T) {
 	w := newWorld(t)
 	q, first := newQueryWithTwoOwners(w, 10)
@@ -221,7 +227,8 @@
 	w.Expect(w.table.ackTimes).To(gomega.BeEmpty(), "how long the acknowledgement took is not known")
 }
 
-// Guards against further arrivals that no budget pays for: the silent VM may have asked each shard.
+// Guards against extra arrivals that no budget pays for: the silent VM may have queried each
+// shard.
 func TestSecondVMPaysForEachArrival(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(5, homeZone, "other")
--- a/scatter/owners_test.go
+++ b/scatter/owners_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
-// largeFleet returns VMs in zones, in each of them three of much power and thirty of little.
+// largeFleet returns 33 VMs for each zone: three with much power and thirty with little.
 func largeFleet(zones ...string) []VM {
 	var list []VM
 	for _, zone := range zones {
@@ -24,7 +24,8 @@
 	return list
 }
 
-// joinFleet makes the world that of one VM of a fleet, before shards with leafs in two zones.
+// joinFleet makes the world's table that of one VM of a fleet, with shards that have leafs in
+// zones a and b. It returns the names of the shards.
 func (w *world) joinFleet(vms []VM, self VM, shards int) []string {
 	w.becomeVM(self.Name, self.Zone, BudgetConfig{Ratio: 0.2, Floor: 430, Window: 10 * time.Second})
 	w.table = tableOf(vms, self, w.table.budgetConfig, w.now, w.now.Add(-time.Minute))
@@ -37,8 +38,8 @@
 	return names
 }
 
-// Guards against a dozen calls for each request, most of them to VMs of little power, the
-// slowest of which the request waits for.
+// Guards against a dozen calls per request, most of them to VMs with little power: a request
+// waits for the slowest of its calls.
 func TestPowerfulVMsAreCalledWhileTheyAnswer(t *testing.T) {
 	vms := largeFleet("a", "b", "c")
 	w := newWorld(t)
@@ -47,8 +48,8 @@
 		spec := w.gathered(names)
 		spec.MayDelegate = true
 		var list []VM
-		for _, ask := range vmCalls(NewQuery(spec, w.table).Start(w.now)) {
-			list = append(list, ask.VM)
+		for _, call := range vmCalls(NewQuery(spec, w.table).Start(w.now)) {
+			list = append(list, call.VM)
 		}
 		return list
 	}
@@ -64,11 +65,11 @@
 			w.table.CallEnded(w.now, v.Name, EndSilent)
 		}
 	}
-	w.Expect(called()).To(gomega.HaveLen(3), "others own the parts too")
+	w.Expect(called()).To(gomega.HaveLen(3), "other VMs own the partitions too")
 }
 
-// Guards against VMs that hold more connections to a leaf than it accepts: hundreds of them, each
-// of which asked it once.
+// Guards against VMs holding more connections to a leaf than it accepts: hundreds of VMs each
+// used the leaf once and kept the connection.
 func TestKeptConnectionsStayBelowLimit(t *testing.T) {
 	vms := largeFleet("a", "b", "c", "d", "e", "f")
 	kept := 0
@@ -86,8 +87,8 @@
 	g.Expect(float64(kept)).To(gomega.BeNumerically("<=", connectionShare*120))
 }
 
-// Guards against more further arrivals than agreed where the floor is divided by power among the
-// zones that have leafs.
+// Guards against more extra arrivals than allowed where the floor is divided by power among
+// the zones that have leafs.
 func TestPowerWeightedFloorSharesStayBelowFloor(t *testing.T) {
 	vms := largeFleet("a", "b", "c")
 	sum, strongest := 0.0, 0.0
@@ -100,5 +101,5 @@
 	}
 	g := gomega.NewWithT(t)
 	g.Expect(sum).To(gomega.BeNumerically("<=", 430/vmHeadroom+1e-9))
-	g.Expect(strongest).To(gomega.BeNumerically(">", 20), "an owner has most of it")
+	g.Expect(strongest).To(gomega.BeNumerically(">", 20), "an owner has the greatest share")
 }
--- a/scatter/query_bench_test.go
+++ b/scatter/query_bench_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// BenchmarkGatheredQuery plays the decisions for one request over 90 shards with three leafs
-// each: all answers come, one after another. A VM with a fifth of a core has some 16 ms of
-// processor time until the aim for all that it does.
+// BenchmarkGatheredQuery measures the decisions for one request over 90 shards with three
+// leafs each, where all answers arrive one after another. A VM with a fifth of a core has
+// about 16 ms of processor time within the latency objective for everything that it does.
 func BenchmarkGatheredQuery(b *testing.B) {
 	w := newWorld(b)
 	names := w.shards(90, homeZone, "other", "third")
--- a/scatter/query_test.go
+++ b/scatter/query_test.go
@@ -10,9 +10,9 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// A report is filed twice: the leaf ran it, its connection broke before the answer,
-// and the daemon sent it to another leaf. Only a leaf's own word, or a connection that
-// never stood, frees a request that must run once.
+// Guards against running a request twice that must run once. The leaf ran it, its connection
+// broke before the answer, and the request was sent to another leaf. Only a refusal by the
+// leaf, or a connection that was never made, allows another attempt.
 func TestNonIdempotentRequestIsNotResentAfterItMayHaveRun(t *testing.T) {
 	w := newWorld(t)
 	w.leaf("ledger", homeZone)
@@ -36,8 +36,8 @@
 	}
 }
 
-// An inspector waits for the whole time limit and is then told that nothing ran: every
-// leaf of the service was gone, which the daemon knew from the start.
+// Guards against a caller that waits for its whole time limit before it is told that nothing
+// ran, although it was known from the start that the service had no leaf.
 func TestRequestWithoutLeafsIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t)
 	q := NewQuery(w.single("ledger", true), w.table)
@@ -47,8 +47,8 @@
 	w.Expect(out.RetryAfter).To(gomega.BeNumerically(">", 0))
 }
 
-// A caller is told "not run" and files its report anew, but a leaf had run it: the
-// refusal came after an attempt whose end nobody knew.
+// Guards against telling a caller "not run" although a leaf ran the request: the refusal came
+// after an attempt with an unknown end. The caller would send the request again.
 func TestNotRunIsSaidOnlyIfNothingMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -73,9 +73,9 @@
 	})
 }
 
-// A register comes back late as a whole since one leaf of thirty pauses: the other
-// parts were there in time, and enough of them.
-func TestGatheredRequestIsAnsweredInPartBeforeTheAim(t *testing.T) {
+// Guards against a late answer to a gathered request because one of 30 leafs pauses: the other
+// parts arrived in time and are sufficient.
+func TestGatheredRequestIsAnsweredInPartInTime(t *testing.T) {
 	w := newWorld(t)
 	spec := w.gathered(w.shards(20, homeZone))
 	q := NewQuery(spec, w.table)
@@ -93,8 +93,8 @@
 	w.Expect(out.Parts).To(gomega.HaveLen(19))
 }
 
-// A caller waits for a register of which too much is out of reach, until its time is
-// over. It is refused at once, and leafs do nothing for it.
+// Guards against a gathered request that waits until its deadline although too many shards are
+// unreachable. It is refused at once, and leafs do no work for it.
 func TestGatheredRequestWithTooFewShardsIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(10, homeZone)
@@ -107,8 +107,9 @@
 	w.Expect(out.RetryAfter).To(gomega.BeNumerically(">=", minRetryAfter))
 }
 
-// Too much of a register turns out to be out of reach after leafs were asked. The caller is
-// told as soon as that is sure, and not that its request has not run.
+// Guards against waiting on when too many shards turn out to be unreachable after requests
+// were sent. The query ends as soon as this is certain, and not with the verdict that the
+// request has not run.
 func TestGatheredRequestEndsOnceTooFewShardsCanAnswer(t *testing.T) {
 	w := newWorld(t)
 	spec := w.gathered(w.shards(12, homeZone))
@@ -121,8 +122,8 @@
 	w.Expect(out.Verdict).To(gomega.Equal(TooFewShards))
 }
 
-// A leaf pauses in the middle of a query. A second leaf is asked once the first takes
-// longer than answers usually do, and its answer counts.
+// Guards against waiting for a leaf that pauses during a query. A second leaf gets the request
+// once the first takes longer than answers usually do, and its answer counts.
 func TestSlowLeafIsHedged(t *testing.T) {
 	w := newWorld(t)
 	w.leaf("ledger", homeZone)
@@ -139,8 +140,8 @@
 	w.Expect(out.Attempt).To(gomega.Equal(second[0].Attempt))
 }
 
-// A draining leaf gets requests after it said that it leaves, and answers none of
-// them.
+// Guards against sending requests to a leaf that has announced that it drains: it would answer
+// none of them.
 func TestDrainingLeafGetsNoRequests(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
@@ -157,10 +158,10 @@
 	}
 }
 
-// A leaf starts anew under its old id. What was known of its former life, a rest after
-// many failures, must not keep requests away, and late ends of old requests must not
-// count for it.
-func TestNewLifetimeOfALeafStartsWithCleanCounts(t *testing.T) {
+// Guards against applying the history of a leaf to its next incarnation under the same id. A
+// cooldown after many failures must not keep requests from the new one, and late ends of old
+// requests must not count for it.
+func TestNewIncarnationOfLeafStartsWithoutHistory(t *testing.T) {
 	w := newWorld(t)
 	old := w.leaf("ledger", homeZone)
 	for range 5 {
@@ -179,9 +180,9 @@
 	w.Expect(w.table.findLeaf(renewed).cooldown.active(w.now)).To(gomega.BeFalse())
 }
 
-// Whatever leafs do and whenever, a query ends exactly once, by its deadline, asks no
-// more leafs of a shard than allowed, and a request that must run once is not sent on
-// after it may have run.
+// Whatever leafs do and when, a query ends exactly once and by its deadline, sends a shard to
+// no more leafs than allowed, and does not resend a request that must run once after it may
+// have run.
 func TestQueryInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -202,7 +203,7 @@
 	})
 }
 
-// invariantRun plays random events and checks what a query does.
+// invariantRun plays random events and checks the actions of a query.
 type invariantRun struct {
 	w    *world
 	q    *Query
@@ -219,7 +220,7 @@
 			r.ran[s.Shard] = map[LeafID]bool{}
 		}
 		if !r.spec.Idempotent {
-			r.w.Expect(r.ran[s.Shard]).To(gomega.BeEmpty(), "sent again after it may have run")
+			r.w.Expect(r.ran[s.Shard]).To(gomega.BeEmpty(), "resent after it may have run")
 		}
 		r.ran[s.Shard][s.Leaf] = true
 		r.w.Expect(len(r.ran[s.Shard])).To(gomega.BeNumerically("<=", r.spec.MaxAttempts))
@@ -256,8 +257,9 @@
 	}
 }
 
-// The address of a leaf that crashed belongs to another, which refuses each request that
-// means the first. Its entry stays for seconds, and every request tries it again.
+// Guards against retrying a leaf whose address now belongs to another leaf. The first leaf
+// crashed and its entry stays in the list for seconds, while the other refuses each request
+// that is meant for the first.
 func TestLeafWhoseAddressHasMovedIsNotTriedAgain(t *testing.T) {
 	w := newWorld(t)
 	moved := w.leaf("ledger", homeZone)
@@ -271,8 +273,8 @@
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))).To(gomega.HaveLen(1))
 }
 
-// A VM that has just started and knows no leafs is called by another. It says so at once;
-// waiting for leafs to come up cost the other VM all of its request's time.
+// Guards against a called VM that waits for leafs. A VM that has just started knows no leafs,
+// and must answer the call at once; waiting cost the calling VM all of its request's time.
 func TestVMWithoutLeafsAnswersACallAtOnce(t *testing.T) {
 	w := newWorld(t)
 	spec := w.gathered([]string{"unknown-1", "unknown-2"})
@@ -281,9 +283,9 @@
 	w.Expect(outcome(NewQuery(spec, w.table).Start(w.now))).NotTo(gomega.BeNil())
 }
 
-// Bytes between zones double though every answer would be in time: a near leaf is a
-// little slower than one in another zone, which is asked in its place. Only a near leaf
-// that is slow for the request's aim is left aside.
+// Guards against twice the traffic between zones although every answer would be in time: a
+// leaf in this zone is slightly slower than one in another zone, which is used instead. A leaf
+// in this zone is avoided only if it is slow relative to the latency objective.
 func TestNearLeafIsKeptWhileItIsInTime(t *testing.T) {
 	for _, c := range []struct {
 		near time.Duration
@@ -298,14 +300,15 @@
 			}
 		}
 		first := sends(NewQuery(w.gathered(names), w.table).Start(w.now))
-		w.Expect(first[0].OtherZone).To(gomega.Equal(c.far), "near leaf takes %v of an aim of 100 ms", c.near)
+		w.Expect(first[0].OtherZone).To(gomega.Equal(c.far), "leaf in this zone takes %v of a latency objective of 100 ms", c.near)
 	}
 }
 
-// A leaf fails half of its requests, says that it is healthy and answers the others, so
-// no two failures come in a row. Each failure costs its request a retry; another leaf,
-// though in another zone, is asked in its place until the failures are some seconds old.
-func TestLeafThatFailsEveryOtherRequestIsLeftAside(t *testing.T) {
+// Guards against repeated use of a leaf that fails every other request. It says that it is
+// healthy and answers the others, so there are no two consecutive failures, and each failure
+// costs its request a retry. Another leaf, even in another zone, is used until the failures
+// are some seconds old.
+func TestLeafThatFailsEveryOtherRequestIsAvoided(t *testing.T) {
 	for _, end := range []End{EndBroken, EndFailed} {
 		w := newWorld(t)
 		failing := w.leaf("ledger", homeZone)
@@ -326,8 +329,8 @@
 	}
 }
 
-// A shard is short of slots, and its leafs go on for seconds with parts of answers that were
-// given long ago, while parts that are still of use wait behind them.
+// Guards against leafs that work for seconds on parts of answers that were sent long ago,
+// while parts that are still useful wait behind them. The shard is short of slots.
 func TestAttemptEndsWhenItsAnswerIsTooLate(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(10, homeZone, "other")
@@ -346,8 +349,8 @@
 	w.Expect(sends(NewQuery(report, w.table).Start(w.now))[0].Until).To(gomega.Equal(report.Deadline))
 }
 
-// An attempt fails just before an answer leaves that is good without it. Leafs work on another
-// one that nobody waits for, and other requests queue behind it.
+// Guards against an attempt for a part that no caller waits for, which delays other requests.
+// An earlier attempt fails just before an answer is sent that is sufficient without it.
 func TestLateAttemptIsNotSentForSufficientAnswer(t *testing.T) {
 	for _, missing := range []int{1, 2} {
 		w := newWorld(t)
@@ -364,15 +367,15 @@
 	}
 }
 
-// The leafs' queues are so long that the time of all parts is over before any is begun. The
-// caller hears that its request may have run, though no leaf has begun with it.
+// Guards against telling a caller that its request may have run although no leaf started it:
+// the queues of the leafs are so long that the time of all parts is over before they start.
 func TestAttemptsThatWereNotStartedHaveNotRun(t *testing.T) {
 	w := newWorld(t)
 	spec := w.gathered(w.shards(2, homeZone))
 	q := NewQuery(spec, w.table)
 	first := sends(q.Start(w.now))
 	w.now = spec.AnswerBy
-	w.Expect(outcome(q.Fail(w.now, first[0].Attempt, EndNotStarted)).Verdict).To(gomega.Equal(TooFewShards), "the other may run yet")
+	w.Expect(outcome(q.Fail(w.now, first[0].Attempt, EndNotStarted)).Verdict).To(gomega.Equal(TooFewShards), "the other attempt may still run")
 	q = NewQuery(spec, w.table)
 	spec.MinShare = 0.1
 	q.spec = spec
--- a/scatter/readers_test.go
+++ b/scatter/readers_test.go
@@ -8,7 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against a zone of which every VM reads the store, since the store turns its readers away.
+// Guards against a zone in which every VM reads the store, because the store refuses its
+// readers.
 func TestSpareReadersAreFollowedWhereReadersFail(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
@@ -35,6 +36,6 @@
 	}
 	g.Expect(reads).To(gomega.Equal(1))
 	for _, followed := range follows {
-		g.Expect(follows).NotTo(gomega.HaveKey(followed), "who is followed reads the store")
+		g.Expect(follows).NotTo(gomega.HaveKey(followed), "a VM that is followed reads the store itself")
 	}
 }
--- a/scatter/shed_test.go
+++ b/scatter/shed_test.go
@@ -7,8 +7,9 @@
 	"github.com/onsi/gomega"
 )
 
-// playRefusals lets a leaf turn away those of n requests that it gets, at a distance, with a load.
-func (w *world) playRefusals(service string, leaf LeafID, n int, distance time.Duration, load Load) {
+// playRefusals sends n requests at the given interval. The given leaf refuses those that it
+// gets, and states load.
+func (w *world) playRefusals(service string, leaf LeafID, n int, interval time.Duration, load Load) {
 	for range n {
 		s := sends(NewQuery(w.single(service, true), w.table).Start(w.now))[0]
 		end := EndAnswered
@@ -18,13 +19,13 @@
 			end = EndRefused
 		}
 		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, end)
-		w.wait(distance)
+		w.wait(interval)
 	}
 }
 
-// Guards against asking first, for each request again, a leaf that turns requests away though it
-// has free slots.
-func TestLeafThatRefusesWithFreeSlotsIsLeftAside(t *testing.T) {
+// Guards against sending each request first to a leaf that refuses requests although it has
+// free slots.
+func TestLeafThatRefusesWithFreeSlotsIsAvoided(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	far := w.leaf("ledger", "other")
@@ -35,8 +36,8 @@
 	w.Expect(first()).To(gomega.Equal(near))
 }
 
-// Guards against leaving a leaf aside for seconds that was full for a moment.
-func TestLeafThatRefusesWhileFullIsAskedAgain(t *testing.T) {
+// Guards against avoiding a leaf for seconds that was full for a moment.
+func TestLeafThatRefusesWhileFullIsUsedAgain(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
@@ -44,8 +45,8 @@
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
 }
 
-// Guards against spending the budget of further arrivals on leafs that turn away six parts of
-// ten, while the other leaf of each shard has slots to spare.
+// Guards against spending the budget of extra arrivals on leafs that refuse six parts of ten,
+// while the other leaf of each shard has slots to spare.
 func TestCallersAreServedWhileHalfOfLeafsShedLoad(t *testing.T) {
 	w := newWorld(t)
 	p := newSimulation(w, 1)
--- a/scatter/speed_test.go
+++ b/scatter/speed_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-// playAnswers lets the leaf of one request after another answer after the time given.
+// playAnswers plays n requests, one after another, that are each answered after took.
 func (w *world) playAnswers(spec Spec, n int, took time.Duration) {
 	for range n {
 		spec.Deadline = w.now.Add(time.Second)
@@ -19,10 +19,10 @@
 	}
 }
 
-// A leaf pauses for 100 ms, and the four requests that it had come late. It is as quick as
-// ever afterwards, but the next requests go to another zone for seconds: dear bytes for
-// nothing.
-func TestLeafThatPausedOnceIsAskedAgain(t *testing.T) {
+// Guards against avoiding a leaf that paused once. A leaf pauses for 100 ms, and its four
+// requests are answered late. It is as fast as before afterwards, but for seconds the next
+// requests would go to another zone, at the expense of needless traffic between zones.
+func TestLeafThatPausedOnceIsUsedAgain(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
@@ -40,10 +40,10 @@
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
 }
 
-// A leaf's machine does other work too, and each answer takes six times as long: callers
-// get them late. The leaf says so with its first answer; it is left aside at once and asked
-// again when it may be well.
-func TestLeafOnASlowMachineIsLeftAside(t *testing.T) {
+// Guards against late answers from a leaf whose machine does other work too, so that each
+// answer takes six times as long. The leaf states this with its first answer. It is avoided at
+// once and used again when it may have recovered.
+func TestLeafOnASlowMachineIsAvoided(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	far := w.leaf("ledger", "other")
@@ -55,8 +55,9 @@
 	w.Expect(first()).To(gomega.Equal(near))
 }
 
-// A leaf says that its machine is as usual, but its answers take long each time: the way to
-// it is slow. What it says must not outweigh what is seen.
+// Guards against trusting a leaf that states that its machine is as usual, while its answers
+// take long each time because of a slow network. The stated factor must not outweigh the
+// measured durations.
 func TestLeafWithSlowAnswersIsAvoidedDespiteStatedSlowdown(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
@@ -71,11 +72,11 @@
 		w.table.RecordLoad(w.now, near, Load{Slots: 2, Slowdown: 1})
 		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 	}
-	t.Fatal("the slow leaf is asked first for ever")
+	t.Fatal("the slow leaf is always used first")
 }
 
-// Requests of two kinds reach one leaf, one of 3 ms and one of 40 ms. With one expected
-// time for both, the long ones make the leaf look slow to the short ones, which go to
+// Guards against one expected duration for two kinds of requests, of 3 ms and of 40 ms, at one
+// leaf. The long ones would make the leaf look slow for the short ones, which would go to
 // another zone.
 func TestDurationsOfRequestKindsAreSeparate(t *testing.T) {
 	w := newWorld(t)
@@ -90,9 +91,10 @@
 	w.Expect(sends(NewQuery(short, w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
 }
 
-// A VM has just started and knows no durations. Requests that take 60 ms of an aim of 250 are
-// taken for pausing leafs after 24 ms, as if all kinds were as quick as parts of a search, and
-// the next ones go to another zone.
+// Guards against taking a slow kind of request for a pause of the leaf. A VM has just started
+// and knows no durations. Requests that take 60 ms of a latency objective of 250 ms were taken
+// for pauses after 24 ms, as if all kinds were as fast as parts of a search, and the next
+// requests went to another zone.
 func TestSlowRequestKindIsNotMistakenForPauseAtStartup(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
@@ -106,8 +108,9 @@
 	}
 }
 
-// A leaf is nine times as slow as others and finishes nothing in time. Once that is forgotten
-// a little, a handful of requests goes there before the first of them shows it again.
+// Guards against sending several requests to a leaf that was nine times as slow as others and
+// finished nothing in time. Once this history has partly decayed, a few requests would go
+// there before the first of them showed the slowness again.
 func TestLeafThatWasTooSlowIsTriedWithOneRequest(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
@@ -130,9 +133,9 @@
 	}
 }
 
-// A leaf is so slow that it finishes nothing in time, and so never shows how slow it is by an
-// answer. Requests go there as before, each a part that an answer lacks.
-func TestLeafThatFinishesNothingInTimeIsLeftAside(t *testing.T) {
+// Guards against a leaf that finishes nothing in time, and so never shows by an answer how
+// slow it is. Requests would continue to go there, and each answer would lack a part.
+func TestLeafThatFinishesNothingInTimeIsAvoided(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	far := w.leaf("ledger", "other")
@@ -146,5 +149,5 @@
 		w.table.RecordLoad(w.now, near, Load{Slots: 2})
 		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndExpired)
 	}
-	t.Fatal("the slow leaf is asked first for ever")
+	t.Fatal("the slow leaf is always used first")
 }
--- a/scatter/suspicion_test.go
+++ b/scatter/suspicion_test.go
@@ -7,9 +7,9 @@
 	"github.com/onsi/gomega"
 )
 
-// Leafs lose power without a word. After each rest the next request finds out anew, loses
-// half of its time and spends the budget on a second leaf: with a hundred such leafs no
-// answer has enough shards. The leaf is asked again once a connection to it was made.
+// Guards against detecting a leaf that lost power again after each cooldown. Each time, a
+// request loses half of its time and spends budget on a second leaf; with a hundred such leafs
+// no answer has enough shards. The leaf is used again once a connection to it was made.
 func TestSilentLeafIsUsedAgainOnlyAfterSuccessfulProbe(t *testing.T) {
 	for _, end := range []End{EndSilent, EndUnreachable} {
 		w := newWorld(t)
@@ -38,8 +38,8 @@
 	}
 }
 
-// All leafs of a service went dark, or this VM was cut off from them. One is asked
-// nonetheless: refusing would be the worse guess.
+// Guards against refusing a request because all leafs of a service are suspect. They have
+// failed, or this VM was disconnected from them; one is tried nonetheless.
 func TestSuspectLeafIsUsedWithoutAlternative(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
@@ -50,11 +50,11 @@
 	w.table.AttemptEnded(w.now, failing, w.now, EndBroken)
 	w.table.AttemptEnded(w.now.Add(time.Millisecond), failing, w.now.Add(time.Millisecond), EndBroken)
 	again := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now.Add(time.Millisecond)))
-	w.Expect(again[0].Leaf).To(gomega.Equal(failing), "one that answers now and then is the better guess")
+	w.Expect(again[0].Leaf).To(gomega.Equal(failing), "a leaf that answers occasionally is preferred")
 }
 
-// A leaf was taken for dark while this VM was frozen, and its answer comes late. It lives,
-// and is asked again without a probe.
+// Guards against avoiding a leaf whose answer comes late because this VM was frozen. The leaf
+// was suspect, but the answer shows that it is alive, and it is used again without a probe.
 func TestLateAnswerClearsASuspectLeaf(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -55,7 +55,7 @@
 	shard     bool // answers for one shard of a gathered request
 }
 
-// NewTable returns an empty table for the VM self, whose process started at born.
+// NewTable returns an empty table for the VM self, whose process started at startedAt.
 func NewTable(self VM, budgetConfig BudgetConfig, startedAt time.Time, rng *rand.Rand) *Table {
 	t := &Table{
 		self:         self.Name,
