--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -166,6 +166,7 @@
 	}
 }
 
+// waitUntil returns until when a shard may wait for a leaf with capacity.
 func (q *Query) waitUntil() time.Time {
 	if q.spec.Gathered {
 		return q.spec.AnswerBy
--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -76,7 +76,7 @@
 		peer.becomeVM(calls[0].VM.Name, calls[0].VM.Zone, ampleBudget)
 		peer.shards(10, "other", "third", "fourth")
 		for _, service := range names {
-			if zone := rapid.SampledFrom([]string{"", "other", "third", "fourth"}).Draw(t, "dark"); zone != "" {
+			if zone := rapid.SampledFrom([]string{"", "other", "third", "fourth"}).Draw(t, "unreachable zone"); zone != "" {
 				peer.table.AttemptEnded(peer.now, LeafID{ID: service + "@" + zone, Born: 1}, peer.now, EndUnreachable)
 			}
 		}
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -127,6 +127,8 @@
 	}
 }
 
+// othersEstimate returns the estimated number of requests of other VMs at the leaf: those of
+// the last report, with a weight that decreases with its age.
 func (l *leaf) othersEstimate(now time.Time) float64 {
 	age := now.Sub(l.reportedAt)
 	if age >= reportLifetime {
--- a/scatter/load_test.go
+++ b/scatter/load_test.go
@@ -18,7 +18,7 @@
 	serial int
 
 	callers, inTime, late, refused, failed int
-	credit                                 float64 // sum over the answers in time of the squared share of answered shards
+	credit                                 float64 // sum over answers in time: share of answered shards, squared
 	longestRefusal                         time.Duration
 }
 
--- a/scatter/overtake.go
+++ b/scatter/overtake.go
@@ -57,6 +57,7 @@
 	at   time.Time
 }
 
+// longest returns the recorded time, which decays with its age.
 func (a ackTime) longest(now time.Time) time.Duration {
 	return time.Duration(float64(a.took) * math.Exp2(-float64(now.Sub(a.at))/float64(ackHalfLife)))
 }
--- a/scatter/overtake_test.go
+++ b/scatter/overtake_test.go
@@ -143,7 +143,7 @@
 			peer.becomeVM(call.VM.Name, call.VM.Zone, ampleBudget)
 			peer.shards(6, "other", "third", "fourth")
 			for _, name := range names {
-				if zone := rapid.SampledFrom([]string{"", "other", "third", "fourth"}).Draw(t, "dark"); zone != "" {
+				if zone := rapid.SampledFrom([]string{"", "other", "third", "fourth"}).Draw(t, "unreachable zone"); zone != "" {
 					peer.table.AttemptEnded(peer.now, LeafID{ID: name + "@" + zone, Born: 1}, peer.now, EndUnreachable)
 				}
 			}
@@ -194,8 +194,8 @@
 	w.Expect(vmCalls(acts)).To(gomega.BeEmpty(), "its leafs are slow, and another VM would query them a second time")
 }
 
-// Guards against failing over from all VMs that are far away in the network: their
-// acknowledgements always take long.
+// Guards against failing over from all VMs of a distant region, whose acknowledgements always
+// take long.
 func TestSlowAcknowledgementsAreWaitedFor(t *testing.T) {
 	w := newWorld(t)
 	q, first := newQueryWithTwoOwners(w, 10)
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -41,7 +41,7 @@
 // CallID numbers the calls to other VMs of one query, from 1.
 type CallID int
 
-// Action is something that the caller has to do for a query: Send, CallVM, or Finish.
+// Action is something that has to be carried out for a query: Send, CallVM, or Finish.
 type Action interface{ action() }
 
 // Send sends the request to a leaf.
@@ -73,8 +73,8 @@
 	AnswerBy  time.Time
 }
 
-// Finish ends the query. The caller decides whether requests in flight complete or are
-// cancelled.
+// Finish ends the query. The code that drives the query decides whether requests in flight
+// complete or are cancelled.
 type Finish struct{ Outcome Outcome }
 
 func (Send) action()   {}
@@ -134,8 +134,8 @@
 	Called                int // number of calls to other VMs
 }
 
-// Query is one request in progress. Callers call Start once, then pass in the events, and
-// carry out the returned actions until Finish. It is not safe for concurrent use.
+// Query is one request in progress. Call Start once, then pass in the events, and carry out
+// the actions that each of them returns, until Finish. It is not safe for concurrent use.
 //
 // Invariants: there is exactly one Finish; for each shard, at most MaxAttempts attempts may
 // have run; for a request that is not idempotent, no attempt is sent after one that may have
@@ -152,7 +152,7 @@
 	callAnswers   []callAnswer // in the order of arrival
 	lastAttempt   AttemptID    // newest number
 	failedAttempt AttemptID    // the latest one with a leaf's own failure
-	hedgeRetryAt  time.Time    // no hedge before this time: one that was due found no idle leaf or no budget
+	hedgeRetryAt  time.Time    // no hedge before: one that was due found no idle leaf or no budget
 
 	omissionsLeft int           // further shards that may be left out
 	refusal       *Refusal      // nil if this VM did not refuse
@@ -183,7 +183,7 @@
 	shared         bool      // another VM may query it too
 	commonLeafs    []LeafID  // if shared: leafs that either VM may use
 	ownChoice      LeafID    // if shared: the leaf that only this VM uses; zero for none
-	includedAnswer int       // position of the included call answer that has the shard, from 1; 0 for none
+	includedAnswer int       // number of the included call answer with the shard, from 1; 0 for none
 }
 
 func (s *shard) answered() bool { return s.answer != 0 || s.includedAnswer != 0 }
@@ -207,7 +207,7 @@
 	writtenAt, ackDue time.Time
 	answered          bool // the VM has answered, perhaps in part
 	finished          bool // no further answer will arrive
-	resolved          bool // no failover is pending: its shards were answered, failed over, or sent directly
+	resolved          bool // no failover is pending: answered in full, failed over, or sent directly
 }
 
 // overdueTime returns when the call fails over unless its VM sends a message.
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -22,7 +22,7 @@
 const (
 	firstProbePause   = 250 * time.Millisecond
 	maxVMProbePause   = 2 * time.Second // longest pause, for a VM
-	maxLeafProbePause = time.Second     // longest pause, for a leaf: one that was only disconnected should be found within 2 s
+	maxLeafProbePause = time.Second     // longest pause, for a leaf: a disconnected one should be found within 2 s
 )
 
 func (s *suspicion) raise(now time.Time) {
