--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -412,9 +412,9 @@
 		}
 	}
 	w.now = q.Wake(w.now)
-	overtaking := q.Tick(w.now)
-	w.Expect(sends(overtaking)).NotTo(gomega.BeEmpty())
-	unreachable(overtaking)
+	failedOver := q.Tick(w.now)
+	w.Expect(sends(failedOver)).NotTo(gomega.BeEmpty())
+	unreachable(failedOver)
 	refused := CallAnswer{Last: true, Refused: true, RetryAfter: 250 * time.Millisecond}
 	unreachable(q.CallReply(w.now, call.Call, refused))
 	for out == nil {
--- a/scatter/query_test.go
+++ b/scatter/query_test.go
@@ -144,17 +144,17 @@
 // none of them.
 func TestDrainingLeafGetsNoRequests(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
-	far := w.leaf("ledger", "other")
+	local := w.leaf("ledger", homeZone)
+	remote := w.leaf("ledger", "other")
 	w.table.Apply(w.now, registry.Change{Leaf: registry.Leaf{
-		ID: near.ID, Born: 1, Service: "ledger", Zone: homeZone, Slots: 2, Address: "127.0.0.1:1", Draining: true,
+		ID: local.ID, Born: 1, Service: "ledger", Zone: homeZone, Slots: 2, Address: "127.0.0.1:1", Draining: true,
 	}})
 	for range 20 {
 		q := NewQuery(w.single("ledger", true), w.table)
 		s := sends(q.Start(w.now))
 		w.Expect(s).To(gomega.HaveLen(1))
-		w.Expect(s[0].Leaf).To(gomega.Equal(far))
-		w.table.AttemptEnded(w.now, far, s[0].SentAt, EndAnswered)
+		w.Expect(s[0].Leaf).To(gomega.Equal(remote))
+		w.table.AttemptEnded(w.now, remote, s[0].SentAt, EndAnswered)
 	}
 }
 
--- a/scatter/shed_test.go
+++ b/scatter/shed_test.go
@@ -27,22 +27,22 @@
 // free slots.
 func TestLeafThatRefusesWithFreeSlotsIsAvoided(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
-	far := w.leaf("ledger", "other")
+	local := w.leaf("ledger", homeZone)
+	remote := w.leaf("ledger", "other")
 	first := func() LeafID { return sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf }
-	w.playRefusals("ledger", near, 5, 2*refusedCooldown, Load{Running: 0, Slots: 2})
-	w.Expect(first()).To(gomega.Equal(far))
+	w.playRefusals("ledger", local, 5, 2*refusedCooldown, Load{Running: 0, Slots: 2})
+	w.Expect(first()).To(gomega.Equal(remote))
 	w.wait(3 * failureHalfLife)
-	w.Expect(first()).To(gomega.Equal(near))
+	w.Expect(first()).To(gomega.Equal(local))
 }
 
 // Guards against avoiding a leaf for seconds that was full for a moment.
 func TestLeafThatRefusesWhileFullIsUsedAgain(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
-	w.playRefusals("ledger", near, 6, reportLifetime, Load{Running: 2, Waiting: 12, Slots: 2})
-	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
+	w.playRefusals("ledger", local, 6, reportLifetime, Load{Running: 2, Waiting: 12, Slots: 2})
+	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
 
 // Guards against spending the budget of extra arrivals on leafs that refuse six parts of ten,
--- a/scatter/speed_test.go
+++ b/scatter/speed_test.go
@@ -24,7 +24,7 @@
 // requests would go to another zone, at the expense of needless traffic between zones.
 func TestLeafThatPausedOnceIsUsedAgain(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
 	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	var paused []Send
@@ -34,10 +34,10 @@
 	}
 	w.wait(100 * time.Millisecond)
 	for _, s := range paused {
-		w.Expect(s.Leaf).To(gomega.Equal(near))
+		w.Expect(s.Leaf).To(gomega.Equal(local))
 		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 	}
-	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
+	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
 
 // Guards against late answers from a leaf whose machine does other work too, so that each
@@ -45,14 +45,14 @@
 // once and used again when it may have recovered.
 func TestLeafOnASlowMachineIsAvoided(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
-	far := w.leaf("ledger", "other")
+	local := w.leaf("ledger", homeZone)
+	remote := w.leaf("ledger", "other")
 	first := func() LeafID { return sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf }
-	w.Expect(first()).To(gomega.Equal(near))
-	w.table.RecordLoad(w.now, near, Load{Slots: 2, Slowdown: 6})
-	w.Expect(first()).To(gomega.Equal(far))
+	w.Expect(first()).To(gomega.Equal(local))
+	w.table.RecordLoad(w.now, local, Load{Slots: 2, Slowdown: 6})
+	w.Expect(first()).To(gomega.Equal(remote))
 	w.wait(3 * slowdownHalfLife)
-	w.Expect(first()).To(gomega.Equal(near))
+	w.Expect(first()).To(gomega.Equal(local))
 }
 
 // Guards against trusting a leaf that states that its machine is as usual, while its answers
@@ -60,16 +60,16 @@
 // measured durations.
 func TestLeafWithSlowAnswersIsAvoidedDespiteStatedSlowdown(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
-	far := w.leaf("ledger", "other")
+	local := w.leaf("ledger", homeZone)
+	remote := w.leaf("ledger", "other")
 	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	for range 10 {
 		s := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0]
-		if s.Leaf == far {
+		if s.Leaf == remote {
 			return
 		}
 		w.wait(60 * time.Millisecond)
-		w.table.RecordLoad(w.now, near, Load{Slots: 2, Slowdown: 1})
+		w.table.RecordLoad(w.now, local, Load{Slots: 2, Slowdown: 1})
 		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 	}
 	t.Fatal("the slow leaf is always used first")
@@ -80,7 +80,7 @@
 // another zone.
 func TestDurationsOfRequestKindsAreSeparate(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
 	short, long := w.single("ledger", true), w.single("ledger", true)
 	short.LatencyObjective, long.LatencyObjective = 50*time.Millisecond, 500*time.Millisecond
@@ -88,7 +88,7 @@
 		w.playAnswers(short, 1, 3*time.Millisecond)
 		w.playAnswers(long, 1, 40*time.Millisecond)
 	}
-	w.Expect(sends(NewQuery(short, w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
+	w.Expect(sends(NewQuery(short, w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
 
 // Guards against taking a slow kind of request for a pause of the leaf. A VM has just started
@@ -97,13 +97,13 @@
 // requests went to another zone.
 func TestSlowRequestKindIsNotMistakenForPauseAtStartup(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
 	report := w.single("ledger", true)
 	report.LatencyObjective = 250 * time.Millisecond
 	for range 2 {
 		s := sends(NewQuery(report, w.table).Start(w.now))[0]
-		w.Expect(s.Leaf).To(gomega.Equal(near))
+		w.Expect(s.Leaf).To(gomega.Equal(local))
 		w.wait(50 * time.Millisecond)
 	}
 }
@@ -113,11 +113,11 @@
 // there before the first of them showed the slowness again.
 func TestLeafThatWasTooSlowIsTriedWithOneRequest(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	expire := func(s Send) {
 		w.wait(100 * time.Millisecond)
-		w.table.AttemptEnded(w.now, near, s.SentAt, EndExpired)
+		w.table.AttemptEnded(w.now, local, s.SentAt, EndExpired)
 	}
 	first := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))
 	second := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))
@@ -127,7 +127,7 @@
 	w.Expect(alone).To(gomega.HaveLen(1))
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))).To(gomega.BeEmpty())
 	w.wait(8 * time.Millisecond)
-	w.table.AttemptEnded(w.now, near, alone[0].SentAt, EndAnswered)
+	w.table.AttemptEnded(w.now, local, alone[0].SentAt, EndAnswered)
 	for range 2 {
 		w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))).To(gomega.HaveLen(1))
 	}
@@ -137,16 +137,16 @@
 // slow it is. Requests would continue to go there, and each answer would lack a part.
 func TestLeafThatFinishesNothingInTimeIsAvoided(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
-	far := w.leaf("ledger", "other")
+	local := w.leaf("ledger", homeZone)
+	remote := w.leaf("ledger", "other")
 	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	for range 6 {
 		s := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0]
-		if s.Leaf == far {
+		if s.Leaf == remote {
 			return
 		}
 		w.wait(90 * time.Millisecond)
-		w.table.RecordLoad(w.now, near, Load{Slots: 2})
+		w.table.RecordLoad(w.now, local, Load{Slots: 2})
 		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndExpired)
 	}
 	t.Fatal("the slow leaf is always used first")
--- a/scatter/suspicion_test.go
+++ b/scatter/suspicion_test.go
@@ -13,28 +13,28 @@
 func TestSilentLeafIsUsedAgainOnlyAfterSuccessfulProbe(t *testing.T) {
 	for _, end := range []End{EndSilent, EndUnreachable} {
 		w := newWorld(t)
-		near := w.leaf("ledger", homeZone)
-		far := w.leaf("ledger", "other")
+		local := w.leaf("ledger", homeZone)
+		remote := w.leaf("ledger", "other")
 		first := func() Send { return sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0] }
 		s := first()
-		w.Expect(s.Leaf).To(gomega.Equal(near))
+		w.Expect(s.Leaf).To(gomega.Equal(local))
 		w.wait(300 * time.Millisecond)
-		w.table.AttemptEnded(w.now, near, s.SentAt, end)
+		w.table.AttemptEnded(w.now, local, s.SentAt, end)
 		for range 50 {
 			w.wait(100 * time.Millisecond)
 			s := first()
-			w.Expect(s.Leaf).To(gomega.Equal(far))
-			w.table.AttemptEnded(w.now, far, s.SentAt, EndAnswered)
+			w.Expect(s.Leaf).To(gomega.Equal(remote))
+			w.table.AttemptEnded(w.now, remote, s.SentAt, EndAnswered)
 			due, next := w.table.SuspectLeafs(w.now)
 			if len(due) > 0 {
-				w.Expect(w.table.RecordLeafProbe(w.now, near, false)).To(gomega.BeFalse())
+				w.Expect(w.table.RecordLeafProbe(w.now, local, false)).To(gomega.BeFalse())
 				_, next = w.table.SuspectLeafs(w.now)
 				w.Expect(next.Sub(w.now)).To(gomega.BeNumerically("<=", maxLeafProbePause))
 			}
 			w.Expect(next).NotTo(gomega.BeZero())
 		}
-		w.Expect(w.table.RecordLeafProbe(w.now, near, true)).To(gomega.BeTrue())
-		w.Expect(first().Leaf).To(gomega.Equal(near))
+		w.Expect(w.table.RecordLeafProbe(w.now, local, true)).To(gomega.BeTrue())
+		w.Expect(first().Leaf).To(gomega.Equal(local))
 	}
 }
 
@@ -42,9 +42,9 @@
 // failed, or this VM was disconnected from them; one is tried nonetheless.
 func TestSuspectLeafIsUsedWithoutAlternative(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	s := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0]
-	w.table.AttemptEnded(w.now, near, s.SentAt, EndUnreachable)
+	w.table.AttemptEnded(w.now, local, s.SentAt, EndUnreachable)
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))).To(gomega.HaveLen(1))
 	failing := w.leaf("ledger", "other")
 	w.table.AttemptEnded(w.now, failing, w.now, EndBroken)
@@ -57,16 +57,16 @@
 // was suspect, but the answer shows that it is alive, and it is used again without a probe.
 func TestLateAnswerClearsASuspectLeaf(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
 	spec := w.single("ledger", true)
 	one, two := sends(NewQuery(spec, w.table).Start(w.now))[0], sends(NewQuery(spec, w.table).Start(w.now))[0]
 	w.wait(2 * time.Second)
-	w.table.AttemptEnded(w.now, near, one.SentAt, EndSilent)
-	w.table.AttemptEnded(w.now, near, two.SentAt, EndAnswered)
+	w.table.AttemptEnded(w.now, local, one.SentAt, EndSilent)
+	w.table.AttemptEnded(w.now, local, two.SentAt, EndAnswered)
 	w.wait(maxCooldown)
 	due, next := w.table.SuspectLeafs(w.now)
 	w.Expect(due).To(gomega.BeEmpty())
 	w.Expect(next).To(gomega.BeZero())
-	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
+	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
