--- a/peer/route/hold.go
+++ b/peer/route/hold.go
@@ -80,7 +80,7 @@
 }
 
 func (r *Router) take(ctx context.Context, places int) *place.Held {
-	held, err := place.Take(ctx, r.opts.Place, places)
+	held, err := place.Acquire(ctx, r.opts.Place, places)
 	if err != nil {
 		r.opts.Log.Debug("no place", "error", errors.Cause(err))
 		return nil
--- a/peer/route/order_test.go
+++ b/peer/route/order_test.go
@@ -114,7 +114,7 @@
 	for i := range 950 {
 		f.vms = append(f.vms, objstore.VM{Name: fmt.Sprint("vm-", i), Zone: fmt.Sprint("z", i%5)})
 	}
-	plan := share.Cut(25, len(f.vms))
+	plan := share.NewPlan(25, len(f.vms))
 	for i := range 3250 {
 		f.targets = append(f.targets, fmt.Sprint("target-", i))
 		f.owners = append(f.owners, plan.OwnerPlaces(f.targets[i]))
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -111,7 +111,7 @@
 // Start begins to hold a place where one is needed.
 func (r *Router) Start(fleet Fleet) {
 	r.fleet = fleet
-	r.opts.Place.Gone = fleet.Gone
+	r.opts.Place.Ended = fleet.Gone
 	r.tomb.Go(r.holdPlace)
 	r.tomb.Go(r.closeIdle)
 }
@@ -151,7 +151,7 @@
 	for i := range b.Services {
 		for j := range b.Services[i].Targets {
 			t := &b.Services[i].Targets[j]
-			plan := share.Cut(t.Connections, r.places)
+			plan := share.NewPlan(t.Connections, r.places)
 			rt := &route{plan: plan, slots: t.Slots, leaves: t.Leaves}
 			if !plan.Direct() {
 				r.shared = true
@@ -182,12 +182,12 @@
 	for _, rt := range r.targets {
 		rt.own = 0
 		if rt.plan.Direct() {
-			rt.own = rt.plan.Each
+			rt.own = rt.plan.PerOwner
 			continue
 		}
 		for _, owner := range rt.owners {
 			if owner == r.own {
-				rt.own = rt.plan.Each
+				rt.own = rt.plan.PerOwner
 			}
 		}
 	}
--- a/peer/route/route_test.go
+++ b/peer/route/route_test.go
@@ -84,7 +84,7 @@
 	vm.peers, err = peer.New(peer.Options{
 		VM: objstore.VM{Name: name, Zone: "z"}, Incarnation: name + "-1", Deployment: "d",
 		FleetKeys: [][]byte{bytes.Repeat([]byte("k"), 32)}, Listen: "127.0.0.1:0",
-		Store: f.store, Heads: noHeads{}, Calls: vm.router.Handle,
+		Store: f.store, Heads: noHeads{}, CallHandler: vm.router.Handle,
 		Interval: 50 * time.Millisecond, ListInterval: 50 * time.Millisecond,
 		SuspectAfter: 300 * time.Millisecond, PingInterval: 100 * time.Millisecond,
 	})
