--- a/scatter/readers_test.go
+++ b/scatter/readers_test.go
@@ -8,7 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against a zone of which every VM reads the store, since the store turns its readers away.
+// Guards against a zone in which every VM reads the store, because the store refuses its
+// readers.
 func TestSpareReadersAreFollowedWhereReadersFail(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
@@ -34,7 +35,7 @@
 		follows[v.Name] = others[first].Name
 	}
 	g.Expect(reads).To(gomega.Equal(1))
-	for _, whom := range follows {
-		g.Expect(follows).NotTo(gomega.HaveKey(whom), "who is followed reads the store")
+	for _, followed := range follows {
+		g.Expect(follows).NotTo(gomega.HaveKey(followed), "a VM that is followed reads the store itself")
 	}
 }
--- a/scatter/speed_test.go
+++ b/scatter/speed_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-// playAnswers lets the leaf of one request after another answer after the time given.
+// playAnswers plays n requests, one after another, that are each answered after took.
 func (w *world) playAnswers(spec Spec, n int, took time.Duration) {
 	for range n {
 		spec.Deadline = w.now.Add(time.Second)
@@ -19,12 +19,12 @@
 	}
 }
 
-// A leaf pauses for 100 ms, and the four requests that it had come late. It is as quick as
-// ever afterwards, but the next requests go to another zone for seconds: dear bytes for
-// nothing.
-func TestLeafThatPausedOnceIsAskedAgain(t *testing.T) {
+// Guards against avoiding a leaf that paused once. A leaf pauses for 100 ms, and its four
+// requests are answered late. It is as fast as before afterwards, but for seconds the next
+// requests would go to another zone, at the expense of needless traffic between zones.
+func TestLeafThatPausedOnceIsUsedAgain(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
 	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	var paused []Send
@@ -34,52 +34,53 @@
 	}
 	w.wait(100 * time.Millisecond)
 	for _, s := range paused {
-		w.Expect(s.Leaf).To(gomega.Equal(near))
+		w.Expect(s.Leaf).To(gomega.Equal(local))
 		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 	}
-	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
+	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
 
-// A leaf's machine does other work too, and each answer takes six times as long: callers
-// get them late. The leaf says so with its first answer; it is left aside at once and asked
-// again when it may be well.
-func TestLeafOnASlowMachineIsLeftAside(t *testing.T) {
+// Guards against late answers from a leaf whose machine does other work too, so that each
+// answer takes six times as long. The leaf states this with its first answer. It is avoided at
+// once and used again when it may have recovered.
+func TestLeafOnASlowMachineIsAvoided(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
-	far := w.leaf("ledger", "other")
+	local := w.leaf("ledger", homeZone)
+	remote := w.leaf("ledger", "other")
 	first := func() LeafID { return sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf }
-	w.Expect(first()).To(gomega.Equal(near))
-	w.table.RecordLoad(w.now, near, Load{Slots: 2, Slowdown: 6})
-	w.Expect(first()).To(gomega.Equal(far))
+	w.Expect(first()).To(gomega.Equal(local))
+	w.table.RecordLoad(w.now, local, Load{Slots: 2, Slowdown: 6})
+	w.Expect(first()).To(gomega.Equal(remote))
 	w.wait(3 * slowdownHalfLife)
-	w.Expect(first()).To(gomega.Equal(near))
+	w.Expect(first()).To(gomega.Equal(local))
 }
 
-// A leaf says that its machine is as usual, but its answers take long each time: the way to
-// it is slow. What it says must not outweigh what is seen.
+// Guards against trusting a leaf that states that its machine is as usual, while its answers
+// take long each time because of a slow network. The stated factor must not outweigh the
+// measured durations.
 func TestLeafWithSlowAnswersIsAvoidedDespiteStatedSlowdown(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
-	far := w.leaf("ledger", "other")
+	local := w.leaf("ledger", homeZone)
+	remote := w.leaf("ledger", "other")
 	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	for range 10 {
 		s := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0]
-		if s.Leaf == far {
+		if s.Leaf == remote {
 			return
 		}
 		w.wait(60 * time.Millisecond)
-		w.table.RecordLoad(w.now, near, Load{Slots: 2, Slowdown: 1})
+		w.table.RecordLoad(w.now, local, Load{Slots: 2, Slowdown: 1})
 		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 	}
-	t.Fatal("the slow leaf is asked first for ever")
+	t.Fatal("the slow leaf is always used first")
 }
 
-// Requests of two kinds reach one leaf, one of 3 ms and one of 40 ms. With one expected
-// time for both, the long ones make the leaf look slow to the short ones, which go to
+// Guards against one expected duration for two kinds of requests, of 3 ms and of 40 ms, at one
+// leaf. The long ones would make the leaf look slow for the short ones, which would go to
 // another zone.
 func TestDurationsOfRequestKindsAreSeparate(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
 	short, long := w.single("ledger", true), w.single("ledger", true)
 	short.LatencyObjective, long.LatencyObjective = 50*time.Millisecond, 500*time.Millisecond
@@ -87,34 +88,36 @@
 		w.playAnswers(short, 1, 3*time.Millisecond)
 		w.playAnswers(long, 1, 40*time.Millisecond)
 	}
-	w.Expect(sends(NewQuery(short, w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
+	w.Expect(sends(NewQuery(short, w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
 
-// A VM has just started and knows no durations. Requests that take 60 ms of an aim of 250 are
-// taken for pausing leafs after 24 ms, as if all kinds were as quick as parts of a search, and
-// the next ones go to another zone.
+// Guards against taking a slow kind of request for a pause of the leaf. A VM has just started
+// and knows no durations. Requests that take 60 ms of a latency objective of 250 ms were taken
+// for pauses after 24 ms, as if all kinds were as fast as parts of a search, and the next
+// requests went to another zone.
 func TestSlowRequestKindIsNotMistakenForPauseAtStartup(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
 	report := w.single("ledger", true)
 	report.LatencyObjective = 250 * time.Millisecond
 	for range 2 {
 		s := sends(NewQuery(report, w.table).Start(w.now))[0]
-		w.Expect(s.Leaf).To(gomega.Equal(near))
+		w.Expect(s.Leaf).To(gomega.Equal(local))
 		w.wait(50 * time.Millisecond)
 	}
 }
 
-// A leaf is nine times as slow as others and finishes nothing in time. Once that is forgotten
-// a little, a handful of requests goes there before the first of them shows it again.
+// Guards against sending several requests to a leaf that was nine times as slow as others and
+// finished nothing in time. Once this history has partly decayed, a few requests would go
+// there before the first of them showed the slowness again.
 func TestLeafThatWasTooSlowIsTriedWithOneRequest(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
+	local := w.leaf("ledger", homeZone)
 	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	expire := func(s Send) {
 		w.wait(100 * time.Millisecond)
-		w.table.AttemptEnded(w.now, near, s.SentAt, EndExpired)
+		w.table.AttemptEnded(w.now, local, s.SentAt, EndExpired)
 	}
 	first := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))
 	second := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))
@@ -124,27 +127,27 @@
 	w.Expect(alone).To(gomega.HaveLen(1))
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))).To(gomega.BeEmpty())
 	w.wait(8 * time.Millisecond)
-	w.table.AttemptEnded(w.now, near, alone[0].SentAt, EndAnswered)
+	w.table.AttemptEnded(w.now, local, alone[0].SentAt, EndAnswered)
 	for range 2 {
 		w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))).To(gomega.HaveLen(1))
 	}
 }
 
-// A leaf is so slow that it finishes nothing in time, and so never shows how slow it is by an
-// answer. Requests go there as before, each a part that an answer lacks.
-func TestLeafThatFinishesNothingInTimeIsLeftAside(t *testing.T) {
+// Guards against a leaf that finishes nothing in time, and so never shows by an answer how
+// slow it is. Requests would continue to go there, and each answer would lack a part.
+func TestLeafThatFinishesNothingInTimeIsAvoided(t *testing.T) {
 	w := newWorld(t)
-	near := w.leaf("ledger", homeZone)
-	far := w.leaf("ledger", "other")
+	local := w.leaf("ledger", homeZone)
+	remote := w.leaf("ledger", "other")
 	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	for range 6 {
 		s := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0]
-		if s.Leaf == far {
+		if s.Leaf == remote {
 			return
 		}
 		w.wait(90 * time.Millisecond)
-		w.table.RecordLoad(w.now, near, Load{Slots: 2})
+		w.table.RecordLoad(w.now, local, Load{Slots: 2})
 		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndExpired)
 	}
-	t.Fatal("the slow leaf is asked first for ever")
+	t.Fatal("the slow leaf is always used first")
 }
