--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -1,13 +1,13 @@
-// Package peer is how the VMs of a deployment act together: who lives, and the
-// exchange of revisions, drains and the health of targets. Each VM keeps
-// connections to a few others, chosen at random, passes on what is new to it as
-// soon as it hears of it, and compares digests with one of them at an interval.
-// What a VM sends per second therefore depends on its number of connections and
-// on how much changes, not on the size of the fleet.
+// Package peer implements the gossip protocol between the VMs of a deployment:
+// membership, and the exchange of revisions, drains and the health of targets.
+// Each VM keeps connections to a few others, chosen at random. It forwards each
+// new fact as soon as it receives it, and at an interval compares digests with
+// one peer. What a VM sends per second therefore depends on its number of
+// connections and on the rate of changes, not on the size of the fleet.
 //
-// Nothing learned here can revert: a head is signed and its revision only
-// rises, a drain belongs to one incarnation of a target, and of a VM only the
-// VM itself says that it lives.
+// Merged state never reverts: a head is signed and its revision only rises, a
+// drain belongs to one incarnation of a target, and only a VM itself can state
+// that it is alive.
 package peer
 
 import (
@@ -30,53 +30,55 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// Heads is the VM's own knowledge of the head and the bundles.
+// Heads holds this VM's head and bundles.
 type Heads interface {
-	// Revision returns the revision in force, 0 before the first.
+	// Revision returns the revision in force, or 0 if there is none yet.
 	Revision() uint64
 	// Changed returns a channel that is closed when the revision next rises.
 	Changed() <-chan struct{}
 	// Head returns the signed head in force, or nil.
 	Head() []byte
-	// RawBundle returns a bundle with its sign-offs, by its digest.
+	// RawBundle returns the bundle with this digest, including its sign-offs, and
+	// reports whether this VM has it.
 	RawBundle(digest string) ([]byte, bool)
-	// OfferHead checks a head that a peer holds and puts it in force if it is
-	// newer. fetch gets a bundle from that peer.
+	// OfferHead verifies a head received from a peer and puts it in force if it is
+	// newer. fetch gets a bundle from that peer by its digest.
 	OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error
 }
 
-// Drain is one incarnation of a target that takes no new work.
+// Drain names one incarnation of a target that takes no new work.
 type Drain struct {
 	Target      string
 	Incarnation string
 }
 
-// Options governs an Exchange. Zero values are replaced by the defaults.
+// Options configures an Exchange. Zero durations and counts are replaced by the
+// defaults.
 type Options struct {
 	VM          objstore.VM // this VM; an empty Address is taken from the listener
 	Incarnation string
 	Deployment  string
 	FleetKeys   [][]byte // newest first
 	Listen      string   // IP and port
-	// Seeds are addresses of VMs to be asked when neither the platform nor a
-	// peer names any. They let a fleet start while the platform is down.
+	// Seeds are addresses of VMs to dial when neither the platform nor a peer
+	// provides any. They let a fleet start while the platform is down.
 	Seeds []string
 	Store objstore.Store // for the list of VMs
 	Heads Heads
 	Log   *slog.Logger
-	// CallHandler serves connections that other VMs open for calls to leaves; may be
-	// nil.
+	// CallHandler serves the connections that other VMs open for calls to leaves.
+	// It may be nil.
 	CallHandler wire.Handler
-	// DialContext opens TCP connections; default net.Dialer's.
+	// DialContext opens TCP connections; the default is that of net.Dialer.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
-	Interval       time.Duration // between comparisons of digests; default 1 s
-	Fanout         int           // connections that this VM opens; default 4
-	MaxInbound     int           // connections of others that it keeps; default 16
-	RotateInterval time.Duration // after which one connection is replaced; default 60 s
-	SuspectAfter   time.Duration // a suspected VM's time to answer; default 3 s
-	ListInterval   time.Duration // between reads of the VM list by watching VMs; default 5 s
-	PingInterval   time.Duration // of idle connections; default 2 s
+	Interval       time.Duration // between digest comparisons; default 1 s
+	Fanout         int           // connections that this VM dials; default 4
+	MaxInbound     int           // connections accepted from other VMs that it keeps; default 16
+	RotateInterval time.Duration // between replacements of one dialled connection; default 60 s
+	SuspectAfter   time.Duration // time that a suspected VM has to refute; default 3 s
+	ListInterval   time.Duration // mean time between reads of the VM list by watching VMs; default 5 s
+	PingInterval   time.Duration // between pings on idle connections; default 2 s
 }
 
 const (
@@ -88,8 +90,8 @@
 	defaultListInterval = 5 * time.Second
 	defaultPingInterval = 2 * time.Second
 
-	// nonWatcherListFactor is how much more seldom a VM that doesn't watch reads the
-	// platform's list.
+	// nonWatcherListFactor multiplies the time between reads of the platform's list
+	// on VMs that don't watch the platform.
 	nonWatcherListFactor = 12
 )
 
@@ -107,7 +109,8 @@
 	return o
 }
 
-// Exchange is this VM's part of the exchange. It is safe for concurrent use.
+// Exchange is this VM's participant in the gossip protocol. It is safe for
+// concurrent use.
 type Exchange struct {
 	tomb       tomb.Tomb
 	opts       Options
@@ -115,32 +118,33 @@
 	server     *wire.Server
 	metrics    *metrics.Set
 	startTime  time.Time
-	startNanos int64         // begun by the wall clock, in Unix nanoseconds
-	pullWake   chan struct{} // wakes the loop that gets newer heads
+	startNanos int64         // startTime by the wall clock, in Unix nanoseconds; orders incarnations
+	pullWake   chan struct{} // wakes pullHeads
 
-	healthChanged chan struct{} // there is news of targets' health
+	healthChanged chan struct{} // signals that changedTargets isn't empty
 
 	mu                sync.Mutex // guards everything below
 	table             *facts.Table
 	self              facts.Member
-	replaced          bool // a newer process carries this VM's name
+	replaced          bool // a later process has this VM's name
 	listed            []objstore.VM
-	liveCache         []objstore.VM       // nil if it has to be worked out anew
-	placeCache        map[int]objstore.VM // the same
+	liveCache         []objstore.VM       // nil if it has to be recomputed
+	placeCache        map[int]objstore.VM // nil if it has to be recomputed
 	links             map[*link]struct{}
 	dialing           map[string]bool      // addresses
-	suspectedSince    map[string]time.Time // VM to when this VM heard of the suspicion
-	lastSuspected     map[string]time.Time // VM to when this VM last suspected it
+	suspectedSince    map[string]time.Time // by VM name: when this VM learned of the suspicion
+	lastSuspected     map[string]time.Time // by VM name: when this VM itself last suspected it
 	lastRotation      time.Time
 	lastTick          time.Time
-	announcedRevision uint64 // revision last passed on
+	announcedRevision uint64 // last revision announced to peers
 	drainsChanged     chan struct{}
-	lastDrainLearned  time.Time           // when a drain was last learned
-	changedTargets    map[string]struct{} // targets of which something was learned
-	lastHealthLearned time.Time           // when something was last learned of a target
+	lastDrainLearned  time.Time           // when this VM last learned of a drain
+	changedTargets    map[string]struct{} // targets with changed health since TakeHealth
+	lastHealthLearned time.Time           // when the health of a target last changed
 }
 
-// New returns an Exchange that Start sets to work.
+// New returns an Exchange that isn't started. It returns an error if the VM's
+// name, the incarnation or the deployment is missing.
 func New(o Options) (*Exchange, error) {
 	if o.VM.Name == "" || o.Incarnation == "" || o.Deployment == "" {
 		return nil, errors.NotValidf("exchange without VM name, incarnation or deployment")
@@ -163,7 +167,7 @@
 	return x, nil
 }
 
-// Start listens for peers and begins the exchange.
+// Start listens for peers and starts the exchange.
 func (x *Exchange) Start() error {
 	server, err := wire.Listen(x.opts.Listen, x.wireOptions(), &x.count, x.handleAccepted)
 	if err != nil {
@@ -206,12 +210,13 @@
 	}
 }
 
-// Stop says that this VM leaves, ends the exchange and waits for its parts.
+// Stop announces that this VM is leaving, stops the exchange and waits for its
+// goroutines, at most until ctx ends.
 func (x *Exchange) Stop(ctx context.Context) error {
 	x.AnnounceLeaving()
 	x.flush()
 	x.mu.Lock()
-	x.tomb.Kill(nil) // under mu: who sees the tomb alive may still start a goroutine
+	x.tomb.Kill(nil) // under mu: code that holds mu and sees the tomb alive may start a goroutine
 	for l := range x.links {
 		_ = l.conn.Notify(methodGoodbye, nil)
 		l.conn.Close()
@@ -226,11 +231,11 @@
 	}
 }
 
-// Address returns the address that this VM listens at for peers.
+// Address returns the address at which this VM listens for peers.
 func (x *Exchange) Address() string { return x.server.Addr().String() }
 
 // LearnDrain records that an incarnation of a target takes no new work, and
-// tells others. Repeating it costs nothing.
+// sends this to the other VMs. A drain that is already known is ignored.
 func (x *Exchange) LearnDrain(d Drain) {
 	now := time.Now().Unix()
 	x.mu.Lock()
@@ -241,7 +246,8 @@
 	}
 }
 
-// Drains returns all drains known, those of one target the newest last.
+// Drains returns all known drains. Those of one target are in the order in which
+// they were learned, the newest last.
 func (x *Exchange) Drains() []Drain {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -254,21 +260,21 @@
 }
 
 // DrainsChanged returns a channel that is closed when a drain is learned after
-// this call.
+// this call. Each call after that returns a new channel.
 func (x *Exchange) DrainsChanged() <-chan struct{} {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.drainsChanged
 }
 
-// signalDrains must hold mu.
+// signalDrains closes the current channel of DrainsChanged. The caller must hold mu.
 func (x *Exchange) signalDrains() {
 	x.lastDrainLearned = time.Now()
 	close(x.drainsChanged)
 	x.drainsChanged = make(chan struct{})
 }
 
-// AnnounceLeaving tells the others that this VM is stopping.
+// AnnounceLeaving tells the other VMs that this VM is stopping.
 func (x *Exchange) AnnounceLeaving() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -279,8 +285,8 @@
 	x.publishSelf(x.self.Counter)
 }
 
-// SetPlace tells the others which of the fleet's places this VM holds, counted
-// from 0; a negative number means none.
+// SetPlace tells the other VMs which of the fleet's places this VM holds, counted
+// from 0. A negative number means none.
 func (x *Exchange) SetPlace(place int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -290,8 +296,8 @@
 	}
 }
 
-// Places returns the VMs that hold places and aren't lost, by place; those that
-// are leaving are marked. The map must not be changed.
+// Places returns the VMs that hold places and aren't lost, by place. VMs that are
+// leaving have Leaving set. The caller must not change the map.
 func (x *Exchange) Places() map[int]objstore.VM {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -301,11 +307,11 @@
 	return x.placeCache
 }
 
-// invalidateCaches notes that the VMs known, or the platform's list, have invalidateCaches. It must
-// hold mu.
+// invalidateCaches discards what was computed from the known members and the
+// platform's list, after either has changed. The caller must hold mu.
 func (x *Exchange) invalidateCaches() { x.liveCache, x.placeCache = nil, nil }
 
-// Gone tells whether a process is known to have ended or to have been replaced.
+// Gone reports whether a process is known to have ended or to have been replaced.
 func (x *Exchange) Gone(vm, incarnation string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -313,16 +319,16 @@
 	return known && (m.State == facts.Lost || m.Incarnation != incarnation)
 }
 
-// Live returns the VMs that are believed to live and stay, this one included
-// unless it is leaving, in the order of names: the platform's lagging list,
-// corrected by what was seen.
+// Live returns the VMs that are believed to be alive and not leaving, sorted by
+// name. It includes this VM unless that is leaving. The platform's list lags, so
+// it is corrected by the known members.
 func (x *Exchange) Live() []objstore.VM {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return slices.Clone(x.liveLocked())
 }
 
-// liveLocked must hold mu. Its result must not be changed.
+// liveLocked is Live for callers that hold mu. The result must not be changed.
 func (x *Exchange) liveLocked() []objstore.VM {
 	if x.liveCache == nil {
 		x.liveCache = liveVMs(x.listed, x.table.Members())
@@ -330,23 +336,24 @@
 	return x.liveCache
 }
 
-// Watching tells whether this VM is one of those that watch the platform and
-// tell the others. In a small fleet, or without any peer, it is.
+// Watching reports whether this VM is one of those that watch the platform and
+// pass on what they see. In a small fleet, or without any peer, it is.
 func (x *Exchange) Watching() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.links) == 0 || isWatcher(x.liveLocked(), x.opts.VM.Name)
 }
 
-// Peers returns the number of VMs that this one is connected to.
+// Peers returns the number of connections to other VMs for the exchange.
 func (x *Exchange) Peers() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.links)
 }
 
-// readList reads the platform's list of VMs: often on VMs that watch, seldom on
-// the others, at once while no peer is known.
+// readList reads the platform's list of VMs until the exchange stops: at
+// ListInterval on VMs that watch the platform or have no peer, and less often by
+// nonWatcherListFactor on the others.
 func (x *Exchange) readList() error {
 	for {
 		ctx, cancel := context.WithTimeout(x.tomb.Context(context.Background()), x.opts.ListInterval)
@@ -358,7 +365,7 @@
 			x.invalidateCaches()
 			x.mu.Unlock()
 		} else {
-			x.opts.Log.Debug("list of VMs not read", "error", err)
+			x.opts.Log.Debug("could not read the platform's list of VMs", "error", err)
 		}
 		wait := x.opts.ListInterval
 		if !x.Watching() {
--- a/peer/exchange_test.go
+++ b/peer/exchange_test.go
@@ -4,9 +4,10 @@
 	"testing"
 )
 
-// Twenty VMs tell each other of a revision and a drain. None is lost here, so they are as
-// patient with each other as daemons are: with the fleet's 200 ms between pings, VMs of a
-// process that got little processor time took each other for silent and never all met.
+// TestRevisionAndDrainReachAllVMs: a revision and a drain, each known to one of 20 VMs,
+// must reach all of them. No VM is lost here, so the VMs have the default timeouts: with
+// the 200 ms between pings of newFleet, VMs in a process with little processor time took
+// each other for silent, and never were all connected.
 func TestRevisionAndDrainReachAllVMs(t *testing.T) {
 	f := newDefaultTimeoutFleet(t, 20)
 	f.waitConnected()
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -13,7 +13,8 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/facts"
 )
 
-// fleetWithLost returns a list of n VMs of which some count as lost.
+// fleetWithLost returns a platform's list of n VMs, and their members, of which the
+// first ones are lost.
 func fleetWithLost(n, lost int) (listed []objstore.VM, members []facts.Member) {
 	for i := range n {
 		m := facts.Member{Name: fmt.Sprint("vm-", i)}
@@ -33,7 +34,8 @@
 	return list
 }
 
-// halves splits a fleet in two by address.
+// halves divides a fleet into two groups, and returns their numbers by address for
+// network.split.
 func (f *testFleet) halves() (left, right []*testVM, group map[string]int) {
 	group = map[string]int{}
 	for i, vm := range f.vms {
@@ -47,10 +49,10 @@
 	return left, right, group
 }
 
-// TestPartitionAndMerge: two regions lose each other. An operator rolls out a bundle
-// and a target drains on one side; users of the other side are still served by
-// the old bundle. When the regions join, the other side has to take both without
-// anybody's help, though each VM there counts the first side's VMs as lost.
+// TestPartitionAndMerge: the network between two regions fails. Each side gets a
+// drain, and one side a new revision; the other keeps the old one. After the network
+// is back, both sides must get all of it without an operator, although each VM counts
+// the VMs of the other side as lost.
 func TestPartitionAndMerge(t *testing.T) {
 	f := newFleet(t, 8)
 	f.waitConnected()
@@ -72,10 +74,10 @@
 	})
 }
 
-// TestMergeAfterLostVMsAreForgotten: two regions lose each other for so long that
-// each forgets the other's VMs. They must still find each other once they can,
-// or users of one of them would stay with an old bundle for good. Each side is
-// made to forget; the time itself is not waited for.
+// TestMergeAfterLostVMsAreForgotten: the network between two regions fails for so
+// long that each forgets the VMs of the other. They must connect again once the
+// network is back, or users of one region would keep an old bundle permanently. The
+// test expires the lost VMs instead of waiting.
 func TestMergeAfterLostVMsAreForgotten(t *testing.T) {
 	f := newFleet(t, 8)
 	f.waitConnected()
@@ -97,10 +99,10 @@
 	})
 }
 
-// TestLostVMsAreRedialledWithoutPlatformList: while the platform is down two VMs lose
-// each other, and the only VM that either was given as a seed is replaced. Both
-// then know the other only as lost, from what peers told. Users of one of them
-// would stay with an old bundle until the platform is back.
+// TestLostVMsAreRedialledWithoutPlatformList: while the platform is down, the network
+// between two VMs fails, and the only seed of both stops. Each then knows the other
+// only as lost, from facts of peers. If neither dialled the other, users of one of
+// them would keep an old bundle until the platform is back.
 func TestLostVMsAreRedialledWithoutPlatformList(t *testing.T) {
 	f := newFleet(t, 0)
 	f.list.down = true
@@ -117,10 +119,11 @@
 	f.waitForAll(func(vm *testVM) bool { return vm.heads.Revision() == 2 && len(vm.Live()) == 2 }, here, there)
 }
 
-// TestSuspicionCarriesListedAddress: two VMs know each other from the platform's
-// list alone when they lose each other and the platform. One of them tells a new VM
-// that the other is lost and then dies. Users of the new VM stayed with an old
-// bundle until the platform was back: it knew the lost VM's name, but no address.
+// TestSuspicionCarriesListedAddress: a VM knows another only from the platform's list
+// when it can reach neither that VM nor the platform. It sends the loss to a new VM
+// and then stops. The new VM knew the name of the lost VM but not its address, so its
+// users kept an old bundle until the platform was back. The suspicion must carry the
+// address from the list.
 func TestSuspicionCarriesListedAddress(t *testing.T) {
 	f := newFleet(t, 0)
 	there := f.start("there", nil)
@@ -137,10 +140,10 @@
 	f.waitForAll(hasRevision(2), fresh)
 }
 
-// TestSplitCutsPendingDials: TestSplitAndJoin failed now and then, with every VM
-// still counting the other side as live: a dial that began before the split got
-// its connection after it. All suspicions were answered over that one link. The
-// tests' network must cut such a dial too.
+// TestSplitCutsPendingDials: TestPartitionAndMerge failed sometimes, because every VM
+// still counted the other side as live: a dial that began before the split got its
+// connection after it, and all suspicions were refuted over that one link. The
+// simulated network must cut such a dial too.
 func TestSplitCutsPendingDials(t *testing.T) {
 	g := NewWithT(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -157,9 +160,10 @@
 	g.Expect(n.open).To(BeEmpty())
 }
 
-// TestStartWithPlatformDown: power returns to a zone while the platform is still
-// down, so no VM can read the list of VMs. One VM holds a bundle. With a seed the
-// others find it and each other, and take the bundle over.
+// TestStartWithPlatformDown: the VMs of a zone start while the platform is down, for
+// example after a power failure, so no VM can read the list of VMs. One VM has a
+// bundle. With that VM as seed, the others must connect to it and to each other, and
+// get the bundle.
 func TestStartWithPlatformDown(t *testing.T) {
 	f := newFleet(t, 0)
 	f.list.down = true
@@ -172,10 +176,10 @@
 	f.waitForAll(hasRevision(5))
 }
 
-// TestConnectedVMStillDialsSeed: VMs start together while the platform is down. Two find
-// each other before the VM that one of them was given listens. They must go on
-// asking for it: users of an island would get no answer until the platform is
-// back, though another VM has the bundle.
+// TestConnectedVMStillDialsSeed: VMs start together while the platform is down. Two
+// connect to each other before the seed of one of them listens. That one must keep
+// dialling the seed. Otherwise the two would stay isolated, and their users would get
+// no answers until the platform is back, although another VM has the bundle.
 func TestConnectedVMStillDialsSeed(t *testing.T) {
 	f := newFleet(t, 0)
 	f.list.down = true
@@ -189,8 +193,9 @@
 	f.waitForAll(hasRevision(5))
 }
 
-// TestKilledVM: a VM dies without a word while the platform's list goes on
-// naming it. The others must count it out within seconds, or queries go there.
+// TestKilledVM: a VM is killed without a goodbye, and the platform's list still has
+// it. The others must drop it from the live VMs within seconds, or queries would
+// still be sent to it.
 func TestKilledVM(t *testing.T) {
 	f := newFleet(t, 6)
 	f.waitConnected()
@@ -199,7 +204,7 @@
 	f.waitForAll(func(vm *testVM) bool { return !slices.Contains(names(vm.Live()), "vm-005") }, f.vms[:5]...)
 }
 
-// crash ends a VM without a goodbye.
+// crash stops a VM without a goodbye.
 func (vm *testVM) crash() {
 	vm.mu.Lock()
 	vm.tomb.Kill(nil)
@@ -207,9 +212,9 @@
 	vm.server.Stop()
 }
 
-// TestLeavingVM: a VM that stops says so while it still serves; the others must
-// not count it as live any more, also if the platform's list lags, and must not
-// take it for lost.
+// TestLeavingVM: a VM announces that it is leaving while it still serves. The others
+// must not count it as live any more, even if the platform's list lags, and must not
+// mark it as lost.
 func TestLeavingVM(t *testing.T) {
 	f := newFleet(t, 5)
 	f.waitConnected()
@@ -218,9 +223,10 @@
 	f.g.Expect(names(f.vms[0].Live())).NotTo(ContainElement("vm-000"))
 }
 
-// TestIsolatedVMReturns: one VM can't be reached for a while and is counted as
-// lost; a rollout happens. When it comes back it says that it lives, by a higher
-// counter, and takes the new revision; what it still believes harms nobody.
+// TestIsolatedVMReturns: one VM can't be reached for a while and is marked as lost.
+// Meanwhile a new revision is rolled out. When the VM can be reached again, it must
+// state with a higher counter that it is alive, and get the new revision. Its
+// outdated facts must not affect the others.
 func TestIsolatedVMReturns(t *testing.T) {
 	f := newFleet(t, 6)
 	f.waitConnected()
@@ -235,9 +241,9 @@
 	f.waitForAll(func(vm *testVM) bool { return vm.heads.Revision() == 4 && len(vm.Live()) == 6 })
 }
 
-// TestReplacedWhileFrozen: a VM is frozen, the platform replaces it by a new one
-// of the same name, and then the old process runs on. It must not take the name
-// back: it finds the later process and says no more.
+// TestReplacedWhileFrozen: a VM is frozen, the platform starts a new one of the same
+// name, and then the old process continues. It must not claim the name again: it must
+// detect the later process and publish nothing more.
 func TestReplacedWhileFrozen(t *testing.T) {
 	f := newFleet(t, 5)
 	f.waitConnected()
@@ -259,9 +265,9 @@
 	}).WithTimeout(testTimeout).Should(BeTrue())
 }
 
-// TestClockBehindPredecessor: a VM is replaced by one of the same name whose
-// clock is behind. Its first word is older than its predecessor's last, so the
-// others would ignore it for good; it notices and states a later start.
+// TestClockBehindPredecessor: a VM is replaced by one of the same name whose clock is
+// behind. Its first statement is older than the last of its predecessor, so the
+// others would ignore it permanently. It must detect this and state a later start.
 func TestClockBehindPredecessor(t *testing.T) {
 	f := newFleet(t, 4)
 	f.waitConnected()
@@ -277,9 +283,9 @@
 	}, f.vms[0], f.vms[1], f.vms[2], successor)
 }
 
-// TestAllVMsReplaced: every VM is replaced one after another while the
-// platform's list goes on naming the old ones. Drains and the revision must
-// survive though no VM that learned them first is left.
+// TestAllVMsReplaced: all VMs are replaced one after another, and the platform's list
+// still has the old ones. Drains and the revision must be kept although no VM is left
+// that had them first.
 func TestAllVMsReplaced(t *testing.T) {
 	const n = 5
 	f := newFleet(t, n)
@@ -295,6 +301,8 @@
 	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == n }, f.vms[n:]...)
 }
 
+// TestWatchersInLargeFleet: if all VMs of a large fleet watched the platform, they
+// would exceed its rate limits. In a small fleet all must watch.
 func TestWatchersInLargeFleet(t *testing.T) {
 	g := NewWithT(t)
 	var vms []objstore.VM
@@ -314,9 +322,8 @@
 	g.Expect(isWatcher(vms, "stranger")).To(BeFalse())
 }
 
-// TestLostVMDialRate: after a split each half looks for the other, but
-// a VM that is really dead and still listed must not be dialled by 949 others at
-// once.
+// TestLostVMDialRate: after a partition each half dials the other, but a VM that has
+// stopped and is still listed must not be dialled by 949 others at once.
 func TestLostVMDialRate(t *testing.T) {
 	g := NewWithT(t)
 	listed, members := fleetWithLost(950, 1)
@@ -332,10 +339,10 @@
 	g.Expect(ok).To(BeTrue())
 }
 
-// TestPlaceHolders: a call through a VM that is lost would fail, and one
-// that is leaving should get nothing new while another can be called. Lost VMs
-// hold no place, leaving ones are marked, and of two that claim one place the one
-// that stays has it, or the later.
+// TestPlaceHolders: a call through a lost VM would fail, and a leaving VM should get
+// no new calls while another can be called. So lost VMs must hold no place, leaving
+// ones must be marked, and if two claim one place, the one that isn't leaving must
+// have it, or the one that started later.
 func TestPlaceHolders(t *testing.T) {
 	g := NewWithT(t)
 	places := placeHolders([]facts.Member{
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -19,7 +19,8 @@
 
 var testKey = bytes.Repeat([]byte("k"), 32)
 
-// fakeHeads holds a revision whose head and bundle are its eight bytes.
+// fakeHeads implements Heads. The head and the bundle of a revision are its eight
+// bytes.
 type fakeHeads struct {
 	mu       sync.Mutex
 	revision uint64
@@ -66,7 +67,7 @@
 	}
 }
 
-// fakeList is the platform's list of VMs, or an outage.
+// fakeList is a store that only has the platform's list of VMs, or fails.
 type fakeList struct {
 	objstore.Store
 	mu   sync.Mutex
@@ -116,7 +117,7 @@
 	return f
 }
 
-// newDefaultTimeoutFleet is newFleet with the daemon's own times until a VM counts as silent.
+// newDefaultTimeoutFleet is newFleet with the default SuspectAfter and PingInterval.
 func newDefaultTimeoutFleet(t *testing.T, n int) *testFleet {
 	f := newFleet(t, 0)
 	for i := range n {
@@ -167,7 +168,7 @@
 	return vm
 }
 
-// reservePort returns an address of this host that was free a moment ago.
+// reservePort returns an address of this host whose port was free just before.
 func reservePort(t testing.TB) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -207,13 +208,13 @@
 	return func(vm *testVM) bool { return vm.heads.Revision() == r }
 }
 
-// network lets tests cut VMs off from one another by their groups.
+// network lets tests partition VMs into groups.
 type network struct {
 	mu    sync.Mutex
 	group map[string]int // by address
 	open  map[*cuttableConn]struct{}
 
-	onConnect func() // called when a dial got its connection, unless nil
+	onConnect func() // called when a dial has its connection; may be nil
 }
 
 type cuttableConn struct {
@@ -225,7 +226,7 @@
 	return &network{group: map[string]int{}, open: map[*cuttableConn]struct{}{}}
 }
 
-// dialer returns the way in which the VM at an address reaches others.
+// dialer returns a dial function for the VM at the address *from.
 func (n *network) dialer(from *string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, to string) (net.Conn, error) {
 		n.mu.Lock()
@@ -246,8 +247,8 @@
 	}
 }
 
-// register registers a connection to be cut by the next split, unless one has come
-// between since it was dialled.
+// register adds a connection to those that the next split cuts. It fails if a split
+// has separated the two ends since the dial began.
 func (n *network) register(c *cuttableConn) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/peer/heads.go
+++ b/peer/heads.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// pullTimeout bounds getting one head with its bundle from one peer.
-	pullTimeout    = 5 * time.Second
+	// pullTimeout bounds the transfer of one head and its bundle from one peer.
+	pullTimeout = 5 * time.Second
+	// pullRetryDelay is the pause after a failed transfer.
 	pullRetryDelay = 100 * time.Millisecond
 )
 
-// announceRevisions tells the peers when this VM's own revision has risen, by whatever
-// way it learned of it.
+// announceRevisions announces each new revision of this VM to its peers, whatever
+// the source of the revision.
 func (x *Exchange) announceRevisions() error {
 	for {
 		changed := x.opts.Heads.Changed()
@@ -39,7 +40,7 @@
 	}
 }
 
-// pullHeads gets newer heads from peers, one at a time.
+// pullHeads fetches newer heads from peers, one at a time.
 func (x *Exchange) pullHeads() error {
 	for {
 		select {
@@ -53,7 +54,8 @@
 	}
 }
 
-// newestLink returns the link with the highest revision above the own, or nil.
+// newestLink returns the link whose peer has the highest revision, or nil if no
+// peer's revision is above this VM's own.
 func (x *Exchange) newestLink() *link {
 	own := x.opts.Heads.Revision()
 	x.mu.Lock()
@@ -76,8 +78,9 @@
 		x.announceRevision()
 		return
 	}
-	x.opts.Log.Warn("head of a peer not taken", "peer", l.name, "error", err)
-	// Its next message may name that revision again; until then others are asked.
+	x.opts.Log.Warn("could not take over the head of a peer", "peer", l.name, "error", err)
+	// The peer's next message may announce that revision again. Until then other
+	// peers are tried.
 	x.mu.Lock()
 	l.peerRevision = 0
 	x.mu.Unlock()
--- a/peer/health.go
+++ b/peer/health.go
@@ -6,31 +6,32 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/facts"
 )
 
-// SetTargets names the targets of the bundle in force. Only their health is kept
-// and passed on.
+// SetTargets sets the names of the targets of the bundle in force. Only their
+// health is kept and forwarded.
 func (x *Exchange) SetTargets(names []string) {
 	x.mu.Lock()
 	unknown := x.table.SetTargets(names)
 	l := x.randomLink()
 	ask := unknown && l != nil && x.tomb.Alive()
 	if ask {
-		// A VM that starts, or has just got the bundle, takes what the others know
-		// at once and need not read all targets for itself.
+		// A VM that starts or has just received the bundle gets the known health
+		// from a peer at once, and need not read all targets itself.
 		x.tomb.Go(func() error { x.sync(l); return nil })
 	}
 	x.mu.Unlock()
 }
 
-// Health returns what is known of a target.
+// Health returns the last statement about a target and reports whether there is one.
 func (x *Exchange) Health(target string) (facts.Health, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.table.Health(target)
 }
 
-// TellHealth states next in place of base, which is the zero Stamp if nothing was
-// known. It does nothing if something else is known by now, or if this VM may not
-// speak any more, and reports whether the statement was made.
+// TellHealth publishes the statement next in place of the one with the stamp base,
+// which is the zero Stamp if there was none. It reports whether next was
+// published. It does nothing if the current statement isn't base any more, or if
+// this VM is leaving or was replaced.
 func (x *Exchange) TellHealth(next facts.Health, base facts.Stamp) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -47,7 +48,8 @@
 	return true
 }
 
-// TakeHealth returns what was learned of targets since the last call.
+// TakeHealth returns the current statements about the targets whose health has
+// changed since the last call.
 func (x *Exchange) TakeHealth() []facts.Health {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -61,11 +63,12 @@
 	return list
 }
 
-// HealthChanged returns a channel on which something can be received once there
-// is news for TakeHealth. It has one user.
+// HealthChanged returns a channel that receives a value when TakeHealth has
+// something to return. It is always the same channel, for a single receiver.
 func (x *Exchange) HealthChanged() <-chan struct{} { return x.healthChanged }
 
-// signalHealth must hold mu.
+// signalHealth records that the health of a target has changed and signals
+// HealthChanged. The caller must hold mu.
 func (x *Exchange) signalHealth(target string) {
 	x.changedTargets[target] = struct{}{}
 	x.lastHealthLearned = time.Now()
--- a/peer/health_test.go
+++ b/peer/health_test.go
@@ -9,7 +9,7 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/facts"
 )
 
-// targetNames are the targets of every test's bundle.
+// targetNames returns the names of n targets.
 func targetNames(n int) (list []string) {
 	for i := range n {
 		list = append(list, fmt.Sprint("t", i))
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestHealthReachesAll: what one VM states of a target reaches all others, and
-// each is told once that there is news.
+// TestHealthReachesAll: what one VM publishes about a target must reach all others,
+// and each must return it from TakeHealth once.
 func TestHealthReachesAll(t *testing.T) {
 	f := newFleet(t, 8)
 	f.waitConnected()
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestOutdatedHealthIsNotPublished: an owner reads a target, is frozen, and hears
-// of a newer incarnation before it states what it read. Its statement, made from
-// what it knew before, must not be made.
+// TestOutdatedHealthIsNotPublished: an owner reads a target, is frozen, and receives a
+// statement about a newer incarnation before it publishes what it read. Its own
+// statement is based on the earlier one, and must not be published.
 func TestOutdatedHealthIsNotPublished(t *testing.T) {
 	f := newFleet(t, 2)
 	f.waitConnected()
@@ -68,9 +68,10 @@
 	f.g.Expect(f.vms[0].TellHealth(late, base.Stamp)).To(BeFalse())
 }
 
-// TestNewVMSyncsHealth: a VM starts where thousands of targets are known. If
-// it had to read them all, or got them one by one, callers would wait; if it passed
-// them on, the others would be told what they know.
+// TestNewVMSyncsHealth: a VM starts in a fleet that knows thousands of targets. It must
+// get their health from a peer in bulk. If it had to read all targets, or received them
+// one by one, callers would wait. If it forwarded them, the others would receive what
+// they already know.
 func TestNewVMSyncsHealth(t *testing.T) {
 	const targets = 3 * maxDiffFacts
 	f := newFleet(t, 3)
@@ -87,9 +88,9 @@
 	f.waitForAll(all)
 }
 
-// TestHealthAfterSplit: regions lose each other while targets restart on one side
-// and drain on the other. When they join, the later incarnation counts everywhere,
-// and no VM goes back to an earlier one.
+// TestHealthAfterSplit: the network between two regions fails, and targets restart on
+// one side and drain on the other. After the network is back, all VMs must have the
+// latest incarnation, and none may return to an earlier one.
 func TestHealthAfterSplit(t *testing.T) {
 	f := newFleet(t, 6)
 	f.waitConnected()
@@ -109,9 +110,10 @@
 	f.waitForAll(func(vm *testVM) bool { return hasEpoch("t0", 3)(vm) && hasEpoch("t1", 2)(vm) })
 }
 
-// TestHealthWithDifferentBundles: during a rollout some VMs have a bundle without
-// a target that others still tell of. Comparing would find a difference each time
-// and never end it; they compare again once both have the same revision.
+// TestHealthWithDifferentBundles: during a rollout some VMs have a bundle without a
+// target that others still publish. A comparison would find a difference each time and
+// could never resolve it. So the health of targets must be compared only between VMs
+// with the same revision.
 func TestHealthWithDifferentBundles(t *testing.T) {
 	f := newFleet(t, 2)
 	f.waitConnected()
--- a/peer/link.go
+++ b/peer/link.go
@@ -9,37 +9,38 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// link is a connection to another VM with what is still to be told over it.
-// Exchange.mu guards its fields.
+// link is a connection to another VM with the facts that are still to be sent over
+// it. Exchange.mu guards its fields.
 type link struct {
 	conn          *wire.Conn
 	name          string
 	openedAt      time.Time
 	pending       map[facts.Key]struct{}
-	wakeScheduled bool   // only health of targets is pending, and a wake is set for it
-	sendRevision  bool   // the own revision is to be told
-	peerRevision  uint64 // highest revision that the peer said it has
-	goodbye       bool   // the peer closes it on purpose
+	wakeScheduled bool   // a delayed signal is scheduled for pending health
+	sendRevision  bool   // this VM's revision is to be sent
+	peerRevision  uint64 // highest revision that the peer announced; 0 after a failed pull
+	goodbye       bool   // one side closes it on purpose
 	wake          chan struct{}
 }
 
 const (
-	// batchDelay is how long a sender waits for more to tell in the same message.
+	// batchDelay is how long a sender waits for more facts for the same message.
 	batchDelay = 10 * time.Millisecond
-	// healthBatchDelay is the same for the health of targets, which is read a second
-	// apart: an index switch comes as thousands of statements, and the more go in
-	// one message, the fewer bytes each takes and the more often a peer has told
-	// of it first.
+	// healthBatchDelay is the same for the health of targets, which is read at
+	// intervals of 1 s. An index switch causes thousands of statements. With more of
+	// them in one message, each takes fewer bytes, and more of them have already
+	// arrived from the peer and need not be sent to it.
 	healthBatchDelay = 100 * time.Millisecond
 	// maxFacts bounds the facts in one message.
 	maxFacts = 256
 )
 
-// maxConns bounds the connections of other VMs, those for calls included: as
-// many as the largest fleet may have VMs, and some.
+// maxConns bounds the connections accepted from other VMs, those for calls
+// included. It exceeds the number of VMs of the largest fleet.
 const maxConns = 2048
 
-// WireOptions are those of this VM's connections, for others of its uses.
+// WireOptions returns the options of this VM's connections, for connections to
+// other VMs that serve another use than the exchange.
 func (x *Exchange) WireOptions() wire.Options { return x.wireOptions() }
 
 func (x *Exchange) wireOptions() wire.Options {
@@ -58,9 +59,9 @@
 	}
 }
 
-// handleAccepted takes a connection of another VM. If there are too many, the oldest
-// of the others' is closed: the VM that opened it knows more VMs by then. This
-// spreads the load of those that all VMs know first.
+// handleAccepted adds a connection from another VM. If there are too many, the
+// oldest accepted one is closed: the VM that opened it knows more VMs by then.
+// This spreads the load of the VMs that all others know first, such as seeds.
 func (x *Exchange) handleAccepted(conn *wire.Conn) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -89,7 +90,8 @@
 	}
 }
 
-// addLink must hold mu, with the tomb alive.
+// addLink registers a connection and starts its sender. The caller must hold mu and
+// have seen the tomb alive.
 func (x *Exchange) addLink(conn *wire.Conn) *link {
 	l := &link{
 		conn:         conn,
@@ -106,7 +108,8 @@
 	return l
 }
 
-// dropLink closes a link on purpose. It must hold mu.
+// dropLink closes a link on purpose, with a goodbye to the peer. The caller must
+// hold mu.
 func (x *Exchange) dropLink(l *link) {
 	delete(x.links, l)
 	l.goodbye = true
@@ -117,6 +120,7 @@
 	})
 }
 
+// signal wakes the sender of the link.
 func (l *link) signal() {
 	select {
 	case l.wake <- struct{}{}:
@@ -124,7 +128,7 @@
 	}
 }
 
-// signalLater wakes the sender after healthGather. It must hold mu.
+// signalLater wakes the sender after healthBatchDelay. The caller must hold mu.
 func (l *link) signalLater() {
 	if !l.wakeScheduled {
 		l.wakeScheduled = true
@@ -132,8 +136,8 @@
 	}
 }
 
-// forward tells a fact to all links but the one that it came from. It must hold
-// mu.
+// forward queues a fact for all links except the one that it came from. The caller
+// must hold mu.
 func (x *Exchange) forward(f facts.Fact, from *link) {
 	for l := range x.links {
 		if l == from {
@@ -148,7 +152,7 @@
 	}
 }
 
-// runLink sends what is to be told until the connection ends.
+// runLink sends pending facts and revisions until the connection ends.
 func (x *Exchange) runLink(l *link) error {
 	defer l.conn.Close()
 	for {
@@ -177,8 +181,8 @@
 	}
 }
 
-// nextMessage returns the next message for a link, or nil, and whether there is
-// more.
+// nextMessage returns the next message for a link, or nil if nothing is pending,
+// and reports whether more is pending.
 func (x *Exchange) nextMessage(l *link) (*tellMessage, bool) {
 	revision := x.opts.Heads.Revision()
 	news := &tellMessage{}
@@ -206,8 +210,8 @@
 	return news, more
 }
 
-// handleLinkLoss finds out why a connection ended: unless the peer said goodbye, it is
-// dialled once more, and suspected if that fails.
+// handleLinkLoss handles the end of a connection. Unless it was closed on purpose,
+// the peer is dialled again, and suspected if that fails.
 func (x *Exchange) handleLinkLoss(l *link) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -220,8 +224,8 @@
 	}
 }
 
-// dial opens a connection in the background. A failure makes the VM of that
-// name suspect; a seed has no name. It must hold mu.
+// dial opens a connection in the background. If it fails, the VM of that name is
+// suspected. For a seed name is empty. The caller must hold mu.
 func (x *Exchange) dial(name, address string) {
 	if x.dialing[address] || address == x.opts.VM.Address || !x.tomb.Alive() {
 		return
@@ -236,13 +240,14 @@
 	})
 }
 
+// dialTimeout bounds the dial of one peer.
 const dialTimeout = 2 * time.Second
 
 func (x *Exchange) handleDialed(name, address string, conn *wire.Conn, err error) {
 	x.mu.Lock()
 	delete(x.dialing, address)
 	if err != nil {
-		x.opts.Log.Debug("peer not reached", "vm", name, "address", address, "error", err)
+		x.opts.Log.Debug("could not connect to peer", "vm", name, "address", address, "error", err)
 		if name != "" && x.tomb.Alive() {
 			x.suspect(name, time.Now())
 		}
@@ -264,7 +269,7 @@
 	x.sync(l)
 }
 
-// linkedTo must hold mu.
+// linkedTo reports whether there is a link to the named VM. The caller must hold mu.
 func (x *Exchange) linkedTo(name string) bool {
 	for l := range x.links {
 		if l.name == name {
@@ -274,7 +279,7 @@
 	return false
 }
 
-// outbound counts the links that this VM opened. It must hold mu.
+// outbound counts the links that this VM dialled. The caller must hold mu.
 func (x *Exchange) outbound() int {
 	n := 0
 	for l := range x.links {
@@ -285,6 +290,7 @@
 	return n
 }
 
+// linkOf returns the link of a connection, or nil. The caller must hold mu.
 func (x *Exchange) linkOf(conn *wire.Conn) *link {
 	for l := range x.links {
 		if l.conn == conn {
@@ -294,11 +300,12 @@
 	return nil
 }
 
-// flushLimit bounds the last messages of a VM that stops: a peer that has gone
-// silent must not hold it up.
+// flushLimit bounds how long a stopping VM waits for its last messages to be sent,
+// so that a peer that doesn't respond can't delay it.
 const flushLimit = 500 * time.Millisecond
 
-// flush waits until everything told so far has been written, for a short time.
+// flush waits until all pending facts have been written, at most flushLimit and a
+// short pause.
 func (x *Exchange) flush() {
 	end := time.Now().Add(flushLimit)
 	for x.tomb.Alive() && time.Now().Before(end) && x.hasPending() {
--- a/peer/live.go
+++ b/peer/live.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	// maxAllWatchVMs is the size of fleet up to which every VM watches the
-	// platform. A watch counts as a call, and the platform's rates don't grow
-	// with the fleet.
+	// maxAllWatchVMs is the number of VMs up to which every VM watches the platform.
+	// A watch counts as a call, and the platform's rate limits don't grow with the
+	// fleet.
 	maxAllWatchVMs = 16
-	// watchersPerZone is how many VMs of each availability zone watch in a
-	// larger fleet, so that the loss of a zone or region leaves some.
+	// watchersPerZone is the number of VMs in each availability zone that watch the
+	// platform in a larger fleet, so that some are left after the loss of a zone or
+	// region.
 	watchersPerZone = 2
 )
 
-// liveVMs corrects the platform's list by what is known of the VMs.
+// liveVMs returns the VMs that are alive and not leaving, sorted by name: the
+// platform's list, corrected by the known members.
 func liveVMs(listed []objstore.VM, members []facts.Member) []objstore.VM {
 	known := make(map[string]facts.Member, len(members))
 	for _, m := range members {
@@ -56,8 +58,8 @@
 	return objstore.VM{Name: m.Name, Address: m.Address, Ops: m.Ops, Zone: m.Zone, Leaving: m.State == facts.Leaving}
 }
 
-// isWatcher tells whether the named VM is one of those that watch the platform.
-// VMs whose views differ for a while make it a few more or fewer.
+// isWatcher reports whether the named VM is one of those that watch the platform.
+// While the VMs' views of the fleet differ, a few more or fewer watch.
 func isWatcher(live []objstore.VM, name string) bool {
 	if len(live) <= maxAllWatchVMs {
 		return true
@@ -80,10 +82,11 @@
 	return xxhash.Sum64String("watch\x00" + name)
 }
 
-// placeHolders returns the VMs that hold places. While a place changes hands two may
-// claim it; the one that stays has it, or the one that started later. A VM that is
-// leaving is returned as such: it still serves what reaches it, but nothing new
-// should, unless nobody else can.
+// placeHolders returns the VMs that hold places, by place counted from 0. While a
+// place passes from one VM to another both may claim it. The one that isn't
+// leaving has it, or the one that started later. A VM that is leaving is marked as
+// such: it still serves the requests that it receives, but it should get new ones
+// only if no other VM can serve them.
 func placeHolders(members []facts.Member) map[int]objstore.VM {
 	holders := map[int]facts.Member{}
 	for _, m := range members {
@@ -101,7 +104,7 @@
 	return places
 }
 
-// winsPlace tells whether m has a place that other claims as well.
+// winsPlace reports whether m is the holder of a place that other claims as well.
 func winsPlace(m, other facts.Member) bool {
 	if leaves := m.State == facts.Leaving; leaves != (other.State == facts.Leaving) {
 		return !leaves
--- a/peer/members.go
+++ b/peer/members.go
@@ -8,25 +8,26 @@
 
 const (
 	// suspectAgainAfter is the least time between two suspicions of one VM by this
-	// one: where only this VM can't reach it, the two would otherwise flood the
-	// fleet with suspicion and answer. It also bounds how long a VM that is cut
-	// off counts as live if its answer to the first suspicion was the last thing
-	// that came through.
+	// one. If only this VM can't reach it, the two would otherwise flood the fleet
+	// with suspicions and refutations. It also bounds how long an isolated VM counts
+	// as live if its refutation of the first suspicion was its last message that
+	// arrived.
 	suspectAgainAfter = 10 * time.Second
-	// startupPeriod is how long after its start a process may find that its clock is
-	// behind that of an earlier process of its name.
+	// startupPeriod is how long after its start a process that sees a statement of a
+	// later process of its name takes its own clock to be behind. After it, the
+	// process takes itself to be replaced.
 	startupPeriod = 15 * time.Second
 )
 
-// mergeAndForward merges a fact heard from a peer, or found out here if from is nil, and
-// passes on what is new. It must hold mu.
+// mergeAndForward merges a fact received from a peer, or found by this VM if from
+// is nil, and forwards it if it is new. The caller must hold mu.
 func (x *Exchange) mergeAndForward(f facts.Fact, from *link, now time.Time) {
 	if x.merge(f, from, now) {
 		x.forward(f, from)
 	}
 }
 
-// merge merges a fact and tells whether it is new. It must hold mu.
+// merge merges a fact and reports whether it is new. The caller must hold mu.
 func (x *Exchange) merge(f facts.Fact, from *link, now time.Time) bool {
 	if !x.table.Merge(f, now.Unix()) {
 		if from != nil && x.table.Contains(f) {
@@ -47,7 +48,8 @@
 	return true
 }
 
-// handleMemberFact must hold mu.
+// handleMemberFact handles a new fact about a VM: it answers one about this VM, and
+// starts or ends the suspicion of another. The caller must hold mu.
 func (x *Exchange) handleMemberFact(m facts.Member, now time.Time) {
 	if m.Name == x.self.Name {
 		x.handleSelfFact(m, now)
@@ -60,11 +62,11 @@
 	}
 }
 
-// handleSelfFact answers a statement about this VM that outranks its own. A
-// suspicion is answered with a higher counter. A statement about a later
-// process means either that this one has been replaced, while it was frozen
-// perhaps, and must say no more; or, if this one is young, that its clock is
-// behind.
+// handleSelfFact answers a statement about this VM that outranks its own. It
+// refutes a suspicion with a higher counter. A statement about a later process has
+// one of two causes. Within startupPeriod, this VM's clock is behind, and it states
+// a later start. After that, this process has been replaced, perhaps while it was
+// frozen, and must not publish anything more.
 func (x *Exchange) handleSelfFact(m facts.Member, now time.Time) {
 	switch {
 	case m.Incarnation == x.self.Incarnation:
@@ -74,12 +76,12 @@
 		x.publishSelf(0)
 	case !x.replaced:
 		x.replaced = true
-		x.opts.Log.Error("another process carries this VM's name", "incarnation", m.Incarnation)
+		x.opts.Log.Error("another process has this VM's name", "incarnation", m.Incarnation)
 	}
 }
 
-// publishSelf states this VM's own state with a counter above the given one. It must
-// hold mu.
+// publishSelf publishes this VM's own state with a counter above the given one. It
+// does nothing if this process was replaced. The caller must hold mu.
 func (x *Exchange) publishSelf(above uint64) {
 	if x.replaced {
 		return
@@ -92,7 +94,7 @@
 	x.forward(f, nil)
 }
 
-// suspect states that a VM could not be reached. It must hold mu.
+// suspect publishes that a VM could not be reached. The caller must hold mu.
 func (x *Exchange) suspect(name string, now time.Time) {
 	m, known := x.table.Member(name)
 	if name == x.self.Name || (known && m.State >= facts.Suspect) {
@@ -111,10 +113,11 @@
 	x.mergeAndForward(facts.Fact{Member: &m}, nil, now)
 }
 
-// listedMember is what the platform's list says of a VM that has not spoken for
-// itself yet. Its address goes along with a suspicion: a VM without the list that
-// is told of it could otherwise never look for the suspected one. Its start is not
-// known, so whatever the VM says of itself outranks it. It must hold mu.
+// listedMember returns the data of the platform's list on a VM that has not sent a
+// statement of its own yet. The address is sent with a suspicion: a VM that
+// receives the suspicion and doesn't have the list could otherwise never dial the
+// suspected VM. The start time is not known, so any statement of the VM itself
+// outranks this one. The caller must hold mu.
 func (x *Exchange) listedMember(name string) facts.Member {
 	m := facts.Member{Name: name}
 	for _, vm := range x.listed {
@@ -125,9 +128,9 @@
 	return m
 }
 
-// expireSuspects declares those lost that didn't answer in time. Every VM does so
-// by its own timer from the same fact, so there is nothing to pass on. It must
-// hold mu.
+// expireSuspects marks suspected VMs as lost that didn't answer within
+// SuspectAfter. Every VM does so by its own timer from the same fact, so the
+// result isn't sent. The caller must hold mu.
 func (x *Exchange) expireSuspects(now time.Time) {
 	for name, since := range x.suspectedSince {
 		if now.Sub(since) < x.opts.SuspectAfter {
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -14,11 +14,11 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// The methods of the exchange. All but tell and goodbye have an answer.
+// The methods of the exchange. All except tell and goodbye have an answer.
 const (
-	methodTell    = "exchange.tell"    // tellMessage: what is new
-	methodSync    = "exchange.sync"    // syncRequest -> syncAnswer: digests
-	methodDiff    = "exchange.diff"    // diffRequest -> diffAnswer: where they differ
+	methodTell    = "exchange.tell"    // tellMessage: new facts
+	methodSync    = "exchange.sync"    // syncRequest -> syncAnswer: compares digests
+	methodDiff    = "exchange.diff"    // diffRequest -> diffAnswer: facts of the differing buckets
 	methodHead    = "exchange.head"    // -> headAnswer
 	methodBundle  = "exchange.bundle"  // bundleRequest -> bundleAnswer
 	methodGoodbye = "exchange.goodbye" // this connection is closed on purpose
@@ -32,12 +32,12 @@
 type syncRequest struct {
 	Revision uint64 `json:"r"`
 	Root     uint64 `json:"d"`
-	Targets  uint64 `json:"t"` // the root of what is known of targets
+	Targets  uint64 `json:"t"` // the root of the health of targets
 }
 
 // syncAnswer has the digests of the buckets only if the roots differ, and those
-// of targets only if both VMs have the same revision: what is known of targets
-// belongs to those of the bundle in force.
+// of targets only if both VMs have the same revision: only the health of targets
+// of the bundle in force is kept, so it can't be compared across revisions.
 type syncAnswer struct {
 	Revision uint64 `json:"r"`
 	Digest   []byte `json:"b,omitempty"`
@@ -52,7 +52,7 @@
 type diffAnswer struct {
 	factPayload
 	Want []facts.Key `json:"w,omitempty"`
-	More bool        `json:"m,omitempty"` // there are more facts than fit
+	More bool        `json:"m,omitempty"` // the sender has more facts than fit
 }
 
 type headAnswer struct {
@@ -67,10 +67,11 @@
 	Gzip []byte `json:"z"`
 }
 
-// callTimeout bounds each call of the exchange but the transfer of a bundle.
+// callTimeout bounds one comparison with a peer, with all its calls. The transfer of
+// a bundle is bounded by pullTimeout instead.
 const callTimeout = 2 * time.Second
 
-// handle serves the peers' messages.
+// handle serves requests and notifications from peers.
 func (x *Exchange) handle(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
 	if conn.Use() != "" && x.opts.CallHandler != nil {
 		return x.opts.CallHandler(ctx, conn, method, params)
@@ -94,6 +95,7 @@
 	}
 }
 
+// serve decodes the parameters and passes them to f.
 func serve[M any](params json.RawMessage, f func(*M) (any, error)) (any, error) {
 	var m M
 	if err := decode(params, &m); err != nil {
@@ -118,8 +120,8 @@
 	return nil
 }
 
-// recordPeerRevision notes a peer's revision and wakes the loop that gets newer ones.
-// It must hold mu.
+// recordPeerRevision records a peer's revision if it is higher than the last, and
+// wakes pullHeads. The caller must hold mu.
 func (x *Exchange) recordPeerRevision(l *link, revision uint64) {
 	if l == nil || revision <= l.peerRevision {
 		return
@@ -164,11 +166,12 @@
 	return diffAnswer{factPayload: given, Want: want, More: more}
 }
 
-// sync compares digests with a peer and exchanges what differs. A peer that
-// doesn't answer in time loses the connection, which may have gone silent.
+// sync compares digests with a peer and exchanges the facts that differ. If the
+// peer doesn't answer in time, the connection is closed, since it may no longer
+// carry any data.
 func (x *Exchange) sync(l *link) {
 	if err := x.trySync(l); err != nil {
-		x.opts.Log.Debug("exchange failed", "peer", l.name, "error", err)
+		x.opts.Log.Debug("comparison with a peer failed", "peer", l.name, "error", err)
 		if result.Of(err) != result.PeerBusy {
 			l.conn.Close()
 		}
@@ -200,15 +203,16 @@
 }
 
 const (
-	// maxDiffFacts bounds the facts in one answer, which must fit a message
-	// also if all are as large as facts.MaxHealthBytes.
+	// maxDiffFacts bounds the facts in one answer, which must fit in a message
+	// even if all of them are as large as facts.MaxHealthBytes.
 	maxDiffFacts = 400
-	// maxDiffRounds bounds what one comparison brings. More comes with the next.
+	// maxDiffRounds bounds the diff calls of one comparison. The next comparison
+	// transfers what is left.
 	maxDiffRounds = 24
 )
 
-// diff exchanges what differs in the buckets of an answer and tells whether the
-// peer has more than it gave.
+// diff exchanges the facts that differ in the buckets of an answer, and reports
+// whether the peer has more facts than it sent.
 func (x *Exchange) diff(ctx context.Context, l *link, answer *syncAnswer) (more bool, err error) {
 	x.mu.Lock()
 	buckets := x.table.Differing(facts.General, answer.Digest)
@@ -236,14 +240,15 @@
 	young := now.Sub(x.startTime) < startupPeriod
 	for _, f := range given {
 		if f.Health != nil && young {
-			// What a VM that starts takes over, thousands of facts, is known to
-			// the others; it would be sent over each of its connections.
+			// A VM that starts receives thousands of facts that the others
+			// already know. Forwarding would send them over each of its
+			// connections.
 			x.merge(f, l, now)
 			continue
 		}
 		x.mergeAndForward(f, l, now)
 	}
-	if !differing.More { // else the peer may want what it is about to give
+	if !differing.More { // otherwise the peer may list facts in Want that it is about to send
 		for _, key := range differing.Want {
 			l.pending[key] = struct{}{}
 		}
@@ -271,6 +276,7 @@
 // maxBundleBytes bounds a bundle with its sign-offs after decompression.
 const maxBundleBytes = 2 * objstore.MaxValue
 
+// fetchBundle gets a bundle with its sign-offs from a peer.
 func (x *Exchange) fetchBundle(ctx context.Context, l *link, digest string) ([]byte, error) {
 	var answer bundleAnswer
 	if err := l.conn.Call(ctx, methodBundle, bundleRequest{Digest: digest}, &answer); err != nil {
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -25,15 +25,15 @@
 	return set
 }
 
-// healthTargets is the number of targets of which something is known.
+// healthTargets returns the number of targets whose health is known.
 func (x *Exchange) healthTargets() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return float64(x.table.HealthCount())
 }
 
-// healthLearnedSeconds is the Unix time at which this VM last learned something
-// of a target, 0 before the first.
+// healthLearnedSeconds returns the Unix time at which the health of a target last
+// changed on this VM, or 0 if none has.
 func (x *Exchange) healthLearnedSeconds() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -47,15 +47,15 @@
 	return x.table.LostCount()
 }
 
-// drainLearnedSeconds is the Unix time at which this VM last learned of a drain,
-// 0 before the first.
+// drainLearnedSeconds returns the Unix time at which this VM last learned of a
+// drain, or 0 if it has learned of none.
 func (x *Exchange) drainLearnedSeconds() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return unixSeconds(x.lastDrainLearned)
 }
 
-// unixSeconds is 0 for the zero time.
+// unixSeconds returns the Unix time in seconds, or 0 for the zero time.
 func unixSeconds(t time.Time) float64 {
 	if t.IsZero() {
 		return 0
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -12,31 +12,31 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// packedFacts are facts as compressed JSON. Facts of many targets repeat names of
-// snapshots and fields.
+// packedFacts holds facts as compressed JSON. Compression pays because the facts of
+// many targets repeat the names of snapshots and fields.
 type packedFacts []byte
 
 const (
-	// minPackedFacts is the number of facts from which packing saves anything.
+	// minPackedFacts is the smallest number of facts for which packing saves bytes.
 	minPackedFacts = 4
 	// maxUnpackedBytes bounds packed facts after decompression.
 	maxUnpackedBytes = maxDiffFacts * (facts.MaxHealthBytes + 64)
 )
 
-// flateWriters are kept because each takes more than half a megabyte to make.
+// flateWriters reuses writers because each one allocates more than half a megabyte.
 var flateWriters = sync.Pool{New: func() any {
 	w, _ := flate.NewWriter(nil, flate.BestSpeed) // the level is valid
 	return w
 }}
 
-// factPayload are facts in one of two forms.
+// factPayload holds facts in one of two encodings; the other field is empty.
 type factPayload struct {
 	Facts  []facts.Fact `json:"f,omitempty"`
 	Packed packedFacts  `json:"p,omitempty"`
 }
 
-// encodeFacts gives facts the form for a connection: packed, unless there are so few that
-// it saves nothing or the peer is of a version that doesn't know it.
+// encodeFacts encodes facts for a connection: packed, unless there are so few that
+// packing saves nothing, or the peer's version doesn't support it.
 func encodeFacts(conn *wire.Conn, list []facts.Fact) factPayload {
 	if len(list) < minPackedFacts || conn.Version() < wire.VersionCBOR {
 		return factPayload{Facts: list}
@@ -44,7 +44,7 @@
 	return factPayload{Packed: packFacts(list)}
 }
 
-// decode returns the facts, of which there may be that many.
+// decode returns the facts. More facts than most are an error.
 func (s factPayload) decode(most int) ([]facts.Fact, error) {
 	list := s.Facts
 	if len(s.Packed) > 0 {
@@ -64,11 +64,12 @@
 	w := flateWriters.Get().(*flate.Writer)
 	defer flateWriters.Put(w)
 	w.Reset(&buf)
-	_ = json.NewEncoder(w).Encode(list) // facts always marshal, and a buffer takes all
+	_ = json.NewEncoder(w).Encode(list) // facts always marshal, and writes to a buffer don't fail
 	_ = w.Close()
 	return buf.Bytes()
 }
 
+// unpack decompresses and decodes the facts, at most maxUnpackedBytes.
 func (p packedFacts) unpack() ([]facts.Fact, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p)), maxUnpackedBytes+1))
 	if err != nil {
--- a/peer/pack_test.go
+++ b/peer/pack_test.go
@@ -11,9 +11,9 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/facts"
 )
 
-// TestPackedFactsAreBounded: packed facts come back as they were; what is no
-// facts, too many, or unpacks to more than the bound is refused and costs no more
-// memory than that.
+// TestPackedFactsAreBounded: packed facts must unpack unchanged. Data that isn't packed
+// facts, too many facts, and data that unpacks to more than the bound must be refused,
+// and must not take more memory than the bound.
 func TestPackedFactsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var list []facts.Fact
--- a/peer/spread_bench_test.go
+++ b/peer/spread_bench_test.go
@@ -9,8 +9,9 @@
 )
 
 // BenchmarkSpread measures how long a drain and a revision, each known to one VM,
-// take to reach the last of many VMs, all in this process with connections over
-// the loopback and the default times. Heads are fakes, so nothing is verified.
+// take to reach the last of many VMs. All VMs run in this process, with connections
+// over the loopback interface and the default intervals. Heads are fakes, so no
+// signature is verified.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{50, 200, 400} {
 		b.Run(fmt.Sprint("vms=", n), func(b *testing.B) { benchmarkSpread(b, n) })
@@ -33,7 +34,7 @@
 		for _, vm := range f.vms {
 			for !check(vm) {
 				if time.Since(begin) > limit {
-					b.Fatalf("%s has not heard of it", vm.opts.VM.Name)
+					b.Fatalf("%s has not received it", vm.opts.VM.Name)
 				}
 				time.Sleep(time.Millisecond)
 			}
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -8,12 +8,13 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/facts"
 )
 
-// pausedAfterTicks is how many intervals late a tick is when the process must have
-// been frozen. All its connections then look silent though the others live.
+// pausedAfterTicks is the delay of a tick, in intervals, from which the process
+// counts as having been frozen. All its connections then look silent although the
+// peers are alive.
 const pausedAfterTicks = 5
 
-// tick does what is due: judges suspects, keeps the number of connections, and
-// compares digests with one peer.
+// tick does the periodic work: it expires suspects and lost VMs, maintains the
+// connections, and starts a digest comparison with one peer.
 func (x *Exchange) tick(now time.Time) {
 	x.mu.Lock()
 	if now.Sub(x.lastTick) > pausedAfterTicks*x.opts.Interval {
@@ -32,17 +33,18 @@
 	}
 }
 
-// dropLinksAfterPause drops all connections without suspecting anybody: after a freeze the
-// silence was this VM's own. It must hold mu.
+// dropLinksAfterPause closes all connections without suspecting their peers: after
+// a freeze this VM is the cause of the silence. The caller must hold mu.
 func (x *Exchange) dropLinksAfterPause() {
-	x.opts.Log.Warn("process was paused; peers are dialled anew")
+	x.opts.Log.Warn("process was paused; dialling peers again")
 	for l := range x.links {
 		x.dropLink(l)
 	}
 }
 
-// maintainLinks opens connections up to the fanout, replaces one now and then so
-// that the VMs mix, and looks for VMs that were lost. It must hold mu.
+// maintainLinks dials VMs up to the fanout, replaces one connection every
+// RotateInterval so that the connections stay random, and dials VMs that were lost.
+// The caller must hold mu.
 func (x *Exchange) maintainLinks(now time.Time) {
 	if missing := x.opts.Fanout - x.outbound() - len(x.dialing); missing > 0 {
 		candidates := x.unlinkedVMs(x.liveLocked())
@@ -64,10 +66,11 @@
 	}
 }
 
-// knownVMs returns the platform's list of VMs. A VM that never got one, since
-// it started while the platform was down, has to go by what peers told: else two
-// halves of a fleet whose VMs were all replaced in that time would know each
-// other only as lost, and neither would look for the other. It must hold mu.
+// knownVMs returns the platform's list of VMs. A VM that never read the list,
+// because it started while the platform was down, uses the members known from its
+// peers. Otherwise two halves of a fleet whose VMs were all replaced in that time
+// would know each other only as lost, and neither would dial the other. The caller
+// must hold mu.
 func (x *Exchange) knownVMs() []objstore.VM {
 	if x.listed != nil {
 		return x.listed
@@ -81,11 +84,11 @@
 	return known
 }
 
-// dialSeed dials one of the seeds that this VM isn't connected to. It must hold
-// mu. It is done also on a VM that has connections but knows nobody else: VMs
-// that start together while the platform is down may find one another first,
-// and would stay an island without a bundle if their connections kept them from
-// asking the seeds.
+// dialSeed dials a random one of the seeds that this VM isn't connected to. This
+// happens also if the VM has connections but knows no other VMs: VMs that start
+// together while the platform is down may connect to each other first. If their
+// connections kept them from dialling the seeds, they would stay isolated without a
+// bundle. The caller must hold mu.
 func (x *Exchange) dialSeed() {
 	linked := map[string]bool{}
 	for l := range x.links {
@@ -104,6 +107,8 @@
 	}
 }
 
+// unlinkedVMs returns the VMs that have an address and to which this VM has no link.
+// The caller must hold mu.
 func (x *Exchange) unlinkedVMs(live []objstore.VM) []objstore.VM {
 	taken := map[string]bool{x.opts.VM.Name: true}
 	for l := range x.links {
@@ -118,8 +123,8 @@
 	return list
 }
 
-// rotate closes the oldest own connection if there is another VM to turn to;
-// the next tick dials it. It must hold mu.
+// rotate closes the oldest dialled connection if there is another VM to connect
+// to; the next tick dials one. The caller must hold mu.
 func (x *Exchange) rotate(candidates []objstore.VM) {
 	if len(candidates) == 0 {
 		return
@@ -135,6 +140,7 @@
 	}
 }
 
+// randomLink returns a random link, or nil if there is none. The caller must hold mu.
 func (x *Exchange) randomLink() *link {
 	n := len(x.links)
 	if n == 0 {
@@ -150,7 +156,7 @@
 	return nil
 }
 
-// pickRandom returns up to n VMs chosen at random.
+// pickRandom returns up to n VMs chosen at random. It shuffles vms.
 func pickRandom(vms []objstore.VM, n int) []objstore.VM {
 	if n <= 0 {
 		return nil
@@ -159,14 +165,15 @@
 	return vms[:min(n, len(vms))]
 }
 
-// lostDialsPerSecond is how often, by the whole fleet, a VM is dialled that is
-// listed by the platform but counts as lost.
+// lostDialsPerSecond is how often per second the whole fleet dials a VM that the
+// platform lists but that counts as lost.
 const lostDialsPerSecond = 2
 
-// pickLost chooses a VM that counts as lost though the platform lists it.
-// After a split each half counts the other as lost; somebody has to try, but not
-// all VMs at once: chance, from 0 to 1, decides, so that the whole fleet makes
-// about two dials a second to each such VM, whatever its size.
+// pickLost chooses a VM to dial that counts as lost although the platform lists it,
+// and reports whether there is one. After a network partition each half counts the
+// other as lost. Some VMs have to dial the other half, but not all at once. So
+// chance, a random number from 0 to 1, decides: the whole fleet makes about 2 dials
+// per second to each such VM, whatever the fleet's size.
 func pickLost(listed []objstore.VM, members []facts.Member, chance float64) (objstore.VM, bool) {
 	lost := map[string]bool{}
 	for _, m := range members {
