--- a/peer/facts/health.go
+++ b/peer/facts/health.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Bounds of what is kept and passed on of targets.
+// Bounds of the health that is kept and sent.
 const (
-	MaxHealthBytes   = 4 << 10 // of one target, encoded
+	MaxHealthBytes   = 4 << 10 // of one encoded statement
 	MaxHealthTargets = 8192
 )
 
@@ -21,36 +21,37 @@
 	Draining
 )
 
-// Health is what the owners of a target say of it: one statement for each
-// target, which a later one replaces whole.
+// Health is a statement of the owners of a target about it. There is one statement
+// for each target, and a later one replaces it as a whole.
 type Health struct {
 	Target string `json:"t"`
 	Stamp
 	State HealthState `json:"s,omitempty"`
-	// Opaque is true if what the target says doesn't fit a statement, or, in epoch
-	// 0, if nobody has read it yet. Each VM has to read it for itself.
+	// Opaque is true if the target's status doesn't fit in a statement, or, in epoch
+	// 0, if no owner has read it yet. Each VM then has to read the target itself.
 	Opaque bool `json:"o,omitempty"`
-	// UnreadableBy are the places of the owners that can't read the target. Each owner
-	// adds and removes itself only. A target that no live owner can read is lost.
+	// UnreadableBy holds the places of the owners that can't read the target. Each
+	// owner adds and removes only itself. A target that no live owner can read is lost.
 	UnreadableBy []int       `json:"u,omitempty"`
 	Maps         []Map       `json:"m,omitempty"`
-	Leaves       [][]Holding `json:"l,omitempty"` // by number of the leaf
+	Leaves       [][]Holding `json:"l,omitempty"` // indexed by the number of the leaf
 }
 
-// Stamp orders the statements about one target. An owner makes a statement from
-// a reading that began when it knew the statement that it replaces, so:
+// Stamp orders the statements about one target. An owner bases a statement on a read
+// of the target, and on the statement that it knew when the read began and that the
+// new one replaces. So:
 //
-//   - Epoch is one more than that statement's if the target was found in another
-//     incarnation. An owner that was frozen or cut off knows a lower epoch than
-//     the others, and what it says of an earlier incarnation loses.
-//   - Born tells apart incarnations that two owners put into one epoch: the one
-//     that was first read later wins. It stays the same for all of an incarnation's
-//     statements, without which the order would not be transitive.
-//   - Drained is final for an incarnation, whatever a later reading says.
-//   - Seq counts the statements about one incarnation; At, the time of the
-//     reading, decides between two with one number.
+//   - Epoch is one more than that of the replaced statement if the read found another
+//     incarnation. An owner that was frozen or isolated knows a lower epoch than the
+//     others, so its statement about an earlier incarnation loses.
+//   - FirstRead distinguishes incarnations that two owners put into one epoch: the one
+//     that was first read later wins. It is the same in all statements about an
+//     incarnation. Otherwise the order would not be transitive.
+//   - Drained is final for an incarnation, whatever a later read returns.
+//   - Seq counts the statements about one incarnation. At, the time of the read,
+//     decides between two with the same number.
 //
-// Times are in Unix milliseconds, by the clock of the VM that first stated them.
+// Times are in Unix milliseconds, by the clock of the VM that first published them.
 type Stamp struct {
 	Epoch       uint64 `json:"e"`
 	FirstRead   int64  `json:"b"`
@@ -67,19 +68,20 @@
 	Shards   int    `json:"s"`
 }
 
-// Holding is a run of neighbouring shards on a leaf: the index of the map, the
-// first shard, and the number of records of each shard from there on.
+// Holding is a run of neighbouring shards on a leaf: the index of their map in
+// Health.Maps, the number of the first shard, and the number of records of each shard
+// of the run.
 type Holding []int64
 
-// The parts of a Holding.
+// The indexes of a Holding. HoldingRecords is that of the first shard's records.
 const (
 	HoldingMap = iota
 	HoldingFirstShard
 	HoldingRecords
 )
 
-// Outranks tells whether h replaces other, another statement about the same
-// target. It is a total order, so that merging is the same in every order.
+// Outranks reports whether h replaces other, another statement about the same
+// target. It is a total order, so that merging gives the same result in every order.
 func (h Health) Outranks(other Health) bool {
 	switch {
 	case h.Epoch != other.Epoch:
@@ -99,7 +101,7 @@
 	}
 }
 
-// Size returns the bytes of a statement as it is sent.
+// Size returns the size of an encoded statement in bytes.
 func (h Health) Size() int { return len(h.encoded()) }
 
 func (h Health) encoded() string {
@@ -107,8 +109,8 @@
 	return string(data)
 }
 
-// SameContent tells whether two statements say the same of a target, apart from
-// which owners can't read it.
+// SameContent reports whether two statements have the same incarnation, state,
+// opacity and holdings. They may differ in the owners that can't read the target.
 func (h Health) SameContent(other Health) bool {
 	return h.Incarnation == other.Incarnation && h.State == other.State && h.Opaque == other.Opaque && slices.Equal(h.Maps, other.Maps) &&
 		slices.EqualFunc(h.Leaves, other.Leaves, func(a, b []Holding) bool {
@@ -116,9 +118,9 @@
 		})
 }
 
-// valid tells whether a statement can be taken: it names its target and, unless
-// nobody has read it yet, its incarnation, fits the bound, and its holdings fit its
-// maps.
+// valid reports whether a statement can be merged: it names its target and, unless no
+// owner has read the target yet, its incarnation; it is within MaxHealthBytes; and its
+// holdings refer to its maps.
 func (h Health) valid() bool {
 	unseen := h.Epoch == 0 && h.Opaque
 	if h.Target == "" || (h.Incarnation == "") != unseen || (h.State == Draining) != h.Drained {
@@ -134,16 +136,17 @@
 	return h.Size() <= MaxHealthBytes
 }
 
-// healthEntry keeps a statement with its hash, since there are thousands.
+// healthEntry holds a statement with its hash, which isn't recomputed because there
+// are thousands of statements.
 type healthEntry struct {
 	Health
 	hash uint64
 }
 
-// SetTargets names the targets of the bundle in force and forgets what is known
-// of all others. Statements about others are not taken: a VM that still had the
-// earlier bundle would otherwise bring back what was forgotten. It tells whether
-// there are targets of which nothing is known.
+// SetTargets sets the targets of the bundle in force and forgets the health of all
+// others. Statements about others aren't merged: a VM that still had the earlier
+// bundle could otherwise bring back what was forgotten. It reports whether there are
+// targets without a statement.
 func (t *Table) SetTargets(names []string) (unknown bool) {
 	named := make(map[string]struct{}, len(names))
 	for _, name := range names {
@@ -179,18 +182,19 @@
 	return true
 }
 
+// toggleHealth adds a statement to its bucket's digest, or removes it.
 func (t *Table) toggleHealth(e healthEntry) { t.digest[healthKey(e.Target).bucket()] ^= e.hash }
 
-// Health returns what is known of a target.
+// Health returns the statement about a target and reports whether there is one.
 func (t *Table) Health(target string) (Health, bool) {
 	e, known := t.health[target]
 	return e.Health, known
 }
 
-// HealthCount returns the number of targets of which something is known.
+// HealthCount returns the number of targets with a statement.
 func (t *Table) HealthCount() int { return len(t.health) }
 
-// Contains tells whether the table has exactly this fact.
+// Contains reports whether the table has exactly this fact.
 func (t *Table) Contains(f Fact) bool {
 	if f.Health != nil {
 		e, known := t.health[f.Health.Target]
--- a/peer/facts/health_test.go
+++ b/peer/facts/health_test.go
@@ -43,22 +43,22 @@
 	news := table.Merge(f, now)
 	after, _ := table.Health(f.Health.Target)
 	if known && before.Outranks(after) {
-		t.Fatalf("%v set back to %v", before, after)
+		t.Fatalf("%v was replaced by the older %v", before, after)
 	}
 	if known && after.Epoch < before.Epoch {
 		t.Fatalf("%v: an earlier incarnation than %v", after, before)
 	}
 	same := after.Epoch == before.Epoch && after.FirstRead == before.FirstRead && after.Incarnation == before.Incarnation
 	if known && before.Drained && same && !after.Drained {
-		t.Fatalf("%v is no more drained in %v", before, after)
+		t.Fatalf("%v is drained, but %v isn't", before, after)
 	}
 	if news != (!known || !table.Contains(Fact{Health: &before})) {
-		t.Fatalf("news %v, but %v was followed by %v", news, before, after)
+		t.Fatalf("Merge returned %v, but %v was followed by %v", news, before, after)
 	}
 }
 
-// TestHealthOrderIsTotal: of two statements exactly one wins, and who wins does
-// not depend on what was heard in between.
+// TestHealthOrderIsTotal: of two different statements exactly one must win, and which
+// one must not depend on the statements that were merged in between.
 func TestHealthOrderIsTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := *drawHealth(t), *drawHealth(t), *drawHealth(t)
@@ -72,9 +72,9 @@
 	})
 }
 
-// TestHealthOfTargetsNotInForce: a bundle takes a target out, and a VM that still
-// has the earlier bundle goes on telling of it. What was forgotten must not come
-// back, or tables would grow with every target there ever was.
+// TestHealthOfTargetsNotInForce: a bundle removes a target, and a VM that still has the
+// earlier bundle continues to publish its health. The forgotten statement must not come
+// back, or tables would grow with every target that ever existed.
 func TestHealthOfTargetsNotInForce(t *testing.T) {
 	g := NewWithT(t)
 	table := newTestTable()
--- a/peer/facts/table.go
+++ b/peer/facts/table.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Buckets is the number of buckets of each Part, whose digests are compared.
+// Buckets is the number of buckets of each Section, whose digests are compared.
 const Buckets = 64
 
-// Section is a part of a table that is compared on its own.
+// Section is a part of a table whose digests are compared separately.
 type Section int
 
-// The sectionCount. What is known of targets depends on the bundle in force, so that
-// two VMs can compare it only while they have the same one.
+// The sections. The health of targets is kept only for targets of the bundle in force,
+// so two VMs can compare it only while they have the same bundle.
 const (
 	General Section = iota // VMs and drains
 	Targets                // health of targets
@@ -21,11 +21,11 @@
 )
 
 const (
-	// maxDrainsPerTarget bounds what is kept of one target: its newest drains.
+	// maxDrainsPerTarget bounds the drains that are kept of one target, the newest.
 	maxDrainsPerTarget = 4
-	// forgetAfter is for how long a lost VM is remembered, so that the table
-	// doesn't grow with every VM that was ever replaced. It is far longer than
-	// a late message about that VM can be under way.
+	// forgetAfter is how long a lost VM is kept. It is bounded so that the table
+	// doesn't grow with every VM that was ever replaced. It is far longer than the
+	// delay of a late message about that VM.
 	forgetAfter = 10 * time.Minute
 )
 
@@ -35,11 +35,11 @@
 	members map[string]Member
 	health  map[string]healthEntry              // by target
 	targets map[string]struct{}                 // of the bundle in force
-	lost    int                                 // members that are lost
+	lost    int                                 // number of members in state Lost
 	digest  [Buckets * int(sectionCount)]uint64 // XOR of the hashes of the facts in each bucket
 }
 
-// Entry is the digest of one fact.
+// Entry is the key and hash of one fact.
 type Entry struct {
 	Key  Key    `json:"k"`
 	Hash uint64 `json:"h"`
@@ -50,8 +50,8 @@
 	return &Table{drains: map[string][]Drain{}, members: map[string]Member{}, health: map[string]healthEntry{}}
 }
 
-// Merge adds a fact and tells whether it said anything new. now is in Unix
-// seconds.
+// Merge adds a fact and reports whether it changed the table. Malformed facts are
+// ignored. now is in Unix seconds.
 func (t *Table) Merge(f Fact, now int64) bool {
 	switch {
 	case f.Key() == "":
@@ -114,9 +114,9 @@
 	return true
 }
 
-// AddDrain records a drain learned by this VM itself and returns the fact to
-// tell, if it is new. Its Since exceeds all earlier ones of the target, so that
-// a VM with a fast clock can't keep later drains out.
+// AddDrain records a drain that this VM found itself. If it is new, AddDrain returns
+// the fact to send, and true. The drain's Since exceeds all earlier ones of the target,
+// so that a VM with a fast clock can't suppress later drains. now is in Unix seconds.
 func (t *Table) AddDrain(target, incarnation string, now int64) (Fact, bool) {
 	d := Drain{Target: target, Incarnation: incarnation, Since: now}
 	for _, old := range t.drains[target] {
@@ -140,7 +140,8 @@
 // LostCount returns the number of VMs that are lost and not yet forgotten.
 func (t *Table) LostCount() int { return t.lost }
 
-// Expire forgets VMs that were lost long ago, and tells whether there were any.
+// Expire removes VMs that were lost more than forgetAfter ago, and reports whether
+// there were any. now is in Unix seconds.
 func (t *Table) Expire(now int64) bool {
 	if t.lost == 0 {
 		return false
@@ -154,21 +155,23 @@
 	return t.lost != before
 }
 
+// forgotten reports whether a VM was lost more than forgetAfter ago.
 func forgotten(m Member, now int64) bool {
 	return m.State == Lost && now-m.At > int64(forgetAfter.Seconds())
 }
 
+// toggle adds a fact to its bucket's digest, or removes it.
 func (t *Table) toggle(f Fact) {
 	t.digest[f.Key().bucket()] ^= f.hash()
 }
 
-// Member returns what is known of a VM.
+// Member returns the statement about a VM and reports whether there is one.
 func (t *Table) Member(name string) (Member, bool) {
 	m, ok := t.members[name]
 	return m, ok
 }
 
-// Members returns all VMs known, in no order.
+// Members returns the statements about all known VMs, in no particular order.
 func (t *Table) Members() []Member {
 	list := make([]Member, 0, len(t.members))
 	for _, m := range t.members {
@@ -177,8 +180,8 @@
 	return list
 }
 
-// Drains returns all drains known, those of one target in the order in which they
-// were learned: whoever keeps only the last of a target keeps the newest.
+// Drains returns all known drains. Those of one target are ordered from the oldest to
+// the newest, so that a caller that keeps only the last of a target keeps the newest.
 func (t *Table) Drains() []Drain {
 	var list []Drain
 	for _, drains := range t.drains {
@@ -189,7 +192,7 @@
 	return list
 }
 
-// Root is the digest of a whole part.
+// Root returns the digest of a whole section.
 func (t *Table) Root(part Section) uint64 {
 	var root uint64
 	for i, d := range t.buckets(part) {
@@ -203,7 +206,7 @@
 	return t.digest[first : first+Buckets]
 }
 
-// Digest returns the digests of a part's buckets, eight bytes each.
+// Digest returns the digests of a section's buckets, eight bytes each, little-endian.
 func (t *Table) Digest(part Section) []byte {
 	buf := make([]byte, 0, 8*Buckets)
 	for _, d := range t.buckets(part) {
@@ -212,7 +215,8 @@
 	return buf
 }
 
-// Differing returns a part's buckets whose digests differ from the other's.
+// Differing returns the buckets of a section whose digests differ from those of
+// another table. It returns nil if digest doesn't have the right length.
 func (t *Table) Differing(part Section, digest []byte) []int {
 	if len(digest) != 8*Buckets {
 		return nil
@@ -226,16 +230,16 @@
 	return list
 }
 
-// Entries returns the digests of the facts in some buckets.
+// Entries returns the keys and hashes of the facts in the given buckets.
 func (t *Table) Entries(buckets []int) []Entry {
 	var list []Entry
 	t.eachFact(buckets, func(f Fact, hash uint64) { list = append(list, Entry{f.Key(), hash}) })
 	return list
 }
 
-// Compare holds the other table's entries of some buckets against this one. It
-// returns the facts that the other lacks or has otherwise, and the keys that
-// this table lacks or has otherwise.
+// Compare compares another table's entries of the given buckets with this table. It
+// returns the facts that are absent or different in the other table, and the keys of
+// those that are absent or different in this one.
 func (t *Table) Compare(buckets []int, entries []Entry) (give []Fact, want []Key) {
 	theirs := make(map[Key]uint64, len(entries))
 	for _, e := range entries {
@@ -256,7 +260,7 @@
 	return give, want
 }
 
-// Facts returns the facts of some keys; absent ones are left out.
+// Facts returns the facts with the given keys; absent ones are left out.
 func (t *Table) Facts(keys []Key) []Fact {
 	var list []Fact
 	for _, key := range keys {
@@ -282,7 +286,7 @@
 	return list
 }
 
-// eachFact calls f with the facts of some buckets and their hashes.
+// eachFact calls f with each fact in the given buckets and its hash.
 func (t *Table) eachFact(buckets []int, f func(Fact, uint64)) {
 	var wanted [Buckets * int(sectionCount)]bool
 	for _, b := range buckets {
--- a/peer/facts/table_test.go
+++ b/peer/facts/table_test.go
@@ -31,7 +31,7 @@
 	}}
 }
 
-// exchange does one comparison of digests, a asking b.
+// exchange does one comparison of digests, started by a.
 func exchange(a, b *Table) {
 	buckets := append(a.Differing(General, b.Digest(General)), a.Differing(Targets, b.Digest(Targets))...)
 	give, want := b.Compare(buckets, a.Entries(buckets))
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestTablesConverge: whatever two VMs heard, in whatever order and how often,
-// a few comparisons make their tables equal, and no statement is undone by an
-// older one on the way.
+// TestTablesConverge: whatever facts two VMs received, in whatever order and how often,
+// a few comparisons must make their tables equal, and no statement may be replaced by
+// an older one.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newTestTable(), newTestTable()
@@ -83,7 +83,7 @@
 	table.Merge(f, now)
 	if f.Member != nil {
 		if after, _ := table.Member(f.Member.Name); before.Outranks(after) {
-			t.Fatalf("%v set back to %v", before, after)
+			t.Fatalf("%v was replaced by the older %v", before, after)
 		}
 	}
 	if f.Drain != nil && len(table.drains[f.Drain.Target]) > maxDrainsPerTarget {
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestDigestFollowsContent: a digest kept up to date piece by piece equals the
-// digest of a table that was filled at once.
+// TestDigestFollowsContent: a digest that was updated with each change must equal the
+// digest of a new table with the same content.
 func TestDigestFollowsContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTestTable()
@@ -111,7 +111,7 @@
 			fresh.Merge(Fact{Health: &e.Health}, now)
 		}
 		if fresh.LostCount() != table.LostCount() {
-			t.Fatalf("%d lost counted, %d found", table.LostCount(), fresh.LostCount())
+			t.Fatalf("%d lost VMs counted, %d found", table.LostCount(), fresh.LostCount())
 		}
 		if fresh.Root(General) != table.Root(General) || fresh.Root(Targets) != table.Root(Targets) {
 			t.Fatal("digest doesn't follow the content")
@@ -119,9 +119,9 @@
 	})
 }
 
-// TestFastClockDoesNotHideDrains: one VM's clock is a year ahead, and the drains
-// that it learns carry that time. A target that other VMs see draining later is
-// still kept, though only the newest drains of a target are.
+// TestFastClockDoesNotHideDrains: one VM's clock is a year ahead, and so are the times
+// of the drains that it records. Only the newest drains of a target are kept, but a
+// drain that another VM records later must still be kept.
 func TestFastClockDoesNotHideDrains(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable()
@@ -136,8 +136,8 @@
 }
 
 // TestNewestDrainComesLast: a target drains, restarts and drains again, and a late
-// status says that it serves. A VM keeps the last drain that it is given of each
-// target; were that the older one, it would send the target new work.
+// status has the state serving. A VM keeps the last drain of each target in the list.
+// If that were the older one, the VM would send new work to the target.
 func TestNewestDrainComesLast(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable()
--- a/peer/health/content.go
+++ b/peer/health/content.go
@@ -8,15 +8,17 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// maxLeafNumber bounds the numbers of leaves, which index a list.
+// maxLeafNumber bounds the numbers of leaves, which are indexes of a list.
 const maxLeafNumber = 1024
 
-// maxContentBytes leaves room for the stamp and the owners that can't read the target.
+// maxContentBytes bounds an encoded statement whose stamp isn't complete yet. The 512
+// bytes that it leaves free are for the stamp and the owners that can't read the
+// target.
 const maxContentBytes = facts.MaxHealthBytes - 512
 
-// encode puts what a status says, apart from the loads, into a statement without
-// a stamp. What doesn't fit is said to be opaque, so that nobody goes on believing
-// an earlier statement.
+// encode returns the statement for a status, without the loads and with only the
+// incarnation and Drained of the stamp. If the status doesn't fit, the statement is
+// opaque, so that no VM continues to use an earlier one.
 func encode(st target.Status) facts.Health {
 	h := facts.Health{Target: st.Target}
 	h.Incarnation = st.Incarnation
@@ -48,8 +50,8 @@
 	return full
 }
 
-// partitionMaps lists the partition maps of all holdings in a fixed order, so that two
-// readings of one status are told in the same words.
+// partitionMaps returns the partition maps of all holdings in a fixed order, so that
+// two reads of one status give equal statements.
 func partitionMaps(leaves []target.LeafStatus) []facts.Map {
 	var list []facts.Map
 	for _, leaf := range leaves {
@@ -69,7 +71,8 @@
 	return facts.Map{Snapshot: h.Snapshot, Seq: h.Seq, Shards: h.Shards}
 }
 
-// holdingRuns joins neighbouring shards of a map, which saves their numbers.
+// holdingRuns joins neighbouring shards of a map into runs, which saves the bytes of
+// their numbers.
 func holdingRuns(maps []facts.Map, holdings []target.Holding) []facts.Holding {
 	type indexed struct {
 		at int
@@ -83,7 +86,7 @@
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Records, b.Records))
 	})
 	var list []facts.Holding
-	next := -1 // the shard that would go on with the last run
+	next := -1 // the shard that would continue the last run
 	for i, h := range sorted {
 		if i == 0 || h.at != sorted[i-1].at || h.Shard != next {
 			list = append(list, facts.Holding{int64(h.at), int64(h.Shard)})
@@ -95,7 +98,7 @@
 	return list
 }
 
-// decode gives a statement the form of a status. All loads are 0.
+// decode returns the status that a statement describes. All loads are 0.
 func decode(h facts.Health) target.Status {
 	st := target.Status{Target: h.Target, Incarnation: h.Incarnation}
 	switch h.State {
@@ -116,6 +119,7 @@
 	return st
 }
 
+// expandRun returns the holdings of a run of shards.
 func expandRun(maps []facts.Map, run facts.Holding) []target.Holding {
 	m := maps[run[facts.HoldingMap]]
 	var list []target.Holding
--- a/peer/health/doubt.go
+++ b/peer/health/doubt.go
@@ -8,15 +8,16 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Leaves reaches the leaves of targets. route.Router implements it.
+// Leaves sends calls to the leaves of targets. route.Router implements it.
 type Leaves interface {
 	Search(ctx context.Context, target string, leaf int, req target.LeafRequest) (target.LeafAnswer, error)
 	Submit(ctx context.Context, target string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error)
 }
 
-// CheckCalls returns leaves whose failures are held against what is known of their
-// targets. A VM that is told of a target could otherwise go on sending calls to
-// it, on the word of a fact that is no longer true, until it is read again.
+// CheckCalls wraps leaves: a failed call that contradicts the known health of its
+// target makes the Monitor read the target soon. A VM that has the health of a target
+// from others could otherwise continue to send calls to it by an outdated statement
+// until its next read.
 func (r *Relay) CheckCalls(leaves Leaves) Leaves { return checkedLeaves{leaves, r} }
 
 type checkedLeaves struct {
@@ -36,6 +37,8 @@
 	return answer, err
 }
 
+// checkCall has the target read soon if the error of a call contradicts the target's
+// known health and this VM doesn't read the target over its own connections.
 func (r *Relay) checkCall(name string, err error) {
 	var failure *target.CallError
 	if err == nil || !errors.As(err, &failure) || !contradicts(failure) || r.readsDirectly(name) {
@@ -45,8 +48,8 @@
 	r.monitor.Hurry(name)
 }
 
-// contradicts tells whether a failure can't be if what is known of the target is
-// true. Shedding and deadlines can.
+// contradicts reports whether a failure can't happen if the known health of the
+// target is correct. Shedding and expired deadlines can happen.
 func contradicts(e *target.CallError) bool {
 	switch e.Kind {
 	case target.ErrorUnreachable, target.ErrorUnknownTarget, target.ErrorMismatched:
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -1,8 +1,9 @@
-// Package health lets few VMs read the status of a target and all VMs know it.
-// The owners of a target read it, and the first of them states what changed as a
-// fact of the exchange; the others take it from there and read the target, through
-// an owner, only now and then or if something contradicts what they were told.
-// Where every VM has connections to a target, each reads it and nothing is told.
+// Package health distributes the status of targets, so that few VMs read a target
+// and all know its status. The owners of a target read it, and the first of them
+// publishes changes as statements, which are facts of the exchange. The other VMs
+// use the statements. They read the target through an owner only at long intervals,
+// or if something contradicts its statement. If every VM has connections to a
+// target, each reads it and no statements are published.
 //
 // docs/design/health.md has the reasons.
 package health
@@ -22,7 +23,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Exchange tells facts to the other VMs. peer.Exchange implements it.
+// Exchange sends facts to the other VMs. peer.Exchange implements it.
 type Exchange interface {
 	SetTargets(names []string)
 	Health(target string) (facts.Health, bool)
@@ -31,26 +32,27 @@
 	HealthChanged() <-chan struct{}
 }
 
-// Router reaches targets and knows who owns them. route.Router implements it.
+// Router reads the status of targets and knows their owners. route.Router
+// implements it.
 type Router interface {
 	target.StatusReader
 	Standing(target string) route.Standing
 }
 
-// Sink is told what is known of targets. query.Engine implements it.
+// Sink receives the health of targets. query.Engine implements it.
 type Sink interface {
 	target.Sink
-	// TargetLost is called when a target was lost to all its owners.
+	// TargetLost is called when no live owner can read a target any more.
 	TargetLost(target string)
 }
 
-// Monitor reads targets. target.Monitor implements it.
+// Monitor reads targets at intervals. target.Monitor implements it.
 type Monitor interface {
 	Relax(target string, every time.Duration)
 	Hurry(target string)
 }
 
-// Options configure a Relay. All are required.
+// Options configures a Relay. All fields are required.
 type Options struct {
 	Router  Router
 	Sink    Sink
@@ -58,8 +60,10 @@
 	Metrics *metrics.Set
 }
 
-// Relay stands between the Monitor and the Sink: it is the reader and the sink of
-// the one and tells the other. It is safe for concurrent use.
+// Relay connects the Monitor, the Exchange and the Sink. The Monitor reads targets
+// through it and reports to it as its sink. The Relay publishes what this VM reads
+// as an owner, and passes to the Sink what this VM read or received from other VMs.
+// It is safe for concurrent use.
 type Relay struct {
 	opts     Options
 	exchange Exchange
@@ -68,16 +72,16 @@
 
 	reads, published, appliedCount, contradictions *metrics.Counter
 
-	mu               sync.Mutex // guards what follows; held while the Sink, the Exchange and the Monitor are called, which never call back
+	mu               sync.Mutex // guards the fields below; held during calls of the Sink, the Exchange and the Monitor, which never call back
 	reporter         *reporter
 	timings          map[string]timing      // by target of the bundle in force
-	rereadInterval   time.Duration          // between reads of a target that others tell of
-	readBase         map[string]facts.Stamp // what was known when the read under way began
-	appliedStamps    map[string]facts.Stamp // what the Sink was last told, or read later than
-	partlyUnreadable map[string]bool        // targets that some owner can't read: whether lost
+	rereadInterval   time.Duration          // between reads of a target for which there are statements
+	readBase         map[string]facts.Stamp // stamp of the known statement when the current or last read began
+	appliedStamps    map[string]facts.Stamp // statement that the Sink last received, or that was known when it received a read
+	partlyUnreadable map[string]bool        // targets that some owner can't read; true if the Sink was told that it is lost
 }
 
-// New returns a Relay that is not yet at work.
+// New returns a Relay that isn't started.
 func New(o Options) *Relay {
 	return &Relay{
 		opts:             o,
@@ -93,28 +97,31 @@
 	}
 }
 
-// Start begins to take what other VMs tell.
+// Start sets the Exchange and the Monitor, and starts to process the statements of
+// other VMs.
 func (r *Relay) Start(x Exchange, m Monitor) {
 	r.exchange, r.monitor = x, m
 	r.tomb.Go(r.follow)
 }
 
-// Stop ends it.
+// Stop stops the processing of statements and waits for its end.
 func (r *Relay) Stop() error {
 	r.tomb.Kill(nil)
 	return r.tomb.Wait()
 }
 
 const (
-	// minRereadInterval is the time between reads of a target that others tell of, and
-	// maxRereads bounds these reads of all targets, per second. Their answers take
-	// some 450 bytes each, so that with thousands of targets they would cost more
-	// than all else that a VM sends.
-	minRereadInterval   = 20 * time.Second
+	// minRereadInterval is the least time between reads of a target for which there
+	// are statements.
+	minRereadInterval = 20 * time.Second
+	// maxRereadsPerSecond bounds these reads of all targets. An answer takes about
+	// 450 bytes, so with thousands of targets unbounded reads would cost more than
+	// everything else that a VM sends.
 	maxRereadsPerSecond = 2
 )
 
-// Apply takes the targets of the bundle in force, before the Monitor does.
+// Apply sets the targets to those of the bundle in force. It must be called before
+// the Monitor gets them.
 func (r *Relay) Apply(b *bundle.Bundle) {
 	known := map[string]timing{}
 	var shared []string
@@ -145,8 +152,9 @@
 	r.exchange.SetTargets(shared)
 }
 
-// Reapply tells the Sink again what others told, after the Monitor has got new
-// endpoints: a target that this VM has just ceased to own is no more read by it.
+// Reapply applies all known statements again. It is called after the Monitor has got
+// new endpoints: a target that this VM has just ceased to own is no longer read over
+// its own connections.
 func (r *Relay) Reapply() {
 	r.mu.Lock()
 	names := make([]string, 0, len(r.timings))
@@ -161,10 +169,12 @@
 	}
 }
 
-// sweepInterval is the time between looks at whether the owners that could still
-// read a target are gone.
+// sweepInterval is the time between checks of whether the owners that could still
+// read a target have been lost.
 const sweepInterval = time.Second
 
+// follow applies statements as they arrive, and checks partlyUnreadable targets at
+// sweepInterval, until the Relay stops.
 func (r *Relay) follow() error {
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
@@ -182,8 +192,8 @@
 	}
 }
 
-// apply tells the Sink what others told of a target, unless this VM reads it for
-// itself or has read it since.
+// apply passes a statement to the Sink, unless this VM reads the target over its own
+// connections or has read it since. An owner may answer the statement instead.
 func (r *Relay) apply(h facts.Health) {
 	at := r.opts.Router.Standing(h.Target)
 	if !at.Shared {
@@ -205,8 +215,9 @@
 	r.adjustReadInterval(h)
 }
 
-// adjustReadInterval lets the Monitor read a target seldom if others tell of it. It must hold
-// mu.
+// adjustReadInterval sets the Monitor's read interval of a target with a statement:
+// the long one, or the health interval if the statement is opaque and the target
+// isn't lost. The caller must hold mu.
 func (r *Relay) adjustReadInterval(h facts.Health) {
 	if h.Opaque && !lost(h, r.opts.Router.Standing(h.Target).Live) {
 		r.monitor.Relax(h.Target, 0)
@@ -215,7 +226,7 @@
 	r.monitor.Relax(h.Target, r.rereadInterval)
 }
 
-// notifySink tells the Sink of a target. It must hold mu.
+// notifySink passes a statement to the Sink. The caller must hold mu.
 func (r *Relay) notifySink(h facts.Health, at route.Standing) {
 	r.appliedStamps[h.Target] = h.Stamp
 	gone := lost(h, at.Live)
@@ -231,8 +242,8 @@
 	}
 }
 
-// sweep looks for targets that were lost, or are lost no more, because an owner
-// is gone or has come.
+// sweep notifies the Sink of targets that became lost because an owner was lost, or
+// that aren't lost any more because an owner was added.
 func (r *Relay) sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -244,7 +255,7 @@
 	}
 }
 
-// answerStatement lets this VM, as an owner, answer what another one stated.
+// answerStatement lets this VM, as an owner, answer the statement of another one.
 func (r *Relay) answerStatement(h facts.Health, at route.Standing) {
 	r.mu.Lock()
 	next, say := r.reporter.handleStatement(h, standingOf(at), r.timings[h.Target], time.Now())
@@ -256,8 +267,8 @@
 
 func standingOf(at route.Standing) standing { return standing{place: at.Place, owners: at.Live} }
 
-// Status reads a target for the Monitor, and states what is new if this VM is an
-// owner.
+// Status reads a target for the Monitor, and publishes what has changed if this VM
+// is an owner.
 func (r *Relay) Status(ctx context.Context, name string) (target.Status, error) {
 	base, _ := r.exchange.Health(name)
 	began := time.Now()
@@ -288,12 +299,12 @@
 func (r *Relay) publish(next facts.Health, base facts.Stamp) {
 	if r.exchange.TellHealth(next, base) {
 		r.published.Inc()
-		r.opts.Log.Debug("health of a target stated", "target", next.Target, "epoch", next.Epoch, "seq", next.Seq, "unread", next.UnreadableBy)
+		r.opts.Log.Debug("published health of a target", "target", next.Target, "epoch", next.Epoch, "seq", next.Seq, "unread", next.UnreadableBy)
 	}
 }
 
-// TargetStatus implements target.Sink for the Monitor. What was read through an
-// owner is dropped if something newer was learned while it was read.
+// TargetStatus implements target.Sink for the Monitor. A status that was read through
+// an owner is dropped if a newer statement arrived during the read.
 func (r *Relay) TargetStatus(name string, status target.Status, at time.Time) {
 	own := r.readsDirectly(name)
 	r.mu.Lock()
@@ -313,9 +324,9 @@
 	}
 }
 
-// TargetFailed implements target.Sink for the Monitor. That this VM could not read
-// a target through an owner says little of the target as long as its owners say
-// that they can: the owner may be frozen, or the way to it cut.
+// TargetFailed implements target.Sink for the Monitor. A failed read through an owner
+// is ignored as long as some live owner can read the target: the owner that was used
+// may be frozen, or the network path to it cut.
 func (r *Relay) TargetFailed(name string, err error, at time.Time) {
 	if !r.readsDirectly(name) {
 		h, known := r.exchange.Health(name)
@@ -332,7 +343,7 @@
 	r.opts.Sink.TargetState(name, incarnation, state, at)
 }
 
-// readsDirectly tells whether this VM reads a target over its own connections.
+// readsDirectly reports whether this VM reads a target over its own connections.
 func (r *Relay) readsDirectly(name string) bool {
 	at := r.opts.Router.Standing(name)
 	return !at.Shared || at.Owner
--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -15,7 +15,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// fakes are all that a Relay has around it. read is called while a target is read.
+// fakes implements all interfaces that a Relay uses. read is called during each read
+// of a target and may be nil.
 type fakes struct {
 	known        facts.Health
 	changes      []facts.Health
@@ -25,10 +26,10 @@
 	err          error
 	read         func()
 
-	statuses     []target.Status // to the sink
+	statuses     []target.Status // received by the sink
 	failed       int
 	lost         int
-	readInterval time.Duration // as the monitor was last told
+	readInterval time.Duration // last set on the monitor
 	readSoon     int
 }
 
@@ -75,7 +76,8 @@
 	return facts.Health{Target: testTarget, Stamp: facts.Stamp{Epoch: epoch, Incarnation: "i"}, UnreadableBy: unread}
 }
 
-// newRelay returns a relay of a VM that owns nothing, with two owners that live.
+// newRelay returns the relay of a VM that owns no target. The test's target has two
+// live owners.
 func newRelay() (*Relay, *fakes) {
 	f := &fakes{
 		standing: route.Standing{Shared: true, Place: -1, Live: []int{3, 5}},
@@ -90,7 +92,7 @@
 	return r, f
 }
 
-// read does what the monitor does.
+// readOnce reads the target as the monitor does.
 func (r *Relay) readOnce() {
 	st, err := r.Status(context.Background(), testTarget)
 	if err != nil {
@@ -100,6 +102,9 @@
 	r.TargetStatus(testTarget, st, time.Now())
 }
 
+// TestPublishedHealthReachesSink: a statement must reach the sink once and make reads
+// rare. An opaque one must make this VM read the target itself, and an owner must
+// ignore statements, since it reads the target itself.
 func TestPublishedHealthReachesSink(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
@@ -111,15 +116,15 @@
 	opaque.Opaque = true
 	r.apply(opaque)
 	g.Expect(f.statuses).To(HaveLen(1))
-	g.Expect(f.readInterval).To(BeZero(), "what can't be told must be read")
+	g.Expect(f.readInterval).To(BeZero(), "an opaque target must be read")
 	f.standing.Owner = true
 	r.apply(statement(3))
-	g.Expect(f.statuses).To(HaveLen(1), "an owner goes by what it reads")
+	g.Expect(f.statuses).To(HaveLen(1), "an owner uses what it reads itself")
 }
 
-// TestSlowReadDoesNotReplaceNewerHealth: a VM reads a target through an owner, and is told of
-// a restart while the answer is under way. The answer is older; taken, it would
-// bring back the incarnation that is gone.
+// TestSlowReadDoesNotReplaceNewerHealth: a VM reads a target through an owner, and the
+// statement of a restart arrives before the answer. The answer is older. If it were
+// applied, the ended incarnation would replace the new one.
 func TestSlowReadDoesNotReplaceNewerHealth(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
@@ -130,7 +135,7 @@
 		r.apply(f.known)
 	}
 	r.readOnce()
-	g.Expect(f.statuses).To(HaveLen(2), "only what was told")
+	g.Expect(f.statuses).To(HaveLen(2), "only the statements")
 	f.read = nil
 	r.readOnce()
 	g.Expect(f.statuses).To(HaveLen(3))
@@ -139,9 +144,9 @@
 	g.Expect(f.statuses).To(HaveLen(3), "a statement that was known before the read is older than it")
 }
 
-// TestFailedReadThroughOwner: the owner through which a VM reads is frozen. The
-// target is well, as its owners say; the VM must not take it for lost. Without a
-// statement, or without a live owner, its own failures are all it has.
+// TestFailedReadThroughOwner: the owner through which a VM reads is frozen, and the
+// target is healthy by the statements of its owners. The VM must not count it as
+// failed. Without a statement or without a live owner, it must count its own failures.
 func TestFailedReadThroughOwner(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
@@ -156,9 +161,10 @@
 	g.Expect(f.failed).To(Equal(2))
 }
 
-// TestTargetLostWithLastReader: one of two owners can't read a target, and the other dies.
-// Nobody states anything any more; the target must count as lost all the same, and
-// come back with an owner that has not said that it can't read it.
+// TestTargetLostWithLastReader: one of two owners can't read a target, and the other
+// is lost, so no further statement follows. The target must count as lost without one,
+// and must be available again with a new owner that hasn't stated that it can't read
+// it.
 func TestTargetLostWithLastReader(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
@@ -175,9 +181,9 @@
 	g.Expect(f.statuses).To(HaveLen(2))
 }
 
-// TestContradictingCallsTriggerRead: what was told of a target is not so any more, and the
-// statement of that was lost. Calls find it out first; the VM must read the target
-// then and not 20 s later. Load says nothing against what was told.
+// TestContradictingCallsTriggerRead: the statement about a target is outdated, and the
+// newer one hasn't arrived. Failed calls are the first sign, and the VM must read the
+// target then, not 20 s later. Shedding and deadlines don't contradict a statement.
 func TestContradictingCallsTriggerRead(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
@@ -197,7 +203,8 @@
 	g.Expect(call(&target.CallError{Kind: target.ErrorUnreachable})).To(BeZero())
 }
 
-// TestOwnerPublishesItsReads: an owner states what it reads, and takes nothing else for true.
+// TestOwnerPublishesItsReads: an owner must publish a status that it reads, once, and
+// must pass each read to the sink.
 func TestOwnerPublishesItsReads(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
--- a/peer/health/speaker.go
+++ b/peer/health/speaker.go
@@ -8,52 +8,54 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// readResult is one read of a target's status by one of its owners.
+// readResult is the result of one read of a target's status by one of its owners.
 type readResult struct {
-	base   facts.Health   // what was known when it began; zero if nothing was
+	base   facts.Health   // the known statement when the read began; zero if there was none
 	began  time.Time      // by this VM's clock
 	status *target.Status // nil if it failed
 }
 
-// standing is where an owner stands among the owners of a target.
+// standing is an owner's position among the owners of a target.
 type standing struct {
 	place  int   // of this VM
-	owners []int // places of all live owners, the first choice first
+	owners []int // places of all live owners, in the order of their rank
 }
 
-// reporter decides what one owner states of targets. It is pure.
+// reporter decides which statements one owner publishes about targets. It does no
+// I/O and is not safe for concurrent use.
 //
-// All owners read a target. What the fleet knows differs from what they read when
-// the target has changed, and the first live owner says so at once. The others
-// wait in their order, so that usually one speaks, and one that is frozen, cut
-// off or slow is stood in for without anybody having to find out that it is.
+// All owners read a target. When the target has changed, what they read differs from
+// the known statement, and the first live owner publishes the change at once. The
+// others wait, each by its rank. So usually one owner publishes, and if it is frozen,
+// isolated or slow, the next one does so without having to detect that.
 type reporter struct {
 	targets map[string]*targetState
 }
 
-// targetState is what an owner remembers between two reads of a target.
+// targetState is what an owner keeps between two reads of a target.
 type targetState struct {
-	failures     int
-	failingSince time.Time // since when enough reads failed; zero if they don't
-	differsSince time.Time // since when the fleet knows something else; zero if not
+	failures     int       // consecutive failed reads
+	failingSince time.Time // when failures reached suspectAfter; zero if it hasn't
+	differsSince time.Time // since when the reads differ from the known statement; zero if they don't
 }
 
-// timing are a service's.
+// timing holds the settings of a service.
 type timing struct {
 	interval     time.Duration // between reads
-	suspectAfter int           // failed reads until a target counts as lost
+	suspectAfter int           // failed reads in a row until this owner counts as unable to read a target
 }
 
 // propagationTime is long enough for a statement to reach all VMs.
 const propagationTime = 500 * time.Millisecond
 
-// rankDelay is how long an owner waits for the one before it: for its next read,
-// late by the jitter, and for its statement.
+// rankDelay returns how long an owner waits for each owner before it: for that
+// owner's next read, which jitter may delay, and for its statement to arrive.
 func (t timing) rankDelay() time.Duration { return 2*t.interval + propagationTime }
 
 func newReporter() *reporter { return &reporter{targets: map[string]*targetState{}} }
 
-// handleRead returns what to state after a reading, if anything.
+// handleRead returns the statement to publish after a read, and reports whether there
+// is one.
 func (s *reporter) handleRead(name string, r readResult, at standing, t timing, now time.Time) (facts.Health, bool) {
 	w := s.targets[name]
 	if w == nil {
@@ -78,16 +80,16 @@
 	}
 	base := r.base
 	if base.Target == "" {
-		// Nobody has read it yet. If that were not said, all VMs would go on trying
-		// to read a target that was down when the bundle came into force.
+		// No owner has read it yet. Without a statement, all VMs would continue to
+		// try to read a target that was down when the bundle came into force.
 		base = facts.Health{Target: name, Opaque: true}
 	}
 	return w.reportUnreadable(base, at, t, now)
 }
 
-// handleStatement returns what to state after something new was learned of a target: where
-// the owner before this one has just said that it can't read a target, and this
-// one can't either, the next read need not be waited for.
+// handleStatement returns the statement to publish after a new one has arrived, and
+// reports whether there is one. If the owner before this one has just stated that it
+// can't read a target, and this one can't either, it need not wait for its next read.
 func (s *reporter) handleStatement(h facts.Health, at standing, t timing, now time.Time) (facts.Health, bool) {
 	w := s.targets[h.Target]
 	if w == nil || w.failingSince.IsZero() {
@@ -96,11 +98,12 @@
 	return w.reportUnreadable(h, at, t, now)
 }
 
-// reportUnreadable states that this owner can't read a target, never that the target is lost:
-// it may be this VM's own fault. The target counts as lost only when no live owner
-// is left that can read it. Until the owners before this one have said the same,
-// or have been silent for long, there is no need to: the target isn't lost, and
-// most targets that one owner can't reach the others can.
+// reportUnreadable returns the statement that this owner can't read a target, if it is
+// due. It never states that the target is lost, since this VM may be the cause. The
+// target counts as lost only when no live owner is left that can read it. The
+// statement isn't needed until the owners before this one have stated the same, or
+// have had rankDelay to do so: until then the target isn't lost, and most targets that
+// one owner can't reach can be reached by the others.
 func (w *targetState) reportUnreadable(base facts.Health, at standing, t timing, now time.Time) (facts.Health, bool) {
 	if slices.Contains(base.UnreadableBy, at.place) || !due(w.failingSince, rank(base, at), t, now) {
 		return facts.Health{}, false
@@ -125,7 +128,7 @@
 	if w.differsSince.IsZero() {
 		w.differsSince = now
 	}
-	// Only this owner can take back that it can't read the target.
+	// Only this owner can revoke its statement that it can't read the target.
 	if !unread && !due(w.differsSince, rank(r.base, at), t, now) {
 		return facts.Health{}, false
 	}
@@ -145,8 +148,9 @@
 	return next, true
 }
 
-// nextStatement returns a statement that comes after another one. Of the owners that
-// can't read the target it keeps those that live, which bounds their number.
+// nextStatement returns a copy of base as the next statement about the same
+// incarnation. Of the owners that can't read the target it keeps only live ones, which
+// bounds their number.
 func nextStatement(base facts.Health, at standing, read time.Time) facts.Health {
 	next := base
 	next.Seq++
@@ -155,8 +159,8 @@
 	return next
 }
 
-// rank is the number of live owners that come before this one and can read the
-// target.
+// rank returns the number of live owners that come before this one and that, as far
+// as h states, can read the target.
 func rank(h facts.Health, at standing) int {
 	n := 0
 	for _, place := range at.owners {
@@ -170,12 +174,14 @@
 	return n
 }
 
+// due reports whether an owner of that rank has waited long enough to publish what it
+// has found since the given time.
 func due(since time.Time, rank int, t timing, now time.Time) bool {
 	return now.Sub(since) >= time.Duration(rank)*t.rankDelay()
 }
 
-// lost tells whether a target counts as lost: some of its owners live, and none
-// of them can read it.
+// lost reports whether a target counts as lost: it has live owners, and none of them
+// can read it.
 func lost(h facts.Health, owners []int) bool {
 	for _, place := range owners {
 		if !slices.Contains(h.UnreadableBy, place) {
--- a/peer/health/speaker_test.go
+++ b/peer/health/speaker_test.go
@@ -16,7 +16,7 @@
 
 var testTimes = timing{interval: time.Second, suspectAfter: 2}
 
-// world is one target with its owners and one VM that owns nothing, and the time.
+// world simulates one target, its owners, one VM that owns nothing, and the time.
 type world struct {
 	now    time.Time
 	owners []*owner
@@ -25,15 +25,15 @@
 	born   int
 }
 
-// owner has one of the places, in the order of their numbers.
+// owner is a simulated owner. Owners rank by the numbers of their places.
 type owner struct {
 	speaker    *reporter
 	table      *facts.Table
 	place      int
 	cannotRead bool        // can't read the target
-	isolated   bool        // hears and tells nothing
-	lost       bool        // known by all to be lost
-	pending    *readResult // read, but not yet taken: the process is frozen in between
+	isolated   bool        // exchanges no facts
+	lost       bool        // known to all VMs to be lost
+	pending    *readResult // a finished read that isn't handled yet, as in a frozen process
 }
 
 func newWorld(n int) *world {
@@ -73,7 +73,7 @@
 	return s
 }
 
-// beginRead begins a beginRead; take ends it.
+// beginRead reads the target; finishRead handles the result.
 func (w *world) beginRead(o *owner) {
 	base, _ := o.table.Health(testTarget)
 	r := &readResult{base: base, began: w.now}
@@ -93,7 +93,7 @@
 	}
 }
 
-// syncTables makes two tables equal as a comparison does.
+// syncTables makes two tables equal, as a comparison of digests does.
 func syncTables(a, b *facts.Table) {
 	for _, pair := range [][2]*facts.Table{{a, b}, {b, a}} {
 		if h, known := pair[0].Health(testTarget); known {
@@ -102,7 +102,8 @@
 	}
 }
 
-// round lets each owner that lives read once and tells all of everything.
+// round lets each owner that isn't lost read once, and exchanges all facts after each
+// read.
 func (w *world) round() {
 	for _, o := range w.owners {
 		if o.lost {
@@ -125,7 +126,7 @@
 	}
 }
 
-// runUntilSettled is enough rounds for the last owner in order to have spoken.
+// runUntilSettled runs enough rounds for the owner of the last rank to publish.
 func (w *world) runUntilSettled() {
 	for range 4 * (len(w.owners) + 1) {
 		w.round()
@@ -137,7 +138,8 @@
 	return h
 }
 
-// checkKnown is what the other VM must know once all has been told.
+// checkKnown returns an error unless the other VM knows the target's current status
+// and doesn't count the target as lost. It holds once all facts are exchanged.
 func (w *world) checkKnown() error {
 	h := w.known()
 	if !h.SameContent(encode(w.status)) {
@@ -149,6 +151,8 @@
 	return nil
 }
 
+// TestOnlyFirstOwnerReports: if each owner published each change, the fleet would send
+// several statements for one. An unchanged target must cause none.
 func TestOnlyFirstOwnerReports(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(3)
@@ -156,7 +160,7 @@
 	g.Expect(w.checkKnown()).To(Succeed())
 	before := w.known().Stamp
 	w.runUntilSettled()
-	g.Expect(w.known().Stamp).To(Equal(before), "stated again though nothing changed")
+	g.Expect(w.known().Stamp).To(Equal(before), "published again although nothing changed")
 	w.setHoldings("s2", 2)
 	w.beginRead(w.owners[1])
 	w.finishRead(w.owners[1])
@@ -166,9 +170,10 @@
 	g.Expect(w.checkKnown()).To(Succeed())
 }
 
-// TestNextOwnerReportsForFrozenOwner: the owner that speaks for a target is frozen, and
-// nobody has noticed yet. The target takes a new index. Users of VMs without
-// connections would be sent to an index that is gone; the next owner must speak.
+// TestNextOwnerReportsForFrozenOwner: the owner that publishes for a target is frozen,
+// and no VM has detected that yet. The target switches to a new index. Calls of VMs
+// without connections to the target would ask for the old index, which the target has
+// removed. The next owner must publish the change.
 func TestNextOwnerReportsForFrozenOwner(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(3)
@@ -178,12 +183,13 @@
 	g.Expect(w.checkKnown()).To(Succeed())
 }
 
-// TestFrozenOwnerStatementLoses: the speaker reads a target, is frozen, the target
-// restarts and the others tell of the new incarnation; then the speaker runs on
-// and states what it had read. Calls would go by the holdings of a process that is
-// gone. Its statement must lose, whether it hears of the others' before or after.
+// TestFrozenOwnerStatementLoses: the first owner reads a target and is frozen. The
+// target restarts, and the other owners publish the new incarnation. Then the first
+// owner continues and publishes its old read. If that won, calls would use the holdings
+// of an ended process. It must lose, whether the first owner receives the others'
+// statements before or after it.
 func TestFrozenOwnerStatementLoses(t *testing.T) {
-	for _, unheard := range []bool{false, true} { // whether the others missed an incarnation
+	for _, unheard := range []bool{false, true} { // true: the others didn't see the incarnation that the first owner read
 		g := NewWithT(t)
 		w := newWorld(3)
 		w.runUntilSettled()
@@ -204,7 +210,8 @@
 	}
 }
 
-// runOthersUntilSettled lets all but the first owner read until they have stood in for it.
+// runOthersUntilSettled lets all owners but the first read until one of them has
+// published in its place.
 func (w *world) runOthersUntilSettled() {
 	for range 4 {
 		for _, o := range w.owners[1:] {
@@ -216,9 +223,10 @@
 	}
 }
 
-// TestTargetLostOnlyWhenNoOwnerCanRead: one owner alone loses contact with a target, by a
-// broken path or its own fault. If it could call the target lost, all VMs would
-// take its shards for missing. Only when no live owner can read it is it lost.
+// TestTargetLostOnlyWhenNoOwnerCanRead: a single owner can't read a target, because of
+// the network path or a failure of its own. If it could declare the target lost, all
+// VMs would take its shards for missing. A target must be lost only when no live owner
+// can read it.
 func TestTargetLostOnlyWhenNoOwnerCanRead(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(3)
@@ -236,9 +244,9 @@
 	g.Expect(w.checkKnown()).To(Succeed())
 }
 
-// TestTargetDownFromTheStart: a bundle names a target that is down. Nothing could
-// be told of it, and all VMs would try to read it at each interval, through its
-// owners. That nobody can read it is told, and what it says once it is up.
+// TestTargetDownFromTheStart: a bundle contains a target that is down. Without a
+// statement about it, all VMs would try to read it through its owners at each interval.
+// The owners must publish that they can't read it, and its status once it is up.
 func TestTargetDownFromTheStart(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(3)
@@ -252,8 +260,8 @@
 	g.Expect(w.checkKnown()).To(Succeed())
 }
 
-// TestDrainedStaysDrained: a late reading says that a target serves whose drain
-// was stated. It must not be given new work.
+// TestDrainedStaysDrained: a late read returns the state serving for a target whose
+// drain was published. The target must not get new work.
 func TestDrainedStaysDrained(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(2)
@@ -266,9 +274,10 @@
 	g.Expect(decode(w.known()).Leaves).To(Equal(w.status.Leaves))
 }
 
-// TestHealthConverges: owners are cut off, frozen in mid-read, blind or lost for
-// good, and the target restarts and switches its index, in any order. Once all but
-// one owner are well again, everybody knows what the target says.
+// TestHealthConverges: owners are isolated, frozen during a read, unable to read the
+// target, or permanently lost, and the target restarts and switches its index, in any
+// order. Once all owners but one are healthy again, all VMs must know the target's
+// current status.
 func TestHealthConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(4)
@@ -310,8 +319,8 @@
 	}
 }
 
-// TestContentRoundTrip: what a status says must be the same after it was told, but
-// for the loads and the order.
+// TestContentRoundTrip: encoding a status as a statement and decoding it must keep it,
+// apart from the loads and the order.
 func TestContentRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		st := target.Status{Target: testTarget, Incarnation: "i", State: target.StateServing}
@@ -335,8 +344,8 @@
 	})
 }
 
-// TestOversizedStatusIsOpaque: a target holds more than a statement may
-// tell. If nothing were said, VMs would go on with an earlier statement.
+// TestOversizedStatusIsOpaque: the status of a target doesn't fit in a statement. If
+// none were published, VMs would continue to use an earlier one.
 func TestOversizedStatusIsOpaque(t *testing.T) {
 	g := NewWithT(t)
 	st := target.Status{Target: testTarget, Incarnation: "i", State: target.StateServing, Leaves: []target.LeafStatus{{}}}
--- a/peer/place/place.go
+++ b/peer/place/place.go
@@ -1,8 +1,8 @@
-// Package place gives each VM a place of its own among the fleet's: a number
-// from 0 to bundle.Fleet.MaxVMs-1, claimed by a conditional write to the
-// platform. Places decide who owns connections to which targets (package share),
-// so no two processes may hold one at a time. A claim costs a VM a listing and
-// one write in its life, and one write to give it back; nothing is renewed.
+// Package place gives each VM a place of its own in the fleet: a number from 0 to
+// bundle.Fleet.MaxVMs-1, claimed by a conditional write to the platform. Places
+// decide which VMs own connections to which targets (package share), so no two
+// processes may hold one at a time. A claim costs an incarnation of a VM one listing
+// and one write, and another write for the release. Claims aren't renewed.
 package place
 
 import (
@@ -19,18 +19,18 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// Kind is the kind of the platform's objects that hold claims. Their names are
-// the deployment's, a dash and the place.
+// Kind is the kind of the platform's objects that hold claims. An object's name is
+// the name of the deployment, a dash and the place with four digits.
 const Kind = "vm-places"
 
-// ErrNoneFree means that all places are held by VMs that are not known to be gone.
-var ErrNoneFree = errors.New("place: none is free")
+// ErrNoneFree means that all places are held by VMs that aren't known to have ended.
+var ErrNoneFree = errors.New("place: no place is free")
 
-// Claim is the value of an object.
+// Claim is the JSON value of an object.
 type Claim struct {
 	VM          string    `json:"vm"`
 	Incarnation string    `json:"incarnation"`
-	At          time.Time `json:"at"` // by the holder's clock; for people to read
+	At          time.Time `json:"at"` // by the holder's clock; informational only
 }
 
 // Options configure Take. All are required.
@@ -39,7 +39,7 @@
 	Deployment  string
 	VM          string
 	Incarnation string
-	// Ended tells whether a process is known to have ended.
+	// Ended reports whether a process is known to have ended.
 	Ended func(vm, incarnation string) bool
 }
 
@@ -61,7 +61,7 @@
 	}
 	for place, c := range claims {
 		if c.VM == o.VM && c.Incarnation == o.Incarnation && place < places {
-			return &Held{Place: place, version: c.version, opts: o}, nil // its answer was lost
+			return &Held{Place: place, version: c.version, opts: o}, nil // an earlier answer was lost
 		}
 	}
 	for _, place := range rand.Perm(places) {
@@ -78,7 +78,7 @@
 	return nil, ErrNoneFree
 }
 
-// Release gives the place back, if it is still this process's.
+// Release frees the place if this process still holds it.
 func (h *Held) Release(ctx context.Context) error {
 	err := h.opts.Store.Delete(ctx, Kind, h.opts.objectName(h.Place), h.version)
 	if errors.Is(err, objstore.ErrNotFound) || errors.Is(err, objstore.ErrConflict) {
@@ -87,8 +87,8 @@
 	return errors.Trace(err)
 }
 
-// Lost tells whether another process holds the place by now. A VM that was
-// frozen for long has to ask before it opens connections again.
+// Lost reports whether this process doesn't hold the place any more. A VM that was
+// frozen for a long time has to check that before it opens connections again.
 func (h *Held) Lost(ctx context.Context) (bool, error) {
 	object, err := h.opts.Store.Get(ctx, Kind, h.opts.objectName(h.Place))
 	switch {
@@ -133,7 +133,7 @@
 			number, own := strings.CutPrefix(object.Name, prefix)
 			place, err := strconv.Atoi(number)
 			if !own || err != nil {
-				continue // of another deployment
+				continue // it belongs to another deployment
 			}
 			c := storedClaim{version: object.Version}
 			if err := json.Unmarshal(object.Value, &c.Claim); err != nil {
--- a/peer/place/place_test.go
+++ b/peer/place/place_test.go
@@ -18,9 +18,9 @@
 	return Options{Store: store, Deployment: "d", VM: vm, Incarnation: vm + "-1", Ended: noneEnded}
 }
 
-// TestConcurrentClaims: a whole fleet starts at the same moment, with as
-// many places as VMs. Two VMs in one place would together hold more connections
-// than a target takes; each must get one of its own, and one VM more none.
+// TestConcurrentClaims: a whole fleet starts at the same time, with as many places as
+// VMs. Two VMs with one place would together open more connections than a target
+// accepts. Each VM must get a place of its own, and one further VM none.
 func TestConcurrentClaims(t *testing.T) {
 	g := NewWithT(t)
 	store := platformsim.NewStore()
@@ -47,13 +47,14 @@
 	late, err := Acquire(context.Background(), options(store, "late"), places)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(late.Place).To(Equal(held[3].Place))
-	g.Expect(held[3].Release(context.Background())).To(Succeed(), "a second release harms nobody")
+	g.Expect(held[3].Release(context.Background())).To(Succeed(), "a second release has no effect")
 	g.Expect(late.Lost(context.Background())).To(BeFalse())
 }
 
-// TestPlaceOfEndedVM: a VM dies without giving its place back, or is frozen. Once
-// it is known to be gone a new VM takes the place; the old one, when it runs on,
-// finds that it lost it, and can't give away what is no longer its own.
+// TestPlaceOfEndedVM: a VM stops without releasing its place, or is frozen. Once it is
+// known to have ended, a new VM must be able to claim the place. If the old one
+// continues, it must detect that it has lost the place, and must not be able to release
+// it.
 func TestPlaceOfEndedVM(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
@@ -71,8 +72,8 @@
 	g.Expect(fresh.Lost(ctx)).To(BeFalse())
 }
 
-// TestClaimWithLostAnswer: the platform takes the claim and its answer is lost.
-// The VM asks again and must find its own claim, not take a second place.
+// TestClaimWithLostAnswer: the platform stores a claim and its answer is lost. The VM
+// tries again, and must find its own claim instead of claiming a second place.
 func TestClaimWithLostAnswer(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
--- a/peer/share/share.go
+++ b/peer/share/share.go
@@ -1,16 +1,16 @@
-// Package share cuts the connections that a target accepts among the VMs of a
-// deployment. It is pure.
+// Package share divides the connections that a target accepts among the VMs of a
+// deployment. Its functions depend only on their arguments.
 //
-// The fleet has a fixed number of places, bundle.Fleet.MaxVMs. A Plan says how
-// many places own connections to a target and how many connections each owner
-// may hold; Owners*Each never exceeds the target's limit. If the limit lets
-// every place own some, all VMs go direct and nobody needs to know who else
-// lives: that is the static share of a small fleet. In a larger one the owners
-// of a target are chosen by rendezvous hashing over the places, and the other
-// VMs reach it through them.
+// The fleet has a fixed number of places, bundle.Fleet.MaxVMs. A Plan gives the
+// number of places that own connections to a target, and the number of connections
+// that each owner may hold. Owners*PerOwner never exceeds the target's limit. If the
+// limit is enough for every place, all VMs connect directly, and none needs to know
+// which others are alive: this is the static share of a small fleet. In a larger
+// fleet the owners of a target are chosen by rendezvous hashing over the places, and
+// the other VMs reach the target through them.
 //
-// The places are fixed numbers and not the list of VMs, because that list lags:
-// two VMs with different lists can both believe to be the last owner.
+// Owners are chosen from fixed numbers and not from the list of VMs, because that list
+// lags: two VMs with different lists could both count themselves as the last owner.
 package share
 
 import (
@@ -21,24 +21,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// wantedOwners is the number of owners of a target that can't serve every VM:
-// enough to lose some, and few enough that each sees much of the target's load.
+// wantedOwners is the number of owners of a target that doesn't accept enough
+// connections for every place. Some of them may be lost, and they are few enough that
+// each sees a large part of the target's load.
 const wantedOwners = 8
 
-// spareShares is how many shares of each target are left free where places
-// change hands: a VM that is frozen, or cut off, keeps its connections open at
-// the target while its successor in the place opens others.
+// spareShares is the number of shares of a target that are left free if not every
+// place owns one. A VM that is frozen or isolated keeps its connections to the target
+// open, while the VM that claims its place opens others.
 const spareShares = 1
 
-// Plan is how one target's connections are cut.
+// Plan is the division of one target's connections.
 type Plan struct {
-	Places   int // of the fleet
-	Owners   int // places that own connections to the target
+	Places   int // number of places of the fleet
+	Owners   int // number of places that own connections to the target
 	PerOwner int // connections that one owner may hold
 }
 
-// NewPlan plans for a target that accepts that many connections from the whole
-// fleet, which has that many places.
+// NewPlan returns the plan for a target that accepts the given number of connections
+// from the whole fleet, which has the given number of places.
 func NewPlan(connections, places int) Plan {
 	places = max(places, 1)
 	connections = max(connections, 0)
@@ -56,7 +57,7 @@
 	}
 }
 
-// Direct tells whether every VM has connections of its own.
+// Direct reports whether every place owns connections.
 func (p Plan) Direct() bool { return p.Owners == p.Places }
 
 // Connections returns how many connections to the target the VM at a place may
@@ -72,7 +73,8 @@
 	return 0
 }
 
-// OwnerPlaces returns the places that own the target, the first choice first.
+// OwnerPlaces returns the places that own connections to the target, in descending
+// order of their rendezvous weight.
 func (p Plan) OwnerPlaces(target string) []int {
 	places := make([]int, p.Places)
 	for i := range places {
@@ -81,7 +83,8 @@
 	return topByWeight(target, places, strconv.Itoa, p.Owners)
 }
 
-// topByWeight returns the n candidates with the highest rendezvous weight for a target.
+// topByWeight returns the n candidates with the highest rendezvous weights for a
+// target, in descending order. name returns a candidate's name for the hash.
 func topByWeight[C any](target string, candidates []C, name func(C) string, n int) []C {
 	type weighed struct {
 		candidate C
--- a/peer/share/share_test.go
+++ b/peer/share/share_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestTotalStaysWithinLimit: whatever the limit and the fleet's size, and whoever
-// holds the places, all VMs together never hold more than the target accepts.
+// TestTotalStaysWithinLimit: whatever the limit and the number of places, and whichever
+// VMs hold them, all VMs together must not hold more connections than the target
+// accepts. One share must be left free for a frozen owner.
 func TestTotalStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 200).Draw(t, "limit")
@@ -28,14 +29,16 @@
 			t.Fatalf("%d connections of %d leave no share for a frozen owner", sum, limit)
 		}
 		if limit > 0 && sum == 0 {
-			t.Fatal("nobody reaches the target")
+			t.Fatal("no VM can reach the target")
 		}
 		if plan.Direct() && limit >= places && plan.Connections(target, places-1) == 0 {
-			t.Fatal("a place without connections though all go direct")
+			t.Fatal("a place has no connections although all connect directly")
 		}
 	})
 }
 
+// TestOwnersAreSpreadEvenly: a VM that owned connections to many more targets than the
+// others would be overloaded by their calls.
 func TestOwnersAreSpreadEvenly(t *testing.T) {
 	g := NewWithT(t)
 	const places, targets = 100, 1000
@@ -51,16 +54,16 @@
 	g.Expect(owned[places-1]).To(BeNumerically("<", mean*2))
 }
 
-// ownersByList returns the owners of a target among the VMs of a list: the way that was
-// ruled out.
+// ownersByList returns the owners of a target chosen from a list of VMs, which is the
+// rejected design.
 func ownersByList(target string, vms []string, n int) []string {
 	return topByWeight(target, vms, func(s string) string { return s }, n)
 }
 
-// rollingPeak replaces every VM of a fleet one after another by a VM of a new
+// rollingPeak replaces every VM of a fleet one after another by a VM with a new
 // name. Each VM sees the list as it was some replacements ago, at most lag. It
-// returns the most connections that one target ever saw when each VM chooses
-// the owners from the list that it sees.
+// returns the largest number of connections to one target at any time, if each VM
+// chooses the owners from the list that it sees.
 func rollingPeak(fleet, targets, lag int, plan Plan) int {
 	names := make([]string, fleet)
 	for i := range names {
@@ -78,7 +81,8 @@
 	return peak
 }
 
-// countSelfDeclaredOwners counts the VMs that believe to own a target.
+// countSelfDeclaredOwners counts the VMs that own a target according to the list that
+// they see.
 func countSelfDeclaredOwners(target string, names []string, history [][]string, lag, owners int) int {
 	count := 0
 	for behind := range lag + 1 {
@@ -92,15 +96,16 @@
 	return count
 }
 
-// TestReplacementWithLaggingList: users see searches fail because a target turns
-// VMs away. All VMs are replaced one after another while each VM's list lags by
-// up to ten replacements. VMs that choose owners from their own lists are too
-// many for a while; fixed places are not, whatever the lists say.
+// TestReplacementWithLaggingList: searches fail because a target refuses connections
+// of VMs. All VMs are replaced one after another, while each VM's list lags by up to
+// ten replacements. If VMs chose the owners from their own lists, too many would count
+// themselves as owners for a while. With fixed places they must not, whatever their
+// lists are.
 func TestReplacementWithLaggingList(t *testing.T) {
 	g := NewWithT(t)
 	const fleet, targets, limit, lag = 100, 10, 25, 10
 	plan := NewPlan(limit, fleet)
-	// All of the limit among as many owners, without a share left free.
+	// The whole limit is divided among the owners, without a spare share.
 	full := Plan{Places: fleet, Owners: plan.Owners, PerOwner: limit / plan.Owners}
 	listPeak := rollingPeak(fleet, targets, lag, full)
 	placePeak := 0
@@ -109,5 +114,5 @@
 	}
 	t.Logf("limit %d, peak by places %d, peak by list %d", limit, placePeak, listPeak)
 	g.Expect(placePeak).To(BeNumerically("<=", limit))
-	g.Expect(listPeak).To(BeNumerically(">", limit), "the list would do, and places aren't needed")
+	g.Expect(listPeak).To(BeNumerically(">", limit), "the list would be enough, and places aren't needed")
 }
