--- a/peer/heads.go
+++ b/peer/heads.go
@@ -78,7 +78,7 @@
 		x.announceRevision()
 		return
 	}
-	x.opts.Log.Warn("could not take over the head of a peer", "peer", l.name, "error", err)
+	x.opts.Log.Warn("could not get the head of a peer", "peer", l.name, "error", err)
 	// The peer's next message may announce that revision again. Until then other
 	// peers are tried.
 	x.mu.Lock()
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -78,7 +78,7 @@
 	rereadInterval   time.Duration          // between reads of a target for which there are statements
 	readBase         map[string]facts.Stamp // stamp of the known statement when the current or last read began
 	appliedStamps    map[string]facts.Stamp // statement that the Sink last received, or that was known when it received a read
-	partlyUnreadable map[string]bool        // targets that some owner can't read; true if the Sink was told that it is lost
+	partlyUnreadable map[string]bool        // targets that some owner can't read; true if the Sink was notified that it is lost
 }
 
 // New returns a Relay that isn't started.
--- a/peer/health/speaker_test.go
+++ b/peer/health/speaker_test.go
@@ -235,7 +235,7 @@
 		w.owners[blind].cannotRead = true
 		w.runUntilSettled()
 		if blind < len(w.owners)-1 {
-			g.Expect(w.checkKnown()).To(Succeed(), "%d owners blind", blind+1)
+			g.Expect(w.checkKnown()).To(Succeed(), "%d owners can't read the target", blind+1)
 		}
 	}
 	g.Expect(lost(w.known(), w.standing(0).owners)).To(BeTrue())
--- a/peer/members.go
+++ b/peer/members.go
@@ -13,9 +13,9 @@
 	// as live if its refutation of the first suspicion was its last message that
 	// arrived.
 	suspectAgainAfter = 10 * time.Second
-	// startupPeriod is how long after its start a process that sees a statement of a
-	// later process of its name takes its own clock to be behind. After it, the
-	// process takes itself to be replaced.
+	// startupPeriod applies to a process that receives a statement of a later process
+	// of its name. Within this time after its start, the process assumes that its own
+	// clock is behind; afterwards, that it has been replaced.
 	startupPeriod = 15 * time.Second
 )
 
--- a/peer/place/place.go
+++ b/peer/place/place.go
@@ -33,7 +33,7 @@
 	At          time.Time `json:"at"` // by the holder's clock; informational only
 }
 
-// Options configure Take. All are required.
+// Options configures Acquire. All fields are required.
 type Options struct {
 	Store       objstore.Store
 	Deployment  string
@@ -53,7 +53,8 @@
 // pageSize is the number of claims read at a time.
 const pageSize = 1000
 
-// Acquire claims one of the places. It returns ErrNone if none can be had now.
+// Acquire claims one of the places from 0 to places-1. It returns ErrNoneFree if none
+// is available now.
 func Acquire(ctx context.Context, o Options, places int) (*Held, error) {
 	claims, err := listClaims(ctx, o)
 	if err != nil {
