--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -139,7 +139,7 @@
 	announcedRevision uint64 // last revision announced to peers
 	drainsChanged     chan struct{}
 	lastDrainLearned  time.Time           // when this VM last learned of a drain
-	changedTargets    map[string]struct{} // targets with changed health since TakeHealth
+	changedTargets    map[string]struct{} // targets with changed health since TakeHealthChanges
 	lastHealthLearned time.Time           // when the health of a target last changed
 }
 
@@ -260,7 +260,7 @@
 }
 
 // DrainsChanged returns a channel that is closed when a drain is learned after
-// this call. Each call after that returns a new channel.
+// this call. Once a channel is closed, DrainsChanged returns a new one.
 func (x *Exchange) DrainsChanged() <-chan struct{} {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/peer/facts/health.go
+++ b/peer/facts/health.go
@@ -122,8 +122,8 @@
 // owner has read the target yet, its incarnation; it is within MaxHealthBytes; and its
 // holdings refer to its maps.
 func (h Health) valid() bool {
-	unseen := h.Epoch == 0 && h.Opaque
-	if h.Target == "" || (h.Incarnation == "") != unseen || (h.State == Draining) != h.Drained {
+	neverRead := h.Epoch == 0 && h.Opaque
+	if h.Target == "" || (h.Incarnation == "") != neverRead || (h.State == Draining) != h.Drained {
 		return false
 	}
 	for _, leaf := range h.Leaves {
--- a/peer/facts/health_test.go
+++ b/peer/facts/health_test.go
@@ -40,7 +40,7 @@
 
 func mergeHealthChecked(t *rapid.T, table *Table, f Fact) {
 	before, known := table.Health(f.Health.Target)
-	news := table.Merge(f, now)
+	changed := table.Merge(f, now)
 	after, _ := table.Health(f.Health.Target)
 	if known && before.Outranks(after) {
 		t.Fatalf("%v was replaced by the older %v", before, after)
@@ -52,8 +52,8 @@
 	if known && before.Drained && same && !after.Drained {
 		t.Fatalf("%v is drained, but %v isn't", before, after)
 	}
-	if news != (!known || !table.Contains(Fact{Health: &before})) {
-		t.Fatalf("Merge returned %v, but %v was followed by %v", news, before, after)
+	if changed != (!known || !table.Contains(Fact{Health: &before})) {
+		t.Fatalf("Merge returned %v, but %v was followed by %v", changed, before, after)
 	}
 }
 
--- a/peer/facts/table.go
+++ b/peer/facts/table.go
@@ -193,23 +193,23 @@
 }
 
 // Root returns the digest of a whole section.
-func (t *Table) Root(part Section) uint64 {
+func (t *Table) Root(section Section) uint64 {
 	var root uint64
-	for i, d := range t.buckets(part) {
+	for i, d := range t.buckets(section) {
 		root ^= d*uint64(2*i+1) + uint64(i)
 	}
 	return root
 }
 
-func (t *Table) buckets(part Section) []uint64 {
-	first := int(part) * Buckets
+func (t *Table) buckets(section Section) []uint64 {
+	first := int(section) * Buckets
 	return t.digest[first : first+Buckets]
 }
 
 // Digest returns the digests of a section's buckets, eight bytes each, little-endian.
-func (t *Table) Digest(part Section) []byte {
+func (t *Table) Digest(section Section) []byte {
 	buf := make([]byte, 0, 8*Buckets)
-	for _, d := range t.buckets(part) {
+	for _, d := range t.buckets(section) {
 		buf = binary.LittleEndian.AppendUint64(buf, d)
 	}
 	return buf
@@ -217,14 +217,14 @@
 
 // Differing returns the buckets of a section whose digests differ from those of
 // another table. It returns nil if digest doesn't have the right length.
-func (t *Table) Differing(part Section, digest []byte) []int {
+func (t *Table) Differing(section Section, digest []byte) []int {
 	if len(digest) != 8*Buckets {
 		return nil
 	}
 	var list []int
-	for i, d := range t.buckets(part) {
+	for i, d := range t.buckets(section) {
 		if binary.LittleEndian.Uint64(digest[8*i:]) != d {
-			list = append(list, int(part)*Buckets+i)
+			list = append(list, int(section)*Buckets+i)
 		}
 	}
 	return list
--- a/peer/facts/table_test.go
+++ b/peer/facts/table_test.go
@@ -60,8 +60,8 @@
 		for range 5 {
 			exchange(a, b)
 		}
-		for part := range sectionCount {
-			if a.Root(part) != b.Root(part) || len(a.Differing(part, b.Digest(part))) != 0 {
+		for section := range sectionCount {
+			if a.Root(section) != b.Root(section) || len(a.Differing(section, b.Digest(section))) != 0 {
 				t.Fatalf("tables differ:\n%v %v %v\n%v %v %v", a.members, a.drains, a.health, b.members, b.drains, b.health)
 			}
 		}
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -199,8 +199,8 @@
 func TestKilledVM(t *testing.T) {
 	f := newFleet(t, 6)
 	f.waitConnected()
-	dead := f.vms[5]
-	dead.crash()
+	killed := f.vms[5]
+	killed.crash()
 	f.waitForAll(func(vm *testVM) bool { return !slices.Contains(names(vm.Live()), "vm-005") }, f.vms[:5]...)
 }
 
@@ -232,11 +232,11 @@
 	f.waitConnected()
 	f.vms[0].heads.set(3)
 	f.waitForAll(hasRevision(3))
-	rest := f.vms[:5]
+	others := f.vms[:5]
 	f.net.split(map[string]int{f.vms[5].Address(): 1})
-	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == 5 }, rest...)
+	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == 5 }, others...)
 	f.vms[0].heads.set(4)
-	f.waitForAll(hasRevision(4), rest...)
+	f.waitForAll(hasRevision(4), others...)
 	f.net.split(nil)
 	f.waitForAll(func(vm *testVM) bool { return vm.heads.Revision() == 4 && len(vm.Live()) == 6 })
 }
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -188,13 +188,13 @@
 	if len(vms) == 0 {
 		vms = f.vms
 	}
-	f.g.Eventually(func() (lag []string) {
+	f.g.Eventually(func() (failing []string) {
 		for _, vm := range vms {
 			if !check(vm) {
-				lag = append(lag, vm.opts.VM.Name)
+				failing = append(failing, vm.opts.VM.Name)
 			}
 		}
-		return lag
+		return failing
 	}).WithTimeout(testTimeout).Should(BeEmpty())
 }
 
@@ -230,9 +230,9 @@
 func (n *network) dialer(from *string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, to string) (net.Conn, error) {
 		n.mu.Lock()
-		apart := n.group[*from] != n.group[to]
+		separated := n.group[*from] != n.group[to]
 		n.mu.Unlock()
-		if apart {
+		if separated {
 			<-ctx.Done() // like packets that are dropped
 			return nil, ctx.Err()
 		}
--- a/peer/health.go
+++ b/peer/health.go
@@ -28,11 +28,11 @@
 	return x.table.Health(target)
 }
 
-// TellHealth publishes the statement next in place of the one with the stamp base,
+// PublishHealth publishes the statement next in place of the one with the stamp base,
 // which is the zero Stamp if there was none. It reports whether next was
 // published. It does nothing if the current statement isn't base any more, or if
 // this VM is leaving or was replaced.
-func (x *Exchange) TellHealth(next facts.Health, base facts.Stamp) bool {
+func (x *Exchange) PublishHealth(next facts.Health, base facts.Stamp) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	known, _ := x.table.Health(next.Target)
@@ -48,9 +48,9 @@
 	return true
 }
 
-// TakeHealth returns the current statements about the targets whose health has
+// TakeHealthChanges returns the current statements about the targets whose health has
 // changed since the last call.
-func (x *Exchange) TakeHealth() []facts.Health {
+func (x *Exchange) TakeHealthChanges() []facts.Health {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	list := make([]facts.Health, 0, len(x.changedTargets))
@@ -63,7 +63,7 @@
 	return list
 }
 
-// HealthChanged returns a channel that receives a value when TakeHealth has
+// HealthChanged returns a channel that receives a value when TakeHealthChanges has
 // something to return. It is always the same channel, for a single receiver.
 func (x *Exchange) HealthChanged() <-chan struct{} { return x.healthChanged }
 
--- a/peer/health/content.go
+++ b/peer/health/content.go
@@ -75,7 +75,7 @@
 // their numbers.
 func holdingRuns(maps []facts.Map, holdings []target.Holding) []facts.Holding {
 	type indexed struct {
-		at int
+		mapIndex int
 		target.Holding
 	}
 	sorted := make([]indexed, len(holdings))
@@ -83,13 +83,13 @@
 		sorted[i] = indexed{slices.Index(maps, partitionMap(h)), h}
 	}
 	slices.SortFunc(sorted, func(a, b indexed) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Records, b.Records))
+		return cmp.Or(cmp.Compare(a.mapIndex, b.mapIndex), cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Records, b.Records))
 	})
 	var list []facts.Holding
 	next := -1 // the shard that would continue the last run
 	for i, h := range sorted {
-		if i == 0 || h.at != sorted[i-1].at || h.Shard != next {
-			list = append(list, facts.Holding{int64(h.at), int64(h.Shard)})
+		if i == 0 || h.mapIndex != sorted[i-1].mapIndex || h.Shard != next {
+			list = append(list, facts.Holding{int64(h.mapIndex), int64(h.Shard)})
 		}
 		last := len(list) - 1
 		list[last] = append(list[last], h.Records)
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -27,8 +27,8 @@
 type Exchange interface {
 	SetTargets(names []string)
 	Health(target string) (facts.Health, bool)
-	TellHealth(next facts.Health, base facts.Stamp) bool
-	TakeHealth() []facts.Health
+	PublishHealth(next facts.Health, base facts.Stamp) bool
+	TakeHealthChanges() []facts.Health
 	HealthChanged() <-chan struct{}
 }
 
@@ -181,7 +181,7 @@
 	for {
 		select {
 		case <-r.exchange.HealthChanged():
-			for _, h := range r.exchange.TakeHealth() {
+			for _, h := range r.exchange.TakeHealthChanges() {
 				r.apply(h)
 			}
 		case <-sweep.C:
@@ -195,12 +195,12 @@
 // apply passes a statement to the Sink, unless this VM reads the target over its own
 // connections or has read it since. An owner may answer the statement instead.
 func (r *Relay) apply(h facts.Health) {
-	at := r.opts.Router.Standing(h.Target)
-	if !at.Shared {
+	pos := r.opts.Router.Standing(h.Target)
+	if !pos.Shared {
 		return
 	}
-	if at.Owner {
-		r.answerStatement(h, at)
+	if pos.Owner {
+		r.answerStatement(h, pos)
 		return
 	}
 	r.mu.Lock()
@@ -210,7 +210,7 @@
 	}
 	if r.appliedStamps[h.Target] != h.Stamp {
 		r.appliedCount.Inc()
-		r.notifySink(h, at)
+		r.notifySink(h, pos)
 	}
 	r.adjustReadInterval(h)
 }
@@ -227,18 +227,18 @@
 }
 
 // notifySink passes a statement to the Sink. The caller must hold mu.
-func (r *Relay) notifySink(h facts.Health, at route.Standing) {
+func (r *Relay) notifySink(h facts.Health, pos route.Standing) {
 	r.appliedStamps[h.Target] = h.Stamp
-	gone := lost(h, at.Live)
+	isLost := lost(h, pos.Live)
 	switch {
-	case gone:
+	case isLost:
 		r.opts.Sink.TargetLost(h.Target)
 	case !h.Opaque:
 		r.opts.Sink.TargetStatus(h.Target, decode(h), time.Now())
 	}
 	delete(r.partlyUnreadable, h.Target)
 	if len(h.UnreadableBy) > 0 {
-		r.partlyUnreadable[h.Target] = gone
+		r.partlyUnreadable[h.Target] = isLost
 	}
 }
 
@@ -247,25 +247,25 @@
 func (r *Relay) sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name, gone := range r.partlyUnreadable {
-		at := r.opts.Router.Standing(name)
-		if h, known := r.exchange.Health(name); known && !at.Owner && lost(h, at.Live) != gone {
-			r.notifySink(h, at)
+	for name, wasLost := range r.partlyUnreadable {
+		pos := r.opts.Router.Standing(name)
+		if h, known := r.exchange.Health(name); known && !pos.Owner && lost(h, pos.Live) != wasLost {
+			r.notifySink(h, pos)
 		}
 	}
 }
 
 // answerStatement lets this VM, as an owner, answer the statement of another one.
-func (r *Relay) answerStatement(h facts.Health, at route.Standing) {
+func (r *Relay) answerStatement(h facts.Health, pos route.Standing) {
 	r.mu.Lock()
-	next, say := r.reporter.handleStatement(h, standingOf(at), r.timings[h.Target], time.Now())
+	next, publish := r.reporter.handleStatement(h, standingOf(pos), r.timings[h.Target], time.Now())
 	r.mu.Unlock()
-	if say {
+	if publish {
 		r.publish(next, h.Stamp)
 	}
 }
 
-func standingOf(at route.Standing) standing { return standing{place: at.Place, owners: at.Live} }
+func standingOf(pos route.Standing) standing { return standing{place: pos.Place, owners: pos.Live} }
 
 // Status reads a target for the Monitor, and publishes what has changed if this VM
 // is an owner.
@@ -277,27 +277,31 @@
 	r.mu.Unlock()
 	r.reads.Inc()
 	status, err := r.opts.Router.Status(ctx, name)
-	if at := r.opts.Router.Standing(name); at.Owner && at.Shared {
-		reading := readResult{base: base, began: began}
+	if pos := r.opts.Router.Standing(name); pos.Owner && pos.Shared {
+		read := readResult{base: base, began: began}
 		if err == nil {
-			reading.status = &status
+			read.status = &status
 		}
-		r.handleOwnRead(name, reading, at)
+		r.handleOwnRead(name, read, pos)
 	}
 	return status, err
 }
 
-func (r *Relay) handleOwnRead(name string, read readResult, at route.Standing) {
+// handleOwnRead lets this VM, as an owner, publish the result of its read if that is
+// due.
+func (r *Relay) handleOwnRead(name string, read readResult, pos route.Standing) {
 	r.mu.Lock()
-	next, say := r.reporter.handleRead(name, read, standingOf(at), r.timings[name], time.Now())
+	next, publish := r.reporter.handleRead(name, read, standingOf(pos), r.timings[name], time.Now())
 	r.mu.Unlock()
-	if say {
+	if publish {
 		r.publish(next, read.base.Stamp)
 	}
 }
 
+// publish publishes the statement next, unless the one with the stamp base has been
+// replaced since.
 func (r *Relay) publish(next facts.Health, base facts.Stamp) {
-	if r.exchange.TellHealth(next, base) {
+	if r.exchange.PublishHealth(next, base) {
 		r.published.Inc()
 		r.opts.Log.Debug("published health of a target", "target", next.Target, "epoch", next.Epoch, "seq", next.Seq, "unread", next.UnreadableBy)
 	}
@@ -306,10 +310,10 @@
 // TargetStatus implements target.Sink for the Monitor. A status that was read through
 // an owner is dropped if a newer statement arrived during the read.
 func (r *Relay) TargetStatus(name string, status target.Status, at time.Time) {
-	own := r.readsDirectly(name)
+	direct := r.readsDirectly(name)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if own {
+	if direct {
 		delete(r.appliedStamps, name)
 		r.opts.Sink.TargetStatus(name, status, at)
 		return
@@ -345,6 +349,6 @@
 
 // readsDirectly reports whether this VM reads a target over its own connections.
 func (r *Relay) readsDirectly(name string) bool {
-	at := r.opts.Router.Standing(name)
-	return !at.Shared || at.Owner
+	pos := r.opts.Router.Standing(name)
+	return !pos.Shared || pos.Owner
 }
--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -35,13 +35,13 @@
 
 func (f *fakes) SetTargets([]string)                 {}
 func (f *fakes) Health(string) (facts.Health, bool)  { return f.known, f.known.Target != "" }
-func (f *fakes) TakeHealth() []facts.Health          { return f.changes }
+func (f *fakes) TakeHealthChanges() []facts.Health   { return f.changes }
 func (f *fakes) HealthChanged() <-chan struct{}      { return nil }
 func (f *fakes) Standing(string) route.Standing      { return f.standing }
 func (f *fakes) Relax(_ string, every time.Duration) { f.readInterval = every }
 func (f *fakes) Hurry(string)                        { f.readSoon++ }
 
-func (f *fakes) TellHealth(next facts.Health, base facts.Stamp) bool {
+func (f *fakes) PublishHealth(next facts.Health, base facts.Stamp) bool {
 	if f.known.Stamp != base {
 		return false
 	}
--- a/peer/health/speaker.go
+++ b/peer/health/speaker.go
@@ -56,27 +56,27 @@
 
 // handleRead returns the statement to publish after a read, and reports whether there
 // is one.
-func (s *reporter) handleRead(name string, r readResult, at standing, t timing, now time.Time) (facts.Health, bool) {
-	w := s.targets[name]
-	if w == nil {
-		w = &targetState{}
-		s.targets[name] = w
+func (rep *reporter) handleRead(name string, r readResult, pos standing, t timing, now time.Time) (facts.Health, bool) {
+	ts := rep.targets[name]
+	if ts == nil {
+		ts = &targetState{}
+		rep.targets[name] = ts
 	}
 	if r.status == nil {
-		return w.handleFailure(name, r, at, t, now)
+		return ts.handleFailure(name, r, pos, t, now)
 	}
-	w.failures, w.failingSince = 0, time.Time{}
-	return w.handleStatus(name, r, at, t, now)
+	ts.failures, ts.failingSince = 0, time.Time{}
+	return ts.handleStatus(name, r, pos, t, now)
 }
 
-func (w *targetState) handleFailure(name string, r readResult, at standing, t timing, now time.Time) (facts.Health, bool) {
-	w.differsSince = time.Time{}
-	w.failures++
-	if w.failures < t.suspectAfter {
+func (ts *targetState) handleFailure(name string, r readResult, pos standing, t timing, now time.Time) (facts.Health, bool) {
+	ts.differsSince = time.Time{}
+	ts.failures++
+	if ts.failures < t.suspectAfter {
 		return facts.Health{}, false
 	}
-	if w.failingSince.IsZero() {
-		w.failingSince = now
+	if ts.failingSince.IsZero() {
+		ts.failingSince = now
 	}
 	base := r.base
 	if base.Target == "" {
@@ -84,18 +84,18 @@
 		// try to read a target that was down when the bundle came into force.
 		base = facts.Health{Target: name, Opaque: true}
 	}
-	return w.reportUnreadable(base, at, t, now)
+	return ts.reportUnreadable(base, pos, t, now)
 }
 
 // handleStatement returns the statement to publish after a new one has arrived, and
 // reports whether there is one. If the owner before this one has just stated that it
 // can't read a target, and this one can't either, it need not wait for its next read.
-func (s *reporter) handleStatement(h facts.Health, at standing, t timing, now time.Time) (facts.Health, bool) {
-	w := s.targets[h.Target]
-	if w == nil || w.failingSince.IsZero() {
+func (rep *reporter) handleStatement(h facts.Health, pos standing, t timing, now time.Time) (facts.Health, bool) {
+	ts := rep.targets[h.Target]
+	if ts == nil || ts.failingSince.IsZero() {
 		return facts.Health{}, false
 	}
-	return w.reportUnreadable(h, at, t, now)
+	return ts.reportUnreadable(h, pos, t, now)
 }
 
 // reportUnreadable returns the statement that this owner can't read a target, if it is
@@ -104,39 +104,39 @@
 // statement isn't needed until the owners before this one have stated the same, or
 // have had rankDelay to do so: until then the target isn't lost, and most targets that
 // one owner can't reach can be reached by the others.
-func (w *targetState) reportUnreadable(base facts.Health, at standing, t timing, now time.Time) (facts.Health, bool) {
-	if slices.Contains(base.UnreadableBy, at.place) || !due(w.failingSince, rank(base, at), t, now) {
+func (ts *targetState) reportUnreadable(base facts.Health, pos standing, t timing, now time.Time) (facts.Health, bool) {
+	if slices.Contains(base.UnreadableBy, pos.place) || !due(ts.failingSince, rank(base, pos), t, now) {
 		return facts.Health{}, false
 	}
-	next := nextStatement(base, at, now)
-	next.UnreadableBy = append(next.UnreadableBy, at.place)
+	next := nextStatement(base, pos, now)
+	next.UnreadableBy = append(next.UnreadableBy, pos.place)
 	slices.Sort(next.UnreadableBy)
 	return next, true
 }
 
-func (w *targetState) handleStatus(name string, r readResult, at standing, t timing, now time.Time) (facts.Health, bool) {
+func (ts *targetState) handleStatus(name string, r readResult, pos standing, t timing, now time.Time) (facts.Health, bool) {
 	content := encode(*r.status)
 	if r.base.Drained && r.base.Incarnation == content.Incarnation {
 		content.State, content.Drained = facts.Draining, true // a drain is final
 	}
 	known := r.base.Target != ""
-	unread := slices.Contains(r.base.UnreadableBy, at.place)
+	unread := slices.Contains(r.base.UnreadableBy, pos.place)
 	if known && !unread && r.base.SameContent(content) {
-		w.differsSince = time.Time{}
+		ts.differsSince = time.Time{}
 		return facts.Health{}, false
 	}
-	if w.differsSince.IsZero() {
-		w.differsSince = now
+	if ts.differsSince.IsZero() {
+		ts.differsSince = now
 	}
 	// Only this owner can revoke its statement that it can't read the target.
-	if !unread && !due(w.differsSince, rank(r.base, at), t, now) {
+	if !unread && !due(ts.differsSince, rank(r.base, pos), t, now) {
 		return facts.Health{}, false
 	}
-	w.differsSince = time.Time{}
-	next := nextStatement(r.base, at, r.began)
+	ts.differsSince = time.Time{}
+	next := nextStatement(r.base, pos, r.began)
 	next.State, next.Drained, next.Opaque = content.State, content.Drained, content.Opaque
 	next.Maps, next.Leaves = content.Maps, content.Leaves
-	next.UnreadableBy = slices.DeleteFunc(next.UnreadableBy, func(p int) bool { return p == at.place })
+	next.UnreadableBy = slices.DeleteFunc(next.UnreadableBy, func(p int) bool { return p == pos.place })
 	if !known || r.base.Incarnation != content.Incarnation {
 		next.Target = name
 		next.UnreadableBy = nil
@@ -151,20 +151,20 @@
 // nextStatement returns a copy of base as the next statement about the same
 // incarnation. Of the owners that can't read the target it keeps only live ones, which
 // bounds their number.
-func nextStatement(base facts.Health, at standing, read time.Time) facts.Health {
+func nextStatement(base facts.Health, pos standing, read time.Time) facts.Health {
 	next := base
 	next.Seq++
 	next.At = read.UnixMilli()
-	next.UnreadableBy = slices.DeleteFunc(slices.Clone(base.UnreadableBy), func(p int) bool { return !slices.Contains(at.owners, p) })
+	next.UnreadableBy = slices.DeleteFunc(slices.Clone(base.UnreadableBy), func(p int) bool { return !slices.Contains(pos.owners, p) })
 	return next
 }
 
 // rank returns the number of live owners that come before this one and that, as far
 // as h states, can read the target.
-func rank(h facts.Health, at standing) int {
+func rank(h facts.Health, pos standing) int {
 	n := 0
-	for _, place := range at.owners {
-		if place == at.place {
+	for _, place := range pos.owners {
+		if place == pos.place {
 			break
 		}
 		if !slices.Contains(h.UnreadableBy, place) {
--- a/peer/health/speaker_test.go
+++ b/peer/health/speaker_test.go
@@ -87,8 +87,8 @@
 func (w *world) finishRead(o *owner) {
 	r := o.pending
 	o.pending = nil
-	next, say := o.speaker.handleRead(testTarget, *r, w.standing(o.place), testTimes, w.now)
-	if known, _ := o.table.Health(testTarget); say && known.Stamp == r.base.Stamp {
+	next, publish := o.speaker.handleRead(testTarget, *r, w.standing(o.place), testTimes, w.now)
+	if known, _ := o.table.Health(testTarget); publish && known.Stamp == r.base.Stamp {
 		o.table.Merge(facts.Fact{Health: &next}, w.now.Unix())
 	}
 }
@@ -189,7 +189,7 @@
 // of an ended process. It must lose, whether the first owner receives the others'
 // statements before or after it.
 func TestFrozenOwnerStatementLoses(t *testing.T) {
-	for _, unheard := range []bool{false, true} { // true: the others didn't see the incarnation that the first owner read
+	for _, missed := range []bool{false, true} { // true: the others didn't see the incarnation that the first owner read
 		g := NewWithT(t)
 		w := newWorld(3)
 		w.runUntilSettled()
@@ -197,7 +197,7 @@
 		first.isolated = true
 		w.restart()
 		w.beginRead(first)
-		if !unheard {
+		if !missed {
 			w.runOthersUntilSettled()
 		}
 		w.restart()
@@ -296,8 +296,8 @@
 	})
 }
 
-func (w *world) step(o *owner, what int) {
-	switch what {
+func (w *world) step(o *owner, action int) {
+	switch action {
 	case 0:
 		w.restart()
 	case 1:
--- a/peer/health_test.go
+++ b/peer/health_test.go
@@ -25,7 +25,7 @@
 
 func (vm *testVM) publishHealth(target string, epoch uint64) {
 	base, _ := vm.Health(target)
-	vm.TellHealth(facts.Health{Target: target, Stamp: facts.Stamp{Epoch: epoch, Incarnation: fmt.Sprint("i", epoch)}}, base.Stamp)
+	vm.PublishHealth(facts.Health{Target: target, Stamp: facts.Stamp{Epoch: epoch, Incarnation: fmt.Sprint("i", epoch)}}, base.Stamp)
 }
 
 func hasEpoch(target string, epoch uint64) func(*testVM) bool {
@@ -36,7 +36,7 @@
 }
 
 // TestHealthReachesAll: what one VM publishes about a target must reach all others,
-// and each must return it from TakeHealth once.
+// and each must return it from TakeHealthChanges once.
 func TestHealthReachesAll(t *testing.T) {
 	f := newFleet(t, 8)
 	f.waitConnected()
@@ -47,8 +47,8 @@
 	f.waitForAll(hasEpoch("t0", 2))
 	for _, vm := range f.vms {
 		f.g.Eventually(vm.HealthChanged()).Should(Receive())
-		f.g.Expect(vm.TakeHealth()).To(ConsistOf(HaveField("Epoch", uint64(2))))
-		f.g.Expect(vm.TakeHealth()).To(BeEmpty())
+		f.g.Expect(vm.TakeHealthChanges()).To(ConsistOf(HaveField("Epoch", uint64(2))))
+		f.g.Expect(vm.TakeHealthChanges()).To(BeEmpty())
 	}
 }
 
@@ -65,7 +65,7 @@
 	f.vms[1].publishHealth("t0", 2)
 	f.waitForAll(hasEpoch("t0", 2))
 	late := facts.Health{Target: "t0", Stamp: facts.Stamp{Epoch: 3, Incarnation: "old"}}
-	f.g.Expect(f.vms[0].TellHealth(late, base.Stamp)).To(BeFalse())
+	f.g.Expect(f.vms[0].PublishHealth(late, base.Stamp)).To(BeFalse())
 }
 
 // TestNewVMSyncsHealth: a VM starts in a fleet that knows thousands of targets. It must
@@ -88,9 +88,9 @@
 	f.waitForAll(all)
 }
 
-// TestHealthAfterSplit: the network between two regions fails, and targets restart on
-// one side and drain on the other. After the network is back, all VMs must have the
-// latest incarnation, and none may return to an earlier one.
+// TestHealthAfterSplit: the network between two regions fails, and each side publishes
+// new incarnations of targets. After the network is back, all VMs must have the latest
+// incarnation of each target, and none may return to an earlier one.
 func TestHealthAfterSplit(t *testing.T) {
 	f := newFleet(t, 6)
 	f.waitConnected()
--- a/peer/link.go
+++ b/peer/link.go
@@ -59,9 +59,10 @@
 	}
 }
 
-// handleAccepted adds a connection from another VM. If there are too many, the
-// oldest accepted one is closed: the VM that opened it knows more VMs by then.
-// This spreads the load of the VMs that all others know first, such as seeds.
+// handleAccepted adds a connection from another VM. If there are too many for the
+// exchange, the oldest accepted one is closed: the VM that opened it knows more VMs by
+// then. This spreads the load of the VMs that all others know first. A connection for
+// another use is served and isn't counted.
 func (x *Exchange) handleAccepted(conn *wire.Conn) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -166,11 +167,11 @@
 		}
 		time.Sleep(batchDelay)
 		for {
-			news, more := x.nextMessage(l)
-			if news == nil {
+			msg, more := x.nextMessage(l)
+			if msg == nil {
 				break
 			}
-			if err := l.conn.Notify(methodTell, news); err != nil {
+			if err := l.conn.Notify(methodTell, msg); err != nil {
 				l.conn.Close()
 				break
 			}
@@ -185,10 +186,10 @@
 // and reports whether more is pending.
 func (x *Exchange) nextMessage(l *link) (*tellMessage, bool) {
 	revision := x.opts.Heads.Revision()
-	news := &tellMessage{}
+	msg := &tellMessage{}
 	x.mu.Lock()
 	if l.sendRevision && revision > l.peerRevision {
-		news.Revision = revision
+		msg.Revision = revision
 	}
 	l.sendRevision = false
 	l.wakeScheduled = false
@@ -203,15 +204,16 @@
 	list := x.table.Facts(keys)
 	more := len(l.pending) > 0
 	x.mu.Unlock()
-	if news.Revision == 0 && len(list) == 0 {
+	if msg.Revision == 0 && len(list) == 0 {
 		return nil, false
 	}
-	news.factPayload = encodeFacts(l.conn, list)
-	return news, more
+	msg.factPayload = encodeFacts(l.conn, list)
+	return msg, more
 }
 
 // handleLinkLoss handles the end of a connection. Unless it was closed on purpose,
-// the peer is dialled again, and suspected if that fails.
+// the peer is dialled again, and suspected if that fails. This is skipped if the peer
+// is known to be suspected, lost or replaced.
 func (x *Exchange) handleLinkLoss(l *link) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -105,7 +105,7 @@
 }
 
 func (x *Exchange) handleTell(conn *wire.Conn, m *tellMessage) error {
-	told, err := m.decode(maxFacts)
+	list, err := m.decode(maxFacts)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	l := x.linkOf(conn)
-	for _, f := range told {
+	for _, f := range list {
 		x.mergeAndForward(f, l, now)
 	}
 	x.recordPeerRevision(l, m.Revision)
@@ -237,9 +237,9 @@
 	now := time.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	young := now.Sub(x.startTime) < startupPeriod
+	starting := now.Sub(x.startTime) < startupPeriod
 	for _, f := range given {
-		if f.Health != nil && young {
+		if f.Health != nil && starting {
 			// A VM that starts receives thousands of facts that the others
 			// already know. Forwarding would send them over each of its
 			// connections.
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -44,8 +44,8 @@
 	return factPayload{Packed: packFacts(list)}
 }
 
-// decode returns the facts. More facts than most are an error.
-func (s factPayload) decode(most int) ([]facts.Fact, error) {
+// decode returns the facts. More than limit are an error.
+func (s factPayload) decode(limit int) ([]facts.Fact, error) {
 	list := s.Facts
 	if len(s.Packed) > 0 {
 		var err error
@@ -53,8 +53,8 @@
 			return nil, err
 		}
 	}
-	if len(list) > most {
-		return nil, result.Errorf(result.BadMessage, "%d facts, at most %d", len(list), most)
+	if len(list) > limit {
+		return nil, result.Errorf(result.BadMessage, "%d facts, at most %d", len(list), limit)
 	}
 	return list, nil
 }
--- a/peer/place/place.go
+++ b/peer/place/place.go
@@ -131,9 +131,9 @@
 		}
 		for _, object := range page.Objects {
 			after = object.Name
-			number, own := strings.CutPrefix(object.Name, prefix)
+			number, sameDeployment := strings.CutPrefix(object.Name, prefix)
 			place, err := strconv.Atoi(number)
-			if !own || err != nil {
+			if !sameDeployment || err != nil {
 				continue // it belongs to another deployment
 			}
 			c := storedClaim{version: object.Version}
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -110,13 +110,13 @@
 // unlinkedVMs returns the VMs that have an address and to which this VM has no link.
 // The caller must hold mu.
 func (x *Exchange) unlinkedVMs(live []objstore.VM) []objstore.VM {
-	taken := map[string]bool{x.opts.VM.Name: true}
+	excluded := map[string]bool{x.opts.VM.Name: true}
 	for l := range x.links {
-		taken[l.name] = true
+		excluded[l.name] = true
 	}
 	var list []objstore.VM
 	for _, vm := range live {
-		if !taken[vm.Name] && vm.Address != "" {
+		if !excluded[vm.Name] && vm.Address != "" {
 			list = append(list, vm)
 		}
 	}
