--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -14,14 +14,14 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// darkVMs are other VMs of which some do not say that they live.
-type darkVMs struct {
-	noDelegates
-	dark string
+// silentPeerClient are other VMs of which some do not say that they live.
+type silentPeerClient struct {
+	noPeerClient
+	silentVM string
 }
 
-func (d *darkVMs) ping(_ context.Context, vm scatter.VM) error {
-	if vm.Name == d.dark {
+func (d *silentPeerClient) ping(_ context.Context, vm scatter.VM) error {
+	if vm.Name == d.silentVM {
 		return errors.New("silent")
 	}
 	return nil
@@ -29,7 +29,7 @@
 
 // Several VMs lose power at once. One is found by a call; the other is found by asking, and
 // no call is lost on it. Those that live are called as before.
-func TestVMThatDoesNotSayThatItLivesIsNotCalled(t *testing.T) {
+func TestVMThatFailsLivenessCheckIsNotCalled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	table := scatter.NewTable(scatter.VM{Name: "vm-a", Zone: "a"}, scatter.BudgetConfig{}, now, rand.New(rand.NewPCG(1, 2)))
@@ -39,7 +39,7 @@
 		table.Apply(now, registry.Change{Leaf: registry.Leaf{ID: "leaf-" + zone, Service: "shard", Zone: zone}})
 	}
 	n := &Node{log: logging.Discard(), engine: &Engine{
-		table: table, peers: &darkVMs{dark: "vm-c"}, silentVMs: newAlarm(),
+		table: table, peerClient: &silentPeerClient{silentVM: "vm-c"}, suspectVMs: newWakeup(),
 	}}
 	table.CallEnded(now, "vm-b", scatter.EndSilent)
 	made, _ := n.checkVMs(t.Context())
@@ -49,5 +49,5 @@
 		called = append(called, vm.Name)
 	}
 	g.Expect(called).To(gomega.ConsistOf("vm-d"))
-	g.Expect(n.engine.silentVMs).To(gomega.Receive(), "suspects are to be probed")
+	g.Expect(n.engine.suspectVMs).To(gomega.Receive(), "suspects are to be probed")
 }
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -36,7 +36,7 @@
 // implements it.
 type Router interface {
 	target.StatusReader
-	Standing(target string) route.Standing
+	Standing(target string) route.Ownership
 }
 
 // Sink receives the health of targets. query.Engine implements it.
@@ -219,7 +219,7 @@
 // the long one, or the health interval if the statement is opaque and the target
 // isn't lost. The caller must hold mu.
 func (r *Relay) adjustReadInterval(h facts.Health) {
-	if h.Opaque && !lost(h, r.opts.Router.Standing(h.Target).Live) {
+	if h.Opaque && !lost(h, r.opts.Router.Standing(h.Target).LiveOwners) {
 		r.monitor.Relax(h.Target, 0)
 		return
 	}
@@ -227,9 +227,9 @@
 }
 
 // notifySink passes a statement to the Sink. The caller must hold mu.
-func (r *Relay) notifySink(h facts.Health, pos route.Standing) {
+func (r *Relay) notifySink(h facts.Health, pos route.Ownership) {
 	r.appliedStamps[h.Target] = h.Stamp
-	isLost := lost(h, pos.Live)
+	isLost := lost(h, pos.LiveOwners)
 	switch {
 	case isLost:
 		r.opts.Sink.TargetLost(h.Target)
@@ -249,14 +249,14 @@
 	defer r.mu.Unlock()
 	for name, wasLost := range r.partlyUnreadable {
 		pos := r.opts.Router.Standing(name)
-		if h, known := r.exchange.Health(name); known && !pos.Owner && lost(h, pos.Live) != wasLost {
+		if h, known := r.exchange.Health(name); known && !pos.Owner && lost(h, pos.LiveOwners) != wasLost {
 			r.notifySink(h, pos)
 		}
 	}
 }
 
 // answerStatement lets this VM, as an owner, answer the statement of another one.
-func (r *Relay) answerStatement(h facts.Health, pos route.Standing) {
+func (r *Relay) answerStatement(h facts.Health, pos route.Ownership) {
 	r.mu.Lock()
 	next, publish := r.reporter.handleStatement(h, standingOf(pos), r.timings[h.Target], time.Now())
 	r.mu.Unlock()
@@ -265,7 +265,9 @@
 	}
 }
 
-func standingOf(pos route.Standing) standing { return standing{place: pos.Place, owners: pos.Live} }
+func standingOf(pos route.Ownership) standing {
+	return standing{place: pos.Place, owners: pos.LiveOwners}
+}
 
 // Status reads a target for the Monitor, and publishes what has changed if this VM
 // is an owner.
@@ -289,7 +291,7 @@
 
 // handleOwnRead lets this VM, as an owner, publish the result of its read if that is
 // due.
-func (r *Relay) handleOwnRead(name string, read readResult, pos route.Standing) {
+func (r *Relay) handleOwnRead(name string, read readResult, pos route.Ownership) {
 	r.mu.Lock()
 	next, publish := r.reporter.handleRead(name, read, standingOf(pos), r.timings[name], time.Now())
 	r.mu.Unlock()
@@ -334,7 +336,7 @@
 func (r *Relay) TargetFailed(name string, err error, at time.Time) {
 	if !r.readsDirectly(name) {
 		h, known := r.exchange.Health(name)
-		live := r.opts.Router.Standing(name).Live
+		live := r.opts.Router.Standing(name).LiveOwners
 		if known && !h.Opaque && len(live) > 0 && !lost(h, live) {
 			return
 		}
