--- a/policy/action.go
+++ b/policy/action.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Spec is what a query asks for and what bounds it.
+// Spec holds the requirements and limits of a query.
 type Spec struct {
-	Deadline       time.Time     // by which the answer must be decided
-	MinCoverage    float64       // coverage the caller needs, 0 to 1
-	Grace          time.Duration // waited for the rest once Need is reached
-	PinnedSnapshot string        // snapshot that a cursor names; empty: free choice
-	HedgeQuantile  float64       // quantile of latencies after which to hedge; 0: never
-	MinHedgeDelay  time.Duration // lower bound of the hedge's delay
+	Deadline       time.Time     // the query finishes at this time at the latest
+	MinCoverage    float64       // least coverage that the caller accepts, 0 to 1
+	Grace          time.Duration // wait for the remaining shards once MinCoverage is reached
+	PinnedSnapshot string        // snapshot that a cursor names; empty: any snapshot
+	HedgeQuantile  float64       // latency quantile after which to hedge, 0 to 1; 0: never
+	MinHedgeDelay  time.Duration // lower bound of the hedge delay
 	MaxAttempts    int           // per shard, hedges included
-	Plain          bool          // one attempt each, to a random replica
+	Plain          bool          // one attempt per shard, to a random replica
 }
 
-// AttemptID numbers the attempts of one query, from 1.
+// AttemptID numbers the attempts of one query, starting at 1.
 type AttemptID int
 
-// Action is something for the caller of a Query to carry out.
+// Action is a step that the caller of a Query must carry out.
 type Action interface{ isAction() }
 
-// Send asks for an attempt on a replica.
+// Send starts an attempt on a replica.
 type Send struct {
 	Attempt  AttemptID
 	Replica  ReplicaID
@@ -30,11 +30,11 @@
 	Timeout  time.Duration
 }
 
-// Cancel asks to give up an attempt whose answer is no longer of use. Its
-// answer, should one come, is ignored.
+// Cancel cancels an attempt whose answer is no longer needed. An answer that
+// still arrives is ignored.
 type Cancel struct{ Attempt AttemptID }
 
-// Finish says that the query is decided. It is the last action.
+// Finish reports the outcome of the query. It is the last action.
 type Finish struct{ Outcome Outcome }
 
 func (Send) isAction()   {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Admission decides which queries a VM takes for a service, so that targets are
-// kept busy but never buried. It limits the queries in flight, lets others wait
-// in order, and refuses at once those that could not be served in time.
+// Admission is the admission control of one service on one VM. It keeps targets
+// busy without overloading them: it limits the queries in flight, queues others in
+// order of arrival, and refuses at once those that could not be served in time.
 //
-// The limit follows what the targets show: it falls when attempts wait in their
-// queues or are turned away, and rises slowly while it is used and all is well.
+// The limit adapts to the targets: it falls when attempts wait in the targets'
+// queues or are refused, and rises slowly while it is reached and neither happens.
 //
 // Invariants: running <= ceiling rounded up; minLimit <= limit <= ceiling; without
-// attempts turned away the limit stays at its floor or above; a query that is told
-// to wait hears Admit or Refuse at the latest when its deadline passes.
+// refused attempts the limit stays at its floor or above; a query that was told to
+// wait gets Admit or Refuse at the latest when its deadline passes.
 type Admission struct {
-	limit             float64
-	share             float64
-	floor             float64
-	ceiling           float64
-	running           int
+	limit             float64 // queries that may run at once
+	share             float64 // as passed to SetShare
+	floor             float64 // slow attempts lower the limit no further
+	ceiling           float64 // upper bound of the limit
+	running           int     // queries that were admitted and have not ended
 	queue             []*ticket
 	nextID            TicketID
-	endInterval       time.Duration // smoothed time between two ends while busy
+	endInterval       time.Duration // smoothed time between the ends of two queries while others wait
 	meanDuration      time.Duration // smoothed duration of a query
-	durationDeviation time.Duration // smoothed distance of durations from service
+	durationDeviation time.Duration // smoothed absolute deviation from meanDuration
 	lastEnd           time.Time
-	reducedAt         time.Time // of the last cut of the limit
+	reducedAt         time.Time // when the limit was last reduced
 }
 
-// TicketID numbers the queries of one Admission.
+// TicketID numbers the queries of one Admission, starting at 1.
 type TicketID uint64
 
 type ticket struct {
@@ -35,45 +35,45 @@
 	deadline time.Time
 }
 
-// Decision is what becomes of a query.
+// Decision is the admission decision for a query.
 type Decision int
 
 // The decisions.
 const (
 	Admit  Decision = iota // run it now
-	Wait                   // a later call names its ticket
-	Refuse                 // final: it cannot be served in time
+	Wait                   // queued; a later verdict names its ticket
+	Refuse                 // final: the query cannot be served in time
 )
 
-// Verdict is a decision about one query.
+// Verdict is the decision for one query.
 type Verdict struct {
 	Ticket     TicketID
 	Decision   Decision
-	RetryAfter time.Duration // for Refuse: when to come back
+	RetryAfter time.Duration // with Refuse: how long to wait before a retry
 }
 
-// Parameters of the limit.
+// Parameters of the limit and the queue. A limit is a number of queries.
 const (
 	minLimit          = 1.0
 	minCeiling        = 8.0
-	floorPerShare     = 4.5                    // enough for every slot to find its next request waiting, most of the time
-	ceilingPerShare   = 6.0                    // bursts, while attempts are quick
-	maxWaitShare      = 0.6                    // of the time that a query takes, waited for admission at most
-	limitDecrease     = 0.8                    // factor after a sign of overload
-	limitIncrease     = 0.2                    // added by a good query, from the floor on
-	lowLimitIncrease  = 0.1                    // added per limit's worth of good queries below it; a faster rise outruns the refusals
-	minReduceInterval = 100 * time.Millisecond // least time between two cuts
-	smoothingWeight   = 0.1                    // weight of a new sample
+	floorPerShare     = 4.5                    // times the share; enough that most of the time a request waits for each slot
+	ceilingPerShare   = 6.0                    // times the share; allows bursts while attempts are fast
+	maxWaitShare      = 0.6                    // longest wait for admission, as a share of a query's expected duration
+	limitDecrease     = 0.8                    // factor applied after a sign of overload
+	limitIncrease     = 0.2                    // added per query that ends without pressure, from the floor upwards
+	lowLimitIncrease  = 0.1                    // below the floor, added per number of such queries equal to the limit; with a faster rise refusals lower the limit too late
+	minReduceInterval = 100 * time.Millisecond // least time between two reductions
+	smoothingWeight   = 0.1                    // weight of a new sample in the smoothed durations
 	maxRetryAfter     = 5 * time.Second
 	minRetryAfter     = 50 * time.Millisecond
-	maxQueuePerLimit  = 20 // waiting queries per unit of the limit, at most
-	maxDeviations     = 2  // distances from the mean within which nearly all queries end
-	defaultDuration   = 20 * time.Millisecond
+	maxQueuePerLimit  = 20                    // upper bound of waiting queries per unit of the limit
+	maxDeviations     = 2                     // deviations from the mean duration within which nearly all queries end
+	defaultDuration   = 20 * time.Millisecond // assumed duration of a query before the first one ends
 )
 
-// NewAdmission returns an admission whose limit begins at its ceiling: callers
-// come in bursts, and a limit near the mean would make them wait for each other
-// while slots are free.
+// NewAdmission returns an Admission with the given share, see SetShare. Its limit
+// starts at the ceiling: callers arrive in bursts, and a limit near the mean would
+// make them wait for each other while slots are free.
 func NewAdmission(share float64) *Admission {
 	a := &Admission{meanDuration: defaultDuration}
 	a.SetShare(share)
@@ -81,10 +81,11 @@
 	return a
 }
 
-// SetShare takes how many whole queries this VM may run so that all VMs together
-// just fill the targets' slots. The limit's floor is what keeps the slots busy if
-// all VMs are at it: slow attempts lower the limit no further. Refusals do, since
-// more VMs may live, or fewer targets, than the share was worked out for.
+// SetShare sets how many whole queries this VM may run so that all VMs together
+// just fill the targets' slots. The limit's floor follows from it: the slots stay
+// busy if all VMs are at their floors, so slow attempts do not lower the limit below
+// it. Refusals do, since there may be more VMs, or fewer targets, than the share was
+// calculated for.
 func (a *Admission) SetShare(share float64) {
 	a.share = share
 	a.floor = max(share*floorPerShare, minLimit)
@@ -93,10 +94,11 @@
 }
 
 // OverShare reports whether this VM runs more queries than its share of the slots,
-// so that attempts may be slow for want of slots.
+// so that attempts may be slow because no slot is free.
 func (a *Admission) OverShare() bool { return float64(a.running) > max(a.share, 1) }
 
-// Arrive takes a query that must be answered by deadline.
+// Arrive decides on a new query that must be answered by deadline. An admitted query
+// needs a call of Done when it ends.
 func (a *Admission) Arrive(now, deadline time.Time) Verdict {
 	a.nextID++
 	id := a.nextID
@@ -104,8 +106,8 @@
 		a.running++
 		return Verdict{Ticket: id, Decision: Admit}
 	}
-	// A wait fills the gap until the next query arrives. Longer ones keep no target
-	// busier: they only make everybody late.
+	// Waiting queries keep the slots busy until the next query arrives. A longer queue
+	// uses no more of the slots: it only delays all callers.
 	wait := a.expectedWait(len(a.queue) + 1)
 	if float64(wait) > maxWaitShare*float64(a.expectedDuration()) || now.Add(wait+a.expectedDuration()).After(deadline) || float64(len(a.queue)) >= a.limit*maxQueuePerLimit {
 		return Verdict{Ticket: id, Decision: Refuse, RetryAfter: a.retryAfter(wait)}
@@ -116,7 +118,7 @@
 
 func (a *Admission) hasCapacity() bool { return float64(a.running) < a.limit }
 
-// expectedWait is the time until the n-th waiting query runs.
+// expectedWait returns the expected time until the n-th waiting query runs.
 func (a *Admission) expectedWait(n int) time.Duration {
 	per := a.endInterval
 	if per == 0 {
@@ -125,9 +127,9 @@
 	return time.Duration(n) * per
 }
 
-// expectedDuration is the time that nearly every query takes once it runs. A query that is
-// admitted with only the mean left before its deadline is late every other time,
-// and the slots that it used are wasted.
+// expectedDuration returns the time within which nearly every query ends once it
+// runs. With only the mean left before its deadline, every second query would be
+// late, and the slots that it used would be wasted.
 func (a *Admission) expectedDuration() time.Duration {
 	return a.meanDuration + maxDeviations*a.durationDeviation
 }
@@ -136,13 +138,13 @@
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// End is what an admitted query met.
+// QueryEnd is the duration of an admitted query and the pressure that its end showed.
 type QueryEnd struct {
 	Took     time.Duration
 	Pressure Pressure
 }
 
-// Done takes the end of an admitted query and returns verdicts on waiting ones.
+// Done records the end of an admitted query and returns verdicts on waiting ones.
 func (a *Admission) Done(now time.Time, end QueryEnd) []Verdict {
 	a.running--
 	a.recordDuration(now, end)
@@ -176,7 +178,7 @@
 		a.reduceLimit(now, min(a.floor, a.limit))
 		return
 	case TargetsRefusing:
-		a.limit = min(a.limit, a.floor) // at once: what is sent above it is wasted
+		a.limit = min(a.limit, a.floor) // at once: work sent above the floor is wasted
 		a.reduceLimit(now, minLimit)
 		return
 	}
@@ -189,7 +191,8 @@
 	}
 }
 
-// reduceLimit lowers the limit, to the given bound at most.
+// reduceLimit lowers the limit by one step, but not below bound, unless the last
+// reduction was less than minReduceInterval ago.
 func (a *Admission) reduceLimit(now time.Time, bound float64) {
 	if now.Sub(a.reducedAt) < minReduceInterval {
 		return
@@ -198,8 +201,8 @@
 	a.reducedAt = now
 }
 
-// ProcessQueue admits waiting queries while there is room and refuses those that can
-// no longer be served in time, first come first served.
+// ProcessQueue goes through the waiting queries in order of arrival. It admits them
+// while the limit allows and refuses those that can no longer be served in time.
 func (a *Admission) ProcessQueue(now time.Time) []Verdict {
 	var out []Verdict
 	for len(a.queue) > 0 {
@@ -223,8 +226,8 @@
 	return out
 }
 
-// Abandon takes that a waiting query's caller went away. It reports whether the
-// ticket was still waiting; if not, it was admitted and needs Done.
+// Abandon removes a waiting query whose caller disconnected. It reports whether the
+// ticket was still waiting; if not, the query was admitted and needs a call of Done.
 func (a *Admission) Abandon(id TicketID) bool {
 	for i, t := range a.queue {
 		if t.id == id {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestAdmissionInvariants drives admission through random arrivals, ends and
-// departures.
+// TestAdmissionInvariants checks the invariants of Admission over random sequences of
+// arrivals, ends and disconnects.
 func TestAdmissionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewAdmission(rapid.Float64Range(0, 4).Draw(t, "share"))
-		ms, running, refusing := 0, 0, false
+		ms, running, refusalSeen := 0, 0, false
 		waiting := map[TicketID]time.Time{}
-		settle := func(list []Verdict) {
+		applyVerdicts := func(list []Verdict) {
 			for _, v := range list {
 				if _, ok := waiting[v.Ticket]; !ok {
 					t.Fatalf("verdict on ticket %d, which does not wait", v.Ticket)
@@ -46,9 +46,9 @@
 				if running > 0 {
 					running--
 					pressure := rapid.SampledFrom([]Pressure{NoPressure, TargetsQueueing, TargetsRefusing}).Draw(t, "pressure")
-					refusing = refusing || pressure == TargetsRefusing
+					refusalSeen = refusalSeen || pressure == TargetsRefusing
 					took := time.Duration(rapid.IntRange(1, 50).Draw(t, "took")) * time.Millisecond
-					settle(a.Done(at(ms), QueryEnd{Took: took, Pressure: pressure}))
+					applyVerdicts(a.Done(at(ms), QueryEnd{Took: took, Pressure: pressure}))
 				}
 			case "leave":
 				for id := range waiting {
@@ -59,7 +59,7 @@
 					break
 				}
 			case "sweep":
-				settle(a.ProcessQueue(at(ms)))
+				applyVerdicts(a.ProcessQueue(at(ms)))
 			}
 			if running != a.running {
 				t.Fatalf("running is %d, want %d", a.running, running)
@@ -70,7 +70,7 @@
 			if a.limit < minLimit || a.limit > a.ceiling {
 				t.Fatalf("limit %v is outside of %v to %v", a.limit, minLimit, a.ceiling)
 			}
-			if !refusing && a.limit < a.floor {
+			if !refusalSeen && a.limit < a.floor {
 				t.Fatalf("limit %v below its floor without a refusal", a.limit)
 			}
 			if len(a.queue) != len(waiting) {
@@ -80,8 +80,9 @@
 	})
 }
 
-// A caller waits in a queue until its time is over, though it was clear from
-// the start that its turn would come too late. It has to be refused on arrival.
+// Guards against queries that wait in the queue until their deadline although it was
+// clear on arrival that they would be admitted too late. They must be refused on
+// arrival.
 func TestQueryThatWouldMissDeadlineIsRefusedOnArrival(t *testing.T) {
 	g := NewWithT(t)
 	a := NewAdmission(0)
@@ -96,9 +97,10 @@
 	g.Expect(v.RetryAfter).To(BeNumerically(">", 0))
 }
 
-// Answers lack shards although targets have recovered from none of it: a floor
-// that was worked out for few VMs held the limit up while targets refused, and
-// queries were let in only to be given up. Refusals must lower it further.
+// Guards against answers that lack shards because the limit stays too high. A floor
+// that was calculated for few VMs kept the limit up while targets refused attempts, and
+// queries were admitted only to be given up. Refusals must lower the limit below the
+// floor.
 func TestRefusalsLowerTheLimitBelowItsFloor(t *testing.T) {
 	g := NewWithT(t)
 	a := NewAdmission(1)
@@ -118,8 +120,9 @@
 	g.Expect(a.limit).To(Equal(minLimit), "a lower limit is not raised by queues")
 }
 
-// Under lasting overload every caller waits for as long as a query takes, and
-// then for the query. The wait fills no slot that the next caller would not.
+// Guards against long waits under lasting overload: every caller waited as long as a
+// query takes, and then for the query itself. Such a wait fills no slot that the next
+// caller would not fill.
 func TestAdmissionWaitIsShorterThanAQuery(t *testing.T) {
 	g := NewWithT(t)
 	a := NewAdmission(0)
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// send starts an attempt on a shard, or notes why none can be started.
+// send starts an attempt on a shard, or records why none can be started.
 func (q *Query) send(now time.Time, shard int, hedge bool) []Action {
 	s := &q.shards[shard]
 	id, ok := q.pickReplica(now, shard, hedge)
@@ -42,14 +42,14 @@
 	s := &q.shards[shard]
 	id, ok := q.table.Pick(now, q.snapshot.Name, shard, s.tried, hedge)
 	if !ok && !hedge && s.inFlight == 0 {
-		// Every replica was tried: one that has recovered may be tried again.
+		// Every replica was tried. One that has recovered may be tried again.
 		id, ok = q.table.Pick(now, q.snapshot.Name, shard, nil, false)
 	}
 	return id, ok
 }
 
-// waitForReplica lets a shard whose replicas are all busy or resting be looked at again,
-// if one of them takes attempts before the deadline.
+// waitForReplica schedules another check of a shard whose replicas are all busy or
+// in cooldown, if one of them may take attempts before the deadline.
 func (q *Query) waitForReplica(now time.Time, shard int) {
 	s := &q.shards[shard]
 	if s.reason == "" {
@@ -65,8 +65,8 @@
 	q.wakeAt = earlier(q.wakeAt, at)
 }
 
-// The timeout of one attempt, so that a connection that went silent costs a
-// part of the time limit only.
+// Parameters of the timeout of one attempt. The timeout is shorter than the query's
+// time limit, so that a connection that went silent takes only part of that.
 const (
 	attemptTimeoutQuantile = 0.99
 	attemptTimeoutFactor   = 4
@@ -84,10 +84,10 @@
 	}
 	limit := max(slow*attemptTimeoutFactor, attemptTimeoutMin)
 	if q.table.Median.NearBaseline() {
-		// One that takes half of the time left while targets are at ease is lost
-		// rather than slow. Without this bound its timeout can pass the deadline,
-		// and nobody tries again: a few lost attempts raise the quantile. In a
-		// queue it may yet be answered, and another would wait as long.
+		// While targets have no queues, an attempt that takes half of the time left is
+		// lost rather than slow. Without this bound its timeout can exceed the deadline,
+		// since a few lost attempts raise the quantile, and no retry would be sent. An
+		// attempt in a queue may still be answered, and a retry would wait as long.
 		limit = min(limit, max(left/2, attemptTimeoutMin))
 	}
 	return min(left, limit)
@@ -106,10 +106,10 @@
 	return q.retry(now, a.shard)
 }
 
-// retry sends a further attempt on a shard. If the budget is empty, the shard
-// waits a little for it to fill rather than being given up at once: the answers
-// of all other shards would be lost with it. It does not wait for long, since a
-// query in progress keeps others from being admitted.
+// retry sends a further attempt on a shard. If the budget is empty, the shard waits
+// briefly for it to refill: if the shard were given up at once, the answers of all
+// other shards could be lost with it. The wait is short, since a query in progress
+// keeps others from being admitted.
 func (q *Query) retry(now time.Time, shard int) []Action {
 	s := &q.shards[shard]
 	if q.exhausted(s) {
@@ -137,18 +137,19 @@
 	return q.send(now, shard, false)
 }
 
-// budgetRetryDelay is how soon a retry that found the budget empty is tried again.
+// budgetRetryDelay is the time after which a retry that found the budget empty is
+// tried again.
 const budgetRetryDelay = 10 * time.Millisecond
 
-// maxBudgetWaits is how often a shard may find the budget empty.
+// maxBudgetWaits bounds how often a shard may wait for the retry budget.
 const maxBudgetWaits = 2
 
-// maxRefusedFactor is how many times MaxAttempts may be sent where targets refuse
-// to start them.
+// maxRefusedFactor bounds the attempts on a shard, refused ones included, as a
+// multiple of Spec.MaxAttempts.
 const maxRefusedFactor = 3
 
 // exhausted reports whether a shard may get no further attempt. Attempts that a
-// target refused to start count less: they cost it next to nothing.
+// target refused to start have a higher bound, since they cost the target little.
 func (q *Query) exhausted(s *shardState) bool {
 	if q.spec.Plain {
 		return s.sent > 0
@@ -156,7 +157,8 @@
 	return s.sent-s.refused >= q.spec.MaxAttempts || s.sent >= q.spec.MaxAttempts*maxRefusedFactor
 }
 
-// endAttempt removes an attempt from the flying ones; nil if it is not among them.
+// endAttempt records the end of an attempt and returns it, or nil if the attempt is
+// not in flight.
 func (q *Query) endAttempt(now time.Time, id AttemptID, e AttemptEnd) *attempt {
 	a := q.attempts[id]
 	if a == nil {
@@ -174,7 +176,7 @@
 	return a
 }
 
-// cancelShard gives up the attempts still in flight on a shard.
+// cancelShard cancels the attempts that are still in flight on a shard.
 func (q *Query) cancelShard(now time.Time, shard int) []Action {
 	if q.shards[shard].inFlight == 0 {
 		return nil
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkQuery measures the decisions of one whole query, by its shards.
+// BenchmarkQuery measures the decisions of one query, by its number of shards.
 func BenchmarkQuery(b *testing.B) {
 	for _, shards := range []int{10, 40, 320} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
--- a/policy/budget.go
+++ b/policy/budget.go
@@ -1,30 +1,31 @@
 package policy
 
-// budgetBurst is how many extra attempts may follow each other before the
-// share counts. It lets a rarely used search retry at all.
+// budgetBurst is the number of extra attempts that a full budget allows at once. It
+// allows retries in a search that is rarely used.
 const budgetBurst = 20
 
-// Budget bounds extra attempts to a share of first attempts, so that the load
-// added to targets has a ceiling also when everything is slow. Invariant: over
-// any run of calls, successes of Take <= share * first attempts + budgetBurst.
+// Budget limits extra attempts to a share of first attempts, so that the load
+// added to targets is bounded even when everything is slow. Invariant: over any
+// sequence of calls, successes of Take <= share * first attempts + budgetBurst.
 type Budget struct {
 	share  float64
 	tokens float64
 }
 
-// NewBudget returns a full budget of the given share of first attempts.
+// NewBudget returns a full budget for the given share of first attempts. A share
+// of 0 allows no extra attempts.
 func NewBudget(share float64) *Budget {
 	b := &Budget{share: share}
 	b.tokens = b.capacity()
 	return b
 }
 
-// RecordFirst counts n first attempts.
+// RecordFirst counts n first attempts and refills the budget accordingly.
 func (b *Budget) RecordFirst(n int) {
 	b.tokens = min(b.tokens+b.share*float64(n), b.capacity())
 }
 
-// Take spends the budget for one extra attempt and reports whether it could.
+// Take spends one extra attempt and reports whether the budget allowed it.
 func (b *Budget) Take() bool {
 	if b.tokens < 1 {
 		return false
@@ -40,7 +41,7 @@
 	return budgetBurst
 }
 
-// SetShare changes the share of first attempts.
+// SetShare sets the share of first attempts. A changed share refills the budget.
 func (b *Budget) SetShare(share float64) {
 	if share == b.share {
 		return
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -13,11 +13,11 @@
 	Shards int
 }
 
-// ChooseSnapshot returns the snapshot that a new query reads: the newest one
-// of which every shard has usable replicas, unless it is so thinly spread (in
-// the middle of an index switch) that its few replicas would be overrun; then an
-// older one that is complete too. If none is complete, the one of which most
-// shards can be read. It returns false if nothing can be read at all.
+// ChooseSnapshot returns the snapshot that a new query reads: the newest complete
+// one, of which every shard has a usable replica. During an index switch the newest
+// one may have so few replicas that they would be overloaded; then an older complete
+// one is returned. If none is complete, it returns the one with the largest share of
+// readable shards. It returns false if no snapshot is readable.
 func (t *Table) ChooseSnapshot(now time.Time) (Snapshot, bool) {
 	var best *candidate
 	for _, name := range sortedKeys(t.snapshots) {
@@ -35,8 +35,8 @@
 	return best.snapshot.snapshot(), true
 }
 
-// FindSnapshot returns a snapshot by name, for a query that is pinned to it, if
-// at least one of its shards has a usable replica.
+// FindSnapshot returns a snapshot by name, for a query that is pinned to it. It
+// returns false unless at least one of the snapshot's shards has a usable replica.
 func (t *Table) FindSnapshot(name string) (Snapshot, bool) {
 	s := t.snapshots[name]
 	if s == nil || t.candidate(s).readable == 0 {
@@ -49,11 +49,11 @@
 	return Snapshot{Name: s.name, Seq: s.seq, Shards: s.shards}
 }
 
-// candidate is a snapshot with what makes it a good or a bad choice.
+// candidate is a snapshot with the values by which it is compared to others.
 type candidate struct {
 	snapshot    *snapshotState
 	readable    int // shards with a usable replica
-	minReplicas int // usable replicas of the shard that has fewest
+	minReplicas int // usable replicas of the shard that has the fewest
 }
 
 func (t *Table) candidate(s *snapshotState) *candidate {
@@ -75,33 +75,33 @@
 	return c
 }
 
-// maxReplicaRatio is how many times fewer replicas a newer complete snapshot may
-// have than an older complete one and still be preferred.
+// maxReplicaRatio bounds how many times more replicas an older complete snapshot
+// may have for a newer complete one to be preferred.
 const maxReplicaRatio = 2
 
-func (c *candidate) betterThan(o *candidate) bool {
-	whole, otherWhole := c.complete(), o.complete()
-	if whole != otherWhole {
-		return whole
+func (c *candidate) betterThan(other *candidate) bool {
+	complete, otherComplete := c.complete(), other.complete()
+	if complete != otherComplete {
+		return complete
 	}
-	if !whole {
+	if !complete {
 		a := float64(c.readable) / float64(c.snapshot.shards)
-		b := float64(o.readable) / float64(o.snapshot.shards)
+		b := float64(other.readable) / float64(other.snapshot.shards)
 		if a != b {
 			return a > b
 		}
-		return c.snapshot.seq > o.snapshot.seq
+		return c.snapshot.seq > other.snapshot.seq
 	}
-	if c.snapshot.seq > o.snapshot.seq {
-		return c.minReplicas*maxReplicaRatio >= o.minReplicas
+	if c.snapshot.seq > other.snapshot.seq {
+		return c.minReplicas*maxReplicaRatio >= other.minReplicas
 	}
-	return c.minReplicas > o.minReplicas*maxReplicaRatio
+	return c.minReplicas > other.minReplicas*maxReplicaRatio
 }
 
 func (c *candidate) complete() bool { return c.readable == c.snapshot.shards }
 
-// Records returns how many records a shard of a snapshot holds, and false if
-// no replica has ever told.
+// Records returns the number of records of a shard of a snapshot, and false if no
+// replica has reported it.
 func (t *Table) Records(snapshot string, shard int) (int64, bool) {
 	s := t.snapshots[snapshot]
 	if s == nil {
@@ -111,21 +111,22 @@
 	return n, ok
 }
 
-// Costs of a replica, used to compare two of them.
+// Parameters of the cost by which two replicas are compared, and of their queues.
 const (
-	defaultLatency  = 5 * time.Millisecond // of a replica not yet tried
-	otherZoneCost   = time.Millisecond     // added outside the VM's zone
-	maxReportAge    = 2 * time.Second      // after which reported load counts nothing
-	reportWeight    = 0.5                  // of a fresh report, since it lags and may mislead
-	reportedLoadCap = 2                    // calls of others per slot, at most, in a comparison
-	maxCallsPerSlot = 2                    // own calls in flight per slot, at most
+	defaultLatency  = 5 * time.Millisecond // assumed for a replica without a measured latency
+	otherZoneCost   = time.Millisecond     // added for a replica outside the VM's zone
+	maxReportAge    = 2 * time.Second      // age from which a reported load is ignored
+	reportWeight    = 0.5                  // weight of a new report; below 1 since reports lag and may mislead
+	reportedLoadCap = 2                    // upper bound of other VMs' calls per slot in the cost
+	maxCallsPerSlot = 2                    // upper bound of this VM's calls in flight per slot
 )
 
-// Pick chooses the replica for an attempt on a shard: of two random usable
-// replicas, the one with the lower expected time. Two random choices keep VMs
-// that read the same report from all going to the same leaf. Replicas in tried
-// are left out. If idle is set, only replicas with a free slot count, for
-// attempts that are not worth a queue. It returns false if none is left.
+// Pick chooses the replica for an attempt on a shard: the one with the lower
+// expected time of two random usable replicas. Choosing from two random ones keeps
+// VMs that read the same report from all sending to the same leaf. Replicas in
+// tried are excluded. If idle is set, replicas without a free slot are excluded
+// too, for attempts that should not wait in a queue. It returns false if no replica
+// remains.
 func (t *Table) Pick(now time.Time, snapshot string, shard int, tried []ReplicaID, idle bool) (ReplicaID, bool) {
 	s := t.snapshots[snapshot]
 	if s == nil {
@@ -135,7 +136,7 @@
 		return !r.inCooldown(now) && t.hasCapacity(r, now, idle)
 	})
 	if len(usable) == 0 && !idle {
-		// All rest after failures. To try one is better than to wait.
+		// All replicas are in cooldown after failures. Trying one is better than waiting.
 		usable = t.usableReplicas(s.holders[shard], tried, func(r *replica) bool {
 			return !r.refusing(now) && t.hasCapacity(r, now, idle)
 		})
@@ -151,8 +152,8 @@
 	return first.id, true
 }
 
-// PickRandom chooses any replica that is not lost or leaving, as the plain
-// policy does.
+// PickRandom chooses a random replica whose target is usable. The plain policy
+// uses it.
 func (t *Table) PickRandom(snapshot string, shard int) (ReplicaID, bool) {
 	s := t.snapshots[snapshot]
 	if s == nil {
@@ -170,8 +171,8 @@
 	return usable[t.rng.IntN(len(usable))].id, true
 }
 
-// usableReplicas returns the usable replicas that match and were not tried. The list is
-// good until the next call.
+// usableReplicas returns the usable replicas that match and are not in tried. The
+// slice is valid until the next call.
 func (t *Table) usableReplicas(holders []*replica, tried []ReplicaID, match func(*replica) bool) []*replica {
 	t.scratch = t.scratch[:0]
 	for _, r := range holders {
@@ -182,8 +183,8 @@
 	return t.scratch
 }
 
-// hasCapacity reports whether r takes one more call of this VM: into its queue, or
-// if idle is set into a free slot.
+// hasCapacity reports whether r has capacity for one more call of this VM: in its
+// queue or, if idle is set, in a free slot.
 func (t *Table) hasCapacity(r *replica, now time.Time, idle bool) bool {
 	if !idle {
 		return r.outstanding < r.slots*maxCallsPerSlot
@@ -191,9 +192,10 @@
 	return t.otherVMsLoad(r, now)+float64(r.outstanding) < float64(r.slots)
 }
 
-// cost is the expected time of one more call on r. What is reported counts up to
-// a cap: a leaf that shows a heavy load without having it would be left idle, and
-// its shard's other replicas be overrun, whatever own calls show of both.
+// cost returns the expected time of one more call on r. The reported load counts up
+// to a cap: otherwise a leaf that wrongly reports a heavy load would stay idle and
+// the other replicas of its shard would be overloaded, whatever latency this VM
+// measures on them.
 func (t *Table) cost(r *replica, now time.Time) time.Duration {
 	base := r.latency
 	if base == 0 {
@@ -208,8 +210,8 @@
 	return cost + t.warmupCost(r, now)
 }
 
-// otherVMsLoad estimates the calls of other VMs on r from the reported load. The
-// report counts less the older it is.
+// otherVMsLoad estimates the number of calls of other VMs on r from the reported
+// load. The weight of a report falls linearly with its age.
 func (t *Table) otherVMsLoad(r *replica, now time.Time) float64 {
 	age := now.Sub(r.reportedAt)
 	if age >= maxReportAge {
@@ -220,8 +222,8 @@
 	return others * fresh * reportWeight
 }
 
-// warmupCost makes a target that has just begun to serve look slow at first, so
-// that its share of attempts rises over the warm-up.
+// warmupCost adds a random cost to a target that has just begun to serve, so that
+// its share of attempts rises gradually over the warm-up.
 func (t *Table) warmupCost(r *replica, now time.Time) time.Duration {
 	served := now.Sub(r.target.servingSince)
 	if t.warmup <= 0 || served >= t.warmup {
@@ -231,9 +233,9 @@
 	return time.Duration(left * float64(t.rng.Int64N(int64(10*defaultLatency))))
 }
 
-// ReadyAgain returns when the first resting replica of a shard takes attempts
-// again, and false if no replica of it is merely resting or busy. Replicas in
-// tried are left out.
+// ReadyAgain returns the earliest time at which a replica of a shard that is in
+// cooldown or busy may be tried again, and false if the shard has no such replica.
+// Replicas in tried are excluded.
 func (t *Table) ReadyAgain(now time.Time, snapshot string, shard int, tried []ReplicaID) (time.Time, bool) {
 	s := t.snapshots[snapshot]
 	if s == nil {
@@ -252,11 +254,12 @@
 	return first, !first.IsZero()
 }
 
-// minRecheckInterval is the least time between two looks for a replica of a shard all
-// of whose replicas are busy or resting.
+// minRecheckInterval is the least time between two checks of a shard whose replicas
+// are all busy or in cooldown.
 const minRecheckInterval = 2 * time.Millisecond
 
-// sortedKeys returns a map's keys in order, so that choices repeat under a seed.
+// sortedKeys returns a map's keys in ascending order, so that the same seed gives
+// the same choices.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/policy/conclude.go
+++ b/policy/conclude.go
@@ -7,7 +7,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// finishOrRestart appends a Finish, or the start of another pass, where that is due.
+// finishOrRestart appends the actions that finish the query, or start another pass, if
+// either is due.
 func (q *Query) finishOrRestart(now time.Time, acts []Action) []Action {
 	open := q.phases[phaseOpen]
 	lost := q.phases[phaseLost] + q.phases[phaseNoHolder]
@@ -17,9 +18,9 @@
 	case q.phases[phaseNoHolder] > 0 && q.mayRestart(now):
 		return append(acts, q.restart(now)...)
 	case open == 0:
-		return append(acts, q.finish(now, EndInsufficient)...)
+		return append(acts, q.finish(now, EndExhausted)...)
 	case q.reachableCoverage(lost) < q.spec.MinCoverage:
-		return append(acts, q.finish(now, EndInsufficient)...)
+		return append(acts, q.finish(now, EndExhausted)...)
 	}
 	if q.sufficient(now) {
 		return append(acts, q.finish(now, EndSufficient)...)
@@ -27,13 +28,13 @@
 	return acts
 }
 
-// reachableCoverage is the coverage that can still be reached with lost shards missing.
+// reachableCoverage returns the coverage that is still possible without lost shards.
 func (q *Query) reachableCoverage(lost int) float64 {
 	return float64(len(q.shards)-lost) / float64(len(q.shards))
 }
 
-// sufficient reports whether the needed coverage, short of all shards, is reached
-// and the grace has passed.
+// sufficient reports whether MinCoverage was reached and the grace period after that
+// has passed.
 func (q *Query) sufficient(now time.Time) bool {
 	if ratio(q.fullShards, q.partialShare, len(q.shards)) < q.spec.MinCoverage {
 		return false
@@ -44,8 +45,8 @@
 	return !now.Before(q.sufficientAt.Add(q.spec.Grace))
 }
 
-// mayRestart reports whether the query may begin again, and has the time for
-// the slower half of a pass.
+// mayRestart reports whether the query may start another pass and the median latency
+// of an attempt fits before its deadline.
 func (q *Query) mayRestart(now time.Time) bool {
 	if q.spec.PinnedSnapshot != "" || q.spec.Plain || q.restarts >= maxRestarts {
 		return false
@@ -54,9 +55,9 @@
 	return now.Add(median).Before(q.spec.Deadline)
 }
 
-// restart begins the whole query again on another snapshot. A query never mixes
-// two: when replicas of its snapshot vanish beneath it, the answers it has are
-// dropped. It finishes instead if no other snapshot can be read better.
+// restart starts the whole query again on another snapshot. A query never mixes two
+// snapshots: when replicas of its snapshot are lost, the answers so far are dropped.
+// If no other snapshot is a better choice, the query stays with the current one.
 func (q *Query) restart(now time.Time) []Action {
 	snap, ok := q.table.ChooseSnapshot(now)
 	if !ok || snap.Name == q.snapshot.Name {
@@ -67,11 +68,12 @@
 	return append(acts, q.startPass(now, snap)...)
 }
 
-// continuePass goes on with the present snapshot without the shards that are lost.
+// continuePass continues with the current snapshot without the lost shards, or
+// finishes the query if that is due.
 func (q *Query) continuePass(now time.Time) []Action {
 	lost := q.phases[phaseLost] + q.phases[phaseNoHolder]
 	if q.phases[phaseOpen] == 0 || q.reachableCoverage(lost) < q.spec.MinCoverage {
-		return q.finish(now, EndInsufficient)
+		return q.finish(now, EndExhausted)
 	}
 	if q.sufficient(now) {
 		return q.finish(now, EndSufficient)
@@ -79,11 +81,11 @@
 	return nil
 }
 
-func (q *Query) finish(now time.Time, how EndReason) []Action {
+func (q *Query) finish(now time.Time, reason EndReason) []Action {
 	acts := q.cancelWhere(now, func(*attempt) bool { return true })
 	q.done = true
 	return append(acts, Finish{Outcome: Outcome{
-		End:        how,
+		End:        reason,
 		Snapshot:   q.snapshot,
 		Coverage:   CoverageOf(q),
 		Answers:    q.collectAnswers(),
@@ -97,7 +99,7 @@
 	}})
 }
 
-// Abandon ends a query whose caller went away.
+// Abandon ends a query whose caller disconnected.
 func (q *Query) Abandon(now time.Time) []Action {
 	if q.done {
 		return nil
--- a/policy/coverage.go
+++ b/policy/coverage.go
@@ -6,93 +6,95 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Reason is why a shard has no answer.
+// Reason is why a shard has no answer, or an incomplete one. It is part of the JSON
+// form of a ShardGap.
 type Reason string
 
-// The reasons.
+// The reasons for a missing answer.
 const (
-	ReasonNoReplica    Reason = "no_replica"    // no live replica holds it
-	ReasonBusy         Reason = "busy"          // all replicas busy or shedding
+	ReasonNoReplica    Reason = "no_replica"    // no usable replica holds the shard
+	ReasonBusy         Reason = "busy"          // all replicas are busy or refuse attempts
 	ReasonTimeout      Reason = "timeout"       // no answer in time
 	ReasonUnreachable  Reason = "unreachable"   // the target could not be reached
 	ReasonBroken       Reason = "broken"        // the connection broke
-	ReasonSnapshotGone Reason = "snapshot_gone" // the leaf holds the snapshot no more
+	ReasonSnapshotGone Reason = "snapshot_gone" // the leaf no longer holds the snapshot
 	ReasonShed         Reason = "shed"          // refused by the target
 	ReasonMismatch     Reason = "mismatch"      // the answer belonged to another request
 	ReasonUnanswered   Reason = "unanswered"    // still running when the query ended
 )
 
-// EndReason is how a query came to its decision.
+// EndReason is why a query ended.
 type EndReason int
 
-// The ends of a query.
+// The reasons for the end of a query.
 const (
-	EndComplete     EndReason = iota // every shard answered
-	EndSufficient                    // the needed coverage was reached and the grace passed
-	EndInsufficient                  // no attempt is left that could reach the needed coverage
-	EndDeadline                      // the time was over
-	EndNoSnapshot                    // nothing could be read at all
-	EndAbandoned                     // the caller went away
+	EndComplete   EndReason = iota // every shard answered
+	EndSufficient                  // MinCoverage was reached and the grace period has passed
+	EndExhausted                   // no shard can still answer and some have not, or MinCoverage can no longer be reached
+	EndDeadline                    // the deadline passed
+	EndNoSnapshot                  // no snapshot was readable
+	EndAbandoned                   // the caller disconnected
 )
 
-// Outcome is what a query came to.
+// Outcome is the result of a query.
 type Outcome struct {
 	End      EndReason
 	Snapshot Snapshot
 	Coverage Coverage
-	Answers  []*target.LeafAnswer // at most one of each shard, in order of shards
+	Answers  []*target.LeafAnswer // at most one per shard, in order of shards
 
 	Sent     int // attempts, hedges and retries included
 	Refused  int // attempts that no target started
-	Shed     int // of Refused, for want of slots
+	Shed     int // attempts of Refused that were refused because no slot was free
 	Hedges   int
 	Retries  int
-	Restarts int // passes begun again on another snapshot
+	Restarts int // passes after the first one, each on another snapshot
 
 	LastAnswer LastAnswer
 }
 
-// LastAnswer tells of the attempt whose answer came last. It is the one that a
-// query answered in whole waited for.
+// LastAnswer holds the times of the attempt whose answer arrived last. A query that
+// every shard answered waited for this attempt.
 type LastAnswer struct {
 	SentAfter time.Duration // from the start of the query until the attempt was sent
-	Took      time.Duration // from there to its answer
+	Took      time.Duration // from the sending of the attempt to its answer
 }
 
-// NotRun reports whether it is certain that no target started any part.
+// NotRun reports whether it is certain that no target started any attempt.
 func (o *Outcome) NotRun() bool { return o.Sent == o.Refused }
 
-// ShardGap is a shard of which records are missing.
+// ShardGap describes a shard with missing records.
 type ShardGap struct {
 	Shard        int    `json:"shard"`
 	Reason       Reason `json:"reason"`
 	Missing      int64  `json:"missing"`       // records known to be missing
-	MissingKnown bool   `json:"missing_known"` // false: how many is not known
+	MissingKnown bool   `json:"missing_known"` // false: the number of missing records is not known
 }
 
-// ReasonIncomplete marks a shard whose leaf said that it left records out.
+// ReasonIncomplete is the reason of a shard whose leaf reported that its answer leaves
+// records out.
 const ReasonIncomplete Reason = "incomplete"
 
-// Coverage is a true account of what an answer rests on, counted by the
-// partition map of the answer's own snapshot.
+// Coverage counts the shards and records that an answer is based on, by the partition
+// map of the answer's own snapshot.
 type Coverage struct {
-	Shards   int   // of the snapshot's partition map
-	Answered int   // shards that answered in full
-	Records  int64 // read
+	Shards   int   // number of shards in the snapshot's partition map
+	Answered int   // shards with a complete answer
+	Records  int64 // records read
 
-	// Missing counts records known to be missing. UnknownShards counts shards
-	// of which it is not known how many are missing.
+	// Missing counts records known to be missing. UnknownShards counts the shards
+	// with an unknown number of missing records.
 	Missing       int64
 	UnknownShards int
 
 	Gaps []ShardGap
 
-	partial float64 // sum of the shares read of shards that answered in part
+	partial float64 // sum of the shares read of shards with an incomplete answer
 }
 
-// Ratio is the share of shards read, from 0 to 1. A shard that answered in part
-// counts by the share of its records that were read, and as nothing if that is
-// not known.
+// Ratio returns the share of shards read, from 0 to 1. A shard with an incomplete
+// answer counts by the share of its records that were read, and as 0 if that is not
+// known.
 func (c Coverage) Ratio() float64 {
 	return ratio(c.Answered, c.partial, c.Shards)
 }
@@ -104,10 +106,10 @@
 	return (float64(full) + partial) / float64(shards)
 }
 
-// readShare tells what an answer adds to the coverage: one full shard, or the
-// share that was read of a shard that answered in part. A leaf's statement that
-// it left records out is no better than what it adds up to: a count of missing
-// records that is not positive, or exceeds what the shard holds, says nothing.
+// readShare returns what an answer adds to the coverage: one full shard, or the share
+// that was read of a shard with an incomplete answer. A leaf's count of missing records
+// is checked for consistency: if it is not positive, or exceeds the records of the
+// shard, the share is unknown and counts as 0.
 func readShare(a *target.LeafAnswer) (full int, share float64) {
 	if a.Complete {
 		return 1, 0
@@ -121,7 +123,7 @@
 // Complete reports whether no record is missing.
 func (c Coverage) Complete() bool { return c.Shards > 0 && c.Answered == c.Shards }
 
-// CoverageOf counts what a query's answers cover so far.
+// CoverageOf returns the coverage of a query's answers so far.
 func CoverageOf(q *Query) Coverage {
 	c := Coverage{Shards: len(q.shards)}
 	for shard := range q.shards {
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// sendHedges sends second attempts beside slow first ones. It does so only once half
-// of the shards have answered, or but one: when all are slow, the targets are
-// overloaded and second attempts would make that worse.
+// sendHedges sends a second attempt on each shard whose first one is slow. It does so
+// only once at least half of the shards, or all but one, have answered: when all
+// shards are slow, the targets are overloaded, and hedges would add to the load.
 func (q *Query) sendHedges(now time.Time) []Action {
 	due, ok := q.hedgeDelay(now)
 	if !ok || q.unanswered() > max(len(q.shards)/2, 1) {
--- a/policy/load.go
+++ b/policy/load.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// BeginAttempt counts an attempt handed to a replica.
+// BeginAttempt counts an attempt that is sent to a replica.
 func (t *Table) BeginAttempt(id ReplicaID) {
 	if r := t.replica(id); r != nil {
 		r.outstanding++
 	}
 }
 
-// RemoveHolding takes a leaf's word that it does not hold a shard of a snapshot, which
-// comes earlier than its next status.
+// RemoveHolding records that a leaf answered that it does not hold a shard of a
+// snapshot. The leaf's next status, which shows the same, comes later.
 func (t *Table) RemoveHolding(id ReplicaID, snapshot string, shard int) {
 	r := t.replica(id)
 	key := holdingKey{snapshot, shard}
@@ -26,7 +26,7 @@
 // latencyWeight is the weight of a new sample in a replica's smoothed latency.
 const latencyWeight = 0.2
 
-// EndAttempt counts the end of an attempt on a replica.
+// EndAttempt records the end of an attempt on a replica.
 func (t *Table) EndAttempt(id ReplicaID, end AttemptEnd, now time.Time) {
 	if end.Answered {
 		t.Latency.Add(now, end.Took)
@@ -43,7 +43,7 @@
 		r.recordAnswer()
 		r.recordLatency(end.Took)
 	case end.Cancelled:
-		// A loser of a hedge was at least this slow.
+		// The latency of an attempt cancelled after a hedge is at least this long.
 		r.recordLatency(max(end.Took, r.latency))
 		if t.stalled(end.Took, now) {
 			r.recordFailure(now.Add(-end.Took), now)
@@ -60,15 +60,15 @@
 	}
 }
 
-// stallQuantile is the quantile of latencies beyond which an attempt that a hedge
-// overtook counts as failed.
+// stallQuantile is the latency quantile from which a cancelled attempt counts as
+// failed.
 const stallQuantile = 0.99
 
 // stalled reports whether an attempt without an answer took so long that its
-// replica may not answer at all. Behind a connection that went silent every
-// attempt ends like that: a hedge answers, the first attempt is cancelled, and
-// nothing ever says that it failed. Unless these cancellations count, the replica
-// goes on getting its share of attempts and uses up the budget of hedges.
+// replica may not answer at all. On a connection that went silent every attempt
+// ends like that: a hedge is answered, the first attempt is cancelled, and no
+// failure is ever reported. Unless these cancellations count as failures, the
+// replica keeps getting its share of attempts and uses up the hedge budget.
 func (t *Table) stalled(took time.Duration, now time.Time) bool {
 	slow, ok := t.Latency.Quantile(now, stallQuantile)
 	return ok && took >= slow
@@ -82,13 +82,13 @@
 	r.latency += time.Duration(latencyWeight * float64(d-r.latency))
 }
 
-// recordFailure counts a failure of a leaf and of its target.
+// recordFailure records a failure of a leaf and of its target.
 func (r *replica) recordFailure(sentAt, now time.Time) {
 	r.cooldown.recordFailure(sentAt, now)
 	r.target.cooldown.recordFailure(sentAt, now)
 }
 
-// recordAnswer takes that a leaf, and so its target, is alive.
+// recordAnswer records that a leaf, and so its target, is alive.
 func (r *replica) recordAnswer() {
 	r.cooldown.recordAnswer()
 	r.target.cooldown.recordAnswer()
@@ -110,17 +110,17 @@
 	return ts.replicas[id.Leaf]
 }
 
-// AttemptEnd is how an attempt ended. With none of the flags set, it failed.
+// AttemptEnd describes how an attempt ended. With none of the flags set, it failed.
 type AttemptEnd struct {
 	Answered     bool
-	Cancelled    bool // by this VM, while still running
-	Refused      bool // by the target, which did not start it
-	SnapshotGone bool // refused only because the leaf lacks the snapshot
-	// NoConnection: this VM had none to the target. The target rests longer each
-	// time, since its other leaves cannot be reached either and each try spends
-	// the budget of retries.
+	Cancelled    bool // by this VM, while it was still running
+	Refused      bool // by the target without starting it, or not sent for lack of a connection
+	SnapshotGone bool // refused only because the leaf does not hold the snapshot
+	// NoConnection says that this VM had no connection to the target. The target's
+	// cooldown grows each time, since its other leaves cannot be reached either and
+	// each attempt uses up retry budget.
 	NoConnection bool
-	Shed         bool          // refused for want of slots
-	RetryAfter   time.Duration // stated with a refusal
+	Shed         bool          // refused because no slot was free
+	RetryAfter   time.Duration // from a refusal; 0 if it states none
 	Took         time.Duration
 }
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Pressure is what the end of a query shows of the targets' load.
+// Pressure is the sign of overload that the end of a query shows.
 type Pressure int
 
-// The grades of pressure.
+// The levels of pressure.
 const (
 	NoPressure      Pressure = iota
-	TargetsQueueing          // attempts wait in targets' queues
-	TargetsRefusing          // targets turn attempts away: some of what was sent is wasted
+	TargetsQueueing          // attempts wait in the targets' queues
+	TargetsRefusing          // targets refuse attempts, so part of the work sent is wasted
 )
 
-// Signs of pressure. A single refusal is none: one leaf's queue is full now and
-// then, and of a search over few shards it is a large share of the attempts. So the
-// share is of the latest attempts of all queries. Nor are attempts that found no
-// connection, or replicas that rest after failures: those who cannot be reached are
-// not loaded, and the others have slots to spare. Nor is a slow
-// query: one straggler or silent connection makes it, while slots are free.
+// Thresholds of pressure. These are not signs of pressure:
+//   - A single refusal. One leaf's queue is full now and then, and in a search over
+//     few shards that is a large share of the attempts. So the share is taken over
+//     the recent attempts of all queries.
+//   - Attempts without a connection, and replicas in cooldown after failures. Targets
+//     that cannot be reached are not loaded, and the others have free slots.
+//   - A slow query. One straggler or silent connection causes it while slots are free.
 const (
-	maxShedShare     = 0.1  // of the latest attempts
-	shedWeight       = 0.02 // weight of one attempt in that share
-	slowAttemptShare = 0.25 // of the time limit, taken by the median attempt, also if that is its pace at ease
+	maxShedShare     = 0.1  // share of recent attempts that are refused because no slot is free
+	shedWeight       = 0.02 // weight of one attempt in that smoothed share
+	slowAttemptShare = 0.25 // share of the time limit that the median attempt takes, even if that is its latency without queues
 )
 
-// Pressure returns what the end of a query with that time limit shows.
+// Pressure returns the pressure that the end of a query with time limit limit shows.
 func (t *Table) Pressure(out *Outcome, limit time.Duration) Pressure {
 	if t.shedShare > maxShedShare {
 		return TargetsRefusing
@@ -40,8 +41,8 @@
 	return NoPressure
 }
 
-// recordShed follows the share of attempts that are turned away for want of slots.
-// Those that were cancelled say nothing of it.
+// recordShed updates the share of attempts that are refused because no slot was
+// free. Cancelled attempts are ignored, since they do not show whether one was free.
 func (t *Table) recordShed(end AttemptEnd) {
 	switch {
 	case end.Cancelled:
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// runWithRetry runs a query of two shards, of which one attempt fails as given and its
-// retry answers.
+// runWithRetry runs a query of two shards, in which one attempt ends with the given
+// failure and its retry is answered.
 func (f *testFleet) runWithRetry(g *WithT, ms int, failure Failure) *Outcome {
 	q := NewQuery(spec(), f.table)
 	first := sends(q.Start(at(ms)))
@@ -20,10 +20,11 @@
 	return out
 }
 
-// A zone is lost without a word. For seconds many attempts find no connection to
-// its targets, and are answered by replicas elsewhere that have slots to spare.
-// The attempts counted as refused for want of slots, the limit of admission fell
-// to one query at a time, and callers were refused for long after.
+// Guards against refused callers after the sudden loss of a zone. For seconds many
+// attempts find no connection to its targets, and their retries are answered by
+// replicas elsewhere that have free slots. The attempts counted as refused because no
+// slot was free, the admission limit fell to one query at a time, and callers were
+// refused long after that.
 func TestUnreachableTargetsDoNotCountAsOverload(t *testing.T) {
 	g := NewWithT(t)
 	for failure, want := range map[Failure]Pressure{
@@ -38,30 +39,31 @@
 		f := newFleet(2, 4, 1)
 		f.table.Retries.SetShare(1)
 		var out *Outcome
-		for i := range 30 { // each a second after the one before, when all rests are over
+		for i := range 30 { // one per second, so that all cooldowns have ended
 			out = f.runWithRetry(g, i*1000, failure)
 		}
 		g.Expect(f.table.Pressure(out, time.Second)).To(Equal(want), "%+v", failure)
 	}
 }
 
-// A target gone silent holds its owner's slots, so the owner turns a call to it
-// away now and then, and the retry is answered at once. Of a search over four
-// shards that is a fifth of the attempts. It counted as overload, and callers of
-// idle targets were refused.
+// Guards against single refusals that count as overload. A target that became silent
+// holds its owner's slots, so the owner refuses a call to it now and then, and the
+// retry is answered at once. In a search over four shards that is a fifth of the
+// attempts. It counted as overload, and callers of idle targets were refused.
 func TestSingleRefusalDoesNotCountAsOverload(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(4, 2, 1)
 	out := f.runFourShards(g, 0, true)
 	g.Expect(out.Shed).To(Equal(1))
 	g.Expect(f.table.Pressure(out, time.Second)).To(Equal(NoPressure))
-	for i := 1; i <= 200; i++ { // one query in four meets a refusal
+	for i := 1; i <= 200; i++ { // one query in four has a refused attempt
 		out = f.runFourShards(g, i*1000, i%4 == 0)
 		g.Expect(f.table.Pressure(out, time.Second)).To(Equal(NoPressure), "query %d", i)
 	}
 }
 
-// runFourShards runs a query of runFourShards shards, with or without an attempt that is shed.
+// runFourShards runs a query of four shards. If shed is set, the target of one attempt
+// refuses it because no slot is free.
 func (f *testFleet) runFourShards(g *WithT, ms int, shed bool) *Outcome {
 	q := NewQuery(spec(), f.table)
 	attempts := sends(q.Start(at(ms)))
@@ -77,8 +79,8 @@
 	return out
 }
 
-// A shard has no answer since all of its replicas rest after failures. That is no
-// want of slots, unless some attempt was turned away for one.
+// A shard has no answer because all of its replicas are in cooldown after failures.
+// That is no lack of slots, unless an attempt of the query was refused for that reason.
 func TestReplicasInCooldownDoNotCountAsOverload(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 1, 1)
--- a/policy/pace_test.go
+++ b/policy/pace_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-// addSamples ends n attempts of duration d within a time of ms, from the given one on,
-// and learns the pace as queries do.
-func addSamples(p *MedianLatency, ms, n int, within int, d time.Duration, crowded bool) {
+// addSamples records n attempts with latency d, spread over windowMS milliseconds from
+// startMS on, and updates the baseline after each as queries do.
+func addSamples(p *MedianLatency, startMS, n int, windowMS int, d time.Duration, crowded bool) {
 	for i := range n {
 		p.Add(d)
-		p.UpdateBaseline(at(ms+i*within/n), crowded)
+		p.UpdateBaseline(at(startMS+i*windowMS/n), crowded)
 	}
 }
 
-// Callers are still refused long after an overload has ended, although slots are
-// free: the speed of attempts was judged by the last 20 s, and each query that
-// ended well was taken for one more sign of overload.
+// Guards against callers that are refused long after an overload has ended, although
+// slots are free. The latency of attempts was taken over the last 20 s, so each
+// successful query counted as another sign of overload.
 func TestPressureEndsSoonAfterOverload(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 1, 1)
@@ -39,8 +39,9 @@
 	g.Expect(f.table.Pressure(&Outcome{Sent: 1}, limit)).To(Equal(NoPressure))
 }
 
-// Callers with a long time limit wait most of it under overload: queues at the
-// targets count as no sign until attempts take a quarter of the time limit.
+// Guards against callers with a long time limit that wait most of it under overload:
+// queues at the targets were no sign of overload until attempts took a quarter of the
+// time limit.
 func TestQueueingIsDetectedWithLongTimeLimit(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 1, 1)
@@ -49,9 +50,10 @@
 	g.Expect(f.table.Pressure(&Outcome{Sent: 1}, 10*time.Second)).To(Equal(TargetsQueueing))
 }
 
-// Targets have become slower for good, with a new index, and callers are held
-// back as if they were overloaded. A VM that runs few queries learns it in seconds,
-// a crowded one, whose own queries may be the cause, in minutes.
+// Guards against callers that are limited as under overload although targets became
+// permanently slower, for instance with a new index. The baseline of a VM that runs few
+// queries follows within seconds. That of a crowded VM, whose own queries may be the
+// cause, follows within minutes.
 func TestBaselineFollowsSlowerTargets(t *testing.T) {
 	g := NewWithT(t)
 	for _, crowded := range []bool{false, true} {
@@ -61,7 +63,7 @@
 		g.Expect(p.Slow()).To(BeTrue())
 		seconds := 10
 		if crowded {
-			g.Expect(p.baseline).To(BeNumerically("<", 11*time.Millisecond), "queues pass for slow targets")
+			g.Expect(p.baseline).To(BeNumerically("<", 11*time.Millisecond), "queues count as slower targets")
 			seconds = 300
 		}
 		addSamples(&p, 6000, seconds*50, seconds*1000, 40*time.Millisecond, crowded)
@@ -69,8 +71,8 @@
 	}
 }
 
-// TestMedianLatencyInvariants feeds random durations: both paces stay among them, and
-// what one attempt can change is bounded.
+// TestMedianLatencyInvariants adds random latencies. The median and the baseline stay
+// within their range, and one attempt changes the median by a bounded share.
 func TestMedianLatencyInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p MedianLatency
@@ -82,13 +84,13 @@
 			before := p.recentMedian
 			p.Add(d)
 			if before > 0 && (p.recentMedian-before).Abs().Seconds() > 1.01*medianStep*before.Seconds() {
-				t.Fatalf("one attempt moved the pace from %v to %v", before, p.recentMedian)
+				t.Fatalf("one attempt moved the median from %v to %v", before, p.recentMedian)
 			}
 			ms += rapid.IntRange(0, 2000).Draw(t, "pause")
 			p.UpdateBaseline(at(ms), rapid.Bool().Draw(t, "crowded"))
 			for _, pace := range []time.Duration{p.recentMedian, p.baseline} {
 				if pace > 0 && (pace.Seconds() < (1-medianStep)*least.Seconds() || pace.Seconds() > (1+medianStep)*most.Seconds()) {
-					t.Fatalf("pace %v of attempts between %v and %v", pace, least, most)
+					t.Fatalf("median or baseline is %v, for attempts between %v and %v", pace, least, most)
 				}
 			}
 		}
--- a/policy/query.go
+++ b/policy/query.go
@@ -6,14 +6,14 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Query decides the course of one query. Feed it Start once, then Answered,
-// Failed and Tick; carry out the actions that each returns.
+// Query is the state machine of one query. Call Start once, then HandleAnswer,
+// HandleFailure and Tick as events occur, and carry out the actions that each returns.
 //
-// Invariants: every attempt carries the one snapshot of the query's present
-// pass, and only answers of that pass count; a shard is answered at most once;
-// attempts per shard that a target may have started <= Spec.MaxAttempts; hedges
-// and retries are within the table's budgets; exactly one Finish is returned, at
-// the latest by the first Tick at or after Spec.Deadline.
+// Invariants: every attempt reads the snapshot of the query's current pass, and only
+// answers of that pass count; a shard is answered at most once; attempts per shard
+// that a target may have started <= Spec.MaxAttempts; hedges and retries are within
+// the table's budgets; exactly one Finish is returned, at the latest by the first Tick
+// at or after Spec.Deadline.
 type Query struct {
 	spec  Spec
 	table *Table
@@ -23,25 +23,25 @@
 	attempts     map[AttemptID]*attempt
 	lastAttempt  AttemptID
 	restarts     int
-	sufficientAt time.Time // when the needed coverage was reached
+	sufficientAt time.Time // when MinCoverage was reached in this pass; zero before
 	done         bool
 
-	// Kept up to date with each change of a shard, since a query of hundreds of
-	// shards cannot afford to look at all of them at each event.
+	// Updated with each change of a shard: in a query over hundreds of shards, reading
+	// all of them at each event would cost too much.
 	phases       [phaseCount]int // shards in each phase
-	fullShards   int             // shards that answered in full
-	partialShare float64         // shares read of shards that answered in part
-	wakeAt       time.Time       // no later than anything that Tick has to do
+	fullShards   int             // shards with a complete answer
+	partialShare float64         // sum of the shares read of shards with an incomplete answer
+	wakeAt       time.Time       // no later than the next time at which Tick has work
 
 	startedAt  time.Time
 	lastAnswer LastAnswer
 
 	sent, hedges, retries int
 	refused               int // attempts that no target started
-	shed                  int // of refused, for want of slots
+	shed                  int // attempts of refused that were refused because no slot was free
 }
 
-// maxRestarts bounds how often a query begins again on another snapshot.
+// maxRestarts bounds how often a query is restarted on another snapshot.
 const maxRestarts = 2
 
 // NewQuery returns a query over the targets in table.
@@ -66,7 +66,7 @@
 	return q.table.ChooseSnapshot(now)
 }
 
-// startPass starts a pass over all shards of one snapshot.
+// startPass starts a pass: it drops all answers and queries all shards of one snapshot.
 func (q *Query) startPass(now time.Time, snap Snapshot) []Action {
 	q.snapshot = snap
 	q.shards = make([]shardState, snap.Shards)
@@ -84,7 +84,8 @@
 	return q.finishOrRestart(now, acts)
 }
 
-// HandleAnswer takes the answer of an attempt. The caller has checked its echo.
+// HandleAnswer records the answer of an attempt. The caller must have checked that the
+// answer's echo matches the attempt.
 func (q *Query) HandleAnswer(now time.Time, id AttemptID, answer *target.LeafAnswer) []Action {
 	a := q.endAttempt(now, id, AttemptEnd{Answered: true})
 	if a == nil || q.done {
@@ -105,15 +106,15 @@
 	return q.finishOrRestart(now, acts)
 }
 
-// Failure is why an attempt gave no answer.
+// Failure describes why an attempt has no answer.
 type Failure struct {
 	Reason       Reason
-	Refused      bool          // the target did not start it
-	NoConnection bool          // this VM had none to the target
-	RetryAfter   time.Duration // stated with a refusal
+	Refused      bool          // no target started the attempt
+	NoConnection bool          // this VM had no connection to the target
+	RetryAfter   time.Duration // from a refusal; 0 if it states none
 }
 
-// HandleFailure takes that an attempt ended without an answer.
+// HandleFailure records that an attempt ended without an answer.
 func (q *Query) HandleFailure(now time.Time, id AttemptID, f Failure) []Action {
 	gone := f.Reason == ReasonSnapshotGone
 	shed := f.Refused && !f.NoConnection && (f.Reason == ReasonShed || f.Reason == ReasonBusy)
@@ -136,7 +137,8 @@
 	return q.finishOrRestart(now, q.afterFailure(now, a, f.Reason))
 }
 
-// Tick takes that time has passed. Call it at the time that Wake returned.
+// Tick performs the actions that are due at time now. Call it at the time that
+// NextTick returned.
 func (q *Query) Tick(now time.Time) []Action {
 	if q.done {
 		return nil
@@ -151,7 +153,7 @@
 	return q.finishOrRestart(now, acts)
 }
 
-// expireAttempts gives up attempts that have had no answer within their timeout.
+// expireAttempts cancels attempts without an answer within their timeout.
 func (q *Query) expireAttempts(now time.Time) []Action {
 	var acts []Action
 	for _, id := range sortedKeys(q.attempts) {
@@ -166,7 +168,7 @@
 	return acts
 }
 
-// retryPending tries shards whose replicas were all busy or resting.
+// retryPending sends attempts on shards whose retryAt has come.
 func (q *Query) retryPending(now time.Time) []Action {
 	var acts []Action
 	for shard := range q.shards {
@@ -185,12 +187,12 @@
 
 func (q *Query) unanswered() int { return len(q.shards) - q.phases[phaseAnswered] }
 
-// hedgeRetryInterval is how soon a hedge that was due but not sent, for want of an idle
-// replica or of budget, is tried again.
+// hedgeRetryInterval is the time after which a hedge that was due but not sent, for
+// lack of an idle replica or of budget, is tried again.
 const hedgeRetryInterval = 5 * time.Millisecond
 
-// NextTick returns when Tick has to be called next if nothing else happens. It may
-// be earlier than needed.
+// NextTick returns when Tick must be called next if no other event occurs. The time
+// may be earlier than needed.
 func (q *Query) NextTick() time.Time {
 	if q.sufficientAt.IsZero() {
 		return q.wakeAt
@@ -198,7 +200,7 @@
 	return earlier(q.wakeAt, q.sufficientAt.Add(q.spec.Grace))
 }
 
-// scheduleWake moves the wake forward to what an attempt may need.
+// scheduleWake moves wakeAt forward to the timeout or the hedge of an attempt.
 func (q *Query) scheduleWake(now time.Time, a *attempt) {
 	q.wakeAt = earlier(q.wakeAt, a.expiresAt)
 	due, hedging := q.hedgeDelay(now)
@@ -207,7 +209,8 @@
 	}
 }
 
-// recomputeWake looks at everything that Tick may have to do.
+// recomputeWake sets wakeAt to the earliest time at which Tick has work, and returns
+// it.
 func (q *Query) recomputeWake(now time.Time) time.Time {
 	q.wakeAt = q.spec.Deadline
 	for _, a := range q.attempts {
--- a/policy/query_test.go
+++ b/policy/query_test.go
@@ -18,7 +18,7 @@
 // at returns a time n milliseconds after the tests' epoch.
 func at(n int) time.Time { return epoch.Add(time.Duration(n) * time.Millisecond) }
 
-// testFleet is a table with one leaf per target, target t-S-R holding replica R of
+// testFleet is a table of targets with one leaf each. Target t-S-R holds replica R of
 // shard S.
 type testFleet struct {
 	shards, replicas int
@@ -48,7 +48,8 @@
 
 func targetName(shard, replica int) string { return fmt.Sprintf("t-%d-%d", shard, replica) }
 
-// reportHoldings makes every target report its shard of the named snapshots.
+// reportHoldings records a status of every target that holds its shard of the named
+// snapshot.
 func (f *testFleet) reportHoldings(ms int, name string, seq int64, shards int) {
 	f.eachTarget(func(tname string, shard int) {
 		f.table.ApplyStatus(tname, statusOf("i1", target.StateServing, target.Holding{
@@ -96,8 +97,8 @@
 	}
 }
 
-// TestQueryInvariants drives queries through random orders of answers,
-// failures, refusals, index switches, drains and time.
+// TestQueryInvariants checks the invariants of Query over random sequences of answers,
+// failures, refusals, index switches, drains and ticks.
 func TestQueryInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &queryDriver{
@@ -124,10 +125,10 @@
 	q        *Query
 	ms       int
 	inFlight map[AttemptID]Send
-	sent     map[int]int // attempts by shard in the present pass
+	sent     map[int]int // attempts by shard in the current pass
 
-	refused map[int]int // of these, by a target
-	pass    string      // snapshot of the present pass
+	refused map[int]int // attempts of sent that were refused by a target
+	pass    string      // snapshot of the current pass
 	out     *Outcome
 }
 
@@ -205,7 +206,7 @@
 		d.t.Fatalf("%d attempts on shard %d, %d of which may have been started", d.sent[s.Shard], s.Shard, started)
 	}
 	if d.f.table.targets[s.Replica.Target].draining() {
-		d.t.Fatal("an attempt went to a target that is leaving")
+		d.t.Fatal("an attempt was sent to a target that is draining")
 	}
 	d.inFlight[s.Attempt] = s
 }
@@ -225,35 +226,35 @@
 	}
 	for name, ts := range d.f.table.targets {
 		if ts.replicas[0].outstanding != 0 {
-			d.t.Fatalf("%s is left with %d calls outstanding", name, ts.replicas[0].outstanding)
+			d.t.Fatalf("%s still has %d calls outstanding after Finish", name, ts.replicas[0].outstanding)
 		}
 	}
 }
 
-// A caller sees a page that stops short although an older index is whole: the
-// index is being switched, and the new version has reached few replicas.
+// Guards against incomplete answers during an index switch: the new version has
+// reached only some shards, while the older one is complete.
 func TestChooseSnapshotPrefersCompleteOverNewer(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(4, 2, 1)
-	both := func(shard int) []target.Holding {
+	holdBoth := func(shard int) []target.Holding {
 		return []target.Holding{
 			{Snapshot: "v1", Seq: 1, Shards: 4, Shard: shard, Records: 100},
 			{Snapshot: "v2", Seq: 2, Shards: 4, Shard: shard, Records: 100},
 		}
 	}
 	for shard := range 3 {
-		f.table.ApplyStatus(targetName(shard, 0), statusOf("i1", target.StateServing, both(shard)...), at(1))
+		f.table.ApplyStatus(targetName(shard, 0), statusOf("i1", target.StateServing, holdBoth(shard)...), at(1))
 	}
 	snap, _ := f.table.ChooseSnapshot(at(2))
 	g.Expect(snap.Name).To(Equal("v1"), "v2 lacks a shard")
-	f.table.ApplyStatus(targetName(3, 0), statusOf("i1", target.StateServing, both(3)...), at(3))
+	f.table.ApplyStatus(targetName(3, 0), statusOf("i1", target.StateServing, holdBoth(3)...), at(3))
 	snap, _ = f.table.ChooseSnapshot(at(4))
-	g.Expect(snap.Name).To(Equal("v2"), "v2 is whole and holds half of the replicas")
+	g.Expect(snap.Name).To(Equal("v2"), "v2 is complete and on half of the replicas")
 }
 
-// A caller gets records of two index versions in one answer: a leaf drops the
-// old version beneath the query, and the retry reads the new one. The whole
-// query has to begin again instead.
+// Guards against records of two index versions in one answer: a leaf drops the old
+// version during the query, and the retry reads the new one. The whole query must be
+// restarted instead.
 func TestSnapshotGoneRestartsTheWholeQuery(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(3, 1, 1)
@@ -275,8 +276,8 @@
 	g.Expect(out.Restarts).To(Equal(1))
 }
 
-// A caller that needs everything waits until its time limit although a shard
-// is lost for good. It has to hear so at once.
+// Guards against a caller that needs full coverage and waits until its time limit
+// although a shard is permanently lost. The query must end at once.
 func TestQueryEndsOnceCoverageIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 1, 1)
@@ -286,11 +287,12 @@
 	f.table.StatusReadFailed(targetName(0, 0))
 	out := outcome(q.HandleFailure(at(1), s[0].Attempt, Failure{Reason: ReasonBroken}))
 	g.Expect(out).NotTo(BeNil())
-	g.Expect(out.End).To(Equal(EndInsufficient))
+	g.Expect(out.End).To(Equal(EndExhausted))
 	g.Expect(out.Coverage.Missing).To(Equal(int64(200)), "neither shard was read")
 }
 
-// A leaf says that it left records out; the caller is told the answer is whole.
+// Guards against an answer that is reported as complete although a leaf stated that it
+// left records out.
 func TestIncompleteLeafCountsAsMissing(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 1, 1)
@@ -306,8 +308,8 @@
 	g.Expect(out.Coverage.Ratio()).To(BeNumerically("~", 0.875, 1e-9))
 }
 
-// A drained target gets new work again: a late status of the same incarnation
-// still says that it serves. Only a new incarnation may clear the drain.
+// Guards against a drained target that gets new work because a late status of the same
+// incarnation still says "serving". Only a new incarnation may clear the drain.
 func TestDrainLastsForItsIncarnation(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 1, 1)
@@ -322,8 +324,8 @@
 	g.Expect(ok).To(BeTrue())
 }
 
-// Targets that are all slow get still more load from hedges. The budget is a
-// share of first attempts, whatever happens.
+// Guards against hedges that add load when all targets are slow. The hedge budget
+// limits them to a share of first attempts in every case.
 func TestHedgesStayWithinBudget(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(10, 3, 1)
@@ -345,9 +347,9 @@
 	g.Expect(hedges).To(BeNumerically("<=", 0.05*float64(first)+budgetBurst))
 }
 
-// Searches are late again and again while connections to one target are
-// silent: a hedge answers in its place and the first attempt is cancelled, so
-// nothing fails, the target keeps its share and the budget of hedges runs out.
+// Guards against repeatedly late searches while connections to one target are silent.
+// A hedge is answered in its place and the first attempt is cancelled, so no failure
+// is recorded, the target keeps its share of attempts and the hedge budget runs out.
 func TestStalledReplicaEntersCooldown(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 2, 1)
@@ -372,13 +374,14 @@
 	g.Expect(picked(101)).To(BeTrue(), "attempts that were in flight together count once")
 	stall(140)
 	g.Expect(picked(141)).To(BeFalse())
-	g.Expect(picked(140+2000)).To(BeTrue(), "it is tried again")
+	g.Expect(picked(140+2000)).To(BeTrue(), "the replica is tried again")
 	_, ok := f.table.Pick(at(141), "v1", 0, []ReplicaID{{Target: targetName(0, 1)}}, false)
-	g.Expect(ok).To(BeTrue(), "and at once if no other is left")
+	g.Expect(ok).To(BeTrue(), "at once if no other replica is left")
 }
 
-// A search of one shard waits for a straggler although other replicas are idle:
-// the rule that half of the shards must have answered can never hold for it.
+// Guards against a search over one shard that waits for a straggler although other
+// replicas are idle: the rule that half of the shards must have answered can never
+// hold for it.
 func TestSingleShardIsHedged(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 2, 1)
@@ -390,8 +393,9 @@
 	g.Expect(sends(q.Tick(at(20)))).To(HaveLen(1))
 }
 
-// A search is slow because its first attempt on one shard failed; the operator
-// sees only a fast last attempt. What went before it has to be told apart.
+// A search is slow because its first attempt on one shard failed, and the operator
+// would see only a fast last attempt. The time before that attempt must be reported
+// separately.
 func TestLastAnswerSeparatesSendDelayFromLatency(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 2, 1)
@@ -404,13 +408,13 @@
 	g.Expect(out.LastAnswer).To(Equal(LastAnswer{SentAfter: 30 * time.Millisecond, Took: 8 * time.Millisecond}))
 }
 
-// Searches wait in one replica's queue while another one idles: that one shows a
-// heavy load which it doesn't have. Own calls show which of them is quick, and
-// have to outweigh the report.
+// Guards against searches that wait in one replica's queue while another replica is
+// idle, because the idle one reports a heavy load that it does not have. The latency
+// that this VM measures on both must outweigh the report.
 func TestMeasuredLatencyOutweighsMisreportedLoad(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 2, 1)
-	shows := func(replica int, load float64, took time.Duration) ReplicaID {
+	report := func(replica int, load float64, took time.Duration) ReplicaID {
 		id := ReplicaID{Target: targetName(0, replica)}
 		st := statusOf("i1", target.StateServing, target.Holding{Snapshot: "v1", Seq: 1, Shards: 1, Records: 100})
 		st.Leaves[0].Load = load
@@ -419,22 +423,23 @@
 		f.table.EndAttempt(id, AttemptEnd{Answered: true, Took: took}, at(0))
 		return id
 	}
-	idle := shows(0, 20, 10*time.Millisecond)
-	shows(1, 0, 30*time.Millisecond)
+	idle := report(0, 20, 10*time.Millisecond)
+	report(1, 0, 30*time.Millisecond)
 	picked := 0
 	for range 100 {
 		if id, _ := f.table.Pick(at(1), "v1", 0, nil, false); id == idle {
 			picked++
 		}
 	}
-	g.Expect(picked).To(BeNumerically(">", 50), "one choice in four is of the same replica twice")
+	g.Expect(picked).To(BeNumerically(">", 50), "one choice in four compares the same replica with itself")
 	_, ok := f.table.Pick(at(1), "v1", 0, []ReplicaID{{Target: targetName(0, 1)}}, true)
-	g.Expect(ok).To(BeFalse(), "hedges still keep off a replica that shows load")
+	g.Expect(ok).To(BeFalse(), "hedges still avoid a replica that reports load")
 }
 
-// A connection went silent and took an attempt along. Latencies have been uneven,
-// so that four times their 99th percentile is nearly the time limit: the attempt was
-// given up when no time was left for another, and the caller got half an answer.
+// Guards against an attempt, lost on a silent connection, that leaves no time for a
+// retry. Latencies are uneven, so that four times their 99th percentile is nearly the
+// time limit. The attempt was given up too late for another one, and the caller got
+// half an answer.
 func TestLostAttemptTimesOutInTimeForRetry(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 2, 1)
@@ -458,9 +463,10 @@
 	g.Expect(again[0].Replica).NotTo(Equal(s[1].Replica))
 }
 
-// Targets have queues, and an attempt has waited for half of its query's time. Given
-// up then, its slot was wasted and the next attempt waited as long: a tenth less was
-// served at twice the capacity. It is left to its timeout.
+// Guards against giving up attempts that only wait in a target's queue. When an attempt
+// was given up after half of its query's time, its slot was wasted and the next attempt
+// waited as long: at a load of twice the capacity a tenth less was served. Such an
+// attempt keeps its timeout.
 func TestQueuedAttemptKeepsItsTimeout(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 2, 1)
--- a/policy/rest.go
+++ b/policy/rest.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// cooldown keeps attempts away from a replica or a target that does not answer.
+// cooldown keeps attempts away from a replica or a target that fails or refuses.
 type cooldown struct {
 	failures     int       // in a row
 	failedAt     time.Time // when the last one was counted
-	until        time.Time // takes no attempt before, unless no other replica does
-	refusedUntil time.Time // takes no attempt before, by its own word
+	until        time.Time // gets no attempt before, unless no other replica is available
+	refusedUntil time.Time // gets no attempt before: it refused one
 }
 
-// Limits of a rest.
+// Limits of a cooldown.
 const (
 	baseCooldown       = 50 * time.Millisecond
 	maxCooldown        = 2 * time.Second
 	maxDoublings       = 6
-	failuresToCooldown = 2 // in a row, before the first rest
+	failuresToCooldown = 2 // failures in a row that start the first cooldown
 )
 
-// recordFailure counts the failure of an attempt; each one in a row makes for a longer
-// rest. Attempts that were in flight together count once: a moment's pause of
-// the target, or of this VM, ends many of them, and says no more than one does.
+// recordFailure counts the failure of an attempt. Each further failure in a row
+// doubles the cooldown, up to maxCooldown. Attempts that were in flight at the same
+// time count once: a short pause of the target or of this VM fails many of them and
+// shows no more than one failure does.
 func (r *cooldown) recordFailure(sentAt, now time.Time) {
 	if sentAt.Before(r.failedAt) {
 		return
@@ -34,14 +35,14 @@
 	r.until = later(r.until, now.Add(min(d, maxCooldown)))
 }
 
-// recordRefusal makes for a rest of at least d. It is not counted as a failure: who
-// refuses is alive.
+// recordRefusal starts a cooldown of at least d. A refusal is not counted as a
+// failure: a replica or target that refuses is alive.
 func (r *cooldown) recordRefusal(now time.Time, d time.Duration) {
 	r.refusedUntil = later(r.refusedUntil, now.Add(max(d, baseCooldown)))
 }
 
-// recordAnswer ends the count of failures. A rest under way goes on: it may come
-// from a later failure than the answer.
+// recordAnswer resets the count of failures. An active cooldown continues, since it
+// may come from a failure later than the answer.
 func (r *cooldown) recordAnswer() { r.failures = 0 }
 
 func (r *cooldown) active(now time.Time) bool { return now.Before(r.until) || r.refusing(now) }
--- a/policy/shard.go
+++ b/policy/shard.go
@@ -6,17 +6,18 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
+// shardState is the progress of one shard in the current pass of a query.
 type shardState struct {
 	answer      *target.LeafAnswer
 	tried       []ReplicaID
 	inFlight    int // attempts in flight
-	sent        int
-	refused     int // of sent, by a target that did not start them
-	budgetWaits int // for the budget of retries
+	sent        int // attempts, hedges and retries included
+	refused     int // attempts of sent that targets refused without starting them
+	budgetWaits int // how often a retry found the retry budget empty
 	hedged      bool
 	phase       phase
 	reason      Reason    // of the last failure
-	retryAt     time.Time // when to look for a replica again; zero: not waiting
+	retryAt     time.Time // when to try to send again; zero: not waiting
 }
 
 type attempt struct {
@@ -27,14 +28,14 @@
 	expiresAt time.Time
 }
 
-// phase is how far a shard has come.
+// phase is the progress of a shard.
 type phase int
 
 const (
 	phaseOpen     phase = iota // may still answer
-	phaseAnswered              // has answered
-	phaseLost                  // cannot answer any more
-	phaseNoHolder              // lost because no replica holds its snapshot now
+	phaseAnswered              // an answer arrived
+	phaseLost                  // can no longer answer
+	phaseNoHolder              // as phaseLost, because no replica holds the snapshot any more
 	phaseCount
 )
 
@@ -51,7 +52,7 @@
 	}
 }
 
-// updatePhase recounts a shard after a change.
+// updatePhase updates the phase of a shard, and the counts by phase, after a change.
 func (q *Query) updatePhase(shard int) {
 	s := &q.shards[shard]
 	q.phases[s.phase]--
--- a/policy/status.go
+++ b/policy/status.go
@@ -7,7 +7,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// ApplyStatus takes a target's own account of itself.
+// ApplyStatus records a status that was read from a target.
 func (t *Table) ApplyStatus(name string, st target.Status, now time.Time) {
 	ts := t.targets[name]
 	if ts == nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// startIncarnation forgets what was known of an earlier incarnation.
+// startIncarnation resets the state that belongs to the previous incarnation.
 func (ts *targetState) startIncarnation(incarnation string) {
 	ts.incarnation = incarnation
 	ts.cooldown = cooldown{}
@@ -47,12 +47,12 @@
 	}
 }
 
-// setHoldings replaces a leaf's holdings and keeps the lists of holders true. Only what
-// changed is touched: a status comes from every target at each interval, and
-// almost all of them repeat the last one.
-func (t *Table) setHoldings(r *replica, list []target.Holding) {
-	next := make(map[holdingKey]struct{}, len(list))
-	for _, h := range list {
+// setHoldings replaces a leaf's holdings and updates the lists of holders. It
+// changes only what differs: a status arrives from every target at each interval,
+// and almost all of them repeat the last one.
+func (t *Table) setHoldings(r *replica, holdings []target.Holding) {
+	next := make(map[holdingKey]struct{}, len(holdings))
+	for _, h := range holdings {
 		key := holdingKey{h.Snapshot, h.Shard}
 		s := t.snapshots[h.Snapshot]
 		if s == nil || h.Shard < 0 || h.Shard >= s.shards {
@@ -71,16 +71,16 @@
 	r.holdings = next
 }
 
-// removeHolder takes a replica out of a list of holders, and drops the snapshot if
-// nobody holds any of it.
+// removeHolder removes a replica from a list of holders, and deletes the snapshot
+// if no replica holds any of its shards.
 func (t *Table) removeHolder(r *replica, key holdingKey) {
 	s := t.snapshots[key.snapshot]
 	if s == nil {
 		return
 	}
-	rest := slices.DeleteFunc(s.holders[key.shard], func(o *replica) bool { return o == r })
-	if len(rest) > 0 {
-		s.holders[key.shard] = rest
+	remaining := slices.DeleteFunc(s.holders[key.shard], func(o *replica) bool { return o == r })
+	if len(remaining) > 0 {
+		s.holders[key.shard] = remaining
 		return
 	}
 	delete(s.holders, key.shard)
@@ -89,11 +89,11 @@
 	}
 }
 
-// mergePartitionMaps takes the partition maps and sizes that a leaf states. The number
-// of shards of a known snapshot never shrinks: if two leaves disagree, the
-// larger map counts, which can only understate coverage.
-func (t *Table) mergePartitionMaps(list []target.Holding) {
-	for _, h := range list {
+// mergePartitionMaps merges the partition maps and sizes that a leaf reports. The
+// number of shards of a known snapshot never shrinks: if two leaves disagree, the
+// larger map is used, which can only understate coverage.
+func (t *Table) mergePartitionMaps(holdings []target.Holding) {
+	for _, h := range holdings {
 		if h.Shards <= 0 || h.Shard < 0 || h.Shard >= h.Shards {
 			continue
 		}
@@ -112,7 +112,8 @@
 	}
 }
 
-// StatusReadFailed takes that a target's status could not be read.
+// StatusReadFailed records a failed read of a target's status. The target is lost
+// after as many failures in a row as the service's drain.suspect_after setting.
 func (t *Table) StatusReadFailed(name string) {
 	ts := t.targets[name]
 	if ts == nil {
@@ -124,15 +125,15 @@
 	}
 }
 
-// MarkLost takes that a target can't be read by any VM that has connections to it.
+// MarkLost records that no VM with connections to a target can read its status.
 func (t *Table) MarkLost(name string) {
 	if ts := t.targets[name]; ts != nil {
 		ts.lost = true
 	}
 }
 
-// ObserveState takes the state that a target put into an answer's headers. It reports
-// whether this is the first word of a drain.
+// ObserveState records the state that a target states in an answer's headers. It
+// reports whether this is the first report of a drain.
 func (t *Table) ObserveState(name, incarnation string, state target.State) bool {
 	ts := t.targets[name]
 	if ts == nil || incarnation == "" || state != target.StateDraining {
@@ -141,8 +142,8 @@
 	return t.MarkDraining(name, incarnation)
 }
 
-// MarkDraining takes, from any source, that an incarnation of a target is leaving. It
-// reports whether that is news.
+// MarkDraining records that an incarnation of a target is draining, whatever the
+// source. It reports whether this was not known before.
 func (t *Table) MarkDraining(name, incarnation string) bool {
 	ts := t.targets[name]
 	if ts == nil || ts.drainedIncarnation == incarnation {
--- a/policy/submit.go
+++ b/policy/submit.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Submission decides where a non-idempotent request goes. It offers a further
-// replica only after the last one answered that it did not start the request,
-// so the request is started at most once.
+// Submission chooses the replicas for a non-idempotent request. It returns another
+// replica only after the last one answered that it did not start the request, so
+// the request is started at most once.
 type Submission struct {
 	table       *Table
 	snapshot    Snapshot
@@ -13,12 +13,12 @@
 	maxAttempts int
 	current     ReplicaID
 	sentAt      time.Time
-	inFlight    bool // handed over, and the end not yet known
-	closed      bool // may have been started: never offered again
+	inFlight    bool // sent, and its end is not known yet
+	closed      bool // may have been started: must not be sent again
 }
 
-// NewSubmission returns the decision for a request whose key hashes to hash. It
-// returns false if no snapshot can be read, and so no leaf is known.
+// NewSubmission returns a Submission for a request whose key hashes to hash. It
+// returns false if no snapshot is readable, and so no leaf is known.
 func NewSubmission(table *Table, hash uint64, maxAttempts int, now time.Time) (*Submission, bool) {
 	snap, ok := table.ChooseSnapshot(now)
 	if !ok {
@@ -32,9 +32,9 @@
 	}, true
 }
 
-// Next returns where to hand the request over. If ok is false and wait is not
-// zero, all replicas are busy or resting, and Next is to be asked again then. If
-// wait is zero too, the request must not be or cannot be handed over any more.
+// Next returns the attempt to send next. If ok is false and wait is not zero, all
+// replicas are busy or in cooldown, and Next must be called again at the time wait. If
+// wait is zero too, the request cannot or must not be sent again.
 func (s *Submission) Next(now time.Time) (send Send, wait time.Time, ok bool) {
 	if s.inFlight || s.closed || len(s.tried) >= s.maxAttempts {
 		return Send{}, time.Time{}, false
@@ -57,8 +57,8 @@
 	}, time.Time{}, true
 }
 
-// HandleEnd takes how the handing over ended. Only a refusal, by which the target
-// says that it did not start the request, leaves it open to be offered again.
+// HandleEnd records how the attempt in flight ended. Next may return another one only
+// after a refusal, which says that the target did not start the request.
 func (s *Submission) HandleEnd(now time.Time, end AttemptEnd) {
 	if !s.inFlight {
 		return
@@ -69,5 +69,5 @@
 	s.closed = !end.Refused
 }
 
-// Tried is the number of replicas that the request was handed to.
+// Tried returns the number of replicas that the request was sent to.
 func (s *Submission) Tried() int { return len(s.tried) }
--- a/policy/table.go
+++ b/policy/table.go
@@ -9,26 +9,26 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// ReplicaID names a leaf of a target. It is comparable.
+// ReplicaID identifies a leaf of a target. It is comparable.
 type ReplicaID struct {
 	Target string
 	Leaf   int
 }
 
-// replica is what this VM knows of one leaf.
+// replica is this VM's view of one leaf.
 type replica struct {
 	id       ReplicaID
 	target   *targetState
 	slots    int
 	sameZone bool
 
-	outstanding int           // this VM's calls in flight
-	latency     time.Duration // smoothed, of this VM's own calls; 0 before the first
-	cooldown    cooldown      // of this leaf
+	outstanding int           // calls of this VM in flight
+	latency     time.Duration // smoothed latency of this VM's calls; 0 before the first
+	cooldown    cooldown      // of this leaf only
 
-	reportedLoad        float64 // load at the last status
+	reportedLoad        float64 // load in the last status
 	reportedAt          time.Time
-	outstandingAtReport int // outstanding when the status was read
+	outstandingAtReport int // value of outstanding when the status was read
 
 	holdings map[holdingKey]struct{}
 }
@@ -38,23 +38,23 @@
 	shard    int
 }
 
-// targetState is what this VM knows of one target.
+// targetState is this VM's view of one target.
 type targetState struct {
 	name               string
 	incarnation        string
 	state              target.State
-	statusRead         bool // a status was read at all
+	statusRead         bool // at least one status was read
 	lost               bool // too many status reads failed in a row
 	failedReads        int
-	drainedIncarnation string // incarnation that is known to be leaving
+	drainedIncarnation string // incarnation that is known to be draining
 	servingSince       time.Time
-	cooldown           cooldown // of all leaves: they share the target's connections
+	cooldown           cooldown // of all leaves, which share the target's connections
 	replicas           []*replica
 }
 
-// draining reports whether the present incarnation is leaving. A drain sticks
-// to its incarnation, so a late status that still says "serving" cannot bring
-// the target back; only a new incarnation clears it.
+// draining reports whether the current incarnation is draining. A drain lasts
+// as long as its incarnation: a late status that still says "serving" does not
+// make the target usable again. Only a new incarnation does.
 func (t *targetState) draining() bool {
 	return t.state == target.StateDraining || (t.drainedIncarnation != "" && t.drainedIncarnation == t.incarnation)
 }
@@ -63,17 +63,18 @@
 	return t.statusRead && !t.lost && !t.draining() && t.state == target.StateServing
 }
 
-// snapshotState is the partition map of one snapshot and its known sizes.
+// snapshotState is the partition map of one snapshot, with the known sizes of
+// its shards.
 type snapshotState struct {
 	name    string
 	seq     int64
 	shards  int
-	records map[int]int64 // by shard, as far as a replica has told
+	records map[int]int64 // by shard; no entry until a replica reports the number
 	holders map[int][]*replica
 }
 
-// Table is what one VM knows of the targets of one service, and the choices
-// made from it.
+// Table holds one VM's view of the targets of one service, and chooses snapshots
+// and replicas from it.
 type Table struct {
 	zone         string
 	rng          *rand.Rand
@@ -81,16 +82,16 @@
 	warmup       time.Duration
 	targets      map[string]*targetState
 	snapshots    map[string]*snapshotState
-	scratch      []*replica // reused by Pick
-	shedShare    float64    // share of the latest attempts that were turned away for want of slots
+	scratch      []*replica // buffer of usableReplicas, reused by Pick
+	shedShare    float64    // smoothed share of recent attempts that targets refused because no slot was free
 
-	Latency *latency.Record // of attempts that answered
-	Median  MedianLatency   // the same, for admission
+	Latency *latency.Record // of attempts that were answered
+	Median  MedianLatency   // median latency of the same attempts, used for admission and timeouts
 	Hedges  *Budget
 	Retries *Budget
 }
 
-// NewTable returns the table of a service as seen from a VM in zone.
+// NewTable returns an empty table of a service for a VM in zone.
 func NewTable(zone string, rng *rand.Rand) *Table {
 	return &Table{
 		zone:      zone,
@@ -103,8 +104,8 @@
 	}
 }
 
-// Apply takes the service's description from the bundle in force. Targets that
-// stay keep what is known of them.
+// Apply updates the table to the service's description in the bundle in force.
+// Targets that remain keep their state, unless their number of leaves changes.
 func (t *Table) Apply(svc *bundle.Service) {
 	t.suspectAfter = max(svc.Drain.SuspectAfter, 1)
 	t.warmup = time.Duration(svc.Drain.WarmupMS) * time.Millisecond
@@ -133,7 +134,7 @@
 	}
 }
 
-// removeReplicas takes a target's replicas out of the lists of holders.
+// removeReplicas removes a target's replicas from the lists of holders.
 func (t *Table) removeReplicas(ts *targetState) {
 	for _, r := range ts.replicas {
 		t.setHoldings(r, nil)
