--- a/policy/choose.go
+++ b/policy/choose.go
@@ -32,7 +32,7 @@
 	if best == nil {
 		return Snapshot{}, false
 	}
-	return best.snapshot.snapshot(), true
+	return best.snapshot.toSnapshot(), true
 }
 
 // FindSnapshot returns a snapshot by name, for a query that is pinned to it. It
@@ -42,10 +42,10 @@
 	if s == nil || t.candidate(s).readable == 0 {
 		return Snapshot{}, false
 	}
-	return s.snapshot(), true
+	return s.toSnapshot(), true
 }
 
-func (s *snapshotState) snapshot() Snapshot {
+func (s *snapshotState) toSnapshot() Snapshot {
 	return Snapshot{Name: s.name, Seq: s.seq, Shards: s.shards}
 }
 
--- a/policy/load.go
+++ b/policy/load.go
@@ -74,12 +74,12 @@
 	return ok && took >= slow
 }
 
-func (r *replica) recordLatency(d time.Duration) {
+func (r *replica) recordLatency(latency time.Duration) {
 	if r.latency == 0 {
-		r.latency = d
+		r.latency = latency
 		return
 	}
-	r.latency += time.Duration(latencyWeight * float64(d-r.latency))
+	r.latency += time.Duration(latencyWeight * float64(latency-r.latency))
 }
 
 // recordFailure records a failure of a leaf and of its target.
--- a/policy/pace_test.go
+++ b/policy/pace_test.go
@@ -88,9 +88,9 @@
 			}
 			ms += rapid.IntRange(0, 2000).Draw(t, "pause")
 			p.UpdateBaseline(at(ms), rapid.Bool().Draw(t, "crowded"))
-			for _, pace := range []time.Duration{p.recentMedian, p.baseline} {
-				if pace > 0 && (pace.Seconds() < (1-medianStep)*least.Seconds() || pace.Seconds() > (1+medianStep)*most.Seconds()) {
-					t.Fatalf("median or baseline is %v, for attempts between %v and %v", pace, least, most)
+			for _, value := range []time.Duration{p.recentMedian, p.baseline} {
+				if value > 0 && (value.Seconds() < (1-medianStep)*least.Seconds() || value.Seconds() > (1+medianStep)*most.Seconds()) {
+					t.Fatalf("median or baseline is %v, for attempts between %v and %v", value, least, most)
 				}
 			}
 		}
--- a/policy/query.go
+++ b/policy/query.go
@@ -116,11 +116,11 @@
 
 // HandleFailure records that an attempt ended without an answer.
 func (q *Query) HandleFailure(now time.Time, id AttemptID, f Failure) []Action {
-	gone := f.Reason == ReasonSnapshotGone
+	snapshotGone := f.Reason == ReasonSnapshotGone
 	shed := f.Refused && !f.NoConnection && (f.Reason == ReasonShed || f.Reason == ReasonBusy)
 	a := q.endAttempt(now, id, AttemptEnd{
 		Refused:      f.Refused,
-		SnapshotGone: gone,
+		SnapshotGone: snapshotGone,
 		NoConnection: f.NoConnection,
 		Shed:         shed,
 		RetryAfter:   f.RetryAfter,
@@ -131,7 +131,7 @@
 	if shed {
 		q.shed++
 	}
-	if gone {
+	if snapshotGone {
 		q.table.RemoveHolding(a.replica, q.snapshot.Name, a.shard)
 	}
 	return q.finishOrRestart(now, q.afterFailure(now, a, f.Reason))
