--- a/query/answer.go
+++ b/query/answer.go
@@ -39,7 +39,7 @@
 		return result.CursorGone
 	case out.End == policy.EndNoSnapshot:
 		return result.NoReplica
-	case out.Coverage.Complete():
+	case out.Coverage.AllAnswered():
 		return result.Complete
 	case len(out.Answers) > 0 && out.Coverage.Ratio() >= req.Need:
 		return result.Partial
