--- a/policy/admission.go
+++ b/policy/admission.go
@@ -61,7 +61,7 @@
 	maxWaitShare      = 0.6                    // longest wait for admission, as a share of a query's expected duration
 	limitDecrease     = 0.8                    // factor applied after a sign of overload
 	limitIncrease     = 0.2                    // added per query that ends without pressure, from the floor upwards
-	lowLimitIncrease  = 0.1                    // below the floor, added per number of such queries equal to the limit; with a faster rise refusals lower the limit too late
+	lowLimitIncrease  = 0.1                    // below the floor, added per as many such queries as the limit; a faster rise would outweigh the reductions by refusals
 	minReduceInterval = 100 * time.Millisecond // least time between two reductions
 	smoothingWeight   = 0.1                    // weight of a new sample in the smoothed durations
 	maxRetryAfter     = 5 * time.Second
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -65,8 +65,8 @@
 	q.wakeAt = earlier(q.wakeAt, at)
 }
 
-// Parameters of the timeout of one attempt. The timeout is shorter than the query's
-// time limit, so that a connection that went silent takes only part of that.
+// Parameters of the timeout of one attempt. Each attempt has its own timeout so that a
+// connection that went silent takes only part of the query's time limit.
 const (
 	attemptTimeoutQuantile = 0.99
 	attemptTimeoutFactor   = 4
--- a/policy/coverage.go
+++ b/policy/coverage.go
@@ -120,7 +120,8 @@
 	return 0, float64(a.Records-a.Missing) / float64(a.Records)
 }
 
-// AllAnswered reports whether no record is missing.
+// AllAnswered reports whether every shard has a complete answer, so that no record is
+// missing.
 func (c Coverage) AllAnswered() bool { return c.Shards > 0 && c.Answered == c.Shards }
 
 // CoverageOf returns the coverage of a query's answers so far.
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -25,7 +25,8 @@
 	slowAttemptShare = 0.25 // share of the time limit that the median attempt takes, even if that is its latency without queues
 )
 
-// Pressure returns the pressure that the end of a query with time limit limit shows.
+// Pressure returns the pressure that the end of a query shows. limit is the query's
+// time limit.
 func (t *Table) Pressure(out *Outcome, limit time.Duration) Pressure {
 	if t.shedShare > maxShedShare {
 		return TargetsRefusing
--- a/policy/pace.go
+++ b/policy/pace.go
@@ -26,18 +26,18 @@
 	maxBaselineStep  = time.Second     // longest time that one call of UpdateBaseline accounts for
 )
 
-// Add records the latency of an attempt that was answered. Each one moves the median
-// by a fixed share of itself, so a straggler counts no more than any other slow
-// attempt.
-func (p *MedianLatency) Add(d time.Duration) {
-	p.samples++
+// Add records the latency of an attempt that was answered. Each attempt moves the median
+// towards its latency by a fixed share of the median, so a straggler counts as much as
+// any other slow attempt.
+func (m *MedianLatency) Add(d time.Duration) {
+	m.samples++
 	switch {
-	case p.recentMedian == 0:
-		p.recentMedian = max(d, time.Microsecond)
-	case d > p.recentMedian:
-		p.recentMedian += time.Duration(medianStep * float64(p.recentMedian))
-	case d < p.recentMedian:
-		p.recentMedian -= time.Duration(medianStep * float64(p.recentMedian))
+	case m.recentMedian == 0:
+		m.recentMedian = max(d, time.Microsecond)
+	case d > m.recentMedian:
+		m.recentMedian += time.Duration(medianStep * float64(m.recentMedian))
+	case d < m.recentMedian:
+		m.recentMedian -= time.Duration(medianStep * float64(m.recentMedian))
 	}
 }
 
@@ -46,42 +46,42 @@
 // queues rather than because targets became slower, and the baseline rises very
 // slowly. It rises nonetheless: otherwise a VM that is always crowded would limit
 // callers permanently after targets did become slower.
-func (p *MedianLatency) UpdateBaseline(now time.Time, crowded bool) {
-	passed := min(now.Sub(p.updatedAt), maxBaselineStep)
-	p.updatedAt = now
-	if p.samples < minMedianSamples {
+func (m *MedianLatency) UpdateBaseline(now time.Time, crowded bool) {
+	elapsed := min(now.Sub(m.updatedAt), maxBaselineStep)
+	m.updatedAt = now
+	if m.samples < minMedianSamples {
 		return
 	}
-	if p.baseline == 0 {
-		p.baseline = p.recentMedian
+	if m.baseline == 0 {
+		m.baseline = m.recentMedian
 		return
 	}
-	follows := baselineFallTime
-	if p.recentMedian > p.baseline {
-		follows = baselineRiseTime
+	timeConstant := baselineFallTime
+	if m.recentMedian > m.baseline {
+		timeConstant = baselineRiseTime
 		if crowded {
-			follows = crowdedRiseTime
+			timeConstant = crowdedRiseTime
 		}
 	}
-	p.baseline += time.Duration(float64(p.recentMedian-p.baseline) * passed.Seconds() / follows.Seconds())
+	m.baseline += time.Duration(float64(m.recentMedian-m.baseline) * elapsed.Seconds() / timeConstant.Seconds())
 }
 
 // Slow reports whether attempts wait in the targets' queues.
-func (p *MedianLatency) Slow() bool {
-	return p.baseline > 0 && p.recentMedian > slowBaselineFactor*p.baseline
+func (m *MedianLatency) Slow() bool {
+	return m.baseline > 0 && m.recentMedian > slowBaselineFactor*m.baseline
 }
 
 // NearBaseline reports whether attempts are about as fast as without queues. Between
 // NearBaseline and Slow some attempts wait in queues and some do not.
-func (p *MedianLatency) NearBaseline() bool {
-	return p.baseline > 0 && float64(p.recentMedian) < nearBaselineFactor*float64(p.baseline)
+func (m *MedianLatency) NearBaseline() bool {
+	return m.baseline > 0 && float64(m.recentMedian) < nearBaselineFactor*float64(m.baseline)
 }
 
 // Recent returns the median latency of recent attempts, or 0 while fewer than
 // minMedianSamples were recorded.
-func (p *MedianLatency) Recent() time.Duration {
-	if p.samples < minMedianSamples {
+func (m *MedianLatency) Recent() time.Duration {
+	if m.samples < minMedianSamples {
 		return 0
 	}
-	return p.recentMedian
+	return m.recentMedian
 }
--- a/policy/rest.go
+++ b/policy/rest.go
@@ -22,31 +22,31 @@
 // doubles the cooldown, up to maxCooldown. Attempts that were in flight at the same
 // time count once: a short pause of the target or of this VM fails many of them and
 // shows no more than one failure does.
-func (r *cooldown) recordFailure(sentAt, now time.Time) {
-	if sentAt.Before(r.failedAt) {
+func (c *cooldown) recordFailure(sentAt, now time.Time) {
+	if sentAt.Before(c.failedAt) {
 		return
 	}
-	r.failures++
-	r.failedAt = now
-	if r.failures < failuresToCooldown {
+	c.failures++
+	c.failedAt = now
+	if c.failures < failuresToCooldown {
 		return
 	}
-	d := baseCooldown << min(r.failures-failuresToCooldown, maxDoublings)
-	r.until = later(r.until, now.Add(min(d, maxCooldown)))
+	d := baseCooldown << min(c.failures-failuresToCooldown, maxDoublings)
+	c.until = later(c.until, now.Add(min(d, maxCooldown)))
 }
 
 // recordRefusal starts a cooldown of at least d. A refusal is not counted as a
 // failure: a replica or target that refuses is alive.
-func (r *cooldown) recordRefusal(now time.Time, d time.Duration) {
-	r.refusedUntil = later(r.refusedUntil, now.Add(max(d, baseCooldown)))
+func (c *cooldown) recordRefusal(now time.Time, d time.Duration) {
+	c.refusedUntil = later(c.refusedUntil, now.Add(max(d, baseCooldown)))
 }
 
 // recordAnswer resets the count of failures. An active cooldown continues, since it
 // may come from a failure later than the answer.
-func (r *cooldown) recordAnswer() { r.failures = 0 }
+func (c *cooldown) recordAnswer() { c.failures = 0 }
 
-func (r *cooldown) active(now time.Time) bool { return now.Before(r.until) || r.refusing(now) }
+func (c *cooldown) active(now time.Time) bool { return now.Before(c.until) || c.refusing(now) }
 
-func (r *cooldown) refusing(now time.Time) bool { return now.Before(r.refusedUntil) }
+func (c *cooldown) refusing(now time.Time) bool { return now.Before(c.refusedUntil) }
 
-func (r *cooldown) end() time.Time { return later(r.until, r.refusedUntil) }
+func (c *cooldown) end() time.Time { return later(c.until, c.refusedUntil) }
