--- a/edge/announce.go
+++ b/edge/announce.go
@@ -24,13 +24,13 @@
 	written time.Time  // the latest own write
 }
 
-// staleList is how old a list of VMs may be: one that lacks an entry written since then
+// maxListAge is how old a list of VMs may be: one that lacks an entry written since then
 // proves nothing.
-const staleList = 10 * time.Second
+const maxListAge = 10 * time.Second
 
-// adopt completes this VM's entry with the key that others must have to call it: that of
+// ensureKey completes this VM's entry with the key that others must have to call it: that of
 // the entry found in the list, which an earlier life wrote, or else a new one.
-func (a *announcer) adopt(found scatter.VM) (scatter.VM, error) {
+func (a *announcer) ensureKey(found scatter.VM) (scatter.VM, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.self.Key != "" {
@@ -47,29 +47,29 @@
 	return a.self, nil
 }
 
-// sawList takes this VM's entry in a list, empty if there is none.
-func (a *announcer) sawList(entry scatter.VM) {
+// observeList takes this VM's entry in a list, empty if there is none.
+func (a *announcer) observeList(entry scatter.VM) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if entry == a.self {
 		a.listed = true
 		return
 	}
-	if time.Since(a.written) > staleList {
+	if time.Since(a.written) > maxListAge {
 		a.listed = false
 	}
 }
 
-// sawChange takes this VM's entry after a change, empty if it was removed. The withdrawal by an earlier life of this
+// observeChange takes this VM's entry after a change, empty if it was removed. The withdrawal by an earlier life of this
 // VM may be carried out late, after its next life has announced itself.
-func (a *announcer) sawChange(entry scatter.VM) {
+func (a *announcer) observeChange(entry scatter.VM) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.listed = entry == a.self
 }
 
-// ensure writes this VM's entry unless the list has it.
-func (a *announcer) ensure(ctx context.Context) error {
+// ensureListed writes this VM's entry unless the list has it.
+func (a *announcer) ensureListed(ctx context.Context) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.listed {
--- a/edge/callers.go
+++ b/edge/callers.go
@@ -40,12 +40,12 @@
 	if !ok {
 		return c, nil
 	}
-	return &callerConn{TCPConn: tcp, limits: l.limits, acceptedAt: time.Now(), roundTrip: roundTripOf(tcp)}, nil
+	return &callerConn{TCPConn: tcp, limits: l.limits, acceptedAt: time.Now(), roundTrip: measuredRoundTrip(tcp)}, nil
 }
 
-// roundTripOf returns the round trip that the kernel measured on a connection, 0 if it does
+// measuredRoundTrip returns the round trip that the kernel measured on a connection, 0 if it does
 // not say.
-func roundTripOf(c *net.TCPConn) time.Duration {
+func measuredRoundTrip(c *net.TCPConn) time.Duration {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
@@ -89,15 +89,15 @@
 	if !ok {
 		return callerPath{}
 	}
-	path := callerPath{way: c.roundTrip / 2}
+	path := callerPath{oneWay: c.roundTrip / 2}
 	if !c.used && now.Sub(c.acceptedAt) <= c.roundTrip {
-		path.connecting = c.roundTrip
+		path.connectTime = c.roundTrip
 	}
 	return path
 }
 
-// noteCallerState is the server's ConnState.
-func noteCallerState(c net.Conn, state http.ConnState) {
+// trackCallerState is the server's ConnState.
+func trackCallerState(c net.Conn, state http.ConnState) {
 	if cc, ok := c.(*callerConn); ok && state == http.StateIdle {
 		cc.idle, cc.used = true, true
 	}
@@ -127,8 +127,8 @@
 	return t
 }
 
-// callersLimits returns the limits in force, none without a manifest.
-func (e *Engine) callersLimits() routing.Limits {
+// callerLimits returns the limits in force, none without a manifest.
+func (e *Engine) callerLimits() routing.Limits {
 	m := e.inForce.Get()
 	if m == nil {
 		return routing.Limits{}
--- a/edge/callers_test.go
+++ b/edge/callers_test.go
@@ -14,31 +14,31 @@
 // The operator lets callers keep a connection for longer than the server's own time, and a
 // caller that reuses one finds it closed. The manifest's times hold, changes included, and
 // the deadlines with which the server ends its own reads are left alone.
-func TestIdleTimeOfTheManifestHolds(t *testing.T) {
+func TestManifestTimeoutsOverrideServerTimeouts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := routing.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 200 * time.Second}
 	c := &callerConn{limits: func() routing.Limits { return limits }}
 	now := time.Unix(1_000_000, 0)
 	own := now.Add(idleTimeout)
 	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(now.Add(3 * time.Second)))
-	noteCallerState(c, http.StateIdle)
+	trackCallerState(c, http.StateIdle)
 	g.Expect(c.readDeadline(now, time.Time{})).To(gomega.BeZero())
 	g.Expect(c.readDeadline(now, now.Add(-time.Hour))).To(gomega.Equal(now.Add(-time.Hour)))
 	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(now.Add(200*time.Second + idleSlack)))
 	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(now.Add(3*time.Second)), "the header of the next request")
 
 	limits = routing.Limits{}
-	noteCallerState(c, http.StateIdle)
+	trackCallerState(c, http.StateIdle)
 	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(own))
 }
 
 // A caller sends half of a header and no more, and holds a connection for as long as the
 // server's own time allows. The operator's shorter time ends it.
-func TestSlowHeaderIsEndedInTheManifestsTime(t *testing.T) {
+func TestManifestHeaderTimeoutClosesSlowCaller(t *testing.T) {
 	g := gomega.NewWithT(t)
 	socket, err := listen("127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	server := &http.Server{ReadHeaderTimeout: time.Hour, ConnState: noteCallerState, Handler: http.NotFoundHandler()}
+	server := &http.Server{ReadHeaderTimeout: time.Hour, ConnState: trackCallerState, Handler: http.NotFoundHandler()}
 	limits := func() routing.Limits { return routing.Limits{HeaderTimeout: 50 * time.Millisecond} }
 	go func() { _ = server.Serve(&callerListener{Listener: socket, limits: limits}) }()
 	t.Cleanup(func() { _ = server.Close() })
--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -10,8 +10,8 @@
 	"github.com/bramleybarrow/bramleybarrow/topk"
 )
 
-// delegates reaches other VMs.
-type delegates interface {
+// peerClient reaches other VMs.
+type peerClient interface {
 	// gather makes a call, reports that it was written, and passes each answer to take. It
 	// returns after the last answer, or when ctx ends. A neverSentError says that the VM got no
 	// call.
@@ -35,20 +35,20 @@
 // Unwrap returns the cause.
 func (e *neverSentError) Unwrap() error { return e.err }
 
-// noDelegates is a VM that has not joined the others.
-type noDelegates struct{}
+// noPeerClient is a VM that has not joined the others.
+type noPeerClient struct{}
 
 var errNotJoined = errors.New("edge: not joined to other VMs")
 
-func (noDelegates) gather(context.Context, scatter.VM, *gatherCall, func(), func(*gatherAnswer)) error {
+func (noPeerClient) gather(context.Context, scatter.VM, *gatherCall, func(), func(*gatherAnswer)) error {
 	return &neverSentError{err: errNotJoined}
 }
 
-func (noDelegates) connect(context.Context, scatter.VM) (bool, error) { return false, errNotJoined }
+func (noPeerClient) connect(context.Context, scatter.VM) (bool, error) { return false, errNotJoined }
 
-func (noDelegates) ping(context.Context, scatter.VM) error { return errNotJoined }
+func (noPeerClient) ping(context.Context, scatter.VM) error { return errNotJoined }
 
-func (noDelegates) follow(context.Context, scatter.VM, string, *followCall, any) error {
+func (noPeerClient) follow(context.Context, scatter.VM, string, *followCall, any) error {
 	return errNotJoined
 }
 
@@ -56,13 +56,13 @@
 // its answer, if it comes, still tells that the VM lives.
 const callLinger = 100 * time.Millisecond
 
-// ask makes one call to another VM.
-func (r *runner) ask(a scatter.Ask) {
+// callPeer makes one call to another VM.
+func (r *runner) callPeer(a scatter.CallVM) {
 	ctx, cancel := context.WithDeadline(r.attempts, a.AnswerBy.Add(callLinger))
 	defer cancel()
 	sent := func() { r.post(event{call: a.Call, sent: true}) }
-	err := r.e.delegatesNow().gather(ctx, a.VM, r.callFor(a), sent, func(ans *gatherAnswer) {
-		shards, err := fromPeer(a, ans)
+	err := r.e.currentPeerClient().gather(ctx, a.VM, r.newGatherCall(a), sent, func(ans *gatherAnswer) {
+		shards, err := toShardsAnswer(a, ans)
 		if err != nil {
 			r.e.log.Error("answer of a VM dropped", "request", r.req.ID, "vm", a.VM.Name, "error", err)
 			return
@@ -71,65 +71,65 @@
 	})
 	end := scatter.EndAnswered
 	if err != nil {
-		end = callEnd(ctx)
+		end = endOfCall(ctx)
 		r.e.log.Warn("call to a VM failed", "request", r.req.ID, "vm", a.VM.Name, "zone", a.VM.Zone, "shards", len(a.Shards), "error", err)
 		var neverSent *neverSentError
 		r.post(event{call: a.Call, end: end, neverSent: errors.As(err, &neverSent)})
 	}
 	r.e.mu.Lock()
-	r.e.table.EndedAtVM(time.Now(), a.VM.Name, end)
+	r.e.table.CallEnded(time.Now(), a.VM.Name, end)
 	r.e.mu.Unlock()
 	if end != scatter.EndAnswered {
-		r.e.livenessDue.raise()
-		r.e.silentVMs.raise()
+		r.e.livenessCheckDue.notify()
+		r.e.suspectVMs.notify()
 	}
 	r.e.stats.call(end)
 }
 
-func (r *runner) callFor(a scatter.Ask) *gatherCall {
+func (r *runner) newGatherCall(a scatter.CallVM) *gatherCall {
 	services := make([]string, len(a.Shards))
 	for i, shard := range a.Shards {
 		services[i] = r.spec.Services[shard]
 	}
 	return &gatherCall{
-		ID:          r.req.ID,
-		Method:      r.req.HTTP.Method,
-		Target:      r.req.HTTP.Target,
-		Host:        r.req.HTTP.Host,
-		Header:      r.req.HTTP.Header,
-		Services:    services,
-		Views:       a.Views,
-		Needed:      a.Needed,
-		Again:       a.Again,
-		Top:         r.req.Top,
-		MaxAttempts: r.spec.MaxAttempts,
-		AimUS:       r.spec.Aim.Microseconds(),
-		InterimUS:   time.Until(a.InterimBy).Microseconds(),
-		AnswerUS:    time.Until(a.AnswerBy).Microseconds(),
-		DeadlineUS:  time.Until(r.req.Deadline).Microseconds(),
+		ID:                 r.req.ID,
+		Method:             r.req.HTTP.Method,
+		Target:             r.req.HTTP.Target,
+		Host:               r.req.HTTP.Host,
+		Header:             r.req.HTTP.Header,
+		Services:           services,
+		Views:              a.Views,
+		Required:           a.Required,
+		Redelegated:        a.Redelegated,
+		Top:                r.req.Top,
+		MaxAttempts:        r.spec.MaxAttempts,
+		LatencyObjectiveUS: r.spec.LatencyObjective.Microseconds(),
+		InterimUS:          time.Until(a.InterimBy).Microseconds(),
+		AnswerUS:           time.Until(a.AnswerBy).Microseconds(),
+		DeadlineUS:         time.Until(r.req.Deadline).Microseconds(),
 	}
 }
 
-// callEnd tells silence from a connection that could not be made or broke.
-func callEnd(ctx context.Context) scatter.End {
+// endOfCall tells silence from a connection that could not be made or broke.
+func endOfCall(ctx context.Context) scatter.End {
 	if ctx.Err() != nil {
 		return scatter.EndSilent
 	}
 	return scatter.EndUnreachable
 }
 
-var errBadGather = errors.New("edge: answer does not fit the call")
+var errInvalidAnswer = errors.New("edge: answer does not fit the call")
 
-// fromPeer numbers the shards of an answer as the query does.
-func fromPeer(a scatter.Ask, ans *gatherAnswer) (*ShardsAnswer, error) {
+// toShardsAnswer numbers the shards of an answer as the query does.
+func toShardsAnswer(a scatter.CallVM, ans *gatherAnswer) (*ShardsAnswer, error) {
 	if len(ans.Included) != len(ans.Receipts) {
-		return nil, errBadGather
+		return nil, errInvalidAnswer
 	}
-	included, err := shardsOf(a, ans.Included)
+	included, err := mapShards(a, ans.Included)
 	if err != nil {
 		return nil, err
 	}
-	declined, err := shardsOf(a, ans.Declined)
+	declined, err := mapShards(a, ans.Declined)
 	if err != nil {
 		return nil, err
 	}
@@ -144,11 +144,11 @@
 	}, nil
 }
 
-func shardsOf(a scatter.Ask, indexes []int) ([]int, error) {
+func mapShards(a scatter.CallVM, indexes []int) ([]int, error) {
 	var shards []int
 	for _, i := range indexes {
 		if i < 0 || i >= len(a.Shards) {
-			return nil, errBadGather
+			return nil, errInvalidAnswer
 		}
 		shards = append(shards, a.Shards[i])
 	}
@@ -175,33 +175,33 @@
 		},
 	}
 	spec := scatter.Spec{
-		Services:    call.Services,
-		Gathered:    true,
-		Idempotent:  true,
-		MaxAttempts: call.MaxAttempts,
-		Aim:         time.Duration(call.AimUS) * time.Microsecond,
-		AnswerBy:    in(call.AnswerUS),
-		Deadline:    req.Deadline,
-		Request:     call.ID,
-		Delegated:   true,
-		Views:       call.Views,
-		Needed:      call.Needed,
-		Again:       call.Again,
-		Weight:      scatter.DelegateWeight,
+		Services:         call.Services,
+		Gathered:         true,
+		Idempotent:       true,
+		MaxAttempts:      call.MaxAttempts,
+		LatencyObjective: time.Duration(call.LatencyObjectiveUS) * time.Microsecond,
+		AnswerBy:         in(call.AnswerUS),
+		Deadline:         req.Deadline,
+		RequestID:        call.ID,
+		Delegated:        true,
+		Views:            call.Views,
+		Required:         call.Required,
+		Redelegated:      call.Redelegated,
+		BudgetWeight:     scatter.DelegateWeight,
 	}
-	if call.Again {
-		spec.Weight = 0 // counted where it was asked for before
+	if call.Redelegated {
+		spec.BudgetWeight = 0 // counted where it was asked for before
 	}
 	r := e.newRunner(req, spec)
 	told := make(map[scatter.AttemptID]bool)
 	r.interim = in(call.InterimUS)
-	r.tell = func(ids []scatter.AttemptID) {
+	r.onInterim = func(ids []scatter.AttemptID) {
 		if ans := r.partialAnswer(ids, told); len(ans.Included) > 0 {
 			ans.Key = call.Key
 			answer(ans)
 		}
 	}
-	r.decline = func(shards []int) { answer(&gatherAnswer{Key: call.Key, Declined: shards}) }
+	r.onDeclined = func(shards []int) { answer(&gatherAnswer{Key: call.Key, Declined: shards}) }
 	out := r.run(ctx)
 	last := r.partialAnswer(out.Parts, told)
 	last.Key, last.Last = call.Key, true
@@ -223,7 +223,7 @@
 		told[id] = true
 		part := r.answers[id]
 		ans.Included = append(ans.Included, r.shards[id])
-		ans.Receipts = append(ans.Receipts, part.word.Receipt)
+		ans.Receipts = append(ans.Receipts, part.metadata.Receipt)
 		bodies = append(bodies, part.Body)
 	}
 	ans.Records = topk.Merge(r.req.Top, bodies)
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -15,22 +15,22 @@
 
 // Engine carries out requests. It is safe for concurrent use.
 type Engine struct {
-	exchange    Exchange
-	pool        *leafhttp.Pool
-	inForce     routing.InForce
-	rotation    *routing.Rotation
-	spent       *spentTimes
-	log         *slog.Logger
-	stats       *stats
-	feed        *feed
-	livenessDue alarm // a call to another VM was not answered: others may be silent too
-	silentVMs   alarm // a call to another VM was not answered
-	silentLeafs alarm // a leaf was silent or could not be reached
+	exchange         Exchange
+	pool             *leafhttp.Pool
+	inForce          routing.InForce
+	rotation         *routing.Rotation
+	elapsed          *elapsedTimes
+	log              *slog.Logger
+	stats            *stats
+	feed             *feed
+	livenessCheckDue wakeup // a call to another VM was not answered: others may be silent too
+	suspectVMs       wakeup // a call to another VM was not answered
+	suspectLeafs     wakeup // a leaf was silent or could not be reached
 
-	mu       sync.Mutex // guards the fields below, queries in progress included
-	table    *scatter.Table
-	registry *registry.Registry
-	peers    delegates
+	mu         sync.Mutex // guards the fields below, queries in progress included
+	table      *scatter.Table
+	registry   *registry.Registry
+	peerClient peerClient
 }
 
 // EngineOptions configure an Engine; all are required.
@@ -39,7 +39,7 @@
 	Self     string  // name of this VM
 	Zone     string  // of this VM
 	Power    float64 // of this VM, in cores
-	Budget   scatter.BudgetTerms
+	Budget   scatter.BudgetConfig
 	Seed     uint64 // of random choices
 	Log      *slog.Logger
 }
@@ -48,19 +48,19 @@
 func NewEngine(opt EngineOptions) *Engine {
 	rng := rand.New(rand.NewPCG(opt.Seed, opt.Seed>>1))
 	return &Engine{
-		exchange:    opt.Exchange,
-		pool:        leafhttp.NewPool(),
-		rotation:    routing.NewRotation(),
-		spent:       newSpentTimes(),
-		log:         opt.Log,
-		stats:       newStats(),
-		feed:        newFeed(),
-		livenessDue: newAlarm(),
-		silentVMs:   newAlarm(),
-		silentLeafs: newAlarm(),
-		peers:       noDelegates{},
-		table:       scatter.NewTable(scatter.VM{Name: opt.Self, Zone: opt.Zone, Power: opt.Power}, opt.Budget, time.Now(), rng),
-		registry:    registry.New(),
+		exchange:         opt.Exchange,
+		pool:             leafhttp.NewPool(),
+		rotation:         routing.NewRotation(),
+		elapsed:          newElapsedTimes(),
+		log:              opt.Log,
+		stats:            newStats(),
+		feed:             newFeed(),
+		livenessCheckDue: newWakeup(),
+		suspectVMs:       newWakeup(),
+		suspectLeafs:     newWakeup(),
+		peerClient:       noPeerClient{},
+		table:            scatter.NewTable(scatter.VM{Name: opt.Self, Zone: opt.Zone, Power: opt.Power}, opt.Budget, time.Now(), rng),
+		registry:         registry.New(),
 	}
 }
 
@@ -70,31 +70,31 @@
 		return false
 	}
 	e.rotation.Keep(m)
-	e.spent.keep(m)
+	e.elapsed.prune(m)
 	e.feed.setManifest(m)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	shards := m.Shards()
 	for name, svc := range m.Services {
-		e.table.SetTerms(now, name, scatter.Terms{MaxConnections: svc.MaxConnections, Shard: shards[name]})
+		e.table.SetServiceConfig(now, name, scatter.ServiceConfig{MaxConnections: svc.MaxConnections, Shard: shards[name]})
 	}
-	e.table.SetShards(now, m.Widest())
+	e.table.SetMaxShards(now, m.Widest())
 	return true
 }
 
-// change applies changes of the list of leafs, which f makes, and forgets the
+// applyLeafChanges applies changes of the list of leafs, which f makes, and forgets the
 // connections to leafs that are gone.
-func (e *Engine) change(f func(now time.Time, r *registry.Registry) []registry.Change) []registry.Change {
+func (e *Engine) applyLeafChanges(f func(now time.Time, r *registry.Registry) []registry.Change) []registry.Change {
 	e.mu.Lock()
 	now := time.Now()
 	changes := f(now, e.registry)
 	for _, c := range changes {
 		e.table.Apply(now, c)
 	}
-	e.table.Rearrange(now)
+	e.table.Repartition(now)
 	e.mu.Unlock()
-	e.feed.addLeafs(changes)
+	e.feed.appendChanges(changes)
 	for _, c := range changes {
 		if c.Gone {
 			e.pool.Forget(poolKey(scatter.LeafID{ID: c.Leaf.ID, Born: c.Leaf.Born}))
@@ -135,15 +135,15 @@
 	Outcome scatter.Outcome
 }
 
-// setDelegates takes the way to other VMs.
-func (e *Engine) setDelegates(d delegates) {
+// setPeerClient takes the way to other VMs.
+func (e *Engine) setPeerClient(d peerClient) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.peers = d
+	e.peerClient = d
 }
 
-func (e *Engine) delegatesNow() delegates {
+func (e *Engine) currentPeerClient() peerClient {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.peers
+	return e.peerClient
 }
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -17,15 +17,15 @@
 // learned it, for VMs that follow this one in place of the store. It is safe for
 // concurrent use.
 type feed struct {
-	life string // of this process; a position means nothing in another
+	incarnation string // of this process; a position means nothing in another
 
-	mu       sync.Mutex // guards the fields below
-	position int64      // of the latest change
-	log      []feedChange
-	leafs    map[string]registry.Leaf // by id
-	manifest *routing.Manifest
-	changed  chan struct{} // closed at each change
-	storeAt  map[string]time.Time
+	mu          sync.Mutex // guards the fields below
+	position    int64      // of the latest change
+	log         []feedChange
+	leafs       map[string]registry.Leaf // by id
+	manifest    *routing.Manifest
+	changed     chan struct{} // closed at each change
+	lastSuccess map[string]time.Time
 
 	packedList     []byte // of leafs; nil after a change
 	packedManifest []byte // nil after a change
@@ -36,20 +36,20 @@
 	change   registry.Change
 }
 
-// feedLog is how many changes are kept for VMs that lag. One that lags further reads
+// maxFeedLog is how many changes are kept for VMs that lag. One that lags further reads
 // the whole list.
-const feedLog = 2048
+const maxFeedLog = 2048
 
 func newFeed() *feed {
 	return &feed{
-		life:    uuid.NewString(),
-		leafs:   make(map[string]registry.Leaf),
-		changed: make(chan struct{}),
-		storeAt: make(map[string]time.Time),
+		incarnation: uuid.NewString(),
+		leafs:       make(map[string]registry.Leaf),
+		changed:     make(chan struct{}),
+		lastSuccess: make(map[string]time.Time),
 	}
 }
 
-func (f *feed) addLeafs(changes []registry.Change) {
+func (f *feed) appendChanges(changes []registry.Change) {
 	if len(changes) == 0 {
 		return
 	}
@@ -65,10 +65,10 @@
 			f.leafs[c.Leaf.ID] = c.Leaf
 		}
 	}
-	if extra := len(f.log) - feedLog; extra > 0 {
+	if extra := len(f.log) - maxFeedLog; extra > 0 {
 		f.log = append([]feedChange(nil), f.log[extra:]...)
 	}
-	f.wake()
+	f.notifyWaiters()
 }
 
 func (f *feed) setManifest(m *routing.Manifest) {
@@ -76,35 +76,35 @@
 	defer f.mu.Unlock()
 	f.manifest = m
 	f.packedManifest = nil
-	f.wake()
+	f.notifyWaiters()
 }
 
-func (f *feed) wake() {
+func (f *feed) notifyWaiters() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// heard notes that the store told what there is of something.
-func (f *feed) heard(what string) {
+// recordSuccess notes that the store told what there is of something.
+func (f *feed) recordSuccess(what string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.storeAt[what] = time.Now()
+	f.lastSuccess[what] = time.Now()
 }
 
-// lost notes that a call of the store failed. Those who follow this VM learn it at once:
+// recordFailure notes that a call of the store failed. Those who follow this VM learn it at once:
 // the store may turn away this VM alone.
-func (f *feed) lost(what string) {
+func (f *feed) recordFailure(what string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.storeAt, what)
-	f.wake()
+	delete(f.lastSuccess, what)
+	f.notifyWaiters()
 }
 
-// fresh reports whether the store was heard of something within a time.
-func (f *feed) fresh(what string, within time.Duration) bool {
+// isFresh reports whether the store was heard of something within a time.
+func (f *feed) isFresh(what string, within time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Since(f.storeAt[what]) < within
+	return time.Since(f.lastSuccess[what]) < within
 }
 
 // list returns all leafs, packed, and the position to go on from. Those who follow a VM
@@ -136,8 +136,8 @@
 	return f.packedManifest, nil
 }
 
-// after returns the changes after a position, false if they are not kept any more.
-func (f *feed) after(position int64) ([]registry.Change, int64, bool) {
+// changesSince returns the changes changesSince a position, false if they are not kept any more.
+func (f *feed) changesSince(position int64) ([]registry.Change, int64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if position > f.position || len(f.log) > 0 && position < f.log[0].position-1 {
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -20,7 +20,7 @@
 
 // Times of following the store.
 const (
-	vmsWait = 20 * time.Second
+	vmsWatchTimeout = 20 * time.Second
 	// The pauses after a watch that told something let the changes that come in a
 	// row be told by one call. A drain or a manifest has to be known within 3 s.
 	manifestPause = 250 * time.Millisecond
@@ -28,27 +28,27 @@
 	vmsPause      = 2 * time.Second
 	// The pauses after a call that failed. All VMs lose the store at once, so they
 	// are spread.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 1500 * time.Millisecond
-	// vmsRetry is the pause before the list of VMs is read again after a watch of it
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = 1500 * time.Millisecond
+	// vmsRetryPause is the pause before the list of VMs is read again after a watch of it
 	// failed: it changes little, and nothing waits for it.
-	vmsRetry = 4 * time.Second
-	// heldPause is the pause of a VM that leaves the store to those that read it for
+	vmsRetryPause = 4 * time.Second
+	// deferredReadPause is the pause of a VM that leaves the store to those that read it for
 	// others. Asking these costs no call of the store.
-	heldPause = 200 * time.Millisecond
-	// settle is how long a VM of a system that starts for the first time waits until the
+	deferredReadPause = 200 * time.Millisecond
+	// firstStartPause is how long a VM of a system that starts for the first time waits until the
 	// others are announced. All start within 0.3 s.
-	settle = 600 * time.Millisecond
+	firstStartPause = 600 * time.Millisecond
 )
 
 // follower keeps an engine up to date with the store.
 type follower struct {
-	e     *Engine
-	store Store
-	set   *Settings
-	self  scatter.VM
-	log   *slog.Logger
-	seen  chan struct{} // receives when the leafs were listed once
+	e           *Engine
+	store       Store
+	settings    *Settings
+	self        scatter.VM
+	log         *slog.Logger
+	leafsListed chan struct{} // receives when the leafs were listed once
 	// ready reports whether this VM knows what it must to answer others. They call it
 	// from the moment when it is announced.
 	ready     func() bool
@@ -59,9 +59,9 @@
 	joined func()
 }
 
-// pause waits before the next try, longer after each failure in a row.
-func pause(ctx context.Context, failures int) {
-	d := min(retryFirst<<min(failures, 4), retryMost)
+// backoff waits before the next try, longer after each failure in a row.
+func backoff(ctx context.Context, failures int) {
+	d := min(minRetryPause<<min(failures, 4), maxRetryPause)
 	sleep(ctx, d/2+rand.N(d/2))
 }
 
@@ -74,14 +74,14 @@
 	}
 }
 
-// wait returns how long a watch waits for something that has to be known within a
+// watchTimeout returns how long a watch waits for something that has to be known within a
 // bound, in milliseconds.
-func (f *follower) wait(boundMS float64) time.Duration {
+func (f *follower) watchTimeout(boundMS float64) time.Duration {
 	return time.Duration(watchShare * boundMS * float64(time.Millisecond))
 }
 
-// source is one thing that is followed: read whole, then watched.
-type source struct {
+// resource is one thing that is followed: read whole, then watched.
+type resource struct {
 	name string
 	read func(ctx context.Context) (Revision, error)
 	// watch takes what changed after a revision, and returns where to go on and
@@ -91,12 +91,12 @@
 }
 
 // follow reads and watches until ctx ends.
-func (f *follower) follow(ctx context.Context, s source) {
+func (f *follower) follow(ctx context.Context, s resource) {
 	failures := 0
 	for ctx.Err() == nil {
 		at, err := s.read(ctx)
-		if errors.Is(err, errHeldBack) {
-			sleep(ctx, heldPause)
+		if errors.Is(err, errReadDeferred) {
+			sleep(ctx, deferredReadPause)
 			continue
 		}
 		f.e.stats.store(s.name, err)
@@ -105,7 +105,7 @@
 				f.log.Warn("store lost", "reading", s.name, "error", err)
 			}
 			failures++
-			pause(ctx, failures)
+			backoff(ctx, failures)
 			continue
 		}
 		if failures > 0 {
@@ -115,7 +115,7 @@
 		began := time.Now()
 		err = f.watch(ctx, s, at)
 		f.log.Debug("watch ended", "reading", s.name, "error", err)
-		if errors.Is(err, ErrHistoryGone) && time.Since(began) < s.pause {
+		if errors.Is(err, ErrHistoryCompacted) && time.Since(began) < s.pause {
 			// What was read may be older than what the store remembers: reading and
 			// watching could take turns for ever, a hundred times a second.
 			sleep(ctx, s.pause)
@@ -125,7 +125,7 @@
 
 // watch watches from a revision until a call fails. A watch that ends early and empty
 // is followed by a short pause: a store in trouble may end every one at once.
-func (f *follower) watch(ctx context.Context, s source, at Revision) error {
+func (f *follower) watch(ctx context.Context, s resource, at Revision) error {
 	for ctx.Err() == nil {
 		began := time.Now()
 		next, changed, err := s.watch(ctx, at)
@@ -142,13 +142,13 @@
 }
 
 // manifests follows the manifest.
-func (f *follower) manifests() source {
+func (f *follower) manifests() resource {
 	take := func(m *routing.Manifest) {
 		if m != nil && f.e.Offer(m) {
 			f.log.Info("manifest in force", "manifest", m.Version, "routes", len(m.Routes), "services", len(m.Services))
 		}
 	}
-	return source{
+	return resource{
 		name: "manifest",
 		read: func(ctx context.Context) (Revision, error) {
 			m, at, err := f.store.Manifest(ctx)
@@ -156,7 +156,7 @@
 			return at, err
 		},
 		watch: func(ctx context.Context, since Revision) (Revision, bool, error) {
-			m, at, err := f.store.WatchManifest(ctx, since, f.wait(f.set.Bounds.ManifestMS))
+			m, at, err := f.store.WatchManifest(ctx, since, f.watchTimeout(f.settings.Bounds.ManifestMS))
 			take(m)
 			return at, m != nil, err
 		},
@@ -165,9 +165,9 @@
 }
 
 // leafs follows the list of leafs.
-func (f *follower) leafs() source {
+func (f *follower) leafs() resource {
 	var age listAge
-	return source{
+	return resource{
 		name: "leafs",
 		read: func(ctx context.Context) (Revision, error) {
 			list, err := f.store.Leafs(ctx)
@@ -175,28 +175,28 @@
 				age.failed = true
 				return 0, err
 			}
-			f.noteLeafs(f.e.change(func(now time.Time, r *registry.Registry) []registry.Change {
-				if hold := age.hold(now, list.AfterOutage, f.set.Bounds.drain()); hold > 0 {
-					time.AfterFunc(time.Until(r.Returned(now, hold)), f.expireLeafs)
+			f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
+				if hold := age.hold(now, list.AfterOutage, f.settings.Bounds.drainBound()); hold > 0 {
+					time.AfterFunc(time.Until(r.Returned(now, hold)), f.expireHeldLeafs)
 				}
 				return r.Replace(now, list.Leafs)
-			}), list.At)
-			if list.Bad > 0 {
-				f.log.Warn("entries that name no leaf", "count", list.Bad, "revision", list.At)
+			}), list.Revision)
+			if list.Invalid > 0 {
+				f.log.Warn("entries that name no leaf", "count", list.Invalid, "revision", list.Revision)
 			}
 			select {
-			case f.seen <- struct{}{}:
+			case f.leafsListed <- struct{}{}:
 			default:
 			}
-			return list.At, nil
+			return list.Revision, nil
 		},
 		watch: func(ctx context.Context, since Revision) (Revision, bool, error) {
-			c, err := f.store.WatchLeafs(ctx, since, f.wait(f.set.Bounds.DrainMS))
+			c, err := f.store.WatchLeafs(ctx, since, f.watchTimeout(f.settings.Bounds.DrainMS))
 			if err != nil {
 				return 0, false, err
 			}
-			age.fresh = time.Now()
-			f.noteLeafs(f.e.change(func(now time.Time, r *registry.Registry) []registry.Change {
+			age.freshAt = time.Now()
+			f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
 				var out []registry.Change
 				for _, one := range c.Changes {
 					if one.Gone {
@@ -206,8 +206,8 @@
 					}
 				}
 				return out
-			}), c.At)
-			return c.At, len(c.Changes) > 0, nil
+			}), c.Revision)
+			return c.Revision, len(c.Changes) > 0, nil
 		},
 		pause: leafsPause,
 	}
@@ -215,13 +215,13 @@
 
 // listAge is what a VM knows of how old its list of leafs was when it read it anew.
 type listAge struct {
-	failed bool      // a reading failed since the list was last known to be fresh
-	fresh  time.Time // when that was
+	failed  bool      // a reading failed since the list was last known to be fresh
+	freshAt time.Time // when that was
 }
 
-// heldWithin is the part of the time within which a leaf that left must get no more
+// maxHoldShare is the part of the time within which a leaf that left must get no more
 // requests, after which a missing one is not held any longer.
-const heldWithin = 0.85
+const maxHoldShare = 0.85
 
 // hold returns for how long leafs that are missing from a new list are held. After an
 // outage of the store their entries may have lapsed. If only the VM that was followed
@@ -230,23 +230,23 @@
 func (a *listAge) hold(now time.Time, afterOutage bool, bound time.Duration) time.Duration {
 	hold := time.Duration(0)
 	switch {
-	case afterOutage, a.failed && a.fresh.IsZero():
+	case afterOutage, a.failed && a.freshAt.IsZero():
 		// So too for a VM that has just started and at first found nobody to read from.
 		hold = registry.LapseHold
 	case a.failed:
-		hold = min(registry.LapseHold, a.fresh.Add(time.Duration(heldWithin*float64(bound))).Sub(now))
+		hold = min(registry.LapseHold, a.freshAt.Add(time.Duration(maxHoldShare*float64(bound))).Sub(now))
 	}
-	*a = listAge{fresh: now}
+	*a = listAge{freshAt: now}
 	return max(hold, 0)
 }
 
-// noteSingly is how many changes of one listing are written one by one.
-const noteSingly = 12
+// maxChangeLines is how many changes of one listing are written one by one.
+const maxChangeLines = 12
 
-// noteLeafs writes what this VM now believes of leafs: each change, or a summary where
+// logLeafChanges writes what this VM now believes of leafs: each change, or a summary where
 // there are many, as at the start.
-func (f *follower) noteLeafs(changes []registry.Change, at Revision) {
-	if len(changes) > noteSingly {
+func (f *follower) logLeafChanges(changes []registry.Change, at Revision) {
+	if len(changes) > maxChangeLines {
 		f.log.Info("leafs changed", "count", len(changes), "leafs", f.e.Leafs(), "revision", at)
 		return
 	}
@@ -257,9 +257,9 @@
 	}
 }
 
-// expireLeafs drops the leafs that are still missing when the hold after an outage ends.
-func (f *follower) expireLeafs() {
-	f.noteLeafs(f.e.change(func(now time.Time, r *registry.Registry) []registry.Change {
+// expireHeldLeafs drops the leafs that are still missing when the hold after an outage ends.
+func (f *follower) expireHeldLeafs() {
+	f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
 		return r.Expire(now)
 	}), 0)
 }
--- a/edge/follow_vms.go
+++ b/edge/follow_vms.go
@@ -12,24 +12,24 @@
 func (f *follower) announce(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; failures++ {
 		if f.ready() {
-			err := f.announcer.ensure(ctx)
+			err := f.announcer.ensureListed(ctx)
 			if err == nil {
 				return
 			}
 			f.log.Warn("announcing failed", "error", err)
 		}
-		pause(ctx, failures)
+		backoff(ctx, failures)
 	}
 }
 
-// open lets other VMs call this one, whose entry in the list is found, empty if there is
+// openToPeers lets other VMs call this one, whose entry in the list is found, empty if there is
 // none. A VM that can't be called serves its callers all the same.
-func (f *follower) open(found scatter.VM) error {
-	self, err := f.announcer.adopt(found)
+func (f *follower) openToPeers(found scatter.VM) error {
+	self, err := f.announcer.ensureKey(found)
 	if err != nil {
 		return err
 	}
-	f.announcer.sawList(found)
+	f.announcer.observeList(found)
 	if err := f.listen(self); err != nil {
 		f.joined()
 		return err
@@ -38,7 +38,7 @@
 }
 
 // vms follows the list of the system's VMs.
-func (f *follower) vms() source {
+func (f *follower) vms() resource {
 	known := make(map[string]scatter.VM)
 	settled := false
 	take := func(at Revision) {
@@ -55,7 +55,7 @@
 		if !f.ready() {
 			return nil
 		}
-		return f.announcer.ensure(ctx)
+		return f.announcer.ensureListed(ctx)
 	}
 	list := func(ctx context.Context) (Revision, error) {
 		vms, at, err := f.store.VMs(ctx)
@@ -66,24 +66,24 @@
 		for _, vm := range vms {
 			known[vm.Name] = vm
 		}
-		return at, f.open(known[f.self.Name])
+		return at, f.openToPeers(known[f.self.Name])
 	}
-	return source{
+	return resource{
 		name: "vms",
 		read: func(ctx context.Context) (Revision, error) {
 			at, err := list(ctx)
 			if err != nil {
 				return 0, err
 			}
-			if f.set.FirstStart && !settled {
+			if f.settings.FirstStart && !settled {
 				// All VMs start at once, and each would take itself for the only one of
 				// its zone. One that is announced before it is ready declines what it
 				// is asked.
 				settled = true
-				if err := f.announcer.ensure(ctx); err != nil {
+				if err := f.announcer.ensureListed(ctx); err != nil {
 					return 0, err
 				}
-				sleep(ctx, settle)
+				sleep(ctx, firstStartPause)
 				if at, err = list(ctx); err != nil {
 					return 0, err
 				}
@@ -93,27 +93,27 @@
 			return at, announce(ctx)
 		},
 		watch: func(ctx context.Context, since Revision) (Revision, bool, error) {
-			c, err := f.store.WatchVMs(ctx, since, vmsWait)
+			c, err := f.store.WatchVMs(ctx, since, vmsWatchTimeout)
 			if err != nil {
-				if !errors.Is(err, ErrHistoryGone) {
-					sleep(ctx, vmsRetry/2+rand.N(vmsRetry/2))
+				if !errors.Is(err, ErrHistoryCompacted) {
+					sleep(ctx, vmsRetryPause/2+rand.N(vmsRetryPause/2))
 				}
 				return 0, false, err
 			}
 			for _, vm := range c.Present {
 				known[vm.Name] = vm
 				if vm.Name == f.self.Name {
-					f.announcer.sawChange(vm)
+					f.announcer.observeChange(vm)
 				}
 			}
-			for _, name := range c.Gone {
+			for _, name := range c.Deleted {
 				delete(known, name)
 				if name == f.self.Name {
-					f.announcer.sawChange(scatter.VM{})
+					f.announcer.observeChange(scatter.VM{})
 				}
 			}
-			take(c.At)
-			return c.At, len(c.Present)+len(c.Gone) > 0, announce(ctx)
+			take(c.Revision)
+			return c.Revision, len(c.Present)+len(c.Deleted) > 0, announce(ctx)
 		},
 		pause: vmsPause,
 	}
--- a/edge/gather_codec.go
+++ b/edge/gather_codec.go
@@ -18,25 +18,25 @@
 
 // gatherCall asks a VM for the shards near it.
 type gatherCall struct {
-	Key         uint64      `cbor:"1,keyasint"` // of the call, chosen by the caller
-	ID          string      `cbor:"2,keyasint"` // of the caller's request
-	Method      string      `cbor:"3,keyasint"`
-	Target      string      `cbor:"4,keyasint"` // path and query
-	Host        string      `cbor:"5,keyasint"`
-	Header      http.Header `cbor:"6,keyasint"`
-	Services    []string    `cbor:"7,keyasint"` // one shard each
-	Top         int         `cbor:"8,keyasint"`
-	MaxAttempts int         `cbor:"9,keyasint"`
-	AimUS       int64       `cbor:"10,keyasint"`
-	InterimUS   int64       `cbor:"11,keyasint"` // from now until a first answer with what has come in
-	AnswerUS    int64       `cbor:"12,keyasint"` // until the last one
-	DeadlineUS  int64       `cbor:"13,keyasint"` // until the caller's deadline
+	Key                uint64      `cbor:"1,keyasint"` // of the call, chosen by the caller
+	ID                 string      `cbor:"2,keyasint"` // of the caller's request
+	Method             string      `cbor:"3,keyasint"`
+	Target             string      `cbor:"4,keyasint"` // path and query
+	Host               string      `cbor:"5,keyasint"`
+	Header             http.Header `cbor:"6,keyasint"`
+	Services           []string    `cbor:"7,keyasint"` // one shard each
+	Top                int         `cbor:"8,keyasint"`
+	MaxAttempts        int         `cbor:"9,keyasint"`
+	LatencyObjectiveUS int64       `cbor:"10,keyasint"`
+	InterimUS          int64       `cbor:"11,keyasint"` // from now until a first answer with what has come in
+	AnswerUS           int64       `cbor:"12,keyasint"` // until the last one
+	DeadlineUS         int64       `cbor:"13,keyasint"` // until the caller's deadline
 	// Views is what the calling VM knows of each of Services.
 	Views []scatter.View `cbor:"14,keyasint"`
-	// Needed is how many of Services the whole answer can't do without; 0 if not stated.
-	Needed int `cbor:"15,keyasint,omitempty"`
-	// Again says that another VM was called for the same before, and is silent.
-	Again bool `cbor:"16,keyasint,omitempty"`
+	// Required is how many of Services the whole answer can't do without; 0 if not stated.
+	Required int `cbor:"15,keyasint,omitempty"`
+	// Redelegated says that another VM was called for the same before, and is silent.
+	Redelegated bool `cbor:"16,keyasint,omitempty"`
 }
 
 // gatherAnswer is an answer to a gatherCall; an empty one acknowledges it. Each shard is in one
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -28,11 +28,11 @@
 	arrived := time.Now()
 	m := e.inForce.Get()
 	if m == nil {
-		e.refuse(w, r, "no_manifest", retryWithoutManifest)
+		e.replyUnavailable(w, r, "no_manifest", retryWithoutManifest)
 		return
 	}
-	if limit := m.Limits.HeaderBytes; limit > 0 && headSize(r) > limit {
-		e.reject(w, r, http.StatusRequestHeaderFieldsTooLarge, "header", m.Version)
+	if limit := m.Limits.HeaderBytes; limit > 0 && headerSize(r) > limit {
+		e.rejectAndClose(w, r, http.StatusRequestHeaderFieldsTooLarge, "header", m.Version)
 		return
 	}
 	target := requestTarget(r)
@@ -45,16 +45,16 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyLimit(m)))
 	if err != nil {
-		e.refuseBody(w, r, err, m.Version)
+		e.rejectBody(w, r, err, m.Version)
 		return
 	}
-	req := e.request(r, target, body, arrived, route)
+	req := e.newRequest(r, target, body, arrived, route)
 	res := e.serve(r, req, route)
 	e.logRequest(req, route, m.Version, res, time.Since(arrived))
 	if res.Outcome.Verdict == scatter.Abandoned {
 		return
 	}
-	write(w, res)
+	writeResult(w, res)
 }
 
 // defaultBodyLimit holds where a manifest states no limit, in bytes.
@@ -67,24 +67,24 @@
 	return defaultBodyLimit
 }
 
-func (e *Engine) refuseBody(w http.ResponseWriter, r *http.Request, err error, version int64) {
+func (e *Engine) rejectBody(w http.ResponseWriter, r *http.Request, err error, version int64) {
 	status := http.StatusBadRequest
 	var tooLong *http.MaxBytesError
 	if errors.As(err, &tooLong) {
 		status = http.StatusRequestEntityTooLarge
 	}
-	e.reject(w, r, status, "body", version)
+	e.rejectAndClose(w, r, status, "body", version)
 }
 
-// reject answers a request that the manifest's limits forbid, and gives up its connection.
-func (e *Engine) reject(w http.ResponseWriter, r *http.Request, status int, why string, version int64) {
+// rejectAndClose answers a request that the manifest's limits forbid, and gives up its connection.
+func (e *Engine) rejectAndClose(w http.ResponseWriter, r *http.Request, status int, why string, version int64) {
 	e.logRefusal(r, status, why, version)
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(status)
 }
 
-// headSize returns the bytes of a request line and its headers.
-func headSize(r *http.Request) int {
+// headerSize returns the bytes of a request line and its headers.
+func headerSize(r *http.Request) int {
 	const (
 		lineRest   = len("  HTTP/1.1\r\n")
 		headerRest = len(": \r\n")
@@ -107,18 +107,18 @@
 	return r.URL.RequestURI()
 }
 
-// request prepares what leafs are sent.
-func (e *Engine) request(r *http.Request, target string, body []byte, arrived time.Time, route *routing.Route) *Request {
+// newRequest prepares what leafs are sent.
+func (e *Engine) newRequest(r *http.Request, target string, body []byte, arrived time.Time, route *routing.Route) *Request {
 	wait := route.Timeout
 	var missing time.Duration
 	if stated, ok := e.exchange.Wait(r.Header); ok {
-		missing = e.spent.of(arrived, route.Name, stated)
+		missing = e.elapsed.observe(arrived, route.Name, stated)
 		if stated < wait || wait == 0 {
 			wait = stated
 		}
 	}
 	path := callerPathOf(r.Context(), arrived)
-	began := arrived.Add(-path.spent(missing, route.Aim))
+	began := arrived.Add(-path.elapsed(missing, route.Aim))
 	return &Request{
 		ID:       e.exchange.RequestID(r.Header),
 		AnswerBy: path.answerBy(began, route.Aim),
@@ -128,28 +128,28 @@
 			Method:  r.Method,
 			Target:  target,
 			Host:    r.Host,
-			Header:  forwarded(r.Header, e.exchange.Own()),
+			Header:  forwardedHeaders(r.Header, e.exchange.Own()),
 			Body:    body,
 			HasBody: len(body) > 0 || r.ContentLength > 0 || r.Header.Get("Content-Length") != "",
 		},
 	}
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// forwarded returns the headers that are passed on, in either direction.
-func forwarded(h http.Header, own []string) http.Header {
+// forwardedHeaders returns the headers that are passed on, in either direction.
+func forwardedHeaders(h http.Header, own []string) http.Header {
 	out := h.Clone()
 	for _, field := range h.Values("Connection") {
 		for _, name := range strings.Split(field, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range slices.Concat(hopHeaders, own) {
+	for _, name := range slices.Concat(hopByHopHeaders, own) {
 		out.Del(name)
 	}
 	return out
@@ -158,17 +158,17 @@
 // serve runs a request to its end.
 func (e *Engine) serve(r *http.Request, req *Request, route *routing.Route) *Result {
 	spec := scatter.Spec{
-		Services:    route.Gather,
-		Gathered:    route.Gathered(),
-		Idempotent:  route.Kind == routing.Idempotent,
-		MaxAttempts: route.MaxAttempts,
-		MinShare:    route.MinShare,
-		Aim:         route.Aim,
-		AnswerBy:    req.AnswerBy,
-		Deadline:    req.Deadline,
-		Delegate:    route.Gathered(),
-		Request:     req.ID,
-		Weight:      1,
+		Services:         route.Gather,
+		Gathered:         route.Gathered(),
+		Idempotent:       route.Kind == routing.Idempotent,
+		MaxAttempts:      route.MaxAttempts,
+		MinShare:         route.MinShare,
+		LatencyObjective: route.Aim,
+		AnswerBy:         req.AnswerBy,
+		Deadline:         req.Deadline,
+		MayDelegate:      route.Gathered(),
+		RequestID:        req.ID,
+		BudgetWeight:     1,
 	}
 	if !spec.Gathered {
 		spec.Services = []string{e.rotation.Next(route)}
@@ -176,22 +176,22 @@
 	run := e.newRunner(req, spec)
 	out := run.run(r.Context())
 	if spec.Gathered && out.Verdict == scatter.Answered {
-		return run.merged(out)
+		return run.mergedResult(out)
 	}
-	return run.single(out)
+	return run.singleResult(out)
 }
 
-// single is the result of a request that is answered by one leaf, or by none.
-func (r *runner) single(out scatter.Outcome) *Result {
+// singleResult is the result of a request that is answered by one leaf, or by none.
+func (r *runner) singleResult(out scatter.Outcome) *Result {
 	res := &Result{Outcome: out, Header: http.Header{}}
 	switch out.Verdict {
 	case scatter.Answered, scatter.LeafFailed:
 		ans := r.answers[out.Attempt]
 		res.Status, res.Body = ans.Status, ans.Body
-		res.Header = forwarded(ans.Header, nil)
+		res.Header = forwardedHeaders(ans.Header, nil)
 	case scatter.NotRun:
 		res.Status = http.StatusServiceUnavailable
-		res.Header.Set("Retry-After", seconds(out.RetryAfter))
+		res.Header.Set("Retry-After", formatSeconds(out.RetryAfter))
 	case scatter.TimedOut:
 		res.Status = http.StatusGatewayTimeout
 	default:
@@ -200,19 +200,19 @@
 	return res
 }
 
-// seconds writes a duration as Retry-After states it; fractions are allowed.
-func seconds(d time.Duration) string {
+// formatSeconds writes a duration as Retry-After states it; fractions are allowed.
+func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// refuse answers a request that was handed to nobody.
-func (e *Engine) refuse(w http.ResponseWriter, r *http.Request, why string, after time.Duration) {
+// replyUnavailable answers a request that was handed to nobody.
+func (e *Engine) replyUnavailable(w http.ResponseWriter, r *http.Request, why string, after time.Duration) {
 	e.logRefusal(r, http.StatusServiceUnavailable, why, 0)
-	w.Header().Set("Retry-After", seconds(after))
+	w.Header().Set("Retry-After", formatSeconds(after))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func write(w http.ResponseWriter, res *Result) {
+func writeResult(w http.ResponseWriter, res *Result) {
 	header := w.Header()
 	for name, values := range res.Header {
 		header[name] = values
--- a/edge/log.go
+++ b/edge/log.go
@@ -22,7 +22,7 @@
 		"verdict", out.Verdict.String(),
 		"status", res.Status,
 		"missing", out.Missing,
-		"gaps", gapsText(out.Gaps, route.Gather),
+		"gaps", formatGaps(out.Gaps, route.Gather),
 		"sent", out.Sent,
 		"hedges", out.Hedges,
 		"retries", out.Retries,
@@ -39,7 +39,7 @@
 	}
 	return []any{
 		"wait_ms", out.Refusal.Wait.Milliseconds(),
-		"wait_limit_ms", out.Refusal.Longest.Milliseconds(),
+		"wait_limit_ms", out.Refusal.Limit.Milliseconds(),
 		"retry_after_ms", out.RetryAfter.Milliseconds(),
 	}
 }
@@ -67,7 +67,7 @@
 		"shards", len(spec.Services),
 		"verdict", out.Verdict.String(),
 		"missing", out.Missing,
-		"gaps", gapsText(out.Gaps, spec.Services),
+		"gaps", formatGaps(out.Gaps, spec.Services),
 		"sent", out.Sent,
 		"hedges", out.Hedges,
 		"retries", out.Retries,
@@ -75,11 +75,11 @@
 	)...)
 }
 
-// gapsNamed is how many services a line names for one cause of gaps.
-const gapsNamed = 3
+// maxNamedGaps is how many services a line names for one cause of gaps.
+const maxNamedGaps = 3
 
-// gapsText says why shards had no answer: for each cause how many, and some of them by name.
-func gapsText(gaps []scatter.Gap, services []string) string {
+// formatGaps says why shards had no answer: for each cause how many, and some of them by name.
+func formatGaps(gaps []scatter.Gap, services []string) string {
 	var text strings.Builder
 	for _, cause := range scatter.GapCauses() {
 		var names []string
@@ -94,14 +94,14 @@
 		if text.Len() > 0 {
 			text.WriteString("; ")
 		}
-		named := strings.Join(names[:min(len(names), gapsNamed)], " ")
+		named := strings.Join(names[:min(len(names), maxNamedGaps)], " ")
 		fmt.Fprintf(&text, "%s %d: %s", cause, len(names), named)
 	}
 	return text.String()
 }
 
-// noteEnd writes an attempt that ended otherwise than with an answer.
-func (r *runner) noteEnd(s scatter.Send, ev event, err error) {
+// logAttemptEnd writes an attempt that ended otherwise than with an answer.
+func (r *runner) logAttemptEnd(s scatter.Send, ev event, err error) {
 	if ev.end == scatter.EndAnswered {
 		return
 	}
@@ -113,7 +113,7 @@
 		"request", r.req.ID,
 		"service", r.spec.Services[s.Shard],
 		"leaf", s.Leaf.ID,
-		"why", s.Why.String(),
+		"why", s.Reason.String(),
 		"end", endNames[ev.end],
 		"status", status,
 		"ms", time.Since(s.SentAt).Milliseconds(),
--- a/edge/merge.go
+++ b/edge/merge.go
@@ -21,8 +21,8 @@
 	retryAfter time.Duration
 }
 
-// merged is the result of a gathered request with the shards that out includes.
-func (r *runner) merged(out scatter.Outcome) *Result {
+// mergedResult is the result of a gathered request with the shards that out includes.
+func (r *runner) mergedResult(out scatter.Outcome) *Result {
 	parts := r.collect(out)
 	bodies := make([][]byte, 0, len(parts))
 	var receipts []string
@@ -43,7 +43,7 @@
 	parts := make([]ShardsAnswer, 0, len(out.Parts)+len(out.CallAnswers))
 	for _, id := range out.Parts {
 		ans := r.answers[id]
-		parts = append(parts, ShardsAnswer{Receipts: []string{ans.word.Receipt}, Records: ans.Body})
+		parts = append(parts, ShardsAnswer{Receipts: []string{ans.metadata.Receipt}, Records: ans.Body})
 	}
 	for _, n := range out.CallAnswers {
 		parts = append(parts, *r.callAnswers[n])
--- a/edge/node.go
+++ b/edge/node.go
@@ -26,7 +26,7 @@
 
 // Node is one daemon on the users' platform.
 type Node struct {
-	set       *Settings
+	settings  *Settings
 	store     Store
 	readyPath string
 	log       *slog.Logger
@@ -34,12 +34,12 @@
 	self      scatter.VM
 	tomb      tomb.Tomb
 	leaving   atomic.Bool
-	listed    atomic.Bool           // the leafs were listed once
-	peers     atomic.Pointer[peers] // nil until this VM has joined the others
+	listed    atomic.Bool                   // the leafs were listed once
+	transport atomic.Pointer[peerTransport] // nil until this VM has joined the others
 
-	forCallers *http.Server
-	forOthers  []*http.Server // the balancer and operators
-	stop       context.CancelFunc
+	callerServer *http.Server
+	auxServers   []*http.Server // the balancer and operators
+	stop         context.CancelFunc
 }
 
 // Options of a Node; all are required.
@@ -62,7 +62,7 @@
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(opt.Settings.MemoryMB * memoryShare * (1 << 20)))
 	return &Node{
-		set:       opt.Settings,
+		settings:  opt.Settings,
 		store:     opt.Store,
 		readyPath: opt.ReadyPath,
 		log:       opt.Log,
@@ -77,7 +77,7 @@
 			Self:     opt.Settings.Name,
 			Zone:     opt.Settings.Zone,
 			Power:    opt.Settings.Power,
-			Budget:   opt.Settings.Budget.terms(),
+			Budget:   opt.Settings.Budget.config(),
 			Seed:     uint64(time.Now().UnixNano()),
 			Log:      opt.Log,
 		}),
@@ -108,27 +108,27 @@
 
 // Start listens and begins to follow the store.
 func (n *Node) Start() error {
-	socket, err := listen(n.set.Listen.Callers)
+	socket, err := listen(n.settings.Listen.Callers)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	n.forCallers = n.callers()
-	n.serve(&callerListener{Listener: socket, limits: n.engine.callersLimits}, n.forCallers)
+	n.callerServer = n.newCallerServer()
+	n.serve(&callerListener{Listener: socket, limits: n.engine.callerLimits}, n.callerServer)
 	for address, server := range map[string]*http.Server{
-		n.set.Listen.Ready:   n.ready(),
-		n.set.Listen.Metrics: n.metrics(),
+		n.settings.Listen.Ready:   n.newReadyServer(),
+		n.settings.Listen.Metrics: n.newMetricsServer(),
 	} {
 		socket, err := listen(address)
 		if err != nil {
 			return errors.Trace(err)
 		}
 		n.serve(socket, server)
-		n.forOthers = append(n.forOthers, server)
+		n.auxServers = append(n.auxServers, server)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
-	n.follow(ctx)
-	n.log.Info("started", "vm", n.set.Name, "zone", n.set.Zone, "callers", n.set.Listen.Callers, "store", n.set.Store)
+	n.startLoops(ctx)
+	n.log.Info("started", "vm", n.settings.Name, "zone", n.settings.Zone, "callers", n.settings.Listen.Callers, "store", n.settings.Store)
 	return nil
 }
 
@@ -146,7 +146,7 @@
 	})
 }
 
-func (n *Node) callers() *http.Server {
+func (n *Node) newCallerServer() *http.Server {
 	return &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if n.leaving.Load() {
@@ -157,7 +157,7 @@
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    headerBytes,
-		ConnState:         noteCallerState,
+		ConnState:         trackCallerState,
 		ConnContext:       withCallerConn,
 		ErrorLog:          logging.Standard(n.log),
 	}
@@ -168,7 +168,7 @@
 	return !n.leaving.Load() && n.listed.Load() && n.engine.inForce.Get() != nil
 }
 
-func (n *Node) ready() *http.Server {
+func (n *Node) newReadyServer() *http.Server {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(n.readyPath), func(w http.ResponseWriter, _ *http.Request) {
 		if !n.isReady() {
@@ -178,7 +178,7 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-func (n *Node) metrics() *http.Server {
+func (n *Node) newMetricsServer() *http.Server {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/metrics"), func(w http.ResponseWriter, _ *http.Request) {
 		n.engine.writeMetrics(w)
@@ -186,53 +186,53 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// follow starts whatever keeps the daemon up to date with the store.
-func (n *Node) follow(ctx context.Context) {
-	store := newRelay(n.store, n.engine, n.freshness())
+// startLoops starts whatever keeps the daemon up to date with the store.
+func (n *Node) startLoops(ctx context.Context) {
+	store := newRelay(n.store, n.engine, n.maxStaleness())
 	f := &follower{
-		e:         n.engine,
-		store:     store,
-		set:       n.set,
-		self:      n.self,
-		log:       n.log,
-		seen:      make(chan struct{}, 1),
-		ready:     n.isReady,
-		announcer: &announcer{store: n.store, self: n.self, log: n.log},
+		e:           n.engine,
+		store:       store,
+		settings:    n.settings,
+		self:        n.self,
+		log:         n.log,
+		leafsListed: make(chan struct{}, 1),
+		ready:       n.isReady,
+		announcer:   &announcer{store: n.store, self: n.self, log: n.log},
 	}
 	n.tomb.Go(func() error {
-		n.join(ctx, f, store)
+		n.followStore(ctx, f, store)
 		return nil
 	})
 	n.tomb.Go(func() error {
 		select {
-		case <-f.seen:
+		case <-f.leafsListed:
 			n.listed.Store(true)
 			f.announce(ctx)
 		case <-ctx.Done():
 		}
 		return nil
 	})
-	n.tomb.Go(func() error { n.sweep(ctx); return nil })
-	n.tomb.Go(func() error { n.warm(ctx); return nil })
-	n.tomb.Go(func() error { probe(ctx, n.engine.livenessDue, n.checkVMs); return nil })
-	n.tomb.Go(func() error { probe(ctx, n.engine.silentVMs, n.probeVMs); return nil })
-	n.tomb.Go(func() error { probe(ctx, n.engine.silentLeafs, n.probeLeafs); return nil })
+	n.tomb.Go(func() error { n.sweepIdleConns(ctx); return nil })
+	n.tomb.Go(func() error { n.warmConns(ctx); return nil })
+	n.tomb.Go(func() error { probeLoop(ctx, n.engine.livenessCheckDue, n.checkVMs); return nil })
+	n.tomb.Go(func() error { probeLoop(ctx, n.engine.suspectVMs, n.probeVMs); return nil })
+	n.tomb.Go(func() error { probeLoop(ctx, n.engine.suspectLeafs, n.probeLeafs); return nil })
 }
 
-// freshShare is the part of the time within which a change has to be known that a VM
+// maxStaleShare is the part of the time within which a change has to be known that a VM
 // which tells others may have heard nothing from the store.
-const freshShare = 0.8
+const maxStaleShare = 0.8
 
-func (n *Node) freshness() time.Duration {
-	bound := min(n.set.Bounds.ManifestMS, n.set.Bounds.DrainMS)
-	return time.Duration(freshShare * bound * float64(time.Millisecond))
+func (n *Node) maxStaleness() time.Duration {
+	bound := min(n.settings.Bounds.ManifestMS, n.settings.Bounds.DrainMS)
+	return time.Duration(maxStaleShare * bound * float64(time.Millisecond))
 }
 
-// join learns of the other VMs, and begins to follow the manifest and the leafs once it
+// followStore learns of the other VMs, and begins to follow the manifest and the leafs once it
 // knows who reads them for others.
-func (n *Node) join(ctx context.Context, f *follower, store *relay) {
+func (n *Node) followStore(ctx context.Context, f *follower, store *relay) {
 	f.joined = sync.OnceFunc(func() {
-		store.begin()
+		store.delayFirstRead()
 		n.tomb.Go(func() error { f.follow(ctx, f.manifests()); return nil })
 		n.tomb.Go(func() error { f.follow(ctx, f.leafs()); return nil })
 	})
@@ -242,16 +242,16 @@
 
 // listen opens this VM to calls of the others.
 func (n *Node) listen(self scatter.VM) error {
-	if n.peers.Load() != nil {
+	if n.transport.Load() != nil {
 		return nil
 	}
 	identity := wire.Identity{Deployment: "platform", VM: self.Name, Incarnation: uuid.NewString()}
-	p, err := join(n.engine, identity, n.set.Listen.VMs, []byte(self.Key), logging.Part(n.log, "vms"))
+	p, err := joinPeers(n.engine, identity, n.settings.Listen.VMs, []byte(self.Key), logging.Part(n.log, "vms"))
 	if err != nil {
 		return errors.Annotate(err, "listen to VMs")
 	}
-	n.peers.Store(p)
-	n.engine.setDelegates(p)
+	n.transport.Store(p)
+	n.engine.setPeerClient(p)
 	n.log.Info("joined", "address", self.Address)
 	return nil
 }
@@ -259,7 +259,7 @@
 // sweepPeriod is how often idle connections whose time is over are closed.
 const sweepPeriod = time.Second
 
-func (n *Node) sweep(ctx context.Context) {
+func (n *Node) sweepIdleConns(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, sweepPeriod)
 		n.engine.pool.Sweep(time.Now())
@@ -284,14 +284,14 @@
 	<-ctx.Done()
 	ctx, cancel = context.WithTimeout(context.Background(), n.graceShare(drainShare))
 	defer cancel()
-	if err := n.forCallers.Shutdown(ctx); err != nil {
+	if err := n.callerServer.Shutdown(ctx); err != nil {
 		n.log.Warn("requests in flight were cut off", "error", err)
 	}
 	n.stop()
-	if p := n.peers.Load(); p != nil {
+	if p := n.transport.Load(); p != nil {
 		go p.close() // waits for calls in progress; the process need not
 	}
-	for _, server := range n.forOthers {
+	for _, server := range n.auxServers {
 		// What is left is a question whether callers should come.
 		_ = server.Close()
 	}
@@ -299,5 +299,5 @@
 }
 
 func (n *Node) graceShare(part float64) time.Duration {
-	return time.Duration(part * n.set.GraceS * float64(time.Second))
+	return time.Duration(part * n.settings.GraceS * float64(time.Second))
 }
--- a/edge/pack_test.go
+++ b/edge/pack_test.go
@@ -25,7 +25,7 @@
 // asked by all others at once, whose calls time out while it is sent to every one, and
 // callers are refused for two more seconds. A manifest is told small, and arrives as it
 // was.
-func TestLargeManifestIsToldSmall(t *testing.T) {
+func TestLargeManifestIsSentCompressed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFeed()
 	m := largeManifest(1900)
@@ -40,7 +40,7 @@
 
 // What is kept packed is made anew after a change: a VM that starts later would get the
 // leafs and the manifest of before.
-func TestPackedBodiesFollowChanges(t *testing.T) {
+func TestPackedBodiesAreRebuiltAfterChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFeed()
 	leafs := func() (list []registry.Leaf) {
@@ -50,9 +50,9 @@
 		return list
 	}
 	g.Expect(leafs()).To(gomega.BeEmpty())
-	f.addLeafs([]registry.Change{{Leaf: registry.Leaf{ID: "leaf-1"}}})
+	f.appendChanges([]registry.Change{{Leaf: registry.Leaf{ID: "leaf-1"}}})
 	g.Expect(leafs()).To(gomega.HaveLen(1))
-	f.addLeafs([]registry.Change{{Leaf: registry.Leaf{ID: "leaf-1"}, Gone: true}})
+	f.appendChanges([]registry.Change{{Leaf: registry.Leaf{ID: "leaf-1"}, Gone: true}})
 	g.Expect(leafs()).To(gomega.BeEmpty())
 
 	f.setManifest(largeManifest(1))
@@ -67,7 +67,7 @@
 }
 
 // Foreign bytes in place of a packed body are an error, not an empty list.
-func TestForeignBytesAreNoPackedBody(t *testing.T) {
+func TestUnpackRejectsInvalidBytes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var list []registry.Leaf
 	g.Expect(unpack([]byte("not packed"), &list)).NotTo(gomega.Succeed())
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -18,26 +18,26 @@
 
 // Parameters of connections between VMs.
 const (
-	// peerPing is on an idle connection. Calls have their own, shorter bounds, and a VM
+	// peerPingInterval is on an idle connection. Calls have their own, shorter bounds, and a VM
 	// that leaves one unanswered is probed; pings only clear away connections that
 	// nobody uses. Each wakes two processes.
-	peerPing     = 30 * time.Second
-	peerSilent   = 65 * time.Second       // two pings
-	peerDial     = 300 * time.Millisecond // for connect and hello
-	peerMaxCalls = 64                     // served for one VM at once; each lasts less than one aim
-	peerUse      = "gather"
+	peerPingInterval   = 30 * time.Second
+	peerSilenceTimeout = 65 * time.Second       // two pings
+	peerDialTimeout    = 300 * time.Millisecond // for connect and hello
+	peerMaxCalls       = 64                     // served for one VM at once; each lasts less than one aim
+	peerUse            = "gather"
 )
 
-// peers keeps one connection to each VM that is asked. It is safe for concurrent use.
-type peers struct {
-	opts   wire.Options
-	count  wire.Counters
-	log    *slog.Logger
-	server *wire.Server
+// peerTransport keeps one connection to each VM that is asked. It is safe for concurrent use.
+type peerTransport struct {
+	opts     wire.Options
+	counters wire.Counters
+	log      *slog.Logger
+	server   *wire.Server
 
 	mu      sync.Mutex // guards the fields below
 	links   map[string]*peerLink
-	waiting map[uint64]chan<- *gatherAnswer // calls without a last answer, by key
+	pending map[uint64]chan<- *gatherAnswer // calls without a last answer, by key
 	lastKey uint64
 }
 
@@ -47,28 +47,28 @@
 	conn *wire.Conn
 }
 
-// join listens for other VMs, which must have this VM's key, and lets the engine call them.
-func join(e *Engine, self wire.Identity, listen string, key []byte, log *slog.Logger) (*peers, error) {
-	p := &peers{
+// joinPeers listens for other VMs, which must have this VM's key, and lets the engine call them.
+func joinPeers(e *Engine, self wire.Identity, listen string, key []byte, log *slog.Logger) (*peerTransport, error) {
+	p := &peerTransport{
 		log:     log,
 		links:   make(map[string]*peerLink),
-		waiting: make(map[uint64]chan<- *gatherAnswer),
+		pending: make(map[uint64]chan<- *gatherAnswer),
 	}
 	p.opts = wire.Options{
 		Self:         self,
 		Use:          peerUse,
 		Keys:         [][]byte{key},
 		Log:          log,
-		HelloTimeout: peerDial,
+		HelloTimeout: peerDialTimeout,
 		MaxCalls:     peerMaxCalls,
-		PingInterval: peerPing,
-		SilentAfter:  peerSilent,
+		PingInterval: peerPingInterval,
+		SilentAfter:  peerSilenceTimeout,
 		InOrder:      func(method string) bool { return method == methodGathered },
 		Handler: func(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
 			return p.handle(ctx, e, conn, method, params)
 		},
 	}
-	server, err := wire.Listen(listen, p.opts, &p.count, func(c *wire.Conn) { c.Serve() })
+	server, err := wire.Listen(listen, p.opts, &p.counters, func(c *wire.Conn) { c.Serve() })
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 	return p, nil
 }
 
-func (p *peers) handle(ctx context.Context, e *Engine, conn *wire.Conn, method string, params []byte) (any, error) {
+func (p *peerTransport) handle(ctx context.Context, e *Engine, conn *wire.Conn, method string, params []byte) (any, error) {
 	switch method {
 	case methodGather:
 		var call gatherCall
@@ -86,14 +86,14 @@
 		if len(call.Views) != len(call.Services) {
 			return nil, result.Errorf(result.BadMessage, "%d services and %d views", len(call.Services), len(call.Views))
 		}
-		e.serveGather(ctx, &call, func(ans *gatherAnswer) { p.answer(conn, ans) })
+		e.serveGather(ctx, &call, func(ans *gatherAnswer) { p.sendAnswer(conn, ans) })
 		return nil, nil
 	case methodGathered:
 		ans := new(gatherAnswer)
 		if err := decodeBody(params, ans); err != nil {
 			return nil, err
 		}
-		p.pass(ans)
+		p.deliver(ans)
 		return nil, nil
 	case methodFollowLeafs, methodFollowManifest:
 		call, err := decodeFollow(params)
@@ -110,7 +110,7 @@
 }
 
 // follow implements delegates.
-func (p *peers) follow(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
+func (p *peerTransport) follow(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
 	link := p.link(vm)
 	conn, err := link.get(ctx, vm, p)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return err
 }
 
-func (p *peers) answer(conn *wire.Conn, ans *gatherAnswer) {
+func (p *peerTransport) sendAnswer(conn *wire.Conn, ans *gatherAnswer) {
 	body, err := cbor.Marshal(ans)
 	if err == nil {
 		err = conn.NotifyBody(methodGathered, body)
@@ -133,11 +133,11 @@
 	}
 }
 
-// pass hands an answer to the call that waits for it.
-func (p *peers) pass(ans *gatherAnswer) {
+// deliver hands an answer to the call that waits for it.
+func (p *peerTransport) deliver(ans *gatherAnswer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if wait := p.waiting[ans.Key]; wait != nil {
+	if wait := p.pending[ans.Key]; wait != nil {
 		select {
 		case wait <- ans:
 		default: // more answers than a call has
@@ -148,30 +148,30 @@
 // answersPerCall is how many messages may answer a call.
 const answersPerCall = 4
 
-func (p *peers) expect() (uint64, <-chan *gatherAnswer) {
+func (p *peerTransport) registerCall() (uint64, <-chan *gatherAnswer) {
 	answers := make(chan *gatherAnswer, answersPerCall)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastKey++
-	p.waiting[p.lastKey] = answers
+	p.pending[p.lastKey] = answers
 	return p.lastKey, answers
 }
 
-func (p *peers) forget(key uint64) {
+func (p *peerTransport) unregisterCall(key uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.waiting, key)
+	delete(p.pending, key)
 }
 
 // gather implements delegates.
-func (p *peers) gather(ctx context.Context, vm scatter.VM, call *gatherCall, sent func(), take func(*gatherAnswer)) error {
+func (p *peerTransport) gather(ctx context.Context, vm scatter.VM, call *gatherCall, sent func(), take func(*gatherAnswer)) error {
 	link := p.link(vm)
 	conn, err := link.get(ctx, vm, p)
 	if err != nil {
 		return &neverSentError{err: err}
 	}
-	key, answers := p.expect()
-	defer p.forget(key)
+	key, answers := p.registerCall()
+	defer p.unregisterCall(key)
 	call.Key = key
 	body, err := cbor.Marshal(call)
 	if err != nil {
@@ -199,7 +199,7 @@
 }
 
 // connect implements delegates.
-func (p *peers) connect(ctx context.Context, vm scatter.VM) (bool, error) {
+func (p *peerTransport) connect(ctx context.Context, vm scatter.VM) (bool, error) {
 	link := p.link(vm)
 	if link.connected() {
 		return false, nil
@@ -209,7 +209,7 @@
 }
 
 // ping implements delegates.
-func (p *peers) ping(ctx context.Context, vm scatter.VM) error {
+func (p *peerTransport) ping(ctx context.Context, vm scatter.VM) error {
 	link := p.link(vm)
 	conn := link.current()
 	if conn == nil {
@@ -222,7 +222,7 @@
 	return err
 }
 
-func (p *peers) link(vm scatter.VM) *peerLink {
+func (p *peerTransport) link(vm scatter.VM) *peerLink {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key := vm.Name + "/" + vm.Address
@@ -234,15 +234,15 @@
 	return link
 }
 
-func (l *peerLink) get(ctx context.Context, vm scatter.VM, p *peers) (*wire.Conn, error) {
+func (l *peerLink) get(ctx context.Context, vm scatter.VM, p *peerTransport) (*wire.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.alive() {
+	if l.connOpen() {
 		return l.conn, nil
 	}
 	opts := p.opts
 	opts.Keys = [][]byte{[]byte(vm.Key)}
-	conn, err := wire.Dial(ctx, vm.Address, opts, &p.count)
+	conn, err := wire.Dial(ctx, vm.Address, opts, &p.counters)
 	if err != nil {
 		return nil, err
 	}
@@ -257,14 +257,14 @@
 func (l *peerLink) current() *wire.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.alive() {
+	if !l.connOpen() {
 		return nil
 	}
 	return l.conn
 }
 
-// alive reports whether there is a connection. It must hold l.mu.
-func (l *peerLink) alive() bool {
+// connOpen reports whether there is a connection. It must hold l.mu.
+func (l *peerLink) connOpen() bool {
 	if l.conn == nil {
 		return false
 	}
@@ -287,7 +287,7 @@
 }
 
 // close ends all connections.
-func (p *peers) close() {
+func (p *peerTransport) close() {
 	p.server.Stop()
 	p.mu.Lock()
 	links := slices.Collect(maps.Values(p.links))
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -10,14 +10,14 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// probesAtOnce bounds the connections that are opened at once to those who did not answer.
+// maxConcurrentProbes bounds the connections that are opened at once to those who did not answer.
 // A dead one takes the whole time of a dial.
-const probesAtOnce = 64
+const maxConcurrentProbes = 64
 
-// each does something for all of a list, probesAtOnce at a time, and returns when all is done.
-func each[T any](list []T, do func(T)) {
+// forEachLimited does something for all of a list, probesAtOnce at a time, and returns when all is done.
+func forEachLimited[T any](list []T, do func(T)) {
 	var wg sync.WaitGroup
-	places := make(chan struct{}, probesAtOnce)
+	places := make(chan struct{}, maxConcurrentProbes)
 	for _, item := range list {
 		places <- struct{}{}
 		wg.Go(func() {
@@ -28,23 +28,23 @@
 	wg.Wait()
 }
 
-// alarm wakes whoever looks for suspects. Raising it never waits.
-type alarm chan struct{}
+// wakeup wakes whoever looks for suspects. Raising it never waits.
+type wakeup chan struct{}
 
-func newAlarm() alarm { return make(alarm, 1) }
+func newWakeup() wakeup { return make(wakeup, 1) }
 
-func (a alarm) raise() {
+func (a wakeup) notify() {
 	select {
 	case a <- struct{}{}:
 	default:
 	}
 }
 
-// probe makes a round of probes whenever one is due. A round returns whether it made any,
+// probeLoop makes a round of probes whenever one is due. A round returns whether it made any,
 // and when the next is due otherwise, zero for never. It sleeps while there is no suspect:
 // a process that wakes 8 times a second for nothing used a seventh of its processor time
 // for that (30.7 s of all VMs' on a calm day in place of 26.3).
-func probe(ctx context.Context, raised alarm, round func(context.Context) (made bool, next time.Time)) {
+func probeLoop(ctx context.Context, raised wakeup, round func(context.Context) (made bool, next time.Time)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
@@ -73,15 +73,15 @@
 func (n *Node) checkVMs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	due := n.engine.table.DueForLivenessCheck(time.Now())
-	d := n.engine.peers
+	d := n.engine.peerClient
 	n.engine.mu.Unlock()
-	each(due, func(vm scatter.VM) { n.checkVM(ctx, d, vm) })
+	forEachLimited(due, func(vm scatter.VM) { n.checkVM(ctx, d, vm) })
 	return len(due) > 0, time.Time{}
 }
 
 // checkVM asks one VM. If it does not say that it lives, it is not called until it is reached
 // on a new connection.
-func (n *Node) checkVM(ctx context.Context, d delegates, vm scatter.VM) {
+func (n *Node) checkVM(ctx context.Context, d peerClient, vm scatter.VM) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	err := d.ping(ctx, vm)
@@ -89,9 +89,9 @@
 		return
 	}
 	n.engine.mu.Lock()
-	n.engine.table.FailedLivenessCheck(time.Now(), vm.Name)
+	n.engine.table.LivenessCheckFailed(time.Now(), vm.Name)
 	n.engine.mu.Unlock()
-	n.engine.silentVMs.raise()
+	n.engine.suspectVMs.notify()
 	n.log.Info("VM does not say that it lives", "vm", vm.Name, "zone", vm.Zone, "error", err)
 }
 
@@ -99,16 +99,16 @@
 func (n *Node) probeVMs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectVMs(time.Now())
-	d := n.engine.peers
+	d := n.engine.peerClient
 	n.engine.mu.Unlock()
-	each(suspects, func(vm scatter.VM) { n.probeVM(ctx, d, vm) })
+	forEachLimited(suspects, func(vm scatter.VM) { n.probeVM(ctx, d, vm) })
 	return len(suspects) > 0, next
 }
 
-func (n *Node) probeVM(ctx context.Context, d delegates, vm scatter.VM) {
+func (n *Node) probeVM(ctx context.Context, d peerClient, vm scatter.VM) {
 	_, err := d.connect(ctx, vm)
 	n.engine.mu.Lock()
-	n.engine.table.ProbedVM(time.Now(), vm.Name, err == nil)
+	n.engine.table.RecordVMProbe(time.Now(), vm.Name, err == nil)
 	n.engine.mu.Unlock()
 	if err == nil {
 		n.log.Info("VM answers again", "vm", vm.Name, "zone", vm.Zone)
@@ -121,18 +121,18 @@
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectLeafs(time.Now())
 	n.engine.mu.Unlock()
-	each(suspects, func(leaf registry.Leaf) { n.probeLeaf(ctx, leaf) })
+	forEachLimited(suspects, func(leaf registry.Leaf) { n.probeLeaf(ctx, leaf) })
 	return len(suspects) > 0, next
 }
 
 func (n *Node) probeLeaf(ctx context.Context, leaf registry.Leaf) {
 	id := scatter.LeafID{ID: leaf.ID, Born: leaf.Born}
 	n.engine.mu.Lock()
-	peer := leafhttp.Peer{Key: poolKey(id), Address: leaf.Address, Transient: !n.engine.table.Keeps(id)}
+	peer := leafhttp.Peer{Key: poolKey(id), Address: leaf.Address, Transient: !n.engine.table.KeepsConnection(id)}
 	n.engine.mu.Unlock()
 	err := n.engine.pool.Warm(ctx, peer)
 	n.engine.mu.Lock()
-	cleared := n.engine.table.ProbedLeaf(time.Now(), id, err == nil)
+	cleared := n.engine.table.RecordLeafProbe(time.Now(), id, err == nil)
 	n.engine.mu.Unlock()
 	if cleared {
 		n.log.Info("leaf can be reached again", "leaf", leaf.ID, "service", leaf.Service)
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -14,14 +14,14 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// darkVMs are other VMs of which some do not say that they live.
-type darkVMs struct {
-	noDelegates
-	dark string
+// silentPeerClient are other VMs of which some do not say that they live.
+type silentPeerClient struct {
+	noPeerClient
+	silentVM string
 }
 
-func (d *darkVMs) ping(_ context.Context, vm scatter.VM) error {
-	if vm.Name == d.dark {
+func (d *silentPeerClient) ping(_ context.Context, vm scatter.VM) error {
+	if vm.Name == d.silentVM {
 		return errors.New("silent")
 	}
 	return nil
@@ -29,25 +29,25 @@
 
 // Several VMs lose power at once. One is found by a call; the other is found by asking, and
 // no call is lost on it. Those that live are called as before.
-func TestVMThatDoesNotSayThatItLivesIsNotCalled(t *testing.T) {
+func TestVMThatFailsLivenessCheckIsNotCalled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	table := scatter.NewTable(scatter.VM{Name: "vm-a", Zone: "a"}, scatter.BudgetTerms{}, now, rand.New(rand.NewPCG(1, 2)))
+	table := scatter.NewTable(scatter.VM{Name: "vm-a", Zone: "a"}, scatter.BudgetConfig{}, now, rand.New(rand.NewPCG(1, 2)))
 	table.SetVMs(now, []scatter.VM{{Name: "vm-b", Zone: "b"}, {Name: "vm-c", Zone: "c"}, {Name: "vm-d", Zone: "d"}})
-	table.SetTerms(now, "shard", scatter.Terms{Shard: true})
+	table.SetServiceConfig(now, "shard", scatter.ServiceConfig{Shard: true})
 	for _, zone := range []string{"b", "c", "d"} {
 		table.Apply(now, registry.Change{Leaf: registry.Leaf{ID: "leaf-" + zone, Service: "shard", Zone: zone}})
 	}
 	n := &Node{log: logging.Discard(), engine: &Engine{
-		table: table, peers: &darkVMs{dark: "vm-c"}, silentVMs: newAlarm(),
+		table: table, peerClient: &silentPeerClient{silentVM: "vm-c"}, suspectVMs: newWakeup(),
 	}}
-	table.EndedAtVM(now, "vm-b", scatter.EndSilent)
+	table.CallEnded(now, "vm-b", scatter.EndSilent)
 	made, _ := n.checkVMs(t.Context())
 	g.Expect(made).To(gomega.BeTrue())
 	var called []string
-	for _, vm := range table.Partners(now) {
+	for _, vm := range table.Delegates(now) {
 		called = append(called, vm.Name)
 	}
 	g.Expect(called).To(gomega.ConsistOf("vm-d"))
-	g.Expect(n.engine.silentVMs).To(gomega.Receive(), "suspects are to be probed")
+	g.Expect(n.engine.suspectVMs).To(gomega.Receive(), "suspects are to be probed")
 }
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -21,104 +21,106 @@
 // What belongs to leafs is used by one goroutine, and so is what belongs to manifests.
 type relay struct {
 	Store
-	e     *Engine
-	fresh time.Duration // how lately the other VM must have heard from the store
+	e            *Engine
+	maxStaleness time.Duration // how lately the other VM must have heard from the store
 
-	leafs, manifests way
-	life             string // of the process that told the positions of leafs
+	leafsUpstream, manifestUpstream upstream
+	incarnation                     string // of the process that told the positions of leafs
 
-	mu      sync.Mutex           // guards the fields below
-	avoided map[string]time.Time // VMs that failed, until when they are not followed
-	failing map[string]bool      // VMs whose latest call failed
-	heldTo  time.Time            // until when nothing is read from the store
-	away    bool                 // the store was, since leafs were last listed
+	mu          sync.Mutex           // guards the fields below
+	avoidUntil  map[string]time.Time // VMs that failed, until when they are not followed
+	failing     map[string]bool      // VMs whose latest call failed
+	nextRead    time.Time            // until when nothing is read from the store
+	storeFailed bool                 // the store was, since leafs were last listed
 }
 
-// way is where something is read at present.
-type way struct {
+// upstream is where something is read at present.
+type upstream struct {
 	vm string // name of the VM that is followed; empty for the store
 }
 
-// storeTurn is how long a VM that failed is not followed.
-const storeTurn = 5 * time.Second
+// avoidPeriod is how long a VM that failed is not followed.
+const avoidPeriod = 5 * time.Second
 
-// firstRead bounds the wait for an answer that is to come at once.
-const firstRead = 500 * time.Millisecond
+// answerTimeout bounds the wait for an answer that is to come at once.
+const answerTimeout = 500 * time.Millisecond
 
 // A VM that others read the store for goes to it itself only now and then while that
 // fails: the store is mostly away for all, and what is away is paid for as well. In an
 // outage of 4.5 s 77 VMs made 1,043 such calls in vain; then each found its readers again.
 const (
-	// startShare is the part of the time within which a change has to be known that a
+	// startDelayShare is the part of the time within which a change has to be known that a
 	// VM which has just started waits for those that read the store.
-	startShare = 1.0 / 2
-	// heldShare is the part of it between two readings that failed.
-	heldShare = 1.0 / 2
+	startDelayShare = 1.0 / 2
+	// retryDelayShare is the part of it between two readings that failed.
+	retryDelayShare = 1.0 / 2
 )
 
-// errHeldBack says that the store is left to the VMs that read it for others.
-var errHeldBack = errors.New("edge: reading of the store is left to other VMs")
+// errReadDeferred says that the store is left to the VMs that read it for others.
+var errReadDeferred = errors.New("edge: reading of the store is left to other VMs")
 
 func newRelay(store Store, e *Engine, fresh time.Duration) *relay {
 	return &relay{
-		Store:   store,
-		e:       e,
-		fresh:   fresh,
-		avoided: make(map[string]time.Time),
-		failing: make(map[string]bool),
+		Store:        store,
+		e:            e,
+		maxStaleness: fresh,
+		avoidUntil:   make(map[string]time.Time),
+		failing:      make(map[string]bool),
 	}
 }
 
-// begin is called when the other VMs are known.
-func (r *relay) begin() { r.hold(time.Duration(startShare * float64(r.fresh))) }
+// delayFirstRead is called when the other VMs are known.
+func (r *relay) delayFirstRead() {
+	r.delayRead(time.Duration(startDelayShare * float64(r.maxStaleness)))
+}
 
-func (r *relay) hold(d time.Duration) {
+func (r *relay) delayRead(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heldTo = time.Now().Add(d)
+	r.nextRead = time.Now().Add(d)
 }
 
-func (r *relay) reading() scatter.Reading {
+func (r *relay) storeReaders() scatter.StoreReaders {
 	r.e.mu.Lock()
 	defer r.e.mu.Unlock()
-	return r.e.table.Reading(time.Now())
+	return r.e.table.StoreReaders(time.Now())
 }
 
-// leader returns the VM to follow, false if this one is to read the store itself.
-func (r *relay) leader() (scatter.VM, bool) {
-	readers := r.reading().Others
+// currentReader returns the VM to follow, false if this one is to read the store itself.
+func (r *relay) currentReader() (scatter.VM, bool) {
+	readers := r.storeReaders().Others
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, vm := range readers {
-		if now.After(r.avoided[vm.Name]) {
+		if now.After(r.avoidUntil[vm.Name]) {
 			return vm, true
 		}
 	}
 	return scatter.VM{}, false
 }
 
-// mayRead reports whether the store is to be read now. If not, those who failed are asked
+// mayReadStore reports whether the store is to be read now. If not, those who failed are asked
 // again next: they may have found the store.
-func (r *relay) mayRead() bool {
-	if r.reading().Self {
+func (r *relay) mayReadStore() bool {
+	if r.storeReaders().Self {
 		return true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if now.Before(r.heldTo) {
-		clear(r.avoided)
+	if now.Before(r.nextRead) {
+		clear(r.avoidUntil)
 		return false
 	}
 	// One reading at a time finds out whether the store is there.
-	r.heldTo = now.Add(time.Duration(heldShare * float64(r.fresh)))
+	r.nextRead = now.Add(time.Duration(retryDelayShare * float64(r.maxStaleness)))
 	return true
 }
 
-// holds reports whether something is still to be read where it was.
-func (r *relay) holds(w way) (scatter.VM, bool) {
-	vm, follow := r.leader()
+// sameUpstream reports whether something is still to be read where it was.
+func (r *relay) sameUpstream(w upstream) (scatter.VM, bool) {
+	vm, follow := r.currentReader()
 	if !follow {
 		return vm, w.vm == ""
 	}
@@ -126,76 +128,76 @@
 }
 
 // Leafs implements Store.
-func (r *relay) Leafs(ctx context.Context) (Listing, error) {
-	if vm, ok := r.leader(); ok {
+func (r *relay) Leafs(ctx context.Context) (LeafList, error) {
+	if vm, ok := r.currentReader(); ok {
 		var ans leafsAnswer
-		if r.ask(ctx, vm, methodFollowLeafs, &followCall{List: true}, &ans) == nil {
-			r.leafs, r.life = way{vm: vm.Name}, ans.Life
-			list := Listing{At: Revision(ans.Position), AfterOutage: r.wasAway()}
+		if r.callReader(ctx, vm, methodFollowLeafs, &followCall{List: true}, &ans) == nil {
+			r.leafsUpstream, r.incarnation = upstream{vm: vm.Name}, ans.Incarnation
+			list := LeafList{Revision: Revision(ans.Position), AfterOutage: r.takeStoreFailed()}
 			return list, unpack(ans.Leafs, &list.Leafs)
 		}
 	}
-	if !r.mayRead() {
-		return Listing{}, errHeldBack
+	if !r.mayReadStore() {
+		return LeafList{}, errReadDeferred
 	}
 	list, err := r.Store.Leafs(ctx)
-	r.note(followedLeafs, err)
+	r.recordListing(followedLeafs, err)
 	if err == nil {
-		list.AfterOutage = r.wasAway()
-		r.leafs = way{}
+		list.AfterOutage = r.takeStoreFailed()
+		r.leafsUpstream = upstream{}
 	}
 	return list, err
 }
 
 // WatchLeafs implements Store.
 func (r *relay) WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error) {
-	vm, same := r.holds(r.leafs)
+	vm, same := r.sameUpstream(r.leafsUpstream)
 	if !same {
-		return LeafChanges{}, ErrHistoryGone // to be read anew, elsewhere
+		return LeafChanges{}, ErrHistoryCompacted // to be read anew, elsewhere
 	}
-	if r.leafs.vm == "" {
+	if r.leafsUpstream.vm == "" {
 		c, err := r.Store.WatchLeafs(ctx, since, wait)
-		r.noteWatch(followedLeafs, err)
+		r.recordWatch(followedLeafs, err)
 		return c, err
 	}
 	var ans leafsAnswer
-	call := &followCall{Life: r.life, Position: int64(since), WaitMS: wait.Milliseconds()}
-	if err := r.ask(ctx, vm, methodFollowLeafs, call, &ans); err != nil {
+	call := &followCall{Incarnation: r.incarnation, Position: int64(since), WaitMS: wait.Milliseconds()}
+	if err := r.callReader(ctx, vm, methodFollowLeafs, call, &ans); err != nil {
 		return LeafChanges{}, err
 	}
-	return LeafChanges{Changes: ans.Changes, At: Revision(ans.Position)}, nil
+	return LeafChanges{Changes: ans.Changes, Revision: Revision(ans.Position)}, nil
 }
 
 // Manifest implements Store.
 func (r *relay) Manifest(ctx context.Context) (*routing.Manifest, Revision, error) {
-	if vm, ok := r.leader(); ok {
+	if vm, ok := r.currentReader(); ok {
 		var ans manifestAnswer
-		if r.ask(ctx, vm, methodFollowManifest, &followCall{List: true}, &ans) == nil {
-			r.manifests = way{vm: vm.Name}
+		if r.callReader(ctx, vm, methodFollowManifest, &followCall{List: true}, &ans) == nil {
+			r.manifestUpstream = upstream{vm: vm.Name}
 			m, err := ans.manifest()
 			return m, 0, err
 		}
 	}
-	if !r.mayRead() {
-		return nil, 0, errHeldBack
+	if !r.mayReadStore() {
+		return nil, 0, errReadDeferred
 	}
 	m, at, err := r.Store.Manifest(ctx)
-	r.note(followedManifest, err)
+	r.recordListing(followedManifest, err)
 	if err == nil {
-		r.manifests = way{}
+		r.manifestUpstream = upstream{}
 	}
 	return m, at, err
 }
 
 // WatchManifest implements Store.
 func (r *relay) WatchManifest(ctx context.Context, since Revision, wait time.Duration) (*routing.Manifest, Revision, error) {
-	vm, same := r.holds(r.manifests)
+	vm, same := r.sameUpstream(r.manifestUpstream)
 	if !same {
-		return nil, 0, ErrHistoryGone
+		return nil, 0, ErrHistoryCompacted
 	}
-	if r.manifests.vm == "" {
+	if r.manifestUpstream.vm == "" {
 		m, at, err := r.Store.WatchManifest(ctx, since, wait)
-		r.noteWatch(followedManifest, err)
+		r.recordWatch(followedManifest, err)
 		return m, at, err
 	}
 	call := &followCall{WaitMS: wait.Milliseconds()}
@@ -203,44 +205,44 @@
 		call.Position = m.Version
 	}
 	var ans manifestAnswer
-	if err := r.ask(ctx, vm, methodFollowManifest, call, &ans); err != nil {
+	if err := r.callReader(ctx, vm, methodFollowManifest, call, &ans); err != nil {
 		return nil, 0, err
 	}
 	m, err := ans.manifest()
 	return m, 0, err
 }
 
-// note takes how a listing of the store ended, and tells those who follow this VM.
-func (r *relay) note(what string, err error) {
+// recordListing takes how a listing of the store ended, and tells those who follow this VM.
+func (r *relay) recordListing(what string, err error) {
 	if err == nil {
-		r.e.feed.heard(what)
-		r.hold(0)
+		r.e.feed.recordSuccess(what)
+		r.delayRead(0)
 		return
 	}
-	r.e.feed.lost(what)
-	held := time.Duration(heldShare * float64(r.fresh))
-	r.hold(held/2 + rand.N(held/2))
+	r.e.feed.recordFailure(what)
+	held := time.Duration(retryDelayShare * float64(r.maxStaleness))
+	r.delayRead(held/2 + rand.N(held/2))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.away = true
+	r.storeFailed = true
 }
 
-// wasAway reports, once, whether a listing of the store failed since leafs were last
+// takeStoreFailed reports, once, whether a listing of the store failed since leafs were last
 // listed. That a VM which reads it was silent, or lost it, does not count.
-func (r *relay) wasAway() bool {
+func (r *relay) takeStoreFailed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	away := r.away
-	r.away = false
+	away := r.storeFailed
+	r.storeFailed = false
 	return away
 }
 
-// noteWatch tells them of a watch. One that failed says little: the listing that follows
+// recordWatch tells them of a watch. One that failed says little: the listing that follows
 // at once shows whether the store is lost, and if every VM turned to the store whenever
 // watches are cut, these would be as many calls as if nobody followed.
-func (r *relay) noteWatch(what string, err error) {
+func (r *relay) recordWatch(what string, err error) {
 	if err == nil {
-		r.e.feed.heard(what)
+		r.e.feed.recordSuccess(what)
 	}
 }
 
@@ -256,21 +258,21 @@
 	return routing.NewManifest(doc), nil
 }
 
-// ask makes one call to a VM that reads the store. One that fails is not followed for
+// callReader makes one call to a VM that reads the store. One that fails is not followed for
 // some time.
-func (r *relay) ask(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
-	call.WithinMS = r.fresh.Milliseconds()
-	wait := time.Duration(call.WaitMS)*time.Millisecond + firstRead
+func (r *relay) callReader(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
+	call.MaxStalenessMS = r.maxStaleness.Milliseconds()
+	wait := time.Duration(call.WaitMS)*time.Millisecond + answerTimeout
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	err := r.e.delegatesNow().follow(ctx, vm, method, call, into)
+	err := r.e.currentPeerClient().follow(ctx, vm, method, call, into)
 	r.e.stats.store(method, err)
-	r.noteLeader(vm, method, err)
+	r.recordReaderCall(vm, method, err)
 	return err
 }
 
-// noteLeader takes how a call to a VM that reads the store ended.
-func (r *relay) noteLeader(vm scatter.VM, method string, err error) {
+// recordReaderCall takes how a call to a VM that reads the store ended.
+func (r *relay) recordReaderCall(vm scatter.VM, method string, err error) {
 	if result.Of(err) == result.PositionGone {
 		err = nil // it answers; this VM lags
 	}
@@ -278,7 +280,7 @@
 	was := r.failing[vm.Name]
 	r.failing[vm.Name] = err != nil
 	if err != nil {
-		r.avoided[vm.Name] = time.Now().Add(storeTurn)
+		r.avoidUntil[vm.Name] = time.Now().Add(avoidPeriod)
 	}
 	r.mu.Unlock()
 	switch {
--- a/edge/relay_serve.go
+++ b/edge/relay_serve.go
@@ -17,19 +17,19 @@
 
 // followCall asks for what is new since a position.
 type followCall struct {
-	Life     string `json:"life"` // of the VM's process that told the position
-	Position int64  `json:"position"`
-	List     bool   `json:"list"` // everything, at once
-	WaitMS   int64  `json:"wait_ms"`
-	WithinMS int64  `json:"within_ms"` // how fresh it has to be
+	Incarnation    string `json:"life"` // of the VM's process that told the position
+	Position       int64  `json:"position"`
+	List           bool   `json:"list"` // everything, at once
+	WaitMS         int64  `json:"wait_ms"`
+	MaxStalenessMS int64  `json:"within_ms"` // how fresh it has to be
 }
 
 // leafsAnswer is the answer to methodFollowLeafs.
 type leafsAnswer struct {
-	Life     string            `json:"life"`
-	Position int64             `json:"position"`
-	Leafs    []byte            `json:"leafs,omitempty"`   // of a list: packed []registry.Leaf
-	Changes  []registry.Change `json:"changes,omitempty"` // otherwise
+	Incarnation string            `json:"life"`
+	Position    int64             `json:"position"`
+	Leafs       []byte            `json:"leafs,omitempty"`   // of a list: packed []registry.Leaf
+	Changes     []registry.Change `json:"changes,omitempty"` // otherwise
 }
 
 // manifestAnswer is the answer to methodFollowManifest. The position is the version.
@@ -45,45 +45,45 @@
 
 // serveFollowLeafs answers a VM that follows this one.
 func (e *Engine) serveFollowLeafs(ctx context.Context, call *followCall) (*leafsAnswer, error) {
-	within := time.Duration(call.WithinMS) * time.Millisecond
-	if !e.feed.fresh(followedLeafs, within) {
-		return nil, errStoreLost
+	within := time.Duration(call.MaxStalenessMS) * time.Millisecond
+	if !e.feed.isFresh(followedLeafs, within) {
+		return nil, errStoreStale
 	}
 	if call.List {
 		leafs, position, err := e.feed.list()
 		if err != nil {
 			return nil, err
 		}
-		return &leafsAnswer{Life: e.feed.life, Position: position, Leafs: leafs}, nil
+		return &leafsAnswer{Incarnation: e.feed.incarnation, Position: position, Leafs: leafs}, nil
 	}
-	if call.Life != e.feed.life {
-		return nil, errPositionGone
+	if call.Incarnation != e.feed.incarnation {
+		return nil, errPositionUnknown
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.WaitMS)*time.Millisecond)
 	defer cancel()
 	var changes []registry.Change
 	position, kept := call.Position, true
-	fresh := func() bool { return e.feed.fresh(followedLeafs, within) }
+	fresh := func() bool { return e.feed.isFresh(followedLeafs, within) }
 	e.feed.waitFor(ctx, func() bool {
-		changes, position, kept = e.feed.after(call.Position)
+		changes, position, kept = e.feed.changesSince(call.Position)
 		return len(changes) > 0 || !kept || !fresh()
 	})
 	if !kept {
-		return nil, errPositionGone
+		return nil, errPositionUnknown
 	}
 	if len(changes) == 0 && !fresh() {
-		return nil, errStoreLost
+		return nil, errStoreStale
 	}
-	return &leafsAnswer{Life: e.feed.life, Position: position, Changes: changes}, nil
+	return &leafsAnswer{Incarnation: e.feed.incarnation, Position: position, Changes: changes}, nil
 }
 
 // serveFollowManifest answers a VM that follows this one.
 func (e *Engine) serveFollowManifest(ctx context.Context, call *followCall) (*manifestAnswer, error) {
 	fresh := func() bool {
-		return e.feed.fresh(followedManifest, time.Duration(call.WithinMS)*time.Millisecond)
+		return e.feed.isFresh(followedManifest, time.Duration(call.MaxStalenessMS)*time.Millisecond)
 	}
 	if !fresh() {
-		return nil, errStoreLost
+		return nil, errStoreStale
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.WaitMS)*time.Millisecond)
 	defer cancel()
@@ -95,7 +95,7 @@
 	})
 	if !newer {
 		if !fresh() {
-			return nil, errStoreLost
+			return nil, errStoreStale
 		}
 		return &manifestAnswer{}, nil
 	}
@@ -107,8 +107,8 @@
 }
 
 var (
-	errStoreLost    = result.Errorf(result.PlatformDown, "this VM has not heard from the store lately")
-	errPositionGone = result.Errorf(result.PositionGone, "the position is not known")
+	errStoreStale      = result.Errorf(result.PlatformDown, "this VM has not heard from the store lately")
+	errPositionUnknown = result.Errorf(result.PositionGone, "the position is not known")
 )
 
 // decodeFollow decodes the parameters of a call.
--- a/edge/run.go
+++ b/edge/run.go
@@ -28,9 +28,9 @@
 	callAnswers []*ShardsAnswer           // in the order in which the query took them
 
 	// Of a query for another VM; zero for a caller's.
-	interim time.Time                 // when tell gets what was answered by then
-	tell    func([]scatter.AttemptID) // gets the attempts that answered
-	decline func(shards []int)        // gets the shards that are not asked
+	interim    time.Time                 // when tell gets what was answered by then
+	onInterim  func([]scatter.AttemptID) // gets the attempts that answered
+	onDeclined func(shards []int)        // gets the shards that are not asked
 }
 
 // event is the end of an attempt or of a call to another VM.
@@ -48,7 +48,7 @@
 // reply is a leaf's answer with what it says.
 type reply struct {
 	*leafhttp.Answer
-	word LeafWord
+	metadata LeafMetadata
 }
 
 // failed reports whether the leaf ran the request and failed. An answer that blames
@@ -103,23 +103,23 @@
 	r.query = scatter.NewQuery(r.spec, r.e.table)
 	acts, wake := r.step(r.query.Start)
 	if declined := r.query.Declined(); len(declined) > 0 {
-		r.decline(declined)
+		r.onDeclined(declined)
 	}
 
 	timer := time.NewTimer(time.Until(wake))
 	defer timer.Stop()
 	for {
-		if out, ended := r.carryOut(acts); ended {
+		if out, ended := r.execute(acts); ended {
 			return out
 		}
 		if !r.interim.IsZero() && !time.Now().Before(r.interim) {
-			r.tell(r.query.AnsweredAttempts())
+			r.onInterim(r.query.AnsweredAttempts())
 			r.interim = time.Time{}
 		}
-		timer.Reset(max(time.Until(firstOf(wake, r.interim)), 0))
+		timer.Reset(max(time.Until(earlier(wake, r.interim)), 0))
 		select {
 		case ev := <-r.events:
-			acts, wake = r.take(ev)
+			acts, wake = r.handleEvent(ev)
 		case <-timer.C:
 			acts, wake = r.tick()
 		case <-ctx.Done():
@@ -133,14 +133,14 @@
 func (r *runner) tick() ([]scatter.Action, time.Time) {
 	select {
 	case ev := <-r.events:
-		return r.take(ev)
+		return r.handleEvent(ev)
 	default:
 		return r.step(func(now time.Time) []scatter.Action { return r.query.Tick(now) })
 	}
 }
 
-// firstOf returns the earlier of two times; b may be zero for never.
-func firstOf(a, b time.Time) time.Time {
+// earlier returns the earlier of two times; b may be zero for never.
+func earlier(a, b time.Time) time.Time {
 	if !b.IsZero() && b.Before(a) {
 		return b
 	}
@@ -154,7 +154,7 @@
 	return f(now), r.query.Wake(now)
 }
 
-func (r *runner) take(ev event) ([]scatter.Action, time.Time) {
+func (r *runner) handleEvent(ev event) ([]scatter.Action, time.Time) {
 	return r.step(func(now time.Time) []scatter.Action {
 		switch {
 		case ev.sent:
@@ -173,30 +173,30 @@
 			return r.query.CallFail(now, ev.call, ev.neverSent)
 		case ev.reply != nil:
 			r.answers[ev.attempt] = ev.reply
-			return r.query.Reply(now, ev.attempt, r.failedFor(ev.reply))
+			return r.query.Reply(now, ev.attempt, r.answerFailed(ev.reply))
 		default:
 			return r.query.Fail(now, ev.attempt, ev.end)
 		}
 	})
 }
 
-// failedFor reports whether an answer is of no use. A gathered request needs a part
+// answerFailed reports whether an answer is of no use. A gathered request needs a part
 // from each shard, so anything but a success is a failure.
-func (r *runner) failedFor(ans *reply) bool {
+func (r *runner) answerFailed(ans *reply) bool {
 	if r.spec.Gathered {
 		return ans.Status/100 != 2
 	}
 	return ans.failed()
 }
 
-func (r *runner) carryOut(acts []scatter.Action) (scatter.Outcome, bool) {
+func (r *runner) execute(acts []scatter.Action) (scatter.Outcome, bool) {
 	for _, act := range acts {
 		switch a := act.(type) {
 		case scatter.Send:
 			r.shards[a.Attempt] = a.Shard
 			go r.send(a)
-		case scatter.Ask:
-			go r.ask(a)
+		case scatter.CallVM:
+			go r.callPeer(a)
 		case scatter.Finish:
 			return a.Outcome, true
 		}
@@ -211,8 +211,8 @@
 func (r *runner) send(s scatter.Send) {
 	ctx, cancel := context.WithDeadline(r.attempts, s.Until.Add(r.linger()))
 	defer cancel()
-	peer := leafhttp.Peer{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.Keep}
-	var word LeafWord
+	peer := leafhttp.Peer{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
+	var word LeafMetadata
 	// A leaf may send the answer to an earlier request late, where the next is expected.
 	own := func(ans *leafhttp.Answer) bool {
 		word = r.e.exchange.FromLeaf(ans.Status, ans.Header)
@@ -221,9 +221,9 @@
 	ans, err := r.e.pool.Do(ctx, peer, r.req.HTTP, r.e.exchange.ToLeaf(s.Leaf, time.Until(s.Until)), own)
 	ev := event{attempt: s.Attempt}
 	if err == nil {
-		ev.reply, ev.end = r.judge(s, ans, word)
+		ev.reply, ev.end = r.classifyAnswer(s, ans, word)
 	} else {
-		ev.end = endOf(ctx, err)
+		ev.end = endOfAttempt(ctx, err)
 	}
 	if ev.end == scatter.EndSilent {
 		// Others to this leaf may be as silent.
@@ -232,15 +232,15 @@
 	r.e.mu.Lock()
 	now := time.Now()
 	if err == nil && word.HasLoad {
-		r.e.table.Report(now, s.Leaf, word.Load)
+		r.e.table.RecordLoad(now, s.Leaf, word.Load)
 	}
-	r.e.table.Ended(now, s.Leaf, s.SentAt, ev.end)
+	r.e.table.AttemptEnded(now, s.Leaf, s.SentAt, ev.end)
 	r.e.mu.Unlock()
 	if ev.end == scatter.EndSilent || ev.end == scatter.EndUnreachable {
-		r.e.silentLeafs.raise()
+		r.e.suspectLeafs.notify()
 	}
-	r.e.stats.attempt(s.Why, ev.end)
-	r.noteEnd(s, ev, err)
+	r.e.stats.attempt(s.Reason, ev.end)
+	r.logAttemptEnd(s, ev, err)
 	r.post(ev)
 }
 
@@ -256,30 +256,30 @@
 // milliseconds.
 const expirySlack = 2 * time.Millisecond
 
-// judge tells what a leaf's answer is worth. Without a receipt it proves nothing: a
+// classifyAnswer tells what a leaf's answer is worth. Without a receipt it proves nothing: a
 // success is spoilt, and a failure may have come after the request ran.
-func (r *runner) judge(s scatter.Send, ans *leafhttp.Answer, word LeafWord) (*reply, scatter.End) {
-	rep := &reply{Answer: ans, word: word}
+func (r *runner) classifyAnswer(s scatter.Send, ans *leafhttp.Answer, word LeafMetadata) (*reply, scatter.End) {
+	rep := &reply{Answer: ans, metadata: word}
 	switch {
 	case word.Moved:
 		return nil, scatter.EndMoved
 	case r.spec.Gathered && rep.failed() && time.Until(s.Until) < expirySlack:
 		if word.NotRun {
-			return nil, scatter.EndUnbegun
+			return nil, scatter.EndNotStarted
 		}
 		return nil, scatter.EndExpired
 	case word.NotRun:
 		return nil, scatter.EndRefused
 	case word.Receipt == "":
 		return nil, scatter.EndBroken
-	case r.failedFor(rep):
+	case r.answerFailed(rep):
 		return rep, scatter.EndFailed
 	default:
 		return rep, scatter.EndAnswered
 	}
 }
 
-func endOf(ctx context.Context, err error) scatter.End {
+func endOfAttempt(ctx context.Context, err error) scatter.End {
 	var unreachable *leafhttp.UnreachableError
 	switch {
 	case errors.As(err, &unreachable):
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -45,7 +45,7 @@
 	DrainMS    float64 `json:"drain_ms"`
 }
 
-func (b BoundSettings) drain() time.Duration {
+func (b BoundSettings) drainBound() time.Duration {
 	return time.Duration(b.DrainMS * float64(time.Millisecond))
 }
 
@@ -56,9 +56,9 @@
 	WindowS float64 `json:"window_s"` // sliding
 }
 
-// terms returns the budget as the core takes it.
-func (b BudgetSettings) terms() scatter.BudgetTerms {
-	return scatter.BudgetTerms{
+// config returns the budget as the core takes it.
+func (b BudgetSettings) config() scatter.BudgetConfig {
+	return scatter.BudgetConfig{
 		Ratio:  b.Ratio,
 		Floor:  b.Floor,
 		Window: time.Duration(b.WindowS * float64(time.Second)),
@@ -69,16 +69,16 @@
 // amiss, what was found and what is allowed.
 func LoadSettings(path string) (*Settings, error) {
 	s := &Settings{}
-	return s, settings.LoadInto(path, s, s.check)
+	return s, settings.LoadInto(path, s, s.validate)
 }
 
 // ParseSettings reads and checks settings.
 func ParseSettings(data []byte) (*Settings, error) {
 	s := &Settings{}
-	return s, settings.ParseInto(data, s, s.check)
+	return s, settings.ParseInto(data, s, s.validate)
 }
 
-func (s *Settings) check() []strictjson.Finding {
+func (s *Settings) validate() []strictjson.Finding {
 	var findings []strictjson.Finding
 	add := func(path string, found any, allowed string) {
 		findings = append(findings, strictjson.Finding{Path: path, Found: fmt.Sprintf("%q", fmt.Sprint(found)), Allowed: allowed})
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-const goodSettings = `{
+const validSettings = `{
   "name": "vm-1", "zone": "a",
   "listen": {"callers": "127.0.0.1:1", "ready": "127.0.0.1:2", "vms": "127.0.0.1:3", "metrics": "127.0.0.1:4"},
   "store": "127.0.0.1:5", "first_start": true, "grace_s": 6,
@@ -17,16 +17,16 @@
   "power": 0.4, "memory_mb": 284, "log_level": "info"
 }`
 
-func TestSettingsAreRead(t *testing.T) {
+func TestParseSettings(t *testing.T) {
 	g := gomega.NewWithT(t)
-	set, err := ParseSettings([]byte(goodSettings))
+	set, err := ParseSettings([]byte(validSettings))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(set.Budget.Floor).To(gomega.Equal(54.0))
 }
 
 // A daemon starts with a store address that is none, or a bound of 0, and fails hours
 // later. Every fault is named before it starts.
-func TestSettingsFaultsAreAllNamed(t *testing.T) {
+func TestAllInvalidSettingsAreReported(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, err := ParseSettings([]byte(`{
   "name": "", "zone": "a",
--- a/edge/spent.go
+++ b/edge/spent.go
@@ -7,84 +7,84 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-// spentTimes tells how much of its time a caller had spent before its request arrived. An aim
+// elapsedTimes tells how much of its time a caller had spent before its request arrived. An aim
 // counts from when the caller began; a new connection to a VM costs it a round trip or two,
 // and an answer that leaves just before the aim by the VM's own clock is late there.
 //
 // Callers state the time that they have left. Most of a route have as much in all, so that
 // what one states less than the others is what it has spent. It is safe for concurrent use.
-type spentTimes struct {
+type elapsedTimes struct {
 	mu     sync.Mutex // guards routes
-	routes map[string]*longestWait
+	routes map[string]*longestTimeout
 }
 
-// longestWait is the longest wait that was stated, of this period and the one before.
-type longestWait struct {
-	began        time.Time // of this period
-	this, before time.Duration
+// longestTimeout is the longest wait that was stated, of this period and the one before.
+type longestTimeout struct {
+	periodStart       time.Time // of this period
+	current, previous time.Duration
 }
 
-// waitPeriod is how long a longest wait is remembered at least; callers change their limits.
-const waitPeriod = 10 * time.Second
+// timeoutPeriod is how long a longest wait is remembered at least; callers change their limits.
+const timeoutPeriod = 10 * time.Second
 
-func newSpentTimes() *spentTimes { return &spentTimes{routes: make(map[string]*longestWait)} }
+func newElapsedTimes() *elapsedTimes { return &elapsedTimes{routes: make(map[string]*longestTimeout)} }
 
-// of takes the wait that a caller of a route states, and returns what it has spent.
-func (t *spentTimes) of(now time.Time, route string, stated time.Duration) time.Duration {
+// observe takes the wait that a caller observe a route states, and returns what it has spent.
+func (t *elapsedTimes) observe(now time.Time, route string, stated time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.routes[route]
 	if w == nil {
-		w = &longestWait{began: now}
+		w = &longestTimeout{periodStart: now}
 		t.routes[route] = w
 	}
-	if now.Sub(w.began) >= waitPeriod {
-		w.began, w.before, w.this = now, w.this, 0
+	if now.Sub(w.periodStart) >= timeoutPeriod {
+		w.periodStart, w.previous, w.current = now, w.current, 0
 	}
-	w.this = max(w.this, stated)
-	return max(w.this, w.before) - stated
+	w.current = max(w.current, stated)
+	return max(w.current, w.previous) - stated
 }
 
 // callerPath is what is known of the way between a caller and this VM; zero for nothing.
 type callerPath struct {
-	way        time.Duration // in one direction
-	connecting time.Duration // that a caller spent on opening the connection for this request
+	oneWay      time.Duration // in one direction
+	connectTime time.Duration // that a caller spent on opening the connection for this request
 }
 
-// repeatShare is the part of the aim that no caller needs to reach a VM.
-const repeatShare = 0.25
+// maxElapsedShare is the part of the aim that no caller needs to reach a VM.
+const maxElapsedShare = 0.25
 
-// spent returns how long before its arrival a request began. Missing is how much less its caller
-// states to have left than others of the route: what it spent on connecting, unless it is a
+// elapsed returns how long before its arrival a request began. Missing is how much less its caller
+// states to have left than others of the route: what it elapsed on connecting, unless it is a
 // repeat, which is late or counts from anew.
-func (p callerPath) spent(missing, aim time.Duration) time.Duration {
-	if missing > max(time.Duration(repeatShare*float64(aim)), p.connecting+p.way) {
+func (p callerPath) elapsed(missing, aim time.Duration) time.Duration {
+	if missing > max(time.Duration(maxElapsedShare*float64(aim)), p.connectTime+p.oneWay) {
 		missing = 0
 	}
-	return max(missing, p.connecting) + p.way
+	return max(missing, p.connectTime) + p.oneWay
 }
 
 // Parameters of the moment to answer a gathered request in part: an answer is worth
 // the square of its share until the aim and a tenth afterwards, so it leaves just
 // before, by the time that writing it and its way back take.
 const (
-	assumedWay       = 2 * time.Millisecond // to a caller, if it is not known
-	writingTime      = 2 * time.Millisecond
-	writingTimeShare = 0.05 // of the aim
+	assumedOneWay  = 2 * time.Millisecond // to a caller, if it is not known
+	writeTime      = 2 * time.Millisecond
+	writeTimeShare = 0.05 // of the aim
 )
 
 // answerBy is when the answer to a request that began at a time has to leave.
 func (p callerPath) answerBy(began time.Time, aim time.Duration) time.Time {
-	way := p.way
+	way := p.oneWay
 	if way == 0 {
-		way = assumedWay
+		way = assumedOneWay
 	}
-	early := way + writingTime + time.Duration(writingTimeShare*float64(aim))
+	early := way + writeTime + time.Duration(writeTimeShare*float64(aim))
 	return began.Add(max(aim-early, aim/2))
 }
 
-// keep forgets the routes that a manifest does not name.
-func (t *spentTimes) keep(m *routing.Manifest) {
+// prune forgets the routes that a manifest does not name.
+func (t *elapsedTimes) prune(m *routing.Manifest) {
 	names := make(map[string]bool, len(m.Routes))
 	for _, route := range m.Routes {
 		names[route.Name] = true
--- a/edge/spent_test.go
+++ b/edge/spent_test.go
@@ -11,26 +11,26 @@
 
 // Guards against answers that leave in time by the VM's clock and are late by that of a caller,
 // who had to open a connection first.
-func TestAnswerComesInTimeOverANewConnection(t *testing.T) {
+func TestAnswerLeavesInTimeOverNewConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const aim, way = 80 * time.Millisecond, 3 * time.Millisecond
-	spent := newSpentTimes()
+	spent := newElapsedTimes()
 	now := time.Unix(1_000_000, 0)
-	g.Expect(spent.of(now, "check", 1200*time.Millisecond)).To(gomega.BeZero())
-	missing := spent.of(now, "check", 1191*time.Millisecond)
+	g.Expect(spent.observe(now, "check", 1200*time.Millisecond)).To(gomega.BeZero())
+	missing := spent.observe(now, "check", 1191*time.Millisecond)
 	g.Expect(missing).To(gomega.Equal(9 * time.Millisecond))
 	var unknown callerPath
-	began := now.Add(-unknown.spent(missing, aim))
+	began := now.Add(-unknown.elapsed(missing, aim))
 	g.Expect(began).To(gomega.Equal(now.Add(-missing)))
 	g.Expect(unknown.answerBy(began, aim).Add(way)).To(gomega.BeTemporally("<", began.Add(aim)))
 	// One that repeats after a failure gets the whole time anew.
-	repeat := spent.of(now, "check", 900*time.Millisecond)
-	g.Expect(unknown.spent(repeat, aim)).To(gomega.BeZero())
+	repeat := spent.observe(now, "check", 900*time.Millisecond)
+	g.Expect(unknown.elapsed(repeat, aim)).To(gomega.BeZero())
 }
 
 // Guards against late answers where requests of a route are so rare that no other caller's
 // stated time is known: the connection itself tells what its caller spent.
-func TestAnswerComesInTimeToTheOnlyCallerOfARoute(t *testing.T) {
+func TestAnswerLeavesInTimeForOnlyCallerOfRoute(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const aim, way = 50 * time.Millisecond, 3 * time.Millisecond
 	now := time.Unix(1_000_000, 0)
@@ -38,18 +38,18 @@
 	ctx := withCallerConn(t.Context(), conn)
 	leaves := func(arrived time.Time) time.Duration {
 		path := callerPathOf(ctx, arrived)
-		return path.answerBy(arrived.Add(-path.spent(0, aim)), aim).Sub(arrived)
+		return path.answerBy(arrived.Add(-path.elapsed(0, aim)), aim).Sub(arrived)
 	}
 	toConnect := 2 * way
 	g.Expect(toConnect + way + leaves(now) + way).To(gomega.BeNumerically("<", aim))
 	g.Expect(way + leaves(now.Add(time.Second)) + way).To(gomega.BeNumerically("<", aim))
 	g.Expect(leaves(now.Add(time.Second))).To(gomega.Equal(leaves(now) + toConnect))
-	noteCallerState(conn, http.StateIdle)
+	trackCallerState(conn, http.StateIdle)
 	g.Expect(leaves(now)).To(gomega.Equal(leaves(now.Add(time.Second))), "the connection was there")
 }
 
 // Guards against a round trip that the kernel is asked for in vain.
-func TestRoundTripOfAConnectionIsKnown(t *testing.T) {
+func TestConnectionRoundTripIsMeasured(t *testing.T) {
 	g := gomega.NewWithT(t)
 	socket, err := listen("127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -64,14 +64,14 @@
 }
 
 // Callers of a route come to wait for less. They are not taken to have lost time for ever.
-func TestLongestWaitIsForgotten(t *testing.T) {
+func TestLongestTimeoutExpires(t *testing.T) {
 	g := gomega.NewWithT(t)
-	spent := newSpentTimes()
+	spent := newElapsedTimes()
 	now := time.Unix(1_000_000, 0)
-	spent.of(now, "check", time.Second)
+	spent.observe(now, "check", time.Second)
 	for range 3 {
-		now = now.Add(waitPeriod)
-		spent.of(now, "check", 990*time.Millisecond)
+		now = now.Add(timeoutPeriod)
+		spent.observe(now, "check", 990*time.Millisecond)
 	}
-	g.Expect(spent.of(now, "check", 990*time.Millisecond)).To(gomega.BeZero())
+	g.Expect(spent.observe(now, "check", 990*time.Millisecond)).To(gomega.BeZero())
 }
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -17,13 +17,13 @@
 }
 
 type attemptEnd struct {
-	why scatter.Why
+	why scatter.AttemptReason
 	end scatter.End
 }
 
 func newStats() *stats {
 	s := &stats{set: metrics.NewSet(), attempts: make(map[attemptEnd]*metrics.Counter)}
-	for _, why := range []scatter.Why{scatter.First, scatter.Retry, scatter.Hedge} {
+	for _, why := range []scatter.AttemptReason{scatter.FirstAttempt, scatter.Retry, scatter.Hedge} {
 		for end, name := range endNames {
 			text := fmt.Sprintf(`bramley_edge_attempts_total{why=%q,end=%q}`, why, name)
 			s.attempts[attemptEnd{why, end}] = s.set.NewCounter(text)
@@ -45,10 +45,10 @@
 	scatter.EndMoved:       "moved",
 	scatter.EndFailed:      "failed",
 	scatter.EndExpired:     "expired",
-	scatter.EndUnbegun:     "unbegun",
+	scatter.EndNotStarted:  "unbegun",
 }
 
-func (s *stats) attempt(why scatter.Why, end scatter.End) {
+func (s *stats) attempt(why scatter.AttemptReason, end scatter.End) {
 	s.attempts[attemptEnd{why, end}].Inc()
 }
 
--- a/edge/store.go
+++ b/edge/store.go
@@ -14,35 +14,35 @@
 // Revision is a state of the store. It only rises.
 type Revision int64
 
-// ErrHistoryGone is the answer to a watch from a revision that the store has
+// ErrHistoryCompacted is the answer to a watch from a revision that the store has
 // forgotten; a listing has to be read again.
-var ErrHistoryGone = errors.New("edge: the store has forgotten this revision")
+var ErrHistoryCompacted = errors.New("edge: the store has forgotten this revision")
 
-// Listing is the whole list of leafs.
-type Listing struct {
-	Leafs []registry.Leaf
-	Bad   int // entries that name no leaf
-	At    Revision
+// LeafList is the whole list of leafs.
+type LeafList struct {
+	Leafs    []registry.Leaf
+	Invalid  int // entries that name no leaf
+	Revision Revision
 	// AfterOutage: the store may have been away since the listing before.
 	AfterOutage bool
 }
 
 // LeafChanges is what changed in the list of leafs.
 type LeafChanges struct {
-	Changes []registry.Change
-	At      Revision // to watch from next
+	Changes  []registry.Change
+	Revision Revision // to watch from next
 }
 
 // VMChanges is what changed in the list of VMs, the last word on each.
 type VMChanges struct {
-	Present []scatter.VM
-	Gone    []string // names
-	At      Revision // to watch from next
+	Present  []scatter.VM
+	Deleted  []string // names
+	Revision Revision // to watch from next
 }
 
 // Store is what the users' platform keeps and tells. Each call has a bounded time.
 type Store interface {
-	Leafs(ctx context.Context) (Listing, error)
+	Leafs(ctx context.Context) (LeafList, error)
 	// WatchLeafs waits for changes after a revision, at most for wait.
 	WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error)
 	// Manifest returns nil if there is none yet.
@@ -57,8 +57,8 @@
 	Withdraw(ctx context.Context, name string) error
 }
 
-// LeafWord is what a leaf's answer says beside its body.
-type LeafWord struct {
+// LeafMetadata is what a leaf's answer says beside its body.
+type LeafMetadata struct {
 	RequestID string // that it answers
 	Receipt   string // proof that the leaf ran the request and gave this answer
 	NotRun    bool   // the leaf states that it did not run the request
@@ -77,7 +77,7 @@
 	ToLeaf(leaf scatter.LeafID, left time.Duration) http.Header
 	// Own returns the names of a caller's headers that ToLeaf replaces.
 	Own() []string
-	FromLeaf(status int, h http.Header) LeafWord
+	FromLeaf(status int, h http.Header) LeafMetadata
 	// Gathered returns the headers of the answer to a gathered request.
 	Gathered(receipts []string, missing int) http.Header
 }
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -12,45 +12,45 @@
 // slot of its leaf for some milliseconds and a request the same time; after a start of
 // all VMs at once, requests would wait for some hundred of them.
 const (
-	warmPeriod = time.Second
-	warmPace   = 8 * time.Millisecond // between two connections
+	warmInterval  = time.Second
+	warmDialPause = 8 * time.Millisecond // between two connections
 )
 
-// warm keeps a connection to each leaf of this VM's part, and to each VM that it calls.
-func (n *Node) warm(ctx context.Context) {
+// warmConns keeps a connection to each leaf of this VM's part, and to each VM that it calls.
+func (n *Node) warmConns(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, warmPeriod)
-		for _, peer := range n.engine.unused() {
+		sleep(ctx, warmInterval)
+		for _, peer := range n.engine.unusedLeafPeers() {
 			// Whether a leaf can be reached shows when it is needed.
 			if err := n.engine.pool.Warm(ctx, peer); err != nil {
 				n.log.Debug("no connection to a leaf", "leaf", peer.Key, "error", err)
 			}
-			sleep(ctx, warmPace)
+			sleep(ctx, warmDialPause)
 		}
-		n.engine.warmPartners(ctx)
+		n.engine.warmDelegates(ctx)
 	}
 }
 
-func (e *Engine) unused() []leafhttp.Peer {
+func (e *Engine) unusedLeafPeers() []leafhttp.Peer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var peers []leafhttp.Peer
-	for _, l := range e.table.Unused() {
+	for _, l := range e.table.UnusedLeafs() {
 		key := poolKey(scatter.LeafID{ID: l.ID, Born: l.Born})
 		peers = append(peers, leafhttp.Peer{Key: key, Address: l.Address})
 	}
 	return peers
 }
 
-func (e *Engine) warmPartners(ctx context.Context) {
+func (e *Engine) warmDelegates(ctx context.Context) {
 	e.mu.Lock()
-	partners := e.table.Partners(time.Now())
-	d := e.peers
+	partners := e.table.Delegates(time.Now())
+	d := e.peerClient
 	e.mu.Unlock()
 	for _, vm := range partners {
 		// Whether a VM can be reached shows when it is called.
 		if opened, _ := d.connect(ctx, vm); opened {
-			sleep(ctx, warmPace)
+			sleep(ctx, warmDialPause)
 		}
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -127,7 +127,7 @@
 		Seeds:       n.set.Seeds,
 		Store:       n.store,
 		Heads:       n.keeper,
-		Calls:       n.serveCall,
+		CallHandler: n.serveCall,
 		Log:         logging.Part(n.log, "peer"),
 	})
 	return errors.Trace(err)
@@ -163,7 +163,7 @@
 		Metrics: n.metrics,
 	})
 	n.engine = query.NewEngine(query.Options{
-		Leaves:  n.health.Calls(n.router),
+		Leaves:  n.health.CheckCalls(n.router),
 		Zone:    n.set.Zone,
 		Seed:    uint64(n.started.UnixNano()),
 		Log:     logging.Part(n.log, "query"),
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -64,19 +64,19 @@
 	Store objstore.Store // for the list of VMs
 	Heads Heads
 	Log   *slog.Logger
-	// Calls serves connections that other VMs open for calls to leaves; may be
+	// CallHandler serves connections that other VMs open for calls to leaves; may be
 	// nil.
-	Calls wire.Handler
+	CallHandler wire.Handler
 	// DialContext opens TCP connections; default net.Dialer's.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
-	Interval     time.Duration // between comparisons of digests; default 1 s
-	Fanout       int           // connections that this VM opens; default 4
-	MaxInbound   int           // connections of others that it keeps; default 16
-	Rotate       time.Duration // after which one connection is replaced; default 60 s
-	SuspectAfter time.Duration // a suspected VM's time to answer; default 3 s
-	ListInterval time.Duration // between reads of the VM list by watching VMs; default 5 s
-	PingInterval time.Duration // of idle connections; default 2 s
+	Interval       time.Duration // between comparisons of digests; default 1 s
+	Fanout         int           // connections that this VM opens; default 4
+	MaxInbound     int           // connections of others that it keeps; default 16
+	RotateInterval time.Duration // after which one connection is replaced; default 60 s
+	SuspectAfter   time.Duration // a suspected VM's time to answer; default 3 s
+	ListInterval   time.Duration // between reads of the VM list by watching VMs; default 5 s
+	PingInterval   time.Duration // of idle connections; default 2 s
 }
 
 const (
@@ -88,16 +88,16 @@
 	defaultListInterval = 5 * time.Second
 	defaultPingInterval = 2 * time.Second
 
-	// listSlowdown is how much more seldom a VM that doesn't watch reads the
+	// nonWatcherListFactor is how much more seldom a VM that doesn't watch reads the
 	// platform's list.
-	listSlowdown = 12
+	nonWatcherListFactor = 12
 )
 
 func (o Options) withDefaults() Options {
 	defaults.Positive(&o.Interval, defaultInterval)
 	defaults.Positive(&o.Fanout, defaultFanout)
 	defaults.Positive(&o.MaxInbound, defaultMaxInbound)
-	defaults.Positive(&o.Rotate, defaultRotate)
+	defaults.Positive(&o.RotateInterval, defaultRotate)
 	defaults.Positive(&o.SuspectAfter, defaultSuspectAfter)
 	defaults.Positive(&o.ListInterval, defaultListInterval)
 	defaults.Positive(&o.PingInterval, defaultPingInterval)
@@ -109,35 +109,35 @@
 
 // Exchange is this VM's part of the exchange. It is safe for concurrent use.
 type Exchange struct {
-	tomb    tomb.Tomb
-	opts    Options
-	count   wire.Counters
-	server  *wire.Server
-	metrics *metrics.Set
-	begun   time.Time
-	started int64         // begun by the wall clock, in Unix nanoseconds
-	pull    chan struct{} // wakes the loop that gets newer heads
+	tomb       tomb.Tomb
+	opts       Options
+	count      wire.Counters
+	server     *wire.Server
+	metrics    *metrics.Set
+	startTime  time.Time
+	startNanos int64         // begun by the wall clock, in Unix nanoseconds
+	pullWake   chan struct{} // wakes the loop that gets newer heads
 
 	healthChanged chan struct{} // there is news of targets' health
 
-	mu            sync.Mutex // guards everything below
-	table         *facts.Table
-	self          facts.Member
-	replaced      bool // a newer process carries this VM's name
-	listed        []objstore.VM
-	live          []objstore.VM       // nil if it has to be worked out anew
-	places        map[int]objstore.VM // the same
-	links         map[*link]struct{}
-	dialing       map[string]bool      // addresses
-	suspects      map[string]time.Time // VM to when this VM heard of the suspicion
-	accused       map[string]time.Time // VM to when this VM last suspected it
-	rotated       time.Time
-	lastTick      time.Time
-	told          uint64 // revision last passed on
-	drainsChanged chan struct{}
-	drainLearned  time.Time           // when a drain was last learned
-	healthNews    map[string]struct{} // targets of which something was learned
-	healthLearned time.Time           // when something was last learned of a target
+	mu                sync.Mutex // guards everything below
+	table             *facts.Table
+	self              facts.Member
+	replaced          bool // a newer process carries this VM's name
+	listed            []objstore.VM
+	liveCache         []objstore.VM       // nil if it has to be worked out anew
+	placeCache        map[int]objstore.VM // the same
+	links             map[*link]struct{}
+	dialing           map[string]bool      // addresses
+	suspectedSince    map[string]time.Time // VM to when this VM heard of the suspicion
+	lastSuspected     map[string]time.Time // VM to when this VM last suspected it
+	lastRotation      time.Time
+	lastTick          time.Time
+	announcedRevision uint64 // revision last passed on
+	drainsChanged     chan struct{}
+	lastDrainLearned  time.Time           // when a drain was last learned
+	changedTargets    map[string]struct{} // targets of which something was learned
+	lastHealthLearned time.Time           // when something was last learned of a target
 }
 
 // New returns an Exchange that Start sets to work.
@@ -146,26 +146,26 @@
 		return nil, errors.NotValidf("exchange without VM name, incarnation or deployment")
 	}
 	x := &Exchange{
-		opts:          o.withDefaults(),
-		begun:         time.Now(),
-		pull:          make(chan struct{}, 1),
-		table:         facts.NewTable(),
-		links:         map[*link]struct{}{},
-		dialing:       map[string]bool{},
-		suspects:      map[string]time.Time{},
-		accused:       map[string]time.Time{},
-		drainsChanged: make(chan struct{}),
-		healthNews:    map[string]struct{}{},
-		healthChanged: make(chan struct{}, 1),
+		opts:           o.withDefaults(),
+		startTime:      time.Now(),
+		pullWake:       make(chan struct{}, 1),
+		table:          facts.NewTable(),
+		links:          map[*link]struct{}{},
+		dialing:        map[string]bool{},
+		suspectedSince: map[string]time.Time{},
+		lastSuspected:  map[string]time.Time{},
+		drainsChanged:  make(chan struct{}),
+		changedTargets: map[string]struct{}{},
+		healthChanged:  make(chan struct{}, 1),
 	}
-	x.started = x.begun.UnixNano()
+	x.startNanos = x.startTime.UnixNano()
 	x.metrics = x.newMetrics()
 	return x, nil
 }
 
 // Start listens for peers and begins the exchange.
 func (x *Exchange) Start() error {
-	server, err := wire.Listen(x.opts.Listen, x.wireOptions(), &x.count, x.accepted)
+	server, err := wire.Listen(x.opts.Listen, x.wireOptions(), &x.count, x.handleAccepted)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -177,14 +177,14 @@
 	x.self = facts.Member{
 		Name:        x.opts.VM.Name,
 		Incarnation: x.opts.Incarnation,
-		Started:     x.started,
+		Started:     x.startNanos,
 		Address:     x.opts.VM.Address,
 		Ops:         x.opts.VM.Ops,
 		Zone:        x.opts.VM.Zone,
 	}
 	x.table.Merge(facts.Fact{Member: &x.self}, time.Now().Unix())
 	x.lastTick = time.Now()
-	x.rotated = x.lastTick
+	x.lastRotation = x.lastTick
 	x.mu.Unlock()
 	x.tomb.Go(x.run)
 	return nil
@@ -192,7 +192,7 @@
 
 func (x *Exchange) run() error {
 	x.tomb.Go(x.readList)
-	x.tomb.Go(x.noticeHead)
+	x.tomb.Go(x.announceRevisions)
 	x.tomb.Go(x.pullHeads)
 	ticker := time.NewTicker(x.opts.Interval)
 	defer ticker.Stop()
@@ -236,7 +236,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if f, fresh := x.table.AddDrain(d.Target, d.Incarnation, now); fresh {
-		x.spread(f, nil)
+		x.forward(f, nil)
 		x.signalDrains()
 	}
 }
@@ -263,7 +263,7 @@
 
 // signalDrains must hold mu.
 func (x *Exchange) signalDrains() {
-	x.drainLearned = time.Now()
+	x.lastDrainLearned = time.Now()
 	close(x.drainsChanged)
 	x.drainsChanged = make(chan struct{})
 }
@@ -276,7 +276,7 @@
 		return
 	}
 	x.self.State = facts.Leaving
-	x.sayOwn(x.self.Counter)
+	x.publishSelf(x.self.Counter)
 }
 
 // SetPlace tells the others which of the fleet's places this VM holds, counted
@@ -286,7 +286,7 @@
 	defer x.mu.Unlock()
 	if place = max(place, -1) + 1; x.self.Place != place {
 		x.self.Place = place
-		x.sayOwn(x.self.Counter)
+		x.publishSelf(x.self.Counter)
 	}
 }
 
@@ -295,15 +295,15 @@
 func (x *Exchange) Places() map[int]objstore.VM {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.places == nil {
-		x.places = placesOf(x.table.Members())
+	if x.placeCache == nil {
+		x.placeCache = placeHolders(x.table.Members())
 	}
-	return x.places
+	return x.placeCache
 }
 
-// changed notes that the VMs known, or the platform's list, have changed. It must
+// invalidateCaches notes that the VMs known, or the platform's list, have invalidateCaches. It must
 // hold mu.
-func (x *Exchange) changed() { x.live, x.places = nil, nil }
+func (x *Exchange) invalidateCaches() { x.liveCache, x.placeCache = nil, nil }
 
 // Gone tells whether a process is known to have ended or to have been replaced.
 func (x *Exchange) Gone(vm, incarnation string) bool {
@@ -324,10 +324,10 @@
 
 // liveLocked must hold mu. Its result must not be changed.
 func (x *Exchange) liveLocked() []objstore.VM {
-	if x.live == nil {
-		x.live = liveVMs(x.listed, x.table.Members())
+	if x.liveCache == nil {
+		x.liveCache = liveVMs(x.listed, x.table.Members())
 	}
-	return x.live
+	return x.liveCache
 }
 
 // Watching tells whether this VM is one of those that watch the platform and
@@ -335,7 +335,7 @@
 func (x *Exchange) Watching() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return len(x.links) == 0 || watches(x.liveLocked(), x.opts.VM.Name)
+	return len(x.links) == 0 || isWatcher(x.liveLocked(), x.opts.VM.Name)
 }
 
 // Peers returns the number of VMs that this one is connected to.
@@ -355,14 +355,14 @@
 		if err == nil {
 			x.mu.Lock()
 			x.listed = vms
-			x.changed()
+			x.invalidateCaches()
 			x.mu.Unlock()
 		} else {
 			x.opts.Log.Debug("list of VMs not read", "error", err)
 		}
 		wait := x.opts.ListInterval
 		if !x.Watching() {
-			wait *= listSlowdown
+			wait *= nonWatcherListFactor
 		}
 		wait = wait/2 + rand.N(wait)
 		select {
--- a/peer/exchange_test.go
+++ b/peer/exchange_test.go
@@ -8,11 +8,11 @@
 // patient with each other as daemons are: with the fleet's 200 ms between pings, VMs of a
 // process that got little processor time took each other for silent and never all met.
 func TestRevisionAndDrainReachAllVMs(t *testing.T) {
-	f := newPatientFleet(t, 20)
-	f.connected()
+	f := newDefaultTimeoutFleet(t, 20)
+	f.waitConnected()
 	f.vms[0].heads.set(7)
-	f.everywhere(hasRevision(7))
+	f.waitForAll(hasRevision(7))
 	d := Drain{Target: "target-1", Incarnation: "a"}
 	f.vms[3].LearnDrain(d)
-	f.everywhere(func(vm *testVM) bool { return len(vm.Drains()) == 1 && vm.Drains()[0] == d })
+	f.waitForAll(func(vm *testVM) bool { return len(vm.Drains()) == 1 && vm.Drains()[0] == d })
 }
--- a/peer/facts/health.go
+++ b/peer/facts/health.go
@@ -30,11 +30,11 @@
 	// Opaque is true if what the target says doesn't fit a statement, or, in epoch
 	// 0, if nobody has read it yet. Each VM has to read it for itself.
 	Opaque bool `json:"o,omitempty"`
-	// Unread are the places of the owners that can't read the target. Each owner
+	// UnreadableBy are the places of the owners that can't read the target. Each owner
 	// adds and removes itself only. A target that no live owner can read is lost.
-	Unread []int       `json:"u,omitempty"`
-	Maps   []Map       `json:"m,omitempty"`
-	Leaves [][]Holding `json:"l,omitempty"` // by number of the leaf
+	UnreadableBy []int       `json:"u,omitempty"`
+	Maps         []Map       `json:"m,omitempty"`
+	Leaves       [][]Holding `json:"l,omitempty"` // by number of the leaf
 }
 
 // Stamp orders the statements about one target. An owner makes a statement from
@@ -53,7 +53,7 @@
 // Times are in Unix milliseconds, by the clock of the VM that first stated them.
 type Stamp struct {
 	Epoch       uint64 `json:"e"`
-	Born        int64  `json:"b"`
+	FirstRead   int64  `json:"b"`
 	Incarnation string `json:"i"`
 	Drained     bool   `json:"d,omitempty"`
 	Seq         uint64 `json:"n,omitempty"`
@@ -74,7 +74,7 @@
 // The parts of a Holding.
 const (
 	HoldingMap = iota
-	HoldingFirst
+	HoldingFirstShard
 	HoldingRecords
 )
 
@@ -84,8 +84,8 @@
 	switch {
 	case h.Epoch != other.Epoch:
 		return h.Epoch > other.Epoch
-	case h.Born != other.Born:
-		return h.Born > other.Born
+	case h.FirstRead != other.FirstRead:
+		return h.FirstRead > other.FirstRead
 	case h.Incarnation != other.Incarnation:
 		return h.Incarnation > other.Incarnation
 	case h.Drained != other.Drained:
@@ -187,11 +187,11 @@
 	return e.Health, known
 }
 
-// Healths returns the number of targets of which something is known.
-func (t *Table) Healths() int { return len(t.health) }
+// HealthCount returns the number of targets of which something is known.
+func (t *Table) HealthCount() int { return len(t.health) }
 
-// Holds tells whether the table has exactly this fact.
-func (t *Table) Holds(f Fact) bool {
+// Contains tells whether the table has exactly this fact.
+func (t *Table) Contains(f Fact) bool {
 	if f.Health != nil {
 		e, known := t.health[f.Health.Target]
 		return known && e.Stamp == f.Health.Stamp && e.hash == f.hash()
--- a/peer/facts/health_test.go
+++ b/peer/facts/health_test.go
@@ -22,15 +22,15 @@
 		Target: rapid.SampledFrom(testTargets).Draw(t, "target"),
 		Stamp: Stamp{
 			Epoch:       rapid.Uint64Range(1, 3).Draw(t, "epoch"),
-			Born:        rapid.Int64Range(0, 1).Draw(t, "born"),
+			FirstRead:   rapid.Int64Range(0, 1).Draw(t, "born"),
 			Incarnation: fmt.Sprint("i", rapid.IntRange(0, 1).Draw(t, "incarnation")),
 			Drained:     rapid.Bool().Draw(t, "drained"),
 			Seq:         rapid.Uint64Range(0, 3).Draw(t, "seq"),
 			At:          rapid.Int64Range(0, 2).Draw(t, "at"),
 		},
-		Maps:   []Map{{"s", 1, 4}},
-		Leaves: [][]Holding{{{0, 0, rapid.Int64Range(0, 2).Draw(t, "records")}}},
-		Unread: rapid.SliceOfN(rapid.IntRange(0, 3), 0, 2).Draw(t, "unread"),
+		Maps:         []Map{{"s", 1, 4}},
+		Leaves:       [][]Holding{{{0, 0, rapid.Int64Range(0, 2).Draw(t, "records")}}},
+		UnreadableBy: rapid.SliceOfN(rapid.IntRange(0, 3), 0, 2).Draw(t, "unread"),
 	}
 	if h.Drained {
 		h.State = Draining
@@ -38,7 +38,7 @@
 	return h
 }
 
-func mergeHealthWatched(t *rapid.T, table *Table, f Fact) {
+func mergeHealthChecked(t *rapid.T, table *Table, f Fact) {
 	before, known := table.Health(f.Health.Target)
 	news := table.Merge(f, now)
 	after, _ := table.Health(f.Health.Target)
@@ -48,11 +48,11 @@
 	if known && after.Epoch < before.Epoch {
 		t.Fatalf("%v: an earlier incarnation than %v", after, before)
 	}
-	same := after.Epoch == before.Epoch && after.Born == before.Born && after.Incarnation == before.Incarnation
+	same := after.Epoch == before.Epoch && after.FirstRead == before.FirstRead && after.Incarnation == before.Incarnation
 	if known && before.Drained && same && !after.Drained {
 		t.Fatalf("%v is no more drained in %v", before, after)
 	}
-	if news != (!known || !table.Holds(Fact{Health: &before})) {
+	if news != (!known || !table.Contains(Fact{Health: &before})) {
 		t.Fatalf("news %v, but %v was followed by %v", news, before, after)
 	}
 }
@@ -82,7 +82,7 @@
 	empty := table.Root(Targets)
 	g.Expect(table.Merge(Fact{Health: &h}, now)).To(BeTrue())
 	g.Expect(table.SetTargets([]string{"t1"})).To(BeTrue())
-	g.Expect(table.Healths()).To(BeZero())
+	g.Expect(table.HealthCount()).To(BeZero())
 	g.Expect(table.Root(Targets)).To(Equal(empty))
 	g.Expect(table.Merge(Fact{Health: &h}, now)).To(BeFalse())
 }
--- a/peer/facts/table.go
+++ b/peer/facts/table.go
@@ -9,20 +9,20 @@
 // Buckets is the number of buckets of each Part, whose digests are compared.
 const Buckets = 64
 
-// Part is a part of a table that is compared on its own.
-type Part int
+// Section is a part of a table that is compared on its own.
+type Section int
 
-// The parts. What is known of targets depends on the bundle in force, so that
+// The sectionCount. What is known of targets depends on the bundle in force, so that
 // two VMs can compare it only while they have the same one.
 const (
-	General Part = iota // VMs and drains
-	Targets             // health of targets
-	parts
+	General Section = iota // VMs and drains
+	Targets                // health of targets
+	sectionCount
 )
 
 const (
-	// drainsPerTarget bounds what is kept of one target: its newest drains.
-	drainsPerTarget = 4
+	// maxDrainsPerTarget bounds what is kept of one target: its newest drains.
+	maxDrainsPerTarget = 4
 	// forgetAfter is for how long a lost VM is remembered, so that the table
 	// doesn't grow with every VM that was ever replaced. It is far longer than
 	// a late message about that VM can be under way.
@@ -33,10 +33,10 @@
 type Table struct {
 	drains  map[string][]Drain // by target, the newest first
 	members map[string]Member
-	health  map[string]healthEntry       // by target
-	targets map[string]struct{}          // of the bundle in force
-	lost    int                          // members that are lost
-	digest  [Buckets * int(parts)]uint64 // XOR of the hashes of the facts in each bucket
+	health  map[string]healthEntry              // by target
+	targets map[string]struct{}                 // of the bundle in force
+	lost    int                                 // members that are lost
+	digest  [Buckets * int(sectionCount)]uint64 // XOR of the hashes of the facts in each bucket
 }
 
 // Entry is the digest of one fact.
@@ -90,7 +90,7 @@
 	if at >= 0 && !d.outranks(list[at]) {
 		return false
 	}
-	if at < 0 && len(list) == drainsPerTarget && !d.outranks(list[len(list)-1]) {
+	if at < 0 && len(list) == maxDrainsPerTarget && !d.outranks(list[len(list)-1]) {
 		return false
 	}
 	for i := range list {
@@ -106,7 +106,7 @@
 		}
 		return 1
 	})
-	list = list[:min(len(list), drainsPerTarget)]
+	list = list[:min(len(list), maxDrainsPerTarget)]
 	for i := range list {
 		t.toggle(Fact{Drain: &list[i]})
 	}
@@ -137,8 +137,8 @@
 	}
 }
 
-// Lost returns the number of VMs that are lost and not yet forgotten.
-func (t *Table) Lost() int { return t.lost }
+// LostCount returns the number of VMs that are lost and not yet forgotten.
+func (t *Table) LostCount() int { return t.lost }
 
 // Expire forgets VMs that were lost long ago, and tells whether there were any.
 func (t *Table) Expire(now int64) bool {
@@ -190,7 +190,7 @@
 }
 
 // Root is the digest of a whole part.
-func (t *Table) Root(part Part) uint64 {
+func (t *Table) Root(part Section) uint64 {
 	var root uint64
 	for i, d := range t.buckets(part) {
 		root ^= d*uint64(2*i+1) + uint64(i)
@@ -198,13 +198,13 @@
 	return root
 }
 
-func (t *Table) buckets(part Part) []uint64 {
+func (t *Table) buckets(part Section) []uint64 {
 	first := int(part) * Buckets
 	return t.digest[first : first+Buckets]
 }
 
 // Digest returns the digests of a part's buckets, eight bytes each.
-func (t *Table) Digest(part Part) []byte {
+func (t *Table) Digest(part Section) []byte {
 	buf := make([]byte, 0, 8*Buckets)
 	for _, d := range t.buckets(part) {
 		buf = binary.LittleEndian.AppendUint64(buf, d)
@@ -213,7 +213,7 @@
 }
 
 // Differing returns a part's buckets whose digests differ from the other's.
-func (t *Table) Differing(part Part, digest []byte) []int {
+func (t *Table) Differing(part Section, digest []byte) []int {
 	if len(digest) != 8*Buckets {
 		return nil
 	}
@@ -229,7 +229,7 @@
 // Entries returns the digests of the facts in some buckets.
 func (t *Table) Entries(buckets []int) []Entry {
 	var list []Entry
-	t.each(buckets, func(f Fact, hash uint64) { list = append(list, Entry{f.Key(), hash}) })
+	t.eachFact(buckets, func(f Fact, hash uint64) { list = append(list, Entry{f.Key(), hash}) })
 	return list
 }
 
@@ -241,7 +241,7 @@
 	for _, e := range entries {
 		theirs[e.Key] = e.Hash
 	}
-	t.each(buckets, func(f Fact, own uint64) {
+	t.eachFact(buckets, func(f Fact, own uint64) {
 		hash, known := theirs[f.Key()]
 		if !known || hash != own {
 			give = append(give, f)
@@ -282,9 +282,9 @@
 	return list
 }
 
-// each calls f with the facts of some buckets and their hashes.
-func (t *Table) each(buckets []int, f func(Fact, uint64)) {
-	var wanted [Buckets * int(parts)]bool
+// eachFact calls f with the facts of some buckets and their hashes.
+func (t *Table) eachFact(buckets []int, f func(Fact, uint64)) {
+	var wanted [Buckets * int(sectionCount)]bool
 	for _, b := range buckets {
 		if b >= 0 && b < len(wanted) {
 			wanted[b] = true
--- a/peer/facts/table_test.go
+++ b/peer/facts/table_test.go
@@ -53,14 +53,14 @@
 			f := drawFact(t)
 			for _, table := range []*Table{a, b} {
 				for range rapid.IntRange(0, 2).Draw(t, "times") {
-					mergeWatched(t, table, f)
+					mergeChecked(t, table, f)
 				}
 			}
 		}
 		for range 5 {
 			exchange(a, b)
 		}
-		for part := range parts {
+		for part := range sectionCount {
 			if a.Root(part) != b.Root(part) || len(a.Differing(part, b.Digest(part))) != 0 {
 				t.Fatalf("tables differ:\n%v %v %v\n%v %v %v", a.members, a.drains, a.health, b.members, b.drains, b.health)
 			}
@@ -71,9 +71,9 @@
 	})
 }
 
-func mergeWatched(t *rapid.T, table *Table, f Fact) {
+func mergeChecked(t *rapid.T, table *Table, f Fact) {
 	if f.Health != nil {
-		mergeHealthWatched(t, table, f)
+		mergeHealthChecked(t, table, f)
 		return
 	}
 	var before Member
@@ -86,7 +86,7 @@
 			t.Fatalf("%v set back to %v", before, after)
 		}
 	}
-	if f.Drain != nil && len(table.drains[f.Drain.Target]) > drainsPerTarget {
+	if f.Drain != nil && len(table.drains[f.Drain.Target]) > maxDrainsPerTarget {
 		t.Fatal("more drains of a target than the bound")
 	}
 }
@@ -110,8 +110,8 @@
 		for _, e := range table.health {
 			fresh.Merge(Fact{Health: &e.Health}, now)
 		}
-		if fresh.Lost() != table.Lost() {
-			t.Fatalf("%d lost counted, %d found", table.Lost(), fresh.Lost())
+		if fresh.LostCount() != table.LostCount() {
+			t.Fatalf("%d lost counted, %d found", table.LostCount(), fresh.LostCount())
 		}
 		if fresh.Root(General) != table.Root(General) || fresh.Root(Targets) != table.Root(Targets) {
 			t.Fatal("digest doesn't follow the content")
@@ -125,7 +125,7 @@
 func TestFastClockDoesNotHideDrains(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable()
-	for i := range drainsPerTarget {
+	for i := range maxDrainsPerTarget {
 		table.AddDrain("t", fmt.Sprint("fast-", i), now+365*86400)
 	}
 	_, fresh := table.AddDrain("t", "later", now)
@@ -158,6 +158,6 @@
 		g.Expect(table.Merge(f, now)).To(BeFalse())
 	}
 	g.Expect(table.Differing(General, []byte("short"))).To(BeEmpty())
-	_, want := table.Compare([]int{-1, int(parts) * Buckets, 0}, []Entry{{"nonsense", 1}})
+	_, want := table.Compare([]int{-1, int(sectionCount) * Buckets, 0}, []Entry{{"nonsense", 1}})
 	g.Expect(table.Facts(want)).To(BeEmpty())
 }
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -47,108 +47,108 @@
 	return left, right, group
 }
 
-// TestSplitAndJoin: two regions lose each other. An operator rolls out a bundle
+// TestPartitionAndMerge: two regions lose each other. An operator rolls out a bundle
 // and a target drains on one side; users of the other side are still served by
 // the old bundle. When the regions join, the other side has to take both without
 // anybody's help, though each VM there counts the first side's VMs as lost.
-func TestSplitAndJoin(t *testing.T) {
+func TestPartitionAndMerge(t *testing.T) {
 	f := newFleet(t, 8)
-	f.connected()
+	f.waitConnected()
 	f.vms[0].heads.set(1)
-	f.everywhere(hasRevision(1))
+	f.waitForAll(hasRevision(1))
 	left, right, group := f.halves()
 	f.net.split(group)
-	f.everywhere(func(vm *testVM) bool { return len(vm.Live()) == len(left) })
+	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == len(left) })
 	left[0].heads.set(2)
 	left[0].LearnDrain(Drain{"t", "1"})
 	right[0].LearnDrain(Drain{"t", "2"})
-	f.everywhere(hasRevision(2), left...)
+	f.waitForAll(hasRevision(2), left...)
 	for _, vm := range right {
 		f.g.Expect(vm.heads.Revision()).To(Equal(uint64(1)))
 	}
 	f.net.split(nil)
-	f.everywhere(func(vm *testVM) bool {
+	f.waitForAll(func(vm *testVM) bool {
 		return vm.heads.Revision() == 2 && len(vm.Drains()) == 2 && len(vm.Live()) == len(f.vms)
 	})
 }
 
-// TestJoinAfterTheLostWereForgotten: two regions lose each other for so long that
+// TestMergeAfterLostVMsAreForgotten: two regions lose each other for so long that
 // each forgets the other's VMs. They must still find each other once they can,
 // or users of one of them would stay with an old bundle for good. Each side is
 // made to forget; the time itself is not waited for.
-func TestJoinAfterTheLostWereForgotten(t *testing.T) {
+func TestMergeAfterLostVMsAreForgotten(t *testing.T) {
 	f := newFleet(t, 8)
-	f.connected()
+	f.waitConnected()
 	left, _, group := f.halves()
 	f.net.split(group)
-	f.everywhere(func(vm *testVM) bool { return len(vm.Live()) == len(left) })
+	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == len(left) })
 	left[0].heads.set(2)
-	f.everywhere(hasRevision(2), left...)
+	f.waitForAll(hasRevision(2), left...)
 	const longer = time.Hour
 	for _, vm := range f.vms {
 		vm.mu.Lock()
 		f.g.Expect(vm.table.Expire(time.Now().Add(longer).Unix())).To(BeTrue())
-		vm.changed()
+		vm.invalidateCaches()
 		vm.mu.Unlock()
 	}
 	f.net.split(nil)
-	f.everywhere(func(vm *testVM) bool {
+	f.waitForAll(func(vm *testVM) bool {
 		return vm.heads.Revision() == 2 && len(vm.Live()) == len(f.vms)
 	})
 }
 
-// TestLostAreLookedForWithoutTheList: while the platform is down two VMs lose
+// TestLostVMsAreRedialledWithoutPlatformList: while the platform is down two VMs lose
 // each other, and the only VM that either was given as a seed is replaced. Both
 // then know the other only as lost, from what peers told. Users of one of them
 // would stay with an old bundle until the platform is back.
-func TestLostAreLookedForWithoutTheList(t *testing.T) {
+func TestLostVMsAreRedialledWithoutPlatformList(t *testing.T) {
 	f := newFleet(t, 0)
 	f.list.down = true
 	seed := f.start("seed", nil)
 	withSeed := func(o *Options) { o.Seeds = []string{seed.Address()} }
 	here, there := f.start("here", withSeed), f.start("there", withSeed)
-	f.connected()
+	f.waitConnected()
 	f.net.split(map[string]int{there.Address(): 1})
-	f.everywhere(func(vm *testVM) bool { return len(vm.Live()) == 1 }, there)
+	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == 1 }, there)
 	seed.crash()
-	f.everywhere(func(vm *testVM) bool { return len(vm.Live()) == 1 }, here)
+	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == 1 }, here)
 	here.heads.set(2)
 	f.net.split(nil)
-	f.everywhere(func(vm *testVM) bool { return vm.heads.Revision() == 2 && len(vm.Live()) == 2 }, here, there)
+	f.waitForAll(func(vm *testVM) bool { return vm.heads.Revision() == 2 && len(vm.Live()) == 2 }, here, there)
 }
 
-// TestLostThatWereOnlyListedAreFound: two VMs know each other from the platform's
+// TestSuspicionCarriesListedAddress: two VMs know each other from the platform's
 // list alone when they lose each other and the platform. One of them tells a new VM
 // that the other is lost and then dies. Users of the new VM stayed with an old
 // bundle until the platform was back: it knew the lost VM's name, but no address.
-func TestLostThatWereOnlyListedAreFound(t *testing.T) {
+func TestSuspicionCarriesListedAddress(t *testing.T) {
 	f := newFleet(t, 0)
 	there := f.start("there", nil)
 	f.net.split(map[string]int{there.Address(): 1})
 	here := f.start("here", nil)
-	knowsLost := func(vm *testVM) bool { return vm.lost() == 1 }
-	f.everywhere(knowsLost, here)
+	knowsLost := func(vm *testVM) bool { return vm.lostCount() == 1 }
+	f.waitForAll(knowsLost, here)
 	f.list.setDown(true)
 	fresh := f.start("fresh", func(o *Options) { o.Seeds = []string{here.Address()} })
-	f.everywhere(knowsLost, fresh)
+	f.waitForAll(knowsLost, fresh)
 	here.crash()
 	there.heads.set(2)
 	f.net.split(nil)
-	f.everywhere(hasRevision(2), fresh)
+	f.waitForAll(hasRevision(2), fresh)
 }
 
-// TestSplitCutsDialsUnderWay: TestSplitAndJoin failed now and then, with every VM
+// TestSplitCutsPendingDials: TestSplitAndJoin failed now and then, with every VM
 // still counting the other side as live: a dial that began before the split got
 // its connection after it. All suspicions were answered over that one link. The
 // tests' network must cut such a dial too.
-func TestSplitCutsDialsUnderWay(t *testing.T) {
+func TestSplitCutsPendingDials(t *testing.T) {
 	g := NewWithT(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer ln.Close()
 	n := newNetwork()
 	from, to := "here", ln.Addr().String()
-	n.connected = func() { n.split(map[string]int{to: 1}) }
+	n.onConnect = func() { n.split(map[string]int{to: 1}) }
 	conn, err := n.dialer(&from)(t.Context(), "tcp", to)
 	if err == nil {
 		conn.Close()
@@ -168,35 +168,35 @@
 	for i := range 5 {
 		f.start(fmt.Sprint("vm-", i), func(o *Options) { o.Seeds = []string{seed.Address()} })
 	}
-	f.connected()
-	f.everywhere(hasRevision(5))
+	f.waitConnected()
+	f.waitForAll(hasRevision(5))
 }
 
-// TestIslandFindsItsSeed: VMs start together while the platform is down. Two find
+// TestConnectedVMStillDialsSeed: VMs start together while the platform is down. Two find
 // each other before the VM that one of them was given listens. They must go on
 // asking for it: users of an island would get no answer until the platform is
 // back, though another VM has the bundle.
-func TestIslandFindsItsSeed(t *testing.T) {
+func TestConnectedVMStillDialsSeed(t *testing.T) {
 	f := newFleet(t, 0)
 	f.list.down = true
 	late := reservePort(t)
 	first := f.start("first", func(o *Options) { o.Seeds = []string{late} })
 	f.start("second", func(o *Options) { o.Seeds = []string{first.Address()} })
-	f.everywhere(func(vm *testVM) bool { return vm.Peers() == 1 })
+	f.waitForAll(func(vm *testVM) bool { return vm.Peers() == 1 })
 	seed := f.startWith("late", nil, func(x *Exchange) { x.opts.Listen = late })
 	seed.heads.set(5)
-	f.connected()
-	f.everywhere(hasRevision(5))
+	f.waitConnected()
+	f.waitForAll(hasRevision(5))
 }
 
 // TestKilledVM: a VM dies without a word while the platform's list goes on
 // naming it. The others must count it out within seconds, or queries go there.
 func TestKilledVM(t *testing.T) {
 	f := newFleet(t, 6)
-	f.connected()
+	f.waitConnected()
 	dead := f.vms[5]
 	dead.crash()
-	f.everywhere(func(vm *testVM) bool { return !slices.Contains(names(vm.Live()), "vm-005") }, f.vms[:5]...)
+	f.waitForAll(func(vm *testVM) bool { return !slices.Contains(names(vm.Live()), "vm-005") }, f.vms[:5]...)
 }
 
 // crash ends a VM without a goodbye.
@@ -212,27 +212,27 @@
 // take it for lost.
 func TestLeavingVM(t *testing.T) {
 	f := newFleet(t, 5)
-	f.connected()
+	f.waitConnected()
 	f.vms[0].AnnounceLeaving()
-	f.everywhere(func(vm *testVM) bool { return len(vm.Live()) == 4 })
+	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == 4 })
 	f.g.Expect(names(f.vms[0].Live())).NotTo(ContainElement("vm-000"))
 }
 
-// TestCutOffVMComesBack: one VM can't be reached for a while and is counted as
+// TestIsolatedVMReturns: one VM can't be reached for a while and is counted as
 // lost; a rollout happens. When it comes back it says that it lives, by a higher
 // counter, and takes the new revision; what it still believes harms nobody.
-func TestCutOffVMComesBack(t *testing.T) {
+func TestIsolatedVMReturns(t *testing.T) {
 	f := newFleet(t, 6)
-	f.connected()
+	f.waitConnected()
 	f.vms[0].heads.set(3)
-	f.everywhere(hasRevision(3))
+	f.waitForAll(hasRevision(3))
 	rest := f.vms[:5]
 	f.net.split(map[string]int{f.vms[5].Address(): 1})
-	f.everywhere(func(vm *testVM) bool { return len(vm.Live()) == 5 }, rest...)
+	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == 5 }, rest...)
 	f.vms[0].heads.set(4)
-	f.everywhere(hasRevision(4), rest...)
+	f.waitForAll(hasRevision(4), rest...)
 	f.net.split(nil)
-	f.everywhere(func(vm *testVM) bool { return vm.heads.Revision() == 4 && len(vm.Live()) == 6 })
+	f.waitForAll(func(vm *testVM) bool { return vm.heads.Revision() == 4 && len(vm.Live()) == 6 })
 }
 
 // TestReplacedWhileFrozen: a VM is frozen, the platform replaces it by a new one
@@ -240,13 +240,13 @@
 // back: it finds the later process and says no more.
 func TestReplacedWhileFrozen(t *testing.T) {
 	f := newFleet(t, 5)
-	f.connected()
+	f.waitConnected()
 	old := f.vms[4]
 	old.mu.Lock()
-	old.begun = old.begun.Add(-2 * youth)
+	old.startTime = old.startTime.Add(-2 * startupPeriod)
 	old.mu.Unlock()
 	successor := f.start("vm-004", nil)
-	f.everywhere(func(vm *testVM) bool {
+	f.waitForAll(func(vm *testVM) bool {
 		vm.mu.Lock()
 		defer vm.mu.Unlock()
 		m, _ := vm.table.Member("vm-004")
@@ -256,7 +256,7 @@
 		old.mu.Lock()
 		defer old.mu.Unlock()
 		return old.replaced
-	}).WithTimeout(testLimit).Should(BeTrue())
+	}).WithTimeout(testTimeout).Should(BeTrue())
 }
 
 // TestClockBehindPredecessor: a VM is replaced by one of the same name whose
@@ -264,12 +264,12 @@
 // others would ignore it for good; it notices and states a later start.
 func TestClockBehindPredecessor(t *testing.T) {
 	f := newFleet(t, 4)
-	f.connected()
+	f.waitConnected()
 	old := f.vms[3]
 	old.crash()
-	f.everywhere(func(vm *testVM) bool { return len(vm.Live()) == 3 }, f.vms[:3]...)
-	successor := f.startWith("vm-003", nil, func(x *Exchange) { x.started = 1 })
-	f.everywhere(func(vm *testVM) bool {
+	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == 3 }, f.vms[:3]...)
+	successor := f.startWith("vm-003", nil, func(x *Exchange) { x.startNanos = 1 })
+	f.waitForAll(func(vm *testVM) bool {
 		vm.mu.Lock()
 		defer vm.mu.Unlock()
 		m, _ := vm.table.Member("vm-003")
@@ -283,19 +283,19 @@
 func TestAllVMsReplaced(t *testing.T) {
 	const n = 5
 	f := newFleet(t, n)
-	f.connected()
+	f.waitConnected()
 	f.vms[0].heads.set(9)
 	f.vms[1].LearnDrain(Drain{"t", "1"})
-	f.everywhere(func(vm *testVM) bool { return vm.heads.Revision() == 9 && len(vm.Drains()) == 1 })
+	f.waitForAll(func(vm *testVM) bool { return vm.heads.Revision() == 9 && len(vm.Drains()) == 1 })
 	for i := range n {
 		vm := f.start(fmt.Sprint("new-", i), nil)
-		f.everywhere(func(vm *testVM) bool { return vm.heads.Revision() == 9 && len(vm.Drains()) == 1 }, vm)
+		f.waitForAll(func(vm *testVM) bool { return vm.heads.Revision() == 9 && len(vm.Drains()) == 1 }, vm)
 		f.vms[i].stop()
 	}
-	f.everywhere(func(vm *testVM) bool { return len(vm.Live()) == n }, f.vms[n:]...)
+	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == n }, f.vms[n:]...)
 }
 
-func TestFewWatchInALargeFleet(t *testing.T) {
+func TestWatchersInLargeFleet(t *testing.T) {
 	g := NewWithT(t)
 	var vms []objstore.VM
 	for i := range 950 {
@@ -303,42 +303,42 @@
 	}
 	count := func(live []objstore.VM) (n int) {
 		for _, vm := range live {
-			if watches(live, vm.Name) {
+			if isWatcher(live, vm.Name) {
 				n++
 			}
 		}
 		return n
 	}
 	g.Expect(count(vms)).To(Equal(5 * watchersPerZone))
-	g.Expect(count(vms[:watchAllUpTo])).To(Equal(watchAllUpTo))
-	g.Expect(watches(vms, "stranger")).To(BeFalse())
+	g.Expect(count(vms[:maxAllWatchVMs])).To(Equal(maxAllWatchVMs))
+	g.Expect(isWatcher(vms, "stranger")).To(BeFalse())
 }
 
-// TestOthersAreLookedForGently: after a split each half looks for the other, but
+// TestLostVMDialRate: after a split each half looks for the other, but
 // a VM that is really dead and still listed must not be dialled by 949 others at
 // once.
-func TestOthersAreLookedForGently(t *testing.T) {
+func TestLostVMDialRate(t *testing.T) {
 	g := NewWithT(t)
 	listed, members := fleetWithLost(950, 1)
 	dials := 0
 	for i := range 950 {
-		if _, ok := lookForLost(listed, members, float64(i)/950); ok {
+		if _, ok := pickLost(listed, members, float64(i)/950); ok {
 			dials++
 		}
 	}
 	g.Expect(dials).To(BeNumerically("~", lostDialsPerSecond, 1))
 	listed, members = fleetWithLost(6, 3)
-	_, ok := lookForLost(listed, members, 0.99)
+	_, ok := pickLost(listed, members, 0.99)
 	g.Expect(ok).To(BeTrue())
 }
 
-// TestPlacesOfVMsThatStay: a call through a VM that is lost would fail, and one
+// TestPlaceHolders: a call through a VM that is lost would fail, and one
 // that is leaving should get nothing new while another can be called. Lost VMs
 // hold no place, leaving ones are marked, and of two that claim one place the one
 // that stays has it, or the later.
-func TestPlacesOfVMsThatStay(t *testing.T) {
+func TestPlaceHolders(t *testing.T) {
 	g := NewWithT(t)
-	places := placesOf([]facts.Member{
+	places := placeHolders([]facts.Member{
 		{Name: "stays", Place: 1},
 		{Name: "suspected", Place: 2, State: facts.Suspect},
 		{Name: "leaves", Place: 3, State: facts.Leaving},
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-const testLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 var testKey = bytes.Repeat([]byte("k"), 32)
 
@@ -116,8 +116,8 @@
 	return f
 }
 
-// newPatientFleet is newFleet with the daemon's own times until a VM counts as silent.
-func newPatientFleet(t *testing.T, n int) *testFleet {
+// newDefaultTimeoutFleet is newFleet with the daemon's own times until a VM counts as silent.
+func newDefaultTimeoutFleet(t *testing.T, n int) *testFleet {
 	f := newFleet(t, 0)
 	for i := range n {
 		f.start(fmt.Sprintf("vm-%03d", i), func(o *Options) {
@@ -176,13 +176,13 @@
 }
 
 func (vm *testVM) stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_ = vm.Stop(ctx)
 }
 
-// everywhere waits until check holds on all VMs.
-func (f *testFleet) everywhere(check func(*testVM) bool, vms ...*testVM) {
+// waitForAll waits until check holds on all VMs.
+func (f *testFleet) waitForAll(check func(*testVM) bool, vms ...*testVM) {
 	f.t.Helper()
 	if len(vms) == 0 {
 		vms = f.vms
@@ -194,13 +194,13 @@
 			}
 		}
 		return lag
-	}).WithTimeout(testLimit).Should(BeEmpty())
+	}).WithTimeout(testTimeout).Should(BeEmpty())
 }
 
-func (f *testFleet) connected() {
+func (f *testFleet) waitConnected() {
 	f.t.Helper()
 	n := len(f.vms)
-	f.everywhere(func(vm *testVM) bool { return vm.Peers() > 0 && len(vm.Live()) == n })
+	f.waitForAll(func(vm *testVM) bool { return vm.Peers() > 0 && len(vm.Live()) == n })
 }
 
 func hasRevision(r uint64) func(*testVM) bool {
@@ -211,18 +211,18 @@
 type network struct {
 	mu    sync.Mutex
 	group map[string]int // by address
-	open  map[*cuttable]struct{}
+	open  map[*cuttableConn]struct{}
 
-	connected func() // called when a dial got its connection, unless nil
+	onConnect func() // called when a dial got its connection, unless nil
 }
 
-type cuttable struct {
+type cuttableConn struct {
 	net.Conn
 	from, to string
 }
 
 func newNetwork() *network {
-	return &network{group: map[string]int{}, open: map[*cuttable]struct{}{}}
+	return &network{group: map[string]int{}, open: map[*cuttableConn]struct{}{}}
 }
 
 // dialer returns the way in which the VM at an address reaches others.
@@ -239,16 +239,16 @@
 		if err != nil {
 			return nil, err
 		}
-		if n.connected != nil {
-			n.connected()
+		if n.onConnect != nil {
+			n.onConnect()
 		}
-		return n.admit(&cuttable{raw, *from, to})
+		return n.register(&cuttableConn{raw, *from, to})
 	}
 }
 
-// admit registers a connection to be cut by the next split, unless one has come
+// register registers a connection to be cut by the next split, unless one has come
 // between since it was dialled.
-func (n *network) admit(c *cuttable) (net.Conn, error) {
+func (n *network) register(c *cuttableConn) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.group[c.from] != n.group[c.to] {
--- a/peer/heads.go
+++ b/peer/heads.go
@@ -7,16 +7,16 @@
 
 const (
 	// pullTimeout bounds getting one head with its bundle from one peer.
-	pullTimeout = 5 * time.Second
-	pullPause   = 100 * time.Millisecond
+	pullTimeout    = 5 * time.Second
+	pullRetryDelay = 100 * time.Millisecond
 )
 
-// noticeHead tells the peers when this VM's own revision has risen, by whatever
+// announceRevisions tells the peers when this VM's own revision has risen, by whatever
 // way it learned of it.
-func (x *Exchange) noticeHead() error {
+func (x *Exchange) announceRevisions() error {
 	for {
 		changed := x.opts.Heads.Changed()
-		x.tellRevision()
+		x.announceRevision()
 		select {
 		case <-x.tomb.Dying():
 			return nil
@@ -25,16 +25,16 @@
 	}
 }
 
-func (x *Exchange) tellRevision() {
+func (x *Exchange) announceRevision() {
 	revision := x.opts.Heads.Revision()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if revision <= x.told {
+	if revision <= x.announcedRevision {
 		return
 	}
-	x.told = revision
+	x.announcedRevision = revision
 	for l := range x.links {
-		l.revision = true
+		l.sendRevision = true
 		l.signal()
 	}
 }
@@ -45,22 +45,22 @@
 		select {
 		case <-x.tomb.Dying():
 			return nil
-		case <-x.pull:
+		case <-x.pullWake:
 		}
-		for l := x.newerLink(); l != nil && x.tomb.Alive(); l = x.newerLink() {
+		for l := x.newestLink(); l != nil && x.tomb.Alive(); l = x.newestLink() {
 			x.pullFrom(l)
 		}
 	}
 }
 
-// newerLink returns the link with the highest revision above the own, or nil.
-func (x *Exchange) newerLink() *link {
+// newestLink returns the link with the highest revision above the own, or nil.
+func (x *Exchange) newestLink() *link {
 	own := x.opts.Heads.Revision()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var best *link
 	for l := range x.links {
-		if l.theirs > own && (best == nil || l.theirs > best.theirs) {
+		if l.peerRevision > own && (best == nil || l.peerRevision > best.peerRevision) {
 			best = l
 		}
 	}
@@ -71,23 +71,23 @@
 	ctx, cancel := context.WithTimeout(x.tomb.Context(context.Background()), pullTimeout)
 	defer cancel()
 	before := x.opts.Heads.Revision()
-	err := x.offer(ctx, l)
+	err := x.offerHeadOf(ctx, l)
 	if err == nil && x.opts.Heads.Revision() > before {
-		x.tellRevision()
+		x.announceRevision()
 		return
 	}
 	x.opts.Log.Warn("head of a peer not taken", "peer", l.name, "error", err)
 	// Its next message may name that revision again; until then others are asked.
 	x.mu.Lock()
-	l.theirs = 0
+	l.peerRevision = 0
 	x.mu.Unlock()
 	select {
 	case <-x.tomb.Dying():
-	case <-time.After(pullPause):
+	case <-time.After(pullRetryDelay):
 	}
 }
 
-func (x *Exchange) offer(ctx context.Context, l *link) error {
+func (x *Exchange) offerHeadOf(ctx context.Context, l *link) error {
 	var answer headAnswer
 	if err := l.conn.Call(ctx, methodHead, nil, &answer); err != nil {
 		return err
--- a/peer/health.go
+++ b/peer/health.go
@@ -42,7 +42,7 @@
 	if !x.table.Merge(f, time.Now().Unix()) {
 		return false
 	}
-	x.spread(f, nil)
+	x.forward(f, nil)
 	x.signalHealth(next.Target)
 	return true
 }
@@ -51,13 +51,13 @@
 func (x *Exchange) TakeHealth() []facts.Health {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	list := make([]facts.Health, 0, len(x.healthNews))
-	for target := range x.healthNews {
+	list := make([]facts.Health, 0, len(x.changedTargets))
+	for target := range x.changedTargets {
 		if h, known := x.table.Health(target); known {
 			list = append(list, h)
 		}
 	}
-	clear(x.healthNews)
+	clear(x.changedTargets)
 	return list
 }
 
@@ -67,8 +67,8 @@
 
 // signalHealth must hold mu.
 func (x *Exchange) signalHealth(target string) {
-	x.healthNews[target] = struct{}{}
-	x.healthLearned = time.Now()
+	x.changedTargets[target] = struct{}{}
+	x.lastHealthLearned = time.Now()
 	select {
 	case x.healthChanged <- struct{}{}:
 	default:
--- a/peer/health/content.go
+++ b/peer/health/content.go
@@ -8,11 +8,11 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// maxLeaf bounds the numbers of leaves, which index a list.
-const maxLeaf = 1024
+// maxLeafNumber bounds the numbers of leaves, which index a list.
+const maxLeafNumber = 1024
 
-// maxContent leaves room for the stamp and the owners that can't read the target.
-const maxContent = facts.MaxHealthBytes - 512
+// maxContentBytes leaves room for the stamp and the owners that can't read the target.
+const maxContentBytes = facts.MaxHealthBytes - 512
 
 // encode puts what a status says, apart from the loads, into a statement without
 // a stamp. What doesn't fit is said to be opaque, so that nobody goes on believing
@@ -30,31 +30,31 @@
 		h.Opaque = true
 	}
 	full := h
-	full.Maps = mapsOf(st.Leaves)
+	full.Maps = partitionMaps(st.Leaves)
 	for _, leaf := range st.Leaves {
-		if leaf.Leaf < 0 || leaf.Leaf > maxLeaf {
+		if leaf.Leaf < 0 || leaf.Leaf > maxLeafNumber {
 			h.Opaque = true
 			return h
 		}
 		for len(full.Leaves) <= leaf.Leaf {
 			full.Leaves = append(full.Leaves, nil)
 		}
-		full.Leaves[leaf.Leaf] = runs(full.Maps, leaf.Holdings)
+		full.Leaves[leaf.Leaf] = holdingRuns(full.Maps, leaf.Holdings)
 	}
-	if h.Opaque || full.Size() > maxContent {
+	if h.Opaque || full.Size() > maxContentBytes {
 		h.Opaque = true
 		return h
 	}
 	return full
 }
 
-// mapsOf lists the partition maps of all holdings in a fixed order, so that two
+// partitionMaps lists the partition maps of all holdings in a fixed order, so that two
 // readings of one status are told in the same words.
-func mapsOf(leaves []target.LeafStatus) []facts.Map {
+func partitionMaps(leaves []target.LeafStatus) []facts.Map {
 	var list []facts.Map
 	for _, leaf := range leaves {
 		for _, h := range leaf.Holdings {
-			if m := mapOf(h); !slices.Contains(list, m) {
+			if m := partitionMap(h); !slices.Contains(list, m) {
 				list = append(list, m)
 			}
 		}
@@ -65,19 +65,19 @@
 	return list
 }
 
-func mapOf(h target.Holding) facts.Map {
+func partitionMap(h target.Holding) facts.Map {
 	return facts.Map{Snapshot: h.Snapshot, Seq: h.Seq, Shards: h.Shards}
 }
 
-// runs joins neighbouring shards of a map, which saves their numbers.
-func runs(maps []facts.Map, holdings []target.Holding) []facts.Holding {
+// holdingRuns joins neighbouring shards of a map, which saves their numbers.
+func holdingRuns(maps []facts.Map, holdings []target.Holding) []facts.Holding {
 	type indexed struct {
 		at int
 		target.Holding
 	}
 	sorted := make([]indexed, len(holdings))
 	for i, h := range holdings {
-		sorted[i] = indexed{slices.Index(maps, mapOf(h)), h}
+		sorted[i] = indexed{slices.Index(maps, partitionMap(h)), h}
 	}
 	slices.SortFunc(sorted, func(a, b indexed) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Records, b.Records))
@@ -109,20 +109,20 @@
 	for number, list := range h.Leaves {
 		leaf := target.LeafStatus{Leaf: number}
 		for _, run := range list {
-			leaf.Holdings = append(leaf.Holdings, holdings(h.Maps, run)...)
+			leaf.Holdings = append(leaf.Holdings, expandRun(h.Maps, run)...)
 		}
 		st.Leaves = append(st.Leaves, leaf)
 	}
 	return st
 }
 
-func holdings(maps []facts.Map, run facts.Holding) []target.Holding {
+func expandRun(maps []facts.Map, run facts.Holding) []target.Holding {
 	m := maps[run[facts.HoldingMap]]
 	var list []target.Holding
 	for i, records := range run[facts.HoldingRecords:] {
 		list = append(list, target.Holding{
 			Snapshot: m.Snapshot, Seq: m.Seq, Shards: m.Shards,
-			Shard: int(run[facts.HoldingFirst]) + i, Records: records,
+			Shard: int(run[facts.HoldingFirstShard]) + i, Records: records,
 		})
 	}
 	return list
--- a/peer/health/doubt.go
+++ b/peer/health/doubt.go
@@ -14,34 +14,34 @@
 	Submit(ctx context.Context, target string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error)
 }
 
-// Calls returns leaves whose failures are held against what is known of their
+// CheckCalls returns leaves whose failures are held against what is known of their
 // targets. A VM that is told of a target could otherwise go on sending calls to
 // it, on the word of a fact that is no longer true, until it is read again.
-func (r *Relay) Calls(leaves Leaves) Leaves { return doubting{leaves, r} }
+func (r *Relay) CheckCalls(leaves Leaves) Leaves { return checkedLeaves{leaves, r} }
 
-type doubting struct {
+type checkedLeaves struct {
 	Leaves
 	relay *Relay
 }
 
-func (d doubting) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (target.LeafAnswer, error) {
+func (d checkedLeaves) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (target.LeafAnswer, error) {
 	answer, err := d.Leaves.Search(ctx, name, leaf, req)
-	d.relay.called(name, err)
+	d.relay.checkCall(name, err)
 	return answer, err
 }
 
-func (d doubting) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error) {
+func (d checkedLeaves) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error) {
 	answer, err := d.Leaves.Submit(ctx, name, leaf, req)
-	d.relay.called(name, err)
+	d.relay.checkCall(name, err)
 	return answer, err
 }
 
-func (r *Relay) called(name string, err error) {
+func (r *Relay) checkCall(name string, err error) {
 	var failure *target.CallError
-	if err == nil || !errors.As(err, &failure) || !contradicts(failure) || r.ownReads(name) {
+	if err == nil || !errors.As(err, &failure) || !contradicts(failure) || r.readsDirectly(name) {
 		return
 	}
-	r.doubts.Inc()
+	r.contradictions.Inc()
 	r.monitor.Hurry(name)
 }
 
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -34,7 +34,7 @@
 // Router reaches targets and knows who owns them. route.Router implements it.
 type Router interface {
 	target.StatusReader
-	Standing(target string) route.Standing
+	Standing(target string) route.Ownership
 }
 
 // Sink is told what is known of targets. query.Engine implements it.
@@ -66,30 +66,30 @@
 	monitor  Monitor
 	tomb     tomb.Tomb
 
-	reads, told, taken, doubts *metrics.Counter
+	reads, published, appliedCount, contradictions *metrics.Counter
 
-	mu      sync.Mutex // guards what follows; held while the Sink, the Exchange and the Monitor are called, which never call back
-	speaker *speaker
-	times   map[string]times       // by target of the bundle in force
-	reread  time.Duration          // between reads of a target that others tell of
-	began   map[string]facts.Stamp // what was known when the read under way began
-	applied map[string]facts.Stamp // what the Sink was last told, or read later than
-	unread  map[string]bool        // targets that some owner can't read: whether lost
+	mu               sync.Mutex // guards what follows; held while the Sink, the Exchange and the Monitor are called, which never call back
+	reporter         *reporter
+	timings          map[string]timing      // by target of the bundle in force
+	rereadInterval   time.Duration          // between reads of a target that others tell of
+	readBase         map[string]facts.Stamp // what was known when the read under way began
+	appliedStamps    map[string]facts.Stamp // what the Sink was last told, or read later than
+	partlyUnreadable map[string]bool        // targets that some owner can't read: whether lost
 }
 
 // New returns a Relay that is not yet at work.
 func New(o Options) *Relay {
 	return &Relay{
-		opts:    o,
-		reads:   o.Metrics.NewCounter(`bramley_health_reads_total`),
-		told:    o.Metrics.NewCounter(`bramley_health_told_total`),
-		taken:   o.Metrics.NewCounter(`bramley_health_taken_total`),
-		doubts:  o.Metrics.NewCounter(`bramley_health_doubts_total`),
-		speaker: newSpeaker(),
-		times:   map[string]times{},
-		began:   map[string]facts.Stamp{},
-		applied: map[string]facts.Stamp{},
-		unread:  map[string]bool{},
+		opts:             o,
+		reads:            o.Metrics.NewCounter(`bramley_health_reads_total`),
+		published:        o.Metrics.NewCounter(`bramley_health_told_total`),
+		appliedCount:     o.Metrics.NewCounter(`bramley_health_taken_total`),
+		contradictions:   o.Metrics.NewCounter(`bramley_health_doubts_total`),
+		reporter:         newReporter(),
+		timings:          map[string]timing{},
+		readBase:         map[string]facts.Stamp{},
+		appliedStamps:    map[string]facts.Stamp{},
+		partlyUnreadable: map[string]bool{},
 	}
 }
 
@@ -106,23 +106,23 @@
 }
 
 const (
-	// minReread is the time between reads of a target that others tell of, and
+	// minRereadInterval is the time between reads of a target that others tell of, and
 	// maxRereads bounds these reads of all targets, per second. Their answers take
 	// some 450 bytes each, so that with thousands of targets they would cost more
 	// than all else that a VM sends.
-	minReread  = 20 * time.Second
-	maxRereads = 2
+	minRereadInterval   = 20 * time.Second
+	maxRereadsPerSecond = 2
 )
 
 // Apply takes the targets of the bundle in force, before the Monitor does.
 func (r *Relay) Apply(b *bundle.Bundle) {
-	known := map[string]times{}
+	known := map[string]timing{}
 	var shared []string
 	for i := range b.Services {
 		svc := &b.Services[i]
 		for j := range svc.Targets {
 			name := svc.Targets[j].Name
-			known[name] = times{
+			known[name] = timing{
 				interval:     time.Duration(svc.Drain.HealthIntervalMS) * time.Millisecond,
 				suspectAfter: max(svc.Drain.SuspectAfter, 1),
 			}
@@ -132,13 +132,13 @@
 		}
 	}
 	r.mu.Lock()
-	r.times = known
-	r.reread = max(minReread, time.Duration(len(shared))*time.Second/maxRereads)
-	for name := range r.applied {
+	r.timings = known
+	r.rereadInterval = max(minRereadInterval, time.Duration(len(shared))*time.Second/maxRereadsPerSecond)
+	for name := range r.appliedStamps {
 		if _, has := known[name]; !has {
-			delete(r.applied, name)
-			delete(r.unread, name)
-			delete(r.speaker.targets, name)
+			delete(r.appliedStamps, name)
+			delete(r.partlyUnreadable, name)
+			delete(r.reporter.targets, name)
 		}
 	}
 	r.mu.Unlock()
@@ -149,14 +149,14 @@
 // endpoints: a target that this VM has just ceased to own is no more read by it.
 func (r *Relay) Reapply() {
 	r.mu.Lock()
-	names := make([]string, 0, len(r.times))
-	for name := range r.times {
+	names := make([]string, 0, len(r.timings))
+	for name := range r.timings {
 		names = append(names, name)
 	}
 	r.mu.Unlock()
 	for _, name := range names {
 		if h, known := r.exchange.Health(name); known {
-			r.take(h)
+			r.apply(h)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 		select {
 		case <-r.exchange.HealthChanged():
 			for _, h := range r.exchange.TakeHealth() {
-				r.take(h)
+				r.apply(h)
 			}
 		case <-sweep.C:
 			r.sweep()
@@ -182,52 +182,52 @@
 	}
 }
 
-// take tells the Sink what others told of a target, unless this VM reads it for
+// apply tells the Sink what others told of a target, unless this VM reads it for
 // itself or has read it since.
-func (r *Relay) take(h facts.Health) {
+func (r *Relay) apply(h facts.Health) {
 	at := r.opts.Router.Standing(h.Target)
 	if !at.Shared {
 		return
 	}
 	if at.Owner {
-		r.hear(h, at)
+		r.answerStatement(h, at)
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, known := r.times[h.Target]; !known {
+	if _, known := r.timings[h.Target]; !known {
 		return
 	}
-	if r.applied[h.Target] != h.Stamp {
-		r.taken.Inc()
-		r.tell(h, at)
+	if r.appliedStamps[h.Target] != h.Stamp {
+		r.appliedCount.Inc()
+		r.notifySink(h, at)
 	}
-	r.relax(h)
+	r.adjustReadInterval(h)
 }
 
-// relax lets the Monitor read a target seldom if others tell of it. It must hold
+// adjustReadInterval lets the Monitor read a target seldom if others tell of it. It must hold
 // mu.
-func (r *Relay) relax(h facts.Health) {
-	if h.Opaque && !lost(h, r.opts.Router.Standing(h.Target).Live) {
+func (r *Relay) adjustReadInterval(h facts.Health) {
+	if h.Opaque && !lost(h, r.opts.Router.Standing(h.Target).LiveOwners) {
 		r.monitor.Relax(h.Target, 0)
 		return
 	}
-	r.monitor.Relax(h.Target, r.reread)
+	r.monitor.Relax(h.Target, r.rereadInterval)
 }
 
-// tell tells the Sink of a target. It must hold mu.
-func (r *Relay) tell(h facts.Health, at route.Standing) {
-	r.applied[h.Target] = h.Stamp
-	gone := lost(h, at.Live)
+// notifySink tells the Sink of a target. It must hold mu.
+func (r *Relay) notifySink(h facts.Health, at route.Ownership) {
+	r.appliedStamps[h.Target] = h.Stamp
+	gone := lost(h, at.LiveOwners)
 	switch {
 	case gone:
 		r.opts.Sink.TargetLost(h.Target)
 	case !h.Opaque:
 		r.opts.Sink.TargetStatus(h.Target, decode(h), time.Now())
 	}
-	delete(r.unread, h.Target)
-	if len(h.Unread) > 0 {
-		r.unread[h.Target] = gone
+	delete(r.partlyUnreadable, h.Target)
+	if len(h.UnreadableBy) > 0 {
+		r.partlyUnreadable[h.Target] = gone
 	}
 }
 
@@ -236,25 +236,25 @@
 func (r *Relay) sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name, gone := range r.unread {
+	for name, gone := range r.partlyUnreadable {
 		at := r.opts.Router.Standing(name)
-		if h, known := r.exchange.Health(name); known && !at.Owner && lost(h, at.Live) != gone {
-			r.tell(h, at)
+		if h, known := r.exchange.Health(name); known && !at.Owner && lost(h, at.LiveOwners) != gone {
+			r.notifySink(h, at)
 		}
 	}
 }
 
-// hear lets this VM, as an owner, answer what another one stated.
-func (r *Relay) hear(h facts.Health, at route.Standing) {
+// answerStatement lets this VM, as an owner, answer what another one stated.
+func (r *Relay) answerStatement(h facts.Health, at route.Ownership) {
 	r.mu.Lock()
-	next, say := r.speaker.hear(h, standingOf(at), r.times[h.Target], time.Now())
+	next, say := r.reporter.handleStatement(h, standingOf(at), r.timings[h.Target], time.Now())
 	r.mu.Unlock()
 	if say {
-		r.state(next, h.Stamp)
+		r.publish(next, h.Stamp)
 	}
 }
 
-func standingOf(at route.Standing) standing { return standing{place: at.Place, owners: at.Live} }
+func standingOf(at route.Ownership) standing { return standing{place: at.Place, owners: at.LiveOwners} }
 
 // Status reads a target for the Monitor, and states what is new if this VM is an
 // owner.
@@ -262,54 +262,54 @@
 	base, _ := r.exchange.Health(name)
 	began := time.Now()
 	r.mu.Lock()
-	r.began[name] = base.Stamp
+	r.readBase[name] = base.Stamp
 	r.mu.Unlock()
 	r.reads.Inc()
 	status, err := r.opts.Router.Status(ctx, name)
 	if at := r.opts.Router.Standing(name); at.Owner && at.Shared {
-		reading := reading{base: base, began: began}
+		reading := readResult{base: base, began: began}
 		if err == nil {
 			reading.status = &status
 		}
-		r.speak(name, reading, at)
+		r.handleOwnRead(name, reading, at)
 	}
 	return status, err
 }
 
-func (r *Relay) speak(name string, read reading, at route.Standing) {
+func (r *Relay) handleOwnRead(name string, read readResult, at route.Ownership) {
 	r.mu.Lock()
-	next, say := r.speaker.take(name, read, standingOf(at), r.times[name], time.Now())
+	next, say := r.reporter.handleRead(name, read, standingOf(at), r.timings[name], time.Now())
 	r.mu.Unlock()
 	if say {
-		r.state(next, read.base.Stamp)
+		r.publish(next, read.base.Stamp)
 	}
 }
 
-func (r *Relay) state(next facts.Health, base facts.Stamp) {
+func (r *Relay) publish(next facts.Health, base facts.Stamp) {
 	if r.exchange.TellHealth(next, base) {
-		r.told.Inc()
-		r.opts.Log.Debug("health of a target stated", "target", next.Target, "epoch", next.Epoch, "seq", next.Seq, "unread", next.Unread)
+		r.published.Inc()
+		r.opts.Log.Debug("health of a target stated", "target", next.Target, "epoch", next.Epoch, "seq", next.Seq, "unread", next.UnreadableBy)
 	}
 }
 
 // TargetStatus implements target.Sink for the Monitor. What was read through an
 // owner is dropped if something newer was learned while it was read.
 func (r *Relay) TargetStatus(name string, status target.Status, at time.Time) {
-	own := r.ownReads(name)
+	own := r.readsDirectly(name)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if own {
-		delete(r.applied, name)
+		delete(r.appliedStamps, name)
 		r.opts.Sink.TargetStatus(name, status, at)
 		return
 	}
 	h, known := r.exchange.Health(name)
-	if h.Stamp == r.began[name] {
-		r.applied[name] = h.Stamp
+	if h.Stamp == r.readBase[name] {
+		r.appliedStamps[name] = h.Stamp
 		r.opts.Sink.TargetStatus(name, status, at)
 	}
 	if known {
-		r.relax(h)
+		r.adjustReadInterval(h)
 	}
 }
 
@@ -317,9 +317,9 @@
 // a target through an owner says little of the target as long as its owners say
 // that they can: the owner may be frozen, or the way to it cut.
 func (r *Relay) TargetFailed(name string, err error, at time.Time) {
-	if !r.ownReads(name) {
+	if !r.readsDirectly(name) {
 		h, known := r.exchange.Health(name)
-		live := r.opts.Router.Standing(name).Live
+		live := r.opts.Router.Standing(name).LiveOwners
 		if known && !h.Opaque && len(live) > 0 && !lost(h, live) {
 			return
 		}
@@ -332,8 +332,8 @@
 	r.opts.Sink.TargetState(name, incarnation, state, at)
 }
 
-// ownReads tells whether this VM reads a target over its own connections.
-func (r *Relay) ownReads(name string) bool {
+// readsDirectly tells whether this VM reads a target over its own connections.
+func (r *Relay) readsDirectly(name string) bool {
 	at := r.opts.Router.Standing(name)
 	return !at.Shared || at.Owner
 }
--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -17,35 +17,35 @@
 
 // fakes are all that a Relay has around it. read is called while a target is read.
 type fakes struct {
-	known    facts.Health
-	news     []facts.Health
-	stated   int
-	standing route.Standing
-	status   target.Status
-	err      error
-	read     func()
-
-	told   []target.Status // to the sink
-	failed int
-	lost   int
-	calm   time.Duration // as the monitor was last told
-	hurry  int
+	known        facts.Health
+	changes      []facts.Health
+	publications int
+	standing     route.Ownership
+	status       target.Status
+	err          error
+	read         func()
+
+	statuses     []target.Status // to the sink
+	failed       int
+	lost         int
+	readInterval time.Duration // as the monitor was last told
+	readSoon     int
 }
 
 func (f *fakes) SetTargets([]string)                 {}
 func (f *fakes) Health(string) (facts.Health, bool)  { return f.known, f.known.Target != "" }
-func (f *fakes) TakeHealth() []facts.Health          { return f.news }
+func (f *fakes) TakeHealth() []facts.Health          { return f.changes }
 func (f *fakes) HealthChanged() <-chan struct{}      { return nil }
-func (f *fakes) Standing(string) route.Standing      { return f.standing }
-func (f *fakes) Relax(_ string, every time.Duration) { f.calm = every }
-func (f *fakes) Hurry(string)                        { f.hurry++ }
+func (f *fakes) Standing(string) route.Ownership     { return f.standing }
+func (f *fakes) Relax(_ string, every time.Duration) { f.readInterval = every }
+func (f *fakes) Hurry(string)                        { f.readSoon++ }
 
 func (f *fakes) TellHealth(next facts.Health, base facts.Stamp) bool {
 	if f.known.Stamp != base {
 		return false
 	}
 	f.known = next
-	f.stated++
+	f.publications++
 	return true
 }
 
@@ -64,19 +64,21 @@
 	return target.SubmitAnswer{}, f.err
 }
 
-func (f *fakes) TargetStatus(_ string, st target.Status, _ time.Time) { f.told = append(f.told, st) }
-func (f *fakes) TargetFailed(string, error, time.Time)                { f.failed++ }
-func (f *fakes) TargetState(string, string, target.State, time.Time)  {}
-func (f *fakes) TargetLost(string)                                    { f.lost++ }
+func (f *fakes) TargetStatus(_ string, st target.Status, _ time.Time) {
+	f.statuses = append(f.statuses, st)
+}
+func (f *fakes) TargetFailed(string, error, time.Time)               { f.failed++ }
+func (f *fakes) TargetState(string, string, target.State, time.Time) {}
+func (f *fakes) TargetLost(string)                                   { f.lost++ }
 
 func statement(epoch uint64, unread ...int) facts.Health {
-	return facts.Health{Target: testTarget, Stamp: facts.Stamp{Epoch: epoch, Incarnation: "i"}, Unread: unread}
+	return facts.Health{Target: testTarget, Stamp: facts.Stamp{Epoch: epoch, Incarnation: "i"}, UnreadableBy: unread}
 }
 
 // newRelay returns a relay of a VM that owns nothing, with two owners that live.
 func newRelay() (*Relay, *fakes) {
 	f := &fakes{
-		standing: route.Standing{Shared: true, Place: -1, Live: []int{3, 5}},
+		standing: route.Ownership{Shared: true, Place: -1, LiveOwners: []int{3, 5}},
 		status:   target.Status{Target: testTarget, Incarnation: "read", State: target.StateServing},
 	}
 	r := New(Options{Router: f, Sink: f, Log: logging.Discard(), Metrics: metrics.NewSet()})
@@ -98,49 +100,49 @@
 	r.TargetStatus(testTarget, st, time.Now())
 }
 
-func TestWhatIsToldReachesTheSink(t *testing.T) {
+func TestPublishedHealthReachesSink(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
-	r.take(statement(1))
-	r.take(statement(1))
-	g.Expect(f.told).To(HaveLen(1))
-	g.Expect(f.calm).To(Equal(minReread))
+	r.apply(statement(1))
+	r.apply(statement(1))
+	g.Expect(f.statuses).To(HaveLen(1))
+	g.Expect(f.readInterval).To(Equal(minRereadInterval))
 	opaque := statement(2)
 	opaque.Opaque = true
-	r.take(opaque)
-	g.Expect(f.told).To(HaveLen(1))
-	g.Expect(f.calm).To(BeZero(), "what can't be told must be read")
+	r.apply(opaque)
+	g.Expect(f.statuses).To(HaveLen(1))
+	g.Expect(f.readInterval).To(BeZero(), "what can't be told must be read")
 	f.standing.Owner = true
-	r.take(statement(3))
-	g.Expect(f.told).To(HaveLen(1), "an owner goes by what it reads")
+	r.apply(statement(3))
+	g.Expect(f.statuses).To(HaveLen(1), "an owner goes by what it reads")
 }
 
-// TestSlowReadDoesNotSetBack: a VM reads a target through an owner, and is told of
+// TestSlowReadDoesNotReplaceNewerHealth: a VM reads a target through an owner, and is told of
 // a restart while the answer is under way. The answer is older; taken, it would
 // bring back the incarnation that is gone.
-func TestSlowReadDoesNotSetBack(t *testing.T) {
+func TestSlowReadDoesNotReplaceNewerHealth(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
 	f.known = statement(1)
-	r.take(f.known)
+	r.apply(f.known)
 	f.read = func() {
 		f.known = statement(2)
-		r.take(f.known)
+		r.apply(f.known)
 	}
 	r.readOnce()
-	g.Expect(f.told).To(HaveLen(2), "only what was told")
+	g.Expect(f.statuses).To(HaveLen(2), "only what was told")
 	f.read = nil
 	r.readOnce()
-	g.Expect(f.told).To(HaveLen(3))
-	g.Expect(f.told[2].Incarnation).To(Equal("read"))
-	r.take(f.known)
-	g.Expect(f.told).To(HaveLen(3), "a statement that was known before the read is older than it")
+	g.Expect(f.statuses).To(HaveLen(3))
+	g.Expect(f.statuses[2].Incarnation).To(Equal("read"))
+	r.apply(f.known)
+	g.Expect(f.statuses).To(HaveLen(3), "a statement that was known before the read is older than it")
 }
 
-// TestFailedReadThroughAnOwner: the owner through which a VM reads is frozen. The
+// TestFailedReadThroughOwner: the owner through which a VM reads is frozen. The
 // target is well, as its owners say; the VM must not take it for lost. Without a
 // statement, or without a live owner, its own failures are all it has.
-func TestFailedReadThroughAnOwner(t *testing.T) {
+func TestFailedReadThroughOwner(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
 	f.err = &target.CallError{Kind: target.ErrorDeadline}
@@ -149,43 +151,43 @@
 	f.known = statement(1, 3)
 	r.readOnce()
 	g.Expect(f.failed).To(Equal(1))
-	f.standing.Live = nil
+	f.standing.LiveOwners = nil
 	r.readOnce()
 	g.Expect(f.failed).To(Equal(2))
 }
 
-// TestLostWithItsOwners: one of two owners can't read a target, and the other dies.
+// TestTargetLostWithLastReader: one of two owners can't read a target, and the other dies.
 // Nobody states anything any more; the target must count as lost all the same, and
 // come back with an owner that has not said that it can't read it.
-func TestLostWithItsOwners(t *testing.T) {
+func TestTargetLostWithLastReader(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
 	f.known = statement(1, 3)
-	r.take(f.known)
+	r.apply(f.known)
 	r.sweep()
 	g.Expect(f.lost).To(BeZero())
-	f.standing.Live = []int{3}
+	f.standing.LiveOwners = []int{3}
 	r.sweep()
 	r.sweep()
 	g.Expect(f.lost).To(Equal(1))
-	f.standing.Live = []int{3, 4}
+	f.standing.LiveOwners = []int{3, 4}
 	r.sweep()
-	g.Expect(f.told).To(HaveLen(2))
+	g.Expect(f.statuses).To(HaveLen(2))
 }
 
-// TestCallsThatContradict: what was told of a target is not so any more, and the
+// TestContradictingCallsTriggerRead: what was told of a target is not so any more, and the
 // statement of that was lost. Calls find it out first; the VM must read the target
 // then and not 20 s later. Load says nothing against what was told.
-func TestCallsThatContradict(t *testing.T) {
+func TestContradictingCallsTriggerRead(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
-	calls := r.Calls(f)
+	calls := r.CheckCalls(f)
 	call := func(e *target.CallError) int {
-		before := f.hurry
+		before := f.readSoon
 		f.err = e
 		_, _ = calls.Search(context.Background(), testTarget, 0, target.LeafRequest{})
 		_, _ = calls.Submit(context.Background(), testTarget, 0, target.SubmitRequest{})
-		return f.hurry - before
+		return f.readSoon - before
 	}
 	g.Expect(call(&target.CallError{Kind: target.ErrorRefused, Reason: target.ReasonNoSnapshot})).To(Equal(2))
 	g.Expect(call(&target.CallError{Kind: target.ErrorUnreachable})).To(Equal(2))
@@ -195,14 +197,14 @@
 	g.Expect(call(&target.CallError{Kind: target.ErrorUnreachable})).To(BeZero())
 }
 
-// TestOwnerStates: an owner states what it reads, and takes nothing else for true.
-func TestOwnerStates(t *testing.T) {
+// TestOwnerPublishesItsReads: an owner states what it reads, and takes nothing else for true.
+func TestOwnerPublishesItsReads(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
 	f.standing.Owner, f.standing.Place = true, 3
 	r.readOnce()
 	r.readOnce()
-	g.Expect(f.stated).To(Equal(1))
+	g.Expect(f.publications).To(Equal(1))
 	g.Expect(f.known.Incarnation).To(Equal("read"))
-	g.Expect(f.told).To(HaveLen(2))
+	g.Expect(f.statuses).To(HaveLen(2))
 }
