--- a/peer/health/speaker_test.go
+++ b/peer/health/speaker_test.go
@@ -14,7 +14,7 @@
 
 const testTarget = "t"
 
-var testTimes = times{interval: time.Second, suspectAfter: 2}
+var testTimes = timing{interval: time.Second, suspectAfter: 2}
 
 // world is one target with its owners and one VM that owns nothing, and the time.
 type world struct {
@@ -27,19 +27,19 @@
 
 // owner has one of the places, in the order of their numbers.
 type owner struct {
-	speaker *speaker
-	table   *facts.Table
-	place   int
-	blind   bool     // can't read the target
-	cut     bool     // hears and tells nothing
-	dead    bool     // known by all to be lost
-	pending *reading // read, but not yet taken: the process is frozen in between
+	speaker    *reporter
+	table      *facts.Table
+	place      int
+	cannotRead bool        // can't read the target
+	isolated   bool        // hears and tells nothing
+	lost       bool        // known by all to be lost
+	pending    *readResult // read, but not yet taken: the process is frozen in between
 }
 
 func newWorld(n int) *world {
 	w := &world{now: time.Unix(1_000_000, 0), other: newTable()}
 	for i := range n {
-		w.owners = append(w.owners, &owner{speaker: newSpeaker(), table: newTable(), place: i})
+		w.owners = append(w.owners, &owner{speaker: newReporter(), table: newTable(), place: i})
 	}
 	w.restart()
 	return w
@@ -54,10 +54,10 @@
 func (w *world) restart() {
 	w.born++
 	w.status = target.Status{Target: testTarget, Incarnation: fmt.Sprint("i", 1000-w.born), State: target.StateServing}
-	w.hold("s1", 1)
+	w.setHoldings("s1", 1)
 }
 
-func (w *world) hold(snapshot string, seq int64) {
+func (w *world) setHoldings(snapshot string, seq int64) {
 	w.status.Leaves = []target.LeafStatus{{Holdings: []target.Holding{
 		{Snapshot: snapshot, Seq: seq, Shards: 8, Shard: int(seq) % 8, Records: 10 * seq},
 	}}}
@@ -66,35 +66,35 @@
 func (w *world) standing(place int) standing {
 	s := standing{place: place}
 	for _, o := range w.owners {
-		if !o.dead {
+		if !o.lost {
 			s.owners = append(s.owners, o.place)
 		}
 	}
 	return s
 }
 
-// read begins a read; take ends it.
-func (w *world) read(o *owner) {
+// beginRead begins a beginRead; take ends it.
+func (w *world) beginRead(o *owner) {
 	base, _ := o.table.Health(testTarget)
-	r := &reading{base: base, began: w.now}
-	if !o.blind {
+	r := &readResult{base: base, began: w.now}
+	if !o.cannotRead {
 		status := w.status
 		r.status = &status
 	}
 	o.pending = r
 }
 
-func (w *world) take(o *owner) {
+func (w *world) finishRead(o *owner) {
 	r := o.pending
 	o.pending = nil
-	next, say := o.speaker.take(testTarget, *r, w.standing(o.place), testTimes, w.now)
+	next, say := o.speaker.handleRead(testTarget, *r, w.standing(o.place), testTimes, w.now)
 	if known, _ := o.table.Health(testTarget); say && known.Stamp == r.base.Stamp {
 		o.table.Merge(facts.Fact{Health: &next}, w.now.Unix())
 	}
 }
 
-// tell makes two tables equal as a comparison does.
-func tell(a, b *facts.Table) {
+// syncTables makes two tables equal as a comparison does.
+func syncTables(a, b *facts.Table) {
 	for _, pair := range [][2]*facts.Table{{a, b}, {b, a}} {
 		if h, known := pair[0].Health(testTarget); known {
 			pair[1].Merge(facts.Fact{Health: &h}, 0)
@@ -105,28 +105,28 @@
 // round lets each owner that lives read once and tells all of everything.
 func (w *world) round() {
 	for _, o := range w.owners {
-		if o.dead {
+		if o.lost {
 			continue
 		}
-		w.read(o)
-		w.take(o)
-		w.tellAll()
+		w.beginRead(o)
+		w.finishRead(o)
+		w.syncAll()
 	}
 	w.now = w.now.Add(testTimes.interval)
 }
 
-func (w *world) tellAll() {
+func (w *world) syncAll() {
 	for range 2 {
 		for _, o := range w.owners {
-			if !o.cut && !o.dead {
-				tell(o.table, w.other)
+			if !o.isolated && !o.lost {
+				syncTables(o.table, w.other)
 			}
 		}
 	}
 }
 
-// settle is enough rounds for the last owner in order to have spoken.
-func (w *world) settle() {
+// runUntilSettled is enough rounds for the last owner in order to have spoken.
+func (w *world) runUntilSettled() {
 	for range 4 * (len(w.owners) + 1) {
 		w.round()
 	}
@@ -137,8 +137,8 @@
 	return h
 }
 
-// truth is what the other VM must know once all has been told.
-func (w *world) truth() error {
+// checkKnown is what the other VM must know once all has been told.
+func (w *world) checkKnown() error {
 	h := w.known()
 	if !h.SameContent(encode(w.status)) {
 		return fmt.Errorf("known %+v, the target says %+v", h, w.status)
@@ -149,107 +149,107 @@
 	return nil
 }
 
-func TestFirstOwnerAloneSpeaks(t *testing.T) {
+func TestOnlyFirstOwnerReports(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(3)
-	w.settle()
-	g.Expect(w.truth()).To(Succeed())
+	w.runUntilSettled()
+	g.Expect(w.checkKnown()).To(Succeed())
 	before := w.known().Stamp
-	w.settle()
+	w.runUntilSettled()
 	g.Expect(w.known().Stamp).To(Equal(before), "stated again though nothing changed")
-	w.hold("s2", 2)
-	w.read(w.owners[1])
-	w.take(w.owners[1])
-	w.tellAll()
+	w.setHoldings("s2", 2)
+	w.beginRead(w.owners[1])
+	w.finishRead(w.owners[1])
+	w.syncAll()
 	g.Expect(w.known().Stamp).To(Equal(before), "the second did not wait for the first")
 	w.round()
-	g.Expect(w.truth()).To(Succeed())
+	g.Expect(w.checkKnown()).To(Succeed())
 }
 
-// TestOthersStandInForTheFirst: the owner that speaks for a target is frozen, and
+// TestNextOwnerReportsForFrozenOwner: the owner that speaks for a target is frozen, and
 // nobody has noticed yet. The target takes a new index. Users of VMs without
 // connections would be sent to an index that is gone; the next owner must speak.
-func TestOthersStandInForTheFirst(t *testing.T) {
+func TestNextOwnerReportsForFrozenOwner(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(3)
-	w.settle()
-	w.hold("s2", 2)
-	w.othersSettle()
-	g.Expect(w.truth()).To(Succeed())
+	w.runUntilSettled()
+	w.setHoldings("s2", 2)
+	w.runOthersUntilSettled()
+	g.Expect(w.checkKnown()).To(Succeed())
 }
 
-// TestFrozenOwnerDoesNotSetBack: the speaker reads a target, is frozen, the target
+// TestFrozenOwnerStatementLoses: the speaker reads a target, is frozen, the target
 // restarts and the others tell of the new incarnation; then the speaker runs on
 // and states what it had read. Calls would go by the holdings of a process that is
 // gone. Its statement must lose, whether it hears of the others' before or after.
-func TestFrozenOwnerDoesNotSetBack(t *testing.T) {
+func TestFrozenOwnerStatementLoses(t *testing.T) {
 	for _, unheard := range []bool{false, true} { // whether the others missed an incarnation
 		g := NewWithT(t)
 		w := newWorld(3)
-		w.settle()
+		w.runUntilSettled()
 		first := w.owners[0]
-		first.cut = true
+		first.isolated = true
 		w.restart()
-		w.read(first)
+		w.beginRead(first)
 		if !unheard {
-			w.othersSettle()
+			w.runOthersUntilSettled()
 		}
 		w.restart()
-		w.othersSettle()
-		g.Expect(w.truth()).To(Succeed())
-		w.take(first)
-		first.cut = false
-		w.tellAll()
-		g.Expect(w.truth()).To(Succeed())
+		w.runOthersUntilSettled()
+		g.Expect(w.checkKnown()).To(Succeed())
+		w.finishRead(first)
+		first.isolated = false
+		w.syncAll()
+		g.Expect(w.checkKnown()).To(Succeed())
 	}
 }
 
-// othersSettle lets all but the first owner read until they have stood in for it.
-func (w *world) othersSettle() {
+// runOthersUntilSettled lets all but the first owner read until they have stood in for it.
+func (w *world) runOthersUntilSettled() {
 	for range 4 {
 		for _, o := range w.owners[1:] {
-			w.read(o)
-			w.take(o)
+			w.beginRead(o)
+			w.finishRead(o)
 		}
-		w.tellAll()
+		w.syncAll()
 		w.now = w.now.Add(testTimes.interval)
 	}
 }
 
-// TestOneBlindOwnerLosesNothing: one owner alone loses contact with a target, by a
+// TestTargetLostOnlyWhenNoOwnerCanRead: one owner alone loses contact with a target, by a
 // broken path or its own fault. If it could call the target lost, all VMs would
 // take its shards for missing. Only when no live owner can read it is it lost.
-func TestOneBlindOwnerLosesNothing(t *testing.T) {
+func TestTargetLostOnlyWhenNoOwnerCanRead(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(3)
-	w.settle()
+	w.runUntilSettled()
 	for blind := range w.owners {
-		w.owners[blind].blind = true
-		w.settle()
+		w.owners[blind].cannotRead = true
+		w.runUntilSettled()
 		if blind < len(w.owners)-1 {
-			g.Expect(w.truth()).To(Succeed(), "%d owners blind", blind+1)
+			g.Expect(w.checkKnown()).To(Succeed(), "%d owners blind", blind+1)
 		}
 	}
 	g.Expect(lost(w.known(), w.standing(0).owners)).To(BeTrue())
-	w.owners[1].blind = false
-	w.settle()
-	g.Expect(w.truth()).To(Succeed())
+	w.owners[1].cannotRead = false
+	w.runUntilSettled()
+	g.Expect(w.checkKnown()).To(Succeed())
 }
 
-// TestTargetDeadFromTheStart: a bundle names a target that is down. Nothing could
+// TestTargetDownFromTheStart: a bundle names a target that is down. Nothing could
 // be told of it, and all VMs would try to read it at each interval, through its
 // owners. That nobody can read it is told, and what it says once it is up.
-func TestTargetDeadFromTheStart(t *testing.T) {
+func TestTargetDownFromTheStart(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(3)
 	for _, o := range w.owners {
-		o.blind = true
+		o.cannotRead = true
 	}
-	w.settle()
+	w.runUntilSettled()
 	g.Expect(lost(w.known(), w.standing(0).owners)).To(BeTrue())
-	w.owners[2].blind = false
-	w.settle()
-	g.Expect(w.truth()).To(Succeed())
+	w.owners[2].cannotRead = false
+	w.runUntilSettled()
+	g.Expect(w.checkKnown()).To(Succeed())
 }
 
 // TestDrainedStaysDrained: a late reading says that a target serves whose drain
@@ -258,18 +258,18 @@
 	g := NewWithT(t)
 	w := newWorld(2)
 	w.status.State = target.StateDraining
-	w.settle()
+	w.runUntilSettled()
 	w.status.State = target.StateServing
-	w.hold("s2", 2)
-	w.settle()
+	w.setHoldings("s2", 2)
+	w.runUntilSettled()
 	g.Expect(decode(w.known()).State).To(Equal(target.StateDraining))
 	g.Expect(decode(w.known()).Leaves).To(Equal(w.status.Leaves))
 }
 
-// TestKnowledgeSettles: owners are cut off, frozen in mid-read, blind or lost for
+// TestHealthConverges: owners are cut off, frozen in mid-read, blind or lost for
 // good, and the target restarts and switches its index, in any order. Once all but
 // one owner are well again, everybody knows what the target says.
-func TestKnowledgeSettles(t *testing.T) {
+func TestHealthConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(4)
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
@@ -277,11 +277,11 @@
 			w.step(o, rapid.IntRange(0, 7).Draw(t, "what"))
 		}
 		for i, o := range w.owners {
-			o.blind, o.cut, o.pending = false, false, nil
-			o.dead = i == 0
+			o.cannotRead, o.isolated, o.pending = false, false, nil
+			o.lost = i == 0
 		}
-		w.settle()
-		if err := w.truth(); err != nil {
+		w.runUntilSettled()
+		if err := w.checkKnown(); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -292,27 +292,27 @@
 	case 0:
 		w.restart()
 	case 1:
-		w.hold(fmt.Sprint("s", w.now.Unix()), w.now.Unix())
+		w.setHoldings(fmt.Sprint("s", w.now.Unix()), w.now.Unix())
 	case 2:
-		o.blind = !o.blind
+		o.cannotRead = !o.cannotRead
 	case 3:
-		o.cut = !o.cut
+		o.isolated = !o.isolated
 	case 4, 5:
 		if o.pending == nil {
-			w.read(o)
+			w.beginRead(o)
 		} else {
-			w.take(o)
+			w.finishRead(o)
 		}
 	case 6:
-		w.tellAll()
+		w.syncAll()
 	default:
 		w.round()
 	}
 }
 
-// TestContentIsKept: what a status says must be the same after it was told, but
+// TestContentRoundTrip: what a status says must be the same after it was told, but
 // for the loads and the order.
-func TestContentIsKept(t *testing.T) {
+func TestContentRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		st := target.Status{Target: testTarget, Incarnation: "i", State: target.StateServing}
 		for leaf := range rapid.IntRange(0, 3).Draw(t, "leaves") {
@@ -335,9 +335,9 @@
 	})
 }
 
-// TestWhatDoesNotFitIsSaidToBeOpaque: a target holds more than a statement may
+// TestOversizedStatusIsOpaque: a target holds more than a statement may
 // tell. If nothing were said, VMs would go on with an earlier statement.
-func TestWhatDoesNotFitIsSaidToBeOpaque(t *testing.T) {
+func TestOversizedStatusIsOpaque(t *testing.T) {
 	g := NewWithT(t)
 	st := target.Status{Target: testTarget, Incarnation: "i", State: target.StateServing, Leaves: []target.LeafStatus{{}}}
 	for shard := range 2000 {
--- a/peer/link.go
+++ b/peer/link.go
@@ -12,25 +12,25 @@
 // link is a connection to another VM with what is still to be told over it.
 // Exchange.mu guards its fields.
 type link struct {
-	conn     *wire.Conn
-	name     string
-	since    time.Time
-	pending  map[facts.Key]struct{}
-	waiting  bool   // only health of targets is pending, and a wake is set for it
-	revision bool   // the own revision is to be told
-	theirs   uint64 // highest revision that the peer said it has
-	goodbye  bool   // the peer closes it on purpose
-	wake     chan struct{}
+	conn          *wire.Conn
+	name          string
+	openedAt      time.Time
+	pending       map[facts.Key]struct{}
+	wakeScheduled bool   // only health of targets is pending, and a wake is set for it
+	sendRevision  bool   // the own revision is to be told
+	peerRevision  uint64 // highest revision that the peer said it has
+	goodbye       bool   // the peer closes it on purpose
+	wake          chan struct{}
 }
 
 const (
-	// gather is how long a sender waits for more to tell in the same message.
-	gather = 10 * time.Millisecond
-	// healthGather is the same for the health of targets, which is read a second
+	// batchDelay is how long a sender waits for more to tell in the same message.
+	batchDelay = 10 * time.Millisecond
+	// healthBatchDelay is the same for the health of targets, which is read a second
 	// apart: an index switch comes as thousands of statements, and the more go in
 	// one message, the fewer bytes each takes and the more often a peer has told
 	// of it first.
-	healthGather = 100 * time.Millisecond
+	healthBatchDelay = 100 * time.Millisecond
 	// maxFacts bounds the facts in one message.
 	maxFacts = 256
 )
@@ -58,10 +58,10 @@
 	}
 }
 
-// accepted takes a connection of another VM. If there are too many, the oldest
+// handleAccepted takes a connection of another VM. If there are too many, the oldest
 // of the others' is closed: the VM that opened it knows more VMs by then. This
 // spreads the load of those that all VMs know first.
-func (x *Exchange) accepted(conn *wire.Conn) {
+func (x *Exchange) handleAccepted(conn *wire.Conn) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.tomb.Alive() {
@@ -80,7 +80,7 @@
 			continue
 		}
 		inbound++
-		if oldest == nil || l.since.Before(oldest.since) {
+		if oldest == nil || l.openedAt.Before(oldest.openedAt) {
 			oldest = l
 		}
 	}
@@ -92,12 +92,12 @@
 // addLink must hold mu, with the tomb alive.
 func (x *Exchange) addLink(conn *wire.Conn) *link {
 	l := &link{
-		conn:     conn,
-		name:     conn.Peer().VM,
-		since:    time.Now(),
-		pending:  map[facts.Key]struct{}{},
-		revision: true,
-		wake:     make(chan struct{}, 1),
+		conn:         conn,
+		name:         conn.Peer().VM,
+		openedAt:     time.Now(),
+		pending:      map[facts.Key]struct{}{},
+		sendRevision: true,
+		wake:         make(chan struct{}, 1),
 	}
 	x.links[l] = struct{}{}
 	conn.Serve()
@@ -126,15 +126,15 @@
 
 // signalLater wakes the sender after healthGather. It must hold mu.
 func (l *link) signalLater() {
-	if !l.waiting {
-		l.waiting = true
-		time.AfterFunc(healthGather, l.signal)
+	if !l.wakeScheduled {
+		l.wakeScheduled = true
+		time.AfterFunc(healthBatchDelay, l.signal)
 	}
 }
 
-// spread tells a fact to all links but the one that it came from. It must hold
+// forward tells a fact to all links but the one that it came from. It must hold
 // mu.
-func (x *Exchange) spread(f facts.Fact, from *link) {
+func (x *Exchange) forward(f facts.Fact, from *link) {
 	for l := range x.links {
 		if l == from {
 			continue
@@ -156,13 +156,13 @@
 		case <-x.tomb.Dying():
 			return nil
 		case <-l.conn.Done():
-			x.linkLost(l)
+			x.handleLinkLoss(l)
 			return nil
 		case <-l.wake:
 		}
-		time.Sleep(gather)
+		time.Sleep(batchDelay)
 		for {
-			news, more := x.takeNews(l)
+			news, more := x.nextMessage(l)
 			if news == nil {
 				break
 			}
@@ -177,17 +177,17 @@
 	}
 }
 
-// takeNews returns the next message for a link, or nil, and whether there is
+// nextMessage returns the next message for a link, or nil, and whether there is
 // more.
-func (x *Exchange) takeNews(l *link) (*tellMessage, bool) {
+func (x *Exchange) nextMessage(l *link) (*tellMessage, bool) {
 	revision := x.opts.Heads.Revision()
 	news := &tellMessage{}
 	x.mu.Lock()
-	if l.revision && revision > l.theirs {
+	if l.sendRevision && revision > l.peerRevision {
 		news.Revision = revision
 	}
-	l.revision = false
-	l.waiting = false
+	l.sendRevision = false
+	l.wakeScheduled = false
 	var keys []facts.Key
 	for key := range l.pending {
 		if len(keys) == maxFacts {
@@ -202,13 +202,13 @@
 	if news.Revision == 0 && len(list) == 0 {
 		return nil, false
 	}
-	news.sentFacts = send(l.conn, list)
+	news.factPayload = encodeFacts(l.conn, list)
 	return news, more
 }
 
-// linkLost finds out why a connection ended: unless the peer said goodbye, it is
+// handleLinkLoss finds out why a connection ended: unless the peer said goodbye, it is
 // dialled once more, and suspected if that fails.
-func (x *Exchange) linkLost(l *link) {
+func (x *Exchange) handleLinkLoss(l *link) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	delete(x.links, l)
@@ -231,14 +231,14 @@
 		ctx, cancel := context.WithTimeout(x.tomb.Context(context.Background()), dialTimeout)
 		conn, err := wire.Dial(ctx, address, x.wireOptions(), &x.count)
 		cancel()
-		x.dialed(name, address, conn, err)
+		x.handleDialed(name, address, conn, err)
 		return nil
 	})
 }
 
 const dialTimeout = 2 * time.Second
 
-func (x *Exchange) dialed(name, address string, conn *wire.Conn, err error) {
+func (x *Exchange) handleDialed(name, address string, conn *wire.Conn, err error) {
 	x.mu.Lock()
 	delete(x.dialing, address)
 	if err != nil {
@@ -253,7 +253,7 @@
 	if name != "" && name != peer {
 		x.suspect(name, time.Now()) // its address belongs to another VM now
 	}
-	if !x.tomb.Alive() || peer == x.opts.VM.Name || x.linked(peer) || x.outbound() > x.opts.Fanout {
+	if !x.tomb.Alive() || peer == x.opts.VM.Name || x.linkedTo(peer) || x.outbound() > x.opts.Fanout {
 		x.mu.Unlock()
 		_ = conn.Notify(methodGoodbye, nil)
 		conn.Close()
@@ -264,8 +264,8 @@
 	x.sync(l)
 }
 
-// linked must hold mu.
-func (x *Exchange) linked(name string) bool {
+// linkedTo must hold mu.
+func (x *Exchange) linkedTo(name string) bool {
 	for l := range x.links {
 		if l.name == name {
 			return true
@@ -301,13 +301,13 @@
 // flush waits until everything told so far has been written, for a short time.
 func (x *Exchange) flush() {
 	end := time.Now().Add(flushLimit)
-	for x.tomb.Alive() && time.Now().Before(end) && x.hasNews() {
-		time.Sleep(gather)
+	for x.tomb.Alive() && time.Now().Before(end) && x.hasPending() {
+		time.Sleep(batchDelay)
 	}
-	time.Sleep(2 * gather)
+	time.Sleep(2 * batchDelay)
 }
 
-func (x *Exchange) hasNews() bool {
+func (x *Exchange) hasPending() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for l := range x.links {
--- a/peer/live.go
+++ b/peer/live.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// watchAllUpTo is the size of fleet up to which every VM watches the
+	// maxAllWatchVMs is the size of fleet up to which every VM watches the
 	// platform. A watch counts as a call, and the platform's rates don't grow
 	// with the fleet.
-	watchAllUpTo = 16
+	maxAllWatchVMs = 16
 	// watchersPerZone is how many VMs of each availability zone watch in a
 	// larger fleet, so that the loss of a zone or region leaves some.
 	watchersPerZone = 2
@@ -56,10 +56,10 @@
 	return objstore.VM{Name: m.Name, Address: m.Address, Ops: m.Ops, Zone: m.Zone, Leaving: m.State == facts.Leaving}
 }
 
-// watches tells whether the named VM is one of those that watch the platform.
+// isWatcher tells whether the named VM is one of those that watch the platform.
 // VMs whose views differ for a while make it a few more or fewer.
-func watches(live []objstore.VM, name string) bool {
-	if len(live) <= watchAllUpTo {
+func isWatcher(live []objstore.VM, name string) bool {
+	if len(live) <= maxAllWatchVMs {
 		return true
 	}
 	at := slices.IndexFunc(live, func(vm objstore.VM) bool { return vm.Name == name })
@@ -80,17 +80,17 @@
 	return xxhash.Sum64String("watch\x00" + name)
 }
 
-// placesOf returns the VMs that hold places. While a place changes hands two may
+// placeHolders returns the VMs that hold places. While a place changes hands two may
 // claim it; the one that stays has it, or the one that started later. A VM that is
 // leaving is returned as such: it still serves what reaches it, but nothing new
 // should, unless nobody else can.
-func placesOf(members []facts.Member) map[int]objstore.VM {
+func placeHolders(members []facts.Member) map[int]objstore.VM {
 	holders := map[int]facts.Member{}
 	for _, m := range members {
 		if m.Place == 0 || m.State == facts.Lost {
 			continue
 		}
-		if other, taken := holders[m.Place-1]; !taken || succeeds(m, other) {
+		if other, taken := holders[m.Place-1]; !taken || winsPlace(m, other) {
 			holders[m.Place-1] = m
 		}
 	}
@@ -101,8 +101,8 @@
 	return places
 }
 
-// succeeds tells whether m has a place that other claims as well.
-func succeeds(m, other facts.Member) bool {
+// winsPlace tells whether m has a place that other claims as well.
+func winsPlace(m, other facts.Member) bool {
 	if leaves := m.State == facts.Leaving; leaves != (other.State == facts.Leaving) {
 		return !leaves
 	}
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -26,7 +26,7 @@
 
 type tellMessage struct {
 	Revision uint64 `json:"r,omitempty"`
-	sentFacts
+	factPayload
 }
 
 type syncRequest struct {
@@ -50,7 +50,7 @@
 }
 
 type diffAnswer struct {
-	sentFacts
+	factPayload
 	Want []facts.Key `json:"w,omitempty"`
 	More bool        `json:"m,omitempty"` // there are more facts than fit
 }
@@ -72,22 +72,22 @@
 
 // handle serves the peers' messages.
 func (x *Exchange) handle(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
-	if conn.Use() != "" && x.opts.Calls != nil {
-		return x.opts.Calls(ctx, conn, method, params)
+	if conn.Use() != "" && x.opts.CallHandler != nil {
+		return x.opts.CallHandler(ctx, conn, method, params)
 	}
 	switch method {
 	case methodTell:
-		return serve(params, func(m *tellMessage) (any, error) { return nil, x.heard(conn, m) })
+		return serve(params, func(m *tellMessage) (any, error) { return nil, x.handleTell(conn, m) })
 	case methodSync:
-		return serve(params, func(m *syncRequest) (any, error) { return x.answerSync(conn, m), nil })
+		return serve(params, func(m *syncRequest) (any, error) { return x.handleSync(conn, m), nil })
 	case methodDiff:
-		return serve(params, func(m *diffRequest) (any, error) { return x.answerDiff(conn, m), nil })
+		return serve(params, func(m *diffRequest) (any, error) { return x.handleDiff(conn, m), nil })
 	case methodHead:
 		return headAnswer{Head: x.opts.Heads.Head()}, nil
 	case methodBundle:
-		return serve(params, func(m *bundleRequest) (any, error) { return x.answerBundle(m) })
+		return serve(params, func(m *bundleRequest) (any, error) { return x.handleBundle(m) })
 	case methodGoodbye:
-		x.heardGoodbye(conn)
+		x.handleGoodbye(conn)
 		return nil, nil
 	default:
 		return nil, result.Errorf(result.UnknownMethod, "%q", method)
@@ -102,8 +102,8 @@
 	return f(&m)
 }
 
-func (x *Exchange) heard(conn *wire.Conn, m *tellMessage) error {
-	told, err := m.list(maxFacts)
+func (x *Exchange) handleTell(conn *wire.Conn, m *tellMessage) error {
+	told, err := m.decode(maxFacts)
 	if err != nil {
 		return err
 	}
@@ -112,26 +112,26 @@
 	defer x.mu.Unlock()
 	l := x.linkOf(conn)
 	for _, f := range told {
-		x.learn(f, l, now)
+		x.mergeAndForward(f, l, now)
 	}
-	x.heardRevision(l, m.Revision)
+	x.recordPeerRevision(l, m.Revision)
 	return nil
 }
 
-// heardRevision notes a peer's revision and wakes the loop that gets newer ones.
+// recordPeerRevision notes a peer's revision and wakes the loop that gets newer ones.
 // It must hold mu.
-func (x *Exchange) heardRevision(l *link, revision uint64) {
-	if l == nil || revision <= l.theirs {
+func (x *Exchange) recordPeerRevision(l *link, revision uint64) {
+	if l == nil || revision <= l.peerRevision {
 		return
 	}
-	l.theirs = revision
+	l.peerRevision = revision
 	select {
-	case x.pull <- struct{}{}:
+	case x.pullWake <- struct{}{}:
 	default:
 	}
 }
 
-func (x *Exchange) heardGoodbye(conn *wire.Conn) {
+func (x *Exchange) handleGoodbye(conn *wire.Conn) {
 	x.mu.Lock()
 	if l := x.linkOf(conn); l != nil {
 		l.goodbye = true
@@ -141,7 +141,7 @@
 	conn.Close()
 }
 
-func (x *Exchange) answerSync(conn *wire.Conn, m *syncRequest) syncAnswer {
+func (x *Exchange) handleSync(conn *wire.Conn, m *syncRequest) syncAnswer {
 	answer := syncAnswer{Revision: x.opts.Heads.Revision()}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -151,17 +151,17 @@
 	if m.Revision == answer.Revision && m.Targets != x.table.Root(facts.Targets) {
 		answer.Targets = x.table.Digest(facts.Targets)
 	}
-	x.heardRevision(x.linkOf(conn), m.Revision)
+	x.recordPeerRevision(x.linkOf(conn), m.Revision)
 	return answer
 }
 
-func (x *Exchange) answerDiff(conn *wire.Conn, m *diffRequest) diffAnswer {
+func (x *Exchange) handleDiff(conn *wire.Conn, m *diffRequest) diffAnswer {
 	x.mu.Lock()
 	give, want := x.table.Compare(m.Buckets, m.Entries)
 	x.mu.Unlock()
 	more := len(give) > maxDiffFacts
-	given := send(conn, give[:min(len(give), maxDiffFacts)])
-	return diffAnswer{sentFacts: given, Want: want, More: more}
+	given := encodeFacts(conn, give[:min(len(give), maxDiffFacts)])
+	return diffAnswer{factPayload: given, Want: want, More: more}
 }
 
 // sync compares digests with a peer and exchanges what differs. A peer that
@@ -188,7 +188,7 @@
 		return err
 	}
 	x.mu.Lock()
-	x.heardRevision(l, answer.Revision)
+	x.recordPeerRevision(l, answer.Revision)
 	x.mu.Unlock()
 	for range maxDiffRounds {
 		more, err := x.diff(ctx, l, &answer)
@@ -222,26 +222,26 @@
 	if err := l.conn.Call(ctx, methodDiff, request, &differing); err != nil {
 		return false, err
 	}
-	return differing.More, x.takeDiff(l, &differing)
+	return differing.More, x.mergeDiff(l, &differing)
 }
 
-func (x *Exchange) takeDiff(l *link, differing *diffAnswer) error {
-	given, err := differing.list(maxDiffFacts)
+func (x *Exchange) mergeDiff(l *link, differing *diffAnswer) error {
+	given, err := differing.decode(maxDiffFacts)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	young := now.Sub(x.begun) < youth
+	young := now.Sub(x.startTime) < startupPeriod
 	for _, f := range given {
 		if f.Health != nil && young {
 			// What a VM that starts takes over, thousands of facts, is known to
 			// the others; it would be sent over each of its connections.
-			x.take(f, l, now)
+			x.merge(f, l, now)
 			continue
 		}
-		x.learn(f, l, now)
+		x.mergeAndForward(f, l, now)
 	}
 	if !differing.More { // else the peer may want what it is about to give
 		for _, key := range differing.Want {
@@ -252,7 +252,7 @@
 	return nil
 }
 
-func (x *Exchange) answerBundle(m *bundleRequest) (any, error) {
+func (x *Exchange) handleBundle(m *bundleRequest) (any, error) {
 	raw, ok := x.opts.Heads.RawBundle(m.Digest)
 	if !ok {
 		return nil, result.Errorf(result.BundleNotHeld, "%s", m.Digest)
@@ -268,8 +268,8 @@
 	return bundleAnswer{Gzip: buf.Bytes()}, nil
 }
 
-// maxBundle bounds a bundle with its sign-offs after decompression.
-const maxBundle = 2 * objstore.MaxValue
+// maxBundleBytes bounds a bundle with its sign-offs after decompression.
+const maxBundleBytes = 2 * objstore.MaxValue
 
 func (x *Exchange) fetchBundle(ctx context.Context, l *link, digest string) ([]byte, error) {
 	var answer bundleAnswer
@@ -280,12 +280,12 @@
 	if err != nil {
 		return nil, result.Wrap(result.BadMessage, err, "bundle")
 	}
-	raw, err := io.ReadAll(io.LimitReader(r, maxBundle+1))
+	raw, err := io.ReadAll(io.LimitReader(r, maxBundleBytes+1))
 	if err != nil {
 		return nil, result.Wrap(result.BadMessage, err, "bundle")
 	}
-	if len(raw) > maxBundle {
-		return nil, result.Errorf(result.MessageTooBig, "bundle of more than %d bytes", maxBundle)
+	if len(raw) > maxBundleBytes {
+		return nil, result.Errorf(result.MessageTooBig, "bundle of more than %d bytes", maxBundleBytes)
 	}
 	return raw, nil
 }
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -17,7 +17,7 @@
 	gauge(`bramley_peer_silent_total`, func() float64 { return float64(x.count.SilentClosed.Load()) })
 	gauge(`bramley_peer_connections`, func() float64 { return float64(x.Peers()) })
 	gauge(`bramley_peer_live_vms`, func() float64 { return float64(len(x.Live())) })
-	gauge(`bramley_peer_lost_vms`, func() float64 { return float64(x.lost()) })
+	gauge(`bramley_peer_lost_vms`, func() float64 { return float64(x.lostCount()) })
 	gauge(`bramley_peer_drains`, func() float64 { return float64(len(x.Drains())) })
 	gauge(`bramley_peer_drain_learned_seconds`, x.drainLearnedSeconds)
 	gauge(`bramley_peer_health_targets`, x.healthTargets)
@@ -29,7 +29,7 @@
 func (x *Exchange) healthTargets() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return float64(x.table.Healths())
+	return float64(x.table.HealthCount())
 }
 
 // healthLearnedSeconds is the Unix time at which this VM last learned something
@@ -37,14 +37,14 @@
 func (x *Exchange) healthLearnedSeconds() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return unixSeconds(x.healthLearned)
+	return unixSeconds(x.lastHealthLearned)
 }
 
-// lost is the number of VMs that count as lost and are not forgotten yet.
-func (x *Exchange) lost() int {
+// lostCount is the number of VMs that count as lostCount and are not forgotten yet.
+func (x *Exchange) lostCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.table.Lost()
+	return x.table.LostCount()
 }
 
 // drainLearnedSeconds is the Unix time at which this VM last learned of a drain,
@@ -52,7 +52,7 @@
 func (x *Exchange) drainLearnedSeconds() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return unixSeconds(x.drainLearned)
+	return unixSeconds(x.lastDrainLearned)
 }
 
 // unixSeconds is 0 for the zero time.
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -17,35 +17,35 @@
 type packedFacts []byte
 
 const (
-	// packFrom is the number of facts from which packing saves anything.
-	packFrom = 4
-	// maxUnpacked bounds packed facts after decompression.
-	maxUnpacked = maxDiffFacts * (facts.MaxHealthBytes + 64)
+	// minPackedFacts is the number of facts from which packing saves anything.
+	minPackedFacts = 4
+	// maxUnpackedBytes bounds packed facts after decompression.
+	maxUnpackedBytes = maxDiffFacts * (facts.MaxHealthBytes + 64)
 )
 
-// writers are kept because each takes more than half a megabyte to make.
-var writers = sync.Pool{New: func() any {
+// flateWriters are kept because each takes more than half a megabyte to make.
+var flateWriters = sync.Pool{New: func() any {
 	w, _ := flate.NewWriter(nil, flate.BestSpeed) // the level is valid
 	return w
 }}
 
-// sentFacts are facts in one of two forms.
-type sentFacts struct {
+// factPayload are facts in one of two forms.
+type factPayload struct {
 	Facts  []facts.Fact `json:"f,omitempty"`
 	Packed packedFacts  `json:"p,omitempty"`
 }
 
-// send gives facts the form for a connection: packed, unless there are so few that
+// encodeFacts gives facts the form for a connection: packed, unless there are so few that
 // it saves nothing or the peer is of a version that doesn't know it.
-func send(conn *wire.Conn, list []facts.Fact) sentFacts {
-	if len(list) < packFrom || conn.Version() < wire.VersionCBOR {
-		return sentFacts{Facts: list}
+func encodeFacts(conn *wire.Conn, list []facts.Fact) factPayload {
+	if len(list) < minPackedFacts || conn.Version() < wire.VersionCBOR {
+		return factPayload{Facts: list}
 	}
-	return sentFacts{Packed: packFacts(list)}
+	return factPayload{Packed: packFacts(list)}
 }
 
-// list returns the facts, of which there may be that many.
-func (s sentFacts) list(most int) ([]facts.Fact, error) {
+// decode returns the facts, of which there may be that many.
+func (s factPayload) decode(most int) ([]facts.Fact, error) {
 	list := s.Facts
 	if len(s.Packed) > 0 {
 		var err error
@@ -61,8 +61,8 @@
 
 func packFacts(list []facts.Fact) packedFacts {
 	var buf bytes.Buffer
-	w := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	w.Reset(&buf)
 	_ = json.NewEncoder(w).Encode(list) // facts always marshal, and a buffer takes all
 	_ = w.Close()
@@ -70,12 +70,12 @@
 }
 
 func (p packedFacts) unpack() ([]facts.Fact, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p)), maxUnpacked+1))
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p)), maxUnpackedBytes+1))
 	if err != nil {
 		return nil, result.Wrap(result.BadMessage, err, "packed facts")
 	}
-	if len(data) > maxUnpacked {
-		return nil, result.Errorf(result.MessageTooBig, "facts of more than %d bytes", maxUnpacked)
+	if len(data) > maxUnpackedBytes {
+		return nil, result.Errorf(result.MessageTooBig, "facts of more than %d bytes", maxUnpackedBytes)
 	}
 	var list []facts.Fact
 	if err := json.Unmarshal(data, &list); err != nil {
--- a/peer/pack_test.go
+++ b/peer/pack_test.go
@@ -20,21 +20,21 @@
 	for i := range maxFacts {
 		list = append(list, facts.Fact{Drain: &facts.Drain{Target: fmt.Sprint(i), Incarnation: "i", Since: 1}})
 	}
-	sent := sentFacts{Packed: packFacts(list)}
-	got, err := sent.list(maxFacts)
+	sent := factPayload{Packed: packFacts(list)}
+	got, err := sent.decode(maxFacts)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(Equal(list))
-	_, err = sent.list(maxFacts - 1)
+	_, err = sent.decode(maxFacts - 1)
 	g.Expect(err).To(HaveOccurred())
 
-	_, err = sentFacts{Packed: []byte("no facts")}.list(maxFacts)
+	_, err = factPayload{Packed: []byte("no facts")}.decode(maxFacts)
 	g.Expect(err).To(HaveOccurred())
 	var bomb bytes.Buffer
 	w, err := flate.NewWriter(&bomb, flate.BestSpeed)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = w.Write(append([]byte("["), bytes.Repeat([]byte(" "), maxUnpacked+1)...))
+	_, err = w.Write(append([]byte("["), bytes.Repeat([]byte(" "), maxUnpackedBytes+1)...))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(w.Close()).To(Succeed())
-	_, err = sentFacts{Packed: bomb.Bytes()}.list(maxFacts)
+	_, err = factPayload{Packed: bomb.Bytes()}.decode(maxFacts)
 	g.Expect(err).To(MatchError(ContainSubstring("more than")))
 }
--- a/peer/place/place.go
+++ b/peer/place/place.go
@@ -23,8 +23,8 @@
 // the deployment's, a dash and the place.
 const Kind = "vm-places"
 
-// ErrNone means that all places are held by VMs that are not known to be gone.
-var ErrNone = errors.New("place: none is free")
+// ErrNoneFree means that all places are held by VMs that are not known to be gone.
+var ErrNoneFree = errors.New("place: none is free")
 
 // Claim is the value of an object.
 type Claim struct {
@@ -39,8 +39,8 @@
 	Deployment  string
 	VM          string
 	Incarnation string
-	// Gone tells whether a process is known to have ended.
-	Gone func(vm, incarnation string) bool
+	// Ended tells whether a process is known to have ended.
+	Ended func(vm, incarnation string) bool
 }
 
 // Held is a place that this process holds.
@@ -53,9 +53,9 @@
 // pageSize is the number of claims read at a time.
 const pageSize = 1000
 
-// Take claims one of the places. It returns ErrNone if none can be had now.
-func Take(ctx context.Context, o Options, places int) (*Held, error) {
-	claims, err := list(ctx, o)
+// Acquire claims one of the places. It returns ErrNone if none can be had now.
+func Acquire(ctx context.Context, o Options, places int) (*Held, error) {
+	claims, err := listClaims(ctx, o)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -66,21 +66,21 @@
 	}
 	for _, place := range rand.Perm(places) {
 		claim, taken := claims[place]
-		if taken && !o.Gone(claim.VM, claim.Incarnation) {
+		if taken && !o.Ended(claim.VM, claim.Incarnation) {
 			continue
 		}
-		held, err := o.put(ctx, place, claim.version)
+		held, err := o.putClaim(ctx, place, claim.version)
 		if errors.Is(err, objstore.ErrConflict) {
 			continue // another VM was faster
 		}
 		return held, errors.Trace(err)
 	}
-	return nil, ErrNone
+	return nil, ErrNoneFree
 }
 
 // Release gives the place back, if it is still this process's.
 func (h *Held) Release(ctx context.Context) error {
-	err := h.opts.Store.Delete(ctx, Kind, h.opts.name(h.Place), h.version)
+	err := h.opts.Store.Delete(ctx, Kind, h.opts.objectName(h.Place), h.version)
 	if errors.Is(err, objstore.ErrNotFound) || errors.Is(err, objstore.ErrConflict) {
 		return nil
 	}
@@ -90,7 +90,7 @@
 // Lost tells whether another process holds the place by now. A VM that was
 // frozen for long has to ask before it opens connections again.
 func (h *Held) Lost(ctx context.Context) (bool, error) {
-	object, err := h.opts.Store.Get(ctx, Kind, h.opts.name(h.Place))
+	object, err := h.opts.Store.Get(ctx, Kind, h.opts.objectName(h.Place))
 	switch {
 	case errors.Is(err, objstore.ErrNotFound):
 		return true, nil
@@ -101,27 +101,27 @@
 	}
 }
 
-func (o Options) name(place int) string { return fmt.Sprintf("%s-%04d", o.Deployment, place) }
+func (o Options) objectName(place int) string { return fmt.Sprintf("%s-%04d", o.Deployment, place) }
 
-func (o Options) put(ctx context.Context, place int, expect uint64) (*Held, error) {
+func (o Options) putClaim(ctx context.Context, place int, expect uint64) (*Held, error) {
 	value, err := json.Marshal(Claim{VM: o.VM, Incarnation: o.Incarnation, At: time.Now().UTC()})
 	if err != nil {
 		return nil, err
 	}
-	version, err := o.Store.Put(ctx, Kind, o.name(place), expect, value)
+	version, err := o.Store.Put(ctx, Kind, o.objectName(place), expect, value)
 	if err != nil {
 		return nil, err
 	}
 	return &Held{Place: place, version: version, opts: o}, nil
 }
 
-type listed struct {
+type storedClaim struct {
 	Claim
 	version uint64
 }
 
-func list(ctx context.Context, o Options) (map[int]listed, error) {
-	claims := map[int]listed{}
+func listClaims(ctx context.Context, o Options) (map[int]storedClaim, error) {
+	claims := map[int]storedClaim{}
 	prefix := o.Deployment + "-"
 	for after := prefix; ; {
 		page, err := o.Store.List(ctx, Kind, after, pageSize)
@@ -135,7 +135,7 @@
 			if !own || err != nil {
 				continue // of another deployment
 			}
-			c := listed{version: object.Version}
+			c := storedClaim{version: object.Version}
 			if err := json.Unmarshal(object.Value, &c.Claim); err != nil {
 				return nil, errors.Annotatef(err, "claim %s", object.Name)
 			}
--- a/peer/share/share.go
+++ b/peer/share/share.go
@@ -25,34 +25,34 @@
 // enough to lose some, and few enough that each sees much of the target's load.
 const wantedOwners = 8
 
-// frozenOwners is how many shares of each target are left free where places
+// spareShares is how many shares of each target are left free where places
 // change hands: a VM that is frozen, or cut off, keeps its connections open at
 // the target while its successor in the place opens others.
-const frozenOwners = 1
+const spareShares = 1
 
 // Plan is how one target's connections are cut.
 type Plan struct {
-	Places int // of the fleet
-	Owners int // places that own connections to the target
-	Each   int // connections that one owner may hold
+	Places   int // of the fleet
+	Owners   int // places that own connections to the target
+	PerOwner int // connections that one owner may hold
 }
 
-// Cut plans for a target that accepts that many connections from the whole
+// NewPlan plans for a target that accepts that many connections from the whole
 // fleet, which has that many places.
-func Cut(connections, places int) Plan {
+func NewPlan(connections, places int) Plan {
 	places = max(places, 1)
 	connections = max(connections, 0)
 	owners := places
 	if connections < places {
-		owners = min(wantedOwners, max(connections-frozenOwners, 1), connections)
+		owners = min(wantedOwners, max(connections-spareShares, 1), connections)
 	}
 	switch {
 	case owners == 0:
 		return Plan{Places: places}
 	case owners == places:
-		return Plan{Places: places, Owners: owners, Each: connections / owners}
+		return Plan{Places: places, Owners: owners, PerOwner: connections / owners}
 	default:
-		return Plan{Places: places, Owners: owners, Each: max(connections/(owners+frozenOwners), 1)}
+		return Plan{Places: places, Owners: owners, PerOwner: max(connections/(owners+spareShares), 1)}
 	}
 }
 
@@ -67,7 +67,7 @@
 		return 0
 	}
 	if p.Direct() || slices.Contains(p.OwnerPlaces(target), place) {
-		return p.Each
+		return p.PerOwner
 	}
 	return 0
 }
@@ -78,11 +78,11 @@
 	for i := range places {
 		places[i] = i
 	}
-	return top(target, places, strconv.Itoa, p.Owners)
+	return topByWeight(target, places, strconv.Itoa, p.Owners)
 }
 
-// top returns the n candidates with the highest rendezvous weight for a target.
-func top[C any](target string, candidates []C, name func(C) string, n int) []C {
+// topByWeight returns the n candidates with the highest rendezvous weight for a target.
+func topByWeight[C any](target string, candidates []C, name func(C) string, n int) []C {
 	type weighed struct {
 		candidate C
 		weight    uint64
--- a/peer/share/share_test.go
+++ b/peer/share/share_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestSumStaysWithinLimit: whatever the limit and the fleet's size, and whoever
+// TestTotalStaysWithinLimit: whatever the limit and the fleet's size, and whoever
 // holds the places, all VMs together never hold more than the target accepts.
-func TestSumStaysWithinLimit(t *testing.T) {
+func TestTotalStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 200).Draw(t, "limit")
 		places := rapid.IntRange(1, 60).Draw(t, "places")
 		target := rapid.String().Draw(t, "target")
-		plan := Cut(limit, places)
+		plan := NewPlan(limit, places)
 		sum := 0
 		for place := -1; place <= places; place++ {
 			sum += plan.Connections(target, place)
@@ -24,7 +24,7 @@
 		if sum > limit {
 			t.Fatalf("%d connections of %d", sum, limit)
 		}
-		if !plan.Direct() && limit > 1 && sum+plan.Each > limit {
+		if !plan.Direct() && limit > 1 && sum+plan.PerOwner > limit {
 			t.Fatalf("%d connections of %d leave no share for a frozen owner", sum, limit)
 		}
 		if limit > 0 && sum == 0 {
@@ -41,7 +41,7 @@
 	const places, targets = 100, 1000
 	owned := make([]int, places)
 	for i := range targets {
-		for _, place := range Cut(25, places).OwnerPlaces(fmt.Sprint("target-", i)) {
+		for _, place := range NewPlan(25, places).OwnerPlaces(fmt.Sprint("target-", i)) {
 			owned[place]++
 		}
 	}
@@ -51,10 +51,10 @@
 	g.Expect(owned[places-1]).To(BeNumerically("<", mean*2))
 }
 
-// byList returns the owners of a target among the VMs of a list: the way that was
+// ownersByList returns the owners of a target among the VMs of a list: the way that was
 // ruled out.
-func byList(target string, vms []string, n int) []string {
-	return top(target, vms, func(s string) string { return s }, n)
+func ownersByList(target string, vms []string, n int) []string {
+	return topByWeight(target, vms, func(s string) string { return s }, n)
 }
 
 // rollingPeak replaces every VM of a fleet one after another by a VM of a new
@@ -72,17 +72,17 @@
 		names[step] = fmt.Sprint("new-", step)
 		history = append(history, slices.Clone(names))
 		for target := range targets {
-			peak = max(peak, plan.Each*believers(fmt.Sprint("target-", target), names, history, lag, plan.Owners))
+			peak = max(peak, plan.PerOwner*countSelfDeclaredOwners(fmt.Sprint("target-", target), names, history, lag, plan.Owners))
 		}
 	}
 	return peak
 }
 
-// believers counts the VMs that believe to own a target.
-func believers(target string, names []string, history [][]string, lag, owners int) int {
+// countSelfDeclaredOwners counts the VMs that believe to own a target.
+func countSelfDeclaredOwners(target string, names []string, history [][]string, lag, owners int) int {
 	count := 0
 	for behind := range lag + 1 {
-		seen := byList(target, history[max(len(history)-1-behind, 0)], owners)
+		seen := ownersByList(target, history[max(len(history)-1-behind, 0)], owners)
 		for place, name := range names {
 			if place%(lag+1) == behind && slices.Contains(seen, name) {
 				count++
@@ -99,9 +99,9 @@
 func TestReplacementWithLaggingList(t *testing.T) {
 	g := NewWithT(t)
 	const fleet, targets, limit, lag = 100, 10, 25, 10
-	plan := Cut(limit, fleet)
+	plan := NewPlan(limit, fleet)
 	// All of the limit among as many owners, without a share left free.
-	full := Plan{Places: fleet, Owners: plan.Owners, Each: limit / plan.Owners}
+	full := Plan{Places: fleet, Owners: plan.Owners, PerOwner: limit / plan.Owners}
 	listPeak := rollingPeak(fleet, targets, lag, full)
 	placePeak := 0
 	for place := range fleet {
--- a/peer/spread_bench_test.go
+++ b/peer/spread_bench_test.go
@@ -13,11 +13,11 @@
 // the loopback and the default times. Heads are fakes, so nothing is verified.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{50, 200, 400} {
-		b.Run(fmt.Sprint("vms=", n), func(b *testing.B) { spreadIn(b, n) })
+		b.Run(fmt.Sprint("vms=", n), func(b *testing.B) { benchmarkSpread(b, n) })
 	}
 }
 
-func spreadIn(b *testing.B, n int) {
+func benchmarkSpread(b *testing.B, n int) {
 	const limit = 2 * time.Minute
 	f := &testFleet{g: NewWithT(b), t: b, list: &fakeList{}, net: newNetwork()}
 	for i := range n {
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -8,23 +8,23 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/facts"
 )
 
-// pauseTicks is how many intervals late a tick is when the process must have
+// pausedAfterTicks is how many intervals late a tick is when the process must have
 // been frozen. All its connections then look silent though the others live.
-const pauseTicks = 5
+const pausedAfterTicks = 5
 
 // tick does what is due: judges suspects, keeps the number of connections, and
 // compares digests with one peer.
 func (x *Exchange) tick(now time.Time) {
 	x.mu.Lock()
-	if now.Sub(x.lastTick) > pauseTicks*x.opts.Interval {
-		x.resume()
+	if now.Sub(x.lastTick) > pausedAfterTicks*x.opts.Interval {
+		x.dropLinksAfterPause()
 	}
 	x.lastTick = now
 	if x.table.Expire(now.Unix()) {
-		x.changed()
+		x.invalidateCaches()
 	}
-	x.judgeSuspects(now)
-	x.keepLinks(now)
+	x.expireSuspects(now)
+	x.maintainLinks(now)
 	l := x.randomLink()
 	x.mu.Unlock()
 	if l != nil {
@@ -32,43 +32,43 @@
 	}
 }
 
-// resume drops all connections without suspecting anybody: after a freeze the
+// dropLinksAfterPause drops all connections without suspecting anybody: after a freeze the
 // silence was this VM's own. It must hold mu.
-func (x *Exchange) resume() {
+func (x *Exchange) dropLinksAfterPause() {
 	x.opts.Log.Warn("process was paused; peers are dialled anew")
 	for l := range x.links {
 		x.dropLink(l)
 	}
 }
 
-// keepLinks opens connections up to the fanout, replaces one now and then so
+// maintainLinks opens connections up to the fanout, replaces one now and then so
 // that the VMs mix, and looks for VMs that were lost. It must hold mu.
-func (x *Exchange) keepLinks(now time.Time) {
+func (x *Exchange) maintainLinks(now time.Time) {
 	if missing := x.opts.Fanout - x.outbound() - len(x.dialing); missing > 0 {
-		candidates := x.unlinked(x.liveLocked())
+		candidates := x.unlinkedVMs(x.liveLocked())
 		if len(candidates) == 0 {
 			x.dialSeed()
 		}
-		for _, vm := range pick(candidates, missing) {
+		for _, vm := range pickRandom(candidates, missing) {
 			x.dial(vm.Name, vm.Address)
 		}
 	}
-	if now.Sub(x.rotated) > x.opts.Rotate {
-		x.rotated = now
-		x.rotate(x.unlinked(x.liveLocked()))
+	if now.Sub(x.lastRotation) > x.opts.RotateInterval {
+		x.lastRotation = now
+		x.rotate(x.unlinkedVMs(x.liveLocked()))
 	}
-	if x.table.Lost() > 0 {
-		if vm, ok := lookForLost(x.listedOrKnown(), x.table.Members(), rand.Float64()); ok {
+	if x.table.LostCount() > 0 {
+		if vm, ok := pickLost(x.knownVMs(), x.table.Members(), rand.Float64()); ok {
 			x.dial(vm.Name, vm.Address)
 		}
 	}
 }
 
-// listedOrKnown returns the platform's list of VMs. A VM that never got one, since
+// knownVMs returns the platform's list of VMs. A VM that never got one, since
 // it started while the platform was down, has to go by what peers told: else two
 // halves of a fleet whose VMs were all replaced in that time would know each
 // other only as lost, and neither would look for the other. It must hold mu.
-func (x *Exchange) listedOrKnown() []objstore.VM {
+func (x *Exchange) knownVMs() []objstore.VM {
 	if x.listed != nil {
 		return x.listed
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-func (x *Exchange) unlinked(live []objstore.VM) []objstore.VM {
+func (x *Exchange) unlinkedVMs(live []objstore.VM) []objstore.VM {
 	taken := map[string]bool{x.opts.VM.Name: true}
 	for l := range x.links {
 		taken[l.name] = true
@@ -126,7 +126,7 @@
 	}
 	var oldest *link
 	for l := range x.links {
-		if l.conn.Dialed() && (oldest == nil || l.since.Before(oldest.since)) {
+		if l.conn.Dialed() && (oldest == nil || l.openedAt.Before(oldest.openedAt)) {
 			oldest = l
 		}
 	}
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// pick returns up to n VMs chosen at random.
-func pick(vms []objstore.VM, n int) []objstore.VM {
+// pickRandom returns up to n VMs chosen at random.
+func pickRandom(vms []objstore.VM, n int) []objstore.VM {
 	if n <= 0 {
 		return nil
 	}
@@ -163,11 +163,11 @@
 // listed by the platform but counts as lost.
 const lostDialsPerSecond = 2
 
-// lookForLost chooses a VM that counts as lost though the platform lists it.
+// pickLost chooses a VM that counts as lost though the platform lists it.
 // After a split each half counts the other as lost; somebody has to try, but not
 // all VMs at once: chance, from 0 to 1, decides, so that the whole fleet makes
 // about two dials a second to each such VM, whatever its size.
-func lookForLost(listed []objstore.VM, members []facts.Member, chance float64) (objstore.VM, bool) {
+func pickLost(listed []objstore.VM, members []facts.Member, chance float64) (objstore.VM, bool) {
 	lost := map[string]bool{}
 	for _, m := range members {
 		if m.State == facts.Lost {
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -133,14 +133,14 @@
 	return nil
 }
 
-func (k *Follower) watch(since uint64) (objstore.Change, error) {
+func (k *Follower) watch(since uint64) (objstore.WatchResult, error) {
 	ctx, cancel := context.WithTimeout(k.tomb.Context(context.Background()), k.opts.WatchTimeout)
 	defer cancel()
 	k.metrics.watches.Inc()
 	return k.opts.Store.Watch(ctx, KindHead, since)
 }
 
-func (k *Follower) affectsHead(change objstore.Change) bool {
+func (k *Follower) affectsHead(change objstore.WatchResult) bool {
 	for _, e := range change.Events {
 		if e.Name == k.opts.Deployment {
 			return true
--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -22,11 +22,11 @@
 // admit decides whether the request is worth beginning, by the shards that this VM asks itself;
 // a VM that is called decides by its own. Those that can't answer in time are closed.
 func (q *Query) admit(now time.Time, own []int) bool {
-	q.spareLeft = q.spare(len(own))
+	q.omissionsLeft = q.omissionsAllowed(len(own))
 	if !q.spec.Gathered || q.table.admitAll {
 		return true
 	}
-	usual, _ := q.table.usual(now, q.key())
+	usual, _ := q.table.typicalDuration(now, q.durationKey())
 	slack := max(q.spec.AnswerBy.Sub(now)-usual, 0)
 	var waits []time.Duration
 	var late []int
@@ -38,56 +38,56 @@
 		}
 	}
 	slices.Sort(waits)
-	longest := time.Duration(admitShare * float64(slack))
-	if n := len(waits) - q.spareLeft; n > 0 && waits[n-1] > longest {
-		q.refuse(now, Refusal{Wait: waits[n-1], Longest: longest})
+	longest := time.Duration(maxWaitShare * float64(slack))
+	if n := len(waits) - q.omissionsLeft; n > 0 && waits[n-1] > longest {
+		q.refuse(now, Refusal{Wait: waits[n-1], Limit: longest})
 		return false
 	}
 	for _, i := range late {
-		q.leaveOut(now, &q.shards[i])
+		q.omitShard(now, &q.shards[i])
 	}
-	q.spareLeft = max(q.spareLeft-len(late), 0)
+	q.omissionsLeft = max(q.omissionsLeft-len(late), 0)
 	return true
 }
 
 // Parameters of holding back own shards.
 const (
-	holdFrom = 0.05 // share of refused calls from which they are held
+	holdThreshold = 0.05 // share of refused calls from which they are held
 	// holdTime is about what a call and its refusal take.
 	holdTime = 3 * time.Millisecond
 )
 
-// holdsOwn reports whether the shards that this VM asks itself wait until called VMs had the
+// holdsOwnShards reports whether the shards that this VM asks itself wait until called VMs had the
 // time to refuse. Where calls are refused now and then, leafs would work on the other shards
 // for nobody, and the caller could not be told that its request has not run.
-func (q *Query) holdsOwn(now time.Time, calls []delegation) bool {
-	return len(calls) > 0 && q.table.callsRefused.share(now) > holdFrom
+func (q *Query) holdsOwnShards(now time.Time, calls []delegation) bool {
+	return len(calls) > 0 && q.table.callRefusalRate.current(now) > holdThreshold
 }
 
-// spare is how many shards an answer can do without, of a delegated request how many of those
+// omissionsAllowed is how many shards an answer can do without, of a delegated request how many of those
 // that this VM asks.
-func (q *Query) spare(own int) int {
+func (q *Query) omissionsAllowed(own int) int {
 	if !q.spec.Delegated {
-		return q.dispensable()
+		return q.maxOmissions()
 	}
-	return own - min(q.spec.Needed, own)
+	return own - min(q.spec.Required, own)
 }
 
-// dispensable is how many shards an answer can do without.
-func (q *Query) dispensable() int {
+// maxOmissions is how many shards an answer can do without.
+func (q *Query) maxOmissions() int {
 	n := float64(len(q.shards))
-	return len(q.shards) - max(int(math.Ceil(q.spec.MinShare*n-shareSlack)), 1)
+	return len(q.shards) - max(int(math.Ceil(q.spec.MinShare*n-roundingSlack)), 1)
 }
 
-// shareSlack keeps a share that is a whole number of shards from being rounded up.
-const shareSlack = 1e-9
+// roundingSlack keeps a share that is a whole number of shards from being rounded up.
+const roundingSlack = 1e-9
 
-// leaveOut closes a shard that is not asked. The request counts for its budget all the same.
-func (q *Query) leaveOut(now time.Time, s *shard) {
+// omitShard closes a shard that is not asked. The request counts for its budget all the same.
+func (q *Query) omitShard(now time.Time, s *shard) {
 	s.close(GapForecast)
-	if !s.counted {
-		s.counted = true
-		q.table.service(now, s.service).budget.first(now, q.spec.Weight)
+	if !s.budgetCounted {
+		s.budgetCounted = true
+		q.table.service(now, s.service).budget.countRequest(now, q.spec.BudgetWeight)
 	}
 }
 
@@ -95,14 +95,14 @@
 // random between these, so that those who were refused together don't come back together. Most
 // callers don't wait for longer, and what remains does for another attempt.
 const (
-	leastReturn = 0.1
-	mostReturn  = 0.33
+	minReturnShare = 0.1
+	maxReturnShare = 0.33
 )
 
 // Refusal is the forecast for which a request was refused.
 type Refusal struct {
-	Wait    time.Duration // at the scarcest shard that the answer needs
-	Longest time.Duration // that would have been borne
+	Wait  time.Duration // at the scarcest shard that the answer needs
+	Limit time.Duration // that would have been borne
 }
 
 // refuse closes all shards.
@@ -110,26 +110,26 @@
 	q.refusal = &why
 	for i := range q.shards {
 		if s := &q.shards[i]; !s.declined {
-			q.leaveOut(now, s)
+			q.omitShard(now, s)
 		}
 	}
 	left := float64(q.spec.Deadline.Sub(now))
-	random := leastReturn + (mostReturn-leastReturn)*q.table.rng.Float64()
-	after := min(why.Wait-why.Longest+time.Duration(random*left), time.Duration(mostReturn*left))
+	random := minReturnShare + (maxReturnShare-minReturnShare)*q.table.rng.Float64()
+	after := min(why.Wait-why.Limit+time.Duration(random*left), time.Duration(maxReturnShare*left))
 	q.retryAfter = min(max(after, minRetryAfter), maxRetryAfter)
 }
 
 // Parameters of a forecast.
 const (
-	// admitShare is the part of the slack, which is what a request has beyond its usual
+	// maxWaitShare is the part of the slack, which is what a request has beyond its usual
 	// time, that it may have to wait at a shard that it needs. Other VMs begin requests at
 	// the same time, some work takes longer than usual, and leafs pause.
-	admitShare = 0.4
+	maxWaitShare = 0.4
 	// sendMargin is how many times too late a part must be expected for not being sent.
 	sendMargin = 2
-	// drained is the part of what a leaf can run that its queue has become shorter by since
+	// drainShare is the part of what a leaf can run that its queue has become shorter by since
 	// the last report: other VMs go on sending.
-	drained = 0.5
+	drainShare = 0.5
 )
 
 // never is the forecast of a shard without a leaf that could be asked.
@@ -138,22 +138,22 @@
 // eta is the time until a shard would answer, at the best of its leafs, behind the requests
 // that wait for one of them already.
 func (q *Query) eta(now time.Time, s *shard) time.Duration {
-	usual, _ := q.table.usual(now, q.key())
+	usual, _ := q.table.typicalDuration(now, q.durationKey())
 	best := time.Duration(never)
 	slots := 0.0 // of leafs as quick as usual
 	var work time.Duration
 	for _, l := range q.candidates(s) {
-		if l.suspect.held {
+		if l.suspicion.active {
 			continue
 		}
 		best = min(best, l.eta(now, usual))
-		slots += float64(l.Slots) / l.speed.factor(now)
-		work = max(work, l.work)
+		slots += float64(l.Slots) / l.slowdown.factor(now)
+		work = max(work, l.typicalWork)
 	}
 	if best == never {
 		return never
 	}
-	ahead := float64(q.table.groups[s.service].waiting)
+	ahead := float64(q.table.services[s.service].waiting)
 	return best + time.Duration(ahead/slots*float64(work))
 }
 
@@ -171,20 +171,20 @@
 
 // backlog is the time until a slot of the leaf is free.
 func (l *leaf) backlog(now time.Time) time.Duration {
-	ahead := float64(len(l.flying)) + l.queued(now) + 1 - float64(l.Slots)
+	ahead := float64(len(l.inFlight)) + l.queued(now) + 1 - float64(l.Slots)
 	if ahead <= 0 {
 		return 0
 	}
-	return time.Duration(ahead / float64(l.Slots) * float64(l.expected(now, l.work)))
+	return time.Duration(ahead / float64(l.Slots) * float64(l.expected(now, l.typicalWork)))
 }
 
 // queued is how many requests of other VMs the leaf has: those of the last report, less what
 // it has worked off since.
 func (l *leaf) queued(now time.Time) float64 {
 	age := now.Sub(l.reportedAt)
-	if age >= reportLife || l.reported == 0 {
+	if age >= reportLifetime || l.othersReported == 0 {
 		return 0
 	}
-	done := drained * float64(l.Slots) * float64(age) / float64(max(l.expected(now, l.work), time.Millisecond))
-	return max(l.reported-done, 0)
+	done := drainShare * float64(l.Slots) * float64(age) / float64(max(l.expected(now, l.typicalWork), time.Millisecond))
+	return max(l.othersReported-done, 0)
 }
--- a/scatter/admission_test.go
+++ b/scatter/admission_test.go
@@ -7,23 +7,23 @@
 	"github.com/onsi/gomega"
 )
 
-// work is how long a leaf works on a part.
-const work = 28 * time.Millisecond
+// partWork is how long a leaf works on a part.
+const partWork = 28 * time.Millisecond
 
-// scarce is a load on 20 shards of two leafs, of which four shards have lost one. What is
+// newScarceSimulation is a load on 20 shards of two leafs, of which four shards have lost one. What is
 // left of these runs four fifths of the requests, and an answer may leave two shards out.
-func scarce(t *testing.T) (*play, func() Spec) {
+func newScarceSimulation(t *testing.T) (*simulation, func() Spec) {
 	w := newWorld(t)
-	p := newPlay(w, 5)
-	names := p.shards(20, work, homeZone, "other")
+	p := newSimulation(w, 5)
+	names := p.shards(20, partWork, homeZone, "other")
 	for _, name := range names[:4] {
-		p.leafs[LeafID{ID: name + "@other", Born: 1}].pace = 20
+		p.leafs[LeafID{ID: name + "@other", Born: 1}].slowdown = 20
 	}
 	return p, func() Spec {
 		return Spec{
 			Services: names, Gathered: true, Idempotent: true, MaxAttempts: 2, MinShare: 0.89,
-			Aim: 200 * time.Millisecond, AnswerBy: w.now.Add(186 * time.Millisecond),
-			Deadline: w.now.Add(3 * time.Second), Weight: 1,
+			LatencyObjective: 200 * time.Millisecond, AnswerBy: w.now.Add(186 * time.Millisecond),
+			Deadline: w.now.Add(3 * time.Second), BudgetWeight: 1,
 		}
 	}
 }
@@ -33,19 +33,19 @@
 
 // Slots of four shards do for four fifths of the requests. One in five is begun, keeps the
 // slots of all shards busy, and fails when its time is over.
-func TestScarceShardsServeWhatTheyCan(t *testing.T) {
+func TestScarceShardsServeNearTheirCapacity(t *testing.T) {
 	const length = 10 * time.Second
-	p, request := scarce(t)
+	p, request := newScarceSimulation(t)
 	p.run(length, 90, request)
 	p.Expect(100 * (p.failed + p.late)).To(gomega.BeNumerically("<=", failedShare*p.callers))
 	slots := 2.0
-	p.Expect(p.credit).To(gomega.BeNumerically(">=", 0.9*slots*float64(length/work)))
+	p.Expect(p.credit).To(gomega.BeNumerically(">=", 0.9*slots*float64(length/partWork)))
 	p.Expect(p.longestRefusal).To(gomega.BeZero())
 }
 
 // The same load with all requests let in, which is what the test above guards against.
 func TestScarceShardsFailCallersWithoutAdmission(t *testing.T) {
-	p, request := scarce(t)
+	p, request := newScarceSimulation(t)
 	for _, table := range p.tables {
 		table.admitAll = true
 	}
@@ -54,10 +54,10 @@
 }
 
 // Shards have slots to spare, and leafs are uneven: no caller is refused.
-func TestNobodyIsRefusedAtEase(t *testing.T) {
-	p, request := scarce(t)
+func TestNoCallerIsRefusedWithSpareSlots(t *testing.T) {
+	p, request := newScarceSimulation(t)
 	for _, l := range p.leafs {
-		l.pace = 1
+		l.slowdown = 1
 	}
 	p.run(10*time.Second, 60, request)
 	p.Expect(p.refused).To(gomega.BeZero())
@@ -73,19 +73,19 @@
 	w.leaf("own-2", homeZone)
 	w.table.SetVMs(w.now, []VM{{Name: "vm-other", Zone: "other", Power: 1}})
 	spec := w.gathered(names)
-	spec.Delegate = true
+	spec.MayDelegate = true
 	refused := CallAnswer{Last: true, Refused: true, RetryAfter: 250 * time.Millisecond}
 
 	q := NewQuery(spec, w.table)
 	acts := q.Start(w.now)
 	w.Expect(sends(acts)).To(gomega.HaveLen(2))
-	out := outcome(q.CallReply(w.now, asks(acts)[0].Call, refused))
-	w.Expect(out.Verdict).To(gomega.Equal(ShortAnswer))
+	out := outcome(q.CallReply(w.now, vmCalls(acts)[0].Call, refused))
+	w.Expect(out.Verdict).To(gomega.Equal(TooFewShards))
 
 	q = NewQuery(spec, w.table)
 	acts = q.Start(w.now)
 	w.Expect(sends(acts)).To(gomega.BeEmpty())
-	out = outcome(q.CallReply(w.now, asks(acts)[0].Call, refused))
+	out = outcome(q.CallReply(w.now, vmCalls(acts)[0].Call, refused))
 	w.Expect(out.Verdict).To(gomega.Equal(NotRun))
 	w.Expect(out.RetryAfter).To(gomega.Equal(refused.RetryAfter))
 
@@ -101,13 +101,13 @@
 	w := newWorld(t)
 	q := NewQuery(w.gathered([]string{"late"}), w.table)
 	s := &q.shards[0]
-	q.look(s, w.now.Add(lookPause))
+	q.schedulePoll(s, w.now.Add(pollInterval))
 	w.leaf("late", homeZone)
-	q.look(s, time.Time{})
-	w.Expect(w.table.groups["late"].waiting).To(gomega.BeZero())
-	q.look(s, w.now.Add(lookPause))
-	q.look(s, w.now.Add(2*lookPause))
-	w.Expect(w.table.groups["late"].waiting).To(gomega.Equal(1))
+	q.schedulePoll(s, time.Time{})
+	w.Expect(w.table.services["late"].waiting).To(gomega.BeZero())
+	q.schedulePoll(s, w.now.Add(pollInterval))
+	q.schedulePoll(s, w.now.Add(2*pollInterval))
+	w.Expect(w.table.services["late"].waiting).To(gomega.Equal(1))
 	q.finish(Outcome{})
-	w.Expect(w.table.groups["late"].waiting).To(gomega.BeZero())
+	w.Expect(w.table.services["late"].waiting).To(gomega.BeZero())
 }
--- a/scatter/allowed.go
+++ b/scatter/allowed.go
@@ -31,7 +31,7 @@
 
 // View returns this VM's view of a service.
 func (t *Table) View(service string) View {
-	s := t.groups[service]
+	s := t.services[service]
 	if s == nil {
 		return 0
 	}
@@ -42,13 +42,13 @@
 	return s.view
 }
 
-// viewForm changes with each release that decides otherwise who may ask which leafs. While VMs
+// viewVersion changes with each release that decides otherwise who may ask which leafs. While VMs
 // are replaced one after another, those of two forms have different views and decline each
 // other's shards; together they might ask one leaf more than a request allows.
-const viewForm = 3
+const viewVersion = 3
 
 func viewOf(leafs []*leaf) View {
-	var sum uint64 = viewForm
+	var sum uint64 = viewVersion
 	for _, l := range leafs {
 		if !l.Draining {
 			// A sum does not depend on the order in which leafs became known.
@@ -58,11 +58,11 @@
 	return View(sum)
 }
 
-// common returns the leafs of a shard that two VMs may ask, for a request that may run on
+// commonLeafs returns the leafs of a shard that two VMs may ask, for a request that may run on
 // attempts leafs: one in the zone given first, and one fewer in all than attempts. One whose
 // address has moved counts among them, since only this VM may know.
-func (t *Table) common(service, zone, request string, attempts int) []LeafID {
-	s := t.groups[service]
+func (t *Table) commonLeafs(service, zone, request string, attempts int) []LeafID {
+	s := t.services[service]
 	if s == nil {
 		return nil
 	}
@@ -90,34 +90,34 @@
 func (q *Query) candidates(s *shard) []*leaf {
 	switch {
 	case !s.shared:
-		return q.table.usable(s.service)
-	case !q.spec.Delegated || q.spec.Again || q.spec.MaxAttempts < 2:
-		return q.table.usableOf(s.common)
-	case s.chosen != LeafID{}:
-		return q.table.usableOf(append(slices.Clone(s.common), s.chosen))
+		return q.table.usableLeafs(s.service)
+	case !q.spec.Delegated || q.spec.Redelegated || q.spec.MaxAttempts < 2:
+		return q.table.usableAmong(s.commonLeafs)
+	case s.ownChoice != LeafID{}:
+		return q.table.usableAmong(append(slices.Clone(s.commonLeafs), s.ownChoice))
 	}
-	return q.table.usable(s.service)
+	return q.table.usableLeafs(s.service)
 }
 
-// choose notes that the VM that was called asks a leaf of its own choice.
-func (s *shard) choose(id LeafID) {
-	if s.shared && !slices.Contains(s.common, id) {
-		s.chosen = id
+// recordChoice notes that the VM that was called asks a leaf of its own choice.
+func (s *shard) recordChoice(id LeafID) {
+	if s.shared && !slices.Contains(s.commonLeafs, id) {
+		s.ownChoice = id
 	}
 }
 
-// unchoose notes that an attempt ran nothing, so that another leaf may be chosen.
-func (s *shard) unchoose(id LeafID) {
-	if s.chosen == id {
-		s.chosen = LeafID{}
+// clearChoice notes that an attempt ran nothing, so that another leaf may be chosen.
+func (s *shard) clearChoice(id LeafID) {
+	if s.ownChoice == id {
+		s.ownChoice = LeafID{}
 	}
 }
 
-// usableOf returns those of some leafs that still take requests.
-func (t *Table) usableOf(ids []LeafID) []*leaf {
+// usableAmong returns those of some leafs that still take requests.
+func (t *Table) usableAmong(ids []LeafID) []*leaf {
 	var list []*leaf
 	for _, id := range ids {
-		if l := t.find(id); l != nil && l.usable() {
+		if l := t.findLeaf(id); l != nil && l.usable() {
 			list = append(list, l)
 		}
 	}
--- a/scatter/allowed_test.go
+++ b/scatter/allowed_test.go
@@ -15,16 +15,16 @@
 func TestCalledVMAsksTheLeafThatAnswers(t *testing.T) {
 	for i := range 40 {
 		w := newWorld(t)
-		w.become("vm-other", "other", roomyTerms)
+		w.becomeVM("vm-other", "other", ampleBudget)
 		w.leaf("shard", "other")
 		w.leaf("shard", "third")
 		good := w.leaf("shard", "fourth")
 		w.leaf("shard", "fifth")
 		for _, zone := range []string{"other", "third", "fifth"} {
-			w.table.Ended(w.now, LeafID{ID: "shard@" + zone, Born: 1}, w.now, EndUnreachable)
+			w.table.AttemptEnded(w.now, LeafID{ID: "shard@" + zone, Born: 1}, w.now, EndUnreachable)
 		}
 		spec := w.gathered([]string{"shard"})
-		spec.Delegated, spec.Request = true, fmt.Sprintf("%016x", i)
+		spec.Delegated, spec.RequestID = true, fmt.Sprintf("%016x", i)
 		spec.Views = []View{w.table.View("shard")}
 		q := NewQuery(spec, w.table)
 		first := sends(q.Start(w.now))
@@ -33,7 +33,7 @@
 
 		// What it asks besides is what the other VM may ask too.
 		w.wait(5 * time.Millisecond)
-		common := w.table.common("shard", "other", spec.Request, spec.MaxAttempts)
+		common := w.table.commonLeafs("shard", "other", spec.RequestID, spec.MaxAttempts)
 		w.Expect(common).To(gomega.HaveLen(spec.MaxAttempts - 1))
 		for _, s := range sends(q.Fail(w.now, first[0].Attempt, EndBroken)) {
 			w.Expect(common).To(gomega.ContainElement(s.Leaf))
@@ -46,17 +46,17 @@
 func TestCalledVMChoosesAgainAfterARefusal(t *testing.T) {
 	for _, end := range []End{EndRefused, EndUnreachable, EndMoved} {
 		w := newWorld(t)
-		w.become("vm-other", "other", roomyTerms)
+		w.becomeVM("vm-other", "other", ampleBudget)
 		for _, zone := range []string{"other", "third", "fourth"} {
 			w.leaf("shard", zone)
 		}
-		w.table.Ended(w.now, LeafID{ID: "shard@other", Born: 1}, w.now, EndUnreachable)
+		w.table.AttemptEnded(w.now, LeafID{ID: "shard@other", Born: 1}, w.now, EndUnreachable)
 		spec := w.gathered([]string{"shard"})
-		spec.Delegated, spec.Request = true, "a"
+		spec.Delegated, spec.RequestID = true, "a"
 		spec.Views = []View{w.table.View("shard")}
 		q := NewQuery(spec, w.table)
 		first := sends(q.Start(w.now))[0]
-		w.table.Ended(w.now, first.Leaf, first.SentAt, end)
+		w.table.AttemptEnded(w.now, first.Leaf, first.SentAt, end)
 		second := sends(q.Fail(w.now, first.Attempt, end))
 		w.Expect(second).To(gomega.HaveLen(1))
 		w.Expect(second[0].Leaf).NotTo(gomega.Equal(first.Leaf))
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -8,45 +8,45 @@
 
 // Pauses before a shard without a leaf to send to is looked at again.
 const (
-	lookPause = 8 * time.Millisecond
+	pollInterval = 8 * time.Millisecond
 	// queueShare is the part of the aim that a request to one service waits for a
 	// leaf to have room. A caller that is refused by then can still come back in
 	// time; one that waits longer mostly gets a late answer.
 	queueShare = 0.2
 )
 
-// try sends an attempt on a shard, or notes why none can be sent.
-func (q *Query) try(now time.Time, i int, why Why) []Action {
+// trySend sends an attempt on a shard, or notes why none can be sent.
+func (q *Query) trySend(now time.Time, i int, why AttemptReason) []Action {
 	s := &q.shards[i]
 	leafs := q.candidates(s)
-	c := choice{tried: s.tried, idle: why == Hedge}
+	c := leafFilter{exclude: s.tried, idleOnly: why == Hedge}
 	if q.spec.Gathered {
-		c.by = q.usefulUntil(now)
-		late := c.by.After(q.spec.AnswerBy)
+		c.answerBy = q.usefulUntil(now)
+		late := c.answerBy.After(q.spec.AnswerBy)
 		if late && q.enough(q.answered()) {
-			if s.flying == 0 {
+			if s.inFlight == 0 {
 				s.close(GapLate)
 			}
 			return nil
 		}
-		c.idle = c.idle || late
+		c.idleOnly = c.idleOnly || late
 	}
-	l := q.table.pick(now, q.key(), leafs, c)
-	if l == nil && why != Hedge && s.flying == 0 {
+	l := q.table.pickLeaf(now, q.durationKey(), leafs, c)
+	if l == nil && why != Hedge && s.inFlight == 0 {
 		// All cool down after failures, or each was tried. One of them is better than
 		// none: a leaf that refused or was out of reach may be well again.
 		l = q.table.pickCoolingDown(now, leafs, s.tried)
 		if l == nil && (s.maybeRan == 0 || s.shared) {
-			c.tried = nil
-			l = q.table.pick(now, q.key(), leafs, c)
+			c.exclude = nil
+			l = q.table.pickLeaf(now, q.durationKey(), leafs, c)
 		}
 	}
 	if l == nil {
-		q.wait(now, s, why)
+		q.waitForLeaf(now, s, why)
 		return nil
 	}
-	if !q.pay(now, s, why) {
-		if why != Hedge && s.flying == 0 {
+	if !q.spendBudget(now, s, why) {
+		if why != Hedge && s.inFlight == 0 {
 			s.close(GapBudget)
 		}
 		return nil
@@ -54,26 +54,26 @@
 	return []Action{q.send(now, i, l, why)}
 }
 
-// pay counts the arrival that an attempt is going to cause.
-func (q *Query) pay(now time.Time, s *shard, why Why) bool {
+// spendBudget counts the arrival that an attempt is going to cause.
+func (q *Query) spendBudget(now time.Time, s *shard, why AttemptReason) bool {
 	b := q.table.budget(now, s.service)
-	if !s.counted {
-		s.counted = true
-		b.first(now, q.spec.Weight)
+	if !s.budgetCounted {
+		s.budgetCounted = true
+		b.countRequest(now, q.spec.BudgetWeight)
 	}
-	if !s.arrived && s.flying == 0 && s.call == 0 && !q.spec.Again {
+	if !s.arrived && s.inFlight == 0 && s.call == 0 && !q.spec.Redelegated {
 		return true
 	}
 	spare := 0.0
 	if why == Hedge {
-		spare = hedgeSpare
+		spare = hedgeReserve
 	}
-	return b.take(now, spare)
+	return b.spend(now, spare)
 }
 
-func (q *Query) send(now time.Time, i int, l *leaf, why Why) Action {
+func (q *Query) send(now time.Time, i int, l *leaf, why AttemptReason) Action {
 	s := &q.shards[i]
-	q.last++
+	q.lastAttempt++
 	q.sent++
 	switch why {
 	case Hedge:
@@ -83,25 +83,25 @@
 		q.retries++
 	}
 	s.tried = append(s.tried, l.id)
-	s.choose(l.id)
+	s.recordChoice(l.id)
 	s.sends++
-	s.flying++
+	s.inFlight++
 	s.maybeRan++
 	s.hedgeAt = now.Add(q.hedgeDelay(now, l))
-	q.look(s, time.Time{})
-	usual, known := q.table.usual(now, q.key())
-	l.sent(flight{sentAt: now, usual: usual, known: known})
-	q.attempts[q.last] = &attempt{shard: i, leaf: l.id, sentAt: now}
+	q.schedulePoll(s, time.Time{})
+	usual, known := q.table.typicalDuration(now, q.durationKey())
+	l.recordSent(pendingRequest{sentAt: now, typical: usual, known: known})
+	q.attempts[q.lastAttempt] = &attempt{shard: i, leaf: l.id, sentAt: now}
 	return Send{
-		Attempt: q.last,
-		Shard:   i,
-		Leaf:    l.id,
-		Address: l.Address,
-		SentAt:  now,
-		Until:   q.usefulUntil(now),
-		Far:     !l.near,
-		Keep:    q.table.Keeps(l.id),
-		Why:     why,
+		Attempt:        q.lastAttempt,
+		Shard:          i,
+		Leaf:           l.id,
+		Address:        l.Address,
+		SentAt:         now,
+		Until:          q.usefulUntil(now),
+		OtherZone:      !l.sameZone,
+		KeepConnection: q.table.KeepsConnection(l.id),
+		Reason:         why,
 	}
 }
 
@@ -117,47 +117,47 @@
 	if !q.spec.Gathered {
 		return q.spec.Deadline
 	}
-	usual, _ := q.table.usual(now, q.key())
+	usual, _ := q.table.typicalDuration(now, q.durationKey())
 	if now.Add(usual).Before(q.spec.AnswerBy) {
 		return earlier(q.spec.AnswerBy, q.spec.Deadline)
 	}
-	late := now.Add(time.Duration(lateShare * float64(q.spec.Aim)))
+	late := now.Add(time.Duration(lateShare * float64(q.spec.LatencyObjective)))
 	return earlier(late, q.spec.Deadline)
 }
 
-// wait lets a shard that has leafs, none of which takes a request just now, be
+// waitForLeaf lets a shard that has leafs, none of which takes a request just now, be
 // looked at again.
-func (q *Query) wait(now time.Time, s *shard, why Why) {
+func (q *Query) waitForLeaf(now time.Time, s *shard, why AttemptReason) {
 	if why == Hedge {
 		return
 	}
-	if s.flying > 0 || !now.Before(q.waitUntil()) {
-		if s.flying == 0 {
-			s.close(GapRoom)
+	if s.inFlight > 0 || !now.Before(q.waitUntil()) {
+		if s.inFlight == 0 {
+			s.close(GapNoCapacity)
 		}
 		return
 	}
-	if !q.table.Usable(s.service) && (!q.spec.Gathered || q.spec.Delegated) {
+	if !q.table.HasUsableLeaf(s.service) && (!q.spec.Gathered || q.spec.Delegated) {
 		// A caller who is told at once can turn elsewhere, and so can another VM,
 		// which may know leafs that this one, just started, does not.
 		s.close(GapNoLeaf)
 		return
 	}
-	q.look(s, now.Add(lookPause))
+	q.schedulePoll(s, now.Add(pollInterval))
 }
 
-// look sets when a leaf of a shard is looked for again, zero for never.
-func (q *Query) look(s *shard, at time.Time) {
-	if s.waitsAt != nil {
-		s.waitsAt.waiting--
-		s.waitsAt = nil
+// schedulePoll sets when a leaf of a shard is looked for again, zero for never.
+func (q *Query) schedulePoll(s *shard, at time.Time) {
+	if s.waitingOn != nil {
+		s.waitingOn.waiting--
+		s.waitingOn = nil
 	}
-	s.lookAt = at
+	s.pollAt = at
 	if at.IsZero() {
 		return
 	}
-	if s.waitsAt = q.table.groups[s.service]; s.waitsAt != nil {
-		s.waitsAt.waiting++
+	if s.waitingOn = q.table.services[s.service]; s.waitingOn != nil {
+		s.waitingOn.waiting++
 	}
 }
 
@@ -165,14 +165,14 @@
 	if q.spec.Gathered {
 		return q.spec.AnswerBy
 	}
-	queue := time.Duration(queueShare * float64(q.spec.Aim))
-	return earlier(q.began.Add(queue), q.spec.Deadline)
+	queue := time.Duration(queueShare * float64(q.spec.LatencyObjective))
+	return earlier(q.startedAt.Add(queue), q.spec.Deadline)
 }
 
-// again sends another attempt on a shard after one ended without an answer.
-func (q *Query) again(now time.Time, i int) []Action {
+// retryShard sends another attempt on a shard after one ended without an answer.
+func (q *Query) retryShard(now time.Time, i int) []Action {
 	s := &q.shards[i]
-	if s.answered() || s.closed || s.flying > 0 {
+	if s.answered() || s.closed || s.inFlight > 0 {
 		return nil
 	}
 	if q.spec.Gathered && !now.Before(q.spec.AnswerBy) {
@@ -189,7 +189,7 @@
 	}
 	why := Retry
 	if s.sends == 0 {
-		why = First
+		why = FirstAttempt
 	}
-	return q.try(now, i, why)
+	return q.trySend(now, i, why)
 }
--- a/scatter/budget_test.go
+++ b/scatter/budget_test.go
@@ -14,7 +14,7 @@
 func TestBudgetHoldsInEverySlidingWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
-		terms := BudgetTerms{Ratio: 0.2, Floor: 40, Window: 10 * time.Second}
+		terms := BudgetConfig{Ratio: 0.2, Floor: 40, Window: 10 * time.Second}
 		start := time.Unix(1000, 0)
 		b := newBudget(terms, start)
 		b.floor = terms.Floor / 10
@@ -23,21 +23,21 @@
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
-				b.first(now, 1)
+				b.countRequest(now, 1)
 				firsts = append(firsts, now)
 				continue
 			}
-			if !b.take(now, 0) {
+			if !b.spend(now, 0) {
 				continue
 			}
 			extras = append(extras, now)
-			allowed := terms.Ratio*float64(since(firsts, now.Add(-terms.Window))) + terms.Floor/10
-			g.Expect(float64(since(extras, now.Add(-terms.Window)))).To(gomega.BeNumerically("<=", allowed))
+			allowed := terms.Ratio*float64(countAfter(firsts, now.Add(-terms.Window))) + terms.Floor/10
+			g.Expect(float64(countAfter(extras, now.Add(-terms.Window)))).To(gomega.BeNumerically("<=", allowed))
 		}
 	})
 }
 
-func since(times []time.Time, from time.Time) int {
+func countAfter(times []time.Time, from time.Time) int {
 	n := 0
 	for _, at := range times {
 		if at.After(from) {
@@ -51,11 +51,11 @@
 func TestBudgetFillsAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
-	b := newBudget(BudgetTerms{Ratio: 0.2, Floor: 40, Window: 10 * time.Second}, now)
+	b := newBudget(BudgetConfig{Ratio: 0.2, Floor: 40, Window: 10 * time.Second}, now)
 	b.floor = 4
 	for range 4 {
-		g.Expect(b.take(now, 0)).To(gomega.BeTrue())
+		g.Expect(b.spend(now, 0)).To(gomega.BeTrue())
 	}
-	g.Expect(b.take(now, 0)).To(gomega.BeFalse())
-	g.Expect(b.take(now.Add(11*time.Second), 0)).To(gomega.BeTrue())
+	g.Expect(b.spend(now, 0)).To(gomega.BeFalse())
+	g.Expect(b.spend(now.Add(11*time.Second), 0)).To(gomega.BeTrue())
 }
--- a/scatter/conclude.go
+++ b/scatter/conclude.go
@@ -20,7 +20,7 @@
 		out.Gaps = q.gaps()
 	}
 	for i := range q.shards {
-		q.look(&q.shards[i], time.Time{})
+		q.schedulePoll(&q.shards[i], time.Time{})
 	}
 	out.Refusal = q.refusal
 	out.Sent, out.Hedges, out.Retries, out.Called = q.sent, q.hedges, q.retries, len(q.calls)
@@ -39,21 +39,21 @@
 	switch {
 	case s.answer != 0:
 		return Outcome{Verdict: Answered, Attempt: s.answer}, true
-	case s.flying > 0 || !s.lookAt.IsZero():
+	case s.inFlight > 0 || !s.pollAt.IsZero():
 		return Outcome{}, false
 	default:
-		return q.gaveUp(Unknown), true
+		return q.failureOutcome(Unknown), true
 	}
 }
 
-// gaveUp is the outcome of a query without an answer. Only if no attempt may have
+// failureOutcome is the outcome of a query without an answer. Only if no attempt may have
 // run is the caller told so; mayHaveRun is the verdict otherwise.
-func (q *Query) gaveUp(mayHaveRun Verdict) Outcome {
-	if q.failure != 0 && !q.spec.Gathered {
-		return Outcome{Verdict: LeafFailed, Attempt: q.failure}
+func (q *Query) failureOutcome(mayHaveRun Verdict) Outcome {
+	if q.failedAttempt != 0 && !q.spec.Gathered {
+		return Outcome{Verdict: LeafFailed, Attempt: q.failedAttempt}
 	}
 	for i := range q.shards {
-		if s := &q.shards[i]; s.maybeRan > 0 || s.call != 0 || s.again {
+		if s := &q.shards[i]; s.maybeRan > 0 || s.call != 0 || s.redelegated {
 			return Outcome{Verdict: mayHaveRun}
 		}
 	}
@@ -71,7 +71,7 @@
 	if q.retryAfter > 0 {
 		return q.retryAfter
 	}
-	d := time.Duration(retryAfterShare * float64(q.spec.Aim))
+	d := time.Duration(retryAfterShare * float64(q.spec.LatencyObjective))
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
@@ -82,26 +82,26 @@
 		switch {
 		case s.answered():
 			answered++
-		case s.flying > 0 || !s.lookAt.IsZero() || q.waitsForCall(s):
+		case s.inFlight > 0 || !s.pollAt.IsZero() || q.callPending(s):
 			possible++
 		}
 	}
 	switch {
 	case answered == len(q.shards), possible == 0 && q.enough(answered):
-		return q.gathered(answered), true
+		return q.gatheredOutcome(answered), true
 	case !q.enough(answered + possible):
-		return q.gaveUp(ShortAnswer), true
+		return q.failureOutcome(TooFewShards), true
 	case !now.Before(q.spec.AnswerBy) && q.enough(answered):
-		return q.gathered(answered), true
+		return q.gatheredOutcome(answered), true
 	}
 	return Outcome{}, false
 }
 
-// waitsForCall reports whether another VM may yet answer a shard, also one that has been
+// callPending reports whether another VM may yet answer a shard, also one that has been
 // overtaken: it may be slow rather than gone, and the budget may not have allowed to ask
 // leafs directly.
-func (q *Query) waitsForCall(s *shard) bool {
-	return s.call != 0 && !q.calls[s.call].over
+func (q *Query) callPending(s *shard) bool {
+	return s.call != 0 && !q.calls[s.call].finished
 }
 
 // answered returns how many shards have an answer.
@@ -120,15 +120,15 @@
 	return n > 0 && float64(n) >= q.spec.MinShare*float64(len(q.shards))
 }
 
-func (q *Query) gathered(answered int) Outcome {
+func (q *Query) gatheredOutcome(answered int) Outcome {
 	out := Outcome{Verdict: Answered, Missing: len(q.shards) - answered}
 	for i := range q.shards {
 		s := &q.shards[i]
-		if s.included == 0 && s.answer != 0 {
+		if s.includedAnswer == 0 && s.answer != 0 {
 			out.Parts = append(out.Parts, s.answer)
 		}
 	}
-	for n, ans := range q.answers {
+	for n, ans := range q.callAnswers {
 		if ans.used {
 			out.CallAnswers = append(out.CallAnswers, n)
 		}
@@ -139,7 +139,7 @@
 func (q *Query) atDeadline() Outcome {
 	answered := q.answered()
 	if q.spec.Gathered && q.enough(answered) {
-		return q.gathered(answered)
+		return q.gatheredOutcome(answered)
 	}
-	return q.gaveUp(TimedOut)
+	return q.failureOutcome(TimedOut)
 }
--- a/scatter/cooldown.go
+++ b/scatter/cooldown.go
@@ -20,9 +20,9 @@
 	silentDoublings = 2
 )
 
-// fail counts a failure of a request that was sent at sentAt. Those in flight
+// recordFailure counts a failure of a request that was sent at sentAt. Those in flight
 // together count once: one pause ends many and says no more than one does.
-func (c *cooldown) fail(sentAt, now time.Time) {
+func (c *cooldown) recordFailure(sentAt, now time.Time) {
 	if sentAt.Before(c.until) {
 		return
 	}
@@ -30,40 +30,40 @@
 	if c.failures < failuresToCooldown {
 		return
 	}
-	c.lengthen(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxDoublings), maxCooldown))
+	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxDoublings), maxCooldown))
 }
 
-// unreachable counts that no connection could be made. Nobody is there, so the
+// recordUnreachable counts that no connection could be made. Nobody is there, so the
 // cooldown begins at once.
-func (c *cooldown) unreachable(now time.Time) {
+func (c *cooldown) recordUnreachable(now time.Time) {
 	if now.Before(c.until) {
 		return
 	}
 	c.failures = max(c.failures+1, failuresToCooldown)
-	c.lengthen(now, min(baseCooldown<<min(c.failures-failuresToCooldown+1, maxDoublings), maxCooldown))
+	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown+1, maxDoublings), maxCooldown))
 }
 
-// silent counts that nothing came for all the time of a request, many times longer than
+// recordSilence counts that nothing came for all the time of a request, many times longer than
 // any pause of a leaf: it is gone without a word, and the next request would be lost as
 // well. The cooldown begins at once, and is longer than after a failure.
-func (c *cooldown) silent(sentAt, now time.Time) {
+func (c *cooldown) recordSilence(sentAt, now time.Time) {
 	if sentAt.Before(c.until) {
 		return
 	}
 	c.failures = max(c.failures+1, failuresToCooldown+silentDoublings)
-	c.lengthen(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxDoublings), maxCooldown))
+	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxDoublings), maxCooldown))
 }
 
-// refuse makes for a cooldown of at least d without counting a failure: who refuses is
+// recordRefusal makes for a cooldown of at least d without counting a failure: who refuses is
 // alive.
-func (c *cooldown) refuse(now time.Time, d time.Duration) { c.lengthen(now, d) }
+func (c *cooldown) recordRefusal(now time.Time, d time.Duration) { c.extend(now, d) }
 
-func (c *cooldown) lengthen(now time.Time, d time.Duration) {
+func (c *cooldown) extend(now time.Time, d time.Duration) {
 	if until := now.Add(d); until.After(c.until) {
 		c.until = until
 	}
 }
 
-func (c *cooldown) answered() { c.failures = 0 }
+func (c *cooldown) recordAnswer() { c.failures = 0 }
 
 func (c *cooldown) active(now time.Time) bool { return now.Before(c.until) }
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -35,87 +35,87 @@
 	answerShare = 0.85
 	// callSlack is for the way to the other VM and back.
 	callSlack = 8 * time.Millisecond
-	// callQuantile and callFactor say when a silent VM is overtaken, callLatest by
+	// failoverQuantile and callFactor say when a silent VM is overtaken, callLatest by
 	// when at the latest, as a part of the time until AnswerBy.
-	callQuantile = 0.95
-	callFactor   = 1.2
-	callLatest   = 0.85
+	failoverQuantile    = 0.95
+	failoverFactor      = 1.2
+	failoverLatestShare = 0.85
 )
 
-// place is where a shard is asked for: through the VMs that own a part of a zone.
-type place struct {
-	zone string
-	part int
+// zonePartition is where a shard is asked for: through the VMs that own a part of a zone.
+type zonePartition struct {
+	zone      string
+	partition int
 }
 
 // delegation is a call to make: the VM, whose part it is called for, and the shards.
 type delegation struct {
-	vm     *vm
-	place  place
-	shards []int
+	vm        *vm
+	partition zonePartition
+	shards    []int
 }
 
 // delegations chooses VMs for the shards that this VM does not own: near ones in this zone,
 // the others in as few zones as possible.
 func (q *Query) delegations(now time.Time) []delegation {
-	near, far := q.sortShards(now)
-	byPlace := make(map[place][]int)
-	q.assign(byPlace, q.table.zone, near)
+	near, far := q.splitByProximity(now)
+	byPlace := make(map[zonePartition][]int)
+	q.assignToPartitions(byPlace, q.table.zone, near)
 	for len(far) > 0 {
-		zone, shards := q.mostShards(far)
+		zone, shards := q.zoneWithMostShards(far)
 		if len(shards) < minDelegated {
 			break
 		}
 		for _, i := range shards {
 			delete(far, i)
 		}
-		q.assign(byPlace, zone, shards)
+		q.assignToPartitions(byPlace, zone, shards)
 	}
 	var calls []delegation
-	for _, p := range slices.SortedFunc(maps.Keys(byPlace), comparePlaces) {
+	for _, p := range slices.SortedFunc(maps.Keys(byPlace), compareZonePartitions) {
 		shards := byPlace[p]
 		if len(shards) < minDelegated && p.zone != q.table.zone {
 			continue
 		}
 		if v := q.table.pickVM(now, p, nil); v != nil {
-			calls = append(calls, delegation{vm: v, place: p, shards: shards})
+			calls = append(calls, delegation{vm: v, partition: p, shards: shards})
 		}
 	}
 	return calls
 }
 
-func comparePlaces(a, b place) int {
-	return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.part, b.part))
+func compareZonePartitions(a, b zonePartition) int {
+	return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.partition, b.partition))
 }
 
-// assign sorts shards of one zone by the part of it that they belong to, those of this
+// assignToPartitions sorts shards of one zone by the part of it that they belong to, those of this
 // VM's own part left out.
-func (q *Query) assign(byPlace map[place][]int, zone string, shards []int) {
+func (q *Query) assignToPartitions(byPlace map[zonePartition][]int, zone string, shards []int) {
 	z := q.table.zones[zone]
 	if z == nil {
 		return
 	}
 	for _, i := range shards {
-		part := z.partOf(q.shards[i].service)
+		part := z.partitionOf(q.shards[i].service)
 		if !z.owns(part) {
-			p := place{zone: zone, part: part}
+			p := zonePartition{zone: zone, partition: part}
 			byPlace[p] = append(byPlace[p], i)
 		}
 	}
 }
 
-// sortShards returns the shards that have a leaf near, and the zones of the leafs of
+// splitByProximity returns the shards that have a leaf near, and the zones of the leafs of
 // those that have others only. Leafs that are not asked don't count.
-func (q *Query) sortShards(now time.Time) (near []int, far map[int][]string) {
+func (q *Query) splitByProximity(now time.Time) (near []int, far map[int][]string) {
 	far = make(map[int][]string)
 	for i := range q.shards {
 		var zones []string
 		isNear := false
-		for _, l := range q.table.usable(q.shards[i].service) {
-			if !l.asked(now) {
+		for _, l := range q.table.usableLeafs(q.shards[i].service) {
+			if !l.available(now) {
 				continue
 			}
-			isNear = isNear || l.near
+			isNear = isNear || l.sameZone
 			zones = append(zones, l.Zone)
 		}
 		switch {
@@ -128,9 +128,9 @@
 	return near, far
 }
 
-// mostShards returns the zone that has leafs of most open shards, a random one of
+// zoneWithMostShards returns the zone that has leafs of most open shards, a random one of
 // several, and these shards.
-func (q *Query) mostShards(open map[int][]string) (string, []int) {
+func (q *Query) zoneWithMostShards(open map[int][]string) (string, []int) {
 	byZone := make(map[string][]int)
 	for i, zones := range open {
 		for _, z := range zones {
@@ -147,51 +147,51 @@
 	return best, shards
 }
 
-// ask makes a call; again says that another VM was called for the same shards.
-func (q *Query) ask(now time.Time, d delegation, again bool) Action {
+// callVM makes a call; again says that another VM was called for the same shards.
+func (q *Query) callVM(now time.Time, d delegation, again bool) Action {
 	id := CallID(len(q.calls) + 1)
 	v, shards := d.vm, d.shards
-	v.flying++
+	v.inFlight++
 	views := make([]View, len(shards))
 	for n, i := range shards {
 		s := &q.shards[i]
 		views[n] = q.table.View(s.service)
 		s.call = id
-		s.again = s.again || again
-		q.share(s, v.Zone)
-		if !s.counted {
-			s.counted = true
-			q.table.service(now, s.service).budget.first(now, q.spec.Weight*delegatedWeight)
+		s.redelegated = s.redelegated || again
+		q.shareShard(s, v.Zone)
+		if !s.budgetCounted {
+			s.budgetCounted = true
+			q.table.service(now, s.service).budget.countRequest(now, q.spec.BudgetWeight*delegatedWeight)
 		}
 	}
 	left := q.spec.AnswerBy.Sub(now)
 	interim := now.Add(time.Duration(interimShare * float64(left)))
-	due := q.callDue(now, interim)
+	due := q.failoverTime(now, interim)
 	q.calls[id] = &call{
-		vm: v.Name, place: d.place, again: again, shards: shards, sentAt: now,
-		dueAt: due,
+		vm: v.Name, partition: d.partition, redelegated: again, shards: shards, sentAt: now,
+		failoverAt: due,
 	}
-	return Ask{
-		Call:      id,
-		VM:        v.VM,
-		SentAt:    now,
-		Shards:    shards,
-		Views:     views,
-		Needed:    max(len(shards)-q.spareLeft, 0),
-		Again:     again,
-		InterimBy: interim,
-		AnswerBy:  now.Add(max(time.Duration(answerShare*float64(left)), left-callSlack)),
+	return CallVM{
+		Call:        id,
+		VM:          v.VM,
+		SentAt:      now,
+		Shards:      shards,
+		Views:       views,
+		Required:    max(len(shards)-q.omissionsLeft, 0),
+		Redelegated: again,
+		InterimBy:   interim,
+		AnswerBy:    now.Add(max(time.Duration(answerShare*float64(left)), left-callSlack)),
 	}
 }
 
-// callDue returns when a VM that has not answered is overtaken: once it takes longer
+// failoverTime returns when a VM that has not answered is overtaken: once it takes longer
 // than first answers mostly do, but not before it could have answered in part.
-func (q *Query) callDue(now, interim time.Time) time.Time {
+func (q *Query) failoverTime(now, interim time.Time) time.Time {
 	due := interim.Add(callSlack)
-	if d, known := q.table.record(q.callKey()).Quantile(now, callQuantile); known {
-		due = later(due, now.Add(time.Duration(callFactor*float64(d))))
+	if d, known := q.table.durationsOf(q.callDurationKey()).Quantile(now, failoverQuantile); known {
+		due = later(due, now.Add(time.Duration(failoverFactor*float64(d))))
 	}
-	last := now.Add(time.Duration(callLatest * float64(q.spec.AnswerBy.Sub(now))))
+	last := now.Add(time.Duration(failoverLatestShare * float64(q.spec.AnswerBy.Sub(now))))
 	return earlier(due, last)
 }
 
@@ -203,8 +203,8 @@
 // DelegateWeight is the Weight of a request that another VM delegated.
 const DelegateWeight = 1 - delegatedWeight
 
-func (q *Query) callKey() timesKey {
-	return timesKey{aim: q.spec.Aim, byVM: true, shard: q.spec.Gathered}
+func (q *Query) callDurationKey() durationKey {
+	return durationKey{objective: q.spec.LatencyObjective, byVM: true, shard: q.spec.Gathered}
 }
 
 // CallAnswer is what another VM says of the shards that it was asked for. An empty one
@@ -226,38 +226,38 @@
 	if c == nil || q.done {
 		return nil
 	}
-	q.include(ans.Included)
+	q.includeAnswer(ans.Included)
 	q.acknowledged(now, c)
 	if ans.Refused {
-		return q.refused(now, c, id, ans.RetryAfter)
+		return q.callRefused(now, c, id, ans.RetryAfter)
 	}
 	heard := len(ans.Included) > 0 || ans.Last // and not only what was declined
-	if heard && !c.heard {
-		q.table.record(q.callKey()).Add(now, now.Sub(c.sentAt))
+	if heard && !c.answered {
+		q.table.durationsOf(q.callDurationKey()).Add(now, now.Sub(c.sentAt))
 	}
-	c.heard = c.heard || heard
-	c.over = c.over || ans.Last
-	acts := q.takeBack(now, id, ans.Declined)
-	if c.ended {
+	c.answered = c.answered || heard
+	c.finished = c.finished || ans.Last
+	acts := q.reclaim(now, id, ans.Declined)
+	if c.resolved {
 		return q.conclude(now, acts)
 	}
 	if !ans.Last {
 		// It lives and goes on. Little is gained by asking beside it.
 		if len(ans.Included) > 0 {
-			c.dueAt = q.spec.AnswerBy
+			c.failoverAt = q.spec.AnswerBy
 		}
 		return q.conclude(now, acts)
 	}
-	c.ended = true
-	q.table.callsRefused.add(now, 0)
-	return q.conclude(now, append(acts, q.askDirectly(now, id)...))
+	c.resolved = true
+	q.table.callRefusalRate.add(now, 0)
+	return q.conclude(now, append(acts, q.sendDirectly(now, id)...))
 }
 
-// refused takes that no leaf has run any shard of a call, nor will for that VM. Shards that
+// callRefused takes that no leaf has run any shard of a call, nor will for that VM. Shards that
 // were not asked directly meanwhile are closed: the others can't make up for them.
-func (q *Query) refused(now time.Time, c *call, id CallID, retryAfter time.Duration) []Action {
-	c.over, c.ended = true, true
-	q.table.callsRefused.add(now, 1)
+func (q *Query) callRefused(now time.Time, c *call, id CallID, retryAfter time.Duration) []Action {
+	c.finished, c.resolved = true, true
+	q.table.callRefusalRate.add(now, 1)
 	q.retryAfter = max(q.retryAfter, retryAfter)
 	for _, i := range c.shards {
 		s := &q.shards[i]
@@ -277,39 +277,39 @@
 // its shards are this VM's alone again.
 func (q *Query) CallFail(now time.Time, id CallID, neverSent bool) []Action {
 	c := q.calls[id]
-	if c == nil || q.done || c.over {
+	if c == nil || q.done || c.finished {
 		return nil
 	}
-	c.over = true
-	if c.ended {
+	c.finished = true
+	if c.resolved {
 		var acts []Action
 		if neverSent {
-			acts = q.takeBack(now, id, c.shards)
+			acts = q.reclaim(now, id, c.shards)
 		}
 		return q.conclude(now, acts)
 	}
-	c.ended = true
-	acts := q.overtake(now, id, !neverSent)
+	c.resolved = true
+	acts := q.failOver(now, id, !neverSent)
 	if neverSent {
-		acts = append(acts, q.takeBack(now, id, c.shards)...)
+		acts = append(acts, q.reclaim(now, id, c.shards)...)
 	}
 	return q.conclude(now, acts)
 }
 
-// takeBack asks for shards that were delegated, but that the other VM never asked: the
+// reclaim asks for shards that were delegated, but that the other VM never asked: the
 // first attempt is the first arrival, and costs nothing of the budget. Where this VM or a
 // second one may have asked already, all stays as it is.
-func (q *Query) takeBack(now time.Time, id CallID, shards []int) []Action {
+func (q *Query) reclaim(now time.Time, id CallID, shards []int) []Action {
 	var acts []Action
 	for _, i := range shards {
 		s := &q.shards[i]
-		if s.call != id || s.again || s.sends > 0 || s.answered() {
+		if s.call != id || s.redelegated || s.sends > 0 || s.answered() {
 			continue
 		}
 		s.call = 0
 		s.shared = false
-		q.table.service(now, s.service).budget.first(now, q.spec.Weight*(1-delegatedWeight))
-		acts = append(acts, q.try(now, i, First)...)
+		q.table.service(now, s.service).budget.countRequest(now, q.spec.BudgetWeight*(1-delegatedWeight))
+		acts = append(acts, q.trySend(now, i, FirstAttempt)...)
 	}
 	return acts
 }
--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -11,17 +11,17 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// delegating returns a query whose shards all have leafs in two other zones only, and
+// newDelegatedQuery returns a query whose shards all have leafs in two other zones only, and
 // the call that it begins with.
-func delegating(w *world, shards int) (*Query, Ask) {
+func newDelegatedQuery(w *world, shards int) (*Query, CallVM) {
 	names := w.shards(shards, "other", "third")
 	w.table.SetVMs(w.now, []VM{{Name: "vm-other", Zone: "other", Power: 1}, {Name: "vm-third", Zone: "third", Power: 1}})
 	spec := w.gathered(names)
-	spec.Delegate = true
+	spec.MayDelegate = true
 	q := NewQuery(spec, w.table)
 	acts := q.Start(w.now)
 	w.Expect(sends(acts)).To(gomega.BeEmpty())
-	calls := asks(acts)
+	calls := vmCalls(acts)
 	w.Expect(calls).To(gomega.HaveLen(1))
 	w.Expect(calls[0].Shards).To(gomega.HaveLen(shards))
 	return q, calls[0]
@@ -44,7 +44,7 @@
 // Leafs do three times the work for one request: another VM had asked two leafs of a
 // shard and then froze, and this VM asked a third one directly. Whatever both do, and
 // whichever leafs the other VM avoids, they ask two leafs of three.
-func TestTwoVMsAskNoMoreLeafsThanAllowed(t *testing.T) {
+func TestTwoVMsUseNoMoreLeafsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request := rapid.StringMatching("[0-9a-f]{16}").Draw(t, "request")
 		w := newWorld(t)
@@ -55,10 +55,10 @@
 			{Name: "vm-fourth", Zone: "fourth", Power: 1},
 		})
 		spec := w.gathered(names)
-		spec.Delegate = true
-		spec.Request = request
+		spec.MayDelegate = true
+		spec.RequestID = request
 		q := NewQuery(spec, w.table)
-		calls := asks(q.Start(w.now))
+		calls := vmCalls(q.Start(w.now))
 		w.Expect(calls).To(gomega.HaveLen(1))
 		ran := make(map[int]map[LeafID]bool)
 		note := func(list []Send, shard func(int) int) {
@@ -73,18 +73,18 @@
 
 		// The other VM asks each shard, and hedges each.
 		peer := newWorld(t)
-		peer.become(calls[0].VM.Name, calls[0].VM.Zone, roomyTerms)
+		peer.becomeVM(calls[0].VM.Name, calls[0].VM.Zone, ampleBudget)
 		peer.shards(10, "other", "third", "fourth")
 		for _, service := range names {
 			if zone := rapid.SampledFrom([]string{"", "other", "third", "fourth"}).Draw(t, "dark"); zone != "" {
-				peer.table.Ended(peer.now, LeafID{ID: service + "@" + zone, Born: 1}, peer.now, EndUnreachable)
+				peer.table.AttemptEnded(peer.now, LeafID{ID: service + "@" + zone, Born: 1}, peer.now, EndUnreachable)
 			}
 		}
 		sub := peer.gathered(nil)
 		for _, i := range calls[0].Shards {
 			sub.Services = append(sub.Services, names[i])
 		}
-		sub.Request, sub.Delegated, sub.Views = request, true, calls[0].Views
+		sub.RequestID, sub.Delegated, sub.Views = request, true, calls[0].Views
 		own := func(i int) int { return calls[0].Shards[i] }
 		theirs := NewQuery(sub, peer.table)
 		note(sends(theirs.Start(peer.now)), own)
@@ -105,16 +105,16 @@
 // was called has lost the store and knows leafs that are gone; it asks one of these, the
 // caller's VM two others. It declines shards that it knows otherwise, and what both ask
 // together stays within what the request allows.
-func TestVMsThatKnowOtherLeafsAskNoMoreThanAllowed(t *testing.T) {
+func TestVMsWithDifferentViewsUseNoMoreLeafsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const shards = 6
 		request := rapid.StringMatching("[0-9a-f]{16}").Draw(t, "request")
 		w := newWorld(t)
-		w.become("vm-home", homeZone, roomyTerms)
+		w.becomeVM("vm-home", homeZone, ampleBudget)
 		names := w.shards(shards, "other", "third", "fourth")
 		w.table.SetVMs(w.now, []VM{{Name: "vm-other", Zone: "other", Power: 1}})
 		peer := newWorld(t)
-		peer.become("vm-other", "other", roomyTerms)
+		peer.becomeVM("vm-other", "other", ampleBudget)
 		peer.shards(shards, "other", "third", "fourth")
 		for _, service := range names {
 			switch rapid.IntRange(0, 3).Draw(t, "what the caller learned") {
@@ -129,7 +129,7 @@
 			}
 		}
 		spec := w.gathered(names)
-		spec.Delegate, spec.Request = true, request
+		spec.MayDelegate, spec.RequestID = true, request
 		q := NewQuery(spec, w.table)
 		acts := q.Start(w.now)
 		ran := make([]map[LeafID]bool, shards)
@@ -144,14 +144,14 @@
 		}
 		direct := func(i int) int { return i }
 		note(acts, direct)
-		if calls := asks(acts); len(calls) > 0 {
+		if calls := vmCalls(acts); len(calls) > 0 {
 			call := calls[0]
 			own := func(i int) int { return call.Shards[i] }
 			sub := peer.gathered(nil)
 			for _, i := range call.Shards {
 				sub.Services = append(sub.Services, names[i])
 			}
-			sub.Request, sub.Delegated, sub.Views = request, true, call.Views
+			sub.RequestID, sub.Delegated, sub.Views = request, true, call.Views
 			theirs := NewQuery(sub, peer.table)
 			note(theirs.Start(peer.now), own)
 			var declined []int
@@ -173,11 +173,11 @@
 	})
 }
 
-// spendBudgets leaves nothing of the budgets of a query's services.
-func (w *world) spendBudgets(q *Query) {
+// exhaustBudgets leaves nothing of the budgets of a query's services.
+func (w *world) exhaustBudgets(q *Query) {
 	for i := range q.shards {
 		b := w.table.budget(w.now, q.shards[i].service)
-		for b.take(w.now, 0) {
+		for b.spend(w.now, 0) {
 			continue
 		}
 	}
@@ -187,8 +187,8 @@
 // which is then asked for at once and costs nothing of the budget: nobody has asked it.
 func TestDeclinedShardIsAskedAtOnce(t *testing.T) {
 	w := newWorld(t)
-	q, call := delegating(w, 10)
-	w.spendBudgets(q)
+	q, call := newDelegatedQuery(w, 10)
+	w.exhaustBudgets(q)
 	acts := q.CallReply(w.now, call.Call, CallAnswer{Declined: []int{3, 4}})
 	w.Expect(sends(acts)).To(gomega.HaveLen(2))
 	w.Expect(sends(acts)[0].Shard).To(gomega.Equal(3))
@@ -199,14 +199,14 @@
 	w.Expect(out.Missing).To(gomega.Equal(0))
 }
 
-// roomyTerms is a budget that leaves room for every hedge.
-var roomyTerms = BudgetTerms{Ratio: 0.2, Floor: 1000, Window: 10 * time.Second}
+// ampleBudget is a budget that leaves room for every hedge.
+var ampleBudget = BudgetConfig{Ratio: 0.2, Floor: 1000, Window: 10 * time.Second}
 
 // A VM that was asked freezes. Its shards are asked for directly, one leaf each since
 // it may have asked one, and an answer that comes late after all is included once.
-func TestSilentVMIsOvertaken(t *testing.T) {
+func TestSilentVMFailsOverToLeafs(t *testing.T) {
 	w := newWorld(t)
-	q, call := delegating(w, 10)
+	q, call := newDelegatedQuery(w, 10)
 	w.now = q.Wake(w.now)
 	w.Expect(w.now).To(gomega.BeTemporally("<", q.spec.AnswerBy))
 	direct := sends(q.Tick(w.now))
@@ -224,10 +224,10 @@
 // for directly at once, and that VM rests.
 func TestUnreachableVMCostsNoTime(t *testing.T) {
 	w := newWorld(t)
-	q, call := delegating(w, 10)
-	w.table.EndedAtVM(w.now, call.VM.Name, EndUnreachable)
+	q, call := newDelegatedQuery(w, 10)
+	w.table.CallEnded(w.now, call.VM.Name, EndUnreachable)
 	w.Expect(sends(q.CallFail(w.now, call.Call, true))).To(gomega.HaveLen(10))
-	w.Expect(w.table.pickVM(w.now, place{zone: call.VM.Zone}, nil)).To(gomega.BeNil())
+	w.Expect(w.table.pickVM(w.now, zonePartition{zone: call.VM.Zone}, nil)).To(gomega.BeNil())
 }
 
 // Shards with a leaf near are asked for directly; others go to as few VMs as hold them.
@@ -239,12 +239,12 @@
 	}
 	w.table.SetVMs(w.now, []VM{{Name: "vm-other", Zone: "other", Power: 1}})
 	spec := w.gathered(names)
-	spec.Delegate = true
+	spec.MayDelegate = true
 	acts := NewQuery(spec, w.table).Start(w.now)
 	for _, s := range sends(acts) {
-		w.Expect(s.Far).To(gomega.Equal(s.Shard >= 4))
+		w.Expect(s.OtherZone).To(gomega.Equal(s.Shard >= 4))
 	}
-	for _, a := range asks(acts) {
+	for _, a := range vmCalls(acts) {
 		w.Expect(a.Shards).To(gomega.Equal([]int{4, 5, 6, 7}))
 	}
 }
@@ -260,17 +260,17 @@
 		others = append(others, VM{Name: fmt.Sprintf("vm-%02d", i), Zone: homeZone, Power: 1})
 	}
 	w.table.SetVMs(w.now, others)
-	w.table.SetShards(w.now, len(names))
+	w.table.SetMaxShards(w.now, len(names))
 	spec := w.gathered(names)
-	spec.Delegate = true
+	spec.MayDelegate = true
 	acts := NewQuery(spec, w.table).Start(w.now)
-	calls := asks(acts)
+	calls := vmCalls(acts)
 	w.Expect(calls).To(gomega.HaveLen(2))
 	w.Expect(len(sends(acts)) + len(calls[0].Shards) + len(calls[1].Shards)).To(gomega.Equal(60))
 
 	// Whom this VM asks for a part owns it by its own reckoning.
 	peer := newWorld(t)
-	peer.become(calls[0].VM.Name, homeZone, BudgetTerms{})
+	peer.becomeVM(calls[0].VM.Name, homeZone, BudgetConfig{})
 	list := []VM{{Name: "vm-home", Zone: homeZone, Power: 1}}
 	for _, vm := range others {
 		if vm.Name != calls[0].VM.Name {
@@ -278,46 +278,46 @@
 		}
 	}
 	peer.table.SetVMs(peer.now, list)
-	peer.table.SetShards(peer.now, len(names))
+	peer.table.SetMaxShards(peer.now, len(names))
 	z := peer.table.zones[homeZone]
 	for _, i := range calls[0].Shards {
-		w.Expect(z.owns(z.partOf(names[i]))).To(gomega.BeTrue())
+		w.Expect(z.owns(z.partitionOf(names[i]))).To(gomega.BeTrue())
 	}
 }
 
 // A VM restarts. Its neighbours divide the leafs anew, each gets another part, and all of
 // them open connections to leafs that they did not ask before, while callers wait.
-func TestRestartOfAVMDoesNotMoveTheOthers(t *testing.T) {
+func TestVMRestartDoesNotChangePartitions(t *testing.T) {
 	w := newWorld(t)
 	var others []VM
 	for i := range 15 {
 		others = append(others, VM{Name: fmt.Sprintf("vm-%02d", i), Zone: homeZone, Power: 1})
 	}
-	w.table.SetShards(w.now, 60)
+	w.table.SetMaxShards(w.now, 60)
 	w.table.SetVMs(w.now, others)
 	before := w.table.zones[homeZone]
 	w.wait(time.Second)
 	w.table.SetVMs(w.now, others[1:])
 	after := w.table.zones[homeZone]
 	w.Expect(after.self).To(gomega.Equal(before.self))
-	w.Expect(after.parts).To(gomega.Equal(before.parts))
-	for part := range after.parts {
-		for _, v := range w.table.partners(w.now, place{zone: homeZone, part: part}, nil) {
+	w.Expect(after.partitions).To(gomega.Equal(before.partitions))
+	for part := range after.partitions {
+		for _, v := range w.table.delegates(w.now, zonePartition{zone: homeZone, partition: part}, nil) {
 			w.Expect(v.Name).NotTo(gomega.Equal("vm-00"))
 		}
 	}
-	w.wait(2 * keepPlace)
+	w.wait(2 * memberRetention)
 	w.table.SetVMs(w.now, others[1:])
-	w.Expect(w.table.zones[homeZone].list).NotTo(gomega.ContainElement(placedVM{name: "vm-00", power: 1}))
+	w.Expect(w.table.zones[homeZone].members).NotTo(gomega.ContainElement(zoneMember{name: "vm-00", power: 1}))
 }
 
 // A page fails although its parts are on their way: the VM that was called is a little
 // late, nothing is left of the budget for asking leafs directly, and the daemon takes the
 // shards for lost.
-func TestOvertakenVMMayStillAnswer(t *testing.T) {
+func TestAnswerAfterFailoverStillCounts(t *testing.T) {
 	w := newWorld(t)
-	q, call := delegating(w, 10)
-	w.spendBudgets(q)
+	q, call := newDelegatedQuery(w, 10)
+	w.exhaustBudgets(q)
 	w.now = q.Wake(w.now)
 	acts := q.Tick(w.now)
 	w.Expect(sends(acts)).To(gomega.BeEmpty())
@@ -331,24 +331,24 @@
 // A third of the VMs is cut off for seconds. Requests of one VM are seconds apart, and
 // each would ask the same silent VMs again, lose half of its time and go without their
 // shards. After one silent call a VM is asked only when a connection to it was made.
-func TestSilentVMIsAskedAgainOnlyWhenItWasReached(t *testing.T) {
+func TestSilentVMIsCalledAgainOnlyAfterSuccessfulProbe(t *testing.T) {
 	w := newWorld(t)
-	_, call := delegating(w, 10)
+	_, call := newDelegatedQuery(w, 10)
 	name, zone := call.VM.Name, call.VM.Zone
-	w.table.EndedAtVM(w.now, name, EndSilent)
+	w.table.CallEnded(w.now, name, EndSilent)
 	for range 20 {
 		w.wait(time.Second)
-		w.Expect(w.table.pickVM(w.now, place{zone: zone}, nil)).To(gomega.BeNil())
+		w.Expect(w.table.pickVM(w.now, zonePartition{zone: zone}, nil)).To(gomega.BeNil())
 		suspects, _ := w.table.SuspectVMs(w.now)
 		for _, vm := range suspects {
-			w.table.ProbedVM(w.now, vm.Name, false)
+			w.table.RecordVMProbe(w.now, vm.Name, false)
 		}
 	}
 	w.wait(maxProbe)
 	suspects, _ := w.table.SuspectVMs(w.now)
 	w.Expect(suspects).To(gomega.HaveLen(1))
-	w.table.ProbedVM(w.now, name, true)
-	w.Expect(w.table.pickVM(w.now, place{zone: zone}, nil).Name).To(gomega.Equal(name))
+	w.table.RecordVMProbe(w.now, name, true)
+	w.Expect(w.table.pickVM(w.now, zonePartition{zone: zone}, nil).Name).To(gomega.Equal(name))
 	suspects, next := w.table.SuspectVMs(w.now)
 	w.Expect(suspects).To(gomega.BeEmpty())
 	w.Expect(next).To(gomega.BeZero())
@@ -357,7 +357,7 @@
 // A leaf's machine loses power. Every request that is sent there is lost until it is
 // hedged, so after the first one that got no answer at all the leaf rests, and is asked
 // again once it was reached.
-func TestLeafThatGaveNoSignRestsAtOnce(t *testing.T) {
+func TestSilentLeafIsAvoidedAtOnce(t *testing.T) {
 	w := newWorld(t)
 	dark := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
@@ -365,12 +365,12 @@
 	first := sends(q.Start(w.now))[0]
 	w.Expect(first.Leaf).To(gomega.Equal(dark))
 	w.wait(460 * time.Millisecond)
-	w.table.Ended(w.now, dark, first.SentAt, EndSilent)
+	w.table.AttemptEnded(w.now, dark, first.SentAt, EndSilent)
 	w.wait(200 * time.Millisecond)
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).NotTo(gomega.Equal(dark))
 	w.wait(100 * time.Millisecond)
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).NotTo(gomega.Equal(dark))
-	w.Expect(w.table.ProbedLeaf(w.now, dark, true)).To(gomega.BeTrue())
+	w.Expect(w.table.RecordLeafProbe(w.now, dark, true)).To(gomega.BeTrue())
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(dark))
 }
 
@@ -381,10 +381,10 @@
 	names := w.shards(10, "other")
 	w.table.SetVMs(w.now, []VM{{Name: "vm-other", Zone: "other", Power: 1}})
 	spec := w.gathered(names)
-	spec.Delegate = true
+	spec.MayDelegate = true
 	for _, left := range []time.Duration{40 * time.Millisecond, 200 * time.Millisecond} {
 		spec.AnswerBy = w.now.Add(left)
-		call := asks(NewQuery(spec, w.table).Start(w.now))[0]
+		call := vmCalls(NewQuery(spec, w.table).Start(w.now))[0]
 		w.Expect(spec.AnswerBy.Sub(call.AnswerBy)).To(gomega.BeNumerically("<=", callSlack))
 		w.Expect(spec.AnswerBy.Sub(call.AnswerBy)).To(gomega.BeNumerically(">=", callSlack/2))
 	}
@@ -392,9 +392,9 @@
 
 // A called VM reaches no leaf, and says so when it was overtaken and the caller's own attempts
 // have found the same. Nothing has run, and the caller is told so.
-func TestRefusalOfAnOvertakenVMIsBelieved(t *testing.T) {
+func TestRefusalAfterFailoverProvesNotRun(t *testing.T) {
 	w := newWorld(t)
-	q, call := delegating(w, 10)
+	q, call := newDelegatedQuery(w, 10)
 	var out *Outcome
 	unreachable := func(acts []Action) {
 		for len(acts) > 0 && out == nil {
--- a/scatter/floor.go
+++ b/scatter/floor.go
@@ -5,39 +5,39 @@
 // Parts of the floor of the budget. All VMs together may spend it once in a window, and
 // none knows what the others spend.
 const (
-	// ownersFloor is the part of the floor that the owners of a shard divide among them,
+	// ownersFloorShare is the part of the floor that the owners of a shard divide among them,
 	// where most arrivals at a shard are theirs. Divided by all VMs alike, a part of a
 	// large fleet's floor is less than one arrival.
-	ownersFloor = 0.5
-	// freshFloor is the part of its share that a VM spends in its first window: an
+	ownersFloorShare = 0.5
+	// firstWindowShare is the part of its share that a VM spends in its first window: an
 	// earlier life of it may have spent the whole share in the same window. Both
-	// together stay within the spare share, freshFloor <= spareVMs - 1.
-	freshFloor = 0.25
+	// together stay within the spare share, firstWindowShare <= spareVMs - 1.
+	firstWindowShare = 0.25
 )
 
 // budget returns the budget of a service with this VM's present part of the floor.
 func (t *Table) budget(now time.Time, name string) *budget {
 	s := t.service(now, name)
-	s.budget.floor = t.floorOf(now, name, s.shard)
+	s.budget.floor = t.floorShare(now, name, s.shard)
 	return s.budget
 }
 
-// floorOf returns this VM's part of the floor for a service. A VM that does not know yet
+// floorShare returns this VM's part of the floor for a service. A VM that does not know yet
 // how many others there are has none.
-func (t *Table) floorOf(now time.Time, name string, shard bool) float64 {
-	if !t.listed {
+func (t *Table) floorShare(now time.Time, name string, shard bool) float64 {
+	if !t.vmsKnown {
 		return 0
 	}
-	vms := float64(len(t.places) + 1)
+	vms := float64(len(t.members) + 1)
 	share := 1 / vms
 	if shard {
-		share = (1-ownersFloor)/vms + ownersFloor*t.ownerShare(name)
+		share = (1-ownersFloorShare)/vms + ownersFloorShare*t.ownerShare(name)
 	}
-	share /= spareVMs
-	if now.Sub(t.born) < t.terms.Window {
-		share *= freshFloor
+	share /= vmHeadroom
+	if now.Sub(t.startedAt) < t.budgetConfig.Window {
+		share *= firstWindowShare
 	}
-	return t.terms.Floor * share
+	return t.budgetConfig.Floor * share
 }
 
 // ownerShare is this VM's part of what the owners of a service divide among them by power, as
@@ -55,16 +55,16 @@
 		if len(zones) > 0 && !zones[zone] {
 			continue
 		}
-		for _, owner := range z.ownersOf(z.partOf(name)) {
-			all += max(owner.power, leastPower)
+		for _, owner := range z.ownersOf(z.partitionOf(name)) {
+			all += max(owner.power, minPower)
 		}
 	}
-	return max(t.power, leastPower) / all
+	return max(t.power, minPower) / all
 }
 
 // leafZones returns the zones of a service's leafs, none if no leaf is known.
 func (t *Table) leafZones(name string) map[string]bool {
-	s := t.groups[name]
+	s := t.services[name]
 	if s == nil {
 		return nil
 	}
@@ -79,5 +79,5 @@
 // would belong to.
 func (t *Table) ownsService(name string) bool {
 	z := t.zones[t.zone]
-	return z.owns(z.partOf(name))
+	return z.owns(z.partitionOf(name))
 }
--- a/scatter/floor_test.go
+++ b/scatter/floor_test.go
@@ -20,7 +20,7 @@
 }
 
 // tableOf returns the table of one VM of a fleet that was born at a time.
-func tableOf(vms []VM, self VM, terms BudgetTerms, now, born time.Time) *Table {
+func tableOf(vms []VM, self VM, terms BudgetConfig, now, born time.Time) *Table {
 	t := NewTable(self, terms, born, nil)
 	var others []VM
 	for _, v := range vms {
@@ -35,10 +35,10 @@
 // A shard's leafs get more extra arrivals than agreed: 80 VMs each take their part of
 // the floor, most are killed and take it again in their next life within the window.
 // The sum of all parts stays below the floor whatever each of them does.
-func TestPartsOfTheFloorStayBelowIt(t *testing.T) {
+func TestFloorSharesStayBelowFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
-	terms := BudgetTerms{Ratio: 0.2, Floor: 200, Window: 10 * time.Second}
+	terms := BudgetConfig{Ratio: 0.2, Floor: 200, Window: 10 * time.Second}
 	for _, perZone := range []int{1, 2, 7, 20} {
 		vms := fleetOf(perZone, "a", "b", "c", "d")
 		for _, shard := range []bool{false, true} {
@@ -46,7 +46,7 @@
 			for _, v := range vms {
 				old := tableOf(vms, v, terms, now, now.Add(-time.Minute))
 				fresh := tableOf(vms, v, terms, now, now.Add(-time.Second))
-				sum += old.floorOf(now, "shard-7", shard) + fresh.floorOf(now, "shard-7", shard)
+				sum += old.floorShare(now, "shard-7", shard) + fresh.floorShare(now, "shard-7", shard)
 			}
 			g.Expect(sum).To(gomega.BeNumerically("<=", terms.Floor+1e-9), "%d VMs a zone, shard %v", perZone, shard)
 		}
@@ -59,12 +59,12 @@
 func TestOwnersOfAShardMayHedgeItMoreThanOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
-	terms := BudgetTerms{Ratio: 0.2, Floor: 200, Window: 10 * time.Second}
+	terms := BudgetConfig{Ratio: 0.2, Floor: 200, Window: 10 * time.Second}
 	vms := fleetOf(20, "a", "b", "c", "d")
 	var owners, others []float64
 	for _, v := range vms {
 		table := tableOf(vms, v, terms, now, now.Add(-time.Minute))
-		floor := table.floorOf(now, "shard-7", true)
+		floor := table.floorShare(now, "shard-7", true)
 		if table.ownsService("shard-7") {
 			owners = append(owners, floor)
 		} else {
@@ -78,11 +78,11 @@
 
 // A VM that has just started takes itself for the only one until it has read who else
 // there is. It spends nothing of the floor that others may be spending.
-func TestVMThatKnowsNoOthersSpendsNothingOfTheFloor(t *testing.T) {
+func TestVMWithoutVMListSpendsNoFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
-	table := NewTable(VM{Name: "vm-1", Zone: "a"}, BudgetTerms{Ratio: 0.2, Floor: 200, Window: 10 * time.Second}, now, nil)
-	g.Expect(table.budget(now, "ledger").take(now, 0)).To(gomega.BeFalse())
+	table := NewTable(VM{Name: "vm-1", Zone: "a"}, BudgetConfig{Ratio: 0.2, Floor: 200, Window: 10 * time.Second}, now, nil)
+	g.Expect(table.budget(now, "ledger").spend(now, 0)).To(gomega.BeFalse())
 	table.SetVMs(now, nil)
-	g.Expect(table.budget(now, "ledger").take(now, 0)).To(gomega.BeTrue())
+	g.Expect(table.budget(now, "ledger").spend(now, 0)).To(gomega.BeTrue())
 }
--- a/scatter/gap.go
+++ b/scatter/gap.go
@@ -11,16 +11,16 @@
 
 // The causes, in the order in which they are written.
 const (
-	GapSlow     GapCause = iota // a leaf was asked and had not answered
-	GapRoom                     // its leafs were full, or left alone after failures
-	GapBudget                   // the budget did not allow to ask again
-	GapLate                     // an attempt had failed, too late for another one
-	GapAttempts                 // all attempts had ended without an answer
-	GapNoLeaf                   // no leaf is known that takes requests
-	GapForecast                 // no leaf could have answered in time
-	GapCall                     // the VM that was called had no answer to it
-	GapSilent                   // the VM that was called did not answer
-	GapDeclined                 // left to the VM that called
+	GapSlow       GapCause = iota // a leaf was asked and had not answered
+	GapNoCapacity                 // its leafs were full, or left alone after failures
+	GapBudget                     // the budget did not allow to ask again
+	GapLate                       // an attempt had failed, too late for another one
+	GapAttempts                   // all attempts had ended without an answer
+	GapNoLeaf                     // no leaf is known that takes requests
+	GapForecast                   // no leaf could have answered in time
+	GapCall                       // the VM that was called had no answer to it
+	GapSilent                     // the VM that was called did not answer
+	GapDeclined                   // left to the VM that called
 	gapCauses
 )
 
@@ -53,13 +53,13 @@
 
 func (q *Query) cause(s *shard) GapCause {
 	switch {
-	case s.flying > 0:
+	case s.inFlight > 0:
 		return GapSlow
-	case !s.lookAt.IsZero():
-		return GapRoom
+	case !s.pollAt.IsZero():
+		return GapNoCapacity
 	case s.closed:
 		return s.gap
-	case s.call != 0 && q.calls[s.call].heard:
+	case s.call != 0 && q.calls[s.call].answered:
 		return GapCall
 	case s.call != 0:
 		return GapSilent
--- a/scatter/harness_test.go
+++ b/scatter/harness_test.go
@@ -21,16 +21,16 @@
 const homeZone = "home"
 
 func newWorld(t types.GomegaTestingT) *world {
-	terms := BudgetTerms{Ratio: 0.2, Floor: 50, Window: 10 * time.Second}
+	terms := BudgetConfig{Ratio: 0.2, Floor: 50, Window: 10 * time.Second}
 	now := time.Unix(1_000_000, 0)
 	w := &world{WithT: gomega.NewWithT(t), now: now}
-	w.become("vm-home", homeZone, terms)
+	w.becomeVM("vm-home", homeZone, terms)
 	return w
 }
 
-// become makes the table that of another VM, which has run for a while and knows no
+// becomeVM makes the table that of another VM, which has run for a while and knows no
 // others.
-func (w *world) become(name, zone string, terms BudgetTerms) {
+func (w *world) becomeVM(name, zone string, terms BudgetConfig) {
 	w.table = NewTable(VM{Name: name, Zone: zone, Power: 1}, terms, w.now.Add(-terms.Window), rand.New(rand.NewPCG(1, 2)))
 	w.table.SetVMs(w.now, nil)
 }
@@ -62,8 +62,8 @@
 func (w *world) gathered(services []string) Spec {
 	return Spec{
 		Services: services, Gathered: true, Idempotent: true, MaxAttempts: 2, MinShare: 0.9,
-		Aim: 100 * time.Millisecond, AnswerBy: w.now.Add(90 * time.Millisecond),
-		Deadline: w.now.Add(400 * time.Millisecond), Weight: 1,
+		LatencyObjective: 100 * time.Millisecond, AnswerBy: w.now.Add(90 * time.Millisecond),
+		Deadline: w.now.Add(400 * time.Millisecond), BudgetWeight: 1,
 	}
 }
 
@@ -71,8 +71,8 @@
 func (w *world) single(service string, idempotent bool) Spec {
 	return Spec{
 		Services: []string{service}, Idempotent: idempotent, MaxAttempts: 2,
-		Aim: 100 * time.Millisecond, AnswerBy: w.now.Add(90 * time.Millisecond),
-		Deadline: w.now.Add(400 * time.Millisecond), Weight: 1,
+		LatencyObjective: 100 * time.Millisecond, AnswerBy: w.now.Add(90 * time.Millisecond),
+		Deadline: w.now.Add(400 * time.Millisecond), BudgetWeight: 1,
 	}
 }
 
@@ -86,10 +86,10 @@
 	return out
 }
 
-func asks(acts []Action) []Ask {
-	var out []Ask
+func vmCalls(acts []Action) []CallVM {
+	var out []CallVM
 	for _, a := range acts {
-		if s, ok := a.(Ask); ok {
+		if s, ok := a.(CallVM); ok {
 			out = append(out, s)
 		}
 	}
--- a/scatter/hedge_test.go
+++ b/scatter/hedge_test.go
@@ -25,9 +25,9 @@
 					continue
 				}
 				if stated && late {
-					w.table.Report(w.now, s.Leaf, Load{Slots: 2, Pace: float64(took) / float64(8*time.Millisecond)})
+					w.table.RecordLoad(w.now, s.Leaf, Load{Slots: 2, Slowdown: float64(took) / float64(8*time.Millisecond)})
 				}
-				w.table.Ended(w.now, s.Leaf, s.SentAt, EndAnswered)
+				w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 				q.Reply(w.now, s.Attempt, false)
 			}
 		}
@@ -38,7 +38,7 @@
 // A fifth of the leafs is slow, and then one leaf goes dark. Callers get answers without
 // its shard, or none: by the time in which nine of ten leafs answer, the slow ones included,
 // a second leaf was to be asked only when the request was over.
-func TestDarkLeafIsHedgedWhileOthersAreSlow(t *testing.T) {
+func TestSilentLeafIsHedgedWhileOthersAreSlow(t *testing.T) {
 	for _, stated := range []bool{true, false} {
 		t.Run(fmt.Sprintf("stated %v", stated), func(t *testing.T) {
 			w := newWorld(t)
--- a/scatter/overtake.go
+++ b/scatter/overtake.go
@@ -9,11 +9,11 @@
 // Parameters of the time within which a VM acknowledges a call. One that is frozen, cut off or
 // gone does not, and is overtaken while there is time for another one to do all of the work.
 const (
-	ackShare = 0.2 // of the time until AnswerBy
-	ackLeast = 10 * time.Millisecond
+	ackShare   = 0.2 // of the time until AnswerBy
+	minAckWait = 10 * time.Millisecond
 	// ackFactor is how many times longer than lately an acknowledgement may take.
-	ackFactor = 1.5
-	ackLife   = 10 * time.Second // in which half of a long one is forgotten
+	ackFactor   = 1.5
+	ackHalfLife = 10 * time.Second // in which half of a long one is forgotten
 )
 
 // CallSent takes that a call was written to its connection. Until then the other VM may be well:
@@ -24,14 +24,14 @@
 		return nil
 	}
 	c.writtenAt = now
-	c.ackDue = q.ackDue(now, c.place.zone)
+	c.ackDue = q.ackDue(now, c.partition.zone)
 	return nil
 }
 
 // ackDue returns when a VM in a zone that has not acknowledged a call is overtaken.
 func (q *Query) ackDue(now time.Time, zone string) time.Time {
-	wait := max(time.Duration(ackShare*float64(q.spec.AnswerBy.Sub(now))), ackLeast)
-	lately := q.table.acks[zone].longest(now)
+	wait := max(time.Duration(ackShare*float64(q.spec.AnswerBy.Sub(now))), minAckWait)
+	lately := q.table.ackTimes[zone].longest(now)
 	return now.Add(max(wait, time.Duration(ackFactor*float64(lately))))
 }
 
@@ -45,8 +45,8 @@
 	if c.writtenAt.IsZero() {
 		return
 	}
-	took := max(now.Sub(c.writtenAt), q.table.acks[c.place.zone].longest(now))
-	q.table.acks[c.place.zone] = ackTime{took: took, at: now}
+	took := max(now.Sub(c.writtenAt), q.table.ackTimes[c.partition.zone].longest(now))
+	q.table.ackTimes[c.partition.zone] = ackTime{took: took, at: now}
 }
 
 // ackTime is the longest time that VMs of a zone took lately to acknowledge a call.
@@ -56,7 +56,7 @@
 }
 
 func (a ackTime) longest(now time.Time) time.Duration {
-	return time.Duration(float64(a.took) * math.Exp2(-float64(now.Sub(a.at))/float64(ackLife)))
+	return time.Duration(float64(a.took) * math.Exp2(-float64(now.Sub(a.at))/float64(ackHalfLife)))
 }
 
 // Overtaking.
@@ -66,50 +66,50 @@
 // owns none of a shard's leafs has no connections to them and next to nothing of the budget; so
 // the shards of a VM that is silent or gone are asked for through another owner.
 
-// overdueCalls asks elsewhere for the shards of VMs that are silent.
-func (q *Query) overdueCalls(now time.Time) []Action {
+// failOverOverdueCalls asks elsewhere for the shards of VMs that are silent.
+func (q *Query) failOverOverdueCalls(now time.Time) []Action {
 	var acts []Action
 	for id := CallID(1); int(id) <= len(q.calls); id++ {
 		c := q.calls[id]
-		if c.ended || now.Before(c.overdueAt()) {
+		if c.resolved || now.Before(c.overdueTime()) {
 			continue
 		}
-		c.ended = true
+		c.resolved = true
 		if c.acked {
 			// It lives, and its leafs are slow: another VM would only ask them once more.
-			acts = append(acts, q.askDirectly(now, id)...)
+			acts = append(acts, q.sendDirectly(now, id)...)
 		} else {
-			acts = append(acts, q.overtake(now, id, true)...)
+			acts = append(acts, q.failOver(now, id, true)...)
 		}
 	}
 	return acts
 }
 
-// overtake asks for what a VM has not answered: through another VM that owns these leafs, and
+// failOver asks for what a VM has not answered: through another VM that owns these leafs, and
 // so has connections to them and most of the budget. If there is none, what the first one may
 // have asked is asked for directly.
-func (q *Query) overtake(now time.Time, id CallID, mayHaveAsked bool) []Action {
+func (q *Query) failOver(now time.Time, id CallID, mayHaveAsked bool) []Action {
 	c := q.calls[id]
-	again := mayHaveAsked || c.again
+	again := mayHaveAsked || c.redelegated
 	open := q.unanswered(id)
 	var v *vm
 	if len(open) >= minDelegated {
-		v = q.table.pickVM(now, c.place, q.calledFor(c.place))
+		v = q.table.pickVM(now, c.partition, q.vmsCalledFor(c.partition))
 	}
 	switch {
 	case v != nil:
-		return []Action{q.ask(now, delegation{vm: v, place: c.place, shards: open}, again)}
+		return []Action{q.callVM(now, delegation{vm: v, partition: c.partition, shards: open}, again)}
 	case again:
-		return q.askDirectly(now, id)
+		return q.sendDirectly(now, id)
 	}
 	return nil
 }
 
-// calledFor returns the VMs that were called for a part of a zone.
-func (q *Query) calledFor(p place) []string {
+// vmsCalledFor returns the VMs that were called for a part of a zone.
+func (q *Query) vmsCalledFor(p zonePartition) []string {
 	var names []string
 	for _, c := range q.calls {
-		if c.place == p {
+		if c.partition == p {
 			names = append(names, c.vm)
 		}
 	}
@@ -121,63 +121,63 @@
 	var list []int
 	for _, i := range q.calls[id].shards {
 		s := &q.shards[i]
-		if s.call == id && !s.answered() && s.flying == 0 && !s.closed {
+		if s.call == id && !s.answered() && s.inFlight == 0 && !s.closed {
 			list = append(list, i)
 		}
 	}
 	return list
 }
 
-// askDirectly sends what a call has not answered. These may be second arrivals, so
+// sendDirectly sends what a call has not answered. These may be second arrivals, so
 // each is paid for as a retry.
-func (q *Query) askDirectly(now time.Time, id CallID) []Action {
+func (q *Query) sendDirectly(now time.Time, id CallID) []Action {
 	var acts []Action
 	for _, i := range q.unanswered(id) {
-		acts = append(acts, q.try(now, i, Retry)...)
+		acts = append(acts, q.trySend(now, i, Retry)...)
 	}
 	return acts
 }
 
-// include takes the shards of an answer. Two VMs may have been called for one shard: of answers
+// includeAnswer takes the shards of an answer. Two VMs may have been called for one shard: of answers
 // that share one, those with more shards count.
-func (q *Query) include(shards []int) {
-	q.answers = append(q.answers, callAnswer{shards: shards})
+func (q *Query) includeAnswer(shards []int) {
+	q.callAnswers = append(q.callAnswers, callAnswer{shards: shards})
 	if len(shards) == 0 {
 		return
 	}
-	rivals, lost := q.rivals(shards)
+	rivals, lost := q.overlapping(shards)
 	if lost >= len(shards) {
 		return
 	}
 	for _, n := range rivals {
 		q.setUsed(n, false)
 	}
-	q.setUsed(len(q.answers)-1, true)
+	q.setUsed(len(q.callAnswers)-1, true)
 }
 
-// rivals returns the included answers that share a shard with these, and how many shards they
+// overlapping returns the included answers that share a shard with these, and how many shards they
 // have.
-func (q *Query) rivals(shards []int) (list []int, have int) {
+func (q *Query) overlapping(shards []int) (list []int, have int) {
 	for _, i := range shards {
-		n := q.shards[i].included - 1
+		n := q.shards[i].includedAnswer - 1
 		if n < 0 || slices.Contains(list, n) {
 			continue
 		}
 		list = append(list, n)
-		have += len(q.answers[n].shards)
+		have += len(q.callAnswers[n].shards)
 	}
 	return list, have
 }
 
 // setUsed includes an answer or leaves it out.
 func (q *Query) setUsed(n int, used bool) {
-	q.answers[n].used = used
-	for _, i := range q.answers[n].shards {
+	q.callAnswers[n].used = used
+	for _, i := range q.callAnswers[n].shards {
 		s := &q.shards[i]
-		s.included = 0
+		s.includedAnswer = 0
 		if used {
-			s.included = n + 1
-			q.look(s, time.Time{})
+			s.includedAnswer = n + 1
+			q.schedulePoll(s, time.Time{})
 		}
 	}
 }
--- a/scatter/overtake_test.go
+++ b/scatter/overtake_test.go
@@ -8,42 +8,44 @@
 	"pgregory.net/rapid"
 )
 
-// twoOwners returns a query whose shards have leafs in a zone with two VMs, and the call that it
+// newQueryWithTwoOwners returns a query whose shards have leafs in a zone with two VMs, and the call that it
 // begins with.
-func twoOwners(w *world, shards int) (*Query, Ask) { return ownedBy(w, 2, shards) }
+func newQueryWithTwoOwners(w *world, shards int) (*Query, CallVM) {
+	return newQueryWithOwners(w, 2, shards)
+}
 
-// ownedBy returns a query whose shards have leafs in a zone with a number of VMs, and the call that
+// newQueryWithOwners returns a query whose shards have leafs in a zone with a number of VMs, and the call that
 // it begins with.
-func ownedBy(w *world, owners, shards int) (*Query, Ask) {
+func newQueryWithOwners(w *world, owners, shards int) (*Query, CallVM) {
 	names := w.shards(shards, "other", "third", "fourth")
 	w.table.SetVMs(w.now, fleetOf(owners, "other", "third", "fourth"))
 	spec := w.gathered(names)
-	spec.Delegate = true
-	spec.Request = "request"
+	spec.MayDelegate = true
+	spec.RequestID = "request"
 	q := NewQuery(spec, w.table)
-	calls := asks(q.Start(w.now))
+	calls := vmCalls(q.Start(w.now))
 	w.Expect(calls).To(gomega.HaveLen(1))
 	return q, calls[0]
 }
 
-// overtaken lets a call be silent until another VM is called.
-func (w *world) overtaken(q *Query) Ask {
+// nextFailover lets a call be silent until another VM is called.
+func (w *world) nextFailover(q *Query) CallVM {
 	w.now = q.Wake(w.now)
 	acts := q.Tick(w.now)
 	w.Expect(sends(acts)).To(gomega.BeEmpty())
-	calls := asks(acts)
+	calls := vmCalls(acts)
 	w.Expect(calls).To(gomega.HaveLen(1))
 	return calls[0]
 }
 
 // Guards against losing the shards of a silent VM: those that call it own none of its leafs, and
 // their part of the budget is less than one arrival.
-func TestShardsOfASilentVMAreAskedThroughAnother(t *testing.T) {
+func TestSilentVMFailsOverToAnotherOwner(t *testing.T) {
 	w := newWorld(t)
-	q, first := twoOwners(w, 10)
-	w.spendBudgets(q)
-	second := w.overtaken(q)
-	w.Expect(second.Again).To(gomega.BeTrue())
+	q, first := newQueryWithTwoOwners(w, 10)
+	w.exhaustBudgets(q)
+	second := w.nextFailover(q)
+	w.Expect(second.Redelegated).To(gomega.BeTrue())
 	w.Expect(second.VM.Zone).To(gomega.Equal(first.VM.Zone))
 	w.Expect(second.VM.Name).NotTo(gomega.Equal(first.VM.Name))
 	w.Expect(second.Shards).To(gomega.Equal(first.Shards))
@@ -53,16 +55,16 @@
 }
 
 // Guards against failing where VMs are lost together, two that own the same leafs among them.
-func TestASecondSilentVMIsOvertakenAsWell(t *testing.T) {
+func TestSecondSilentVMFailsOverAsWell(t *testing.T) {
 	w := newWorld(t)
-	q, first := ownedBy(w, 3, 10)
-	w.spendBudgets(q)
-	second := w.overtaken(q)
-	third := w.overtaken(q)
-	w.Expect(third.Again).To(gomega.BeTrue())
+	q, first := newQueryWithOwners(w, 3, 10)
+	w.exhaustBudgets(q)
+	second := w.nextFailover(q)
+	third := w.nextFailover(q)
+	w.Expect(third.Redelegated).To(gomega.BeTrue())
 	w.Expect(third.Shards).To(gomega.Equal(first.Shards))
 	names := map[string]bool{}
-	for _, call := range []Ask{first, second, third} {
+	for _, call := range []CallVM{first, second, third} {
 		w.Expect(call.VM.Zone).To(gomega.Equal(first.VM.Zone))
 		names[call.VM.Name] = true
 	}
@@ -70,15 +72,15 @@
 }
 
 // Guards against asking thirty leafs over new connections, since the VM that was called is gone.
-func TestVMThatIsGoneIsReplacedByAnother(t *testing.T) {
+func TestUnreachableVMFailsOverToAnotherOwner(t *testing.T) {
 	w := newWorld(t)
-	q, first := twoOwners(w, 10)
-	w.table.EndedAtVM(w.now, first.VM.Name, EndUnreachable)
+	q, first := newQueryWithTwoOwners(w, 10)
+	w.table.CallEnded(w.now, first.VM.Name, EndUnreachable)
 	acts := q.CallFail(w.now, first.Call, true)
 	w.Expect(sends(acts)).To(gomega.BeEmpty())
-	second := asks(acts)[0]
+	second := vmCalls(acts)[0]
 	w.Expect(second.VM.Name).NotTo(gomega.Equal(first.VM.Name))
-	w.Expect(second.Again).To(gomega.BeFalse(), "nobody has asked for the shards")
+	w.Expect(second.Redelegated).To(gomega.BeFalse(), "nobody has asked for the shards")
 }
 
 // Guards against an answer that counts a shard twice: the first VM was slow, not gone.
@@ -95,9 +97,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			w := newWorld(t)
-			q, first := twoOwners(w, 10)
+			q, first := newQueryWithTwoOwners(w, 10)
 			q.spec.MinShare = 0.1
-			second := w.overtaken(q)
+			second := w.nextFailover(q)
 			w.Expect(outcome(q.CallReply(w.now, second.Call, CallAnswer{Included: test.first}))).To(gomega.BeNil())
 			out := outcome(q.CallReply(w.now, first.Call, CallAnswer{Included: test.second}))
 			for out == nil {
@@ -111,10 +113,10 @@
 }
 
 // Guards against telling a caller that its request has not run, since the second VM refused it.
-func TestRefusalOfASecondVMIsNoProof(t *testing.T) {
+func TestRefusalOfSecondVMDoesNotProveNotRun(t *testing.T) {
 	w := newWorld(t)
-	q, _ := twoOwners(w, 10)
-	second := w.overtaken(q)
+	q, _ := newQueryWithTwoOwners(w, 10)
+	second := w.nextFailover(q)
 	out := outcome(q.CallReply(w.now, second.Call, CallAnswer{Last: true, Refused: true}))
 	for out == nil {
 		w.now = q.Wake(w.now)
@@ -125,26 +127,26 @@
 
 // Guards against more leafs at work for one request than it allows: two VMs were called for the
 // same shards, and neither knows what the other did.
-func TestTwoCalledVMsAskNoMoreLeafsThanAllowed(t *testing.T) {
+func TestTwoCalledVMsUseNoMoreLeafsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		q, call := twoOwners(w, 6)
+		q, call := newQueryWithTwoOwners(w, 6)
 		names := q.spec.Services
 		ran := make(map[string]map[LeafID]bool)
-		serve := func(call Ask) {
+		serve := func(call CallVM) {
 			peer := newWorld(t)
-			peer.become(call.VM.Name, call.VM.Zone, roomyTerms)
+			peer.becomeVM(call.VM.Name, call.VM.Zone, ampleBudget)
 			peer.shards(6, "other", "third", "fourth")
 			for _, name := range names {
 				if zone := rapid.SampledFrom([]string{"", "other", "third", "fourth"}).Draw(t, "dark"); zone != "" {
-					peer.table.Ended(peer.now, LeafID{ID: name + "@" + zone, Born: 1}, peer.now, EndUnreachable)
+					peer.table.AttemptEnded(peer.now, LeafID{ID: name + "@" + zone, Born: 1}, peer.now, EndUnreachable)
 				}
 			}
 			spec := peer.gathered(nil)
 			for _, i := range call.Shards {
 				spec.Services = append(spec.Services, names[i])
 			}
-			spec.Request, spec.Delegated, spec.Views, spec.Again = "request", true, call.Views, call.Again
+			spec.RequestID, spec.Delegated, spec.Views, spec.Redelegated = "request", true, call.Views, call.Redelegated
 			spec.MaxAttempts = q.spec.MaxAttempts
 			served := NewQuery(spec, peer.table)
 			for _, acts := range [][]Action{served.Start(peer.now), served.Tick(peer.now.Add(60 * time.Millisecond))} {
@@ -158,7 +160,7 @@
 			}
 		}
 		serve(call)
-		serve(w.overtaken(q))
+		serve(w.nextFailover(q))
 		for name, leafs := range ran {
 			w.Expect(len(leafs)).To(gomega.BeNumerically("<=", 2), name)
 		}
@@ -167,16 +169,16 @@
 
 // Guards against losing half of a request's time to a VM that is frozen or cut off, and against
 // overtaking one that lives and has not answered yet.
-func TestVMThatAcknowledgesNothingIsOvertakenEarly(t *testing.T) {
+func TestUnacknowledgedCallFailsOverEarly(t *testing.T) {
 	w := newWorld(t)
-	q, first := twoOwners(w, 10)
+	q, first := newQueryWithTwoOwners(w, 10)
 	began := w.now
 	q.CallSent(w.now, first.Call)
-	w.overtaken(q)
+	w.nextFailover(q)
 	w.Expect(w.now.Sub(began)).To(gomega.BeNumerically("<=", q.spec.AnswerBy.Sub(began)/4))
 
 	w = newWorld(t)
-	q, first = twoOwners(w, 10)
+	q, first = newQueryWithTwoOwners(w, 10)
 	q.CallSent(w.now, first.Call)
 	w.wait(2 * time.Millisecond)
 	q.CallReply(w.now, first.Call, CallAnswer{})
@@ -184,24 +186,24 @@
 	w.now = q.Wake(w.now)
 	acts := q.Tick(w.now)
 	w.Expect(w.now.Sub(began)).To(gomega.BeNumerically(">", q.spec.AnswerBy.Sub(began)/2))
-	w.Expect(asks(acts)).To(gomega.BeEmpty(), "its leafs are slow, and another VM would ask them once more")
+	w.Expect(vmCalls(acts)).To(gomega.BeEmpty(), "its leafs are slow, and another VM would ask them once more")
 }
 
 // Guards against overtaking all VMs of a region that is far away.
 func TestSlowAcknowledgementsAreWaitedFor(t *testing.T) {
 	w := newWorld(t)
-	q, first := twoOwners(w, 10)
+	q, first := newQueryWithTwoOwners(w, 10)
 	q.CallSent(w.now, first.Call)
-	w.overtaken(q)
+	w.nextFailover(q)
 	w.wait(10 * time.Millisecond)
-	took := w.now.Sub(q.began)
+	took := w.now.Sub(q.startedAt)
 	q.CallReply(w.now, first.Call, CallAnswer{})
 	var next *Query
-	var call Ask
+	var call CallVM
 	for call.VM.Zone != first.VM.Zone {
 		next = NewQuery(q.spec, w.table)
 		next.spec.AnswerBy = w.now.Add(90 * time.Millisecond)
-		call = asks(next.Start(w.now))[0]
+		call = vmCalls(next.Start(w.now))[0]
 	}
 	next.CallSent(w.now, call.Call)
 	w.Expect(next.Wake(w.now)).To(gomega.BeTemporally(">", w.now.Add(took)))
@@ -209,14 +211,14 @@
 
 // Guards against calling two VMs for everything after a start of all VMs, when connections between
 // them have yet to be made.
-func TestCallThatWaitsForItsConnectionIsNotOvertakenEarly(t *testing.T) {
+func TestCallWaitingForConnectionDoesNotFailOverEarly(t *testing.T) {
 	w := newWorld(t)
-	q, first := twoOwners(w, 10)
+	q, first := newQueryWithTwoOwners(w, 10)
 	began := w.now
-	w.overtaken(q)
+	w.nextFailover(q)
 	w.Expect(w.now.Sub(began)).To(gomega.BeNumerically(">", q.spec.AnswerBy.Sub(began)/2))
 	q.CallReply(w.now, first.Call, CallAnswer{})
-	w.Expect(w.table.acks).To(gomega.BeEmpty(), "how long the acknowledgement took is not known")
+	w.Expect(w.table.ackTimes).To(gomega.BeEmpty(), "how long the acknowledgement took is not known")
 }
 
 // Guards against further arrivals that no budget pays for: the silent VM may have asked each shard.
@@ -224,11 +226,11 @@
 	w := newWorld(t)
 	names := w.shards(5, homeZone, "other")
 	spec := w.gathered(names)
-	spec.Delegated, spec.Again, spec.Weight, spec.Request = true, true, 0, "request"
+	spec.Delegated, spec.Redelegated, spec.BudgetWeight, spec.RequestID = true, true, 0, "request"
 	for _, name := range names {
 		spec.Views = append(spec.Views, w.table.View(name))
 	}
 	w.Expect(sends(NewQuery(spec, w.table).Start(w.now))).To(gomega.HaveLen(5))
-	w.spendBudgets(NewQuery(spec, w.table))
+	w.exhaustBudgets(NewQuery(spec, w.table))
 	w.Expect(sends(NewQuery(spec, w.table).Start(w.now))).To(gomega.BeEmpty())
 }
--- a/scatter/owners_test.go
+++ b/scatter/owners_test.go
@@ -24,15 +24,15 @@
 	return list
 }
 
-// inFleet makes the world that of one VM of a fleet, before shards with leafs in two zones.
-func (w *world) inFleet(vms []VM, self VM, shards int) []string {
-	w.become(self.Name, self.Zone, BudgetTerms{Ratio: 0.2, Floor: 430, Window: 10 * time.Second})
-	w.table = tableOf(vms, self, w.table.terms, w.now, w.now.Add(-time.Minute))
+// joinFleet makes the world that of one VM of a fleet, before shards with leafs in two zones.
+func (w *world) joinFleet(vms []VM, self VM, shards int) []string {
+	w.becomeVM(self.Name, self.Zone, BudgetConfig{Ratio: 0.2, Floor: 430, Window: 10 * time.Second})
+	w.table = tableOf(vms, self, w.table.budgetConfig, w.now, w.now.Add(-time.Minute))
 	w.table.rng = rand.New(rand.NewPCG(1, 2))
-	w.table.SetShards(w.now, shards)
+	w.table.SetMaxShards(w.now, shards)
 	names := w.shards(shards, "a", "b")
 	for _, name := range names {
-		w.table.SetTerms(w.now, name, Terms{MaxConnections: 120, Shard: true})
+		w.table.SetServiceConfig(w.now, name, ServiceConfig{MaxConnections: 120, Shard: true})
 	}
 	return names
 }
@@ -42,12 +42,12 @@
 func TestPowerfulVMsAreCalledWhileTheyAnswer(t *testing.T) {
 	vms := largeFleet("a", "b", "c")
 	w := newWorld(t)
-	names := w.inFleet(vms, vms[len(vms)-1], 87)
+	names := w.joinFleet(vms, vms[len(vms)-1], 87)
 	called := func() []VM {
 		spec := w.gathered(names)
-		spec.Delegate = true
+		spec.MayDelegate = true
 		var list []VM
-		for _, ask := range asks(NewQuery(spec, w.table).Start(w.now)) {
+		for _, ask := range vmCalls(NewQuery(spec, w.table).Start(w.now)) {
 			list = append(list, ask.VM)
 		}
 		return list
@@ -61,7 +61,7 @@
 	}
 	for _, v := range vms {
 		if v.Power > 0.5 {
-			w.table.EndedAtVM(w.now, v.Name, EndSilent)
+			w.table.CallEnded(w.now, v.Name, EndSilent)
 		}
 	}
 	w.Expect(called()).To(gomega.HaveLen(3), "others own the parts too")
@@ -69,15 +69,15 @@
 
 // Guards against VMs that hold more connections to a leaf than it accepts: hundreds of them, each
 // of which asked it once.
-func TestConnectionsThatAreKeptStayBelowTheCap(t *testing.T) {
+func TestKeptConnectionsStayBelowLimit(t *testing.T) {
 	vms := largeFleet("a", "b", "c", "d", "e", "f")
 	kept := 0
 	for _, self := range vms {
 		w := newWorld(t)
-		w.inFleet(vms, self, 1)
+		w.joinFleet(vms, self, 1)
 		for _, l := range w.table.leafs {
-			if l.Zone == "a" && w.table.Keeps(l.id) {
-				kept += l.room
+			if l.Zone == "a" && w.table.KeepsConnection(l.id) {
+				kept += l.maxInFlight
 			}
 		}
 	}
@@ -88,17 +88,17 @@
 
 // Guards against more further arrivals than agreed where the floor is divided by power among the
 // zones that have leafs.
-func TestPartsOfTheFloorByPowerStayBelowIt(t *testing.T) {
+func TestPowerWeightedFloorSharesStayBelowFloor(t *testing.T) {
 	vms := largeFleet("a", "b", "c")
 	sum, strongest := 0.0, 0.0
 	for _, self := range vms {
 		w := newWorld(t)
-		names := w.inFleet(vms, self, 40)
-		floor := w.table.floorOf(w.now, names[7], true)
+		names := w.joinFleet(vms, self, 40)
+		floor := w.table.floorShare(w.now, names[7], true)
 		sum += floor
 		strongest = max(strongest, floor)
 	}
 	g := gomega.NewWithT(t)
-	g.Expect(sum).To(gomega.BeNumerically("<=", 430/spareVMs+1e-9))
+	g.Expect(sum).To(gomega.BeNumerically("<=", 430/vmHeadroom+1e-9))
 	g.Expect(strongest).To(gomega.BeNumerically(">", 20), "an owner has most of it")
 }
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -10,28 +10,28 @@
 	// MaxAttempts is how many leafs may run the request, for each shard.
 	MaxAttempts int
 	// MinShare is the share of the shards without which an answer is a failure.
-	MinShare float64
-	Aim      time.Duration
+	MinShare         float64
+	LatencyObjective time.Duration
 	// AnswerBy is when a gathered request is answered with what has come in.
 	AnswerBy time.Time
 	Deadline time.Time
-	// Delegate allows to ask other VMs for the shards that have no leaf near.
-	Delegate bool
-	// Request is the id of the caller's request, the same at all VMs that take part.
-	Request string
+	// MayDelegate allows to ask other VMs for the shards that have no leaf near.
+	MayDelegate bool
+	// RequestID is the id of the caller's request, the same at all VMs that take part.
+	RequestID string
 	// Delegated says that another VM asked for it. Views are what that one knows of each
 	// service; a shard of which this VM knows otherwise is declined.
 	Delegated bool
 	Views     []View
-	// Needed is how many of Services the whole answer can't do without, of a request that
+	// Required is how many of Services the whole answer can't do without, of a request that
 	// another VM delegates; 0 if it doesn't say.
-	Needed int
-	// Again says that yet another VM was asked for the same before: each arrival is a further
+	Required int
+	// Redelegated says that yet another VM was asked for the same before: each arrival is a further
 	// one, and leafs are chosen as if that one had asked them too.
-	Again bool
-	// Weight is the part of a request that counts here for the budget, from 0 to 1:
+	Redelegated bool
+	// BudgetWeight is the part of a request that counts here for the budget, from 0 to 1:
 	// of one that another VM passes on, it counts the rest.
-	Weight float64
+	BudgetWeight float64
 }
 
 // AttemptID numbers the requests to leafs of one query, from 1.
@@ -51,21 +51,21 @@
 	Address string
 	SentAt  time.Time
 	// Until is when the leaf is to stop: later, its answer is of no use.
-	Until time.Time
-	Far   bool // in another availability zone
-	Keep  bool // the connection, for later requests
-	Why   Why
+	Until          time.Time
+	OtherZone      bool // in another availability zone
+	KeepConnection bool // the connection, for later requests
+	Reason         AttemptReason
 }
 
-// Ask lets another VM ask the leafs of some shards.
-type Ask struct {
-	Call   CallID
-	VM     VM
-	SentAt time.Time
-	Shards []int
-	Views  []View // one for each of Shards
-	Needed int    // of Shards, without which there is no answer
-	Again  bool   // another VM was asked before, which is silent
+// CallVM lets another VM ask the leafs of some shards.
+type CallVM struct {
+	Call        CallID
+	VM          VM
+	SentAt      time.Time
+	Shards      []int
+	Views       []View // one for each of Shards
+	Required    int    // of Shards, without which there is no answer
+	Redelegated bool   // another VM was asked before, which is silent
 	// InterimBy is when that VM answers with what it has, and AnswerBy when it gives
 	// up on the rest.
 	InterimBy time.Time
@@ -76,21 +76,21 @@
 type Finish struct{ Outcome Outcome }
 
 func (Send) action()   {}
-func (Ask) action()    {}
+func (CallVM) action() {}
 func (Finish) action() {}
 
-// Why says what made an attempt necessary.
-type Why int
+// AttemptReason says what made an attempt necessary.
+type AttemptReason int
 
 // The reasons of an attempt.
 const (
-	First Why = iota
-	Retry     // after a failure
-	Hedge     // beside one that is slow
+	FirstAttempt AttemptReason = iota
+	Retry                      // after a failure
+	Hedge                      // beside one that is slow
 )
 
 // String returns the word used in logs and metrics.
-func (w Why) String() string {
+func (w AttemptReason) String() string {
 	return [...]string{"first", "retry", "hedge"}[w]
 }
 
@@ -99,13 +99,13 @@
 
 // The verdicts.
 const (
-	Answered    Verdict = iota // by a leaf, or with enough shards
-	LeafFailed                 // a leaf ran it and failed; its answer is passed on
-	NotRun                     // no leaf ran it or ever will
-	Unknown                    // a leaf may have run it; no answer is to be had
-	TimedOut                   // a leaf may have run it; the time is over
-	Abandoned                  // the caller left
-	ShortAnswer                // leafs ran it, but too few shards answered
+	Answered     Verdict = iota // by a leaf, or with enough shards
+	LeafFailed                  // a leaf ran it and failed; its answer is passed on
+	NotRun                      // no leaf ran it or ever will
+	Unknown                     // a leaf may have run it; no answer is to be had
+	TimedOut                    // a leaf may have run it; the time is over
+	Abandoned                   // the caller left
+	TooFewShards                // leafs ran it, but too few shards answered
 )
 
 // String returns the word used in logs and metrics.
@@ -139,52 +139,52 @@
 // shard; of a request that is not idempotent no attempt is sent after one that may
 // have run; every attempt after a shard's first arrival was taken from the budget.
 type Query struct {
-	spec   Spec
-	table  *Table
-	shards []shard
-	began  time.Time
-	done   bool
-
-	attempts map[AttemptID]*attempt
-	calls    map[CallID]*call
-	answers  []callAnswer // of other VMs, in the order in which they came
-	last     AttemptID    // newest number
-	failure  AttemptID    // the latest with a leaf's own failure
-	hedgeAt  time.Time    // no hedge before; one that was due found no idle leaf or no budget
-
-	spareLeft  int           // shards that may be left out besides those that are
-	refusal    *Refusal      // nil if this VM did not refuse
-	retryAfter time.Duration // that a refused caller is told; 0 if nobody refused
+	spec      Spec
+	table     *Table
+	shards    []shard
+	startedAt time.Time
+	done      bool
+
+	attempts      map[AttemptID]*attempt
+	calls         map[CallID]*call
+	callAnswers   []callAnswer // of other VMs, in the order in which they came
+	lastAttempt   AttemptID    // newest number
+	failedAttempt AttemptID    // the latest with a leaf's own failure
+	hedgeRetryAt  time.Time    // no hedge before; one that was due found no idle leaf or no budget
+
+	omissionsLeft int           // shards that may be left out besides those that are
+	refusal       *Refusal      // nil if this VM did not refuse
+	retryAfter    time.Duration // that a refused caller is told; 0 if nobody refused
 
 	sent, hedges, retries int
 }
 
 // shard is the state of one service's part of a query.
 type shard struct {
-	service  string
-	tried    []LeafID
-	sends    int
-	flying   int  // attempts without an end
-	maybeRan int  // attempts that ran or may have
-	arrived  bool // an attempt reached a leaf or may have
-	counted  bool // as a first arrival
-	hedged   bool
-	hedgeAt  time.Time // when the latest attempt is slow enough for a hedge
-	lookAt   time.Time // when to look for a leaf again; zero if not waiting
-	waitsAt  *service  // that counts it among the waiting, nil for none
-	closed   bool      // no further attempt will be made
-	gap      GapCause  // why it was closed
-	declined bool      // left to the VM that called
-	answer   AttemptID // 0 without one
-	call     CallID    // that it was delegated to last; 0 if to none
-	again    bool      // it was delegated twice
-	shared   bool      // another VM may ask it too
-	common   []LeafID  // that either VM may ask, if it is shared
-	chosen   LeafID    // that only this VM asks, if it is shared; zero for none
-	included int       // the number of the included answer of another VM that has it, from 1; 0 without one
+	service        string
+	tried          []LeafID
+	sends          int
+	inFlight       int  // attempts without an end
+	maybeRan       int  // attempts that ran or may have
+	arrived        bool // an attempt reached a leaf or may have
+	budgetCounted  bool // as a first arrival
+	hedged         bool
+	hedgeAt        time.Time // when the latest attempt is slow enough for a hedge
+	pollAt         time.Time // when to look for a leaf again; zero if not waiting
+	waitingOn      *service  // that counts it among the waiting, nil for none
+	closed         bool      // no further attempt will be made
+	gap            GapCause  // why it was closed
+	declined       bool      // left to the VM that called
+	answer         AttemptID // 0 without one
+	call           CallID    // that it was delegated to last; 0 if to none
+	redelegated    bool      // it was delegated twice
+	shared         bool      // another VM may ask it too
+	commonLeafs    []LeafID  // that either VM may ask, if it is shared
+	ownChoice      LeafID    // that only this VM asks, if it is shared; zero for none
+	includedAnswer int       // the number of the included answer of another VM that has it, from 1; 0 without one
 }
 
-func (s *shard) answered() bool { return s.answer != 0 || s.included != 0 }
+func (s *shard) answered() bool { return s.answer != 0 || s.includedAnswer != 0 }
 
 type attempt struct {
 	shard  int
@@ -193,23 +193,23 @@
 }
 
 type call struct {
-	vm     string
-	place  place
-	again  bool // follows another call for the same shards
-	shards []int
-	sentAt time.Time
-	acked  bool      // the VM has said anything
-	dueAt  time.Time // when its shards are asked for elsewhere
+	vm          string
+	partition   zonePartition
+	redelegated bool // follows another call for the same shards
+	shards      []int
+	sentAt      time.Time
+	acked       bool      // the VM has said anything
+	failoverAt  time.Time // when its shards are asked for elsewhere
 	// writtenAt is when the call went out, zero before; ackDue is by when it must be
 	// acknowledged, zero before it went out and once it was.
 	writtenAt, ackDue time.Time
-	heard             bool // it has answered, perhaps in part
-	over              bool // nothing more will come of it
-	ended             bool
+	answered          bool // it has answered, perhaps in part
+	finished          bool // nothing more will come of it
+	resolved          bool
 }
 
-// overdueAt is when the shards of a call are asked for elsewhere unless its VM says something.
-func (c *call) overdueAt() time.Time { return earlier(c.dueAt, c.ackDue) }
+// overdueTime is when the shards of a call are asked for elsewhere unless its VM says something.
+func (c *call) overdueTime() time.Time { return earlier(c.failoverAt, c.ackDue) }
 
 // callAnswer is what one answer of another VM includes. It can't be taken apart.
 type callAnswer struct {
@@ -234,30 +234,30 @@
 
 // Start sends the first attempts, or refuses the request if it can't be answered in time.
 func (q *Query) Start(now time.Time) []Action {
-	q.began = now
+	q.startedAt = now
 	var calls []delegation
-	if q.spec.Delegate {
+	if q.spec.MayDelegate {
 		calls = q.delegations(now)
 	}
 	if q.spec.Delegated {
 		q.decline()
 	}
-	if !q.admit(now, q.own(calls)) {
-		return q.finish(q.gaveUp(ShortAnswer))
+	if !q.admit(now, q.ownShards(calls)) {
+		return q.finish(q.failureOutcome(TooFewShards))
 	}
 	var acts []Action
 	for _, d := range calls {
-		acts = append(acts, q.ask(now, d, false))
+		acts = append(acts, q.callVM(now, d, false))
 	}
-	hold := q.holdsOwn(now, calls)
+	hold := q.holdsOwnShards(now, calls)
 	for i := range q.shards {
 		s := &q.shards[i]
 		switch {
 		case s.call != 0 || s.closed:
 		case hold:
-			q.look(s, now.Add(holdTime))
+			q.schedulePoll(s, now.Add(holdTime))
 		default:
-			acts = append(acts, q.try(now, i, First)...)
+			acts = append(acts, q.trySend(now, i, FirstAttempt)...)
 		}
 	}
 	return q.conclude(now, acts)
@@ -267,7 +267,7 @@
 func (q *Query) decline() {
 	for i := range q.shards {
 		s := &q.shards[i]
-		q.share(s, q.table.zone)
+		q.shareShard(s, q.table.zone)
 		s.declined = q.table.View(s.service) != q.spec.Views[i]
 		if s.declined {
 			s.close(GapDeclined)
@@ -275,8 +275,8 @@
 	}
 }
 
-// own returns the shards whose leafs this VM asks itself.
-func (q *Query) own(calls []delegation) []int {
+// ownShards returns the shards whose leafs this VM asks itself.
+func (q *Query) ownShards(calls []delegation) []int {
 	delegated := make(map[int]bool)
 	for _, d := range calls {
 		for _, i := range d.shards {
@@ -292,10 +292,10 @@
 	return list
 }
 
-// share fixes the leafs that may run a shard for either VM, where another may ask for it too.
-func (q *Query) share(s *shard, zone string) {
+// shareShard fixes the leafs that may run a shard for either VM, where another may ask for it too.
+func (q *Query) shareShard(s *shard, zone string) {
 	s.shared = true
-	s.common = q.table.common(s.service, zone, q.spec.Request, q.spec.MaxAttempts)
+	s.commonLeafs = q.table.commonLeafs(s.service, zone, q.spec.RequestID, q.spec.MaxAttempts)
 }
 
 // Declined returns the shards of a delegated query that this VM does not ask, since it
@@ -318,15 +318,15 @@
 	}
 	delete(q.attempts, id)
 	s := &q.shards[a.shard]
-	s.flying--
+	s.inFlight--
 	if failed {
-		q.failure = id
-		return q.conclude(now, q.again(now, a.shard))
+		q.failedAttempt = id
+		return q.conclude(now, q.retryShard(now, a.shard))
 	}
-	q.table.recordDuration(now, q.key(), a)
+	q.table.recordDuration(now, q.durationKey(), a)
 	if s.answer == 0 {
 		s.answer = id
-		q.look(s, time.Time{})
+		q.schedulePoll(s, time.Time{})
 	}
 	return q.conclude(now, nil)
 }
@@ -339,15 +339,15 @@
 	}
 	delete(q.attempts, id)
 	s := &q.shards[a.shard]
-	s.flying--
-	if !end.ran() {
+	s.inFlight--
+	if !end.mayHaveRun() {
 		s.maybeRan--
-		s.unchoose(a.leaf)
+		s.clearChoice(a.leaf)
 	}
 	if end != EndUnreachable {
 		s.arrived = true
 	}
-	return q.conclude(now, q.again(now, a.shard))
+	return q.conclude(now, q.retryShard(now, a.shard))
 }
 
 // Tick takes that time has passed. Call it at the time that Wake returned.
@@ -362,12 +362,12 @@
 		// Whatever is overdue after a pause of this VM, an answer comes first.
 		return q.finish(out)
 	}
-	acts := q.overdueCalls(now)
+	acts := q.failOverOverdueCalls(now)
 	for i := range q.shards {
 		s := &q.shards[i]
-		if !s.lookAt.IsZero() && !now.Before(s.lookAt) {
-			q.look(s, time.Time{})
-			acts = append(acts, q.again(now, i)...)
+		if !s.pollAt.IsZero() && !now.Before(s.pollAt) {
+			q.schedulePoll(s, time.Time{})
+			acts = append(acts, q.retryShard(now, i)...)
 		}
 	}
 	acts = append(acts, q.hedge(now)...)
@@ -394,8 +394,8 @@
 	return q.finish(Outcome{Verdict: Abandoned})
 }
 
-func (q *Query) key() timesKey {
-	return timesKey{aim: q.spec.Aim, shard: q.spec.Gathered}
+func (q *Query) durationKey() durationKey {
+	return durationKey{objective: q.spec.LatencyObjective, shard: q.spec.Gathered}
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -412,14 +412,14 @@
 		wake = earlier(wake, q.spec.AnswerBy)
 	}
 	for _, c := range q.calls {
-		if !c.ended {
-			wake = earlier(wake, c.overdueAt())
+		if !c.resolved {
+			wake = earlier(wake, c.overdueTime())
 		}
 	}
 	for i := range q.shards {
-		wake = earlier(wake, q.shards[i].lookAt)
+		wake = earlier(wake, q.shards[i].pollAt)
 	}
-	return earlier(wake, q.hedgeWake())
+	return earlier(wake, q.nextHedge())
 }
 
 func later(a, b time.Time) time.Time {
--- a/scatter/query_bench_test.go
+++ b/scatter/query_bench_test.go
@@ -20,7 +20,7 @@
 		q.Wake(w.now)
 		for _, s := range first {
 			w.wait(100 * time.Microsecond)
-			w.table.Ended(w.now, s.Leaf, s.SentAt, EndAnswered)
+			w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 			q.Reply(w.now, s.Attempt, false)
 			q.Wake(w.now)
 		}
--- a/scatter/query_test.go
+++ b/scatter/query_test.go
@@ -13,7 +13,7 @@
 // A report is filed twice: the leaf ran it, its connection broke before the answer,
 // and the daemon sent it to another leaf. Only a leaf's own word, or a connection that
 // never stood, frees a request that must run once.
-func TestReportIsNotSentAgainAfterItMayHaveRun(t *testing.T) {
+func TestNonIdempotentRequestIsNotResentAfterItMayHaveRun(t *testing.T) {
 	w := newWorld(t)
 	w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
@@ -21,7 +21,7 @@
 		q := NewQuery(w.single("ledger", false), w.table)
 		first := sends(q.Start(w.now))
 		w.Expect(first).To(gomega.HaveLen(1))
-		w.table.Ended(w.now, first[0].Leaf, first[0].SentAt, end)
+		w.table.AttemptEnded(w.now, first[0].Leaf, first[0].SentAt, end)
 		acts := q.Fail(w.now, first[0].Attempt, end)
 		w.Expect(sends(acts)).To(gomega.BeEmpty())
 		w.Expect(outcome(acts).Verdict).To(gomega.Equal(Unknown))
@@ -29,7 +29,7 @@
 	for _, end := range []End{EndRefused, EndUnreachable, EndMoved} {
 		q := NewQuery(w.single("ledger", false), w.table)
 		first := sends(q.Start(w.now))
-		w.table.Ended(w.now, first[0].Leaf, first[0].SentAt, end)
+		w.table.AttemptEnded(w.now, first[0].Leaf, first[0].SentAt, end)
 		acts := q.Fail(w.now, first[0].Attempt, end)
 		w.Expect(sends(acts)).To(gomega.HaveLen(1))
 		w.Expect(sends(acts)[0].Leaf).NotTo(gomega.Equal(first[0].Leaf))
@@ -66,7 +66,7 @@
 			}
 			end := rapid.SampledFrom([]End{EndBroken, EndRefused, EndUnreachable, EndSilent}).Draw(t, "end")
 			mayHaveRun = mayHaveRun || end == EndBroken || end == EndSilent
-			w.table.Ended(w.now, open[0].Leaf, open[0].SentAt, end)
+			w.table.AttemptEnded(w.now, open[0].Leaf, open[0].SentAt, end)
 			acts = q.Fail(w.now, open[0].Attempt, end)
 		}
 		w.Expect(outcome(acts).Verdict == NotRun).To(gomega.Equal(!mayHaveRun))
@@ -95,7 +95,7 @@
 
 // A caller waits for a register of which too much is out of reach, until its time is
 // over. It is refused at once, and leafs do nothing for it.
-func TestHopelessGatheredRequestIsRefusedAtOnce(t *testing.T) {
+func TestGatheredRequestWithTooFewShardsIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(10, homeZone)
 	q := NewQuery(w.gathered(append(names, "gone-1", "gone-2")), w.table)
@@ -109,7 +109,7 @@
 
 // Too much of a register turns out to be out of reach after leafs were asked. The caller is
 // told as soon as that is sure, and not that its request has not run.
-func TestGatheredRequestThatBecomesHopelessEndsAtOnce(t *testing.T) {
+func TestGatheredRequestEndsOnceTooFewShardsCanAnswer(t *testing.T) {
 	w := newWorld(t)
 	spec := w.gathered(w.shards(12, homeZone))
 	q := NewQuery(spec, w.table)
@@ -118,7 +118,7 @@
 	w.Expect(outcome(q.Fail(w.now, first[0].Attempt, EndBroken))).To(gomega.BeNil())
 	out := outcome(q.Fail(w.now, first[1].Attempt, EndBroken))
 	w.Expect(out).NotTo(gomega.BeNil())
-	w.Expect(out.Verdict).To(gomega.Equal(ShortAnswer))
+	w.Expect(out.Verdict).To(gomega.Equal(TooFewShards))
 }
 
 // A leaf pauses in the middle of a query. A second leaf is asked once the first takes
@@ -129,12 +129,12 @@
 	w.leaf("ledger", "other")
 	q := NewQuery(w.single("ledger", true), w.table)
 	first := sends(q.Start(w.now))
-	w.Expect(first[0].Far).To(gomega.BeFalse())
+	w.Expect(first[0].OtherZone).To(gomega.BeFalse())
 	w.now = q.Wake(w.now)
 	w.Expect(w.now.Sub(first[0].SentAt)).To(gomega.Equal(35 * time.Millisecond))
 	second := sends(q.Tick(w.now))
 	w.Expect(second).To(gomega.HaveLen(1))
-	w.Expect(second[0].Why).To(gomega.Equal(Hedge))
+	w.Expect(second[0].Reason).To(gomega.Equal(Hedge))
 	out := outcome(q.Reply(w.now, second[0].Attempt, false))
 	w.Expect(out.Attempt).To(gomega.Equal(second[0].Attempt))
 }
@@ -153,7 +153,7 @@
 		s := sends(q.Start(w.now))
 		w.Expect(s).To(gomega.HaveLen(1))
 		w.Expect(s[0].Leaf).To(gomega.Equal(far))
-		w.table.Ended(w.now, far, s[0].SentAt, EndAnswered)
+		w.table.AttemptEnded(w.now, far, s[0].SentAt, EndAnswered)
 	}
 }
 
@@ -164,19 +164,19 @@
 	w := newWorld(t)
 	old := w.leaf("ledger", homeZone)
 	for range 5 {
-		w.table.Ended(w.now, old, w.now, EndUnreachable)
+		w.table.AttemptEnded(w.now, old, w.now, EndUnreachable)
 		w.wait(2 * time.Second)
 	}
-	w.table.Ended(w.now, old, w.now, EndUnreachable)
-	w.Expect(w.table.find(old).cooldown.active(w.now)).To(gomega.BeTrue())
+	w.table.AttemptEnded(w.now, old, w.now, EndUnreachable)
+	w.Expect(w.table.findLeaf(old).cooldown.active(w.now)).To(gomega.BeTrue())
 	w.table.Apply(w.now, registry.Change{Leaf: registry.Leaf{
 		ID: old.ID, Born: 2, Service: "ledger", Zone: homeZone, Slots: 2, Address: "127.0.0.1:1",
 	}})
 	young := LeafID{ID: old.ID, Born: 2}
-	w.Expect(w.table.find(young).cooldown.active(w.now)).To(gomega.BeFalse())
-	w.Expect(w.table.find(old)).To(gomega.BeNil())
-	w.table.Ended(w.now, old, w.now, EndUnreachable)
-	w.Expect(w.table.find(young).cooldown.active(w.now)).To(gomega.BeFalse())
+	w.Expect(w.table.findLeaf(young).cooldown.active(w.now)).To(gomega.BeFalse())
+	w.Expect(w.table.findLeaf(old)).To(gomega.BeNil())
+	w.table.AttemptEnded(w.now, old, w.now, EndUnreachable)
+	w.Expect(w.table.findLeaf(young).cooldown.active(w.now)).To(gomega.BeFalse())
 }
 
 // Whatever leafs do and whenever, a query ends exactly once, by its deadline, asks no
@@ -193,7 +193,7 @@
 		}
 		q := NewQuery(spec, w.table)
 		run := &invariantRun{w: w, q: q, spec: spec, open: map[AttemptID]Send{}, ran: map[int]map[LeafID]bool{}}
-		run.take(q.Start(w.now))
+		run.apply(q.Start(w.now))
 		for run.ends == 0 {
 			run.step(t)
 		}
@@ -212,7 +212,7 @@
 	ends int
 }
 
-func (r *invariantRun) take(acts []Action) {
+func (r *invariantRun) apply(acts []Action) {
 	for _, s := range sends(acts) {
 		r.open[s.Attempt] = s
 		if r.ran[s.Shard] == nil {
@@ -232,7 +232,7 @@
 func (r *invariantRun) step(t *rapid.T) {
 	if len(r.open) == 0 || rapid.Bool().Draw(t, "tick") {
 		r.w.now = later(r.q.Wake(r.w.now), r.w.now)
-		r.take(r.q.Tick(r.w.now))
+		r.apply(r.q.Tick(r.w.now))
 		return
 	}
 	var id AttemptID
@@ -244,15 +244,15 @@
 	s := r.open[id]
 	delete(r.open, id)
 	end := rapid.SampledFrom([]End{EndAnswered, EndBroken, EndRefused, EndUnreachable, EndSilent}).Draw(t, "end")
-	r.w.table.Ended(r.w.now, s.Leaf, s.SentAt, end)
+	r.w.table.AttemptEnded(r.w.now, s.Leaf, s.SentAt, end)
 	switch end {
 	case EndAnswered:
-		r.take(r.q.Reply(r.w.now, id, rapid.Bool().Draw(t, "failed")))
+		r.apply(r.q.Reply(r.w.now, id, rapid.Bool().Draw(t, "failed")))
 	default:
 		if end == EndRefused || end == EndUnreachable {
 			delete(r.ran[s.Shard], s.Leaf)
 		}
-		r.take(r.q.Fail(r.w.now, id, end))
+		r.apply(r.q.Fail(r.w.now, id, end))
 	}
 }
 
@@ -261,7 +261,7 @@
 func TestLeafWhoseAddressHasMovedIsNotTriedAgain(t *testing.T) {
 	w := newWorld(t)
 	moved := w.leaf("ledger", homeZone)
-	w.table.Ended(w.now, moved, w.now, EndMoved)
+	w.table.AttemptEnded(w.now, moved, w.now, EndMoved)
 	w.wait(5 * time.Second)
 	out := outcome(NewQuery(w.single("ledger", true), w.table).Start(w.now))
 	w.Expect(out.Verdict).To(gomega.Equal(NotRun))
@@ -294,11 +294,11 @@
 		for _, zone := range []string{homeZone, "other"} {
 			l := w.table.leafs["shard-00@"+zone]
 			if zone == homeZone {
-				l.speed.state(w.now, float64(c.near)/(usualShare*float64(100*time.Millisecond)))
+				l.slowdown.recordStated(w.now, float64(c.near)/(defaultTypicalShare*float64(100*time.Millisecond)))
 			}
 		}
 		first := sends(NewQuery(w.gathered(names), w.table).Start(w.now))
-		w.Expect(first[0].Far).To(gomega.Equal(c.far), "near leaf takes %v of an aim of 100 ms", c.near)
+		w.Expect(first[0].OtherZone).To(gomega.Equal(c.far), "near leaf takes %v of an aim of 100 ms", c.near)
 	}
 }
 
@@ -315,20 +315,20 @@
 			s := first()
 			w.wait(5 * time.Millisecond)
 			if s.Leaf == grey && i%2 == 0 {
-				w.table.Ended(w.now, s.Leaf, s.SentAt, end)
+				w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, end)
 			} else {
-				w.table.Ended(w.now, s.Leaf, s.SentAt, EndAnswered)
+				w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 			}
 		}
 		w.Expect(first().Leaf).NotTo(gomega.Equal(grey))
-		w.wait(4 * faultLife)
+		w.wait(4 * failureHalfLife)
 		w.Expect(first().Leaf).To(gomega.Equal(grey))
 	}
 }
 
 // A shard is short of slots, and its leafs go on for seconds with parts of answers that were
 // given long ago, while parts that are still of use wait behind them.
-func TestLeafStopsWhenThePartIsOfNoUse(t *testing.T) {
+func TestAttemptEndsWhenItsAnswerIsTooLate(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(10, homeZone, "other")
 	spec := w.gathered(names)
@@ -348,7 +348,7 @@
 
 // An attempt fails just before an answer leaves that is good without it. Leafs work on another
 // one that nobody waits for, and other requests queue behind it.
-func TestNothingIsSentLateForAnAnswerThatIsGoodWithoutIt(t *testing.T) {
+func TestLateAttemptIsNotSentForSufficientAnswer(t *testing.T) {
 	for _, missing := range []int{1, 2} {
 		w := newWorld(t)
 		spec := w.gathered(w.shards(10, homeZone, "other"))
@@ -366,19 +366,19 @@
 
 // The leafs' queues are so long that the time of all parts is over before any is begun. The
 // caller hears that its request may have run, though no leaf has begun with it.
-func TestPartsThatWereNotBegunHaveNotRun(t *testing.T) {
+func TestAttemptsThatWereNotStartedHaveNotRun(t *testing.T) {
 	w := newWorld(t)
 	spec := w.gathered(w.shards(2, homeZone))
 	q := NewQuery(spec, w.table)
 	first := sends(q.Start(w.now))
 	w.now = spec.AnswerBy
-	w.Expect(outcome(q.Fail(w.now, first[0].Attempt, EndUnbegun)).Verdict).To(gomega.Equal(ShortAnswer), "the other may run yet")
+	w.Expect(outcome(q.Fail(w.now, first[0].Attempt, EndNotStarted)).Verdict).To(gomega.Equal(TooFewShards), "the other may run yet")
 	q = NewQuery(spec, w.table)
 	spec.MinShare = 0.1
 	q.spec = spec
 	w.now = w.now.Add(-90 * time.Millisecond)
 	first = sends(q.Start(w.now))
 	w.now = spec.AnswerBy
-	w.Expect(outcome(q.Fail(w.now, first[0].Attempt, EndUnbegun))).To(gomega.BeNil())
-	w.Expect(outcome(q.Fail(w.now, first[1].Attempt, EndUnbegun)).Verdict).To(gomega.Equal(NotRun))
+	w.Expect(outcome(q.Fail(w.now, first[0].Attempt, EndNotStarted))).To(gomega.BeNil())
+	w.Expect(outcome(q.Fail(w.now, first[1].Attempt, EndNotStarted)).Verdict).To(gomega.Equal(NotRun))
 }
--- a/scatter/readers.go
+++ b/scatter/readers.go
@@ -15,17 +15,17 @@
 	spareReaders = 4
 )
 
-// Reading says who reads the store in this VM's zone.
-type Reading struct {
+// StoreReaders says who reads the store in this VM's zone.
+type StoreReaders struct {
 	Self bool // this VM does, for itself and for those that follow it
 	// Others are the VMs that read it or may have to, if this VM does not. The first one that
 	// works is followed.
 	Others []VM
 }
 
-// Reading returns who reads the store in this zone. All VMs that know the same list
+// StoreReaders returns who reads the store in this zone. All VMs that know the same list
 // choose alike.
-func (t *Table) Reading(now time.Time) Reading {
+func (t *Table) StoreReaders(now time.Time) StoreReaders {
 	names := []string{t.self}
 	for name, v := range t.vms {
 		if v.Zone == t.zone {
@@ -35,13 +35,13 @@
 	slices.SortFunc(names, func(a, b string) int { return cmp.Compare(rank("readers", a), rank("readers", b)) })
 	before := slices.Index(names, t.self)
 	if before < readersPerZone {
-		return Reading{Self: true}
+		return StoreReaders{Self: true}
 	}
 	// Only those before this one, so that no two VMs follow each other.
 	names = names[:min(before, readersPerZone+spareReaders)]
-	var r Reading
+	var r StoreReaders
 	for _, name := range names {
-		if v := t.vms[name]; v != nil && v.asked(now) {
+		if v := t.vms[name]; v != nil && v.available(now) {
 			r.Others = append(r.Others, v.VM)
 		}
 	}
--- a/scatter/readers_test.go
+++ b/scatter/readers_test.go
@@ -15,7 +15,7 @@
 	vms := fleetOf(33, "a")
 	failed := map[string]bool{}
 	for _, v := range vms {
-		if tableOf(vms, v, roomyTerms, now, now).Reading(now).Self {
+		if tableOf(vms, v, ampleBudget, now, now).StoreReaders(now).Self {
 			failed[v.Name] = true
 		}
 	}
@@ -25,7 +25,7 @@
 		if failed[v.Name] {
 			continue
 		}
-		others := tableOf(vms, v, roomyTerms, now, now).Reading(now).Others
+		others := tableOf(vms, v, ampleBudget, now, now).StoreReaders(now).Others
 		first := slices.IndexFunc(others, func(o VM) bool { return !failed[o.Name] })
 		if first < 0 {
 			reads++
--- a/scatter/shed_test.go
+++ b/scatter/shed_test.go
@@ -7,17 +7,17 @@
 	"github.com/onsi/gomega"
 )
 
-// refusing lets a leaf turn away those of n requests that it gets, at a distance, with a load.
-func (w *world) refusing(service string, leaf LeafID, n int, distance time.Duration, load Load) {
+// playRefusals lets a leaf turn away those of n requests that it gets, at a distance, with a load.
+func (w *world) playRefusals(service string, leaf LeafID, n int, distance time.Duration, load Load) {
 	for range n {
 		s := sends(NewQuery(w.single(service, true), w.table).Start(w.now))[0]
 		end := EndAnswered
 		w.wait(time.Millisecond)
 		if s.Leaf == leaf {
-			w.table.Report(w.now, s.Leaf, load)
+			w.table.RecordLoad(w.now, s.Leaf, load)
 			end = EndRefused
 		}
-		w.table.Ended(w.now, s.Leaf, s.SentAt, end)
+		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, end)
 		w.wait(distance)
 	}
 }
@@ -29,9 +29,9 @@
 	near := w.leaf("ledger", homeZone)
 	far := w.leaf("ledger", "other")
 	first := func() LeafID { return sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf }
-	w.refusing("ledger", near, 5, 2*refusedCooldown, Load{Running: 0, Slots: 2})
+	w.playRefusals("ledger", near, 5, 2*refusedCooldown, Load{Running: 0, Slots: 2})
 	w.Expect(first()).To(gomega.Equal(far))
-	w.wait(3 * faultLife)
+	w.wait(3 * failureHalfLife)
 	w.Expect(first()).To(gomega.Equal(near))
 }
 
@@ -40,19 +40,19 @@
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
-	w.refusing("ledger", near, 6, reportLife, Load{Running: 2, Waiting: 12, Slots: 2})
+	w.playRefusals("ledger", near, 6, reportLifetime, Load{Running: 2, Waiting: 12, Slots: 2})
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
 }
 
 // Guards against spending the budget of further arrivals on leafs that turn away six parts of
 // ten, while the other leaf of each shard has slots to spare.
-func TestCallersAreServedWhileHalfOfTheLeafsShed(t *testing.T) {
+func TestCallersAreServedWhileHalfOfLeafsShedLoad(t *testing.T) {
 	w := newWorld(t)
-	p := newPlay(w, 1)
+	p := newSimulation(w, 1)
 	names := p.shards(30, 9*time.Millisecond, homeZone, "other")
 	for id, l := range p.leafs {
-		if w.table.find(id).Zone == homeZone {
-			l.sheds = 0.6
+		if w.table.findLeaf(id).Zone == homeZone {
+			l.shedShare = 0.6
 		}
 	}
 	p.run(10*time.Second, 20, func() Spec { return w.gathered(names) })
--- a/scatter/speed_test.go
+++ b/scatter/speed_test.go
@@ -7,15 +7,15 @@
 	"github.com/onsi/gomega"
 )
 
-// answersOf lets the leaf of one request after another answer after the time given.
-func (w *world) answersOf(spec Spec, n int, took time.Duration) {
+// playAnswers lets the leaf of one request after another answer after the time given.
+func (w *world) playAnswers(spec Spec, n int, took time.Duration) {
 	for range n {
 		spec.Deadline = w.now.Add(time.Second)
 		q := NewQuery(spec, w.table)
 		s := sends(q.Start(w.now))[0]
 		w.wait(took)
 		q.Reply(w.now, s.Attempt, false)
-		w.table.Ended(w.now, s.Leaf, s.SentAt, EndAnswered)
+		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 	}
 }
 
@@ -26,7 +26,7 @@
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
-	w.answersOf(w.single("ledger", true), 60, 8*time.Millisecond)
+	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	var paused []Send
 	for range 4 {
 		paused = append(paused, sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))...)
@@ -35,7 +35,7 @@
 	w.wait(100 * time.Millisecond)
 	for _, s := range paused {
 		w.Expect(s.Leaf).To(gomega.Equal(near))
-		w.table.Ended(w.now, s.Leaf, s.SentAt, EndAnswered)
+		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 	}
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
 }
@@ -49,27 +49,27 @@
 	far := w.leaf("ledger", "other")
 	first := func() LeafID { return sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf }
 	w.Expect(first()).To(gomega.Equal(near))
-	w.table.Report(w.now, near, Load{Slots: 2, Pace: 6})
+	w.table.RecordLoad(w.now, near, Load{Slots: 2, Slowdown: 6})
 	w.Expect(first()).To(gomega.Equal(far))
-	w.wait(3 * speedLife)
+	w.wait(3 * slowdownHalfLife)
 	w.Expect(first()).To(gomega.Equal(near))
 }
 
 // A leaf says that its machine is as usual, but its answers take long each time: the way to
 // it is slow. What it says must not outweigh what is seen.
-func TestLeafThatIsSlowAgainstItsWordIsLeftAside(t *testing.T) {
+func TestLeafWithSlowAnswersIsAvoidedDespiteStatedSlowdown(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	far := w.leaf("ledger", "other")
-	w.answersOf(w.single("ledger", true), 60, 8*time.Millisecond)
+	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	for range 10 {
 		s := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0]
 		if s.Leaf == far {
 			return
 		}
 		w.wait(60 * time.Millisecond)
-		w.table.Report(w.now, near, Load{Slots: 2, Pace: 1})
-		w.table.Ended(w.now, s.Leaf, s.SentAt, EndAnswered)
+		w.table.RecordLoad(w.now, near, Load{Slots: 2, Slowdown: 1})
+		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
 	}
 	t.Fatal("the slow leaf is asked first for ever")
 }
@@ -77,15 +77,15 @@
 // Requests of two kinds reach one leaf, one of 3 ms and one of 40 ms. With one expected
 // time for both, the long ones make the leaf look slow to the short ones, which go to
 // another zone.
-func TestKindsOfRequestsAreExpectedApart(t *testing.T) {
+func TestDurationsOfRequestKindsAreSeparate(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
 	short, long := w.single("ledger", true), w.single("ledger", true)
-	short.Aim, long.Aim = 50*time.Millisecond, 500*time.Millisecond
+	short.LatencyObjective, long.LatencyObjective = 50*time.Millisecond, 500*time.Millisecond
 	for range 60 {
-		w.answersOf(short, 1, 3*time.Millisecond)
-		w.answersOf(long, 1, 40*time.Millisecond)
+		w.playAnswers(short, 1, 3*time.Millisecond)
+		w.playAnswers(long, 1, 40*time.Millisecond)
 	}
 	w.Expect(sends(NewQuery(short, w.table).Start(w.now))[0].Leaf).To(gomega.Equal(near))
 }
@@ -93,12 +93,12 @@
 // A VM has just started and knows no durations. Requests that take 60 ms of an aim of 250 are
 // taken for pausing leafs after 24 ms, as if all kinds were as quick as parts of a search, and
 // the next ones go to another zone.
-func TestSlowKindIsNotTakenForAPauseWhileLittleIsKnown(t *testing.T) {
+func TestSlowRequestKindIsNotMistakenForPauseAtStartup(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
 	report := w.single("ledger", true)
-	report.Aim = 250 * time.Millisecond
+	report.LatencyObjective = 250 * time.Millisecond
 	for range 2 {
 		s := sends(NewQuery(report, w.table).Start(w.now))[0]
 		w.Expect(s.Leaf).To(gomega.Equal(near))
@@ -111,10 +111,10 @@
 func TestLeafThatWasTooSlowIsTriedWithOneRequest(t *testing.T) {
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
-	w.answersOf(w.single("ledger", true), 60, 8*time.Millisecond)
+	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	expire := func(s Send) {
 		w.wait(100 * time.Millisecond)
-		w.table.Ended(w.now, near, s.SentAt, EndExpired)
+		w.table.AttemptEnded(w.now, near, s.SentAt, EndExpired)
 	}
 	first := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))
 	second := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))
@@ -124,7 +124,7 @@
 	w.Expect(alone).To(gomega.HaveLen(1))
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))).To(gomega.BeEmpty())
 	w.wait(8 * time.Millisecond)
-	w.table.Ended(w.now, near, alone[0].SentAt, EndAnswered)
+	w.table.AttemptEnded(w.now, near, alone[0].SentAt, EndAnswered)
 	for range 2 {
 		w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))).To(gomega.HaveLen(1))
 	}
@@ -136,15 +136,15 @@
 	w := newWorld(t)
 	near := w.leaf("ledger", homeZone)
 	far := w.leaf("ledger", "other")
-	w.answersOf(w.single("ledger", true), 60, 8*time.Millisecond)
+	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
 	for range 6 {
 		s := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0]
 		if s.Leaf == far {
 			return
 		}
 		w.wait(90 * time.Millisecond)
-		w.table.Report(w.now, near, Load{Slots: 2})
-		w.table.Ended(w.now, s.Leaf, s.SentAt, EndExpired)
+		w.table.RecordLoad(w.now, near, Load{Slots: 2})
+		w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndExpired)
 	}
 	t.Fatal("the slow leaf is asked first for ever")
 }
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -11,9 +11,9 @@
 // loses half of its time, and requests to one leaf or VM are rarer than a cooldown can last, so
 // that after one nearly every request would find out anew. A proof costs a handshake.
 type suspicion struct {
-	held   bool
-	probes int       // that failed in a row
-	next   time.Time // probe
+	active    bool
+	probes    int       // that failed in a row
+	nextProbe time.Time // probe
 }
 
 // Pauses between two probes. What lives again is found within the longest.
@@ -23,24 +23,24 @@
 	maxLeafProbe = time.Second     // of a leaf: one that was only cut off should be found within 2 s
 )
 
-func (s *suspicion) hold(now time.Time) {
-	if !s.held {
-		*s = suspicion{held: true, next: now.Add(firstProbe)}
+func (s *suspicion) begin(now time.Time) {
+	if !s.active {
+		*s = suspicion{active: true, nextProbe: now.Add(firstProbe)}
 	}
 }
 
-func (s *suspicion) failed(now time.Time, longest time.Duration) {
+func (s *suspicion) probeFailed(now time.Time, longest time.Duration) {
 	s.probes++
-	s.next = now.Add(min(firstProbe<<min(s.probes, maxDoublings), longest))
+	s.nextProbe = now.Add(min(firstProbe<<min(s.probes, maxDoublings), longest))
 }
 
 // due reports whether a probe is to be made now; if not, next is when, zero for never.
 func (s *suspicion) due(now time.Time) (due bool, next time.Time) {
 	switch {
-	case !s.held:
+	case !s.active:
 		return false, time.Time{}
-	case now.Before(s.next):
-		return false, s.next
+	case now.Before(s.nextProbe):
+		return false, s.nextProbe
 	}
 	return true, time.Time{}
 }
@@ -49,7 +49,7 @@
 // they live, and when to look again if there are others; zero if there are none.
 func (t *Table) SuspectVMs(now time.Time) (list []VM, next time.Time) {
 	for _, v := range t.vms {
-		due, later := v.suspect.due(now)
+		due, later := v.suspicion.due(now)
 		if due {
 			list = append(list, v.VM)
 		}
@@ -58,16 +58,16 @@
 	return list, next
 }
 
-// ProbedVM takes whether a suspect VM proved, on a new connection, that it lives.
-func (t *Table) ProbedVM(now time.Time, name string, alive bool) {
+// RecordVMProbe takes whether a suspect VM proved, on a new connection, that it lives.
+func (t *Table) RecordVMProbe(now time.Time, name string, alive bool) {
 	v := t.vms[name]
 	switch {
 	case v == nil:
 	case alive:
-		v.suspect = suspicion{}
+		v.suspicion = suspicion{}
 		v.cooldown = cooldown{}
 	default:
-		v.suspect.failed(now, maxProbe)
+		v.suspicion.probeFailed(now, maxProbe)
 	}
 }
 
@@ -76,29 +76,29 @@
 // VMs are lost together: a rack, a zone, a network. Each loss that shows only by a call
 // costs a request the shards of that call, and a VM calls many others.
 type livenessRound struct {
-	raised bool
-	last   time.Time // when the others were asked
+	requested bool
+	last      time.Time // when the others were asked
 }
 
 // livenessPause is the least time between two rounds of asking: a round costs each VM a message
 // for each of those that call it.
 const livenessPause = time.Second
 
-func (r *livenessRound) raise(now time.Time) { r.raised = now.Sub(r.last) >= livenessPause }
+func (r *livenessRound) request(now time.Time) { r.requested = now.Sub(r.last) >= livenessPause }
 
 // DueForLivenessCheck returns the VMs that are to be asked now whether they live.
 func (t *Table) DueForLivenessCheck(now time.Time) []VM {
-	if !t.liveness.raised {
+	if !t.liveness.requested {
 		return nil
 	}
 	t.liveness = livenessRound{last: now}
-	return t.Partners(now)
+	return t.Delegates(now)
 }
 
-// FailedLivenessCheck takes that a VM did not say that it lives.
-func (t *Table) FailedLivenessCheck(now time.Time, name string) {
+// LivenessCheckFailed takes that a VM did not say that it lives.
+func (t *Table) LivenessCheckFailed(now time.Time, name string) {
 	if v := t.vms[name]; v != nil {
-		v.suspect.hold(now)
+		v.suspicion.begin(now)
 	}
 }
 
@@ -106,7 +106,7 @@
 // again if there are others; zero if there are none.
 func (t *Table) SuspectLeafs(now time.Time) (list []registry.Leaf, next time.Time) {
 	for _, l := range t.leafs {
-		due, later := l.suspect.due(now)
+		due, later := l.suspicion.due(now)
 		if due {
 			list = append(list, l.Leaf)
 		}
@@ -115,17 +115,17 @@
 	return list, next
 }
 
-// ProbedLeaf takes whether a connection to a suspect leaf could be made. It reports whether
+// RecordLeafProbe takes whether a connection to a suspect leaf could be made. It reports whether
 // the leaf is asked again for that.
-func (t *Table) ProbedLeaf(now time.Time, id LeafID, alive bool) (cleared bool) {
-	l := t.find(id)
-	if l == nil || !l.suspect.held {
+func (t *Table) RecordLeafProbe(now time.Time, id LeafID, alive bool) (cleared bool) {
+	l := t.findLeaf(id)
+	if l == nil || !l.suspicion.active {
 		return false
 	}
 	if !alive {
-		l.suspect.failed(now, maxLeafProbe)
+		l.suspicion.probeFailed(now, maxLeafProbe)
 		return false
 	}
-	l.suspect = suspicion{}
+	l.suspicion = suspicion{}
 	return true
 }
