--- a/scatter/table.go
+++ b/scatter/table.go
@@ -12,27 +12,27 @@
 
 // Table is what this VM knows of leafs and of other VMs.
 type Table struct {
-	self     string // name of this VM
-	zone     string
-	power    float64 // of this VM, in cores
-	rng      *rand.Rand
-	terms    BudgetTerms
-	leafs    map[string]*leaf // by id
-	groups   map[string]*service
-	vms      map[string]*vm      // the others
-	places   map[string]vmPlace  // of other VMs, those that left lately included
-	zones    map[string]*zoneVMs // these and this VM
-	owners   int                 // VMs that ask one leaf, in all zones together
-	shards   int                 // of the widest request
-	perZone  int                 // ... that have a leaf in one zone
-	listed   bool                // the other VMs were listed once
-	liveness livenessRound
-	born     time.Time // start of this VM's process
-	times    map[timesKey]*latency.Record
-
-	acks         map[string]ackTime // by zone
-	callsRefused faults             // share of calls that other VMs refuse
-	admitAll     bool               // for tests: no request is refused by forecast
+	self          string // name of this VM
+	zone          string
+	power         float64 // of this VM, in cores
+	rng           *rand.Rand
+	budgetConfig  BudgetConfig
+	leafs         map[string]*leaf // by id
+	services      map[string]*service
+	vms           map[string]*vm          // the others
+	members       map[string]memberInfo   // of other VMs, those that left lately included
+	zones         map[string]*zoneMembers // these and this VM
+	ownersPerLeaf int                     // VMs that ask one leaf, in all zones together
+	maxShards     int                     // of the widest request
+	shardsPerZone int                     // ... that have a leaf in one zone
+	vmsKnown      bool                    // the other VMs were listed once
+	liveness      livenessRound
+	startedAt     time.Time // start of this VM's process
+	durations     map[durationKey]*latency.Record
+
+	ackTimes        map[string]ackTime // by zone
+	callRefusalRate failureRate        // share of calls that other VMs refuse
+	admitAll        bool               // for tests: no request is refused by forecast
 }
 
 // service is the leafs and the budget of one service.
@@ -47,43 +47,43 @@
 	viewKnown      bool // false after a change
 }
 
-// timesKey tells apart requests whose durations don't compare. Routes of one aim
+// durationKey tells apart requests whose durations don't compare. Routes of one aim
 // carry one kind of request.
-type timesKey struct {
-	aim   time.Duration
-	byVM  bool // of answers by another VM
-	shard bool // of one shard of a gathered request
+type durationKey struct {
+	objective time.Duration
+	byVM      bool // of answers by another VM
+	shard     bool // of one shard of a gathered request
 }
 
 // NewTable returns the table of the VM self, which knows nothing yet. Its process started at
 // born.
-func NewTable(self VM, terms BudgetTerms, born time.Time, rng *rand.Rand) *Table {
+func NewTable(self VM, terms BudgetConfig, born time.Time, rng *rand.Rand) *Table {
 	t := &Table{
-		self:   self.Name,
-		zone:   self.Zone,
-		power:  self.Power,
-		rng:    rng,
-		terms:  terms,
-		born:   born,
-		leafs:  make(map[string]*leaf),
-		groups: make(map[string]*service),
-		vms:    make(map[string]*vm),
-		places: make(map[string]vmPlace),
-		times:  make(map[timesKey]*latency.Record),
-		acks:   make(map[string]ackTime),
+		self:         self.Name,
+		zone:         self.Zone,
+		power:        self.Power,
+		rng:          rng,
+		budgetConfig: terms,
+		startedAt:    born,
+		leafs:        make(map[string]*leaf),
+		services:     make(map[string]*service),
+		vms:          make(map[string]*vm),
+		members:      make(map[string]memberInfo),
+		durations:    make(map[durationKey]*latency.Record),
+		ackTimes:     make(map[string]ackTime),
 	}
-	t.divide(time.Time{})
+	t.partitionZones(time.Time{})
 	return t
 }
 
-// Terms is what is in force for a service.
-type Terms struct {
+// ServiceConfig is what is in force for a service.
+type ServiceConfig struct {
 	MaxConnections int  // that a leaf accepts from all VMs together; 0 for no limit
 	Shard          bool // only gathered requests ask it
 }
 
-// SetTerms takes what is in force for a service.
-func (t *Table) SetTerms(now time.Time, name string, terms Terms) {
+// SetServiceConfig takes what is in force for a service.
+func (t *Table) SetServiceConfig(now time.Time, name string, terms ServiceConfig) {
 	s := t.service(now, name)
 	s.maxConnections = terms.MaxConnections
 	s.shard = terms.Shard
@@ -95,7 +95,7 @@
 	id := LeafID{ID: c.Leaf.ID, Born: c.Leaf.Born}
 	old := t.leafs[c.Leaf.ID]
 	if old != nil && (c.Gone || old.id != id || old.Service != c.Leaf.Service || old.Address != c.Leaf.Address) {
-		t.drop(old)
+		t.removeLeaf(old)
 		old = nil
 	}
 	if c.Gone {
@@ -107,25 +107,25 @@
 		old.Leaf = c.Leaf
 		return
 	}
-	l := &leaf{Leaf: c.Leaf, id: id, near: c.Leaf.Zone == t.zone}
+	l := &leaf{Leaf: c.Leaf, id: id, sameZone: c.Leaf.Zone == t.zone}
 	l.Slots = max(l.Slots, 1)
 	t.leafs[l.ID] = l
 	s.leafs = append(s.leafs, l)
 	t.shareConnections(s)
 }
 
-func (t *Table) drop(l *leaf) {
+func (t *Table) removeLeaf(l *leaf) {
 	delete(t.leafs, l.ID)
-	s := t.groups[l.Service]
+	s := t.services[l.Service]
 	s.viewKnown = false
 	s.leafs = slices.DeleteFunc(s.leafs, func(o *leaf) bool { return o == l })
 }
 
 func (t *Table) service(now time.Time, name string) *service {
-	s := t.groups[name]
+	s := t.services[name]
 	if s == nil {
-		s = &service{name: name, budget: newBudget(t.terms, now)}
-		t.groups[name] = s
+		s = &service{name: name, budget: newBudget(t.budgetConfig, now)}
+		t.services[name] = s
 	}
 	return s
 }
@@ -135,8 +135,8 @@
 	// connectionShare is the part of a leaf's connections that VMs use: a leaf
 	// accepts fewer while its queue is long, and resets the rest.
 	connectionShare = 0.8
-	// spareVMs is how many VMs there may be for each one that is known.
-	spareVMs = 1.25
+	// vmHeadroom is how many VMs there may be for each one that is known.
+	vmHeadroom = 1.25
 	// queuePerSlot bounds the requests of this VM at a leaf. More than that wait
 	// longer than it takes to ask another leaf.
 	queuePerSlot = 2
@@ -145,33 +145,33 @@
 // shareConnections sets how many requests this VM may have in flight at each leaf:
 // one for each connection of its share.
 func (t *Table) shareConnections(s *service) {
-	share := t.connections(s)
+	share := t.connectionsPerLeaf(s)
 	for _, l := range s.leafs {
-		l.room = max(int(min(share, float64(l.Slots*queuePerSlot))), 1)
+		l.maxInFlight = max(int(min(share, float64(l.Slots*queuePerSlot))), 1)
 	}
 }
 
-// connections is this VM's share of the connections that a leaf of the service accepts. Less
+// connectionsPerLeaf is this VM's share of the connectionsPerLeaf that a leaf of the service accepts. Less
 // than one allows a connection now and then, but none that stays open unused.
-func (t *Table) connections(s *service) float64 {
+func (t *Table) connectionsPerLeaf(s *service) float64 {
 	if s.maxConnections == 0 {
 		return math.Inf(1)
 	}
-	vms := len(t.places) + 1
+	vms := len(t.members) + 1
 	if s.shard && t.ownsService(s.name) {
-		vms = t.owners
+		vms = t.ownersPerLeaf
 	}
-	return float64(s.maxConnections) * connectionShare / (float64(vms) * spareVMs)
+	return float64(s.maxConnections) * connectionShare / (float64(vms) * vmHeadroom)
 }
 
-// Keeps reports whether connections to a leaf are kept when a request is over. VMs that ask it
+// KeepsConnection reports whether connections to a leaf are kept when a request is over. VMs that ask it
 // now and then would hold all that it accepts.
-func (t *Table) Keeps(id LeafID) bool {
-	l := t.find(id)
-	return l != nil && t.connections(t.groups[l.Service]) >= 1
+func (t *Table) KeepsConnection(id LeafID) bool {
+	l := t.findLeaf(id)
+	return l != nil && t.connectionsPerLeaf(t.services[l.Service]) >= 1
 }
 
-func (t *Table) find(id LeafID) *leaf {
+func (t *Table) findLeaf(id LeafID) *leaf {
 	l := t.leafs[id.ID]
 	if l == nil || l.id != id {
 		return nil
@@ -179,9 +179,9 @@
 	return l
 }
 
-// usable returns the leafs of a service that take requests, those that cool down included.
-func (t *Table) usable(name string) []*leaf {
-	s := t.groups[name]
+// usableLeafs returns the leafs of a service that take requests, those that cool down included.
+func (t *Table) usableLeafs(name string) []*leaf {
+	s := t.services[name]
 	if s == nil {
 		return nil
 	}
@@ -194,35 +194,35 @@
 	return list
 }
 
-// Usable reports whether a service has a leaf that takes requests.
-func (t *Table) Usable(name string) bool { return len(t.usable(name)) > 0 }
+// HasUsableLeaf reports whether a service has a leaf that takes requests.
+func (t *Table) HasUsableLeaf(name string) bool { return len(t.usableLeafs(name)) > 0 }
 
-// choice is what limits the leafs for a request.
-type choice struct {
-	tried []LeafID  // not these again
-	idle  bool      // only leafs that would start at once
-	by    time.Time // only leafs that are expected to answer until then; zero for all
+// leafFilter is what limits the leafs for a request.
+type leafFilter struct {
+	exclude  []LeafID  // not these again
+	idleOnly bool      // only leafs that would start at once
+	answerBy time.Time // only leafs that are expected to answer until then; zero for all
 }
 
-// pick chooses the leaf for a request: of those that are asked and not full, the one that is
+// pickLeaf chooses the leaf for a request: of those that are asked and not full, the one that is
 // expected to answer first.
-func (t *Table) pick(now time.Time, kind timesKey, leafs []*leaf, c choice) *leaf {
+func (t *Table) pickLeaf(now time.Time, kind durationKey, leafs []*leaf, c leafFilter) *leaf {
 	var best *leaf
 	var bestCost time.Duration
-	usual, _ := t.usual(now, kind)
+	usual, _ := t.typicalDuration(now, kind)
 	for _, l := range leafs {
-		if slices.Contains(c.tried, l.id) || !l.hasRoom() || !l.asked(now) {
+		if slices.Contains(c.exclude, l.id) || !l.hasCapacity() || !l.available(now) {
 			continue
 		}
-		if c.idle && !l.idle(now) {
+		if c.idleOnly && !l.idle(now) {
 			continue
 		}
-		if !c.by.IsZero() && now.Add(l.eta(now, usual)/sendMargin).After(c.by) {
+		if !c.answerBy.IsZero() && now.Add(l.eta(now, usual)/sendMargin).After(c.answerBy) {
 			continue
 		}
-		cost := l.cost(now, kind.aim, usual)
+		cost := l.cost(now, kind.objective, usual)
 		// A little chance keeps VMs that know the same from all going one way.
-		cost += time.Duration(t.rng.Int64N(int64(choiceNoise)))
+		cost += time.Duration(t.rng.Int64N(int64(costJitter)))
 		if best == nil || cost < bestCost {
 			best, bestCost = l, cost
 		}
@@ -230,68 +230,68 @@
 	return best
 }
 
-// choiceNoise is the difference in cost below which either leaf will do.
-const choiceNoise = time.Millisecond
+// costJitter is the difference in cost below which either leaf will do.
+const costJitter = time.Millisecond
 
 // pickCoolingDown chooses, for requests that have no other, the leaf that is to be asked again
 // first. Those that are suspect come last.
 func (t *Table) pickCoolingDown(now time.Time, leafs []*leaf, tried []LeafID) *leaf {
 	var best *leaf
 	for _, l := range leafs {
-		if l.asked(now) || slices.Contains(tried, l.id) || !l.hasRoom() {
+		if l.available(now) || slices.Contains(tried, l.id) || !l.hasCapacity() {
 			continue
 		}
-		if best == nil || l.soonerThan(best) {
+		if best == nil || l.preferredTo(best) {
 			best = l
 		}
 	}
 	return best
 }
 
-// record returns the durations of one kind of request.
-func (t *Table) record(key timesKey) *latency.Record {
-	r := t.times[key]
+// durationsOf returns the durations of one kind of request.
+func (t *Table) durationsOf(key durationKey) *latency.Record {
+	r := t.durations[key]
 	if r == nil {
 		r = latency.New()
-		t.times[key] = r
+		t.durations[key] = r
 	}
 	return r
 }
 
 // recordDuration records how long an answer took, as it would have at a leaf whose machine is as
 // usual: what is expected of one leaf must not follow from how slow others are.
-func (t *Table) recordDuration(now time.Time, kind timesKey, a *attempt) {
+func (t *Table) recordDuration(now time.Time, kind durationKey, a *attempt) {
 	took := now.Sub(a.sentAt)
-	if l := t.find(a.leaf); l != nil {
-		took = time.Duration(float64(took) / l.speed.pace(now))
+	if l := t.findLeaf(a.leaf); l != nil {
+		took = time.Duration(float64(took) / l.slowdown.statedFactor(now))
 	}
-	t.record(kind).Add(now, took)
+	t.durationsOf(kind).Add(now, took)
 }
 
 // Parameters of what is usual.
 const (
-	usualQuantile = 0.5 // the median: pauses and slow leafs are fewer than half
-	// usualShare is the part of its aim that a kind of request is taken to need while too
+	typicalQuantile = 0.5 // the median: pauses and slow leafs are fewer than half
+	// defaultTypicalShare is the part of its aim that a kind of request is taken to need while too
 	// few answers are known.
-	usualShare = 0.1
+	defaultTypicalShare = 0.1
 )
 
-// usual is how long one kind of request mostly takes at a leaf, and whether that is known.
-func (t *Table) usual(now time.Time, kind timesKey) (d time.Duration, known bool) {
-	d, known = t.record(kind).Quantile(now, usualQuantile)
+// typicalDuration is how long one kind of request mostly takes at a leaf, and whether that is known.
+func (t *Table) typicalDuration(now time.Time, kind durationKey) (d time.Duration, known bool) {
+	d, known = t.durationsOf(kind).Quantile(now, typicalQuantile)
 	if !known {
-		d = time.Duration(usualShare * float64(kind.aim))
+		d = time.Duration(defaultTypicalShare * float64(kind.objective))
 	}
 	return d, known
 }
 
-// Unused returns the near leafs of this VM's part that it has no request at, so that
+// UnusedLeafs returns the near leafs of this VM's part that it has no request at, so that
 // connections to them can be opened before they are needed.
-func (t *Table) Unused() []registry.Leaf {
+func (t *Table) UnusedLeafs() []registry.Leaf {
 	z := t.zones[t.zone]
 	var list []registry.Leaf
 	for _, l := range t.leafs {
-		if l.near && !l.Draining && !l.suspect.held && len(l.flying) == 0 && z.owns(z.partOf(l.Service)) {
+		if l.sameZone && !l.Draining && !l.suspicion.active && len(l.inFlight) == 0 && z.owns(z.partitionOf(l.Service)) {
 			list = append(list, l.Leaf)
 		}
 	}
@@ -311,22 +311,22 @@
 	EndMoved                  // another leaf has the address; nothing ran
 	EndFailed                 // with the leaf's own failure for an answer
 	EndExpired                // the leaf stopped when the time that it was given was over
-	EndUnbegun                // that time was over before the leaf began
+	EndNotStarted             // that time was over before the leaf began
 )
 
-// alive reports whether the end shows that the leaf lives.
-func (e End) alive() bool {
+// showsAlive reports whether the end shows that the leaf lives.
+func (e End) showsAlive() bool {
 	switch e {
-	case EndAnswered, EndFailed, EndRefused, EndExpired, EndUnbegun:
+	case EndAnswered, EndFailed, EndRefused, EndExpired, EndNotStarted:
 		return true
 	}
 	return false
 }
 
-// ran reports whether the leaf ran the request or may have.
-func (e End) ran() bool {
+// mayHaveRun reports whether the leaf mayHaveRun the request or may have.
+func (e End) mayHaveRun() bool {
 	switch e {
-	case EndUnreachable, EndRefused, EndMoved, EndUnbegun:
+	case EndUnreachable, EndRefused, EndMoved, EndNotStarted:
 		return false
 	}
 	return true
@@ -336,48 +336,48 @@
 // one request ends and frees a slot.
 const refusedCooldown = 15 * time.Millisecond
 
-// Ended takes the end of a request to a leaf, also long after the query itself.
-func (t *Table) Ended(now time.Time, id LeafID, sentAt time.Time, end End) {
-	l := t.find(id)
+// AttemptEnded takes the end of a request to a leaf, also long after the query itself.
+func (t *Table) AttemptEnded(now time.Time, id LeafID, sentAt time.Time, end End) {
+	l := t.findLeaf(id)
 	if l == nil {
 		return
 	}
-	f := l.ended(sentAt)
-	if end.alive() {
-		l.suspect = suspicion{}
+	f := l.removeInFlight(sentAt)
+	if end.showsAlive() {
+		l.suspicion = suspicion{}
 	}
 	switch end {
 	case EndAnswered:
-		l.answered(now, f)
-		l.faults.add(now, 0)
+		l.recordAnswer(now, f)
+		l.failures.add(now, 0)
 	case EndFailed:
-		l.answered(now, f)
-		l.faults.add(now, 1)
+		l.recordAnswer(now, f)
+		l.failures.add(now, 1)
 	case EndExpired:
 		l.halfOpen = true
 		if f.known {
-			l.speed.expired(now, sentAt, f.usual)
+			l.slowdown.recordExpired(now, sentAt, f.typical)
 		}
 	case EndUnreachable:
-		l.cooldown.unreachable(now)
-		l.suspect.hold(now)
+		l.cooldown.recordUnreachable(now)
+		l.suspicion.begin(now)
 	case EndRefused:
-		l.refused(now)
+		l.recordRefusal(now)
 	case EndMoved:
-		l.moved = true
+		l.addressReused = true
 	case EndSilent:
-		l.cooldown.silent(sentAt, now)
-		l.suspect.hold(now)
-		l.faults.add(now, 1)
+		l.cooldown.recordSilence(sentAt, now)
+		l.suspicion.begin(now)
+		l.failures.add(now, 1)
 	case EndBroken:
-		l.cooldown.fail(sentAt, now)
-		l.faults.add(now, 1)
+		l.cooldown.recordFailure(sentAt, now)
+		l.failures.add(now, 1)
 	}
 }
 
-// Report takes the load that a leaf stated with an answer. It comes before Ended, at the same time.
-func (t *Table) Report(now time.Time, id LeafID, load Load) {
-	if l := t.find(id); l != nil {
-		l.report(now, load)
+// RecordLoad takes the load that a leaf stated with an answer. It comes before Ended, at the same time.
+func (t *Table) RecordLoad(now time.Time, id LeafID, load Load) {
+	if l := t.findLeaf(id); l != nil {
+		l.recordLoad(now, load)
 	}
 }
