--- a/edge/announce.go
+++ b/edge/announce.go
@@ -30,13 +30,13 @@
 
 // ensureKey completes this VM's entry with the key that others must have to call it: that of
 // the entry found in the list, which an earlier life wrote, or else a new one.
-func (a *announcer) ensureKey(found scatter.VM) (scatter.VM, error) {
+func (a *announcer) ensureKey(entry scatter.VM) (scatter.VM, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.self.Key != "" {
 		return a.self, nil
 	}
-	key := []byte(found.Key)
+	key := []byte(entry.Key)
 	if len(key) < wire.MinKeyBytes {
 		key = make([]byte, wire.MinKeyBytes)
 		if _, err := rand.Read(key); err != nil {
--- a/edge/callers_test.go
+++ b/edge/callers_test.go
@@ -19,17 +19,17 @@
 	limits := routing.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 200 * time.Second}
 	c := &callerConn{limits: func() routing.Limits { return limits }}
 	now := time.Unix(1_000_000, 0)
-	own := now.Add(idleTimeout)
-	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(now.Add(3 * time.Second)))
+	serverDeadline := now.Add(idleTimeout)
+	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(now.Add(3 * time.Second)))
 	trackCallerState(c, http.StateIdle)
 	g.Expect(c.readDeadline(now, time.Time{})).To(gomega.BeZero())
 	g.Expect(c.readDeadline(now, now.Add(-time.Hour))).To(gomega.Equal(now.Add(-time.Hour)))
-	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(now.Add(200*time.Second + idleSlack)))
-	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(now.Add(3*time.Second)), "the header of the next request")
+	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(now.Add(200*time.Second + idleSlack)))
+	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(now.Add(3*time.Second)), "the header of the next request")
 
 	limits = routing.Limits{}
 	trackCallerState(c, http.StateIdle)
-	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(own))
+	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(serverDeadline))
 }
 
 // A caller sends half of a header and no more, and holds a connection for as long as the
--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -57,27 +57,27 @@
 const callLinger = 100 * time.Millisecond
 
 // callPeer makes one call to another VM.
-func (r *runner) callPeer(a scatter.CallVM) {
-	ctx, cancel := context.WithDeadline(r.attempts, a.AnswerBy.Add(callLinger))
+func (r *runner) callPeer(call scatter.CallVM) {
+	ctx, cancel := context.WithDeadline(r.attempts, call.AnswerBy.Add(callLinger))
 	defer cancel()
-	sent := func() { r.post(event{call: a.Call, sent: true}) }
-	err := r.e.currentPeerClient().gather(ctx, a.VM, r.newGatherCall(a), sent, func(ans *gatherAnswer) {
-		shards, err := toShardsAnswer(a, ans)
+	onSent := func() { r.post(event{call: call.Call, sent: true}) }
+	err := r.e.currentPeerClient().gather(ctx, call.VM, r.newGatherCall(call), onSent, func(ans *gatherAnswer) {
+		shards, err := toShardsAnswer(call, ans)
 		if err != nil {
-			r.e.log.Error("answer of a VM dropped", "request", r.req.ID, "vm", a.VM.Name, "error", err)
+			r.e.log.Error("answer of a VM dropped", "request", r.req.ID, "vm", call.VM.Name, "error", err)
 			return
 		}
-		r.post(event{call: a.Call, shards: shards})
+		r.post(event{call: call.Call, shards: shards})
 	})
 	end := scatter.EndAnswered
 	if err != nil {
 		end = endOfCall(ctx)
-		r.e.log.Warn("call to a VM failed", "request", r.req.ID, "vm", a.VM.Name, "zone", a.VM.Zone, "shards", len(a.Shards), "error", err)
+		r.e.log.Warn("call to a VM failed", "request", r.req.ID, "vm", call.VM.Name, "zone", call.VM.Zone, "shards", len(call.Shards), "error", err)
 		var neverSent *neverSentError
-		r.post(event{call: a.Call, end: end, neverSent: errors.As(err, &neverSent)})
+		r.post(event{call: call.Call, end: end, neverSent: errors.As(err, &neverSent)})
 	}
 	r.e.mu.Lock()
-	r.e.table.CallEnded(time.Now(), a.VM.Name, end)
+	r.e.table.CallEnded(time.Now(), call.VM.Name, end)
 	r.e.mu.Unlock()
 	if end != scatter.EndAnswered {
 		r.e.livenessCheckDue.notify()
@@ -86,9 +86,9 @@
 	r.e.stats.call(end)
 }
 
-func (r *runner) newGatherCall(a scatter.CallVM) *gatherCall {
-	services := make([]string, len(a.Shards))
-	for i, shard := range a.Shards {
+func (r *runner) newGatherCall(call scatter.CallVM) *gatherCall {
+	services := make([]string, len(call.Shards))
+	for i, shard := range call.Shards {
 		services[i] = r.spec.Services[shard]
 	}
 	return &gatherCall{
@@ -98,14 +98,14 @@
 		Host:               r.req.HTTP.Host,
 		Header:             r.req.HTTP.Header,
 		Services:           services,
-		Views:              a.Views,
-		Required:           a.Required,
-		Redelegated:        a.Redelegated,
+		Views:              call.Views,
+		Required:           call.Required,
+		Redelegated:        call.Redelegated,
 		Top:                r.req.Top,
 		MaxAttempts:        r.spec.MaxAttempts,
 		LatencyObjectiveUS: r.spec.LatencyObjective.Microseconds(),
-		InterimUS:          time.Until(a.InterimBy).Microseconds(),
-		AnswerUS:           time.Until(a.AnswerBy).Microseconds(),
+		InterimUS:          time.Until(call.InterimBy).Microseconds(),
+		AnswerUS:           time.Until(call.AnswerBy).Microseconds(),
 		DeadlineUS:         time.Until(r.req.Deadline).Microseconds(),
 	}
 }
@@ -121,15 +121,15 @@
 var errInvalidAnswer = errors.New("edge: answer does not fit the call")
 
 // toShardsAnswer numbers the shards of an answer as the query does.
-func toShardsAnswer(a scatter.CallVM, ans *gatherAnswer) (*ShardsAnswer, error) {
+func toShardsAnswer(call scatter.CallVM, ans *gatherAnswer) (*ShardsAnswer, error) {
 	if len(ans.Included) != len(ans.Receipts) {
 		return nil, errInvalidAnswer
 	}
-	included, err := mapShards(a, ans.Included)
+	included, err := mapShards(call, ans.Included)
 	if err != nil {
 		return nil, err
 	}
-	declined, err := mapShards(a, ans.Declined)
+	declined, err := mapShards(call, ans.Declined)
 	if err != nil {
 		return nil, err
 	}
@@ -144,13 +144,13 @@
 	}, nil
 }
 
-func mapShards(a scatter.CallVM, indexes []int) ([]int, error) {
+func mapShards(call scatter.CallVM, indexes []int) ([]int, error) {
 	var shards []int
 	for _, i := range indexes {
-		if i < 0 || i >= len(a.Shards) {
+		if i < 0 || i >= len(call.Shards) {
 			return nil, errInvalidAnswer
 		}
-		shards = append(shards, a.Shards[i])
+		shards = append(shards, call.Shards[i])
 	}
 	return shards, nil
 }
@@ -162,10 +162,10 @@
 func (e *Engine) serveGather(ctx context.Context, call *gatherCall, answer func(*gatherAnswer)) {
 	answer(&gatherAnswer{Key: call.Key}) // acknowledges the call
 	now := time.Now()
-	in := func(us int64) time.Time { return now.Add(time.Duration(us) * time.Microsecond) }
+	fromNow := func(us int64) time.Time { return now.Add(time.Duration(us) * time.Microsecond) }
 	req := &Request{
 		ID:       call.ID,
-		Deadline: in(call.DeadlineUS),
+		Deadline: fromNow(call.DeadlineUS),
 		Top:      call.Top,
 		HTTP: &leafhttp.Request{
 			Method: call.Method,
@@ -180,7 +180,7 @@
 		Idempotent:       true,
 		MaxAttempts:      call.MaxAttempts,
 		LatencyObjective: time.Duration(call.LatencyObjectiveUS) * time.Microsecond,
-		AnswerBy:         in(call.AnswerUS),
+		AnswerBy:         fromNow(call.AnswerUS),
 		Deadline:         req.Deadline,
 		RequestID:        call.ID,
 		Delegated:        true,
@@ -193,17 +193,17 @@
 		spec.BudgetWeight = 0 // counted where it was asked for before
 	}
 	r := e.newRunner(req, spec)
-	told := make(map[scatter.AttemptID]bool)
-	r.interim = in(call.InterimUS)
+	reported := make(map[scatter.AttemptID]bool)
+	r.interim = fromNow(call.InterimUS)
 	r.onInterim = func(ids []scatter.AttemptID) {
-		if ans := r.partialAnswer(ids, told); len(ans.Included) > 0 {
+		if ans := r.partialAnswer(ids, reported); len(ans.Included) > 0 {
 			ans.Key = call.Key
 			answer(ans)
 		}
 	}
 	r.onDeclined = func(shards []int) { answer(&gatherAnswer{Key: call.Key, Declined: shards}) }
 	out := r.run(ctx)
-	last := r.partialAnswer(out.Parts, told)
+	last := r.partialAnswer(out.Parts, reported)
 	last.Key, last.Last = call.Key, true
 	if out.Verdict == scatter.NotRun {
 		last.Refused, last.RetryAfterUS = true, out.RetryAfter.Microseconds()
@@ -213,14 +213,14 @@
 }
 
 // partialAnswer is the answer with these attempts, less those that were told before.
-func (r *runner) partialAnswer(ids []scatter.AttemptID, told map[scatter.AttemptID]bool) *gatherAnswer {
+func (r *runner) partialAnswer(ids []scatter.AttemptID, reported map[scatter.AttemptID]bool) *gatherAnswer {
 	ans := &gatherAnswer{}
 	var bodies [][]byte
 	for _, id := range ids {
-		if told[id] {
+		if reported[id] {
 			continue
 		}
-		told[id] = true
+		reported[id] = true
 		part := r.answers[id]
 		ans.Included = append(ans.Included, r.shards[id])
 		ans.Receipts = append(ans.Receipts, part.metadata.Receipt)
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -85,10 +85,10 @@
 
 // applyLeafChanges applies changes of the list of leafs, which f makes, and forgets the
 // connections to leafs that are gone.
-func (e *Engine) applyLeafChanges(f func(now time.Time, r *registry.Registry) []registry.Change) []registry.Change {
+func (e *Engine) applyLeafChanges(update func(now time.Time, r *registry.Registry) []registry.Change) []registry.Change {
 	e.mu.Lock()
 	now := time.Now()
-	changes := f(now, e.registry)
+	changes := update(now, e.registry)
 	for _, c := range changes {
 		e.table.Apply(now, c)
 	}
@@ -136,10 +136,10 @@
 }
 
 // setPeerClient takes the way to other VMs.
-func (e *Engine) setPeerClient(d peerClient) {
+func (e *Engine) setPeerClient(client peerClient) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.peerClient = d
+	e.peerClient = client
 }
 
 func (e *Engine) currentPeerClient() peerClient {
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -85,26 +85,26 @@
 }
 
 // recordSuccess notes that the store told what there is of something.
-func (f *feed) recordSuccess(what string) {
+func (f *feed) recordSuccess(resource string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lastSuccess[what] = time.Now()
+	f.lastSuccess[resource] = time.Now()
 }
 
 // recordFailure notes that a call of the store failed. Those who follow this VM learn it at once:
 // the store may turn away this VM alone.
-func (f *feed) recordFailure(what string) {
+func (f *feed) recordFailure(resource string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.lastSuccess, what)
+	delete(f.lastSuccess, resource)
 	f.notifyWaiters()
 }
 
 // isFresh reports whether the store was heard of something within a time.
-func (f *feed) isFresh(what string, within time.Duration) bool {
+func (f *feed) isFresh(resource string, within time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Since(f.lastSuccess[what]) < within
+	return time.Since(f.lastSuccess[resource]) < within
 }
 
 // list returns all leafs, packed, and the position to go on from. Those who follow a VM
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -91,51 +91,51 @@
 }
 
 // follow reads and watches until ctx ends.
-func (f *follower) follow(ctx context.Context, s resource) {
+func (f *follower) follow(ctx context.Context, res resource) {
 	failures := 0
 	for ctx.Err() == nil {
-		at, err := s.read(ctx)
+		revision, err := res.read(ctx)
 		if errors.Is(err, errReadDeferred) {
 			sleep(ctx, deferredReadPause)
 			continue
 		}
-		f.e.stats.store(s.name, err)
+		f.e.stats.store(res.name, err)
 		if err != nil {
 			if failures == 0 {
-				f.log.Warn("store lost", "reading", s.name, "error", err)
+				f.log.Warn("store lost", "reading", res.name, "error", err)
 			}
 			failures++
 			backoff(ctx, failures)
 			continue
 		}
 		if failures > 0 {
-			f.log.Info("store regained", "reading", s.name, "failures", failures, "revision", at)
+			f.log.Info("store regained", "reading", res.name, "failures", failures, "revision", revision)
 			failures = 0
 		}
 		began := time.Now()
-		err = f.watch(ctx, s, at)
-		f.log.Debug("watch ended", "reading", s.name, "error", err)
-		if errors.Is(err, ErrHistoryCompacted) && time.Since(began) < s.pause {
+		err = f.watch(ctx, res, revision)
+		f.log.Debug("watch ended", "reading", res.name, "error", err)
+		if errors.Is(err, ErrHistoryCompacted) && time.Since(began) < res.pause {
 			// What was read may be older than what the store remembers: reading and
 			// watching could take turns for ever, a hundred times a second.
-			sleep(ctx, s.pause)
+			sleep(ctx, res.pause)
 		}
 	}
 }
 
 // watch watches from a revision until a call fails. A watch that ends early and empty
 // is followed by a short pause: a store in trouble may end every one at once.
-func (f *follower) watch(ctx context.Context, s resource, at Revision) error {
+func (f *follower) watch(ctx context.Context, res resource, revision Revision) error {
 	for ctx.Err() == nil {
 		began := time.Now()
-		next, changed, err := s.watch(ctx, at)
-		f.e.stats.store("watch_"+s.name, err)
+		next, changed, err := res.watch(ctx, revision)
+		f.e.stats.store("watch_"+res.name, err)
 		if err != nil {
 			return err
 		}
-		at = max(at, next)
-		if changed || time.Since(began) < s.pause {
-			sleep(ctx, s.pause)
+		revision = max(revision, next)
+		if changed || time.Since(began) < res.pause {
+			sleep(ctx, res.pause)
 		}
 	}
 	return ctx.Err()
@@ -143,7 +143,7 @@
 
 // manifests follows the manifest.
 func (f *follower) manifests() resource {
-	take := func(m *routing.Manifest) {
+	apply := func(m *routing.Manifest) {
 		if m != nil && f.e.Offer(m) {
 			f.log.Info("manifest in force", "manifest", m.Version, "routes", len(m.Routes), "services", len(m.Services))
 		}
@@ -152,12 +152,12 @@
 		name: "manifest",
 		read: func(ctx context.Context) (Revision, error) {
 			m, at, err := f.store.Manifest(ctx)
-			take(m)
+			apply(m)
 			return at, err
 		},
 		watch: func(ctx context.Context, since Revision) (Revision, bool, error) {
 			m, at, err := f.store.WatchManifest(ctx, since, f.watchTimeout(f.settings.Bounds.ManifestMS))
-			take(m)
+			apply(m)
 			return at, m != nil, err
 		},
 		pause: manifestPause,
@@ -245,15 +245,15 @@
 
 // logLeafChanges writes what this VM now believes of leafs: each change, or a summary where
 // there are many, as at the start.
-func (f *follower) logLeafChanges(changes []registry.Change, at Revision) {
+func (f *follower) logLeafChanges(changes []registry.Change, revision Revision) {
 	if len(changes) > maxChangeLines {
-		f.log.Info("leafs changed", "count", len(changes), "leafs", f.e.Leafs(), "revision", at)
+		f.log.Info("leafs changed", "count", len(changes), "leafs", f.e.Leafs(), "revision", revision)
 		return
 	}
 	for _, c := range changes {
 		f.log.Info("leaf changed",
 			"leaf", c.Leaf.ID, "born", c.Leaf.Born, "service", c.Leaf.Service, "address", c.Leaf.Address,
-			"zone", c.Leaf.Zone, "draining", c.Leaf.Draining, "gone", c.Gone, "revision", at)
+			"zone", c.Leaf.Zone, "draining", c.Leaf.Draining, "gone", c.Gone, "revision", revision)
 	}
 }
 
--- a/edge/follow_vms.go
+++ b/edge/follow_vms.go
@@ -24,12 +24,12 @@
 
 // openToPeers lets other VMs call this one, whose entry in the list is found, empty if there is
 // none. A VM that can't be called serves its callers all the same.
-func (f *follower) openToPeers(found scatter.VM) error {
-	self, err := f.announcer.ensureKey(found)
+func (f *follower) openToPeers(entry scatter.VM) error {
+	self, err := f.announcer.ensureKey(entry)
 	if err != nil {
 		return err
 	}
-	f.announcer.observeList(found)
+	f.announcer.observeList(entry)
 	if err := f.listen(self); err != nil {
 		f.joined()
 		return err
@@ -41,7 +41,7 @@
 func (f *follower) vms() resource {
 	known := make(map[string]scatter.VM)
 	settled := false
-	take := func(at Revision) {
+	apply := func(at Revision) {
 		others := make([]scatter.VM, 0, len(known))
 		for name, vm := range known {
 			if name != f.self.Name {
@@ -88,7 +88,7 @@
 					return 0, err
 				}
 			}
-			take(at)
+			apply(at)
 			f.joined()
 			return at, announce(ctx)
 		},
@@ -112,7 +112,7 @@
 					f.announcer.observeChange(scatter.VM{})
 				}
 			}
-			take(c.Revision)
+			apply(c.Revision)
 			return c.Revision, len(c.Present)+len(c.Deleted) > 0, announce(ctx)
 		},
 		pause: vmsPause,
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -86,14 +86,14 @@
 // headerSize returns the bytes of a request line and its headers.
 func headerSize(r *http.Request) int {
 	const (
-		lineRest   = len("  HTTP/1.1\r\n")
-		headerRest = len(": \r\n")
+		lineOverhead   = len("  HTTP/1.1\r\n")
+		headerOverhead = len(": \r\n")
 	)
-	size := len(r.Method) + len(r.RequestURI) + lineRest
-	size += len("Host") + len(r.Host) + headerRest // held apart from the other headers
+	size := len(r.Method) + len(r.RequestURI) + lineOverhead
+	size += len("Host") + len(r.Host) + headerOverhead // held apart from the other headers
 	for name, values := range r.Header {
 		for _, value := range values {
-			size += len(name) + len(value) + headerRest
+			size += len(name) + len(value) + headerOverhead
 		}
 	}
 	return size
@@ -109,20 +109,20 @@
 
 // newRequest prepares what leafs are sent.
 func (e *Engine) newRequest(r *http.Request, target string, body []byte, arrived time.Time, route *routing.Route) *Request {
-	wait := route.Timeout
-	var missing time.Duration
+	timeout := route.Timeout
+	var shortfall time.Duration
 	if stated, ok := e.exchange.Wait(r.Header); ok {
-		missing = e.elapsed.observe(arrived, route.Name, stated)
-		if stated < wait || wait == 0 {
-			wait = stated
+		shortfall = e.elapsed.observe(arrived, route.Name, stated)
+		if stated < timeout || timeout == 0 {
+			timeout = stated
 		}
 	}
 	path := callerPathOf(r.Context(), arrived)
-	began := arrived.Add(-path.elapsed(missing, route.Aim))
+	start := arrived.Add(-path.elapsed(shortfall, route.Aim))
 	return &Request{
 		ID:       e.exchange.RequestID(r.Header),
-		AnswerBy: path.answerBy(began, route.Aim),
-		Deadline: arrived.Add(wait - answerMargin),
+		AnswerBy: path.answerBy(start, route.Aim),
+		Deadline: arrived.Add(timeout - answerMargin),
 		Top:      route.Top,
 		HTTP: &leafhttp.Request{
 			Method:  r.Method,
@@ -142,14 +142,14 @@
 }
 
 // forwardedHeaders returns the headers that are passed on, in either direction.
-func forwardedHeaders(h http.Header, own []string) http.Header {
+func forwardedHeaders(h http.Header, replaced []string) http.Header {
 	out := h.Clone()
 	for _, field := range h.Values("Connection") {
 		for _, name := range strings.Split(field, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range slices.Concat(hopByHopHeaders, own) {
+	for _, name := range slices.Concat(hopByHopHeaders, replaced) {
 		out.Del(name)
 	}
 	return out
--- a/edge/node.go
+++ b/edge/node.go
@@ -298,6 +298,6 @@
 	n.log.Info("stopped")
 }
 
-func (n *Node) graceShare(part float64) time.Duration {
-	return time.Duration(part * n.settings.GraceS * float64(time.Second))
+func (n *Node) graceShare(share float64) time.Duration {
+	return time.Duration(share * n.settings.GraceS * float64(time.Second))
 }
--- a/edge/pack_test.go
+++ b/edge/pack_test.go
@@ -33,9 +33,9 @@
 	packed, err := f.document()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(len(packed)).To(gomega.BeNumerically("<", 50_000))
-	told, err := (&manifestAnswer{Document: packed}).manifest()
+	received, err := (&manifestAnswer{Document: packed}).manifest()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(told.Document).To(gomega.Equal(m.Document))
+	g.Expect(received.Document).To(gomega.Equal(m.Document))
 }
 
 // What is kept packed is made anew after a change: a VM that starts later would get the
@@ -61,9 +61,9 @@
 	f.setManifest(largeManifest(2))
 	packed, err := f.document()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	told, err := (&manifestAnswer{Document: packed}).manifest()
+	received, err := (&manifestAnswer{Document: packed}).manifest()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(told.Routes).To(gomega.HaveLen(2))
+	g.Expect(received.Routes).To(gomega.HaveLen(2))
 }
 
 // Foreign bytes in place of a packed body are an error, not an empty list.
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -164,7 +164,7 @@
 }
 
 // gather implements delegates.
-func (p *peerTransport) gather(ctx context.Context, vm scatter.VM, call *gatherCall, sent func(), take func(*gatherAnswer)) error {
+func (p *peerTransport) gather(ctx context.Context, vm scatter.VM, call *gatherCall, onSent func(), onAnswer func(*gatherAnswer)) error {
 	link := p.link(vm)
 	conn, err := link.get(ctx, vm, p)
 	if err != nil {
@@ -180,11 +180,11 @@
 	if err := conn.NotifyBody(methodGather, body); err != nil {
 		return err
 	}
-	sent()
+	onSent()
 	for {
 		select {
 		case ans := <-answers:
-			take(ans)
+			onAnswer(ans)
 			if ans.Last {
 				return nil
 			}
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -17,12 +17,12 @@
 // forEachLimited does something for all of a list, probesAtOnce at a time, and returns when all is done.
 func forEachLimited[T any](list []T, do func(T)) {
 	var wg sync.WaitGroup
-	places := make(chan struct{}, maxConcurrentProbes)
+	slots := make(chan struct{}, maxConcurrentProbes)
 	for _, item := range list {
-		places <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
 			do(item)
-			<-places
+			<-slots
 		})
 	}
 	wg.Wait()
@@ -44,7 +44,7 @@
 // and when the next is due otherwise, zero for never. It sleeps while there is no suspect:
 // a process that wakes 8 times a second for nothing used a seventh of its processor time
 // for that (30.7 s of all VMs' on a calm day in place of 26.3).
-func probeLoop(ctx context.Context, raised wakeup, round func(context.Context) (made bool, next time.Time)) {
+func probeLoop(ctx context.Context, woken wakeup, round func(context.Context) (made bool, next time.Time)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
@@ -58,7 +58,7 @@
 			due = timer.C
 		}
 		select {
-		case <-raised:
+		case <-woken:
 		case <-due:
 		case <-ctx.Done():
 		}
@@ -73,18 +73,18 @@
 func (n *Node) checkVMs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	due := n.engine.table.DueForLivenessCheck(time.Now())
-	d := n.engine.peerClient
+	client := n.engine.peerClient
 	n.engine.mu.Unlock()
-	forEachLimited(due, func(vm scatter.VM) { n.checkVM(ctx, d, vm) })
+	forEachLimited(due, func(vm scatter.VM) { n.checkVM(ctx, client, vm) })
 	return len(due) > 0, time.Time{}
 }
 
 // checkVM asks one VM. If it does not say that it lives, it is not called until it is reached
 // on a new connection.
-func (n *Node) checkVM(ctx context.Context, d peerClient, vm scatter.VM) {
+func (n *Node) checkVM(ctx context.Context, client peerClient, vm scatter.VM) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	err := d.ping(ctx, vm)
+	err := client.ping(ctx, vm)
 	if err == nil {
 		return
 	}
@@ -99,14 +99,14 @@
 func (n *Node) probeVMs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectVMs(time.Now())
-	d := n.engine.peerClient
+	client := n.engine.peerClient
 	n.engine.mu.Unlock()
-	forEachLimited(suspects, func(vm scatter.VM) { n.probeVM(ctx, d, vm) })
+	forEachLimited(suspects, func(vm scatter.VM) { n.probeVM(ctx, client, vm) })
 	return len(suspects) > 0, next
 }
 
-func (n *Node) probeVM(ctx context.Context, d peerClient, vm scatter.VM) {
-	_, err := d.connect(ctx, vm)
+func (n *Node) probeVM(ctx context.Context, client peerClient, vm scatter.VM) {
+	_, err := client.connect(ctx, vm)
 	n.engine.mu.Lock()
 	n.engine.table.RecordVMProbe(time.Now(), vm.Name, err == nil)
 	n.engine.mu.Unlock()
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -59,11 +59,11 @@
 // errReadDeferred says that the store is left to the VMs that read it for others.
 var errReadDeferred = errors.New("edge: reading of the store is left to other VMs")
 
-func newRelay(store Store, e *Engine, fresh time.Duration) *relay {
+func newRelay(store Store, e *Engine, maxStaleness time.Duration) *relay {
 	return &relay{
 		Store:        store,
 		e:            e,
-		maxStaleness: fresh,
+		maxStaleness: maxStaleness,
 		avoidUntil:   make(map[string]time.Time),
 		failing:      make(map[string]bool),
 	}
@@ -119,12 +119,12 @@
 }
 
 // sameUpstream reports whether something is still to be read where it was.
-func (r *relay) sameUpstream(w upstream) (scatter.VM, bool) {
+func (r *relay) sameUpstream(up upstream) (scatter.VM, bool) {
 	vm, follow := r.currentReader()
 	if !follow {
-		return vm, w.vm == ""
+		return vm, up.vm == ""
 	}
-	return vm, w.vm == vm.Name
+	return vm, up.vm == vm.Name
 }
 
 // Leafs implements Store.
@@ -213,15 +213,15 @@
 }
 
 // recordListing takes how a listing of the store ended, and tells those who follow this VM.
-func (r *relay) recordListing(what string, err error) {
+func (r *relay) recordListing(resource string, err error) {
 	if err == nil {
-		r.e.feed.recordSuccess(what)
+		r.e.feed.recordSuccess(resource)
 		r.delayRead(0)
 		return
 	}
-	r.e.feed.recordFailure(what)
-	held := time.Duration(retryDelayShare * float64(r.maxStaleness))
-	r.delayRead(held/2 + rand.N(held/2))
+	r.e.feed.recordFailure(resource)
+	pause := time.Duration(retryDelayShare * float64(r.maxStaleness))
+	r.delayRead(pause/2 + rand.N(pause/2))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeFailed = true
@@ -232,17 +232,17 @@
 func (r *relay) takeStoreFailed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	away := r.storeFailed
+	failed := r.storeFailed
 	r.storeFailed = false
-	return away
+	return failed
 }
 
 // recordWatch tells them of a watch. One that failed says little: the listing that follows
 // at once shows whether the store is lost, and if every VM turned to the store whenever
 // watches are cut, these would be as many calls as if nobody followed.
-func (r *relay) recordWatch(what string, err error) {
+func (r *relay) recordWatch(resource string, err error) {
 	if err == nil {
-		r.e.feed.recordSuccess(what)
+		r.e.feed.recordSuccess(resource)
 	}
 }
 
@@ -277,16 +277,16 @@
 		err = nil // it answers; this VM lags
 	}
 	r.mu.Lock()
-	was := r.failing[vm.Name]
+	failedBefore := r.failing[vm.Name]
 	r.failing[vm.Name] = err != nil
 	if err != nil {
 		r.avoidUntil[vm.Name] = time.Now().Add(avoidPeriod)
 	}
 	r.mu.Unlock()
 	switch {
-	case err != nil && !was:
+	case err != nil && !failedBefore:
 		r.e.log.Info("VM is not followed", "vm", vm.Name, "method", method, "error", err)
-	case err == nil && was:
+	case err == nil && failedBefore:
 		r.e.log.Info("VM is followed again", "vm", vm.Name, "method", method)
 	}
 }
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -97,10 +97,10 @@
 		{10 * time.Second, false, 0},
 		{10 * time.Second, true, registry.LapseHold},
 	} {
-		d := listAge{failed: true, freshAt: start}
-		g.Expect(d.hold(start.Add(c.silent), c.outage, bound)).To(gomega.Equal(c.hold))
-		g.Expect(d.hold(start.Add(c.silent), false, bound)).To(gomega.BeZero(), "the list is fresh again")
+		age := listAge{failed: true, freshAt: start}
+		g.Expect(age.hold(start.Add(c.silent), c.outage, bound)).To(gomega.Equal(c.hold))
+		g.Expect(age.hold(start.Add(c.silent), false, bound)).To(gomega.BeZero(), "the list is fresh again")
 	}
-	unread := listAge{failed: true}
-	g.Expect(unread.hold(start, false, bound)).To(gomega.Equal(registry.LapseHold))
+	neverRead := listAge{failed: true}
+	g.Expect(neverRead.hold(start, false, bound)).To(gomega.Equal(registry.LapseHold))
 }
--- a/edge/run.go
+++ b/edge/run.go
@@ -212,16 +212,16 @@
 	ctx, cancel := context.WithDeadline(r.attempts, s.Until.Add(r.linger()))
 	defer cancel()
 	peer := leafhttp.Peer{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
-	var word LeafMetadata
+	var metadata LeafMetadata
 	// A leaf may send the answer to an earlier request late, where the next is expected.
-	own := func(ans *leafhttp.Answer) bool {
-		word = r.e.exchange.FromLeaf(ans.Status, ans.Header)
-		return word.RequestID == "" || word.RequestID == r.req.ID
+	matches := func(ans *leafhttp.Answer) bool {
+		metadata = r.e.exchange.FromLeaf(ans.Status, ans.Header)
+		return metadata.RequestID == "" || metadata.RequestID == r.req.ID
 	}
-	ans, err := r.e.pool.Do(ctx, peer, r.req.HTTP, r.e.exchange.ToLeaf(s.Leaf, time.Until(s.Until)), own)
+	ans, err := r.e.pool.Do(ctx, peer, r.req.HTTP, r.e.exchange.ToLeaf(s.Leaf, time.Until(s.Until)), matches)
 	ev := event{attempt: s.Attempt}
 	if err == nil {
-		ev.reply, ev.end = r.classifyAnswer(s, ans, word)
+		ev.reply, ev.end = r.classifyAnswer(s, ans, metadata)
 	} else {
 		ev.end = endOfAttempt(ctx, err)
 	}
@@ -231,8 +231,8 @@
 	}
 	r.e.mu.Lock()
 	now := time.Now()
-	if err == nil && word.HasLoad {
-		r.e.table.RecordLoad(now, s.Leaf, word.Load)
+	if err == nil && metadata.HasLoad {
+		r.e.table.RecordLoad(now, s.Leaf, metadata.Load)
 	}
 	r.e.table.AttemptEnded(now, s.Leaf, s.SentAt, ev.end)
 	r.e.mu.Unlock()
@@ -258,24 +258,24 @@
 
 // classifyAnswer tells what a leaf's answer is worth. Without a receipt it proves nothing: a
 // success is spoilt, and a failure may have come after the request ran.
-func (r *runner) classifyAnswer(s scatter.Send, ans *leafhttp.Answer, word LeafMetadata) (*reply, scatter.End) {
-	rep := &reply{Answer: ans, metadata: word}
+func (r *runner) classifyAnswer(s scatter.Send, ans *leafhttp.Answer, metadata LeafMetadata) (*reply, scatter.End) {
+	answer := &reply{Answer: ans, metadata: metadata}
 	switch {
-	case word.Moved:
+	case metadata.Moved:
 		return nil, scatter.EndMoved
-	case r.spec.Gathered && rep.failed() && time.Until(s.Until) < expirySlack:
-		if word.NotRun {
+	case r.spec.Gathered && answer.failed() && time.Until(s.Until) < expirySlack:
+		if metadata.NotRun {
 			return nil, scatter.EndNotStarted
 		}
 		return nil, scatter.EndExpired
-	case word.NotRun:
+	case metadata.NotRun:
 		return nil, scatter.EndRefused
-	case word.Receipt == "":
+	case metadata.Receipt == "":
 		return nil, scatter.EndBroken
-	case r.answerFailed(rep):
-		return rep, scatter.EndFailed
+	case r.answerFailed(answer):
+		return answer, scatter.EndFailed
 	default:
-		return rep, scatter.EndAnswered
+		return answer, scatter.EndAnswered
 	}
 }
 
--- a/edge/spent.go
+++ b/edge/spent.go
@@ -30,7 +30,7 @@
 func newElapsedTimes() *elapsedTimes { return &elapsedTimes{routes: make(map[string]*longestTimeout)} }
 
 // observe takes the wait that a caller observe a route states, and returns what it has spent.
-func (t *elapsedTimes) observe(now time.Time, route string, stated time.Duration) time.Duration {
+func (t *elapsedTimes) observe(now time.Time, route string, timeout time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.routes[route]
@@ -41,8 +41,8 @@
 	if now.Sub(w.periodStart) >= timeoutPeriod {
 		w.periodStart, w.previous, w.current = now, w.current, 0
 	}
-	w.current = max(w.current, stated)
-	return max(w.current, w.previous) - stated
+	w.current = max(w.current, timeout)
+	return max(w.current, w.previous) - timeout
 }
 
 // callerPath is what is known of the way between a caller and this VM; zero for nothing.
@@ -57,11 +57,11 @@
 // elapsed returns how long before its arrival a request began. Missing is how much less its caller
 // states to have left than others of the route: what it elapsed on connecting, unless it is a
 // repeat, which is late or counts from anew.
-func (p callerPath) elapsed(missing, aim time.Duration) time.Duration {
-	if missing > max(time.Duration(maxElapsedShare*float64(aim)), p.connectTime+p.oneWay) {
-		missing = 0
+func (p callerPath) elapsed(shortfall, objective time.Duration) time.Duration {
+	if shortfall > max(time.Duration(maxElapsedShare*float64(objective)), p.connectTime+p.oneWay) {
+		shortfall = 0
 	}
-	return max(missing, p.connectTime) + p.oneWay
+	return max(shortfall, p.connectTime) + p.oneWay
 }
 
 // Parameters of the moment to answer a gathered request in part: an answer is worth
@@ -74,13 +74,13 @@
 )
 
 // answerBy is when the answer to a request that began at a time has to leave.
-func (p callerPath) answerBy(began time.Time, aim time.Duration) time.Time {
-	way := p.oneWay
-	if way == 0 {
-		way = assumedOneWay
+func (p callerPath) answerBy(start time.Time, objective time.Duration) time.Time {
+	oneWay := p.oneWay
+	if oneWay == 0 {
+		oneWay = assumedOneWay
 	}
-	early := way + writeTime + time.Duration(writeTimeShare*float64(aim))
-	return began.Add(max(aim-early, aim/2))
+	early := oneWay + writeTime + time.Duration(writeTimeShare*float64(objective))
+	return start.Add(max(objective-early, objective/2))
 }
 
 // prune forgets the routes that a manifest does not name.
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -44,12 +44,12 @@
 
 func (e *Engine) warmDelegates(ctx context.Context) {
 	e.mu.Lock()
-	partners := e.table.Delegates(time.Now())
-	d := e.peerClient
+	delegates := e.table.Delegates(time.Now())
+	client := e.peerClient
 	e.mu.Unlock()
-	for _, vm := range partners {
+	for _, vm := range delegates {
 		// Whether a VM can be reached shows when it is called.
-		if opened, _ := d.connect(ctx, vm); opened {
+		if opened, _ := client.connect(ctx, vm); opened {
 			sleep(ctx, warmDialPause)
 		}
 	}
