--- a/edge/announce.go
+++ b/edge/announce.go
@@ -11,25 +11,28 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// announcer keeps this VM in the list of VMs. Each write is paid for, so it writes only
-// what the list is known to lack: an entry outlives its VM's process, and a VM that was
-// killed finds its own again. It is safe for concurrent use.
+// announcer keeps this VM's entry in the store's list of VMs. Store writes are billed, so it
+// writes only if the entry is known to be missing or different. An entry outlives the process
+// that wrote it, so a VM that was killed finds its own entry after a restart. An announcer is
+// safe for concurrent use.
 type announcer struct {
 	store Store
 	log   *slog.Logger
 
 	mu      sync.Mutex // held during a write; guards the fields below
-	self    scatter.VM // without a key until adopt
-	listed  bool       // the list has this VM as it is
-	written time.Time  // the latest own write
+	self    scatter.VM // this VM's entry; Key is empty until ensureKey
+	listed  bool       // the list holds exactly the entry self
+	written time.Time  // time of this VM's latest write
 }
 
-// maxListAge is how old a list of VMs may be: one that lacks an entry written since then
-// proves nothing.
+// maxListAge is how old a list of VMs may be when it is read. If this VM wrote its entry
+// within this time, a list without the entry may be older than the write, and doesn't show
+// that the entry is missing.
 const maxListAge = 10 * time.Second
 
-// ensureKey completes this VM's entry with the key that others must have to call it: that of
-// the entry found in the list, which an earlier life wrote, or else a new one.
+// ensureKey sets the key that other VMs must present to call this one, and returns the
+// completed entry. It takes the key of entry, which an earlier incarnation of this VM wrote,
+// or else generates a new one.
 func (a *announcer) ensureKey(entry scatter.VM) (scatter.VM, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -47,7 +50,8 @@
 	return a.self, nil
 }
 
-// observeList takes this VM's entry in a list, empty if there is none.
+// observeList records this VM's entry as found in a list of VMs; entry is empty if there is
+// none.
 func (a *announcer) observeList(entry scatter.VM) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,15 +64,17 @@
 	}
 }
 
-// observeChange takes this VM's entry after a change, empty if it was removed. The withdrawal by an earlier life of this
-// VM may be carried out late, after its next life has announced itself.
+// observeChange records this VM's entry after a change of the list; entry is empty if it was
+// removed. A withdrawal by an earlier incarnation of this VM may be carried out late, after
+// the next incarnation has announced itself.
 func (a *announcer) observeChange(entry scatter.VM) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.listed = entry == a.self
 }
 
-// ensureListed writes this VM's entry unless the list has it.
+// ensureListed writes this VM's entry unless the list already has it. It returns errNotJoined
+// before ensureKey has set a key.
 func (a *announcer) ensureListed(ctx context.Context) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/edge/callers.go
+++ b/edge/callers.go
@@ -11,20 +11,21 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-// Limits of callers' connections while no manifest states others.
+// Limits of callers' connections that apply unless the manifest states others. headerBytes is
+// in bytes.
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 120 * time.Second
 	headerBytes   = 64 << 10
 )
 
-// idleSlack is for how long a connection is kept beyond the time that the operator allows. A
-// caller that has learned of a longer time before this VM must not find it closed.
+// idleSlack is added to the manifest's idle timeout. A caller may learn of a longer timeout
+// before this VM does, and must not find its connection closed.
 const idleSlack = 30 * time.Second
 
-// callerListener bounds callers' connections by the manifest in force. net/http's time-outs
-// are fixed for the life of a server, and a caller that reuses a connection for as long as
-// the operator allows would find it closed.
+// callerListener applies the timeouts of the manifest in force to callers' connections. The
+// timeouts of a net/http server are fixed while it runs, so without this a caller that reuses
+// a connection for as long as the manifest allows would find it closed.
 type callerListener struct {
 	net.Listener
 	limits func() routing.Limits
@@ -43,8 +44,8 @@
 	return &callerConn{TCPConn: tcp, limits: l.limits, acceptedAt: time.Now(), roundTrip: measuredRoundTrip(tcp)}, nil
 }
 
-// measuredRoundTrip returns the round trip that the kernel measured on a connection, 0 if it does
-// not say.
+// measuredRoundTrip returns the round-trip time that the kernel measured on a connection, 0
+// if it is not available.
 func measuredRoundTrip(c *net.TCPConn) time.Duration {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -56,26 +57,27 @@
 		info, infoErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	})
 	if err != nil || infoErr != nil {
-		return 0 // a time that is assumed takes its place
+		return 0 // answerBy then uses assumedOneWay
 	}
 	return time.Duration(info.Rtt) * time.Microsecond
 }
 
-// callerConn is a caller's connection. net/http sets its read deadlines from one goroutine,
-// and tells of a change of state from the same one.
+// callerConn is a caller's connection. net/http sets its read deadlines and reports its state
+// changes from the same goroutine, so the fields need no lock.
 type callerConn struct {
 	*net.TCPConn
 	limits     func() routing.Limits
 	acceptedAt time.Time
-	roundTrip  time.Duration // 0 if not known
-	idle       bool          // the next deadline ends the time without a request
-	used       bool          // a request before the present one came on it
+	roundTrip  time.Duration // 0 if unknown
+	idle       bool          // the next read deadline bounds the wait for a request
+	used       bool          // it has carried an earlier request
 }
 
 // callerConnKey is the key of a request's *callerConn in its context.
 type callerConnKey struct{}
 
-// withCallerConn is the server's ConnContext.
+// withCallerConn is the server's ConnContext hook. It stores the callerConn in the request's
+// context.
 func withCallerConn(ctx context.Context, c net.Conn) context.Context {
 	if cc, ok := c.(*callerConn); ok {
 		return context.WithValue(ctx, callerConnKey{}, cc)
@@ -83,7 +85,8 @@
 	return ctx
 }
 
-// callerPathOf returns what is known of the way from the caller of a request that arrived now.
+// callerPathOf returns what is known about the network path from the caller of a request that
+// arrived at now.
 func callerPathOf(ctx context.Context, now time.Time) callerPath {
 	c, ok := ctx.Value(callerConnKey{}).(*callerConn)
 	if !ok {
@@ -96,25 +99,26 @@
 	return path
 }
 
-// trackCallerState is the server's ConnState.
+// trackCallerState is the server's ConnState hook.
 func trackCallerState(c net.Conn, state http.ConnState) {
 	if cc, ok := c.(*callerConn); ok && state == http.StateIdle {
 		cc.idle, cc.used = true, true
 	}
 }
 
-// SetReadDeadline puts what is in force in place of the server's own time-outs.
+// SetReadDeadline implements net.Conn. It replaces the server's own timeouts with those of
+// the manifest in force.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	return c.TCPConn.SetReadDeadline(c.readDeadline(time.Now(), t))
 }
 
-// readDeadline returns the deadline for one that the server sets. The first that an idle
-// connection gets bounds the wait for a request, any other that lies ahead bounds the reading
-// of a header. Past ones and none at all are left as they are: with them the server ends its
-// own reads.
-func (c *callerConn) readDeadline(now, t time.Time) time.Time {
-	if !t.After(now) {
-		return t
+// readDeadline returns the deadline to set instead of the one that the server requested. The
+// first deadline after a connection becomes idle bounds the wait for a request; any other
+// future deadline bounds the reading of a header. Past deadlines and the zero time are
+// returned unchanged, because the server uses them to end its own reads.
+func (c *callerConn) readDeadline(now, requested time.Time) time.Time {
+	if !requested.After(now) {
+		return requested
 	}
 	limits, idle := c.limits(), c.idle
 	c.idle = false
@@ -124,10 +128,10 @@
 	case !idle && limits.HeaderTimeout > 0:
 		return now.Add(limits.HeaderTimeout)
 	}
-	return t
+	return requested
 }
 
-// callerLimits returns the limits in force, none without a manifest.
+// callerLimits returns the limits of the manifest in force, zero limits if there is none.
 func (e *Engine) callerLimits() routing.Limits {
 	m := e.inForce.Get()
 	if m == nil {
--- a/edge/callers_test.go
+++ b/edge/callers_test.go
@@ -11,9 +11,10 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-// The operator lets callers keep a connection for longer than the server's own time, and a
-// caller that reuses one finds it closed. The manifest's times hold, changes included, and
-// the deadlines with which the server ends its own reads are left alone.
+// Guards against closing a caller's connection by the server's own idle timeout although the
+// manifest allows a longer one: a caller that reuses the connection would find it closed. The
+// manifest's timeouts apply, also after a change. The deadlines with which the server ends
+// its own reads are not changed.
 func TestManifestTimeoutsOverrideServerTimeouts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := routing.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 200 * time.Second}
@@ -32,8 +33,9 @@
 	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(serverDeadline))
 }
 
-// A caller sends half of a header and no more, and holds a connection for as long as the
-// server's own time allows. The operator's shorter time ends it.
+// Guards against a caller that sends half of a header and then holds the connection for as
+// long as the server's own timeout allows. The manifest's shorter timeout closes the
+// connection.
 func TestManifestHeaderTimeoutClosesSlowCaller(t *testing.T) {
 	g := gomega.NewWithT(t)
 	socket, err := listen("127.0.0.1:0")
--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -10,35 +10,36 @@
 	"github.com/bramleybarrow/bramleybarrow/topk"
 )
 
-// peerClient reaches other VMs.
+// peerClient calls other VMs. Implementations are safe for concurrent use.
 type peerClient interface {
-	// gather makes a call, reports that it was written, and passes each answer to take. It
-	// returns after the last answer, or when ctx ends. A neverSentError says that the VM got no
-	// call.
-	gather(ctx context.Context, vm scatter.VM, call *gatherCall, sent func(), take func(*gatherAnswer)) error
-	// connect opens a connection if there is none, and reports whether it did. A new one
-	// proves that the VM lives.
+	// gather sends a call, runs onSent once the call was written, and passes each answer to
+	// onAnswer. It returns after the last answer, or when ctx ends. A neverSentError means
+	// that the VM did not receive the call.
+	gather(ctx context.Context, vm scatter.VM, call *gatherCall, onSent func(), onAnswer func(*gatherAnswer)) error
+	// connect opens a connection if there is none, and reports whether it did. A new
+	// connection proves that the VM is alive.
 	connect(ctx context.Context, vm scatter.VM) (opened bool, err error)
-	// ping asks a VM whether it lives, if there is a connection to it. After an error there
-	// is none any more.
+	// ping checks that a VM is alive if there is a connection to it. If the check fails, the
+	// connection is closed.
 	ping(ctx context.Context, vm scatter.VM) error
-	// follow makes a call to a VM that reads the store.
+	// follow sends a call to a VM that reads the store, and decodes the answer into into.
 	follow(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error
 }
 
-// neverSentError says that nothing of a call was sent.
+// neverSentError reports that no part of a call was sent.
 type neverSentError struct{ err error }
 
 // Error implements error.
 func (e *neverSentError) Error() string { return "edge: call not sent: " + e.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *neverSentError) Unwrap() error { return e.err }
 
-// noPeerClient is a VM that has not joined the others.
+// noPeerClient is the peerClient of a VM that has not joined the other VMs. All calls fail
+// with errNotJoined.
 type noPeerClient struct{}
 
-var errNotJoined = errors.New("edge: not joined to other VMs")
+var errNotJoined = errors.New("edge: this VM has not joined the other VMs")
 
 func (noPeerClient) gather(context.Context, scatter.VM, *gatherCall, func(), func(*gatherAnswer)) error {
 	return &neverSentError{err: errNotJoined}
@@ -52,11 +53,12 @@
 	return errNotJoined
 }
 
-// callLinger is how long a call to another VM goes on after it should have answered:
-// its answer, if it comes, still tells that the VM lives.
+// callLinger is how long a call to another VM stays open after its answer was due. A late
+// answer still shows that the VM is alive.
 const callLinger = 100 * time.Millisecond
 
-// callPeer makes one call to another VM.
+// callPeer sends one call to another VM. It posts an event when the call was sent, for each
+// answer, and if the call fails.
 func (r *runner) callPeer(call scatter.CallVM) {
 	ctx, cancel := context.WithDeadline(r.attempts, call.AnswerBy.Add(callLinger))
 	defer cancel()
@@ -64,7 +66,7 @@
 	err := r.e.currentPeerClient().gather(ctx, call.VM, r.newGatherCall(call), onSent, func(ans *gatherAnswer) {
 		shards, err := toShardsAnswer(call, ans)
 		if err != nil {
-			r.e.log.Error("answer of a VM dropped", "request", r.req.ID, "vm", call.VM.Name, "error", err)
+			r.e.log.Error("invalid answer of a VM dropped", "request", r.req.ID, "vm", call.VM.Name, "error", err)
 			return
 		}
 		r.post(event{call: call.Call, shards: shards})
@@ -110,7 +112,8 @@
 	}
 }
 
-// endOfCall tells silence from a connection that could not be made or broke.
+// endOfCall classifies a call that failed: EndSilent if its time ran out, EndUnreachable if
+// the connection could not be opened or broke.
 func endOfCall(ctx context.Context) scatter.End {
 	if ctx.Err() != nil {
 		return scatter.EndSilent
@@ -118,9 +121,10 @@
 	return scatter.EndUnreachable
 }
 
-var errInvalidAnswer = errors.New("edge: answer does not fit the call")
+var errInvalidAnswer = errors.New("edge: answer does not match the shards of the call")
 
-// toShardsAnswer numbers the shards of an answer as the query does.
+// toShardsAnswer converts an answer, which holds indexes into the call's shards, to the shard
+// numbers of the query.
 func toShardsAnswer(call scatter.CallVM, ans *gatherAnswer) (*ShardsAnswer, error) {
 	if len(ans.Included) != len(ans.Receipts) {
 		return nil, errInvalidAnswer
@@ -155,10 +159,11 @@
 	return shards, nil
 }
 
-// serveGather carries out another VM's call, which it acknowledges at once. It never asks a
-// third VM, so that no two VMs wait for each other. What has come in by the interim is answered then: the caller
-// learns that this VM lives, and has most of the shards should it die.
-// Shards of which this VM knows other leafs than the caller are declined at once.
+// serveGather serves another VM's call. It acknowledges the call at once, and never calls a
+// third VM, so that no two VMs wait for each other. At the interim time it sends the shards
+// that have been answered by then: the caller learns that this VM is alive, and keeps most of
+// the shards if this VM fails later. Shards for which this VM and the caller know different
+// leafs are declined at once.
 func (e *Engine) serveGather(ctx context.Context, call *gatherCall, answer func(*gatherAnswer)) {
 	answer(&gatherAnswer{Key: call.Key}) // acknowledges the call
 	now := time.Now()
@@ -190,7 +195,7 @@
 		BudgetWeight:     scatter.DelegateWeight,
 	}
 	if call.Redelegated {
-		spec.BudgetWeight = 0 // counted where it was asked for before
+		spec.BudgetWeight = 0 // the VM that was called first has counted it
 	}
 	r := e.newRunner(req, spec)
 	reported := make(map[scatter.AttemptID]bool)
@@ -202,17 +207,18 @@
 		}
 	}
 	r.onDeclined = func(shards []int) { answer(&gatherAnswer{Key: call.Key, Declined: shards}) }
-	out := r.run(ctx)
-	last := r.partialAnswer(out.Parts, reported)
-	last.Key, last.Last = call.Key, true
-	if out.Verdict == scatter.NotRun {
-		last.Refused, last.RetryAfterUS = true, out.RetryAfter.Microseconds()
+	outcome := r.run(ctx)
+	final := r.partialAnswer(outcome.Parts, reported)
+	final.Key, final.Last = call.Key, true
+	if outcome.Verdict == scatter.NotRun {
+		final.Refused, final.RetryAfterUS = true, outcome.RetryAfter.Microseconds()
 	}
-	answer(last)
-	e.logGather(req, spec, out, time.Since(now))
+	answer(final)
+	e.logGather(req, spec, outcome, time.Since(now))
 }
 
-// partialAnswer is the answer with these attempts, less those that were told before.
+// partialAnswer returns an answer with the results of these attempts, without those in
+// reported, and adds them to reported.
 func (r *runner) partialAnswer(ids []scatter.AttemptID, reported map[scatter.AttemptID]bool) *gatherAnswer {
 	ans := &gatherAnswer{}
 	var bodies [][]byte
@@ -221,10 +227,10 @@
 			continue
 		}
 		reported[id] = true
-		part := r.answers[id]
+		reply := r.answers[id]
 		ans.Included = append(ans.Included, r.shards[id])
-		ans.Receipts = append(ans.Receipts, part.metadata.Receipt)
-		bodies = append(bodies, part.Body)
+		ans.Receipts = append(ans.Receipts, reply.metadata.Receipt)
+		bodies = append(bodies, reply.Body)
 	}
 	ans.Records = topk.Merge(r.req.Top, bodies)
 	return ans
--- a/edge/doc.go
+++ b/edge/doc.go
@@ -1,7 +1,7 @@
-// Package edge is the daemon that runs on the users' platform: it takes callers'
-// HTTP requests, sends them to leafs, and answers. Decisions are scatter's; what is
-// in force comes from routing and registry, which package platform fills.
+// Package edge is the daemon that runs on the users' platform. It accepts callers' HTTP
+// requests, sends them to leafs, and returns the answers. Package scatter makes the
+// decisions. The manifest and the leafs in force are kept by packages routing and registry,
+// which are filled from the store of package platform.
 //
-// Lock order: Engine.mu is the only lock around decisions and is never held during
-// I/O.
+// Lock order: Engine.mu is the only lock that guards decisions. It is never held during I/O.
 package edge
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -13,7 +13,7 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// Engine carries out requests. It is safe for concurrent use.
+// Engine serves callers' requests, and the calls of other VMs. It is safe for concurrent use.
 type Engine struct {
 	exchange         Exchange
 	pool             *leafhttp.Pool
@@ -23,9 +23,9 @@
 	log              *slog.Logger
 	stats            *stats
 	feed             *feed
-	livenessCheckDue wakeup // a call to another VM was not answered: others may be silent too
-	suspectVMs       wakeup // a call to another VM was not answered
-	suspectLeafs     wakeup // a leaf was silent or could not be reached
+	livenessCheckDue wakeup // a call to another VM failed, so check whether the others are alive
+	suspectVMs       wakeup // a call to another VM failed, or a liveness check did
+	suspectLeafs     wakeup // a leaf did not answer or could not be reached
 
 	mu         sync.Mutex // guards the fields below, queries in progress included
 	table      *scatter.Table
@@ -33,18 +33,18 @@
 	peerClient peerClient
 }
 
-// EngineOptions configure an Engine; all are required.
+// EngineOptions configures an Engine. All fields are required.
 type EngineOptions struct {
 	Exchange Exchange
 	Self     string  // name of this VM
-	Zone     string  // of this VM
-	Power    float64 // of this VM, in cores
+	Zone     string  // availability zone of this VM
+	Power    float64 // processor capacity of this VM, in cores
 	Budget   scatter.BudgetConfig
-	Seed     uint64 // of random choices
+	Seed     uint64 // seed of random choices
 	Log      *slog.Logger
 }
 
-// NewEngine returns an engine that knows no leafs and no manifest.
+// NewEngine returns an engine that knows no leafs and no manifest yet.
 func NewEngine(opt EngineOptions) *Engine {
 	rng := rand.New(rand.NewPCG(opt.Seed, opt.Seed>>1))
 	return &Engine{
@@ -64,7 +64,8 @@
 	}
 }
 
-// Offer puts a manifest in force if it is newer.
+// Offer puts a manifest in force if it is newer than the present one, and reports whether it
+// did.
 func (e *Engine) Offer(m *routing.Manifest) bool {
 	if !e.inForce.Offer(m) {
 		return false
@@ -83,8 +84,8 @@
 	return true
 }
 
-// applyLeafChanges applies changes of the list of leafs, which f makes, and forgets the
-// connections to leafs that are gone.
+// applyLeafChanges runs update to change the list of leafs, applies the resulting changes,
+// and closes the idle connections to removed leafs. It returns the changes.
 func (e *Engine) applyLeafChanges(update func(now time.Time, r *registry.Registry) []registry.Change) []registry.Change {
 	e.mu.Lock()
 	now := time.Now()
@@ -103,30 +104,31 @@
 	return changes
 }
 
-// Leafs returns the number of leafs that are known.
+// Leafs returns the number of known leafs, including those that are held after an outage of
+// the store.
 func (e *Engine) Leafs() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.registry.Len()
 }
 
-// setVMs takes the other VMs of the system.
+// setVMs replaces the list of the other VMs.
 func (e *Engine) setVMs(others []scatter.VM) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.table.SetVMs(time.Now(), others)
 }
 
-// Request is a caller's request, ready to be sent on.
+// Request is a caller's request in the form that is sent to leafs.
 type Request struct {
 	ID       string
 	HTTP     *leafhttp.Request
-	AnswerBy time.Time // when an answer has to leave to be there within the aim
-	Deadline time.Time // of the caller or of the route, whichever comes first
-	Top      int       // records of the answer to a gathered request
+	AnswerBy time.Time // latest time to send an answer that reaches the caller within the latency objective
+	Deadline time.Time // that of the caller or of the route, whichever is earlier
+	Top      int       // maximum number of records in the answer to a gathered request
 }
 
-// Result is what a caller is answered.
+// Result is the answer to a caller, with the outcome that led to it.
 type Result struct {
 	Status int
 	Header http.Header
@@ -135,7 +137,7 @@
 	Outcome scatter.Outcome
 }
 
-// setPeerClient takes the way to other VMs.
+// setPeerClient sets the client for calls to other VMs.
 func (e *Engine) setPeerClient(client peerClient) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -13,22 +13,22 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-// feed is what this VM knows of leafs and of the manifest, in the order in which it
-// learned it, for VMs that follow this one in place of the store. It is safe for
-// concurrent use.
+// feed keeps the leafs and the manifest that this VM knows, and the recent changes in the
+// order in which they were learned. VMs that follow this VM instead of the store read from
+// it. It is safe for concurrent use.
 type feed struct {
-	incarnation string // of this process; a position means nothing in another
+	incarnation string // identifies this process; positions are valid within one incarnation only
 
 	mu          sync.Mutex // guards the fields below
-	position    int64      // of the latest change
+	position    int64      // position of the latest change
 	log         []feedChange
-	leafs       map[string]registry.Leaf // by id
+	leafs       map[string]registry.Leaf // by leaf id
 	manifest    *routing.Manifest
-	changed     chan struct{} // closed at each change
-	lastSuccess map[string]time.Time
+	changed     chan struct{}        // closed and replaced at each change
+	lastSuccess map[string]time.Time // by resource; when the store last answered about it
 
-	packedList     []byte // of leafs; nil after a change
-	packedManifest []byte // nil after a change
+	packedList     []byte // packed leafs; nil after a change
+	packedManifest []byte // packed document of manifest; nil after a change
 }
 
 type feedChange struct {
@@ -36,8 +36,8 @@
 	change   registry.Change
 }
 
-// maxFeedLog is how many changes are kept for VMs that lag. One that lags further reads
-// the whole list.
+// maxFeedLog is how many changes are kept for VMs that lag behind. A VM that lags further
+// reads the whole list.
 const maxFeedLog = 2048
 
 func newFeed() *feed {
@@ -79,20 +79,21 @@
 	f.notifyWaiters()
 }
 
+// notifyWaiters wakes all waiters. The caller must hold f.mu.
 func (f *feed) notifyWaiters() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// recordSuccess notes that the store told what there is of something.
+// recordSuccess records that the store answered about a resource.
 func (f *feed) recordSuccess(resource string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastSuccess[resource] = time.Now()
 }
 
-// recordFailure notes that a call of the store failed. Those who follow this VM learn it at once:
-// the store may turn away this VM alone.
+// recordFailure records that a store call failed. VMs that follow this one are woken to learn
+// of it at once, because the store may be rejecting this VM alone.
 func (f *feed) recordFailure(resource string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,15 +101,15 @@
 	f.notifyWaiters()
 }
 
-// isFresh reports whether the store was heard of something within a time.
+// isFresh reports whether the store answered about a resource within the given time.
 func (f *feed) isFresh(resource string, within time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Since(f.lastSuccess[resource]) < within
 }
 
-// list returns all leafs, packed, and the position to go on from. Those who follow a VM
-// that starts ask for the same list at the same time.
+// list returns all leafs, packed, and the position from which to continue. The packed list is
+// kept, because the VMs that follow a starting VM request the same list at the same time.
 func (f *feed) list() ([]byte, int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,7 +123,7 @@
 	return f.packedList, f.position, nil
 }
 
-// document returns the manifest, packed.
+// document returns the packed document of the manifest.
 func (f *feed) document() ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,7 +137,8 @@
 	return f.packedManifest, nil
 }
 
-// changesSince returns the changes changesSince a position, false if they are not kept any more.
+// changesSince returns the changes after a position and the latest position. It returns false
+// if the position is unknown or some of the changes are no longer kept.
 func (f *feed) changesSince(position int64) ([]registry.Change, int64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,13 +154,16 @@
 	return changes, f.position, true
 }
 
+// current returns the manifest, nil if there is none, and a channel that is closed at the next
+// change.
 func (f *feed) current() (*routing.Manifest, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.manifest, f.changed
 }
 
-// waitFor waits until ready returns true after a change, or ctx ends.
+// waitFor waits until ready returns true or ctx ends. It calls ready at the start and after
+// each change.
 func (f *feed) waitFor(ctx context.Context, ready func() bool) {
 	for {
 		_, changed := f.current()
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -12,32 +12,33 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// watchShare is the part of the time within which a change has to be known that a
-// watch waits. Each call is paid for, but a watch is a hint that may be silent for good:
-// the store may have forgotten it, or something on the way the connection. The rest of
-// the time is for noticing and for reading anew.
+// watchShare is the time that a watch waits, as a share of the time within which a change
+// must be known. Store calls are billed, so a watch should wait long. But a watch is only a
+// hint and may stay silent permanently: the store may have dropped it, or the connection may
+// have been lost on the way. The remaining time is for noticing that and for reading the list
+// again.
 const watchShare = 0.6
 
-// Times of following the store.
+// Timeouts and pauses of following the store.
 const (
 	vmsWatchTimeout = 20 * time.Second
-	// The pauses after a watch that told something let the changes that come in a
-	// row be told by one call. A drain or a manifest has to be known within 3 s.
+	// Pauses after a watch that returned changes, so that the next call returns all changes
+	// that follow shortly after. A drain or a manifest must be known within 3 s.
 	manifestPause = 250 * time.Millisecond
 	leafsPause    = 500 * time.Millisecond
 	vmsPause      = 2 * time.Second
-	// The pauses after a call that failed. All VMs lose the store at once, so they
-	// are spread.
+	// Bounds of the pause after a call that failed. All VMs lose the store at the same time,
+	// so the pauses are randomized.
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 1500 * time.Millisecond
-	// vmsRetryPause is the pause before the list of VMs is read again after a watch of it
-	// failed: it changes little, and nothing waits for it.
+	// vmsRetryPause is the longest pause before the list of VMs is read again after a watch
+	// of it failed. The list rarely changes, and nothing waits for it.
 	vmsRetryPause = 4 * time.Second
-	// deferredReadPause is the pause of a VM that leaves the store to those that read it for
-	// others. Asking these costs no call of the store.
+	// deferredReadPause is the pause of a VM that leaves reading the store to the VMs that
+	// read it for others. Calls to these VMs cost no store call.
 	deferredReadPause = 200 * time.Millisecond
-	// firstStartPause is how long a VM of a system that starts for the first time waits until the
-	// others are announced. All start within 0.3 s.
+	// firstStartPause is how long a VM waits for the others to announce themselves when the
+	// whole system starts for the first time. All VMs start within 0.3 s.
 	firstStartPause = 600 * time.Millisecond
 )
 
@@ -48,18 +49,21 @@
 	settings    *Settings
 	self        scatter.VM
 	log         *slog.Logger
-	leafsListed chan struct{} // receives when the leafs were listed once
-	// ready reports whether this VM knows what it must to answer others. They call it
-	// from the moment when it is announced.
+	leafsListed chan struct{} // receives a value when the leafs have been listed
+	// ready reports whether this VM knows enough to answer calls of other VMs, which begin
+	// once it is announced.
 	ready     func() bool
 	announcer *announcer
-	// listen opens this VM to calls of the others; a second call does nothing.
+	// listen starts accepting calls of other VMs. It does nothing after the first success.
 	listen func(self scatter.VM) error
-	// joined is called when the other VMs are known; a second call does nothing.
+	// joined is called when the list of VMs has been read, or when listen fails. It does
+	// nothing after the first call.
 	joined func()
 }
 
-// backoff waits before the next try, longer after each failure in a row.
+// backoff waits before the next try. The longest pause doubles with each failure in a row, up
+// to maxRetryPause; the actual pause is random, at least half as long. It returns early when
+// ctx ends.
 func backoff(ctx context.Context, failures int) {
 	d := min(minRetryPause<<min(failures, 4), maxRetryPause)
 	sleep(ctx, d/2+rand.N(d/2))
@@ -74,23 +78,24 @@
 	}
 }
 
-// watchTimeout returns how long a watch waits for something that has to be known within a
-// bound, in milliseconds.
+// watchTimeout returns how long a watch waits for something that must be known within
+// boundMS, which is in milliseconds.
 func (f *follower) watchTimeout(boundMS float64) time.Duration {
 	return time.Duration(watchShare * boundMS * float64(time.Millisecond))
 }
 
-// resource is one thing that is followed: read whole, then watched.
+// resource is something in the store that is followed: it is read as a whole, and then
+// watched.
 type resource struct {
 	name string
 	read func(ctx context.Context) (Revision, error)
-	// watch takes what changed after a revision, and returns where to go on and
-	// whether anything did.
+	// watch waits for changes after a revision and applies them. It returns the revision to
+	// continue from and whether anything changed.
 	watch func(ctx context.Context, since Revision) (Revision, bool, error)
-	pause time.Duration // after a watch that told something
+	pause time.Duration // after a watch that returned changes
 }
 
-// follow reads and watches until ctx ends.
+// follow reads and watches a resource until ctx ends.
 func (f *follower) follow(ctx context.Context, res resource) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -116,15 +121,16 @@
 		err = f.watch(ctx, res, revision)
 		f.log.Debug("watch ended", "reading", res.name, "error", err)
 		if errors.Is(err, ErrHistoryCompacted) && time.Since(began) < res.pause {
-			// What was read may be older than what the store remembers: reading and
-			// watching could take turns for ever, a hundred times a second.
+			// The revision that was read may be older than the history that the store keeps.
+			// Without a pause, reading and watching could alternate endlessly, a hundred
+			// times a second.
 			sleep(ctx, res.pause)
 		}
 	}
 }
 
-// watch watches from a revision until a call fails. A watch that ends early and empty
-// is followed by a short pause: a store in trouble may end every one at once.
+// watch watches a resource from a revision until a call fails. A short pause follows a watch
+// that ends early without changes, because a store in trouble may end every watch at once.
 func (f *follower) watch(ctx context.Context, res resource, revision Revision) error {
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -141,7 +147,7 @@
 	return ctx.Err()
 }
 
-// manifests follows the manifest.
+// manifests returns the resource of the manifest.
 func (f *follower) manifests() resource {
 	apply := func(m *routing.Manifest) {
 		if m != nil && f.e.Offer(m) {
@@ -164,7 +170,7 @@
 	}
 }
 
-// leafs follows the list of leafs.
+// leafs returns the resource of the list of leafs.
 func (f *follower) leafs() resource {
 	var age listAge
 	return resource{
@@ -182,7 +188,7 @@
 				return r.Replace(now, list.Leafs)
 			}), list.Revision)
 			if list.Invalid > 0 {
-				f.log.Warn("entries that name no leaf", "count", list.Invalid, "revision", list.Revision)
+				f.log.Warn("invalid leaf entries ignored", "count", list.Invalid, "revision", list.Revision)
 			}
 			select {
 			case f.leafsListed <- struct{}{}:
@@ -213,25 +219,27 @@
 	}
 }
 
-// listAge is what a VM knows of how old its list of leafs was when it read it anew.
+// listAge records how old this VM's list of leafs was when the list was read again.
 type listAge struct {
-	failed  bool      // a reading failed since the list was last known to be fresh
-	freshAt time.Time // when that was
+	failed  bool      // a read failed since freshAt
+	freshAt time.Time // when the list was last known to be up to date; zero if never
 }
 
-// maxHoldShare is the part of the time within which a leaf that left must get no more
-// requests, after which a missing one is not held any longer.
+// maxHoldShare bounds how long a missing leaf is held, as a share of the time within which a
+// leaf that left must get no more requests.
 const maxHoldShare = 0.85
 
-// hold returns for how long leafs that are missing from a new list are held. After an
-// outage of the store their entries may have lapsed. If only the VM that was followed
-// failed, that may be so too; but a leaf may as well have left just after the list was
-// last known to be fresh, and is held no longer than it may get requests then.
+// hold returns for how long leafs that are missing from a new list are held, and marks the
+// list as fresh. bound is the time within which a leaf that left must get no more requests.
+// After an outage of the store, the entries of healthy leafs may have expired. This may also
+// be the case if only the VM that was followed failed. But then a leaf may also have left
+// just after the list was last known to be fresh, so it is held no longer than it may still
+// get requests.
 func (a *listAge) hold(now time.Time, afterOutage bool, bound time.Duration) time.Duration {
 	hold := time.Duration(0)
 	switch {
 	case afterOutage, a.failed && a.freshAt.IsZero():
-		// So too for a VM that has just started and at first found nobody to read from.
+		// This includes a VM that has just started and at first found no VM to read from.
 		hold = registry.LapseHold
 	case a.failed:
 		hold = min(registry.LapseHold, a.freshAt.Add(time.Duration(maxHoldShare*float64(bound))).Sub(now))
@@ -240,11 +248,11 @@
 	return max(hold, 0)
 }
 
-// maxChangeLines is how many changes of one listing are written one by one.
+// maxChangeLines is the number of changes up to which each change gets a log line of its own.
 const maxChangeLines = 12
 
-// logLeafChanges writes what this VM now believes of leafs: each change, or a summary where
-// there are many, as at the start.
+// logLeafChanges logs each change of the list of leafs, or a summary if there are many, as at
+// the start.
 func (f *follower) logLeafChanges(changes []registry.Change, revision Revision) {
 	if len(changes) > maxChangeLines {
 		f.log.Info("leafs changed", "count", len(changes), "leafs", f.e.Leafs(), "revision", revision)
@@ -257,7 +265,8 @@
 	}
 }
 
-// expireHeldLeafs drops the leafs that are still missing when the hold after an outage ends.
+// expireHeldLeafs removes the leafs that are still missing when the hold after an outage
+// ends.
 func (f *follower) expireHeldLeafs() {
 	f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
 		return r.Expire(now)
--- a/edge/follow_vms.go
+++ b/edge/follow_vms.go
@@ -8,7 +8,8 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// announce makes this VM known to the others once it is ready for their calls.
+// announce announces this VM to the others once it is ready for their calls. It retries until
+// it succeeds or ctx ends.
 func (f *follower) announce(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; failures++ {
 		if f.ready() {
@@ -16,14 +17,14 @@
 			if err == nil {
 				return
 			}
-			f.log.Warn("announcing failed", "error", err)
+			f.log.Warn("announcing this VM failed", "error", err)
 		}
 		backoff(ctx, failures)
 	}
 }
 
-// openToPeers lets other VMs call this one, whose entry in the list is found, empty if there is
-// none. A VM that can't be called serves its callers all the same.
+// openToPeers starts accepting calls of other VMs. entry is this VM's entry in the list of
+// VMs, empty if there is none. If listening fails, this VM still serves its callers.
 func (f *follower) openToPeers(entry scatter.VM) error {
 	self, err := f.announcer.ensureKey(entry)
 	if err != nil {
@@ -37,10 +38,10 @@
 	return nil
 }
 
-// vms follows the list of the system's VMs.
+// vms returns the resource of the list of VMs.
 func (f *follower) vms() resource {
 	known := make(map[string]scatter.VM)
-	settled := false
+	announcedEarly := false
 	apply := func(at Revision) {
 		others := make([]scatter.VM, 0, len(known))
 		for name, vm := range known {
@@ -75,11 +76,11 @@
 			if err != nil {
 				return 0, err
 			}
-			if f.settings.FirstStart && !settled {
-				// All VMs start at once, and each would take itself for the only one of
-				// its zone. One that is announced before it is ready declines what it
-				// is asked.
-				settled = true
+			if f.settings.FirstStart && !announcedEarly {
+				// All VMs start at the same time, and each would assume that it is the only
+				// VM of its zone. A VM that is announced before it is ready declines the
+				// calls that it gets.
+				announcedEarly = true
 				if err := f.announcer.ensureListed(ctx); err != nil {
 					return 0, err
 				}
--- a/edge/gather_codec.go
+++ b/edge/gather_codec.go
@@ -9,54 +9,59 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// The messages between VMs. They travel as CBOR bodies beside JSON-RPC notifications:
-// JSON-RPC walks through parameters several times and writes records as text.
+// Messages between VMs. They are CBOR bodies of JSON-RPC notifications, because JSON-RPC
+// parses parameters several times and encodes records as text.
 const (
-	methodGather   = "gather"   // gatherCall: ask the leafs of some shards
-	methodGathered = "gathered" // gatherAnswer: what they answered, in one message or two
+	methodGather   = "gather"   // gatherCall: query the leafs of some shards
+	methodGathered = "gathered" // gatherAnswer: their results, in one or more messages
 )
 
-// gatherCall asks a VM for the shards near it.
+// gatherCall is a call to another VM to query the shards that have leafs near it. Fields that
+// end in US are in microseconds; all but LatencyObjectiveUS count from the sending of the
+// call.
 type gatherCall struct {
-	Key                uint64      `cbor:"1,keyasint"` // of the call, chosen by the caller
-	ID                 string      `cbor:"2,keyasint"` // of the caller's request
+	Key                uint64      `cbor:"1,keyasint"` // identifies the call; chosen by the calling VM
+	ID                 string      `cbor:"2,keyasint"` // id of the caller's request
 	Method             string      `cbor:"3,keyasint"`
 	Target             string      `cbor:"4,keyasint"` // path and query
 	Host               string      `cbor:"5,keyasint"`
 	Header             http.Header `cbor:"6,keyasint"`
-	Services           []string    `cbor:"7,keyasint"` // one shard each
+	Services           []string    `cbor:"7,keyasint"` // one service for each shard
 	Top                int         `cbor:"8,keyasint"`
 	MaxAttempts        int         `cbor:"9,keyasint"`
 	LatencyObjectiveUS int64       `cbor:"10,keyasint"`
-	InterimUS          int64       `cbor:"11,keyasint"` // from now until a first answer with what has come in
-	AnswerUS           int64       `cbor:"12,keyasint"` // until the last one
-	DeadlineUS         int64       `cbor:"13,keyasint"` // until the caller's deadline
-	// Views is what the calling VM knows of each of Services.
+	InterimUS          int64       `cbor:"11,keyasint"` // until an answer with the results so far
+	AnswerUS           int64       `cbor:"12,keyasint"` // until the last answer
+	DeadlineUS         int64       `cbor:"13,keyasint"` // until the deadline of the caller's request
+	// Views describe what the calling VM knows of the leafs of each of Services.
 	Views []scatter.View `cbor:"14,keyasint"`
-	// Required is how many of Services the whole answer can't do without; 0 if not stated.
+	// Required is the number of Services without which the whole answer fails; 0 if not
+	// stated.
 	Required int `cbor:"15,keyasint,omitempty"`
-	// Redelegated says that another VM was called for the same before, and is silent.
+	// Redelegated is true if another VM was called for the same shards before and did not
+	// answer.
 	Redelegated bool `cbor:"16,keyasint,omitempty"`
 }
 
-// gatherAnswer is an answer to a gatherCall; an empty one acknowledges it. Each shard is in one
-// answer at most.
+// gatherAnswer is an answer to a gatherCall; an empty one acknowledges the call. Each shard
+// is in at most one answer.
 type gatherAnswer struct {
-	Key      uint64   `cbor:"1,keyasint"` // of the call
-	Included []int    `cbor:"2,keyasint"` // indexes of gatherCall.Services
-	Receipts []string `cbor:"3,keyasint"` // one for each of Included
-	Records  []byte   `cbor:"4,keyasint"` // the greatest ones of these shards
-	Last     bool     `cbor:"5,keyasint"` // no other answer follows
-	// Declined are indexes of gatherCall.Services that were not asked and won't be.
+	Key      uint64   `cbor:"1,keyasint"` // key of the gatherCall
+	Included []int    `cbor:"2,keyasint"` // indexes into gatherCall.Services
+	Receipts []string `cbor:"3,keyasint"` // one for each index in Included
+	Records  []byte   `cbor:"4,keyasint"` // merged top records of these shards
+	Last     bool     `cbor:"5,keyasint"` // no further answer follows
+	// Declined holds indexes into gatherCall.Services that were not queried and will not be.
 	Declined []int `cbor:"6,keyasint,omitempty"`
-	// Refused says that no leaf has run any of the others, and none will; the caller's
-	// caller should come back after RetryAfterUS. Only with Last.
+	// Refused is true if no leaf has run the request for any of the other shards, and none
+	// will. The caller of the request should retry after RetryAfterUS, in microseconds. Set
+	// only with Last.
 	Refused      bool  `cbor:"7,keyasint,omitempty"`
 	RetryAfterUS int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// decodeBody decodes a message. The other end is a VM of this system, perhaps of a
-// later release: unknown fields are passed over.
+// decodeBody decodes a message. The sender may be a VM of a later release, so unknown fields
+// are ignored.
 func decodeBody(body []byte, into any) error {
 	if err := cbor.Unmarshal(body, into); err != nil {
 		return result.Wrap(result.BadMessage, err, "body")
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -14,16 +14,16 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// answerMargin is taken off a caller's deadline for the way of the answer back.
+// answerMargin is subtracted from a caller's deadline for sending the answer back.
 const answerMargin = 6 * time.Millisecond
 
-// retryWithoutManifest is what a caller is told while no manifest is known. A VM that has just
-// started reads it within some hundred milliseconds.
+// retryWithoutManifest is the Retry-After time that callers get while no manifest is known. A
+// VM that has just started reads the manifest within a few hundred milliseconds.
 const retryWithoutManifest = 200 * time.Millisecond
 
-// ServeHTTP implements http.Handler for callers. There is no router in front of it
-// that would clean paths or answer by itself: every request is judged by the manifest
-// in force alone.
+// ServeHTTP implements http.Handler for callers. No router runs before it that would clean
+// paths or send answers of its own, so only the manifest in force decides how a request is
+// answered.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	m := e.inForce.Get()
@@ -57,7 +57,7 @@
 	writeResult(w, res)
 }
 
-// defaultBodyLimit holds where a manifest states no limit, in bytes.
+// defaultBodyLimit applies if a manifest states no limit, in bytes.
 const defaultBodyLimit = 1 << 20
 
 func bodyLimit(m *routing.Manifest) int64 {
@@ -76,21 +76,22 @@
 	e.rejectAndClose(w, r, status, "body", version)
 }
 
-// rejectAndClose answers a request that the manifest's limits forbid, and gives up its connection.
+// rejectAndClose answers a request that exceeds the manifest's limits or can't be read, and
+// closes its connection.
 func (e *Engine) rejectAndClose(w http.ResponseWriter, r *http.Request, status int, why string, version int64) {
 	e.logRefusal(r, status, why, version)
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(status)
 }
 
-// headerSize returns the bytes of a request line and its headers.
+// headerSize returns the size of a request line and its headers in bytes.
 func headerSize(r *http.Request) int {
 	const (
 		lineOverhead   = len("  HTTP/1.1\r\n")
 		headerOverhead = len(": \r\n")
 	)
 	size := len(r.Method) + len(r.RequestURI) + lineOverhead
-	size += len("Host") + len(r.Host) + headerOverhead // held apart from the other headers
+	size += len("Host") + len(r.Host) + headerOverhead // net/http keeps it apart from the other headers
 	for name, values := range r.Header {
 		for _, value := range values {
 			size += len(name) + len(value) + headerOverhead
@@ -99,7 +100,7 @@
 	return size
 }
 
-// requestTarget returns path and query as the caller wrote them.
+// requestTarget returns path and query as the caller sent them.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -107,7 +108,7 @@
 	return r.URL.RequestURI()
 }
 
-// newRequest prepares what leafs are sent.
+// newRequest returns the request to send to leafs.
 func (e *Engine) newRequest(r *http.Request, target string, body []byte, arrived time.Time, route *routing.Route) *Request {
 	timeout := route.Timeout
 	var shortfall time.Duration
@@ -135,13 +136,14 @@
 	}
 }
 
-// hopByHopHeaders concern one connection only.
+// hopByHopHeaders are headers that apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// forwardedHeaders returns the headers that are passed on, in either direction.
+// forwardedHeaders returns the headers to forward, in either direction: h without hop-by-hop
+// headers and without those in replaced.
 func forwardedHeaders(h http.Header, replaced []string) http.Header {
 	out := h.Clone()
 	for _, field := range h.Values("Connection") {
@@ -155,7 +157,7 @@
 	return out
 }
 
-// serve runs a request to its end.
+// serve runs a request and returns its result.
 func (e *Engine) serve(r *http.Request, req *Request, route *routing.Route) *Result {
 	spec := scatter.Spec{
 		Services:         route.Gather,
@@ -181,7 +183,7 @@
 	return run.singleResult(out)
 }
 
-// singleResult is the result of a request that is answered by one leaf, or by none.
+// singleResult returns the result of a request that was answered by one leaf, or by none.
 func (r *runner) singleResult(out scatter.Outcome) *Result {
 	res := &Result{Outcome: out, Header: http.Header{}}
 	switch out.Verdict {
@@ -200,12 +202,13 @@
 	return res
 }
 
-// formatSeconds writes a duration as Retry-After states it; fractions are allowed.
+// formatSeconds formats a duration for Retry-After, in seconds with three decimals. Fractions
+// are allowed.
 func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// replyUnavailable answers a request that was handed to nobody.
+// replyUnavailable answers 503 with Retry-After to a request that was sent to no leaf.
 func (e *Engine) replyUnavailable(w http.ResponseWriter, r *http.Request, why string, after time.Duration) {
 	e.logRefusal(r, http.StatusServiceUnavailable, why, 0)
 	w.Header().Set("Retry-After", formatSeconds(after))
@@ -218,10 +221,10 @@
 		header[name] = values
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		header["Content-Type"] = nil // none, rather than a guess
+		header["Content-Type"] = nil // prevents net/http from guessing one
 	}
 	header.Set("Content-Length", strconv.Itoa(len(res.Body)))
 	w.WriteHeader(res.Status)
-	// The caller is gone if this fails; nobody is left to be told.
+	// An error means that the caller has disconnected, so there is no one to report it to.
 	_, _ = w.Write(res.Body)
 }
--- a/edge/log.go
+++ b/edge/log.go
@@ -10,7 +10,7 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// logRequest writes the one line that sums a request up.
+// logRequest counts a request and writes the log line that summarizes it.
 func (e *Engine) logRequest(req *Request, route *routing.Route, version int64, res *Result, took time.Duration) {
 	out := res.Outcome
 	e.stats.request(route.Kind.String(), out, took)
@@ -32,7 +32,8 @@
 	)...)
 }
 
-// refusalFields says by which forecast a request was refused, if one was.
+// refusalFields returns the log fields of the forecast that refused a request, none if it was
+// not refused.
 func refusalFields(out scatter.Outcome) []any {
 	if out.Refusal == nil {
 		return nil
@@ -44,7 +45,7 @@
 	}
 }
 
-// logRefusal writes that a request was answered without being handed to anyone.
+// logRefusal counts and logs a request that was answered without being sent to a leaf.
 func (e *Engine) logRefusal(r *http.Request, status int, why string, version int64) {
 	e.stats.count(`bramley_edge_refusals_total{why=%q}`, why)
 	e.log.Info("request refused",
@@ -56,8 +57,8 @@
 	)
 }
 
-// logGather writes what became of a call by another VM, if that was out of the
-// ordinary.
+// logGather logs the outcome of another VM's call if the call was incomplete, retried or not
+// answered.
 func (e *Engine) logGather(req *Request, spec scatter.Spec, out scatter.Outcome, took time.Duration) {
 	if out.Missing == 0 && out.Verdict == scatter.Answered && out.Retries == 0 {
 		return
@@ -75,10 +76,11 @@
 	)...)
 }
 
-// maxNamedGaps is how many services a line names for one cause of gaps.
+// maxNamedGaps is how many services a log line names for each cause of gaps.
 const maxNamedGaps = 3
 
-// formatGaps says why shards had no answer: for each cause how many, and some of them by name.
+// formatGaps describes the shards without an answer: their number for each cause, and some of
+// their services.
 func formatGaps(gaps []scatter.Gap, services []string) string {
 	var text strings.Builder
 	for _, cause := range scatter.GapCauses() {
@@ -100,7 +102,7 @@
 	return text.String()
 }
 
-// logAttemptEnd writes an attempt that ended otherwise than with an answer.
+// logAttemptEnd logs an attempt that ended without a usable answer.
 func (r *runner) logAttemptEnd(s scatter.Send, ev event, err error) {
 	if ev.end == scatter.EndAnswered {
 		return
--- a/edge/merge.go
+++ b/edge/merge.go
@@ -8,27 +8,28 @@
 	"github.com/bramleybarrow/bramleybarrow/topk"
 )
 
-// ShardsAnswer is what a VM got from the leafs of some shards.
+// ShardsAnswer is the answer of some shards, from one leaf or from another VM.
 type ShardsAnswer struct {
-	Included []int    // the shards that answered, by their number in the query
-	Receipts []string // one for each
-	Records  []byte   // the greatest ones of these shards
+	Included []int    // numbers in the query of the shards that answered
+	Receipts []string // one for each shard in Included
+	Records  []byte   // merged top records of these shards
 
-	declined []int // the shards that this VM has not asked and won't
-	last     bool  // no other answer of this VM follows
+	declined []int // shards that the called VM has not queried and will not
+	last     bool  // no further answer to the call follows
 
-	refused    bool // no leaf has run any shard, and none will
+	refused    bool // no leaf has run the request for any shard, and none will
 	retryAfter time.Duration
 }
 
-// mergedResult is the result of a gathered request with the shards that out includes.
+// mergedResult returns the result of a gathered request, merged from the shards that out
+// includes.
 func (r *runner) mergedResult(out scatter.Outcome) *Result {
-	parts := r.collect(out)
-	bodies := make([][]byte, 0, len(parts))
+	answers := r.collect(out)
+	bodies := make([][]byte, 0, len(answers))
 	var receipts []string
-	for _, part := range parts {
-		bodies = append(bodies, part.Records)
-		receipts = append(receipts, part.Receipts...)
+	for _, answer := range answers {
+		bodies = append(bodies, answer.Records)
+		receipts = append(receipts, answer.Receipts...)
 	}
 	return &Result{
 		Status:  http.StatusOK,
@@ -38,15 +39,15 @@
 	}
 }
 
-// collect returns the answers that out includes, each shard in one of them only.
+// collect returns the answers that out includes. Each shard is in one of them only.
 func (r *runner) collect(out scatter.Outcome) []ShardsAnswer {
-	parts := make([]ShardsAnswer, 0, len(out.Parts)+len(out.CallAnswers))
+	answers := make([]ShardsAnswer, 0, len(out.Parts)+len(out.CallAnswers))
 	for _, id := range out.Parts {
 		ans := r.answers[id]
-		parts = append(parts, ShardsAnswer{Receipts: []string{ans.metadata.Receipt}, Records: ans.Body})
+		answers = append(answers, ShardsAnswer{Receipts: []string{ans.metadata.Receipt}, Records: ans.Body})
 	}
 	for _, n := range out.CallAnswers {
-		parts = append(parts, *r.callAnswers[n])
+		answers = append(answers, *r.callAnswers[n])
 	}
-	return parts
+	return answers
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -24,7 +24,7 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// Node is one daemon on the users' platform.
+// Node is a daemon on the users' platform.
 type Node struct {
 	settings  *Settings
 	store     Store
@@ -34,30 +34,31 @@
 	self      scatter.VM
 	tomb      tomb.Tomb
 	leaving   atomic.Bool
-	listed    atomic.Bool                   // the leafs were listed once
-	transport atomic.Pointer[peerTransport] // nil until this VM has joined the others
+	listed    atomic.Bool                   // the leafs have been listed at least once
+	transport atomic.Pointer[peerTransport] // nil until this VM has joined the other VMs
 
 	callerServer *http.Server
-	auxServers   []*http.Server // the balancer and operators
+	auxServers   []*http.Server // for the load balancer and operators
 	stop         context.CancelFunc
 }
 
-// Options of a Node; all are required.
+// Options configures a Node. All fields are required.
 type Options struct {
 	Settings  *Settings
 	Store     Store
 	Exchange  Exchange
-	ReadyPath string // at the ready address
+	ReadyPath string // path of the readiness check at the address Listen.Ready
 	Log       *slog.Logger
 }
 
-// Limits of the Go runtime.
+// Parameters of the Go runtime.
 const (
-	gcPercent   = 300 // memory is cheaper here than processor time
-	memoryShare = 0.6 // of the process's limit; what was received but not read counts beside
+	gcPercent   = 300 // GOGC in percent; memory is cheaper here than CPU time
+	memoryShare = 0.6 // share of the process's memory limit; received data that is not yet read counts in addition
 )
 
-// NewNode prepares a daemon. Nothing runs before Run.
+// NewNode returns a daemon that is not yet running, and sets the Go runtime's parameters for
+// the process.
 func NewNode(opt Options) *Node {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(opt.Settings.MemoryMB * memoryShare * (1 << 20)))
@@ -84,7 +85,7 @@
 	}
 }
 
-// Run serves until SIGTERM or SIGINT, then leaves in order.
+// Run serves until SIGTERM or SIGINT, then leaves in an orderly way.
 func (n *Node) Run() error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -94,8 +95,8 @@
 	}
 	for sig := range signals {
 		if sig == syscall.SIGHUP {
-			// All that a daemon must know is fixed for its life; the rest comes from
-			// the store. Without this the signal would end the process.
+			// A daemon's settings are fixed while it runs; everything else comes from the
+			// store. Without this case the signal would end the process.
 			n.log.Info("settings changed; nothing to reload")
 			continue
 		}
@@ -106,7 +107,8 @@
 	return nil
 }
 
-// Start listens and begins to follow the store.
+// Start opens the listeners and begins to follow the store. It doesn't wait until the daemon
+// is ready.
 func (n *Node) Start() error {
 	socket, err := listen(n.settings.Listen.Callers)
 	if err != nil {
@@ -140,7 +142,7 @@
 func (n *Node) serve(socket net.Listener, server *http.Server) {
 	n.tomb.Go(func() error {
 		if err := server.Serve(socket); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			n.log.Error("listener ended", "address", socket.Addr().String(), "error", err)
+			n.log.Error("serving a listener failed", "address", socket.Addr().String(), "error", err)
 		}
 		return nil
 	})
@@ -163,7 +165,7 @@
 	}
 }
 
-// isReady reports whether callers should come.
+// isReady reports whether callers should send requests to this VM.
 func (n *Node) isReady() bool {
 	return !n.leaving.Load() && n.listed.Load() && n.engine.inForce.Get() != nil
 }
@@ -186,7 +188,8 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// startLoops starts whatever keeps the daemon up to date with the store.
+// startLoops starts the background loops: following the store, announcing this VM,
+// maintaining connections, and probing.
 func (n *Node) startLoops(ctx context.Context) {
 	store := newRelay(n.store, n.engine, n.maxStaleness())
 	f := &follower{
@@ -219,17 +222,19 @@
 	n.tomb.Go(func() error { probeLoop(ctx, n.engine.suspectLeafs, n.probeLeafs); return nil })
 }
 
-// maxStaleShare is the part of the time within which a change has to be known that a VM
-// which tells others may have heard nothing from the store.
+// maxStaleShare is the longest time without an answer from the store after which a VM still
+// answers those that follow it, as a share of the time within which a change must be known.
 const maxStaleShare = 0.8
 
+// maxStaleness returns how old the latest answer from the store may be at a VM that others
+// follow.
 func (n *Node) maxStaleness() time.Duration {
 	bound := min(n.settings.Bounds.ManifestMS, n.settings.Bounds.DrainMS)
 	return time.Duration(maxStaleShare * bound * float64(time.Millisecond))
 }
 
-// followStore learns of the other VMs, and begins to follow the manifest and the leafs once it
-// knows who reads them for others.
+// followStore follows the list of VMs. Once this is known, and with it which VMs read the
+// store for others, it starts to follow the manifest and the leafs.
 func (n *Node) followStore(ctx context.Context, f *follower, store *relay) {
 	f.joined = sync.OnceFunc(func() {
 		store.delayFirstRead()
@@ -240,7 +245,7 @@
 	f.follow(ctx, f.vms())
 }
 
-// listen opens this VM to calls of the others.
+// listen starts accepting calls of other VMs, unless this VM has joined them already.
 func (n *Node) listen(self scatter.VM) error {
 	if n.transport.Load() != nil {
 		return nil
@@ -248,7 +253,7 @@
 	identity := wire.Identity{Deployment: "platform", VM: self.Name, Incarnation: uuid.NewString()}
 	p, err := joinPeers(n.engine, identity, n.settings.Listen.VMs, []byte(self.Key), logging.Part(n.log, "vms"))
 	if err != nil {
-		return errors.Annotate(err, "listen to VMs")
+		return errors.Annotate(err, "listen for other VMs")
 	}
 	n.transport.Store(p)
 	n.engine.setPeerClient(p)
@@ -256,7 +261,7 @@
 	return nil
 }
 
-// sweepPeriod is how often idle connections whose time is over are closed.
+// sweepPeriod is the interval at which expired idle connections are closed.
 const sweepPeriod = time.Second
 
 func (n *Node) sweepIdleConns(ctx context.Context) {
@@ -266,20 +271,21 @@
 	}
 }
 
-// Parts of the time between SIGTERM and SIGKILL. The balancer's list lags by some
-// seconds, so the daemon goes on serving for most of the time.
+// Shares of the time between SIGTERM and SIGKILL. The load balancer's list lags by some
+// seconds, so the daemon continues to serve for most of the time.
 const (
 	lameDuckShare = 0.7
 	drainShare    = 0.18
 )
 
-// Leave serves on while callers are led away, waits for what is in flight, and ends.
+// Leave marks this VM as not ready, continues to serve while the load balancer moves callers
+// to other VMs, waits for requests in flight, and stops.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), n.graceShare(lameDuckShare))
 	defer cancel()
 	if err := n.store.Withdraw(ctx, n.self.Name); err != nil {
-		n.log.Warn("withdrawing from the other VMs failed", "error", err)
+		n.log.Warn("removing this VM from the list of VMs failed", "error", err)
 	}
 	<-ctx.Done()
 	ctx, cancel = context.WithTimeout(context.Background(), n.graceShare(drainShare))
@@ -289,15 +295,16 @@
 	}
 	n.stop()
 	if p := n.transport.Load(); p != nil {
-		go p.close() // waits for calls in progress; the process need not
+		go p.close() // waits for calls in progress, which the process needn't do
 	}
 	for _, server := range n.auxServers {
-		// What is left is a question whether callers should come.
+		// Only readiness checks and metrics requests can be open here.
 		_ = server.Close()
 	}
 	n.log.Info("stopped")
 }
 
+// graceShare returns a share of the time between SIGTERM and SIGKILL.
 func (n *Node) graceShare(share float64) time.Duration {
 	return time.Duration(share * n.settings.GraceS * float64(time.Second))
 }
--- a/edge/pack.go
+++ b/edge/pack.go
@@ -9,16 +9,17 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// What VMs tell each other of leafs and manifests travels as compressed JSON. A manifest
-// of 1,900 routes told as it is to all VMs of a zone at once did not arrive within the
-// 0.5 s that they wait, and callers were refused for two more seconds after a loss of all
-// VMs. Packed, one of that many routes is below 50 kB (TestLargeManifestIsToldSmall).
+// Lists of leafs and manifests are sent between VMs as compressed JSON. Without compression,
+// a manifest of 1,900 routes that was sent to all VMs of a zone at once did not arrive within
+// their timeout of 0.5 s, and callers were refused for two more seconds after a loss of all
+// VMs. Packed, a manifest of that many routes is smaller than 50 kB
+// (TestLargeManifestIsSentCompressed).
 
-// maxUnpacked bounds what is unpacked, in bytes: several times the largest value of the
-// store, which is about 1 MB in another encoding.
+// maxUnpacked bounds the size of unpacked data, in bytes. It is several times the size of the
+// largest value in the store, which is about 1 MB in another encoding.
 const maxUnpacked = 16 << 20
 
-// pack encodes and compresses v.
+// pack encodes v as JSON and compresses it.
 func pack(v any) ([]byte, error) {
 	var packed bytes.Buffer
 	w, err := flate.NewWriter(&packed, flate.BestSpeed)
@@ -34,7 +35,7 @@
 	return packed.Bytes(), nil
 }
 
-// unpack decodes what pack made.
+// unpack decodes the output of pack. It returns a BadMessage error for invalid data.
 func unpack(packed []byte, into any) error {
 	r := io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked)
 	if err := json.NewDecoder(r).Decode(into); err != nil {
--- a/edge/pack_test.go
+++ b/edge/pack_test.go
@@ -21,10 +21,11 @@
 	return routing.NewManifest(doc)
 }
 
-// All VMs start at once under a manifest of 1,900 routes. Those that read the store are
-// asked by all others at once, whose calls time out while it is sent to every one, and
-// callers are refused for two more seconds. A manifest is told small, and arrives as it
-// was.
+// Guards against manifests that are too large to send to many VMs at once. When all VMs start
+// under a manifest of 1,900 routes, all others call the VMs that read the store at the same
+// time. Uncompressed, the calls time out while the manifest is sent to each VM, and callers
+// are refused for two more seconds. The manifest is sent compressed, and is received
+// unchanged.
 func TestLargeManifestIsSentCompressed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFeed()
@@ -38,8 +39,8 @@
 	g.Expect(received.Document).To(gomega.Equal(m.Document))
 }
 
-// What is kept packed is made anew after a change: a VM that starts later would get the
-// leafs and the manifest of before.
+// Guards against outdated packed bodies: if they were not rebuilt after a change, a VM that
+// starts later would receive the previous leafs and manifest.
 func TestPackedBodiesAreRebuiltAfterChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFeed()
@@ -66,7 +67,7 @@
 	g.Expect(received.Routes).To(gomega.HaveLen(2))
 }
 
-// Foreign bytes in place of a packed body are an error, not an empty list.
+// Bytes that are not a packed body cause an error, not an empty list.
 func TestUnpackRejectsInvalidBytes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var list []registry.Leaf
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -18,17 +18,18 @@
 
 // Parameters of connections between VMs.
 const (
-	// peerPingInterval is on an idle connection. Calls have their own, shorter bounds, and a VM
-	// that leaves one unanswered is probed; pings only clear away connections that
-	// nobody uses. Each wakes two processes.
+	// peerPingInterval is the interval of pings on an idle connection. Calls have shorter
+	// timeouts of their own, and a VM that leaves a call unanswered is probed, so pings only
+	// remove dead connections that are not in use. Each ping wakes two processes.
 	peerPingInterval   = 30 * time.Second
-	peerSilenceTimeout = 65 * time.Second       // two pings
-	peerDialTimeout    = 300 * time.Millisecond // for connect and hello
-	peerMaxCalls       = 64                     // served for one VM at once; each lasts less than one aim
-	peerUse            = "gather"
+	peerSilenceTimeout = 65 * time.Second       // two pings and some slack
+	peerDialTimeout    = 300 * time.Millisecond // bounds connecting and the hello exchange
+	peerMaxCalls       = 64                     // calls of one VM served at the same time; each takes less than one latency objective
+	peerUse            = "gather"               // purpose of the connections, stated when dialling
 )
 
-// peerTransport keeps one connection to each VM that is asked. It is safe for concurrent use.
+// peerTransport serves calls of other VMs, and implements peerClient with one connection to
+// each VM that is called. It is safe for concurrent use.
 type peerTransport struct {
 	opts     wire.Options
 	counters wire.Counters
@@ -37,17 +38,18 @@
 
 	mu      sync.Mutex // guards the fields below
 	links   map[string]*peerLink
-	pending map[uint64]chan<- *gatherAnswer // calls without a last answer, by key
+	pending map[uint64]chan<- *gatherAnswer // calls whose last answer is outstanding, by key
 	lastKey uint64
 }
 
-// peerLink is the connection to one VM, dialled by the first call that needs it.
+// peerLink is the connection to one VM. It is dialled by the first call that needs it.
 type peerLink struct {
 	mu   sync.Mutex // held while dialling
 	conn *wire.Conn
 }
 
-// joinPeers listens for other VMs, which must have this VM's key, and lets the engine call them.
+// joinPeers listens for other VMs, which must present this VM's key, and returns the
+// transport that also calls them.
 func joinPeers(e *Engine, self wire.Identity, listen string, key []byte, log *slog.Logger) (*peerTransport, error) {
 	p := &peerTransport{
 		log:     log,
@@ -109,10 +111,10 @@
 	}
 }
 
-// follow implements delegates.
+// follow implements peerClient.
 func (p *peerTransport) follow(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
 	link := p.link(vm)
-	conn, err := link.get(ctx, vm, p)
+	conn, err := link.ensureConn(ctx, vm, p)
 	if err != nil {
 		return err
 	}
@@ -129,25 +131,27 @@
 		err = conn.NotifyBody(methodGathered, body)
 	}
 	if err != nil {
-		p.log.Warn("answer to a VM lost", "vm", conn.Peer().VM, "error", err)
+		p.log.Warn("sending an answer to a VM failed", "vm", conn.Peer().VM, "error", err)
 	}
 }
 
-// deliver hands an answer to the call that waits for it.
+// deliver passes an answer to the call that waits for it.
 func (p *peerTransport) deliver(ans *gatherAnswer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if wait := p.pending[ans.Key]; wait != nil {
+	if answers := p.pending[ans.Key]; answers != nil {
 		select {
-		case wait <- ans:
-		default: // more answers than a call has
+		case answers <- ans:
+		default: // more answers than a call may have
 		}
 	}
 }
 
-// answersPerCall is how many messages may answer a call.
+// answersPerCall is the maximum number of messages that answer a call: the acknowledgement,
+// the declined shards, the interim answer and the last one.
 const answersPerCall = 4
 
+// registerCall returns the key of a new call, and a channel that receives its answers.
 func (p *peerTransport) registerCall() (uint64, <-chan *gatherAnswer) {
 	answers := make(chan *gatherAnswer, answersPerCall)
 	p.mu.Lock()
@@ -163,10 +167,10 @@
 	delete(p.pending, key)
 }
 
-// gather implements delegates.
+// gather implements peerClient.
 func (p *peerTransport) gather(ctx context.Context, vm scatter.VM, call *gatherCall, onSent func(), onAnswer func(*gatherAnswer)) error {
 	link := p.link(vm)
-	conn, err := link.get(ctx, vm, p)
+	conn, err := link.ensureConn(ctx, vm, p)
 	if err != nil {
 		return &neverSentError{err: err}
 	}
@@ -189,26 +193,26 @@
 				return nil
 			}
 		case <-conn.Done():
-			return result.Errorf(result.ExchangeFailed, "the connection ended")
+			return result.Errorf(result.ExchangeFailed, "connection closed before the last answer")
 		case <-ctx.Done():
-			// It may have gone silent, and a new one costs little.
+			// The connection may be dead, and a new one costs little.
 			link.drop(conn)
 			return ctx.Err()
 		}
 	}
 }
 
-// connect implements delegates.
+// connect implements peerClient.
 func (p *peerTransport) connect(ctx context.Context, vm scatter.VM) (bool, error) {
 	link := p.link(vm)
 	if link.connected() {
 		return false, nil
 	}
-	_, err := link.get(ctx, vm, p)
+	_, err := link.ensureConn(ctx, vm, p)
 	return err == nil, err
 }
 
-// ping implements delegates.
+// ping implements peerClient.
 func (p *peerTransport) ping(ctx context.Context, vm scatter.VM) error {
 	link := p.link(vm)
 	conn := link.current()
@@ -234,7 +238,8 @@
 	return link
 }
 
-func (l *peerLink) get(ctx context.Context, vm scatter.VM, p *peerTransport) (*wire.Conn, error) {
+// ensureConn returns the connection, and opens it if there is none.
+func (l *peerLink) ensureConn(ctx context.Context, vm scatter.VM, p *peerTransport) (*wire.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.connOpen() {
@@ -263,7 +268,7 @@
 	return l.conn
 }
 
-// connOpen reports whether there is a connection. It must hold l.mu.
+// connOpen reports whether there is an open connection. The caller must hold l.mu.
 func (l *peerLink) connOpen() bool {
 	if l.conn == nil {
 		return false
@@ -286,7 +291,7 @@
 	conn.Close()
 }
 
-// close ends all connections.
+// close stops serving and closes all connections.
 func (p *peerTransport) close() {
 	p.server.Stop()
 	p.mu.Lock()
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -10,11 +10,12 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// maxConcurrentProbes bounds the connections that are opened at once to those who did not answer.
-// A dead one takes the whole time of a dial.
+// maxConcurrentProbes bounds the number of probes at the same time. A probe of an unreachable
+// leaf or VM takes the whole dial timeout.
 const maxConcurrentProbes = 64
 
-// forEachLimited does something for all of a list, probesAtOnce at a time, and returns when all is done.
+// forEachLimited runs do for each item of a list, at most maxConcurrentProbes at a time, and
+// returns when all have finished.
 func forEachLimited[T any](list []T, do func(T)) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentProbes)
@@ -28,22 +29,23 @@
 	wg.Wait()
 }
 
-// wakeup wakes whoever looks for suspects. Raising it never waits.
+// wakeup wakes a probe loop. Notifications that are not yet received count as one, and notify
+// never blocks.
 type wakeup chan struct{}
 
 func newWakeup() wakeup { return make(wakeup, 1) }
 
-func (a wakeup) notify() {
+func (w wakeup) notify() {
 	select {
-	case a <- struct{}{}:
+	case w <- struct{}{}:
 	default:
 	}
 }
 
-// probeLoop makes a round of probes whenever one is due. A round returns whether it made any,
-// and when the next is due otherwise, zero for never. It sleeps while there is no suspect:
-// a process that wakes 8 times a second for nothing used a seventh of its processor time
-// for that (30.7 s of all VMs' on a calm day in place of 26.3).
+// probeLoop runs a round of probes whenever one is due. round reports whether it made any
+// probes, and if not, when the next one is due; the zero time means never. The loop sleeps
+// while there are no suspects: waking 8 times a second without work took a seventh of the CPU
+// time (on a quiet day 30.7 s instead of 26.3 s, for all VMs together).
 func probeLoop(ctx context.Context, woken wakeup, round func(context.Context) (made bool, next time.Time)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -65,11 +67,12 @@
 	}
 }
 
-// pingTimeout is for the answer of a VM that lives: several times the way there and back,
-// with a pause of a small VM.
+// pingTimeout bounds the wait for the answer of a VM that is alive: several round trips and a
+// pause of a small VM.
 const pingTimeout = 150 * time.Millisecond
 
-// checkVMs asks all VMs that this one calls whether they live, once one was silent.
+// checkVMs checks whether the VMs that this one calls are alive, after a call to one of them
+// was not answered.
 func (n *Node) checkVMs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	due := n.engine.table.DueForLivenessCheck(time.Now())
@@ -79,8 +82,8 @@
 	return len(due) > 0, time.Time{}
 }
 
-// checkVM asks one VM. If it does not say that it lives, it is not called until it is reached
-// on a new connection.
+// checkVM checks one VM. If the check fails, the VM is not called until it can be reached on
+// a new connection.
 func (n *Node) checkVM(ctx context.Context, client peerClient, vm scatter.VM) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -95,7 +98,7 @@
 	n.log.Info("VM does not say that it lives", "vm", vm.Name, "zone", vm.Zone, "error", err)
 }
 
-// probeVMs finds out which of the VMs that did not answer live.
+// probeVMs tries to connect to the VMs that did not answer.
 func (n *Node) probeVMs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectVMs(time.Now())
@@ -115,8 +118,8 @@
 	}
 }
 
-// probeLeafs finds out which of the leafs that did not answer can be reached. The connection
-// is kept if later ones are.
+// probeLeafs tries to connect to the leafs that did not answer. A new connection is kept if
+// this VM keeps connections to the leaf.
 func (n *Node) probeLeafs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectLeafs(time.Now())
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -14,21 +14,22 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// silentPeerClient are other VMs of which some do not say that they live.
+// silentPeerClient is a peerClient for which the VM named silentVM does not answer pings.
 type silentPeerClient struct {
 	noPeerClient
 	silentVM string
 }
 
-func (d *silentPeerClient) ping(_ context.Context, vm scatter.VM) error {
-	if vm.Name == d.silentVM {
+func (c *silentPeerClient) ping(_ context.Context, vm scatter.VM) error {
+	if vm.Name == c.silentVM {
 		return errors.New("silent")
 	}
 	return nil
 }
 
-// Several VMs lose power at once. One is found by a call; the other is found by asking, and
-// no call is lost on it. Those that live are called as before.
+// Guards against lost calls when several VMs fail at the same time, for example in a power
+// failure. A call finds the first one. Liveness checks find the other one before any call is
+// lost on it, and VMs that are alive are called as before.
 func TestVMThatFailsLivenessCheckIsNotCalled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -12,29 +12,30 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// Each call of the store is paid for, and 77 VMs that all watch it pay for as many
-// calls. In each zone a few VMs read the store; the others follow one of these over the
-// connections between VMs, and turn to the store when it fails them. A VM that lost the
-// store says so rather than pass on what may be old.
+// Store calls are billed, and 77 VMs that all watch the store make 77 times as many calls. So
+// a few VMs in each zone read the store. The others follow one of these over the connections
+// between VMs, and read the store themselves if it fails. A VM that lost the store reports
+// this instead of passing on data that may be stale.
 
-// relay is a Store whose leafs and manifest come from another VM if one serves them.
-// What belongs to leafs is used by one goroutine, and so is what belongs to manifests.
+// relay is a Store that reads leafs and the manifest from another VM if one serves them, else
+// from the embedded Store. Leafs and WatchLeafs must be called from a single goroutine, and
+// so must Manifest and WatchManifest.
 type relay struct {
 	Store
 	e            *Engine
-	maxStaleness time.Duration // how lately the other VM must have heard from the store
+	maxStaleness time.Duration // how old the other VM's latest answer from the store may be
 
 	leafsUpstream, manifestUpstream upstream
-	incarnation                     string // of the process that told the positions of leafs
+	incarnation                     string // incarnation of the VM that issued the positions of leafs
 
 	mu          sync.Mutex           // guards the fields below
-	avoidUntil  map[string]time.Time // VMs that failed, until when they are not followed
+	avoidUntil  map[string]time.Time // VMs that failed, and until when they are not followed
 	failing     map[string]bool      // VMs whose latest call failed
-	nextRead    time.Time            // until when nothing is read from the store
-	storeFailed bool                 // the store was, since leafs were last listed
+	nextRead    time.Time            // the store is not read before this time
+	storeFailed bool                 // a read of the store failed since leafs were last listed
 }
 
-// upstream is where something is read at present.
+// upstream is where a resource is read from at present.
 type upstream struct {
 	vm string // name of the VM that is followed; empty for the store
 }
@@ -42,22 +43,25 @@
 // avoidPeriod is how long a VM that failed is not followed.
 const avoidPeriod = 5 * time.Second
 
-// answerTimeout bounds the wait for an answer that is to come at once.
+// answerTimeout bounds the wait for an answer that is due at once. For a watch, the time that
+// it waits is added.
 const answerTimeout = 500 * time.Millisecond
 
-// A VM that others read the store for goes to it itself only now and then while that
-// fails: the store is mostly away for all, and what is away is paid for as well. In an
-// outage of 4.5 s 77 VMs made 1,043 such calls in vain; then each found its readers again.
+// A VM that normally follows others reads the store only rarely while they fail. Mostly the
+// store is then unavailable to all VMs, and failed calls are billed too. In an outage that
+// lasted 4.5 s, 77 VMs made 1,043 such calls without success; then each of them found its
+// readers again.
 const (
-	// startDelayShare is the part of the time within which a change has to be known that a
-	// VM which has just started waits for those that read the store.
+	// startDelayShare is how long a VM that has just started waits for the VMs that read the
+	// store, as a share of maxStaleness.
 	startDelayShare = 1.0 / 2
-	// retryDelayShare is the part of it between two readings that failed.
+	// retryDelayShare is the longest pause after a failed read of the store, as a share of
+	// maxStaleness.
 	retryDelayShare = 1.0 / 2
 )
 
-// errReadDeferred says that the store is left to the VMs that read it for others.
-var errReadDeferred = errors.New("edge: reading of the store is left to other VMs")
+// errReadDeferred means that the store is not read now, because other VMs read it.
+var errReadDeferred = errors.New("edge: read of the store deferred to other VMs")
 
 func newRelay(store Store, e *Engine, maxStaleness time.Duration) *relay {
 	return &relay{
@@ -69,7 +73,8 @@
 	}
 }
 
-// delayFirstRead is called when the other VMs are known.
+// delayFirstRead is called when the list of VMs is known. It gives the VMs that read the
+// store time to become available.
 func (r *relay) delayFirstRead() {
 	r.delayRead(time.Duration(startDelayShare * float64(r.maxStaleness)))
 }
@@ -86,7 +91,8 @@
 	return r.e.table.StoreReaders(time.Now())
 }
 
-// currentReader returns the VM to follow, false if this one is to read the store itself.
+// currentReader returns the VM to follow. It returns false if this VM reads the store itself,
+// or if all VMs that read it failed recently.
 func (r *relay) currentReader() (scatter.VM, bool) {
 	readers := r.storeReaders().Others
 	now := time.Now()
@@ -100,8 +106,8 @@
 	return scatter.VM{}, false
 }
 
-// mayReadStore reports whether the store is to be read now. If not, those who failed are asked
-// again next: they may have found the store.
+// mayReadStore reports whether this VM may read the store now. If not, the readers that
+// failed may be called again, because they may have reached the store again.
 func (r *relay) mayReadStore() bool {
 	if r.storeReaders().Self {
 		return true
@@ -113,12 +119,13 @@
 		clear(r.avoidUntil)
 		return false
 	}
-	// One reading at a time finds out whether the store is there.
+	// One read at a time checks whether the store is available.
 	r.nextRead = now.Add(time.Duration(retryDelayShare * float64(r.maxStaleness)))
 	return true
 }
 
-// sameUpstream reports whether something is still to be read where it was.
+// sameUpstream reports whether a resource is still to be read from up, and returns the VM to
+// follow if there is one.
 func (r *relay) sameUpstream(up upstream) (scatter.VM, bool) {
 	vm, follow := r.currentReader()
 	if !follow {
@@ -153,7 +160,7 @@
 func (r *relay) WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error) {
 	vm, same := r.sameUpstream(r.leafsUpstream)
 	if !same {
-		return LeafChanges{}, ErrHistoryCompacted // to be read anew, elsewhere
+		return LeafChanges{}, ErrHistoryCompacted // makes the caller read the list again, from the new upstream
 	}
 	if r.leafsUpstream.vm == "" {
 		c, err := r.Store.WatchLeafs(ctx, since, wait)
@@ -212,7 +219,8 @@
 	return m, 0, err
 }
 
-// recordListing takes how a listing of the store ended, and tells those who follow this VM.
+// recordListing records the result of a full read of the store, and reports it to the VMs
+// that follow this one. After a failure it delays the next read.
 func (r *relay) recordListing(resource string, err error) {
 	if err == nil {
 		r.e.feed.recordSuccess(resource)
@@ -227,8 +235,9 @@
 	r.storeFailed = true
 }
 
-// takeStoreFailed reports, once, whether a listing of the store failed since leafs were last
-// listed. That a VM which reads it was silent, or lost it, does not count.
+// takeStoreFailed reports whether a read of the store failed since leafs were last listed,
+// and clears the mark. Failures of a VM that reads the store do not count, nor does its loss
+// of the store.
 func (r *relay) takeStoreFailed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -237,16 +246,16 @@
 	return failed
 }
 
-// recordWatch tells them of a watch. One that failed says little: the listing that follows
-// at once shows whether the store is lost, and if every VM turned to the store whenever
-// watches are cut, these would be as many calls as if nobody followed.
+// recordWatch records a watch that succeeded. A failed watch is ignored, because the full
+// read that follows immediately shows whether the store is lost. If all followers read the
+// store whenever watches are cut, they would make as many calls as without a relay.
 func (r *relay) recordWatch(resource string, err error) {
 	if err == nil {
 		r.e.feed.recordSuccess(resource)
 	}
 }
 
-// manifest returns the manifest of an answer, nil if it has none.
+// manifest returns the manifest of an answer, nil if the answer has none.
 func (a *manifestAnswer) manifest() (*routing.Manifest, error) {
 	if a.Document == nil {
 		return nil, nil
@@ -258,8 +267,8 @@
 	return routing.NewManifest(doc), nil
 }
 
-// callReader makes one call to a VM that reads the store. One that fails is not followed for
-// some time.
+// callReader makes one call to a VM that reads the store. If the call fails, the VM is not
+// followed for avoidPeriod.
 func (r *relay) callReader(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
 	call.MaxStalenessMS = r.maxStaleness.Milliseconds()
 	wait := time.Duration(call.WaitMS)*time.Millisecond + answerTimeout
@@ -271,10 +280,10 @@
 	return err
 }
 
-// recordReaderCall takes how a call to a VM that reads the store ended.
+// recordReaderCall records the result of a call to a VM that reads the store.
 func (r *relay) recordReaderCall(vm scatter.VM, method string, err error) {
 	if result.Of(err) == result.PositionGone {
-		err = nil // it answers; this VM lags
+		err = nil // the reader works; this VM lags behind
 	}
 	r.mu.Lock()
 	failedBefore := r.failing[vm.Name]
--- a/edge/relay_serve.go
+++ b/edge/relay_serve.go
@@ -9,41 +9,43 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// The inner calls of following. They are few, so their parameters are JSON.
+// Methods by which a VM follows another one. Calls are rare, so their parameters are JSON.
 const (
 	methodFollowLeafs    = "follow_leafs"
 	methodFollowManifest = "follow_manifest"
 )
 
-// followCall asks for what is new since a position.
+// followCall requests the changes after a position, or everything.
 type followCall struct {
-	Incarnation    string `json:"life"` // of the VM's process that told the position
+	Incarnation    string `json:"life"` // incarnation of the VM that issued Position
 	Position       int64  `json:"position"`
-	List           bool   `json:"list"` // everything, at once
+	List           bool   `json:"list"` // return everything, at once
 	WaitMS         int64  `json:"wait_ms"`
-	MaxStalenessMS int64  `json:"within_ms"` // how fresh it has to be
+	MaxStalenessMS int64  `json:"within_ms"` // longest time since the store answered the called VM
 }
 
-// leafsAnswer is the answer to methodFollowLeafs.
+// leafsAnswer is the result of methodFollowLeafs.
 type leafsAnswer struct {
 	Incarnation string            `json:"life"`
 	Position    int64             `json:"position"`
-	Leafs       []byte            `json:"leafs,omitempty"`   // of a list: packed []registry.Leaf
-	Changes     []registry.Change `json:"changes,omitempty"` // otherwise
+	Leafs       []byte            `json:"leafs,omitempty"`   // if List was set: packed []registry.Leaf
+	Changes     []registry.Change `json:"changes,omitempty"` // if List was not set
 }
 
-// manifestAnswer is the answer to methodFollowManifest. The position is the version.
+// manifestAnswer is the result of methodFollowManifest, for which followCall.Position is a
+// manifest version.
 type manifestAnswer struct {
-	Document []byte `json:"document,omitempty"` // packed routing.Document; none: not newer
+	Document []byte `json:"document,omitempty"` // packed routing.Document; absent if there is no newer one
 }
 
-// Names of what is followed.
+// Names of the resources that are followed.
 const (
 	followedLeafs    = "leafs"
 	followedManifest = "manifest"
 )
 
-// serveFollowLeafs answers a VM that follows this one.
+// serveFollowLeafs serves a VM that follows the leafs of this one. It waits for changes for
+// up to WaitMS.
 func (e *Engine) serveFollowLeafs(ctx context.Context, call *followCall) (*leafsAnswer, error) {
 	within := time.Duration(call.MaxStalenessMS) * time.Millisecond
 	if !e.feed.isFresh(followedLeafs, within) {
@@ -77,7 +79,8 @@
 	return &leafsAnswer{Incarnation: e.feed.incarnation, Position: position, Changes: changes}, nil
 }
 
-// serveFollowManifest answers a VM that follows this one.
+// serveFollowManifest serves a VM that follows the manifest of this one. It waits for a newer
+// manifest for up to WaitMS.
 func (e *Engine) serveFollowManifest(ctx context.Context, call *followCall) (*manifestAnswer, error) {
 	fresh := func() bool {
 		return e.feed.isFresh(followedManifest, time.Duration(call.MaxStalenessMS)*time.Millisecond)
@@ -107,11 +110,11 @@
 }
 
 var (
-	errStoreStale      = result.Errorf(result.PlatformDown, "this VM has not heard from the store lately")
-	errPositionUnknown = result.Errorf(result.PositionGone, "the position is not known")
+	errStoreStale      = result.Errorf(result.PlatformDown, "this VM has no recent answer from the store")
+	errPositionUnknown = result.Errorf(result.PositionGone, "the position is unknown or no longer kept")
 )
 
-// decodeFollow decodes the parameters of a call.
+// decodeFollow decodes the parameters of a follow call.
 func decodeFollow(params json.RawMessage) (*followCall, error) {
 	call := new(followCall)
 	if err := json.Unmarshal(params, call); err != nil {
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// listingStore lists leafs, or fails.
+// listingStore lists one leaf, and returns err.
 type listingStore struct {
 	Store
 	err error
@@ -25,21 +25,21 @@
 	return LeafList{Leafs: []registry.Leaf{{ID: "leaf-1"}}}, s.err
 }
 
-// failingPeerClient answers every call to follow with an error.
+// failingPeerClient fails every follow call with err.
 type failingPeerClient struct {
 	noPeerClient
 	err error
 }
 
-func (d *failingPeerClient) follow(context.Context, scatter.VM, string, *followCall, any) error {
-	return d.err
+func (c *failingPeerClient) follow(context.Context, scatter.VM, string, *followCall, any) error {
+	return c.err
 }
 
-// newFollowingRelay returns a relay of a VM that others read the store for.
-func newFollowingRelay(store Store, d peerClient) *relay {
-	e := &Engine{log: logging.Discard(), stats: newStats(), feed: newFeed(), peerClient: d}
+// newFollowingRelay returns a relay of a VM for which others read the store.
+func newFollowingRelay(store Store, client peerClient) *relay {
+	e := &Engine{log: logging.Discard(), stats: newStats(), feed: newFeed(), peerClient: client}
 	for i := range 20 {
-		// One of many names sorts behind two others.
+		// Of many names, one sorts behind the two others.
 		name := string(rune('a' + i))
 		e.table = scatter.NewTable(scatter.VM{Name: name, Zone: "a"}, scatter.BudgetConfig{}, time.Now(), rand.New(rand.NewPCG(1, 2)))
 		e.table.SetVMs(time.Now(), []scatter.VM{{Name: "vm-1", Zone: "a"}, {Name: "vm-2", Zone: "a"}})
@@ -50,17 +50,17 @@
 	return newRelay(store, e, time.Millisecond)
 }
 
-// The VM that reads the store for a zone fails. Those who followed it list the store
-// themselves, which is no sign that the store itself was away.
+// Guards against treating the failure of a VM that reads the store as an outage of the store.
+// The VMs that followed it list the store themselves.
 func TestReaderFailureIsNotAStoreOutage(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		err   error
-		store error
-		away  bool
+		name   string
+		err    error
+		store  error
+		outage bool
 	}{
 		{"silent", result.Errorf(result.PeerSilent, "no answer"), nil, false},
-		{"gone", errors.New("connection refused"), nil, false},
+		{"unreachable", errors.New("connection refused"), nil, false},
 		{"has lost the store", errStoreStale, nil, false},
 		{"silent, and the store fails once", result.Errorf(result.PeerSilent, "no answer"), errors.New("down"), true},
 	} {
@@ -76,13 +76,14 @@
 			}
 			return err
 		}, "5s").Should(gomega.Succeed())
-		g.Expect(list.AfterOutage).To(gomega.Equal(c.away), c.name)
+		g.Expect(list.AfterOutage).To(gomega.Equal(c.outage), c.name)
 	}
 }
 
-// The VM that reads the store for a zone freezes, and a leaf leaves meanwhile. Those who
-// followed it find the leaf missing after 3.5 s. Were it held as after an outage, it would
-// get requests for 5.7 s where 5 s are allowed.
+// Guards against holding a leaf too long that left while the VM that reads the store was
+// frozen. The VMs that followed it find the leaf missing after 3.5 s. If they held it as
+// after an outage of the store, it would get requests for 5.7 s, although at most 5 s are
+// allowed.
 func TestMissingLeafIsHeldNoLongerThanDrainBound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const bound = 5 * time.Second
--- a/edge/run.go
+++ b/edge/run.go
@@ -11,60 +11,61 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// runner is one query in progress. Its fields belong to the goroutine that runs loop;
-// attempts reach it through events alone, and may outlive it.
+// runner is a query in progress. Its fields belong to the goroutine that runs loop. Attempts
+// and calls run in goroutines of their own, which report only through events and may outlive
+// loop.
 type runner struct {
 	e        *Engine
 	req      *Request
 	spec     scatter.Spec
 	query    *scatter.Query
 	events   chan event
-	done     chan struct{} // closed when loop returns
+	done     chan struct{} // closed after loop has returned
 	attempts context.Context
-	cancel   context.CancelFunc // of attempts
+	cancel   context.CancelFunc // cancels attempts
 
 	answers     map[scatter.AttemptID]*reply
-	shards      map[scatter.AttemptID]int // that each attempt asks for
-	callAnswers []*ShardsAnswer           // in the order in which the query took them
+	shards      map[scatter.AttemptID]int // shard number of each attempt
+	callAnswers []*ShardsAnswer           // in the order in which they were passed to the query
 
-	// Of a query for another VM; zero for a caller's.
-	interim    time.Time                 // when tell gets what was answered by then
-	onInterim  func([]scatter.AttemptID) // gets the attempts that answered
-	onDeclined func(shards []int)        // gets the shards that are not asked
+	// Set for a query on behalf of another VM, zero for a caller's query.
+	interim    time.Time                 // when onInterim runs; zero after that
+	onInterim  func([]scatter.AttemptID) // receives the attempts answered so far
+	onDeclined func(shards []int)        // receives the shards that are not queried
 }
 
-// event is the end of an attempt or of a call to another VM.
+// event reports the progress or the end of an attempt or of a call to another VM.
 type event struct {
 	attempt scatter.AttemptID
-	call    scatter.CallID // set for a call
-	sent    bool           // the call was written
+	call    scatter.CallID // set if the event concerns a call
+	sent    bool           // the call was written to the connection
 	end     scatter.End
 	reply   *reply
 	shards  *ShardsAnswer
-	// neverSent says of a failed call that the VM did not get it.
+	// neverSent is true if the call failed before the VM received it.
 	neverSent bool
 }
 
-// reply is a leaf's answer with what it says.
+// reply is a leaf's answer with the metadata from its headers.
 type reply struct {
 	*leafhttp.Answer
 	metadata LeafMetadata
 }
 
-// failed reports whether the leaf ran the request and failed. An answer that blames
-// the request is passed on: another leaf would say the same.
+// failed reports whether the leaf ran the request and failed. An answer that blames the
+// request is passed on to the caller, because another leaf would answer the same.
 func (r *reply) failed() bool { return r.Status >= http.StatusInternalServerError }
 
-// How long attempts in flight go on after a query.
+// How long attempts in flight continue after the end of a query.
 const (
-	// lingerAbandoned is for a caller that left, and for a gathered request that has been
-	// answered: leafs should not work for nobody, but closing a connection costs a
-	// new one, so a leaf gets the time of most requests to finish, and one that pauses
-	// the time to say that it has stopped. Another VM's caller may have left long
-	// before; this VM is not told, so it never waits for the deadline.
+	// lingerAbandoned applies if the caller has disconnected, or if a gathered request has
+	// been answered. Leafs should not work on unwanted results, but cancelling an attempt
+	// closes its connection, which costs a new one. So a leaf gets enough time to finish most
+	// requests, and one that is paused gets time to report that it stopped. If another VM
+	// made the call, its caller may have disconnected long before without this VM being
+	// notified, so such a query never waits for the deadline.
 	lingerAbandoned = 300 * time.Millisecond
-	// lingerLate is added to the caller's deadline, at which leafs stop by
-	// themselves.
+	// lingerLate is added to the caller's deadline, at which leafs stop by themselves.
 	lingerLate = 60 * time.Millisecond
 )
 
@@ -83,7 +84,7 @@
 	}
 }
 
-// run carries the query out to its end. ctx ends when the caller leaves.
+// run executes the query and returns its outcome. ctx ends when the caller disconnects.
 func (r *runner) run(ctx context.Context) scatter.Outcome {
 	out := r.loop(ctx)
 	close(r.done)
@@ -96,9 +97,11 @@
 	return out
 }
 
-// eventBuffer lets attempts end without waiting for the loop.
+// eventBuffer is additional capacity of the event channel, so that attempts can end without
+// waiting for loop.
 const eventBuffer = 8
 
+// loop runs the query until it finishes. It is the only user of r.query.
 func (r *runner) loop(ctx context.Context) scatter.Outcome {
 	r.query = scatter.NewQuery(r.spec, r.e.table)
 	acts, wake := r.step(r.query.Start)
@@ -128,8 +131,8 @@
 	}
 }
 
-// tick lets the query see that time has passed, unless there is news: a VM that was short of
-// processor time must not take for silent who has answered meanwhile.
+// tick processes a pending event, or else lets the query handle the passing of time. If this
+// VM was short of CPU time, an answer that has arrived must not be classified as missing.
 func (r *runner) tick() ([]scatter.Action, time.Time) {
 	select {
 	case ev := <-r.events:
@@ -139,7 +142,7 @@
 	}
 }
 
-// earlier returns the earlier of two times; b may be zero for never.
+// earlier returns the earlier of two times. If b is zero, it stands for never.
 func earlier(a, b time.Time) time.Time {
 	if !b.IsZero() && b.Before(a) {
 		return b
@@ -147,6 +150,8 @@
 	return a
 }
 
+// step lets f change the query under Engine.mu. It returns the actions to execute and the time
+// of the next tick.
 func (r *runner) step(f func(now time.Time) []scatter.Action) ([]scatter.Action, time.Time) {
 	r.e.mu.Lock()
 	defer r.e.mu.Unlock()
@@ -154,6 +159,7 @@
 	return f(now), r.query.Wake(now)
 }
 
+// handleEvent passes an event to the query.
 func (r *runner) handleEvent(ev event) ([]scatter.Action, time.Time) {
 	return r.step(func(now time.Time) []scatter.Action {
 		switch {
@@ -180,8 +186,8 @@
 	})
 }
 
-// answerFailed reports whether an answer is of no use. A gathered request needs a part
-// from each shard, so anything but a success is a failure.
+// answerFailed reports whether an answer can't be used. A gathered request needs the result
+// of each shard, so any status outside 2xx is a failure.
 func (r *runner) answerFailed(ans *reply) bool {
 	if r.spec.Gathered {
 		return ans.Status/100 != 2
@@ -189,6 +195,7 @@
 	return ans.failed()
 }
 
+// execute starts the actions. It returns the outcome and true if the query has finished.
 func (r *runner) execute(acts []scatter.Action) (scatter.Outcome, bool) {
 	for _, act := range acts {
 		switch a := act.(type) {
@@ -204,16 +211,18 @@
 	return scatter.Outcome{}, false
 }
 
+// poolKey returns the key of the connections to one incarnation of a leaf.
 func poolKey(id scatter.LeafID) string { return id.ID + "/" + strconv.FormatInt(id.Born, 10) }
 
-// send makes one attempt. It ends by itself and tells the table, also when the query
-// has long ended.
+// send makes one attempt and records its end in the table, even if the query has ended long
+// before.
 func (r *runner) send(s scatter.Send) {
 	ctx, cancel := context.WithDeadline(r.attempts, s.Until.Add(r.linger()))
 	defer cancel()
 	peer := leafhttp.Peer{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
 	var metadata LeafMetadata
-	// A leaf may send the answer to an earlier request late, where the next is expected.
+	// A leaf may send a late answer to an earlier request where the answer to the next one is
+	// expected.
 	matches := func(ans *leafhttp.Answer) bool {
 		metadata = r.e.exchange.FromLeaf(ans.Status, ans.Header)
 		return metadata.RequestID == "" || metadata.RequestID == r.req.ID
@@ -226,7 +235,7 @@
 		ev.end = endOfAttempt(ctx, err)
 	}
 	if ev.end == scatter.EndSilent {
-		// Others to this leaf may be as silent.
+		// Other connections to this leaf may be dead too.
 		r.e.pool.Forget(peer.Key)
 	}
 	r.e.mu.Lock()
@@ -244,7 +253,7 @@
 	r.post(ev)
 }
 
-// linger is how long an attempt goes on after the leaf should have stopped.
+// linger returns how long an attempt continues after the leaf should have stopped.
 func (r *runner) linger() time.Duration {
 	if r.spec.Gathered {
 		return lingerAbandoned
@@ -252,12 +261,13 @@
 	return lingerLate
 }
 
-// expirySlack is how much before its time a leaf may stop, since it is told whole
-// milliseconds.
+// expirySlack is how long before its deadline a leaf may stop, because it gets the remaining
+// time in whole milliseconds.
 const expirySlack = 2 * time.Millisecond
 
-// classifyAnswer tells what a leaf's answer is worth. Without a receipt it proves nothing: a
-// success is spoilt, and a failure may have come after the request ran.
+// classifyAnswer returns how an attempt with this answer ended, and the reply if it can be
+// used. An answer without a receipt proves nothing: a success can't be trusted, and a failure
+// may have been sent after the request ran.
 func (r *runner) classifyAnswer(s scatter.Send, ans *leafhttp.Answer, metadata LeafMetadata) (*reply, scatter.End) {
 	answer := &reply{Answer: ans, metadata: metadata}
 	switch {
@@ -279,6 +289,8 @@
 	}
 }
 
+// endOfAttempt classifies an attempt that ended with err: EndUnreachable if no connection could
+// be opened, EndSilent if its time ran out, else EndBroken.
 func endOfAttempt(ctx context.Context, err error) scatter.End {
 	var unreachable *leafhttp.UnreachableError
 	switch {
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -12,34 +12,37 @@
 )
 
 // Settings is the JSON settings file of a daemon on the users' platform.
-// deploy/settings.json.tmpl makes it from what the platform states.
+// deploy/settings.json.tmpl creates it from the values that the platform provides.
 type Settings struct {
-	Name   string         `json:"name"` // of this VM
+	Name   string         `json:"name"` // name of this VM
 	Zone   string         `json:"zone"` // availability zone
 	Listen ListenSettings `json:"listen"`
 	Store  string         `json:"store"` // IP and port of the platform's store
-	// FirstStart says that the whole system starts for the first time, so that no VM is
-	// known to the store yet.
+	// FirstStart is true if the whole system starts for the first time, so that the store
+	// lists no VM yet.
 	FirstStart bool           `json:"first_start"`
-	GraceS     float64        `json:"grace_s"` // from SIGTERM until the process is killed
+	GraceS     float64        `json:"grace_s"` // time from SIGTERM until the process is killed, in seconds
 	Bounds     BoundSettings  `json:"bounds"`
 	Budget     BudgetSettings `json:"budget"`
-	// Power is the processor of this VM, in cores. VMs with more of it are asked more.
+	// Power is the CPU capacity of this VM, in cores. VMs with more capacity get more calls.
 	Power float64 `json:"power"`
-	// MemoryMB is what the process may use; beyond it the process is killed.
+	// MemoryMB is the memory limit of the process, in MB. The platform kills a process that
+	// exceeds it.
 	MemoryMB float64 `json:"memory_mb"`
 	LogLevel string  `json:"log_level"` // debug, info, warn or error
 }
 
-// ListenSettings holds the addresses that a daemon serves, IP and port each.
+// ListenSettings holds the addresses on which a daemon listens, each an IP address and a
+// port.
 type ListenSettings struct {
 	Callers string `json:"callers"`
-	Ready   string `json:"ready"`   // the balancer's question whether callers should come
-	VMs     string `json:"vms"`     // other VMs
-	Metrics string `json:"metrics"` // operators
+	Ready   string `json:"ready"`   // readiness checks of the load balancer
+	VMs     string `json:"vms"`     // calls of other VMs
+	Metrics string `json:"metrics"` // metrics for operators
 }
 
-// BoundSettings says within which time a change in the store has to be known here.
+// BoundSettings holds the time within which this VM must know a change in the store, in
+// milliseconds.
 type BoundSettings struct {
 	ManifestMS float64 `json:"manifest_ms"`
 	DrainMS    float64 `json:"drain_ms"`
@@ -49,14 +52,14 @@
 	return time.Duration(b.DrainMS * float64(time.Millisecond))
 }
 
-// BudgetSettings bounds the extra load on leafs by all VMs together.
+// BudgetSettings bounds the extra load that all VMs together put on leafs.
 type BudgetSettings struct {
-	Ratio   float64 `json:"ratio"`    // extra arrivals for each request
-	Floor   float64 `json:"floor"`    // extra arrivals in a window beside the ratio
-	WindowS float64 `json:"window_s"` // sliding
+	Ratio   float64 `json:"ratio"`    // extra arrivals per request
+	Floor   float64 `json:"floor"`    // extra arrivals per window in addition to the ratio
+	WindowS float64 `json:"window_s"` // length of the sliding window, in seconds
 }
 
-// config returns the budget as the core takes it.
+// config returns the budget in the form that package scatter uses.
 func (b BudgetSettings) config() scatter.BudgetConfig {
 	return scatter.BudgetConfig{
 		Ratio:  b.Ratio,
@@ -65,14 +68,14 @@
 	}
 }
 
-// LoadSettings reads and checks a settings file. The error names each field that is
-// amiss, what was found and what is allowed.
+// LoadSettings reads and validates a settings file. The error names each invalid field, the
+// value found and the allowed values.
 func LoadSettings(path string) (*Settings, error) {
 	s := &Settings{}
 	return s, settings.LoadInto(path, s, s.validate)
 }
 
-// ParseSettings reads and checks settings.
+// ParseSettings reads and validates settings, with the same errors as LoadSettings.
 func ParseSettings(data []byte) (*Settings, error) {
 	s := &Settings{}
 	return s, settings.ParseInto(data, s, s.validate)
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -24,8 +24,9 @@
 	g.Expect(set.Budget.Floor).To(gomega.Equal(54.0))
 }
 
-// A daemon starts with a store address that is none, or a bound of 0, and fails hours
-// later. Every fault is named before it starts.
+// Guards against a daemon that starts with an invalid setting, such as an invalid store
+// address or a bound of 0, and fails hours later. All invalid fields are reported before the
+// start.
 func TestAllInvalidSettingsAreReported(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, err := ParseSettings([]byte(`{
--- a/edge/spent.go
+++ b/edge/spent.go
@@ -7,56 +7,64 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-// elapsedTimes tells how much of its time a caller had spent before its request arrived. An aim
-// counts from when the caller began; a new connection to a VM costs it a round trip or two,
-// and an answer that leaves just before the aim by the VM's own clock is late there.
+// elapsedTimes estimates how much time a caller had spent before its request arrived. The
+// latency objective counts from when the caller started. Opening a connection to a VM takes
+// the caller one or two round trips, and an answer that is sent just before the objective by
+// the VM's own clock arrives late.
 //
-// Callers state the time that they have left. Most of a route have as much in all, so that
-// what one states less than the others is what it has spent. It is safe for concurrent use.
+// Callers state the time that they have left. Most callers of a route use the same timeout,
+// so the difference between the longest stated time and a caller's own is what the caller has
+// spent. elapsedTimes is safe for concurrent use.
 type elapsedTimes struct {
 	mu     sync.Mutex // guards routes
 	routes map[string]*longestTimeout
 }
 
-// longestTimeout is the longest wait that was stated, of this period and the one before.
+// longestTimeout is the longest remaining time that callers stated in this period and in the
+// one before.
 type longestTimeout struct {
-	periodStart       time.Time // of this period
+	periodStart       time.Time // start of this period
 	current, previous time.Duration
 }
 
-// timeoutPeriod is how long a longest wait is remembered at least; callers change their limits.
+// timeoutPeriod is how long a longest stated time is kept at least. It expires because
+// callers change their timeouts.
 const timeoutPeriod = 10 * time.Second
 
 func newElapsedTimes() *elapsedTimes { return &elapsedTimes{routes: make(map[string]*longestTimeout)} }
 
-// observe takes the wait that a caller observe a route states, and returns what it has spent.
+// observe records the remaining time that a caller of a route states, and returns how much
+// time the caller has spent.
 func (t *elapsedTimes) observe(now time.Time, route string, timeout time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := t.routes[route]
-	if w == nil {
-		w = &longestTimeout{periodStart: now}
-		t.routes[route] = w
+	longest := t.routes[route]
+	if longest == nil {
+		longest = &longestTimeout{periodStart: now}
+		t.routes[route] = longest
 	}
-	if now.Sub(w.periodStart) >= timeoutPeriod {
-		w.periodStart, w.previous, w.current = now, w.current, 0
+	if now.Sub(longest.periodStart) >= timeoutPeriod {
+		longest.periodStart, longest.previous, longest.current = now, longest.current, 0
 	}
-	w.current = max(w.current, timeout)
-	return max(w.current, w.previous) - timeout
+	longest.current = max(longest.current, timeout)
+	return max(longest.current, longest.previous) - timeout
 }
 
-// callerPath is what is known of the way between a caller and this VM; zero for nothing.
+// callerPath is what is known about the network path between a caller and this VM. Zero
+// values mean unknown.
 type callerPath struct {
-	oneWay      time.Duration // in one direction
-	connectTime time.Duration // that a caller spent on opening the connection for this request
+	oneWay      time.Duration // one-way network time
+	connectTime time.Duration // time that the caller spent on opening the connection for this request
 }
 
-// maxElapsedShare is the part of the aim that no caller needs to reach a VM.
+// maxElapsedShare is a share of the latency objective that no caller needs to reach a VM.
 const maxElapsedShare = 0.25
 
-// elapsed returns how long before its arrival a request began. Missing is how much less its caller
-// states to have left than others of the route: what it elapsed on connecting, unless it is a
-// repeat, which is late or counts from anew.
+// elapsed returns how long before its arrival a request began. shortfall is how much less
+// remaining time its caller states than other callers of the route. It is the time that the
+// caller spent on connecting, unless it is too long for that. Then the request is a repeat,
+// which is either late already or counts from the time of the repeat, and the shortfall is
+// ignored.
 func (p callerPath) elapsed(shortfall, objective time.Duration) time.Duration {
 	if shortfall > max(time.Duration(maxElapsedShare*float64(objective)), p.connectTime+p.oneWay) {
 		shortfall = 0
@@ -64,16 +72,17 @@
 	return max(shortfall, p.connectTime) + p.oneWay
 }
 
-// Parameters of the moment to answer a gathered request in part: an answer is worth
-// the square of its share until the aim and a tenth afterwards, so it leaves just
-// before, by the time that writing it and its way back take.
+// Parameters of the time at which a gathered request is answered in part. An answer is worth
+// the square of its share of the shards until the latency objective, and a tenth of that
+// afterwards. So it is sent just early enough to be written and to reach the caller before
+// the objective.
 const (
-	assumedOneWay  = 2 * time.Millisecond // to a caller, if it is not known
+	assumedOneWay  = 2 * time.Millisecond // one-way time to a caller, if unknown
 	writeTime      = 2 * time.Millisecond
-	writeTimeShare = 0.05 // of the aim
+	writeTimeShare = 0.05 // share of the latency objective
 )
 
-// answerBy is when the answer to a request that began at a time has to leave.
+// answerBy returns the latest time to send the answer to a request that began at start.
 func (p callerPath) answerBy(start time.Time, objective time.Duration) time.Time {
 	oneWay := p.oneWay
 	if oneWay == 0 {
@@ -83,7 +92,7 @@
 	return start.Add(max(objective-early, objective/2))
 }
 
-// prune forgets the routes that a manifest does not name.
+// prune removes the routes that are not in the manifest.
 func (t *elapsedTimes) prune(m *routing.Manifest) {
 	names := make(map[string]bool, len(m.Routes))
 	for _, route := range m.Routes {
--- a/edge/spent_test.go
+++ b/edge/spent_test.go
@@ -9,8 +9,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against answers that leave in time by the VM's clock and are late by that of a caller,
-// who had to open a connection first.
+// Guards against answers that are sent in time by the VM's clock but arrive late for a caller
+// that first had to open a connection.
 func TestAnswerLeavesInTimeOverNewConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const objective, oneWay = 80 * time.Millisecond, 3 * time.Millisecond
@@ -23,13 +23,13 @@
 	start := now.Add(-unknown.elapsed(shortfall, objective))
 	g.Expect(start).To(gomega.Equal(now.Add(-shortfall)))
 	g.Expect(unknown.answerBy(start, objective).Add(oneWay)).To(gomega.BeTemporally("<", start.Add(objective)))
-	// One that repeats after a failure gets the whole time anew.
+	// A request that is repeated after a failure gets the whole time again.
 	repeat := elapsed.observe(now, "check", 900*time.Millisecond)
 	g.Expect(unknown.elapsed(repeat, objective)).To(gomega.BeZero())
 }
 
-// Guards against late answers where requests of a route are so rare that no other caller's
-// stated time is known: the connection itself tells what its caller spent.
+// Guards against late answers on a route with so few requests that no other caller's stated
+// time is known. The time that the caller spent is then derived from the connection itself.
 func TestAnswerLeavesInTimeForOnlyCallerOfRoute(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const objective, oneWay = 50 * time.Millisecond, 3 * time.Millisecond
@@ -45,10 +45,10 @@
 	g.Expect(oneWay + timeToAnswer(now.Add(time.Second)) + oneWay).To(gomega.BeNumerically("<", objective))
 	g.Expect(timeToAnswer(now.Add(time.Second))).To(gomega.Equal(timeToAnswer(now) + toConnect))
 	trackCallerState(conn, http.StateIdle)
-	g.Expect(timeToAnswer(now)).To(gomega.Equal(timeToAnswer(now.Add(time.Second))), "the connection was there")
+	g.Expect(timeToAnswer(now)).To(gomega.Equal(timeToAnswer(now.Add(time.Second))), "the connection was already open")
 }
 
-// Guards against a round trip that the kernel is asked for in vain.
+// Guards against a round-trip time that the kernel doesn't return: a real connection has one.
 func TestConnectionRoundTripIsMeasured(t *testing.T) {
 	g := gomega.NewWithT(t)
 	socket, err := listen("127.0.0.1:0")
@@ -63,7 +63,8 @@
 	g.Expect(conn.(*callerConn).roundTrip).To(gomega.BeNumerically(">", 0))
 }
 
-// Callers of a route come to wait for less. They are not taken to have lost time for ever.
+// Guards against an outdated longest timeout: when all callers of a route reduce their
+// timeouts, the difference must not count as time spent indefinitely.
 func TestLongestTimeoutExpires(t *testing.T) {
 	g := gomega.NewWithT(t)
 	elapsed := newElapsedTimes()
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -10,10 +10,10 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// stats are the counters and histograms of a daemon. docs/OPERATIONS.md lists them.
+// stats holds the counters and histograms of a daemon. docs/OPERATIONS.md lists them.
 type stats struct {
 	set      *metrics.Set
-	attempts map[attemptEnd]*metrics.Counter // made at the start, since looking one up by its text is slow
+	attempts map[attemptEnd]*metrics.Counter // created at the start, because looking up a counter by its text is slow
 }
 
 type attemptEnd struct {
@@ -36,6 +36,7 @@
 	s.set.GetOrCreateCounter(fmt.Sprintf(format, args...)).Inc()
 }
 
+// endNames are the values of the label end, and of the key end in the log.
 var endNames = map[scatter.End]string{
 	scatter.EndAnswered:    "answered",
 	scatter.EndUnreachable: "unreachable",
@@ -56,6 +57,7 @@
 	s.count(`bramley_edge_calls_to_vms_total{end=%q}`, endNames[end])
 }
 
+// store counts a store call, or a call to a VM that reads the store.
 func (s *stats) store(call string, err error) {
 	outcome := "ok"
 	if err != nil {
@@ -72,7 +74,7 @@
 	}
 }
 
-// write writes all metrics in Prometheus text format.
+// writeMetrics writes all metrics in the Prometheus text format.
 func (e *Engine) writeMetrics(w io.Writer) {
 	e.stats.set.WritePrometheus(w)
 	dials, reuses, dirty := e.pool.Stats()
--- a/edge/store.go
+++ b/edge/store.go
@@ -11,73 +11,85 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// Revision is a state of the store. It only rises.
+// Revision identifies a state of the store. Revisions only increase.
 type Revision int64
 
-// ErrHistoryCompacted is the answer to a watch from a revision that the store has
-// forgotten; a listing has to be read again.
-var ErrHistoryCompacted = errors.New("edge: the store has forgotten this revision")
+// ErrHistoryCompacted is returned by a watch from a revision that the store no longer keeps.
+// The list must be read again.
+var ErrHistoryCompacted = errors.New("edge: the store no longer keeps this revision")
 
-// LeafList is the whole list of leafs.
+// LeafList is the complete list of leafs.
 type LeafList struct {
 	Leafs    []registry.Leaf
-	Invalid  int // entries that name no leaf
+	Invalid  int // number of invalid entries, which are not in Leafs
 	Revision Revision
-	// AfterOutage: the store may have been away since the listing before.
+	// AfterOutage is true if the store may have been unavailable since the previous list.
 	AfterOutage bool
 }
 
-// LeafChanges is what changed in the list of leafs.
+// LeafChanges holds the changes of the list of leafs since a revision.
 type LeafChanges struct {
 	Changes  []registry.Change
 	Revision Revision // to watch from next
 }
 
-// VMChanges is what changed in the list of VMs, the last word on each.
+// VMChanges holds the changes of the list of VMs since a revision, with only the latest state
+// of each VM.
 type VMChanges struct {
 	Present  []scatter.VM
-	Deleted  []string // names
+	Deleted  []string // names of removed VMs
 	Revision Revision // to watch from next
 }
 
-// Store is what the users' platform keeps and tells. Each call has a bounded time.
+// Store is the users' platform as a source of leafs, manifests and VMs. Each call has a time
+// limit.
 type Store interface {
+	// Leafs returns all leafs.
 	Leafs(ctx context.Context) (LeafList, error)
-	// WatchLeafs waits for changes after a revision, at most for wait.
+	// WatchLeafs waits up to wait for changes after a revision. It returns no changes if
+	// there are none.
 	WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error)
-	// Manifest returns nil if there is none yet.
+	// Manifest returns nil if there is no manifest yet.
 	Manifest(ctx context.Context) (*routing.Manifest, Revision, error)
-	// WatchManifest returns nil if there is no new one within wait.
+	// WatchManifest returns nil if no new manifest appears within wait.
 	WatchManifest(ctx context.Context, since Revision, wait time.Duration) (*routing.Manifest, Revision, error)
 
-	// VMs lists the VMs of this system that announced themselves.
+	// VMs returns the VMs of this system that have announced themselves.
 	VMs(ctx context.Context) ([]scatter.VM, Revision, error)
+	// WatchVMs waits up to wait for changes after a revision. It returns no changes if there are
+	// none.
 	WatchVMs(ctx context.Context, since Revision, wait time.Duration) (VMChanges, error)
+	// Announce writes the entry of this VM.
 	Announce(ctx context.Context, vm scatter.VM) error
+	// Withdraw removes the entry of the VM with this name.
 	Withdraw(ctx context.Context, name string) error
 }
 
-// LeafMetadata is what a leaf's answer says beside its body.
+// LeafMetadata is what the headers of a leaf's answer state.
 type LeafMetadata struct {
-	RequestID string // that it answers
-	Receipt   string // proof that the leaf ran the request and gave this answer
+	RequestID string // id of the request that is answered
+	Receipt   string // proof that the leaf ran the request and sent this answer
 	NotRun    bool   // the leaf states that it did not run the request
-	Moved     bool   // another leaf has the address
+	Moved     bool   // the address now belongs to another leaf
 	Load      scatter.Load
 	HasLoad   bool
 }
 
-// Exchange knows the headers that callers, this system and leafs use.
+// Exchange reads and writes the headers between callers, this system and leafs.
+// Implementations are safe for concurrent use.
 type Exchange interface {
 	// RequestID returns the id of a caller's request.
 	RequestID(h http.Header) string
-	// Wait returns how long the caller waits, false if it does not say.
+	// Wait returns the caller's remaining time, false if the caller does not state it.
 	Wait(h http.Header) (time.Duration, bool)
-	// ToLeaf returns the headers that differ between attempts.
+	// ToLeaf returns the headers that differ between attempts. left is the time that remains
+	// for the attempt.
 	ToLeaf(leaf scatter.LeafID, left time.Duration) http.Header
-	// Own returns the names of a caller's headers that ToLeaf replaces.
+	// Own returns the names of those caller headers that ToLeaf replaces.
 	Own() []string
+	// FromLeaf parses the headers of a leaf's answer.
 	FromLeaf(status int, h http.Header) LeafMetadata
-	// Gathered returns the headers of the answer to a gathered request.
+	// Gathered returns the headers of the answer to a gathered request. missing is the number
+	// of shards without an answer.
 	Gathered(receipts []string, missing int) http.Header
 }
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -8,22 +8,23 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// Parameters of opening connections before they are needed. A new connection takes a
-// slot of its leaf for some milliseconds and a request the same time; after a start of
-// all VMs at once, requests would wait for some hundred of them.
+// Parameters of opening connections before they are needed. Opening a connection occupies a
+// slot of the leaf for some milliseconds, and delays a request by the same time. After a
+// simultaneous start of all VMs, requests would wait for several hundred new connections.
 const (
 	warmInterval  = time.Second
-	warmDialPause = 8 * time.Millisecond // between two connections
+	warmDialPause = 8 * time.Millisecond // pause between opening two connections
 )
 
-// warmConns keeps a connection to each leaf of this VM's part, and to each VM that it calls.
+// warmConns maintains a connection to each leaf of this VM's leaf partition, and to each VM
+// that it calls.
 func (n *Node) warmConns(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, warmInterval)
 		for _, peer := range n.engine.unusedLeafPeers() {
-			// Whether a leaf can be reached shows when it is needed.
+			// The error is only logged: an unreachable leaf is detected when it is used.
 			if err := n.engine.pool.Warm(ctx, peer); err != nil {
-				n.log.Debug("no connection to a leaf", "leaf", peer.Key, "error", err)
+				n.log.Debug("opening a connection to a leaf failed", "leaf", peer.Key, "error", err)
 			}
 			sleep(ctx, warmDialPause)
 		}
@@ -31,6 +32,8 @@
 	}
 }
 
+// unusedLeafPeers returns the leafs of this VM's leaf partition that have no request of this VM
+// in flight.
 func (e *Engine) unusedLeafPeers() []leafhttp.Peer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -48,7 +51,7 @@
 	client := e.peerClient
 	e.mu.Unlock()
 	for _, vm := range delegates {
-		// Whether a VM can be reached shows when it is called.
+		// The error is ignored: an unreachable VM is detected when it is called.
 		if opened, _ := client.connect(ctx, vm); opened {
 			sleep(ctx, warmDialPause)
 		}
