--- a/node/node.go
+++ b/node/node.go
@@ -30,26 +30,26 @@
 
 // Node is one daemon.
 type Node struct {
-	set         *settings.Settings
+	settings    *settings.Settings
 	log         *slog.Logger
 	incarnation string
 	started     time.Time
 	metrics     *metrics.Set
 	tomb        tomb.Tomb
 	leaving     atomic.Bool
-	warmed      atomic.Bool // targets were known once
+	warmedUp    atomic.Bool // targets were known once
 
-	store   objstore.Store
-	keeper  *rollout.Follower
-	client  *target.Client
-	monitor *target.Monitor
-	engine  *query.Engine
-	claims  *once.Runner
-	links   *relay.Links
-	peers   *peer.Exchange
-	router  *route.Router
-	health  *health.Relay
-	gateway *gateway.Gateway
+	store    objstore.Store
+	follower *rollout.Follower
+	client   *target.Client
+	monitor  *target.Monitor
+	engine   *query.Engine
+	claims   *once.Runner
+	links    *relay.Links
+	peers    *peer.Exchange
+	router   *route.Router
+	health   *health.Relay
+	gateway  *gateway.Gateway
 
 	callers *listener
 	ops     *listener
@@ -72,7 +72,7 @@
 // New prepares a daemon with checked settings. Nothing runs before Run.
 func New(set *settings.Settings, log *slog.Logger) (*Node, error) {
 	n := &Node{
-		set:         set,
+		settings:    set,
 		log:         log,
 		incarnation: uuid.NewString(),
 		started:     time.Now(),
@@ -83,7 +83,7 @@
 		return nil, errors.Trace(err)
 	}
 	n.store = objstore.NewClient(set.Platform.Address, objstore.ClientOptions{})
-	n.keeper = rollout.NewFollower(rollout.Options{
+	n.follower = rollout.NewFollower(rollout.Options{
 		Deployment: set.Deployment,
 		Keys:       keys,
 		// Its reads may take longer than a claim: a slow platform must not count
@@ -101,7 +101,7 @@
 	}
 	n.buildClaims()
 	n.gateway = gateway.New(gateway.Options{
-		Config:     n.keeper,
+		Config:     n.follower,
 		Engine:     n.engine,
 		Claims:     n.claims,
 		Deployment: set.Deployment,
@@ -115,19 +115,19 @@
 	var err error
 	n.peers, err = peer.New(peer.Options{
 		VM: objstore.VM{
-			Name:    n.set.Name,
-			Address: n.set.Listen.PeersAddress(),
-			Ops:     n.set.Listen.Ops,
-			Zone:    n.set.Zone,
+			Name:    n.settings.Name,
+			Address: n.settings.Listen.PeersAddress(),
+			Ops:     n.settings.Listen.Ops,
+			Zone:    n.settings.Zone,
 		},
 		Incarnation: n.incarnation,
-		Deployment:  n.set.Deployment,
-		FleetKeys:   n.set.FleetKeyBytes(),
-		Listen:      n.set.Listen.Peers,
-		Seeds:       n.set.Seeds,
+		Deployment:  n.settings.Deployment,
+		FleetKeys:   n.settings.FleetKeyBytes(),
+		Listen:      n.settings.Listen.Peers,
+		Seeds:       n.settings.Seeds,
 		Store:       n.store,
-		Heads:       n.keeper,
-		CallHandler: n.serveCall,
+		Heads:       n.follower,
+		CallHandler: n.handlePeerCall,
 		Log:         logging.Part(n.log, "peer"),
 	})
 	return errors.Trace(err)
@@ -138,7 +138,7 @@
 // the client, the client tells the engine, and so does the monitor by way of the
 // relay of targets' health.
 func (n *Node) buildTargets() {
-	relay := &sinkRelay{}
+	relay := &deferredSink{}
 	n.client = target.NewClient(target.Options{
 		Log:     logging.Part(n.log, "target"),
 		Sink:    relay,
@@ -148,14 +148,14 @@
 		Local: n.client,
 		Place: place.Options{
 			Store:       n.store,
-			Deployment:  n.set.Deployment,
-			VM:          n.set.Name,
+			Deployment:  n.settings.Deployment,
+			VM:          n.settings.Name,
 			Incarnation: n.incarnation,
 		},
-		Zone: n.set.Zone,
+		Zone: n.settings.Zone,
 		Log:  logging.Part(n.log, "route"),
 	})
-	engine := &engineRelay{}
+	engine := &deferredHealthSink{}
 	n.health = health.New(health.Options{
 		Router:  n.router,
 		Sink:    engine,
@@ -164,7 +164,7 @@
 	})
 	n.engine = query.NewEngine(query.Options{
 		Leaves:  n.health.CheckCalls(n.router),
-		Zone:    n.set.Zone,
+		Zone:    n.settings.Zone,
 		Seed:    uint64(n.started.UnixNano()),
 		Log:     logging.Part(n.log, "query"),
 		Metrics: n.metrics,
@@ -181,9 +181,9 @@
 	})
 }
 
-// sinkRelay lets the client be made before the engine that it reports to. No
+// deferredSink lets the client be made before the engine that it reports to. No
 // call is made before both exist.
-type sinkRelay struct{ target.Sink }
+type deferredSink struct{ target.Sink }
 
-// engineRelay is the same for the relay of targets' health.
-type engineRelay struct{ health.Sink }
+// deferredHealthSink is the same for the relay of targets' health.
+type deferredHealthSink struct{ health.Sink }
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -34,7 +34,7 @@
 // Router reaches targets and knows who owns them. route.Router implements it.
 type Router interface {
 	target.StatusReader
-	Standing(target string) route.Standing
+	Standing(target string) route.Ownership
 }
 
 // Sink is told what is known of targets. query.Engine implements it.
@@ -208,7 +208,7 @@
 // adjustReadInterval lets the Monitor read a target seldom if others tell of it. It must hold
 // mu.
 func (r *Relay) adjustReadInterval(h facts.Health) {
-	if h.Opaque && !lost(h, r.opts.Router.Standing(h.Target).Live) {
+	if h.Opaque && !lost(h, r.opts.Router.Standing(h.Target).LiveOwners) {
 		r.monitor.Relax(h.Target, 0)
 		return
 	}
@@ -216,9 +216,9 @@
 }
 
 // notifySink tells the Sink of a target. It must hold mu.
-func (r *Relay) notifySink(h facts.Health, at route.Standing) {
+func (r *Relay) notifySink(h facts.Health, at route.Ownership) {
 	r.appliedStamps[h.Target] = h.Stamp
-	gone := lost(h, at.Live)
+	gone := lost(h, at.LiveOwners)
 	switch {
 	case gone:
 		r.opts.Sink.TargetLost(h.Target)
@@ -238,14 +238,14 @@
 	defer r.mu.Unlock()
 	for name, gone := range r.partlyUnreadable {
 		at := r.opts.Router.Standing(name)
-		if h, known := r.exchange.Health(name); known && !at.Owner && lost(h, at.Live) != gone {
+		if h, known := r.exchange.Health(name); known && !at.Owner && lost(h, at.LiveOwners) != gone {
 			r.notifySink(h, at)
 		}
 	}
 }
 
 // answerStatement lets this VM, as an owner, answer what another one stated.
-func (r *Relay) answerStatement(h facts.Health, at route.Standing) {
+func (r *Relay) answerStatement(h facts.Health, at route.Ownership) {
 	r.mu.Lock()
 	next, say := r.reporter.handleStatement(h, standingOf(at), r.timings[h.Target], time.Now())
 	r.mu.Unlock()
@@ -254,7 +254,7 @@
 	}
 }
 
-func standingOf(at route.Standing) standing { return standing{place: at.Place, owners: at.Live} }
+func standingOf(at route.Ownership) standing { return standing{place: at.Place, owners: at.LiveOwners} }
 
 // Status reads a target for the Monitor, and states what is new if this VM is an
 // owner.
@@ -276,7 +276,7 @@
 	return status, err
 }
 
-func (r *Relay) handleOwnRead(name string, read readResult, at route.Standing) {
+func (r *Relay) handleOwnRead(name string, read readResult, at route.Ownership) {
 	r.mu.Lock()
 	next, say := r.reporter.handleRead(name, read, standingOf(at), r.timings[name], time.Now())
 	r.mu.Unlock()
@@ -319,7 +319,7 @@
 func (r *Relay) TargetFailed(name string, err error, at time.Time) {
 	if !r.readsDirectly(name) {
 		h, known := r.exchange.Health(name)
-		live := r.opts.Router.Standing(name).Live
+		live := r.opts.Router.Standing(name).LiveOwners
 		if known && !h.Opaque && len(live) > 0 && !lost(h, live) {
 			return
 		}
--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -20,7 +20,7 @@
 	known        facts.Health
 	changes      []facts.Health
 	publications int
-	standing     route.Standing
+	standing     route.Ownership
 	status       target.Status
 	err          error
 	read         func()
@@ -36,7 +36,7 @@
 func (f *fakes) Health(string) (facts.Health, bool)  { return f.known, f.known.Target != "" }
 func (f *fakes) TakeHealth() []facts.Health          { return f.changes }
 func (f *fakes) HealthChanged() <-chan struct{}      { return nil }
-func (f *fakes) Standing(string) route.Standing      { return f.standing }
+func (f *fakes) Standing(string) route.Ownership     { return f.standing }
 func (f *fakes) Relax(_ string, every time.Duration) { f.readInterval = every }
 func (f *fakes) Hurry(string)                        { f.readSoon++ }
 
@@ -78,7 +78,7 @@
 // newRelay returns a relay of a VM that owns nothing, with two owners that live.
 func newRelay() (*Relay, *fakes) {
 	f := &fakes{
-		standing: route.Standing{Shared: true, Place: -1, Live: []int{3, 5}},
+		standing: route.Ownership{Shared: true, Place: -1, LiveOwners: []int{3, 5}},
 		status:   target.Status{Target: testTarget, Incarnation: "read", State: target.StateServing},
 	}
 	r := New(Options{Router: f, Sink: f, Log: logging.Discard(), Metrics: metrics.NewSet()})
@@ -151,7 +151,7 @@
 	f.known = statement(1, 3)
 	r.readOnce()
 	g.Expect(f.failed).To(Equal(1))
-	f.standing.Live = nil
+	f.standing.LiveOwners = nil
 	r.readOnce()
 	g.Expect(f.failed).To(Equal(2))
 }
@@ -166,11 +166,11 @@
 	r.apply(f.known)
 	r.sweep()
 	g.Expect(f.lost).To(BeZero())
-	f.standing.Live = []int{3}
+	f.standing.LiveOwners = []int{3}
 	r.sweep()
 	r.sweep()
 	g.Expect(f.lost).To(Equal(1))
-	f.standing.Live = []int{3, 4}
+	f.standing.LiveOwners = []int{3, 4}
 	r.sweep()
 	g.Expect(f.statuses).To(HaveLen(2))
 }
--- a/peer/hop/bench_test.go
+++ b/peer/hop/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// answerer gives a plain answer of some 600 bytes at once.
-func answerer(w http.ResponseWriter, r *http.Request) {
+// answerSearch gives a plain answer of some 600 bytes at once.
+func answerSearch(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == target.PathStatus {
 		_ = json.NewEncoder(w).Encode(target.Status{Target: "owned", Incarnation: "1", State: target.StateServing})
 		return
@@ -27,10 +27,10 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(plainAnswer(req))
+	_ = json.NewEncoder(w).Encode(sampleAnswer(req))
 }
 
-func plainAnswer(req target.LeafRequest) target.LeafAnswer {
+func sampleAnswer(req target.LeafRequest) target.LeafAnswer {
 	answer := target.LeafAnswer{Echo: req.Echo, Complete: true, Records: 1000}
 	for i := range 5 {
 		answer.Items = append(answer.Items, target.Item{
@@ -41,17 +41,17 @@
 	return answer
 }
 
-type plainLeaves struct{ fakeLeaves }
+type sampleLeaves struct{ fakeLeaves }
 
-func (*plainLeaves) Search(_ context.Context, _ string, _ int, req target.LeafRequest) (target.LeafAnswer, error) {
-	return plainAnswer(req), nil
+func (*sampleLeaves) Search(_ context.Context, _ string, _ int, req target.LeafRequest) (target.LeafAnswer, error) {
+	return sampleAnswer(req), nil
 }
 
 // startTarget returns a client with some connections to a target.
 func startTarget(b *testing.B) *target.Client {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
-	server := &http.Server{Handler: http.HandlerFunc(answerer), Protocols: protocols}
+	server := &http.Server{Handler: http.HandlerFunc(answerSearch), Protocols: protocols}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -59,14 +59,14 @@
 	go func() { _ = server.Serve(ln) }()
 	b.Cleanup(func() { server.Close() })
 	const connections = 4
-	client := target.NewClient(target.Options{MaxWaiting: 4096, MaxWait: testLimit})
+	client := target.NewClient(target.Options{MaxWaiters: 4096, MaxWait: testLimit})
 	b.Cleanup(client.Close)
 	client.Apply([]target.Endpoint{{Name: "owned", Address: ln.Addr().String(), Connections: connections}})
 	time.Sleep(500 * time.Millisecond) // connections are opened ahead of calls, one by one
 	return client
 }
 
-func startHop(b *testing.B, leaves Leaves) *Caller {
+func startOwner(b *testing.B, leaves Leaves) *Caller {
 	owner := NewOwner(OwnerOptions{Leaves: leaves, Slots: func(string, int) (int, bool) { return 1000, true }})
 	o := wire.Options{
 		Self: wire.Identity{Deployment: "d", VM: "owner", Incarnation: "1"},
@@ -85,7 +85,7 @@
 	return caller
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
@@ -100,20 +100,20 @@
 	for range queries {
 		wg.Go(func() {
 			for range work {
-				oneQuery(b, leaves, calls)
+				runQuery(b, leaves, calls)
 			}
 		})
 	}
-	before := processorTime()
+	before := cpuTime()
 	for b.Loop() {
 		work <- struct{}{}
 	}
 	close(work)
 	wg.Wait()
-	b.ReportMetric(float64((processorTime()-before).Nanoseconds())/float64(b.N)/float64(calls)/1000, "cpu-µs/call")
+	b.ReportMetric(float64((cpuTime()-before).Nanoseconds())/float64(b.N)/float64(calls)/1000, "cpu-µs/call")
 }
 
-func oneQuery(b *testing.B, leaves Leaves, calls int) {
+func runQuery(b *testing.B, leaves Leaves, calls int) {
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -134,7 +134,7 @@
 func BenchmarkLeafCall(b *testing.B) {
 	for _, calls := range []int{1, 8, 40, 320} {
 		b.Run(fmt.Sprintf("direct/calls=%d", calls), func(b *testing.B) { fanOut(b, startTarget(b), calls) })
-		b.Run(fmt.Sprintf("owner/calls=%d", calls), func(b *testing.B) { fanOut(b, startHop(b, startTarget(b)), calls) })
-		b.Run(fmt.Sprintf("hop-alone/calls=%d", calls), func(b *testing.B) { fanOut(b, startHop(b, &plainLeaves{}), calls) })
+		b.Run(fmt.Sprintf("owner/calls=%d", calls), func(b *testing.B) { fanOut(b, startOwner(b, startTarget(b)), calls) })
+		b.Run(fmt.Sprintf("hop-alone/calls=%d", calls), func(b *testing.B) { fanOut(b, startOwner(b, &sampleLeaves{}), calls) })
 	}
 }
--- a/peer/hop/caller.go
+++ b/peer/hop/caller.go
@@ -11,9 +11,9 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// gather is how long a first call waits for others to the same owner. A query
+// batchDelay is how long a first call waits for others to the same owner. A query
 // fans out in far less, and it is small against a leaf's time.
-const gather = 200 * time.Microsecond
+const batchDelay = 200 * time.Microsecond
 
 // Caller calls leaves through one owner. It is safe for concurrent use.
 type Caller struct {
@@ -25,7 +25,7 @@
 	calls   map[uint64]*pending // neither answered nor given up
 	unsent  []*pending
 	cancels []uint64
-	broken  bool
+	ended   bool
 }
 
 type pending struct {
@@ -37,16 +37,16 @@
 // Dial connects to an owner. The connection is for this package's calls only.
 func Dial(ctx context.Context, address string, o wire.Options, count *wire.Counters) (*Caller, error) {
 	c := &Caller{wake: make(chan struct{}, 1), calls: map[uint64]*pending{}}
-	o.Use = Use
+	o.Use = ConnUse
 	o.Handler = c.handle
-	o.WaitForRoom = true // a dropped answer would be waited for until the deadline
+	o.WaitForCallSlot = true // a dropped answer would be waited for until the deadline
 	conn, err := wire.Dial(ctx, address, o, count)
 	if err != nil {
 		return nil, err
 	}
 	c.conn = conn
 	conn.Serve()
-	go c.send()
+	go c.sendLoop()
 	return c, nil
 }
 
@@ -105,7 +105,7 @@
 }
 
 func (c *Caller) do(ctx context.Context, call Call) (Answer, error) {
-	limit := defaultLimit
+	limit := defaultTimeout
 	if end, ok := ctx.Deadline(); ok {
 		limit = time.Until(end)
 	}
@@ -120,16 +120,16 @@
 	select {
 	case answer := <-p.answer:
 		if answer.Failure != nil {
-			return Answer{}, answer.Failure.err(call.Target)
+			return Answer{}, answer.Failure.callError(call.Target)
 		}
 		return answer, nil
 	case <-ctx.Done():
-		return Answer{}, OutOfTime(ctx, call.Target, !c.giveUp(p))
+		return Answer{}, ContextError(ctx, call.Target, !c.cancelCall(p))
 	}
 }
 
-// OutOfTime is the error of a call whose context has ended.
-func OutOfTime(ctx context.Context, name string, notStarted bool) *target.CallError {
+// ContextError is the error of a call whose context has ended.
+func ContextError(ctx context.Context, name string, notStarted bool) *target.CallError {
 	kind := target.ErrorCancelled
 	if ctx.Err() == context.DeadlineExceeded {
 		kind = target.ErrorDeadline
@@ -137,13 +137,13 @@
 	return &target.CallError{Kind: kind, Target: name, NotStarted: notStarted}
 }
 
-// defaultLimit is the time for a call whose context has no deadline.
-const defaultLimit = time.Minute
+// defaultTimeout is the time for a call whose context has no deadline.
+const defaultTimeout = time.Minute
 
 func (c *Caller) enqueue(p *pending) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.broken {
+	if c.ended {
 		return false
 	}
 	c.lastID++
@@ -161,9 +161,9 @@
 	}
 }
 
-// giveUp tells the owner that nobody waits for a call, and returns whether the
+// cancelCall tells the owner that nobody waits for a call, and returns whether the
 // call had been sent.
-func (c *Caller) giveUp(p *pending) bool {
+func (c *Caller) cancelCall(p *pending) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.calls, p.call.ID)
@@ -174,24 +174,24 @@
 	return p.sent
 }
 
-// send sends batches and cancellations until the connection ends.
-func (c *Caller) send() {
-	defer c.fail()
+// sendLoop sends batches and cancellations until the connection ends.
+func (c *Caller) sendLoop() {
+	defer c.failPending()
 	for {
 		select {
 		case <-c.conn.Done():
 			return
 		case <-c.wake:
 		}
-		time.Sleep(gather)
+		time.Sleep(batchDelay)
 		calls, cancels := c.takeUnsent()
 		if len(cancels) > 0 && c.conn.Notify(MethodCancel, Cancel{IDs: cancels}) != nil {
 			c.conn.Close()
 			return
 		}
 		for len(calls) > 0 {
-			n := min(len(calls), MaxCalls)
-			go c.begin(calls[:n:n])
+			n := min(len(calls), MaxBatchCalls)
+			go c.sendBatch(calls[:n:n])
 			calls = calls[n:]
 		}
 	}
@@ -213,10 +213,10 @@
 	return calls, cancels
 }
 
-// begin sends one batch. A refusal of the whole batch is the owner's word that
+// sendBatch sends one batch. A refusal of the whole batch is the owner's word that
 // it started none of it.
-func (c *Caller) begin(calls []Call) {
-	ctx, cancel := context.WithTimeout(context.Background(), beginTimeout)
+func (c *Caller) sendBatch(calls []Call) {
+	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
 	err := call(ctx, c.conn, MethodCalls, Batch{Calls: calls})
 	switch result.Of(err) {
@@ -230,9 +230,9 @@
 	}
 }
 
-// beginTimeout bounds the time until an owner has taken a batch; it doesn't wait
+// batchTimeout bounds the time until an owner has taken a batch; it doesn't wait
 // for anything before it answers.
-const beginTimeout = 2 * time.Second
+const batchTimeout = 2 * time.Second
 
 func (c *Caller) handle(_ context.Context, _ *wire.Conn, method string, params json.RawMessage) (any, error) {
 	if method != MethodAnswers {
@@ -259,16 +259,16 @@
 	}
 }
 
-// fail ends all calls when the connection has ended. Those that were sent may
+// failPending ends all calls when the connection has ended. Those that were sent may
 // have been started. An owner that leaves sends its last answers and closes; they
-// are still being handled when the end is seen, so fail waits for them first, or
+// are still being handled when the end is seen, so failPending waits for them first, or
 // calls that were answered would be called broken.
-func (c *Caller) fail() {
+func (c *Caller) failPending() {
 	c.conn.Close()
 	c.conn.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken = true
+	c.ended = true
 	for id, p := range c.calls {
 		delete(c.calls, id)
 		p.answer <- Answer{ID: id, Failure: &Failure{Kind: target.ErrorBroken, NotStarted: !p.sent}}
--- a/peer/hop/codec.go
+++ b/peer/hop/codec.go
@@ -22,9 +22,9 @@
 // codecOf returns the codec that both ends of a connection speak.
 func codecOf(conn *wire.Conn) codec {
 	if conn.Version() >= wire.VersionCBOR {
-		return binaryCodec{}
+		return cborCodec{}
 	}
-	return textCodec{}
+	return jsonCodec{}
 }
 
 func call(ctx context.Context, conn *wire.Conn, method string, message any) error {
@@ -53,45 +53,45 @@
 	return m, nil
 }
 
-// textCodec is JSON, for VMs of a release without binaryCodec.
-type textCodec struct{}
+// jsonCodec is JSON, for VMs of a release without binaryCodec.
+type jsonCodec struct{}
 
-// packed carries a message as one string: JSON-RPC's layers each walk through
+// envelope carries a message as one string: JSON-RPC's layers each walk through
 // the parameters of a message once or more, in both directions, and a string
 // costs them far less than nested objects. docs/design/hop.md has the measurement.
-type packed struct {
+type envelope struct {
 	Data []byte `json:"d"`
 }
 
-func (textCodec) marshal(message any) ([]byte, error) { return json.Marshal(message) }
+func (jsonCodec) marshal(message any) ([]byte, error) { return json.Marshal(message) }
 
-func (textCodec) unmarshal(data []byte, message any) error {
-	var p packed
+func (jsonCodec) unmarshal(data []byte, message any) error {
+	var p envelope
 	if err := json.Unmarshal(data, &p); err != nil {
 		return err
 	}
 	return json.Unmarshal(p.Data, message)
 }
 
-func (textCodec) call(ctx context.Context, conn *wire.Conn, method string, data []byte) error {
-	return conn.Call(ctx, method, packed{Data: data}, nil)
+func (jsonCodec) call(ctx context.Context, conn *wire.Conn, method string, data []byte) error {
+	return conn.Call(ctx, method, envelope{Data: data}, nil)
 }
 
-func (textCodec) notify(conn *wire.Conn, method string, data []byte) error {
-	return conn.Notify(method, packed{Data: data})
+func (jsonCodec) notify(conn *wire.Conn, method string, data []byte) error {
+	return conn.Notify(method, envelope{Data: data})
 }
 
-// binaryCodec is CBOR with the names of the JSON members. JSON within a message
+// cborCodec is CBOR with the names of the JSON members. JSON within a message
 // (an item's fields, a payload, a result) travels as a string of bytes.
-type binaryCodec struct{}
+type cborCodec struct{}
 
-func (binaryCodec) marshal(message any) ([]byte, error) { return cborOut.Marshal(message) }
+func (cborCodec) marshal(message any) ([]byte, error) { return cborEncMode.Marshal(message) }
 
-func (binaryCodec) call(ctx context.Context, conn *wire.Conn, method string, data []byte) error {
+func (cborCodec) call(ctx context.Context, conn *wire.Conn, method string, data []byte) error {
 	return conn.CallBody(ctx, method, data)
 }
 
-func (binaryCodec) notify(conn *wire.Conn, method string, data []byte) error {
+func (cborCodec) notify(conn *wire.Conn, method string, data []byte) error {
 	return conn.NotifyBody(method, data)
 }
 
@@ -99,8 +99,8 @@
 // are unique, and JSON within the message is JSON. A number or a string of bytes
 // that JSON can't carry would fail only later, when the whole answer to a caller
 // is written, and that answer would be lost.
-func (binaryCodec) unmarshal(data []byte, message any) error {
-	if err := cborIn.Unmarshal(data, message); err != nil {
+func (cborCodec) unmarshal(data []byte, message any) error {
+	if err := cborDecMode.Unmarshal(data, message); err != nil {
 		return err
 	}
 	switch m := message.(type) {
@@ -116,18 +116,18 @@
 // before it allocates anything, so that a stated length without the bytes is
 // refused; what remains is bounded by the bytes of the message, wire.Options.
 const (
-	maxNesting  = 16      // Answers with a status nest 8 deep
-	maxElements = 1 << 16 // of one array
-	maxMembers  = 64      // of one object
+	maxNesting       = 16      // Answers with a status nest 8 deep
+	maxArrayElements = 1 << 16 // of one array
+	maxMapPairs      = 64      // of one object
 )
 
 var (
-	cborOut = must(cbor.EncOptions{}.EncMode())
-	cborIn  = must(cbor.DecOptions{
+	cborEncMode = must(cbor.EncOptions{}.EncMode())
+	cborDecMode = must(cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		MaxNestedLevels:   maxNesting,
-		MaxArrayElements:  maxElements,
-		MaxMapPairs:       maxMembers,
+		MaxArrayElements:  maxArrayElements,
+		MaxMapPairs:       maxMapPairs,
 		IndefLength:       cbor.IndefLengthForbidden,
 		TagsMd:            cbor.TagsForbidden,
 		FieldNameMatching: cbor.FieldNameMatchingCaseSensitive,
--- a/peer/hop/codec_test.go
+++ b/peer/hop/codec_test.go
@@ -62,19 +62,19 @@
 	})
 )
 
-// throughText takes a message through textCodec.
-func throughText(g Gomega, in, out any) {
-	data, err := textCodec{}.marshal(in)
+// roundTripJSON takes a message through textCodec.
+func roundTripJSON(g Gomega, in, out any) {
+	data, err := jsonCodec{}.marshal(in)
 	g.Expect(err).NotTo(HaveOccurred())
-	outer, err := json.Marshal(packed{Data: data})
+	outer, err := json.Marshal(envelope{Data: data})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(textCodec{}.unmarshal(outer, out)).To(Succeed())
+	g.Expect(jsonCodec{}.unmarshal(outer, out)).To(Succeed())
 }
 
-func throughBinary(g Gomega, in, out any) {
-	data, err := binaryCodec{}.marshal(in)
+func roundTripCBOR(g Gomega, in, out any) {
+	data, err := cborCodec{}.marshal(in)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(binaryCodec{}.unmarshal(data, out)).To(Succeed())
+	g.Expect(cborCodec{}.unmarshal(data, out)).To(Succeed())
 }
 
 // TestCodecsAgree: VMs of two releases serve one query, some calls in JSON and
@@ -85,34 +85,34 @@
 		g := NewWithT(rt)
 		batch := Batch{Calls: rapid.SliceOfN(anyCall, 1, 3).Draw(rt, "calls")}
 		var text, binary Batch
-		throughText(g, batch, &text)
-		throughBinary(g, batch, &binary)
+		roundTripJSON(g, batch, &text)
+		roundTripCBOR(g, batch, &binary)
 		g.Expect(binary).To(Equal(text))
 		answers := Answers{Answers: rapid.SliceOfN(anyAnswer, 1, 3).Draw(rt, "answers")}
 		var textAnswers, binaryAnswers Answers
-		throughText(g, answers, &textAnswers)
-		throughBinary(g, answers, &binaryAnswers)
+		roundTripJSON(g, answers, &textAnswers)
+		roundTripCBOR(g, answers, &binaryAnswers)
 		g.Expect(binaryAnswers).To(Equal(textAnswers))
 	})
 }
 
-// TestEveryMemberIsCarried: a member added to a message later must travel in both
+// TestCodecsCarryEveryField: a member added to a message later must travel in both
 // codecs, and the members of today must be the ones that the other test draws.
-func TestEveryMemberIsCarried(t *testing.T) {
+func TestCodecsCarryEveryField(t *testing.T) {
 	g := NewWithT(t)
 	for _, message := range []any{&Batch{}, &Answers{}} {
-		fill(reflect.ValueOf(message).Elem())
+		fillNonZero(reflect.ValueOf(message).Elem())
 		text := reflect.New(reflect.TypeOf(message).Elem()).Interface()
 		binary := reflect.New(reflect.TypeOf(message).Elem()).Interface()
-		throughText(g, message, text)
-		throughBinary(g, message, binary)
+		roundTripJSON(g, message, text)
+		roundTripCBOR(g, message, binary)
 		g.Expect(text).To(Equal(message))
 		g.Expect(binary).To(Equal(message))
 	}
 }
 
-// fill gives all that v holds a value that isn't zero.
-func fill(v reflect.Value) {
+// fillNonZero gives all that v holds a value that isn't zero.
+func fillNonZero(v reflect.Value) {
 	if _, raw := v.Interface().(json.RawMessage); raw {
 		v.SetBytes([]byte(`{"a":1}`))
 		return
@@ -120,13 +120,13 @@
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem())
+		fillNonZero(v.Elem())
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0))
+		fillNonZero(v.Index(0))
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i))
+			fillNonZero(v.Field(i))
 		}
 	case reflect.String:
 		v.SetString("x")
@@ -141,8 +141,8 @@
 	}
 }
 
-// foreign are messages that nobody of this release sends.
-var foreign = map[string]string{
+// invalidMessages are messages that nobody of this release sends.
+var invalidMessages = map[string]string{
 	"nothing":              "",
 	"text in place":        hex.EncodeToString([]byte(`{"d":"e30="}`)),
 	"huge array, no bytes": "a16161" + "9bffffffffffffffff",
@@ -160,19 +160,19 @@
 	"more after the end":   "a16161" + "80" + "00",
 }
 
-// TestForeignMessages: a VM that is faulty, or speaks something else, sends bytes
+// TestInvalidMessagesAreRefused: a VM that is faulty, or speaks something else, sends bytes
 // that are no message, state lengths without the bytes, or carry what JSON can't.
 // They would take this VM's memory, or fail a caller's whole answer when it is
 // written. They are refused before memory is taken for them.
-func TestForeignMessages(t *testing.T) {
-	for name, text := range foreign {
+func TestInvalidMessagesAreRefused(t *testing.T) {
+	for name, text := range invalidMessages {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			data, err := hex.DecodeString(text)
 			g.Expect(err).NotTo(HaveOccurred())
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			err = binaryCodec{}.unmarshal(data, &Answers{})
+			err = cborCodec{}.unmarshal(data, &Answers{})
 			runtime.ReadMemStats(&after)
 			g.Expect(err).To(HaveOccurred())
 			g.Expect(after.TotalAlloc - before.TotalAlloc).To(BeNumerically("<", 1<<20))
@@ -180,24 +180,24 @@
 	}
 }
 
-// TestTooManyElements: small elements make large tables. One array holds no more
+// TestTooManyArrayElements: small elements make large tables. One array holds no more
 // of them than its bound, however large messages may be.
-func TestTooManyElements(t *testing.T) {
-	data := append([]byte{0xa1, 0x61, 'a', 0x9a, 0, 1, 0, 1}, bytes.Repeat([]byte{0xa0}, maxElements+1)...)
-	NewWithT(t).Expect(binaryCodec{}.unmarshal(data, &Answers{})).NotTo(Succeed())
+func TestTooManyArrayElements(t *testing.T) {
+	data := append([]byte{0xa1, 0x61, 'a', 0x9a, 0, 1, 0, 1}, bytes.Repeat([]byte{0xa0}, maxArrayElements+1)...)
+	NewWithT(t).Expect(cborCodec{}.unmarshal(data, &Answers{})).NotTo(Succeed())
 }
 
 // FuzzDecode: whatever bytes come, decoding doesn't panic, and what it accepts is
 // what JSON could have said: it goes through both codecs unchanged.
 func FuzzDecode(f *testing.F) {
-	for _, text := range foreign {
+	for _, text := range invalidMessages {
 		data, _ := hex.DecodeString(text)
 		f.Add(data)
 	}
 	seedAnswers := Answers{Answers: []Answer{{ID: 1, Search: &target.LeafAnswer{Items: []target.Item{{Key: "k", Score: math.Pi, Fields: json.RawMessage(`{}`)}}}}}}
 	seedBatch := Batch{Calls: []Call{{ID: 1, Target: "t", Submit: &target.SubmitRequest{Key: "k", Payload: json.RawMessage(`[1]`)}}}}
 	for _, message := range []any{seedAnswers, seedBatch} {
-		data, err := binaryCodec{}.marshal(message)
+		data, err := cborCodec{}.marshal(message)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -210,22 +210,22 @@
 }
 
 func checkDecoded(t *testing.T, data []byte, decoded, text, binary any) {
-	if (binaryCodec{}).unmarshal(data, decoded) != nil {
+	if (cborCodec{}).unmarshal(data, decoded) != nil {
 		return
 	}
 	g := NewWithT(t)
-	throughBinary(g, decoded, binary)
+	roundTripCBOR(g, decoded, binary)
 	g.Expect(binary).To(Equal(decoded))
-	throughText(g, decoded, text)
+	roundTripJSON(g, decoded, text)
 	again, err := json.Marshal(text)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(json.Marshal(decoded)).To(MatchJSON(again))
 }
 
-// TestVMsOfTwoReleases: VMs are replaced one after another by a new release that
+// TestMixedVersions: VMs are replaced one after another by a new release that
 // speaks CBOR. While both run, a call from either to either must be answered; one
 // end that spoke what the other can't read would lose every call between them.
-func TestVMsOfTwoReleases(t *testing.T) {
+func TestMixedVersions(t *testing.T) {
 	for name, tc := range map[string]struct{ owner, caller, agreed int }{
 		"new caller, old owner": {wire.VersionJSON, wire.VersionCBOR, wire.VersionJSON},
 		"old caller, new owner": {wire.VersionCBOR, wire.VersionJSON, wire.VersionJSON},
--- a/peer/hop/hop.go
+++ b/peer/hop/hop.go
@@ -18,8 +18,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Use names connections of this package in the hello.
-const Use = "calls"
+// ConnUse names connections of this package in the hello.
+const ConnUse = "calls"
 
 // The methods.
 const (
@@ -99,8 +99,8 @@
 	Incarnation  string           `json:"i,omitempty"`
 }
 
-// MaxCalls bounds the calls in one Batch.
-const MaxCalls = 1024
+// MaxBatchCalls bounds the calls in one Batch.
+const MaxBatchCalls = 1024
 
 func failureOf(err error) *Failure {
 	var call *target.CallError
@@ -116,7 +116,7 @@
 	}
 }
 
-func (f *Failure) err(name string) error {
+func (f *Failure) callError(name string) error {
 	return &target.CallError{
 		Kind:        f.Kind,
 		Target:      name,
--- a/peer/hop/hop_test.go
+++ b/peer/hop/hop_test.go
@@ -23,7 +23,7 @@
 // fakeLeaves answers at once, or holds calls of leaf 9 until their context ends.
 type fakeLeaves struct {
 	started, cancelled atomic.Int64
-	crossed            atomic.Bool
+	mismatch           atomic.Bool
 	release            chan struct{} // lets calls of leaf 7 go on
 }
 
@@ -42,7 +42,7 @@
 		}
 	}
 	echo := req.Echo
-	if f.crossed.Load() {
+	if f.mismatch.Load() {
 		echo.Attempt++
 	}
 	return target.LeafAnswer{Echo: echo, Records: req.DeadlineMS, Complete: true}, nil
@@ -57,7 +57,7 @@
 	return target.Status{Target: name, Incarnation: "i"}, nil
 }
 
-type pair struct {
+type testPair struct {
 	*WithT
 	leaves *fakeLeaves
 	owner  *Owner
@@ -66,13 +66,13 @@
 	count  *wire.Counters
 }
 
-func newPair(t *testing.T, maxCalls int) *pair {
+func newPair(t *testing.T, maxCalls int) *testPair {
 	return newMixedPair(t, maxCalls, wire.Version, wire.Version)
 }
 
 // newMixedPair connects two VMs whose releases speak up to the given versions.
-func newMixedPair(t *testing.T, maxCalls, ownerVersion, callerVersion int) *pair {
-	p := &pair{WithT: NewWithT(t), leaves: &fakeLeaves{release: make(chan struct{})}, count: &wire.Counters{}}
+func newMixedPair(t *testing.T, maxCalls, ownerVersion, callerVersion int) *testPair {
+	p := &testPair{WithT: NewWithT(t), leaves: &fakeLeaves{release: make(chan struct{})}, count: &wire.Counters{}}
 	p.owner = NewOwner(OwnerOptions{
 		Leaves:   p.leaves,
 		Slots:    func(name string, leaf int) (int, bool) { return 2, name == "owned" },
@@ -101,7 +101,7 @@
 	return target.LeafRequest{Echo: target.Echo{Request: "r", Attempt: 1, Shard: shard, Snapshot: "s"}}
 }
 
-func (p *pair) search(ctx context.Context, name string, leaf int) error {
+func (p *testPair) search(ctx context.Context, name string, leaf int) error {
 	_, err := p.caller.Search(ctx, name, leaf, request(leaf))
 	return err
 }
@@ -112,9 +112,9 @@
 	return call
 }
 
-// TestFanOutInOneMessage: a query calls many leaves of one owner. Each call gets
+// TestFanOutIsBatched: a query calls many leaves of one owner. Each call gets
 // its own answer, and the calls go out in far fewer messages than calls.
-func TestFanOutInOneMessage(t *testing.T) {
+func TestFanOutIsBatched(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
@@ -140,10 +140,10 @@
 	p.Expect(err).NotTo(HaveOccurred())
 }
 
-// TestFailuresKeepTheirMeaning: what the target said, or that nothing was handed
+// TestFailuresReachCallerUnchanged: what the target said, or that nothing was handed
 // to it, must reach the caller as it is; "not started" decides whether a caller
 // is told "not run".
-func TestFailuresKeepTheirMeaning(t *testing.T) {
+func TestFailuresReachCallerUnchanged(t *testing.T) {
 	p := newPair(t, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
@@ -162,9 +162,9 @@
 	p.Expect(callError(<-held)).To(HaveField("NotStarted", false))
 }
 
-// TestGivenUpCallIsCancelled: a hedge wins and the loser is given up; the target
+// TestCancellationReachesTarget: a hedge wins and the loser is given up; the target
 // must be told through the owner, or its slot stays taken.
-func TestGivenUpCallIsCancelled(t *testing.T) {
+func TestCancellationReachesTarget(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	held := p.begin(ctx, 9)
@@ -174,17 +174,17 @@
 }
 
 // begin makes the pair's first call and returns once the owner's target has it.
-func (p *pair) begin(ctx context.Context, leaf int) <-chan error {
+func (p *testPair) begin(ctx context.Context, leaf int) <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- p.search(ctx, "owned", leaf) }()
 	p.Eventually(p.leaves.started.Load).WithTimeout(testLimit).Should(BeNumerically("==", 1))
 	return ended
 }
 
-// TestOwnerLostInMidQuery: the owner dies while it has a call. The caller must
+// TestOwnerStopsDuringCall: the owner dies while it has a call. The caller must
 // hear of it at once and must not be told that nothing was started; a call made
 // afterwards was certainly not.
-func TestOwnerLostInMidQuery(t *testing.T) {
+func TestOwnerStopsDuringCall(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
@@ -195,9 +195,9 @@
 		WithTimeout(testLimit).Should(And(HaveField("Kind", target.ErrorUnreachable), HaveField("NotStarted", true)))
 }
 
-// TestStatusIsReadOnceForAll: many VMs read a target's status through its owner.
+// TestStatusReadsAreShared: many VMs read a target's status through its owner.
 // The target would be read as often as there are VMs; the owner reads it once.
-func TestStatusIsReadOnceForAll(t *testing.T) {
+func TestStatusReadsAreShared(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
@@ -217,15 +217,15 @@
 	p.Expect(callError(err)).To(HaveField("NotStarted", true))
 }
 
-// TestLeavingOwnerFinishesCalls: an owner stops while calls of other VMs are under
+// TestDrainWaitsForCalls: an owner stops while calls of other VMs are under
 // way through it. Their answers must not be cut off: it waits for them, and for
 // the answers to be on their way, before it closes its connections.
-func TestLeavingOwnerFinishesCalls(t *testing.T) {
+func TestDrainWaitsForCalls(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
 	held := p.begin(ctx, 7)
-	short, stop := context.WithTimeout(ctx, 10*drainPause)
+	short, stop := context.WithTimeout(ctx, 10*drainPollInterval)
 	defer stop()
 	p.Expect(p.owner.Drain(short)).To(MatchError(context.DeadlineExceeded), "it didn't wait")
 	drained := make(chan error, 1)
@@ -238,19 +238,19 @@
 	p.Expect(<-held).To(Succeed())
 }
 
-// TestCrossedAnswer: an owner delivers an answer of another attempt. It is
+// TestMismatchedAnswerClosesConnection: an owner delivers an answer of another attempt. It is
 // dropped, and the connection that delivered it is closed.
-func TestCrossedAnswer(t *testing.T) {
+func TestMismatchedAnswerClosesConnection(t *testing.T) {
 	p := newPair(t, 0)
-	p.leaves.crossed.Store(true)
+	p.leaves.mismatch.Store(true)
 	p.Expect(callError(p.search(context.Background(), "owned", 1))).To(HaveField("Kind", target.ErrorMismatched))
 	p.Eventually(p.caller.Done()).WithTimeout(testLimit).Should(BeClosed())
 }
 
-// TestSlotQueue drives the queue through random calls, ends and cancellations:
+// TestSlotQueueInvariants drives the queue through random calls, ends and cancellations:
 // never more run than there are slots, no call is lost or run twice, a free slot
 // is never kept from a waiting call, and VMs take turns.
-func TestSlotQueue(t *testing.T) {
+func TestSlotQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
 		q := newSlotQueue(slots)
@@ -282,12 +282,12 @@
 				}
 			case step == 1 && len(running) > 0:
 				running = running[1:]
-				next, expired := q.finish(4*time.Millisecond, now)
+				next, expired := q.release(4*time.Millisecond, now)
 				for _, w := range expired {
 					move(w)
 				}
 				if next != nil {
-					checkTurn(t, waiting, next)
+					checkOldestFirst(t, waiting, next)
 					move(next)
 					running = append(running, next)
 				}
@@ -308,8 +308,8 @@
 	})
 }
 
-// checkTurn: of one VM's calls that are still in time the oldest runs first.
-func checkTurn(t *rapid.T, waiting []*waiter, next *waiter) {
+// checkOldestFirst: of one VM's calls that are still in time the oldest runs first.
+func checkOldestFirst(t *rapid.T, waiting []*waiter, next *waiter) {
 	for _, w := range waiting {
 		if w.peer == next.peer {
 			if w != next {
@@ -331,17 +331,17 @@
 		q.offer(&waiter{peer: "greedy", deadline: far}, now)
 	}
 	q.offer(&waiter{peer: "modest", deadline: far}, now)
-	q.finish(time.Millisecond, now)
-	second, _ := q.finish(time.Millisecond, now)
+	q.release(time.Millisecond, now)
+	second, _ := q.release(time.Millisecond, now)
 	g.Expect(second.peer).To(Equal("modest"))
 }
 
-// TestShedAtOnce: a call that can't be served in time is refused when it comes,
+// TestLateCallIsRefusedImmediately: a call that can't be served in time is refused when it comes,
 // with the time to come back, rather than when its time is over.
-func TestShedAtOnce(t *testing.T) {
+func TestLateCallIsRefusedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	q := newSlotQueue(1)
-	q.mean = 100 * time.Millisecond
+	q.meanService = 100 * time.Millisecond
 	now := time.Unix(0, 0)
 	q.offer(&waiter{peer: "a", deadline: now.Add(time.Second)}, now)
 	_, ok, wait := q.offer(&waiter{peer: "a", deadline: now.Add(150 * time.Millisecond)}, now)
@@ -351,10 +351,10 @@
 	g.Expect(ok).To(BeTrue())
 }
 
-// TestDrainEndsThoughCallsGoOn: an owner leaves and other VMs, which know of no
+// TestDrainRefusesNewCalls: an owner leaves and other VMs, which know of no
 // other one, go on calling. It would wait for them without end. It takes no further
 // call once it drains, and says that it started none.
-func TestDrainEndsThoughCallsGoOn(t *testing.T) {
+func TestDrainRefusesNewCalls(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
@@ -370,14 +370,14 @@
 	p.Expect(<-drained).To(Succeed())
 }
 
-// TestOwnCallsTakeTurnsWithPeers: an owner's own queries and its peers' come to one
+// TestLocalCallsShareSlotsWithPeers: an owner's own queries and its peers' come to one
 // leaf at once. Each side alone kept within the slots, so that together they were
 // twice as many, and the target shed what could have waited.
-func TestOwnCallsTakeTurnsWithPeers(t *testing.T) {
+func TestLocalCallsShareSlotsWithPeers(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	own := p.owner.Own()
+	own := p.owner.QueuedLeaves()
 	ask := func() error {
 		_, err := own.Search(ctx, "owned", 7, request(7))
 		return err
--- a/peer/hop/own.go
+++ b/peer/hop/own.go
@@ -7,19 +7,19 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Own returns the way for this VM's own calls to the targets that it owns: through
+// QueuedLeaves returns the way for this VM's own calls to the targets that it owns: through
 // the same slots as its peers' calls. Beside them, the two together would be more
 // than the slots, and the target would shed calls that could have waited.
-func (o *Owner) Own() Leaves { return ownLeaves{o} }
+func (o *Owner) QueuedLeaves() Leaves { return queuedLeaves{o} }
 
-type ownLeaves struct{ owner *Owner }
+type queuedLeaves struct{ owner *Owner }
 
-// ownPeer is the name under which this VM takes its turns among its peers.
-const ownPeer = ""
+// localPeer is the name under which this VM takes its turns among its peers.
+const localPeer = ""
 
 // Search implements Leaves.
-func (l ownLeaves) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (a target.LeafAnswer, err error) {
-	err = l.owner.inSlot(ctx, name, leaf, func() error {
+func (l queuedLeaves) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (a target.LeafAnswer, err error) {
+	err = l.owner.withSlot(ctx, name, leaf, func() error {
 		a, err = l.owner.opts.Leaves.Search(ctx, name, leaf, req)
 		return err
 	})
@@ -27,8 +27,8 @@
 }
 
 // Submit implements Leaves.
-func (l ownLeaves) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (a target.SubmitAnswer, err error) {
-	err = l.owner.inSlot(ctx, name, leaf, func() error {
+func (l queuedLeaves) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (a target.SubmitAnswer, err error) {
+	err = l.owner.withSlot(ctx, name, leaf, func() error {
 		a, err = l.owner.opts.Leaves.Submit(ctx, name, leaf, req)
 		return err
 	})
@@ -36,18 +36,18 @@
 }
 
 // Status implements Leaves.
-func (l ownLeaves) Status(ctx context.Context, name string) (target.Status, error) {
+func (l queuedLeaves) Status(ctx context.Context, name string) (target.Status, error) {
 	return l.owner.statuses.read(ctx, l.owner.opts.Leaves, name)
 }
 
-// inSlot makes a call once a slot of its leaf is free. Its errors say NotStarted if
+// withSlot makes a call once a slot of its leaf is free. Its errors say NotStarted if
 // none got free in time.
-func (o *Owner) inSlot(ctx context.Context, name string, leaf int, call func() error) error {
+func (o *Owner) withSlot(ctx context.Context, name string, leaf int, call func() error) error {
 	slots, owned := o.opts.Slots(name, leaf)
 	if !owned {
 		return call() // the share was given up a moment ago
 	}
-	q, err := o.awaitSlot(ctx, leafKey{name, leaf}, slots)
+	q, err := o.acquireSlot(ctx, leafKey{name, leaf}, slots)
 	if err != nil {
 		return err
 	}
@@ -55,22 +55,22 @@
 	err = call()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.passOn(q, time.Since(begin), time.Now())
+	o.releaseSlot(q, time.Since(begin), time.Now())
 	return err
 }
 
-func (o *Owner) awaitSlot(ctx context.Context, key leafKey, slots int) (*slotQueue, error) {
+func (o *Owner) acquireSlot(ctx context.Context, key leafKey, slots int) (*slotQueue, error) {
 	now := time.Now()
 	deadline, limited := ctx.Deadline()
 	if !limited {
-		deadline = now.Add(defaultLimit)
+		deadline = now.Add(defaultTimeout)
 	}
 	granted := make(chan bool, 1) // false if the deadline passed first
-	w := &waiter{peer: ownPeer, deadline: deadline}
+	w := &waiter{peer: localPeer, deadline: deadline}
 	w.run = func() { granted <- true }
 	w.expire = func() { granted <- false }
 	o.mu.Lock()
-	q := o.queue(key, slots)
+	q := o.queueFor(key, slots)
 	run, fits, wait := q.offer(w, now)
 	o.mu.Unlock()
 	switch {
@@ -88,20 +88,20 @@
 		}
 		return nil, &target.CallError{Kind: target.ErrorDeadline, Target: key.target, NotStarted: true}
 	case <-ctx.Done():
-		o.giveUpSlot(q, w, granted)
-		return nil, OutOfTime(ctx, key.target, true)
+		o.cancelWait(q, w, granted)
+		return nil, ContextError(ctx, key.target, true)
 	}
 }
 
-// giveUpSlot takes back a call that waits. If it has got its slot in this very
+// cancelWait takes back a call that waits. If it has got its slot in this very
 // moment, the slot goes on to the next: it would be lost otherwise.
-func (o *Owner) giveUpSlot(q *slotQueue, w *waiter, granted <-chan bool) {
+func (o *Owner) cancelWait(q *slotQueue, w *waiter, granted <-chan bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if q.remove(w) {
 		return
 	}
 	if ok := <-granted; ok {
-		o.passOn(q, q.mean, time.Now())
+		o.releaseSlot(q, q.meanService, time.Now())
 	}
 }
--- a/peer/hop/owner.go
+++ b/peer/hop/owner.go
@@ -31,11 +31,11 @@
 	opts     OwnerOptions
 	statuses statusCache
 
-	mu     sync.Mutex // guards what follows; taken before a session's mu
-	queues map[leafKey]*slotQueue
-	calls  int
-	conns  map[*wire.Conn]*session
-	closed bool // Drain was called
+	mu       sync.Mutex // guards what follows; taken before a session's mu
+	queues   map[leafKey]*slotQueue
+	calls    int
+	sessions map[*wire.Conn]*session
+	draining bool // Drain was called
 }
 
 type leafKey struct {
@@ -45,15 +45,15 @@
 
 // session is what an owner does for one connection.
 type session struct {
-	owner  *Owner
-	conn   *wire.Conn
-	ctx    context.Context // ends with the connection
-	wake   chan struct{}
-	cancel map[uint64]func() // of calls under way; guarded by Owner.mu
+	owner   *Owner
+	conn    *wire.Conn
+	ctx     context.Context // ends with the connection
+	wake    chan struct{}
+	cancels map[uint64]func() // of calls under way; guarded by Owner.mu
 
 	mu      sync.Mutex // guards what follows
-	done    []Answer   // to be sent
-	telling int        // answers to be sent or being sent
+	answers []Answer   // to be sent
+	unsent  int        // answers to be sent or being sent
 }
 
 // NewOwner returns an owner without any connection.
@@ -61,24 +61,24 @@
 	if o.MaxCalls <= 0 {
 		o.MaxCalls = defaultMaxCalls
 	}
-	return &Owner{opts: o, queues: map[leafKey]*slotQueue{}, conns: map[*wire.Conn]*session{}}
+	return &Owner{opts: o, queues: map[leafKey]*slotQueue{}, sessions: map[*wire.Conn]*session{}}
 }
 
-// drainPause is the time between looks at whether calls are still under way.
-const drainPause = 5 * time.Millisecond
+// drainPollInterval is the time between looks at whether calls are still under way.
+const drainPollInterval = 5 * time.Millisecond
 
 // Drain takes no further call and waits until none of another VM is under way and
 // all answers have been handed to their connections, or ctx ends. VMs that know of
 // no other owner call until the end; it would not come if their calls were taken.
 func (o *Owner) Drain(ctx context.Context) error {
 	o.mu.Lock()
-	o.closed = true
+	o.draining = true
 	o.mu.Unlock()
 	for o.busy() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(drainPause):
+		case <-time.After(drainPollInterval):
 		}
 	}
 	return nil
@@ -97,8 +97,8 @@
 	if o.calls > 0 {
 		return true
 	}
-	for _, s := range o.conns {
-		if s.hasDone() {
+	for _, s := range o.sessions {
+		if s.hasUnsent() {
 			return true
 		}
 	}
@@ -113,7 +113,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return nil, o.begin(conn, b)
+		return nil, o.startBatch(conn, b)
 	case MethodCancel:
 		var c Cancel
 		if err := json.Unmarshal(params, &c); err != nil {
@@ -126,36 +126,36 @@
 	}
 }
 
-func (o *Owner) begin(conn *wire.Conn, b *Batch) error {
-	if len(b.Calls) > MaxCalls {
-		return result.Errorf(result.BadMessage, "%d calls, at most %d", len(b.Calls), MaxCalls)
+func (o *Owner) startBatch(conn *wire.Conn, b *Batch) error {
+	if len(b.Calls) > MaxBatchCalls {
+		return result.Errorf(result.BadMessage, "%d calls, at most %d", len(b.Calls), MaxBatchCalls)
 	}
-	s := o.session(conn)
+	s := o.sessionFor(conn)
 	now := time.Now()
 	for i := range b.Calls {
-		if f := o.take(s, &b.Calls[i], now); f != nil {
-			s.finish(Answer{ID: b.Calls[i].ID, Failure: f})
+		if f := o.admit(s, &b.Calls[i], now); f != nil {
+			s.addAnswer(Answer{ID: b.Calls[i].ID, Failure: f})
 		}
 	}
 	return nil
 }
 
-func (o *Owner) session(conn *wire.Conn) *session {
+func (o *Owner) sessionFor(conn *wire.Conn) *session {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if s, ok := o.conns[conn]; ok {
+	if s, ok := o.sessions[conn]; ok {
 		return s
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &session{owner: o, conn: conn, ctx: ctx, wake: make(chan struct{}, 1), cancel: map[uint64]func(){}}
-	o.conns[conn] = s
-	go s.send(cancel)
+	s := &session{owner: o, conn: conn, ctx: ctx, wake: make(chan struct{}, 1), cancels: map[uint64]func(){}}
+	o.sessions[conn] = s
+	go s.sendLoop(cancel)
 	return s
 }
 
-// take queues or runs one call, or returns why it does neither. None of the
+// admit queues or runs one call, or returns why it does neither. None of the
 // refusals has touched the target.
-func (o *Owner) take(s *session, call *Call, now time.Time) *Failure {
+func (o *Owner) admit(s *session, call *Call, now time.Time) *Failure {
 	left := call.deadline()
 	slots, owned := o.opts.Slots(call.Target, call.Leaf)
 	if left == nil || !owned {
@@ -163,23 +163,23 @@
 	}
 	limit := time.Duration(*left) * time.Millisecond
 	if call.Status != nil {
-		return o.takeStatus(s, call, limit)
+		return o.admitStatus(s, call, limit)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closed {
+	if o.draining {
 		return &Failure{Kind: target.ErrorUnknownTarget, NotStarted: true}
 	}
-	if _, twice := s.cancel[call.ID]; twice || o.calls >= o.opts.MaxCalls {
+	if _, twice := s.cancels[call.ID]; twice || o.calls >= o.opts.MaxCalls {
 		return &Failure{Kind: target.ErrorBusy, NotStarted: true}
 	}
-	q := o.queue(leafKey{call.Target, call.Leaf}, slots)
+	q := o.queueFor(leafKey{call.Target, call.Leaf}, slots)
 	ctx, cancel := context.WithTimeout(s.ctx, limit)
 	w := &waiter{peer: s.conn.Peer().VM, deadline: now.Add(limit)}
-	w.run = func() { go o.run(ctx, s, q, call) }
+	w.run = func() { go o.runCall(ctx, s, q, call) }
 	w.expire = func() {
-		o.forget(s, call.ID)
-		s.finish(Answer{ID: call.ID, Failure: &Failure{Kind: target.ErrorDeadline, NotStarted: true}})
+		o.removeCall(s, call.ID)
+		s.addAnswer(Answer{ID: call.ID, Failure: &Failure{Kind: target.ErrorDeadline, NotStarted: true}})
 	}
 	run, fits, wait := q.offer(w, now)
 	if !fits {
@@ -187,10 +187,10 @@
 		return &Failure{Kind: target.ErrorRefused, Reason: target.ReasonShed, NotStarted: true, RetryAfterMS: wait.Milliseconds()}
 	}
 	o.calls++
-	s.cancel[call.ID] = func() {
+	s.cancels[call.ID] = func() {
 		cancel()
 		if q.remove(w) {
-			o.forget(s, call.ID)
+			o.removeCall(s, call.ID)
 		}
 	}
 	if run {
@@ -199,8 +199,8 @@
 	return nil
 }
 
-// queue must hold mu.
-func (o *Owner) queue(key leafKey, slots int) *slotQueue {
+// queueFor must hold mu.
+func (o *Owner) queueFor(key leafKey, slots int) *slotQueue {
 	q := o.queues[key]
 	if q == nil {
 		q = newSlotQueue(slots)
@@ -210,9 +210,9 @@
 	return q
 }
 
-// passOn gives the slot of a call that has ended to the next. It must hold mu.
-func (o *Owner) passOn(q *slotQueue, took time.Duration, now time.Time) {
-	next, expired := q.finish(took, now)
+// releaseSlot gives the slot of a call that has ended to the next. It must hold mu.
+func (o *Owner) releaseSlot(q *slotQueue, took time.Duration, now time.Time) {
+	next, expired := q.release(took, now)
 	for _, w := range expired {
 		w.expire()
 	}
@@ -221,11 +221,11 @@
 	}
 }
 
-// takeStatus reads a target's status apart from the leaves' slots.
-func (o *Owner) takeStatus(s *session, call *Call, limit time.Duration) *Failure {
+// admitStatus reads a target's status apart from the leaves' slots.
+func (o *Owner) admitStatus(s *session, call *Call, limit time.Duration) *Failure {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closed {
+	if o.draining {
 		return &Failure{Kind: target.ErrorUnknownTarget, NotStarted: true}
 	}
 	if o.calls >= o.opts.MaxCalls {
@@ -241,7 +241,7 @@
 		} else {
 			answer.Status = &status
 		}
-		s.finish(answer)
+		s.addAnswer(answer)
 		o.mu.Lock()
 		o.calls--
 		o.mu.Unlock()
@@ -249,29 +249,29 @@
 	return nil
 }
 
-// forget must hold mu.
-func (o *Owner) forget(s *session, id uint64) {
-	if _, known := s.cancel[id]; known {
-		delete(s.cancel, id)
+// removeCall must hold mu.
+func (o *Owner) removeCall(s *session, id uint64) {
+	if _, known := s.cancels[id]; known {
+		delete(s.cancels, id)
 		o.calls--
 	}
 }
 
-func (o *Owner) run(ctx context.Context, s *session, q *slotQueue, call *Call) {
+func (o *Owner) runCall(ctx context.Context, s *session, q *slotQueue, call *Call) {
 	begin := time.Now()
-	answer := o.ask(ctx, call)
+	answer := o.callLeaf(ctx, call)
 	now := time.Now()
-	s.finish(answer)
+	s.addAnswer(answer)
 	o.mu.Lock()
-	if stop := s.cancel[call.ID]; stop != nil {
+	if stop := s.cancels[call.ID]; stop != nil {
 		stop() // frees the call's timer
 	}
-	o.forget(s, call.ID)
-	o.passOn(q, now.Sub(begin), now)
+	o.removeCall(s, call.ID)
+	o.releaseSlot(q, now.Sub(begin), now)
 	o.mu.Unlock()
 }
 
-func (o *Owner) ask(ctx context.Context, call *Call) Answer {
+func (o *Owner) callLeaf(ctx context.Context, call *Call) Answer {
 	answer := Answer{ID: call.ID}
 	if call.Search != nil {
 		a, err := o.opts.Leaves.Search(ctx, call.Target, call.Leaf, *call.Search)
@@ -294,22 +294,22 @@
 func (o *Owner) cancelCalls(conn *wire.Conn, ids []uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	s := o.conns[conn]
+	s := o.sessions[conn]
 	if s == nil {
 		return
 	}
 	for _, id := range ids {
-		if stop := s.cancel[id]; stop != nil {
+		if stop := s.cancels[id]; stop != nil {
 			stop()
 		}
 	}
 }
 
-// finish hands an answer to the sender.
-func (s *session) finish(a Answer) {
+// addAnswer hands an answer to the sender.
+func (s *session) addAnswer(a Answer) {
 	s.mu.Lock()
-	s.done = append(s.done, a)
-	s.telling++
+	s.answers = append(s.answers, a)
+	s.unsent++
 	s.mu.Unlock()
 	select {
 	case s.wake <- struct{}{}:
@@ -317,10 +317,10 @@
 	}
 }
 
-// send sends what is done until the connection ends; what gets done while a
+// sendLoop sends what is done until the connection ends; what gets done while a
 // message is being written goes into the next.
-func (s *session) send(cancel func()) {
-	defer s.end(cancel)
+func (s *session) sendLoop(cancel func()) {
+	defer s.close(cancel)
 	for {
 		select {
 		case <-s.conn.Done():
@@ -328,37 +328,37 @@
 		case <-s.wake:
 		}
 		s.mu.Lock()
-		done := s.done
-		s.done = nil
+		done := s.answers
+		s.answers = nil
 		s.mu.Unlock()
-		if len(done) > 0 && s.tell(done) != nil {
+		if len(done) > 0 && s.sendAnswers(done) != nil {
 			s.conn.Close()
 			return
 		}
 		s.mu.Lock()
-		s.telling -= len(done)
+		s.unsent -= len(done)
 		s.mu.Unlock()
 	}
 }
 
-func (s *session) hasDone() bool {
+func (s *session) hasUnsent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.telling > 0
+	return s.unsent > 0
 }
 
-func (s *session) tell(done []Answer) error {
+func (s *session) sendAnswers(done []Answer) error {
 	return notify(s.conn, MethodAnswers, Answers{Answers: done})
 }
 
-// end gives up all calls of a connection: nobody waits for them any more.
-func (s *session) end(cancel func()) {
+// close gives up all calls of a connection: nobody waits for them any more.
+func (s *session) close(cancel func()) {
 	cancel()
 	o := s.owner
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.conns, s.conn)
-	for _, stop := range s.cancel {
+	delete(o.sessions, s.conn)
+	for _, stop := range s.cancels {
 		stop()
 	}
 }
--- a/peer/hop/queue.go
+++ b/peer/hop/queue.go
@@ -15,12 +15,12 @@
 // whole load of its leaf, so it can tell how long a call will wait and refuse at
 // once what can't be served in time; queueing that would make all calls late.
 type slotQueue struct {
-	slots   int
-	running int
-	waiting map[string][]*waiter // by VM, the oldest first
-	turns   []string             // VMs that have calls waiting, in turn
-	queued  int
-	mean    time.Duration // of the service times, moving
+	slots       int
+	running     int
+	waiting     map[string][]*waiter // by VM, the oldest first
+	turns       []string             // VMs that have calls waiting, in turn
+	queued      int
+	meanService time.Duration // of the service times, moving
 }
 
 // meanWeight is the weight of the past in the moving mean.
@@ -30,22 +30,22 @@
 	return &slotQueue{slots: max(slots, 1), waiting: map[string][]*waiter{}}
 }
 
-// wait is how long a call that comes now is expected to wait for a slot.
-func (q *slotQueue) wait() time.Duration {
+// expectedWait is how long a call that comes now is expected to expectedWait for a slot.
+func (q *slotQueue) expectedWait() time.Duration {
 	if q.running < q.slots {
 		return 0
 	}
-	return time.Duration(q.queued+1) * q.mean / time.Duration(q.slots)
+	return time.Duration(q.queued+1) * q.meanService / time.Duration(q.slots)
 }
 
 // offer takes a call. It returns whether the call runs now; if neither that nor
 // ok it can't be served in time, and wait says when to come back.
 func (q *slotQueue) offer(w *waiter, now time.Time) (run, ok bool, wait time.Duration) {
-	wait = q.wait()
+	wait = q.expectedWait()
 	// A leaf with nothing to do takes a call whatever its last ones took. After a time of
 	// silence the mean says that no call can be served in time; if all were refused for
 	// that, none would ever tell that the leaf is well again.
-	if q.running > 0 && now.Add(wait+q.mean).After(w.deadline) {
+	if q.running > 0 && now.Add(wait+q.meanService).After(w.deadline) {
 		return false, false, wait
 	}
 	if q.running < q.slots {
@@ -60,10 +60,10 @@
 	return false, true, wait
 }
 
-// finish frees a slot. It returns the call that takes it, if any, and those
+// release frees a slot. It returns the call that takes it, if any, and those
 // whose deadline passed while they waited.
-func (q *slotQueue) finish(took time.Duration, now time.Time) (next *waiter, expired []*waiter) {
-	q.mean += (took - q.mean) / meanWeight
+func (q *slotQueue) release(took time.Duration, now time.Time) (next *waiter, expired []*waiter) {
+	q.meanService += (took - q.meanService) / meanWeight
 	for len(q.turns) > 0 && q.running <= q.slots {
 		w := q.pop()
 		if w.deadline.After(now) {
@@ -102,14 +102,14 @@
 		q.waiting[w.peer] = append(list[:i:i], list[i+1:]...)
 		if len(q.waiting[w.peer]) == 0 {
 			delete(q.waiting, w.peer)
-			q.dropTurn(w.peer)
+			q.removeTurn(w.peer)
 		}
 		return true
 	}
 	return false
 }
 
-func (q *slotQueue) dropTurn(peer string) {
+func (q *slotQueue) removeTurn(peer string) {
 	for i, name := range q.turns {
 		if name == peer {
 			q.turns = append(q.turns[:i:i], q.turns[i+1:]...)
--- a/peer/hop/status.go
+++ b/peer/hop/status.go
@@ -8,9 +8,9 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// statusAge is how old a status may be that an owner passes on. Many VMs ask the
+// maxStatusAge is how old a status may be that an owner passes on. Many VMs ask the
 // few owners of a target; the target is read a few times a second all the same.
-const statusAge = 200 * time.Millisecond
+const maxStatusAge = 200 * time.Millisecond
 
 // statusCache keeps the last status of each target for a short time and reads a
 // target once for all that ask meanwhile.
@@ -43,7 +43,7 @@
 	e := c.entry(name)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Since(e.at) < statusAge {
+	if time.Since(e.at) < maxStatusAge {
 		return e.status, nil
 	}
 	status, err := leaves.Status(ctx, name)
--- a/peer/route/hold.go
+++ b/peer/route/hold.go
@@ -19,28 +19,28 @@
 	frozenAfter = 5 * time.Second
 )
 
-// holding is the place that this process has claimed.
-type holding struct {
-	held   *place.Held // nil if none
-	unsure bool        // it may have been given to another VM
+// heldPlace is the place that this process has claimed.
+type heldPlace struct {
+	held       *place.Held // nil if none
+	unverified bool        // it may have been given to another VM
 }
 
-// holdPlace claims a place as soon as some target isn't reached by all VMs, and
+// maintainPlace claims a place as soon as some target isn't reached by all VMs, and
 // gives it back at the end.
-func (r *Router) holdPlace() error {
+func (r *Router) maintainPlace() error {
 	ticker := time.NewTicker(placeInterval)
 	defer ticker.Stop()
-	var h holding
+	var h heldPlace
 	last := time.Now()
 	for {
 		if time.Since(last) > frozenAfter {
-			h.unsure = true
+			h.unverified = true
 		}
-		h = r.look(h)
+		h = r.updatePlace(h)
 		last = time.Now()
 		select {
 		case <-r.tomb.Dying():
-			r.release(h.held)
+			r.releasePlace(h.held)
 			return nil
 		case <-ticker.C:
 		case <-r.wake:
@@ -48,10 +48,10 @@
 	}
 }
 
-func (r *Router) look(h holding) holding {
+func (r *Router) updatePlace(h heldPlace) heldPlace {
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), placeTimeout)
 	defer cancel()
-	if h.held != nil && h.unsure {
+	if h.held != nil && h.unverified {
 		// Connections are given up until the platform has answered.
 		r.setPlace(noPlace)
 		lost, err := h.held.Lost(ctx)
@@ -67,19 +67,19 @@
 	r.mu.Unlock()
 	if h.held != nil && h.held.Place >= places {
 		r.setPlace(noPlace)
-		r.release(h.held)
+		r.releasePlace(h.held)
 		h.held = nil
 	}
 	if h.held == nil && needed {
-		h.held = r.take(ctx, places)
+		h.held = r.acquirePlace(ctx, places)
 	}
 	if h.held != nil {
 		r.setPlace(h.held.Place)
 	}
-	return holding{held: h.held}
+	return heldPlace{held: h.held}
 }
 
-func (r *Router) take(ctx context.Context, places int) *place.Held {
+func (r *Router) acquirePlace(ctx context.Context, places int) *place.Held {
 	held, err := place.Acquire(ctx, r.opts.Place, places)
 	if err != nil {
 		r.opts.Log.Debug("no place", "error", errors.Cause(err))
@@ -93,13 +93,13 @@
 	r.fleet.SetPlace(own)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.own != own {
-		r.own = own
-		r.shareOut()
+	if r.place != own {
+		r.place = own
+		r.assignConnections()
 	}
 }
 
-func (r *Router) release(held *place.Held) {
+func (r *Router) releasePlace(held *place.Held) {
 	if held == nil {
 		return
 	}
--- a/peer/route/metrics.go
+++ b/peer/route/metrics.go
@@ -16,12 +16,12 @@
 	r.metrics.NewGauge(`bramley_route_place`, func() float64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return float64(r.own)
+		return float64(r.place)
 	})
 	r.metrics.NewGauge(`bramley_route_owner_connections`, func() float64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return float64(len(r.peers))
+		return float64(len(r.ownerConns))
 	})
 	r.metrics.NewGauge(`bramley_route_peer_calls`, func() float64 { return float64(r.owner.Calls()) })
 }
--- a/peer/route/order.go
+++ b/peer/route/order.go
@@ -39,15 +39,15 @@
 
 // candidate is a live owner of a target.
 type candidate struct {
-	vm       objstore.VM
-	distance distance
-	resting  bool   // it refused or was silent a short time ago
-	weight   uint64 // spreads VMs over owners that are equal otherwise
+	vm         objstore.VM
+	distance   distance
+	inCooldown bool   // it refused or was silent a short time ago
+	weight     uint64 // spreads VMs over owners that are equal otherwise
 }
 
-// weightOf gives each VM its own order of the owners of each target. An owner that
+// rendezvousWeight gives each VM its own order of the owners of each target. An owner that
 // is lost is replaced by another one for each VM, so that its load spreads.
-func weightOf(self, target, owner string) uint64 {
+func rendezvousWeight(self, target, owner string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(self)
@@ -58,25 +58,25 @@
 	return d.Sum64()
 }
 
-// behind is the order of two of which one should be tried later.
-func behind(first bool) int {
+// compareLast is the order of two of which one should be tried later.
+func compareLast(first bool) int {
 	if first {
 		return 1
 	}
 	return -1
 }
 
-// order sorts owners in the order in which they are tried: the near ones first,
+// sortCandidates sorts owners in the sortCandidates in which they are tried: the near ones first,
 // those that rest behind them, and those that are leaving last. A far owner costs
 // milliseconds, one that refuses or is silent costs the attempt, and one that is
 // leaving should get nothing new, unless it is the last.
-func order(list []candidate) {
+func sortCandidates(list []candidate) {
 	slices.SortFunc(list, func(a, b candidate) int {
 		if a.vm.Leaving != b.vm.Leaving {
-			return behind(a.vm.Leaving)
+			return compareLast(a.vm.Leaving)
 		}
-		if a.resting != b.resting {
-			return behind(a.resting)
+		if a.inCooldown != b.inCooldown {
+			return compareLast(a.inCooldown)
 		}
 		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(b.weight, a.weight))
 	})
--- a/peer/route/order_test.go
+++ b/peer/route/order_test.go
@@ -34,20 +34,20 @@
 	g.Expect(zones{own: "x"}.distance("y")).To(Equal(elsewhere))
 	list := []candidate{
 		{vm: objstore.VM{Name: "leaving", Leaving: true}, distance: sameZone, weight: 10},
-		{vm: objstore.VM{Name: "near, resting"}, distance: sameZone, resting: true, weight: 9},
+		{vm: objstore.VM{Name: "near, resting"}, distance: sameZone, inCooldown: true, weight: 9},
 		{vm: objstore.VM{Name: "far"}, distance: elsewhere, weight: 8},
 		{vm: objstore.VM{Name: "region"}, distance: sameRegion, weight: 7},
 		{vm: objstore.VM{Name: "near 1"}, distance: sameZone, weight: 1},
 		{vm: objstore.VM{Name: "near 2"}, distance: sameZone, weight: 2},
 	}
-	order(list)
+	sortCandidates(list)
 	g.Expect(names(list)).To(Equal([]string{"near 2", "near 1", "region", "far", "near, resting", "leaving"}))
 }
 
-// TestHealth: an owner is frozen and still counts as live. Calls to it would each
+// TestOwnerHealth: an owner is frozen and still counts as live. Calls to it would each
 // be lost or cost a hedge until the exchange finds out, seconds later. It must go
 // behind after some unanswered calls, and be tried again later.
-func TestHealth(t *testing.T) {
+func TestOwnerHealth(t *testing.T) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	live := context.Background()
@@ -57,7 +57,7 @@
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	call := func(h *ownerHealth, ctx context.Context, err error, broken bool, from, to int) {
 		h.sent(at(from))
-		h.outcome(ctx, "t", err, broken, at(to).Sub(at(from)), at(to))
+		h.record(ctx, "t", err, broken, at(to).Sub(at(from)), at(to))
 	}
 	for name, tc := range map[string]struct {
 		events  func(h *ownerHealth)
@@ -65,10 +65,10 @@
 	}{
 		"answers":              {func(h *ownerHealth) { call(h, live, nil, false, 0, 10) }, map[int]bool{11: false, 5000: false}},
 		"silent for long":      {func(h *ownerHealth) { h.sent(at(0)) }, map[int]bool{19: false, 30: true, 5000: true}},
-		"slow as usual":        {func(h *ownerHealth) { h.mean = 100 * time.Millisecond; h.sent(at(0)) }, map[int]bool{399: false, 401: true}},
+		"slow as usual":        {func(h *ownerHealth) { h.meanLatency = 100 * time.Millisecond; h.sent(at(0)) }, map[int]bool{399: false, 401: true}},
 		"one loser of a hedge": {func(h *ownerHealth) { call(h, ended, cancelled, false, 0, 5) }, map[int]bool{6: false}},
 		"short calls unanswered": {func(h *ownerHealth) {
-			for i := range maxMissed {
+			for i := range maxUnanswered {
 				call(h, ended, cancelled, false, 10*i, 10*i+5)
 			}
 		}, map[int]bool{26: true, 2000: true, 2026: false}},
@@ -80,7 +80,7 @@
 		}, map[int]bool{50: false}},
 		"no slot":               {func(h *ownerHealth) { call(h, live, shed, false, 0, 1) }, map[int]bool{2: true, 300: true, 302: false}},
 		"the connection broke":  {func(h *ownerHealth) { call(h, live, cancelled, true, 0, 1) }, map[int]bool{2: false}},
-		"it can't be reached":   {func(h *ownerHealth) { h.unreachable(at(0)) }, map[int]bool{1: true, 2001: false}},
+		"it can't be reached":   {func(h *ownerHealth) { h.markUnreachable(at(0)) }, map[int]bool{1: true, 2001: false}},
 		"the target broke":      {func(h *ownerHealth) { call(h, live, &target.CallError{Kind: target.ErrorBroken}, false, 0, 1) }, map[int]bool{2: false}},
 		"answers after silence": {func(h *ownerHealth) { h.sent(at(0)); h.answered(0, at(100)) }, map[int]bool{101: false}},
 	} {
@@ -89,28 +89,28 @@
 			h := &ownerHealth{}
 			tc.events(h)
 			for ms, want := range tc.resting {
-				g.Expect(h.resting("t", at(ms))).To(Equal(want), "at %d ms", ms)
+				g.Expect(h.inCooldown("t", at(ms))).To(Equal(want), "at %d ms", ms)
 			}
-			g.Expect(h.out).To(BeNumerically(">=", 0))
+			g.Expect(h.inFlight).To(BeNumerically(">=", 0))
 		})
 	}
 	g := NewWithT(t)
 	h := &ownerHealth{}
 	call(h, live, shed, false, 0, 1)
-	g.Expect(h.resting("another target", at(2))).To(BeFalse())
+	g.Expect(h.inCooldown("another target", at(2))).To(BeFalse())
 }
 
-// fleetOrder is who calls whom in a fleet of 950 VMs in 5 zones and 2 regions with
+// selectionFixture is who calls whom in a fleet of 950 VMs in 5 zones and 2 regions with
 // 3,250 targets of 8 owners.
-type fleetOrder struct {
+type selectionFixture struct {
 	vms     []objstore.VM
 	regions map[string]string
 	targets []string
 	owners  [][]int
 }
 
-func newFleetOrder() *fleetOrder {
-	f := &fleetOrder{regions: map[string]string{"z0": "r0", "z1": "r0", "z2": "r0", "z3": "r1", "z4": "r1"}}
+func newSelectionFixture() *selectionFixture {
+	f := &selectionFixture{regions: map[string]string{"z0": "r0", "z1": "r0", "z2": "r0", "z3": "r1", "z4": "r1"}}
 	for i := range 950 {
 		f.vms = append(f.vms, objstore.VM{Name: fmt.Sprint("vm-", i), Zone: fmt.Sprint("z", i%5)})
 	}
@@ -122,19 +122,19 @@
 	return f
 }
 
-// first is the owner that a VM calls.
-func (f *fleetOrder) first(vm objstore.VM, i int, near bool) candidate {
+// firstChoice is the owner that a VM calls.
+func (f *selectionFixture) firstChoice(vm objstore.VM, i int, near bool) candidate {
 	z := zones{own: vm.Zone, regions: f.regions}
 	var list []candidate
 	for _, place := range f.owners[i] {
 		owner := f.vms[place]
-		c := candidate{vm: owner, weight: weightOf(vm.Name, f.targets[i], owner.Name)}
+		c := candidate{vm: owner, weight: rendezvousWeight(vm.Name, f.targets[i], owner.Name)}
 		if near {
 			c.distance = z.distance(owner.Zone)
 		}
 		list = append(list, c)
 	}
-	order(list)
+	sortCandidates(list)
 	list[0].distance = z.distance(list[0].vm.Zone)
 	return list[0]
 }
@@ -142,7 +142,7 @@
 // BenchmarkOrder reports how the load spreads if each VM calls each target as
 // often, and what one choice costs.
 func BenchmarkOrder(b *testing.B) {
-	f := newFleetOrder()
+	f := newSelectionFixture()
 	for _, near := range []bool{false, true} {
 		b.Run(fmt.Sprint("near=", near), func(b *testing.B) {
 			load := map[string]float64{}
@@ -151,7 +151,7 @@
 			for b.Loop() {
 				vm := f.vms[int(calls)%len(f.vms)]
 				for i := range f.targets {
-					c := f.first(vm, i, near)
+					c := f.firstChoice(vm, i, near)
 					load[c.vm.Name]++
 					within[c.distance]++
 				}
--- a/peer/route/owner_conn.go
+++ b/peer/route/owner_conn.go
@@ -14,15 +14,15 @@
 
 const (
 	dialTimeout = time.Second
-	// dialPause is for how long an owner that couldn't be reached isn't dialled.
-	dialPause = 500 * time.Millisecond
+	// redialDelay is for how long an owner that couldn't be reached isn't dialled.
+	redialDelay = 500 * time.Millisecond
 
-	// slowDial is when an owner that is being dialled goes behind the others.
-	slowDial = 50 * time.Millisecond
+	// slowDialAfter is when an owner that is being dialled goes behind the others.
+	slowDialAfter = 50 * time.Millisecond
 
 	defaultIdleAfter = 5 * time.Second
-	// idleLooks is how often idle connections are looked for within IdleAfter.
-	idleLooks = 5
+	// idleChecks is how often idle connections are looked for within IdleAfter.
+	idleChecks = 5
 )
 
 var errClosed = errors.New("route: the router has stopped")
@@ -33,23 +33,23 @@
 type ownerConn struct {
 	dial func(context.Context) (*hop.Caller, error)
 
-	mu      sync.Mutex // guards what follows; taken after Router.mu
-	users   int        // calls that use the connection or wait for it
-	used    time.Time  // when a call last ended
-	health  ownerHealth
-	caller  *hop.Caller
-	dialing chan struct{} // closed when the dial under way has ended; nil if none is
-	begun   time.Time     // the last dial
-	failed  time.Time
-	err     error
-	closed  bool
+	mu          sync.Mutex // guards what follows; taken after Router.mu
+	users       int        // calls that use the connection or wait for it
+	lastUsed    time.Time  // when a call last ended
+	health      ownerHealth
+	caller      *hop.Caller
+	dialing     chan struct{} // closed when the dial under way has ended; nil if none is
+	dialStarted time.Time     // the last dial
+	dialFailed  time.Time
+	dialErr     error
+	closed      bool
 }
 
 // get returns the connection and dials it if there is none. It waits for a dial
 // until ctx ends.
 func (c *ownerConn) get(ctx context.Context) (*hop.Caller, error) {
 	for {
-		caller, dialing, err := c.look()
+		caller, dialing, err := c.callerOrDial()
 		if caller != nil || err != nil {
 			return caller, err
 		}
@@ -63,8 +63,8 @@
 	}
 }
 
-// look returns the connection, or the dial to wait for, or why there is neither.
-func (c *ownerConn) look() (*hop.Caller, <-chan struct{}, error) {
+// callerOrDial returns the connection, or the dial to wait for, or why there is neither.
+func (c *ownerConn) callerOrDial() (*hop.Caller, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -74,11 +74,11 @@
 		return c.caller, nil, nil
 	case c.dialing != nil:
 		return nil, c.dialing, nil
-	case c.err != nil && time.Since(c.failed) < dialPause:
-		return nil, nil, c.err
+	case c.dialErr != nil && time.Since(c.dialFailed) < redialDelay:
+		return nil, nil, c.dialErr
 	}
 	c.dialing = make(chan struct{})
-	c.begun = time.Now()
+	c.dialStarted = time.Now()
 	go c.open()
 	return nil, c.dialing, nil
 }
@@ -101,10 +101,10 @@
 	defer c.mu.Unlock()
 	close(c.dialing)
 	c.dialing = nil
-	c.caller, c.err = caller, err
+	c.caller, c.dialErr = caller, err
 	if err != nil {
-		c.failed = time.Now()
-		c.health.unreachable(c.failed)
+		c.dialFailed = time.Now()
+		c.health.markUnreachable(c.dialFailed)
 	}
 	if c.closed && caller != nil {
 		caller.Close()
@@ -122,8 +122,8 @@
 	}
 }
 
-// take counts a call in.
-func (c *ownerConn) take() {
+// acquire counts a call in.
+func (c *ownerConn) acquire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.users++
@@ -134,14 +134,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.users--
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 }
 
 // idle tells whether no call uses the connection, nor has for some time.
 func (c *ownerConn) idle(now time.Time, after time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.users == 0 && c.dialing == nil && now.Sub(c.used) >= after
+	return c.users == 0 && c.dialing == nil && now.Sub(c.lastUsed) >= after
 }
 
 // lease is a connection to an owner that isn't closed as idle until release.
@@ -156,31 +156,31 @@
 func (l lease) call(ctx context.Context, name string, f func(hop.Leaves) error) error {
 	defer l.release()
 	begin := time.Now()
-	l.conn.note(func(h *ownerHealth) { h.sent(begin) })
+	l.conn.updateHealth(func(h *ownerHealth) { h.sent(begin) })
 	err := f(l.Caller)
 	now := time.Now()
-	l.conn.note(func(h *ownerHealth) { h.outcome(ctx, name, err, ended(l.Caller), now.Sub(begin), now) })
+	l.conn.updateHealth(func(h *ownerHealth) { h.record(ctx, name, err, ended(l.Caller), now.Sub(begin), now) })
 	return err
 }
 
-func (c *ownerConn) note(event func(*ownerHealth)) {
+func (c *ownerConn) updateHealth(event func(*ownerHealth)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	event(&c.health)
 }
 
-// resting tells whether other owners of a target should be tried first. A dial
+// inCooldown tells whether other owners of a target should be tried first. A dial
 // takes milliseconds, or as long as its limit if the owner is silent.
-func (c *ownerConn) resting(target string, now time.Time) bool {
+func (c *ownerConn) inCooldown(target string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	slowDial := c.dialing != nil && now.Sub(c.begun) > slowDial
-	return slowDial || c.health.resting(target, now)
+	slowDial := c.dialing != nil && now.Sub(c.dialStarted) > slowDialAfter
+	return slowDial || c.health.inCooldown(target, now)
 }
 
-// caller returns the connection to an owner; the call releases it at its end.
-func (r *Router) caller(ctx context.Context, vm objstore.VM) (lease, error) {
-	c := r.takeConn(vm)
+// acquireConn returns the connection to an owner; the call releases it at its end.
+func (r *Router) acquireConn(ctx context.Context, vm objstore.VM) (lease, error) {
+	c := r.connFor(vm)
 	caller, err := c.get(ctx)
 	if err != nil {
 		c.release()
@@ -189,17 +189,17 @@
 	return lease{Caller: caller, conn: c}, nil
 }
 
-func (r *Router) takeConn(vm objstore.VM) *ownerConn {
+func (r *Router) connFor(vm objstore.VM) *ownerConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.peers[vm.Address]
+	c := r.ownerConns[vm.Address]
 	if c == nil {
 		c = &ownerConn{dial: func(ctx context.Context) (*hop.Caller, error) {
 			return hop.Dial(ctx, vm.Address, r.fleet.WireOptions(), &wire.Counters{})
 		}}
-		r.peers[vm.Address] = c
+		r.ownerConns[vm.Address] = c
 	}
-	c.take()
+	c.acquire()
 	return c
 }
 
@@ -208,7 +208,7 @@
 // connection can't cross: a connection is taken, and found idle and dropped,
 // under Router.mu, so a later call opens another.
 func (r *Router) closeIdle() error {
-	ticker := time.NewTicker(r.opts.IdleAfter / idleLooks)
+	ticker := time.NewTicker(r.opts.IdleAfter / idleChecks)
 	defer ticker.Stop()
 	for {
 		select {
@@ -227,9 +227,9 @@
 func (r *Router) dropIdle(now time.Time, after time.Duration) (dropped []*ownerConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for address, c := range r.peers {
+	for address, c := range r.ownerConns {
 		if c.idle(now, after) {
-			delete(r.peers, address)
+			delete(r.ownerConns, address)
 			dropped = append(dropped, c)
 		}
 	}
--- a/peer/route/owner_conn_test.go
+++ b/peer/route/owner_conn_test.go
@@ -18,7 +18,7 @@
 // ownerBehindProxy returns a VM without connections of its own, and one of the
 // target's owners as it is reached through a fault proxy.
 func (f *testFleet) ownerBehindProxy() (vm *testVM, owner objstore.VM, proxy *faultproxy.Proxy) {
-	f.reached(f.vms...)
+	f.waitReachable(f.vms...)
 	f.Eventually(f.owners).WithTimeout(testLimit).Should(HaveLen(2))
 	for _, other := range f.vms {
 		if other.router.Connections("target-0") == 0 {
@@ -31,11 +31,11 @@
 	return vm, objstore.VM{Name: f.owners()[0].name, Address: proxy.Address()}, proxy
 }
 
-// dials tells whether an owner is being dialled.
-func (r *Router) dials(address string) bool {
+// isDialing tells whether an owner is being dialled.
+func (r *Router) isDialing(address string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.peers[address]
+	c := r.ownerConns[address]
 	if c == nil {
 		return false
 	}
@@ -44,31 +44,31 @@
 	return c.dialing != nil
 }
 
-// TestCancelledCallDoesNotCondemnTheOwner: the first call to an owner has to dial
+// TestCancelledCallDoesNotMarkOwnerUnreachable: the first call to an owner has to dial
 // it, and the query that made the call ends meanwhile, as the loser of a hedge
 // does. Users of this VM got no answers for half a second: the dial ended with
 // that call, the owner counted as one that can't be reached, and the reads of the
 // target's status that failed for it made the target count as lost.
-func TestCancelledCallDoesNotCondemnTheOwner(t *testing.T) {
+func TestCancelledCallDoesNotMarkOwnerUnreachable(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, owner, proxy := f.ownerBehindProxy()
 	proxy.SetFaults(faultproxy.Faults{Frozen: true})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	_, err := vm.router.caller(ctx, owner)
+	_, err := vm.router.acquireConn(ctx, owner)
 	f.Expect(err).To(HaveOccurred())
 	proxy.SetFaults(faultproxy.Faults{})
 
 	ctx, cancel = context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	_, err = vm.router.caller(ctx, owner)
+	_, err = vm.router.acquireConn(ctx, owner)
 	f.Expect(err).NotTo(HaveOccurred())
 }
 
-// TestCallDoesNotWaitForAnothersDial: an owner went silent and one call is still
+// TestCallStopsWaitingForDialAtDeadline: an owner went silent and one call is still
 // dialling it. A second call with little time left waited for that dial to end
 // before it looked at its own deadline, so its user was answered late.
-func TestCallDoesNotWaitForAnothersDial(t *testing.T) {
+func TestCallStopsWaitingForDialAtDeadline(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, owner, proxy := f.ownerBehindProxy()
 	proxy.SetFaults(faultproxy.Faults{Frozen: true})
@@ -76,24 +76,24 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 		defer cancel()
-		_, err := vm.router.caller(ctx, owner)
+		_, err := vm.router.acquireConn(ctx, owner)
 		first <- err
 	}()
-	f.Eventually(func() bool { return vm.router.dials(owner.Address) }).WithTimeout(testLimit).Should(BeTrue())
+	f.Eventually(func() bool { return vm.router.isDialing(owner.Address) }).WithTimeout(testLimit).Should(BeTrue())
 
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := vm.router.caller(ctx, owner)
+	_, err := vm.router.acquireConn(ctx, owner)
 	f.Expect(err).To(MatchError(context.Canceled))
 	f.Eventually(first).WithTimeout(testLimit).Should(Receive(HaveOccurred()))
 }
 
-// TestIdleConnectionsClosedUnderCalls: connections to owners are closed when they
+// TestIdleCloseDuringCalls: connections to owners are closed when they
 // are idle while users go on asking. A call that was sent as its connection was
 // closed would count as one that may have been started, and a request that must
 // run once would end with an unknown outcome. Here each gap between calls is long
 // enough to count as idle.
-func TestIdleConnectionsClosedUnderCalls(t *testing.T) {
+func TestIdleCloseDuringCalls(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, _, _ := f.ownerBehindProxy()
 	const enough = 10 // connections closed while calls went on
@@ -140,7 +140,7 @@
 	connections := func() int {
 		vm.router.mu.Lock()
 		defer vm.router.mu.Unlock()
-		return len(vm.router.peers)
+		return len(vm.router.ownerConns)
 	}
 	f.Expect(vm.search(f)).To(Succeed())
 	f.Expect(connections()).To(BeNumerically(">", 0))
@@ -148,20 +148,20 @@
 	f.Expect(vm.search(f)).To(Succeed())
 }
 
-// TestFrozenOwnerGoesBehind: the nearest owner is frozen and still counts as live.
+// TestFrozenOwnerIsTriedLast: the nearest owner is frozen and still counts as live.
 // Each call of this VM was lost to it until the exchange found out, seconds later.
 // After the first few, calls must go to another owner.
-func TestFrozenOwnerGoesBehind(t *testing.T) {
+func TestFrozenOwnerIsTriedLast(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, _, _ := f.ownerBehindProxy()
-	owners, _ := vm.router.reach("target-0")
+	owners, _ := vm.router.resolve("target-0")
 	f.Expect(owners).To(HaveLen(2))
 	first := owners[0].vm
 	proxy, err := faultproxy.Start(faultproxy.Options{Target: first.Address})
 	f.Expect(err).NotTo(HaveOccurred())
 	defer proxy.Close()
 	vm.router.mu.Lock()
-	vm.router.peers[first.Address] = &ownerConn{dial: func(ctx context.Context) (*hop.Caller, error) {
+	vm.router.ownerConns[first.Address] = &ownerConn{dial: func(ctx context.Context) (*hop.Caller, error) {
 		o := vm.router.fleet.WireOptions()
 		o.PingInterval = testLimit // the silence isn't found by pings, as it isn't within seconds in a real fleet
 		return hop.Dial(ctx, proxy.Address(), o, &wire.Counters{})
@@ -170,8 +170,8 @@
 	f.Expect(vm.search(f)).To(Succeed())
 	proxy.SetFaults(faultproxy.Faults{Frozen: true})
 	behind := func() bool {
-		owners, _ := vm.router.reach("target-0")
-		return owners[1].vm == first && owners[1].resting
+		owners, _ := vm.router.resolve("target-0")
+		return owners[1].vm == first && owners[1].inCooldown
 	}
 	lost := 0
 	f.Eventually(func() bool { // ends as soon as it is behind, since its rest ends by itself
@@ -180,6 +180,6 @@
 		}
 		return behind()
 	}).WithTimeout(testLimit).Should(BeTrue())
-	f.Expect(lost).To(BeNumerically("<=", maxMissed))
+	f.Expect(lost).To(BeNumerically("<=", maxUnanswered))
 	f.Expect(vm.search(f)).To(Succeed())
 }
--- a/peer/route/owner_health.go
+++ b/peer/route/owner_health.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// restTime is for how long an owner goes behind the others after it was found
+	// cooldownTime is for how long an owner goes behind the others after it was found
 	// silent or could not be reached. Nothing is heard of one that isn't called,
 	// so the rest ends by itself.
-	restTime = 2 * time.Second
+	cooldownTime = 2 * time.Second
 	// minSilence and silenceFactor say when an owner with calls under way counts
 	// as silent: no answer for that time, and for as many usual answer times.
 	minSilence    = 20 * time.Millisecond
 	silenceFactor = 4
-	// maxMissed is how many calls in a row may be given up unanswered.
-	maxMissed = 3
+	// maxUnanswered is how many calls in a row may be given up unanswered.
+	maxUnanswered = 3
 	// The bounds on a rest after a refusal.
-	minRefusal = 100 * time.Millisecond
-	maxRefusal = time.Second
+	minRefusalCooldown = 100 * time.Millisecond
+	maxRefusalCooldown = time.Second
 	// meanWeight is the weight of the past in the moving mean.
 	meanWeight = 8
 )
@@ -29,49 +29,49 @@
 // owner counts as live for seconds until the exchange finds out; until then each
 // call to it would be lost or cost a hedge.
 type ownerHealth struct {
-	out       int           // calls under way
-	since     time.Time     // the last answer, or the begin of the first call after it
-	mean      time.Duration // until an answer, moving
-	missed    int           // calls given up since the last answer
-	restUntil time.Time
-	refused   map[string]time.Time // until when, by target
+	inFlight      int           // calls under way
+	waitingSince  time.Time     // the last answer, or the begin of the first call after it
+	meanLatency   time.Duration // until an answer, moving
+	unanswered    int           // calls given up since the last answer
+	cooldownUntil time.Time
+	refusedUntil  map[string]time.Time // until when, by target
 }
 
 func (h *ownerHealth) sent(now time.Time) {
-	if h.out == 0 {
-		h.since = now
+	if h.inFlight == 0 {
+		h.waitingSince = now
 	}
-	h.out++
+	h.inFlight++
 }
 
 // answered takes any answer, refusals by the target included.
 func (h *ownerHealth) answered(took time.Duration, now time.Time) {
-	h.out--
-	h.since = now
-	h.missed = 0
-	h.mean += (took - h.mean) / meanWeight
+	h.inFlight--
+	h.waitingSince = now
+	h.unanswered = 0
+	h.meanLatency += (took - h.meanLatency) / meanWeight
 }
 
-// givenUp takes a call that ended without an answer.
-func (h *ownerHealth) givenUp(now time.Time) {
+// abandoned takes a call that ended without an answer.
+func (h *ownerHealth) abandoned(now time.Time) {
 	silent := h.silent(now)
-	h.out--
-	h.missed++
-	if silent || h.missed >= maxMissed {
-		h.unreachable(now)
+	h.inFlight--
+	h.unanswered++
+	if silent || h.unanswered >= maxUnanswered {
+		h.markUnreachable(now)
 	}
 }
 
-// outcome tells what became of a call about a target; broken says that the
+// record tells what became of a call about a target; broken says that the
 // connection has ended.
-func (h *ownerHealth) outcome(ctx context.Context, name string, err error, broken bool, took time.Duration, now time.Time) {
+func (h *ownerHealth) record(ctx context.Context, name string, err error, broken bool, took time.Duration, now time.Time) {
 	call, _ := err.(*target.CallError)
 	switch {
 	case call != nil && ctx.Err() != nil:
-		h.givenUp(now)
+		h.abandoned(now)
 		return
 	case call != nil && broken:
-		h.lost()
+		h.connectionLost()
 		return
 	}
 	h.answered(took, now)
@@ -79,32 +79,32 @@
 		return
 	}
 	if call.Kind == target.ErrorBusy || call.Kind == target.ErrorRefused && call.Reason == target.ReasonShed {
-		h.refuse(name, call.RetryAfter, now)
+		h.markRefused(name, call.RetryAfter, now)
 	}
 }
 
-// lost takes a call whose connection broke.
-func (h *ownerHealth) lost() { h.out-- }
+// connectionLost takes a call whose connection broke.
+func (h *ownerHealth) connectionLost() { h.inFlight-- }
 
-func (h *ownerHealth) unreachable(now time.Time) {
-	h.restUntil = now.Add(restTime)
-	h.missed = 0
+func (h *ownerHealth) markUnreachable(now time.Time) {
+	h.cooldownUntil = now.Add(cooldownTime)
+	h.unanswered = 0
 }
 
-// refuse notes that no slot of a target was free. Other targets of the owner may
+// markRefused notes that no slot of a target was free. Other targets of the owner may
 // have some.
-func (h *ownerHealth) refuse(name string, retryAfter time.Duration, now time.Time) {
-	if h.refused == nil {
-		h.refused = map[string]time.Time{}
+func (h *ownerHealth) markRefused(name string, retryAfter time.Duration, now time.Time) {
+	if h.refusedUntil == nil {
+		h.refusedUntil = map[string]time.Time{}
 	}
-	h.refused[name] = now.Add(min(max(retryAfter, minRefusal), maxRefusal))
+	h.refusedUntil[name] = now.Add(min(max(retryAfter, minRefusalCooldown), maxRefusalCooldown))
 }
 
 func (h *ownerHealth) silent(now time.Time) bool {
-	return h.out > 0 && now.Sub(h.since) > max(minSilence, silenceFactor*h.mean)
+	return h.inFlight > 0 && now.Sub(h.waitingSince) > max(minSilence, silenceFactor*h.meanLatency)
 }
 
-// resting tells whether others should be tried first.
-func (h *ownerHealth) resting(name string, now time.Time) bool {
-	return now.Before(h.restUntil) || now.Before(h.refused[name]) || h.silent(now)
+// inCooldown tells whether others should be tried first.
+func (h *ownerHealth) inCooldown(name string, now time.Time) bool {
+	return now.Before(h.cooldownUntil) || now.Before(h.refusedUntil[name]) || h.silent(now)
 }
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -56,29 +56,29 @@
 	direct, viaOwner *metrics.Counter
 	byDistance       [elsewhere + 1]*metrics.Counter
 
-	mu      sync.Mutex // guards what follows
-	targets map[string]*route
-	owners  map[ownersKey][]int // kept from bundle to bundle: hashing all places is slow
-	places  int                 // of the fleet, as the bundle has it
-	shared  bool                // some target has fewer owners than the fleet has places
-	zones   zones
-	own     int // own place; noPlace if none
-	changed chan struct{}
-	peers   map[string]*ownerConn
+	mu         sync.Mutex // guards what follows
+	targets    map[string]*targetRoute
+	ownerCache map[ownerCacheKey][]int // kept from bundle to bundle: hashing all places is slow
+	places     int                     // of the fleet, as the bundle has it
+	shared     bool                    // some target has fewer owners than the fleet has places
+	zones      zones
+	place      int // own place; noPlace if none
+	changed    chan struct{}
+	ownerConns map[string]*ownerConn
 }
 
 const noPlace = -1
 
-// route is how one target is reached.
-type route struct {
-	plan   share.Plan
-	slots  int
-	leaves int
-	owners []int // places; nil if direct
-	own    int   // connections of this VM's own
+// targetRoute is how one target is reached.
+type targetRoute struct {
+	plan        share.Plan
+	slots       int
+	leaves      int
+	owners      []int // places; nil if direct
+	connections int   // connections of this VM's own
 }
 
-type ownersKey struct {
+type ownerCacheKey struct {
 	target         string
 	places, owners int
 }
@@ -90,13 +90,13 @@
 	}
 	defaults.Positive(&o.IdleAfter, defaultIdleAfter)
 	r := &Router{
-		opts:    o,
-		wake:    make(chan struct{}, 1),
-		targets: map[string]*route{},
-		owners:  map[ownersKey][]int{},
-		own:     noPlace,
-		changed: make(chan struct{}),
-		peers:   map[string]*ownerConn{},
+		opts:       o,
+		wake:       make(chan struct{}, 1),
+		targets:    map[string]*targetRoute{},
+		ownerCache: map[ownerCacheKey][]int{},
+		place:      noPlace,
+		changed:    make(chan struct{}),
+		ownerConns: map[string]*ownerConn{},
 	}
 	r.newMetrics()
 	r.owner = hop.NewOwner(hop.OwnerOptions{Leaves: o.Local, Slots: r.slots})
@@ -112,7 +112,7 @@
 func (r *Router) Start(fleet Fleet) {
 	r.fleet = fleet
 	r.opts.Place.Ended = fleet.Gone
-	r.tomb.Go(r.holdPlace)
+	r.tomb.Go(r.maintainPlace)
 	r.tomb.Go(r.closeIdle)
 }
 
@@ -127,8 +127,8 @@
 	r.tomb.Kill(nil)
 	err := r.tomb.Wait()
 	r.mu.Lock()
-	peers := r.peers
-	r.peers = map[string]*ownerConn{}
+	peers := r.ownerConns
+	r.ownerConns = map[string]*ownerConn{}
 	r.mu.Unlock()
 	for _, p := range peers {
 		p.close()
@@ -146,48 +146,48 @@
 		r.zones.regions[z.Name] = z.Region
 	}
 	r.shared = false
-	r.targets = map[string]*route{}
-	kept := map[ownersKey][]int{}
+	r.targets = map[string]*targetRoute{}
+	kept := map[ownerCacheKey][]int{}
 	for i := range b.Services {
 		for j := range b.Services[i].Targets {
 			t := &b.Services[i].Targets[j]
 			plan := share.NewPlan(t.Connections, r.places)
-			rt := &route{plan: plan, slots: t.Slots, leaves: t.Leaves}
+			rt := &targetRoute{plan: plan, slots: t.Slots, leaves: t.Leaves}
 			if !plan.Direct() {
 				r.shared = true
-				key := ownersKey{t.Name, plan.Places, plan.Owners}
+				key := ownerCacheKey{t.Name, plan.Places, plan.Owners}
 				rt.owners = r.ownerPlaces(key, plan)
 				kept[key] = rt.owners
 			}
 			r.targets[t.Name] = rt
 		}
 	}
-	r.owners = kept
-	r.shareOut()
+	r.ownerCache = kept
+	r.assignConnections()
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (r *Router) ownerPlaces(key ownersKey, plan share.Plan) []int {
-	if places, known := r.owners[key]; known {
+func (r *Router) ownerPlaces(key ownerCacheKey, plan share.Plan) []int {
+	if places, known := r.ownerCache[key]; known {
 		return places
 	}
 	return plan.OwnerPlaces(key.target)
 }
 
-// shareOut works out this VM's own connections. It must hold mu.
-func (r *Router) shareOut() {
+// assignConnections works out this VM's own connections. It must hold mu.
+func (r *Router) assignConnections() {
 	for _, rt := range r.targets {
-		rt.own = 0
+		rt.connections = 0
 		if rt.plan.Direct() {
-			rt.own = rt.plan.PerOwner
+			rt.connections = rt.plan.PerOwner
 			continue
 		}
 		for _, owner := range rt.owners {
-			if owner == r.own {
-				rt.own = rt.plan.PerOwner
+			if owner == r.place {
+				rt.connections = rt.plan.PerOwner
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if rt := r.targets[name]; rt != nil {
-		return rt.own
+		return rt.connections
 	}
 	return 0
 }
@@ -217,7 +217,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rt := r.targets[name]
-	if rt == nil || rt.own == 0 || leaf < 0 || leaf >= rt.leaves {
+	if rt == nil || rt.connections == 0 || leaf < 0 || leaf >= rt.leaves {
 		return 0, false
 	}
 	return rt.slots, true
@@ -225,7 +225,7 @@
 
 // Search asks one leaf. The error is a *target.CallError.
 func (r *Router) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (a target.LeafAnswer, err error) {
-	err = r.through(ctx, name, func(l hop.Leaves) (err error) {
+	err = r.callTarget(ctx, name, func(l hop.Leaves) (err error) {
 		a, err = l.Search(ctx, name, leaf, req)
 		return err
 	})
@@ -235,7 +235,7 @@
 // Submit hands a non-idempotent request to one leaf, once. The error is a
 // *target.CallError; unless it says NotStarted, the request may have been run.
 func (r *Router) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (a target.SubmitAnswer, err error) {
-	err = r.through(ctx, name, func(l hop.Leaves) (err error) {
+	err = r.callTarget(ctx, name, func(l hop.Leaves) (err error) {
 		a, err = l.Submit(ctx, name, leaf, req)
 		return err
 	})
@@ -244,19 +244,19 @@
 
 // Status reads what a target says of itself. The error is a *target.CallError.
 func (r *Router) Status(ctx context.Context, name string) (s target.Status, err error) {
-	err = r.through(ctx, name, func(l hop.Leaves) (err error) {
+	err = r.callTarget(ctx, name, func(l hop.Leaves) (err error) {
 		s, err = l.Status(ctx, name)
 		return err
 	})
 	return s, err
 }
 
-// through makes a call over own connections or through the target's owners, one
+// callTarget makes a call over own connections or callTarget the target's owners, one
 // after another. Another owner is tried only after a failure that is certain to
 // have started nothing and that speaks of the owner, not of the target: a call
 // that may have been started is not repeated here.
-func (r *Router) through(ctx context.Context, name string, call func(hop.Leaves) error) error {
-	owners, local := r.reach(name)
+func (r *Router) callTarget(ctx context.Context, name string, call func(hop.Leaves) error) error {
+	owners, local := r.resolve(name)
 	if local != nil {
 		r.direct.Inc()
 		return call(local)
@@ -264,9 +264,9 @@
 	r.viaOwner.Inc()
 	var last error = &target.CallError{Kind: target.ErrorUnreachable, Target: name, NotStarted: true}
 	for _, c := range owners {
-		owner, err := r.caller(ctx, c.vm)
+		owner, err := r.acquireConn(ctx, c.vm)
 		if ctx.Err() != nil {
-			return hop.OutOfTime(ctx, name, true)
+			return hop.ContextError(ctx, name, true)
 		}
 		if err != nil {
 			r.opts.Log.Debug("owner not reached", "vm", c.vm.Name, "target", name, "error", err)
@@ -274,52 +274,52 @@
 		}
 		r.byDistance[c.distance].Inc()
 		last = owner.call(ctx, name, call)
-		if !anotherOwner(last) {
+		if !tryNextOwner(last) {
 			return last
 		}
 	}
 	return last
 }
 
-func anotherOwner(err error) bool {
+func tryNextOwner(err error) bool {
 	call, ok := err.(*target.CallError)
 	return ok && call.NotStarted &&
 		(call.Kind == target.ErrorUnreachable || call.Kind == target.ErrorUnknownTarget || call.Kind == target.ErrorBroken)
 }
 
-// reach returns the live owners of a target in the order in which this VM tries
+// resolve returns the live owners of a target in the order in which this VM tries
 // them, or the way over own connections.
-func (r *Router) reach(name string) (owners []candidate, local hop.Leaves) {
+func (r *Router) resolve(name string) (owners []candidate, local hop.Leaves) {
 	r.mu.Lock()
 	rt := r.targets[name]
-	owns := rt != nil && rt.own > 0
+	owns := rt != nil && rt.connections > 0
 	r.mu.Unlock()
 	switch {
 	case rt == nil || rt.plan.Direct():
 		return nil, r.opts.Local
 	case owns:
-		return nil, r.owner.Own() // shares the slots with the peers' calls
+		return nil, r.owner.QueuedLeaves() // shares the slots with the peers' calls
 	}
 	holders := r.fleet.Places()
 	now := time.Now()
 	r.mu.Lock()
 	for _, place := range rt.owners {
 		if vm, live := holders[place]; live {
-			owners = append(owners, r.candidate(name, vm, now))
+			owners = append(owners, r.newCandidate(name, vm, now))
 		}
 	}
 	r.mu.Unlock()
-	order(owners)
+	sortCandidates(owners)
 	return owners, nil
 }
 
-// candidate must hold mu.
-func (r *Router) candidate(name string, vm objstore.VM, now time.Time) candidate {
-	conn := r.peers[vm.Address]
+// newCandidate must hold mu.
+func (r *Router) newCandidate(name string, vm objstore.VM, now time.Time) candidate {
+	conn := r.ownerConns[vm.Address]
 	return candidate{
-		vm:       vm,
-		distance: r.zones.distance(vm.Zone),
-		resting:  conn != nil && conn.resting(name, now),
-		weight:   weightOf(r.opts.Place.VM, name, vm.Name),
+		vm:         vm,
+		distance:   r.zones.distance(vm.Zone),
+		inCooldown: conn != nil && conn.inCooldown(name, now),
+		weight:     rendezvousWeight(r.opts.Place.VM, name, vm.Name),
 	}
 }
--- a/peer/route/route_test.go
+++ b/peer/route/route_test.go
@@ -98,13 +98,13 @@
 	f.store.SetVMs(list, 0)
 	vm.router.Apply(f.bundle)
 	vm.router.Start(vm.peers)
-	go vm.follow(f.target.Address())
+	go vm.followConnections(f.target.Address())
 	f.t.Cleanup(vm.stop)
 	return vm
 }
 
-// follow opens as many connections as the router allows.
-func (vm *testVM) follow(address string) {
+// followConnections opens as many connections as the router allows.
+func (vm *testVM) followConnections(address string) {
 	for {
 		changed := vm.router.Changed()
 		vm.client.Apply([]target.Endpoint{{Name: "target-0", Address: address, Connections: vm.router.Connections("target-0")}})
@@ -144,8 +144,8 @@
 	return err
 }
 
-// reached waits until all VMs reach the target.
-func (f *testFleet) reached(vms ...*testVM) {
+// waitReachable waits until all VMs reach the target.
+func (f *testFleet) waitReachable(vms ...*testVM) {
 	f.t.Helper()
 	for _, vm := range vms {
 		f.Eventually(func() error { return vm.search(f) }).WithTimeout(testLimit).Should(Succeed(), vm.name)
@@ -161,9 +161,9 @@
 	return list
 }
 
-func TestAllGoDirectWhereTheLimitAllows(t *testing.T) {
+func TestDirectWhenLimitAllows(t *testing.T) {
 	f := newFleet(t, 3, 7)
-	f.reached(f.vms...)
+	f.waitReachable(f.vms...)
 	f.Expect(f.owners()).To(HaveLen(3))
 	page, err := f.store.List(context.Background(), place.Kind, "", 10)
 	f.Expect(err).NotTo(HaveOccurred())
@@ -175,7 +175,7 @@
 // through its owners, and the target never sees more connections than it takes.
 func TestMoreVMsThanConnections(t *testing.T) {
 	f := newFleet(t, 5, 3)
-	f.reached(f.vms...)
+	f.waitReachable(f.vms...)
 	f.Eventually(f.owners).WithTimeout(testLimit).Should(HaveLen(2))
 	for _, vm := range f.vms {
 		f.Eventually(func() (string, error) {
@@ -195,7 +195,7 @@
 // new one, which gets the place that was given back; the limit holds all along.
 func TestOwnersAreReplaced(t *testing.T) {
 	f := newFleet(t, 4, 3)
-	f.reached(f.vms...)
+	f.waitReachable(f.vms...)
 	f.Eventually(f.owners).WithTimeout(testLimit).Should(HaveLen(2))
 	for i := range 3 {
 		owner := f.owners()[0]
@@ -207,9 +207,9 @@
 			}
 		}
 		f.vms = rest
-		f.reached(rest...)
+		f.waitReachable(rest...)
 		f.start(fmt.Sprint("new-", i))
-		f.reached(f.vms...)
+		f.waitReachable(f.vms...)
 		f.Eventually(f.owners).WithTimeout(testLimit).Should(HaveLen(2))
 	}
 	connections := f.target.Counters().Connections
@@ -223,7 +223,7 @@
 // It must be called as long as no owner that stays is known.
 func TestAllOwnersLeaving(t *testing.T) {
 	f := newFleet(t, 5, 3)
-	f.reached(f.vms...)
+	f.waitReachable(f.vms...)
 	f.Eventually(f.owners).WithTimeout(testLimit).Should(HaveLen(2))
 	owners := f.owners()
 	var other *testVM
@@ -233,7 +233,7 @@
 		}
 	}
 	staying := func() (names []string) {
-		list, _ := other.router.reach("target-0")
+		list, _ := other.router.resolve("target-0")
 		for _, c := range list {
 			if !c.vm.Leaving {
 				names = append(names, c.vm.Name)
@@ -243,7 +243,7 @@
 	}
 	owners[0].peers.AnnounceLeaving()
 	f.Eventually(staying).WithTimeout(testLimit).Should(Equal([]string{owners[1].name}))
-	list, _ := other.router.reach("target-0")
+	list, _ := other.router.resolve("target-0")
 	f.Expect(list[0].vm.Name).To(Equal(owners[1].name), "an owner that stays comes first")
 	owners[1].peers.AnnounceLeaving()
 	f.Eventually(staying).WithTimeout(testLimit).Should(BeEmpty())
--- a/peer/route/standing.go
+++ b/peer/route/standing.go
@@ -1,30 +1,30 @@
 package route
 
-// Standing is where this VM stands towards a target.
-type Standing struct {
+// Ownership is where this VM stands towards a target.
+type Ownership struct {
 	// Shared is true if the target is reached through owners by some VMs. If not,
 	// every VM has connections of its own and the rest is not set.
-	Shared bool
-	Owner  bool  // this VM owns connections
-	Place  int   // of this VM, if it is an owner
-	Live   []int // places of the owners that live and stay, the first choice first
+	Shared     bool
+	Owner      bool  // this VM owns connections
+	Place      int   // of this VM, if it is an owner
+	LiveOwners []int // places of the owners that live and stay, the first choice first
 }
 
 // Standing returns where this VM stands towards a target of the bundle in force.
-func (r *Router) Standing(name string) Standing {
+func (r *Router) Standing(name string) Ownership {
 	r.mu.Lock()
 	rt := r.targets[name]
 	if rt == nil || rt.plan.Direct() {
 		r.mu.Unlock()
-		return Standing{}
+		return Ownership{}
 	}
-	s := Standing{Shared: true, Owner: rt.own > 0, Place: r.own}
+	s := Ownership{Shared: true, Owner: rt.connections > 0, Place: r.place}
 	owners := rt.owners
 	r.mu.Unlock()
 	holders := r.fleet.Places()
 	for _, place := range owners {
 		if vm, held := holders[place]; held && !vm.Leaving {
-			s.Live = append(s.Live, place)
+			s.LiveOwners = append(s.LiveOwners, place)
 		}
 	}
 	return s
--- a/peer/route/standing_test.go
+++ b/peer/route/standing_test.go
@@ -6,15 +6,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestLeavingOwnersDoNotCount: one of a target's owners is leaving and states
+// TestLeavingOwnersAreNotLive: one of a target's owners is leaving and states
 // nothing any more. Were it still counted, a target that nobody can read would not
 // be found lost while it lasts.
-func TestLeavingOwnersDoNotCount(t *testing.T) {
+func TestLeavingOwnersAreNotLive(t *testing.T) {
 	f := newFleet(t, 5, 3)
-	f.reached(f.vms...)
+	f.waitReachable(f.vms...)
 	f.Eventually(f.owners).WithTimeout(testLimit).Should(HaveLen(2))
 	live := func(vm *testVM) func() []int {
-		return func() []int { return vm.router.Standing("target-0").Live }
+		return func() []int { return vm.router.Standing("target-0").LiveOwners }
 	}
 	for _, vm := range f.vms {
 		f.Eventually(live(vm)).WithTimeout(testLimit).Should(HaveLen(2))
@@ -25,5 +25,5 @@
 		f.Eventually(live(vm)).WithTimeout(testLimit).Should(HaveLen(1), vm.name)
 	}
 	f.Expect(leaving.router.Standing("target-0").Owner).To(BeTrue())
-	f.Expect(leaving.router.Standing("unknown")).To(Equal(Standing{}))
+	f.Expect(leaving.router.Standing("unknown")).To(Equal(Ownership{}))
 }
--- a/policy/coverage.go
+++ b/policy/coverage.go
@@ -118,8 +118,8 @@
 	return 0, float64(a.Records-a.Missing) / float64(a.Records)
 }
 
-// Complete reports whether no record is missing.
-func (c Coverage) Complete() bool { return c.Shards > 0 && c.Answered == c.Shards }
+// AllAnswered reports whether no record is missing.
+func (c Coverage) AllAnswered() bool { return c.Shards > 0 && c.Answered == c.Shards }
 
 // CoverageOf counts what a query's answers cover so far.
 func CoverageOf(q *Query) Coverage {
--- a/policy/query_test.go
+++ b/policy/query_test.go
@@ -270,7 +270,7 @@
 		last = q.HandleAnswer(at(5), s.Attempt, answer(s))
 	}
 	out := outcome(last)
-	g.Expect(out.Coverage.Complete()).To(BeTrue())
+	g.Expect(out.Coverage.AllAnswered()).To(BeTrue())
 	g.Expect(out.Snapshot.Name).To(Equal("v2"))
 	g.Expect(out.Restarts).To(Equal(1))
 }
@@ -301,7 +301,7 @@
 	a.Missing = 25
 	q.HandleAnswer(at(1), s[0].Attempt, a)
 	out := outcome(q.HandleAnswer(at(2), s[1].Attempt, answer(s[1])))
-	g.Expect(out.Coverage.Complete()).To(BeFalse())
+	g.Expect(out.Coverage.AllAnswered()).To(BeFalse())
 	g.Expect(out.Coverage.Missing).To(Equal(int64(25)))
 	g.Expect(out.Coverage.Ratio()).To(BeNumerically("~", 0.875, 1e-9))
 }
