--- a/edge/callers_test.go
+++ b/edge/callers_test.go
@@ -11,29 +11,31 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-// The operator lets callers keep a connection for longer than the server's own time, and a
-// caller that reuses one finds it closed. The manifest's times hold, changes included, and
-// the deadlines with which the server ends its own reads are left alone.
+// Guards against closing a caller's connection by the server's own idle timeout although the
+// manifest allows a longer one: a caller that reuses the connection would find it closed. The
+// manifest's timeouts apply, also after a change. The deadlines with which the server ends
+// its own reads are not changed.
 func TestManifestTimeoutsOverrideServerTimeouts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := routing.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 200 * time.Second}
 	c := &callerConn{limits: func() routing.Limits { return limits }}
 	now := time.Unix(1_000_000, 0)
-	own := now.Add(idleTimeout)
-	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(now.Add(3 * time.Second)))
+	serverDeadline := now.Add(idleTimeout)
+	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(now.Add(3 * time.Second)))
 	trackCallerState(c, http.StateIdle)
 	g.Expect(c.readDeadline(now, time.Time{})).To(gomega.BeZero())
 	g.Expect(c.readDeadline(now, now.Add(-time.Hour))).To(gomega.Equal(now.Add(-time.Hour)))
-	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(now.Add(200*time.Second + idleSlack)))
-	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(now.Add(3*time.Second)), "the header of the next request")
+	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(now.Add(200*time.Second + idleSlack)))
+	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(now.Add(3*time.Second)), "the header of the next request")
 
 	limits = routing.Limits{}
 	trackCallerState(c, http.StateIdle)
-	g.Expect(c.readDeadline(now, own)).To(gomega.Equal(own))
+	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(serverDeadline))
 }
 
-// A caller sends half of a header and no more, and holds a connection for as long as the
-// server's own time allows. The operator's shorter time ends it.
+// Guards against a caller that sends half of a header and then holds the connection for as
+// long as the server's own timeout allows. The manifest's shorter timeout closes the
+// connection.
 func TestManifestHeaderTimeoutClosesSlowCaller(t *testing.T) {
 	g := gomega.NewWithT(t)
 	socket, err := listen("127.0.0.1:0")
