--- a/edge/relay.go
+++ b/edge/relay.go
@@ -282,7 +282,7 @@
 
 // recordReaderCall records the result of a call to a VM that reads the store.
 func (r *relay) recordReaderCall(vm scatter.VM, method string, err error) {
-	if result.Of(err) == result.PositionGone {
+	if result.CodeOf(err) == result.PositionGone {
 		err = nil // the reader works; this VM lags behind
 	}
 	r.mu.Lock()
--- a/edge/run.go
+++ b/edge/run.go
@@ -219,7 +219,7 @@
 func (r *runner) send(s scatter.Send) {
 	ctx, cancel := context.WithDeadline(r.attempts, s.Until.Add(r.linger()))
 	defer cancel()
-	peer := leafhttp.Peer{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
+	peer := leafhttp.Endpoint{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
 	var metadata LeafMetadata
 	// A leaf may send a late answer to an earlier request where the answer to the next one is
 	// expected.
@@ -236,7 +236,7 @@
 	}
 	if ev.end == scatter.EndSilent {
 		// Other connections to this leaf may be dead too.
-		r.e.pool.Forget(peer.Key)
+		r.e.pool.CloseIdle(peer.Key)
 	}
 	r.e.mu.Lock()
 	now := time.Now()
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -34,13 +34,13 @@
 
 // unusedLeafPeers returns the leafs of this VM's leaf partition that have no request of this VM
 // in flight.
-func (e *Engine) unusedLeafPeers() []leafhttp.Peer {
+func (e *Engine) unusedLeafPeers() []leafhttp.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var peers []leafhttp.Peer
+	var peers []leafhttp.Endpoint
 	for _, l := range e.table.UnusedLeafs() {
 		key := poolKey(scatter.LeafID{ID: l.ID, Born: l.Born})
-		peers = append(peers, leafhttp.Peer{Key: key, Address: l.Address})
+		peers = append(peers, leafhttp.Endpoint{Key: key, Address: l.Address})
 	}
 	return peers
 }
