--- a/peer/hop/caller.go
+++ b/peer/hop/caller.go
@@ -35,12 +35,12 @@
 }
 
 // Dial connects to an owner. The connection is for this package's calls only.
-func Dial(ctx context.Context, address string, o wire.Options, count *wire.Counters) (*Caller, error) {
+func Dial(ctx context.Context, address string, o wire.Options, counters *wire.Counters) (*Caller, error) {
 	c := &Caller{wake: make(chan struct{}, 1), calls: map[uint64]*pending{}}
 	o.Use = ConnUse
 	o.Handler = c.handle
 	o.WaitForRoom = true // a dropped answer would be waited for until the deadline
-	conn, err := wire.Dial(ctx, address, o, count)
+	conn, err := wire.Dial(ctx, address, o, counters)
 	if err != nil {
 		return nil, err
 	}
@@ -105,14 +105,14 @@
 }
 
 func (c *Caller) do(ctx context.Context, call Call) (Answer, error) {
-	limit := defaultTimeout
-	if end, ok := ctx.Deadline(); ok {
-		limit = time.Until(end)
+	timeout := defaultTimeout
+	if deadline, ok := ctx.Deadline(); ok {
+		timeout = time.Until(deadline)
 	}
-	if limit < time.Millisecond {
+	if timeout < time.Millisecond {
 		return Answer{}, &target.CallError{Kind: target.ErrorDeadline, Target: call.Target, NotStarted: true}
 	}
-	*call.deadline() = limit.Milliseconds()
+	*call.deadline() = timeout.Milliseconds()
 	p := &pending{call: call, answer: make(chan Answer, 1)}
 	if !c.enqueue(p) {
 		return Answer{}, &target.CallError{Kind: target.ErrorUnreachable, Target: call.Target, NotStarted: true}
--- a/peer/hop/hop_test.go
+++ b/peer/hop/hop_test.go
@@ -63,7 +63,7 @@
 	owner  *Owner
 	server *wire.Server
 	caller *Caller
-	count  *wire.Counters
+	counters  *wire.Counters
 }
 
 func newPair(t *testing.T, maxCalls int) *testPair {
@@ -72,7 +72,7 @@
 
 // newMixedPair connects two VMs whose releases speak up to the given versions.
 func newMixedPair(t *testing.T, maxCalls, ownerVersion, callerVersion int) *testPair {
-	p := &testPair{WithT: NewWithT(t), leaves: &fakeLeaves{release: make(chan struct{})}, count: &wire.Counters{}}
+	p := &testPair{WithT: NewWithT(t), leaves: &fakeLeaves{release: make(chan struct{})}, counters: &wire.Counters{}}
 	p.owner = NewOwner(OwnerOptions{
 		Leaves:   p.leaves,
 		Slots:    func(name string, leaf int) (int, bool) { return 2, name == "owned" },
@@ -87,7 +87,7 @@
 	p.server, err = wire.Listen("127.0.0.1:0", o, &wire.Counters{}, func(c *wire.Conn) { c.Serve() })
 	p.Expect(err).NotTo(HaveOccurred())
 	o.Self.VM, o.MaxVersion = "caller", callerVersion
-	p.caller, err = Dial(context.Background(), p.server.Addr().String(), o, p.count)
+	p.caller, err = Dial(context.Background(), p.server.Addr().String(), o, p.counters)
 	p.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() {
 		p.caller.Close()
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
 	const calls = 200
-	before := p.count.Writes.Load()
+	before := p.counters.Writes.Load()
 	var wg sync.WaitGroup
 	faults := make(chan error, calls)
 	for shard := range calls {
@@ -135,7 +135,7 @@
 	for err := range faults {
 		t.Error(err)
 	}
-	p.Expect(p.count.Writes.Load() - before).To(BeNumerically("<", calls/4))
+	p.Expect(p.counters.Writes.Load() - before).To(BeNumerically("<", calls/4))
 	_, err := p.caller.Submit(ctx, "owned", 1, target.SubmitRequest{Key: "k"})
 	p.Expect(err).NotTo(HaveOccurred())
 }
@@ -167,18 +167,18 @@
 func TestCancellationReachesTarget(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithCancel(context.Background())
-	held := p.begin(ctx, 9)
+	held := p.startCall(ctx, 9)
 	cancel()
 	p.Expect(callError(<-held)).To(HaveField("Kind", target.ErrorCancelled))
 	p.Eventually(p.leaves.cancelled.Load).WithTimeout(testLimit).Should(BeNumerically("==", 1))
 }
 
-// begin makes the pair's first call and returns once the owner's target has it.
-func (p *testPair) begin(ctx context.Context, leaf int) <-chan error {
-	ended := make(chan error, 1)
-	go func() { ended <- p.search(ctx, "owned", leaf) }()
+// startCall makes the pair's first call and returns once the owner's target has it.
+func (p *testPair) startCall(ctx context.Context, leaf int) <-chan error {
+	result := make(chan error, 1)
+	go func() { result <- p.search(ctx, "owned", leaf) }()
 	p.Eventually(p.leaves.started.Load).WithTimeout(testLimit).Should(BeNumerically("==", 1))
-	return ended
+	return result
 }
 
 // TestOwnerStopsDuringCall: the owner dies while it has a call. The caller must
@@ -188,7 +188,7 @@
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	held := p.begin(ctx, 9)
+	held := p.startCall(ctx, 9)
 	p.server.Stop()
 	p.Expect(callError(<-held)).To(And(HaveField("Kind", target.ErrorBroken), HaveField("NotStarted", false)))
 	p.Eventually(func() *target.CallError { return callError(p.search(ctx, "owned", 1)) }).
@@ -224,7 +224,7 @@
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	held := p.begin(ctx, 7)
+	held := p.startCall(ctx, 7)
 	short, stop := context.WithTimeout(ctx, 10*drainPollInterval)
 	defer stop()
 	p.Expect(p.owner.Drain(short)).To(MatchError(context.DeadlineExceeded), "it didn't wait")
@@ -358,7 +358,7 @@
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	held := p.begin(ctx, 7)
+	held := p.startCall(ctx, 7)
 	drained := make(chan error, 1)
 	go func() { drained <- p.owner.Drain(ctx) }()
 	p.Eventually(func() *target.CallError { return callError(p.search(ctx, "owned", 1)) }).WithTimeout(testLimit).
--- a/peer/hop/own.go
+++ b/peer/hop/own.go
@@ -51,18 +51,18 @@
 	if err != nil {
 		return err
 	}
-	begin := time.Now()
+	start := time.Now()
 	err = call()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.releaseSlot(q, time.Since(begin), time.Now())
+	o.releaseSlot(q, time.Since(start), time.Now())
 	return err
 }
 
 func (o *Owner) acquireSlot(ctx context.Context, key leafKey, slots int) (*slotQueue, error) {
 	now := time.Now()
-	deadline, limited := ctx.Deadline()
-	if !limited {
+	deadline, hasDeadline := ctx.Deadline()
+	if !hasDeadline {
 		deadline = now.Add(defaultTimeout)
 	}
 	granted := make(chan bool, 1) // false if the deadline passed first
@@ -71,12 +71,12 @@
 	w.expire = func() { granted <- false }
 	o.mu.Lock()
 	q := o.queueFor(key, slots)
-	run, fits, wait := q.offer(w, now)
+	run, accepted, wait := q.offer(w, now)
 	o.mu.Unlock()
 	switch {
 	case run:
 		return q, nil
-	case !fits:
+	case !accepted:
 		return nil, &target.CallError{
 			Kind: target.ErrorRefused, Target: key.target, Reason: target.ReasonShed, NotStarted: true, RetryAfter: wait,
 		}
--- a/peer/hop/owner.go
+++ b/peer/hop/owner.go
@@ -156,33 +156,33 @@
 // admit queues or runs one call, or returns why it does neither. None of the
 // refusals has touched the target.
 func (o *Owner) admit(s *session, call *Call, now time.Time) *Failure {
-	left := call.deadline()
+	timeLeft := call.deadline()
 	slots, owned := o.opts.Slots(call.Target, call.Leaf)
-	if left == nil || !owned {
+	if timeLeft == nil || !owned {
 		return &Failure{Kind: target.ErrorUnknownTarget, NotStarted: true}
 	}
-	limit := time.Duration(*left) * time.Millisecond
+	timeout := time.Duration(*timeLeft) * time.Millisecond
 	if call.Status != nil {
-		return o.admitStatus(s, call, limit)
+		return o.admitStatus(s, call, timeout)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.draining {
 		return &Failure{Kind: target.ErrorUnknownTarget, NotStarted: true}
 	}
-	if _, twice := s.cancels[call.ID]; twice || o.calls >= o.opts.MaxCalls {
+	if _, duplicate := s.cancels[call.ID]; duplicate || o.calls >= o.opts.MaxCalls {
 		return &Failure{Kind: target.ErrorBusy, NotStarted: true}
 	}
 	q := o.queueFor(leafKey{call.Target, call.Leaf}, slots)
-	ctx, cancel := context.WithTimeout(s.ctx, limit)
-	w := &waiter{peer: s.conn.Peer().VM, deadline: now.Add(limit)}
+	ctx, cancel := context.WithTimeout(s.ctx, timeout)
+	w := &waiter{peer: s.conn.Peer().VM, deadline: now.Add(timeout)}
 	w.run = func() { go o.runCall(ctx, s, q, call) }
 	w.expire = func() {
 		o.removeCall(s, call.ID)
 		s.addAnswer(Answer{ID: call.ID, Failure: &Failure{Kind: target.ErrorDeadline, NotStarted: true}})
 	}
-	run, fits, wait := q.offer(w, now)
-	if !fits {
+	run, accepted, wait := q.offer(w, now)
+	if !accepted {
 		cancel()
 		return &Failure{Kind: target.ErrorRefused, Reason: target.ReasonShed, NotStarted: true, RetryAfterMS: wait.Milliseconds()}
 	}
@@ -222,7 +222,7 @@
 }
 
 // admitStatus reads a target's status apart from the leaves' slots.
-func (o *Owner) admitStatus(s *session, call *Call, limit time.Duration) *Failure {
+func (o *Owner) admitStatus(s *session, call *Call, timeout time.Duration) *Failure {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.draining {
@@ -233,7 +233,7 @@
 	}
 	o.calls++
 	go func() {
-		ctx, cancel := context.WithTimeout(s.ctx, limit)
+		ctx, cancel := context.WithTimeout(s.ctx, timeout)
 		defer cancel()
 		answer := Answer{ID: call.ID}
 		if status, err := o.statuses.read(ctx, o.opts.Leaves, call.Target); err != nil {
@@ -258,7 +258,7 @@
 }
 
 func (o *Owner) runCall(ctx context.Context, s *session, q *slotQueue, call *Call) {
-	begin := time.Now()
+	start := time.Now()
 	answer := o.callLeaf(ctx, call)
 	now := time.Now()
 	s.addAnswer(answer)
@@ -267,7 +267,7 @@
 		stop() // frees the call's timer
 	}
 	o.removeCall(s, call.ID)
-	o.releaseSlot(q, now.Sub(begin), now)
+	o.releaseSlot(q, now.Sub(start), now)
 	o.mu.Unlock()
 }
 
--- a/peer/hop/queue.go
+++ b/peer/hop/queue.go
@@ -40,7 +40,7 @@
 
 // offer takes a call. It returns whether the call runs now; if neither that nor
 // ok it can't be served in time, and wait says when to come back.
-func (q *slotQueue) offer(w *waiter, now time.Time) (run, ok bool, wait time.Duration) {
+func (q *slotQueue) offer(w *waiter, now time.Time) (run, accepted bool, wait time.Duration) {
 	wait = q.expectedWait()
 	// A leaf with nothing to do takes a call whatever its last ones took. After a time of
 	// silence the mean says that no call can be served in time; if all were refused for
--- a/peer/route/hold.go
+++ b/peer/route/hold.go
@@ -89,12 +89,12 @@
 	return held
 }
 
-func (r *Router) setPlace(own int) {
-	r.fleet.SetPlace(own)
+func (r *Router) setPlace(newPlace int) {
+	r.fleet.SetPlace(newPlace)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.place != own {
-		r.place = own
+	if r.place != newPlace {
+		r.place = newPlace
 		r.assignConnections()
 	}
 }
--- a/peer/route/order.go
+++ b/peer/route/order.go
@@ -18,19 +18,19 @@
 	elsewhere
 )
 
-// zones tells distances from one availability zone. Zones that the bundle doesn't
+// topology tells distances from one availability zone. Zones that the bundle doesn't
 // have are nobody's neighbours.
-type zones struct {
-	own     string
+type topology struct {
+	local     string
 	regions map[string]string // by zone
 }
 
-func (z zones) distance(other string) distance {
-	region := z.regions[z.own]
+func (z topology) distance(zone string) distance {
+	region := z.regions[z.local]
 	switch {
-	case other == z.own:
+	case zone == z.local:
 		return sameZone
-	case region != "" && z.regions[other] == region:
+	case region != "" && z.regions[zone] == region:
 		return sameRegion
 	default:
 		return elsewhere
@@ -59,8 +59,8 @@
 }
 
 // compareLast is the order of two of which one should be tried later.
-func compareLast(first bool) int {
-	if first {
+func compareLast(aLast bool) int {
+	if aLast {
 		return 1
 	}
 	return -1
--- a/peer/route/order_test.go
+++ b/peer/route/order_test.go
@@ -26,12 +26,12 @@
 // one that refused or is silent is tried after all others, however near it is.
 func TestNearOwnersFirst(t *testing.T) {
 	g := NewWithT(t)
-	z := zones{own: "a", regions: map[string]string{"a": "one", "b": "one", "c": "two"}}
+	z := topology{local: "a", regions: map[string]string{"a": "one", "b": "one", "c": "two"}}
 	g.Expect(z.distance("a")).To(Equal(sameZone))
 	g.Expect(z.distance("b")).To(Equal(sameRegion))
 	g.Expect(z.distance("c")).To(Equal(elsewhere))
 	g.Expect(z.distance("unknown")).To(Equal(elsewhere))
-	g.Expect(zones{own: "x"}.distance("y")).To(Equal(elsewhere))
+	g.Expect(topology{local: "x"}.distance("y")).To(Equal(elsewhere))
 	list := []candidate{
 		{vm: objstore.VM{Name: "leaving", Leaving: true}, distance: sameZone, weight: 10},
 		{vm: objstore.VM{Name: "near, resting"}, distance: sameZone, inCooldown: true, weight: 9},
@@ -48,9 +48,9 @@
 // be lost or cost a hedge until the exchange finds out, seconds later. It must go
 // behind after some unanswered calls, and be tried again later.
 func TestOwnerHealth(t *testing.T) {
-	ended, cancel := context.WithCancel(context.Background())
+	endedCtx, cancel := context.WithCancel(context.Background())
 	cancel()
-	live := context.Background()
+	liveCtx := context.Background()
 	cancelled := &target.CallError{Kind: target.ErrorCancelled}
 	shed := &target.CallError{Kind: target.ErrorRefused, Reason: target.ReasonShed, RetryAfter: 300 * time.Millisecond}
 	start := time.Unix(1, 0)
@@ -63,25 +63,25 @@
 		events  func(h *ownerHealth)
 		resting map[int]bool // by time in ms
 	}{
-		"answers":              {func(h *ownerHealth) { call(h, live, nil, false, 0, 10) }, map[int]bool{11: false, 5000: false}},
+		"answers":              {func(h *ownerHealth) { call(h, liveCtx, nil, false, 0, 10) }, map[int]bool{11: false, 5000: false}},
 		"silent for long":      {func(h *ownerHealth) { h.sent(at(0)) }, map[int]bool{19: false, 30: true, 5000: true}},
 		"slow as usual":        {func(h *ownerHealth) { h.meanLatency = 100 * time.Millisecond; h.sent(at(0)) }, map[int]bool{399: false, 401: true}},
-		"one loser of a hedge": {func(h *ownerHealth) { call(h, ended, cancelled, false, 0, 5) }, map[int]bool{6: false}},
+		"one loser of a hedge": {func(h *ownerHealth) { call(h, endedCtx, cancelled, false, 0, 5) }, map[int]bool{6: false}},
 		"short calls unanswered": {func(h *ownerHealth) {
 			for i := range maxUnanswered {
-				call(h, ended, cancelled, false, 10*i, 10*i+5)
+				call(h, endedCtx, cancelled, false, 10*i, 10*i+5)
 			}
 		}, map[int]bool{26: true, 2000: true, 2026: false}},
 		"losers among answers": {func(h *ownerHealth) {
 			for i := range 5 {
-				call(h, ended, cancelled, false, 10*i, 10*i+1)
-				call(h, live, nil, false, 10*i+1, 10*i+2)
+				call(h, endedCtx, cancelled, false, 10*i, 10*i+1)
+				call(h, liveCtx, nil, false, 10*i+1, 10*i+2)
 			}
 		}, map[int]bool{50: false}},
-		"no slot":               {func(h *ownerHealth) { call(h, live, shed, false, 0, 1) }, map[int]bool{2: true, 300: true, 302: false}},
-		"the connection broke":  {func(h *ownerHealth) { call(h, live, cancelled, true, 0, 1) }, map[int]bool{2: false}},
+		"no slot":               {func(h *ownerHealth) { call(h, liveCtx, shed, false, 0, 1) }, map[int]bool{2: true, 300: true, 302: false}},
+		"the connection broke":  {func(h *ownerHealth) { call(h, liveCtx, cancelled, true, 0, 1) }, map[int]bool{2: false}},
 		"it can't be reached":   {func(h *ownerHealth) { h.markUnreachable(at(0)) }, map[int]bool{1: true, 2001: false}},
-		"the target broke":      {func(h *ownerHealth) { call(h, live, &target.CallError{Kind: target.ErrorBroken}, false, 0, 1) }, map[int]bool{2: false}},
+		"the target broke":      {func(h *ownerHealth) { call(h, liveCtx, &target.CallError{Kind: target.ErrorBroken}, false, 0, 1) }, map[int]bool{2: false}},
 		"answers after silence": {func(h *ownerHealth) { h.sent(at(0)); h.answered(0, at(100)) }, map[int]bool{101: false}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -96,7 +96,7 @@
 	}
 	g := NewWithT(t)
 	h := &ownerHealth{}
-	call(h, live, shed, false, 0, 1)
+	call(h, liveCtx, shed, false, 0, 1)
 	g.Expect(h.inCooldown("another target", at(2))).To(BeFalse())
 }
 
@@ -123,13 +123,13 @@
 }
 
 // firstChoice is the owner that a VM calls.
-func (f *selectionFixture) firstChoice(vm objstore.VM, i int, near bool) candidate {
-	z := zones{own: vm.Zone, regions: f.regions}
+func (f *selectionFixture) firstChoice(vm objstore.VM, targetIndex int, nearFirst bool) candidate {
+	z := topology{local: vm.Zone, regions: f.regions}
 	var list []candidate
-	for _, place := range f.owners[i] {
+	for _, place := range f.owners[targetIndex] {
 		owner := f.vms[place]
-		c := candidate{vm: owner, weight: rendezvousWeight(vm.Name, f.targets[i], owner.Name)}
-		if near {
+		c := candidate{vm: owner, weight: rendezvousWeight(vm.Name, f.targets[targetIndex], owner.Name)}
+		if nearFirst {
 			c.distance = z.distance(owner.Zone)
 		}
 		list = append(list, c)
--- a/peer/route/owner_conn.go
+++ b/peer/route/owner_conn.go
@@ -138,10 +138,10 @@
 }
 
 // idle tells whether no call uses the connection, nor has for some time.
-func (c *ownerConn) idle(now time.Time, after time.Duration) bool {
+func (c *ownerConn) idle(now time.Time, idleAfter time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.users == 0 && c.dialing == nil && now.Sub(c.lastUsed) >= after
+	return c.users == 0 && c.dialing == nil && now.Sub(c.lastUsed) >= idleAfter
 }
 
 // lease is a connection to an owner that isn't closed as idle until release.
@@ -155,11 +155,11 @@
 // call makes a call about a target, notes how it went and releases the lease.
 func (l lease) call(ctx context.Context, name string, f func(hop.Leaves) error) error {
 	defer l.release()
-	begin := time.Now()
-	l.conn.updateHealth(func(h *ownerHealth) { h.sent(begin) })
+	start := time.Now()
+	l.conn.updateHealth(func(h *ownerHealth) { h.sent(start) })
 	err := f(l.Caller)
 	now := time.Now()
-	l.conn.updateHealth(func(h *ownerHealth) { h.record(ctx, name, err, ended(l.Caller), now.Sub(begin), now) })
+	l.conn.updateHealth(func(h *ownerHealth) { h.record(ctx, name, err, ended(l.Caller), now.Sub(start), now) })
 	return err
 }
 
@@ -224,11 +224,11 @@
 
 // dropIdle takes idle connections out of the table. It also forgets owners that
 // are no more.
-func (r *Router) dropIdle(now time.Time, after time.Duration) (dropped []*ownerConn) {
+func (r *Router) dropIdle(now time.Time, idleAfter time.Duration) (dropped []*ownerConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for address, c := range r.ownerConns {
-		if c.idle(now, after) {
+		if c.idle(now, idleAfter) {
 			delete(r.ownerConns, address)
 			dropped = append(dropped, c)
 		}
--- a/peer/route/owner_conn_test.go
+++ b/peer/route/owner_conn_test.go
@@ -169,7 +169,7 @@
 	vm.router.mu.Unlock()
 	f.Expect(vm.search(f)).To(Succeed())
 	proxy.SetFaults(faultproxy.Faults{Frozen: true})
-	behind := func() bool {
+	triedLast := func() bool {
 		owners, _ := vm.router.resolve("target-0")
 		return owners[1].vm == first && owners[1].inCooldown
 	}
@@ -178,7 +178,7 @@
 		if vm.searchWithin(f, 200*time.Millisecond) != nil {
 			lost++
 		}
-		return behind()
+		return triedLast()
 	}).WithTimeout(testLimit).Should(BeTrue())
 	f.Expect(lost).To(BeNumerically("<=", maxUnanswered))
 	f.Expect(vm.search(f)).To(Succeed())
--- a/peer/route/owner_health.go
+++ b/peer/route/owner_health.go
@@ -64,13 +64,13 @@
 
 // record tells what became of a call about a target; broken says that the
 // connection has ended.
-func (h *ownerHealth) record(ctx context.Context, name string, err error, broken bool, took time.Duration, now time.Time) {
+func (h *ownerHealth) record(ctx context.Context, name string, err error, connEnded bool, took time.Duration, now time.Time) {
 	call, _ := err.(*target.CallError)
 	switch {
 	case call != nil && ctx.Err() != nil:
 		h.abandoned(now)
 		return
-	case call != nil && broken:
+	case call != nil && connEnded:
 		h.connectionLost()
 		return
 	}
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -61,7 +61,7 @@
 	ownerCache map[ownerCacheKey][]int // kept from bundle to bundle: hashing all places is slow
 	places     int                     // of the fleet, as the bundle has it
 	shared     bool                    // some target has fewer owners than the fleet has places
-	zones      zones
+	topology      topology
 	place      int // own place; noPlace if none
 	changed    chan struct{}
 	ownerConns map[string]*ownerConn
@@ -141,9 +141,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.places = b.Fleet.MaxVMs
-	r.zones = zones{own: r.opts.Zone, regions: map[string]string{}}
+	r.topology = topology{local: r.opts.Zone, regions: map[string]string{}}
 	for _, z := range b.Zones {
-		r.zones.regions[z.Name] = z.Region
+		r.topology.regions[z.Name] = z.Region
 	}
 	r.shared = false
 	r.targets = map[string]*targetRoute{}
@@ -262,7 +262,7 @@
 		return call(local)
 	}
 	r.viaOwner.Inc()
-	var last error = &target.CallError{Kind: target.ErrorUnreachable, Target: name, NotStarted: true}
+	var lastErr error = &target.CallError{Kind: target.ErrorUnreachable, Target: name, NotStarted: true}
 	for _, c := range owners {
 		owner, err := r.acquireConn(ctx, c.vm)
 		if ctx.Err() != nil {
@@ -273,12 +273,12 @@
 			continue
 		}
 		r.byDistance[c.distance].Inc()
-		last = owner.call(ctx, name, call)
-		if !tryNextOwner(last) {
-			return last
+		lastErr = owner.call(ctx, name, call)
+		if !tryNextOwner(lastErr) {
+			return lastErr
 		}
 	}
-	return last
+	return lastErr
 }
 
 func tryNextOwner(err error) bool {
@@ -292,19 +292,19 @@
 func (r *Router) resolve(name string) (owners []candidate, local hop.Leaves) {
 	r.mu.Lock()
 	rt := r.targets[name]
-	owns := rt != nil && rt.connections > 0
+	isOwner := rt != nil && rt.connections > 0
 	r.mu.Unlock()
 	switch {
 	case rt == nil || rt.plan.Direct():
 		return nil, r.opts.Local
-	case owns:
+	case isOwner:
 		return nil, r.owner.QueuedLeaves() // shares the slots with the peers' calls
 	}
-	holders := r.fleet.Places()
+	vmByPlace := r.fleet.Places()
 	now := time.Now()
 	r.mu.Lock()
 	for _, place := range rt.owners {
-		if vm, live := holders[place]; live {
+		if vm, live := vmByPlace[place]; live {
 			owners = append(owners, r.newCandidate(name, vm, now))
 		}
 	}
@@ -318,7 +318,7 @@
 	conn := r.ownerConns[vm.Address]
 	return candidate{
 		vm:         vm,
-		distance:   r.zones.distance(vm.Zone),
+		distance:   r.topology.distance(vm.Zone),
 		inCooldown: conn != nil && conn.inCooldown(name, now),
 		weight:     rendezvousWeight(r.opts.Place.VM, name, vm.Name),
 	}
--- a/peer/route/standing.go
+++ b/peer/route/standing.go
@@ -21,9 +21,9 @@
 	s := Ownership{Shared: true, Owner: rt.connections > 0, Place: r.place}
 	owners := rt.owners
 	r.mu.Unlock()
-	holders := r.fleet.Places()
+	vmByPlace := r.fleet.Places()
 	for _, place := range owners {
-		if vm, held := holders[place]; held && !vm.Leaving {
+		if vm, held := vmByPlace[place]; held && !vm.Leaving {
 			s.LiveOwners = append(s.LiveOwners, place)
 		}
 	}
