--- a/peer/hop/hop_test.go
+++ b/peer/hop/hop_test.go
@@ -59,11 +59,11 @@
 
 type testPair struct {
 	*WithT
-	leaves *fakeLeaves
-	owner  *Owner
-	server *wire.Server
-	caller *Caller
-	counters  *wire.Counters
+	leaves   *fakeLeaves
+	owner    *Owner
+	server   *wire.Server
+	caller   *Caller
+	counters *wire.Counters
 }
 
 func newPair(t *testing.T, maxCalls int) *testPair {
--- a/peer/route/order.go
+++ b/peer/route/order.go
@@ -21,7 +21,7 @@
 // topology tells distances from one availability zone. Zones that the bundle doesn't
 // have are nobody's neighbours.
 type topology struct {
-	local     string
+	local   string
 	regions map[string]string // by zone
 }
 
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -61,7 +61,7 @@
 	ownerCache map[ownerCacheKey][]int // kept from bundle to bundle: hashing all places is slow
 	places     int                     // of the fleet, as the bundle has it
 	shared     bool                    // some target has fewer owners than the fleet has places
-	topology      topology
+	topology   topology
 	place      int // own place; noPlace if none
 	changed    chan struct{}
 	ownerConns map[string]*ownerConn
