--- a/peer/hop/caller.go
+++ b/peer/hop/caller.go
@@ -11,35 +11,37 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// batchDelay is how long a first call waits for others to the same owner. A query
-// fans out in far less, and it is small against a leaf's time.
+// batchDelay is how long the first call of a batch waits for further calls to the
+// same owner. A query sends all its calls in far less time, and the delay is small
+// compared with the time that a leaf takes.
 const batchDelay = 200 * time.Microsecond
 
 // Caller calls leaves through one owner. It is safe for concurrent use.
 type Caller struct {
 	conn *wire.Conn
-	wake chan struct{}
+	wake chan struct{} // signals sendLoop; buffers one signal
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	lastID  uint64
-	calls   map[uint64]*pending // neither answered nor given up
+	calls   map[uint64]*pending // by ID; neither answered nor cancelled
 	unsent  []*pending
-	cancels []uint64
-	ended   bool
+	cancels []uint64 // IDs of cancelled calls that the owner has to be notified of
+	ended   bool     // the connection has ended
 }
 
 type pending struct {
 	call   Call
-	sent   bool
-	answer chan Answer // holds one
+	sent   bool        // the call may have reached the owner
+	answer chan Answer // buffers one answer
 }
 
-// Dial connects to an owner. The connection is for this package's calls only.
+// Dial connects to an owner at an address of the form host:port. It overrides the
+// Use, Handler and WaitForRoom of o: the connection serves only this package.
 func Dial(ctx context.Context, address string, o wire.Options, counters *wire.Counters) (*Caller, error) {
 	c := &Caller{wake: make(chan struct{}, 1), calls: map[uint64]*pending{}}
 	o.Use = ConnUse
 	o.Handler = c.handle
-	o.WaitForRoom = true // a dropped answer would be waited for until the deadline
+	o.WaitForRoom = true // a refused answer would be lost, and its call would wait until the deadline
 	conn, err := wire.Dial(ctx, address, o, counters)
 	if err != nil {
 		return nil, err
@@ -50,7 +52,7 @@
 	return c, nil
 }
 
-// Close ends the connection; calls under way fail.
+// Close closes the connection. Calls in flight fail.
 func (c *Caller) Close() {
 	c.conn.Close()
 	c.conn.Wait()
@@ -59,7 +61,7 @@
 // Done is closed when the connection has ended.
 func (c *Caller) Done() <-chan struct{} { return c.conn.Done() }
 
-// Search asks one leaf through the owner. The error is a *target.CallError.
+// Search searches one leaf through the owner. The error is a *target.CallError.
 func (c *Caller) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (target.LeafAnswer, error) {
 	answer, err := c.do(ctx, Call{Target: name, Leaf: leaf, Search: &req})
 	switch {
@@ -68,15 +70,15 @@
 	case answer.Search == nil:
 		return target.LeafAnswer{}, &target.CallError{Kind: target.ErrorMalformed, Target: name}
 	case answer.Search.Echo != req.Echo:
-		c.conn.Close() // what else it delivers can't be trusted either
+		c.conn.Close() // other answers of this connection can't be trusted either
 		return target.LeafAnswer{}, &target.CallError{Kind: target.ErrorMismatched, Target: name}
 	}
 	return *answer.Search, nil
 }
 
-// Submit hands a non-idempotent request to one leaf through the owner, once. The
-// error is a *target.CallError; unless it says NotStarted, the request may have
-// been run.
+// Submit sends a non-idempotent request to one leaf through the owner, once. The
+// error is a *target.CallError; unless its NotStarted is set, the request may have
+// been executed.
 func (c *Caller) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error) {
 	answer, err := c.do(ctx, Call{Target: name, Leaf: leaf, Submit: &req})
 	switch {
@@ -91,8 +93,8 @@
 	return *answer.Submit, nil
 }
 
-// Status reads what a target says of itself through the owner, which may have
-// read it a short time ago. The error is a *target.CallError.
+// Status reads a target's status through the owner, which may return a status that
+// it read up to maxStatusAge ago. The error is a *target.CallError.
 func (c *Caller) Status(ctx context.Context, name string) (target.Status, error) {
 	answer, err := c.do(ctx, Call{Target: name, Status: &StatusRequest{}})
 	switch {
@@ -104,6 +106,7 @@
 	return *answer.Status, nil
 }
 
+// do sends one call and waits for its answer or the end of ctx.
 func (c *Caller) do(ctx context.Context, call Call) (Answer, error) {
 	timeout := defaultTimeout
 	if deadline, ok := ctx.Deadline(); ok {
@@ -128,7 +131,7 @@
 	}
 }
 
-// ContextError is the error of a call whose context has ended.
+// ContextError returns the error of a call whose context has ended.
 func ContextError(ctx context.Context, name string, notStarted bool) *target.CallError {
 	kind := target.ErrorCancelled
 	if ctx.Err() == context.DeadlineExceeded {
@@ -137,9 +140,10 @@
 	return &target.CallError{Kind: kind, Target: name, NotStarted: notStarted}
 }
 
-// defaultTimeout is the time for a call whose context has no deadline.
+// defaultTimeout bounds a call whose context has no deadline.
 const defaultTimeout = time.Minute
 
+// enqueue queues a call for sendLoop. It returns false if the connection has ended.
 func (c *Caller) enqueue(p *pending) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,8 +165,8 @@
 	}
 }
 
-// cancelCall tells the owner that nobody waits for a call, and returns whether the
-// call had been sent.
+// cancelCall removes a call and notifies the owner that its answer is no longer
+// needed. It reports whether the call had been sent.
 func (c *Caller) cancelCall(p *pending) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,7 +178,8 @@
 	return p.sent
 }
 
-// sendLoop sends batches and cancellations until the connection ends.
+// sendLoop sends batches and cancellations until the connection ends. It then
+// fails the pending calls.
 func (c *Caller) sendLoop() {
 	defer c.failPending()
 	for {
@@ -197,8 +202,9 @@
 	}
 }
 
-// takeUnsent marks calls as sent before they are: whoever gives up in between
-// must not say that they were not started.
+// takeUnsent returns the queued calls and cancellations. It marks the calls as sent
+// before they are written: a call that is cancelled in between must not be reported
+// as not started.
 func (c *Caller) takeUnsent() (calls []Call, cancels []uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,8 +219,8 @@
 	return calls, cancels
 }
 
-// sendBatch sends one batch. A refusal of the whole batch is the owner's word that
-// it started none of it.
+// sendBatch sends one batch and waits until the owner has accepted or refused it.
+// If the owner refuses the whole batch, it has started none of its calls.
 func (c *Caller) sendBatch(calls []Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
@@ -226,12 +232,12 @@
 			c.deliver(Answer{ID: calls[i].ID, Failure: &Failure{Kind: target.ErrorBusy, NotStarted: true}})
 		}
 	default:
-		c.conn.Close() // it is silent or doesn't speak the protocol
+		c.conn.Close() // the owner didn't answer in time or doesn't speak the protocol
 	}
 }
 
-// batchTimeout bounds the time until an owner has taken a batch; it doesn't wait
-// for anything before it answers.
+// batchTimeout bounds the time until an owner answers a batch. The owner queues the
+// calls and answers without waiting for any of them.
 const batchTimeout = 2 * time.Second
 
 func (c *Caller) handle(_ context.Context, _ *wire.Conn, method string, params json.RawMessage) (any, error) {
@@ -248,7 +254,8 @@
 	return nil, nil
 }
 
-// deliver hands an answer to its call; a late or repeated one finds none.
+// deliver passes an answer to its call. It drops an answer that is late or
+// repeated, because the call is no longer registered.
 func (c *Caller) deliver(a Answer) {
 	c.mu.Lock()
 	p := c.calls[a.ID]
@@ -259,10 +266,11 @@
 	}
 }
 
-// failPending ends all calls when the connection has ended. Those that were sent may
-// have been started. An owner that leaves sends its last answers and closes; they
-// are still being handled when the end is seen, so failPending waits for them first, or
-// calls that were answered would be called broken.
+// failPending fails all calls when the connection has ended. Those that were sent
+// may have been started. An owner that leaves sends its last answers and then
+// closes the connection. These answers may still be in handling when the end of the
+// connection is detected, so failPending waits for the handlers first. Otherwise
+// answered calls would fail with target.ErrorBroken.
 func (c *Caller) failPending() {
 	c.conn.Close()
 	c.conn.Wait()
--- a/peer/hop/codec.go
+++ b/peer/hop/codec.go
@@ -11,7 +11,8 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// codec writes and reads the messages of this package on one connection.
+// codec encodes, decodes and sends the messages of this package. marshal returns
+// the data that call and notify send.
 type codec interface {
 	marshal(message any) ([]byte, error)
 	unmarshal(data []byte, message any) error
@@ -19,7 +20,8 @@
 	notify(conn *wire.Conn, method string, data []byte) error
 }
 
-// codecOf returns the codec that both ends of a connection speak.
+// codecOf returns the codec of the protocol version that both ends of a connection
+// have agreed on.
 func codecOf(conn *wire.Conn) codec {
 	if conn.Version() >= wire.VersionCBOR {
 		return cborCodec{}
@@ -53,12 +55,13 @@
 	return m, nil
 }
 
-// jsonCodec is JSON, for VMs of a release without binaryCodec.
+// jsonCodec encodes messages as JSON, for VMs of a release without cborCodec.
 type jsonCodec struct{}
 
-// envelope carries a message as one string: JSON-RPC's layers each walk through
-// the parameters of a message once or more, in both directions, and a string
-// costs them far less than nested objects. docs/design/hop.md has the measurement.
+// envelope holds an encoded message as one base64 string. Each layer of the
+// JSON-RPC library scans the parameters of a message at least once, when sending
+// and when receiving, and a string costs far less to scan than nested objects.
+// docs/design/hop.md has the measurement.
 type envelope struct {
 	Data []byte `json:"d"`
 }
@@ -81,8 +84,8 @@
 	return conn.Notify(method, envelope{Data: data})
 }
 
-// cborCodec is CBOR with the names of the JSON members. JSON within a message
-// (an item's fields, a payload, a result) travels as a string of bytes.
+// cborCodec encodes messages as CBOR maps with the same keys as the JSON objects.
+// Embedded JSON (an item's fields, a payload, a result) is a CBOR byte string.
 type cborCodec struct{}
 
 func (cborCodec) marshal(message any) ([]byte, error) { return cborEncMode.Marshal(message) }
@@ -95,10 +98,10 @@
 	return conn.NotifyBody(method, data)
 }
 
-// unmarshal reads no more than JSON could have said: numbers are finite, names
-// are unique, and JSON within the message is JSON. A number or a string of bytes
-// that JSON can't carry would fail only later, when the whole answer to a caller
-// is written, and that answer would be lost.
+// unmarshal accepts only what JSON can represent: numbers are finite, keys are
+// unique, and embedded JSON is valid. A number or a byte string that JSON can't
+// represent would otherwise fail only later, when the complete answer to a caller
+// is encoded, and that answer would be lost.
 func (cborCodec) unmarshal(data []byte, message any) error {
 	if err := cborDecMode.Unmarshal(data, message); err != nil {
 		return err
@@ -112,13 +115,14 @@
 	return nil
 }
 
-// The bounds on a binary message. The library walks through the whole message
-// before it allocates anything, so that a stated length without the bytes is
-// refused; what remains is bounded by the bytes of the message, wire.Options.
+// The bounds on a CBOR message. The library checks that the whole message is well
+// formed before it allocates memory, so it refuses a length that exceeds the bytes
+// present. Beyond these bounds, the size of a message limits the memory it takes;
+// see MaxMessage in wire.Options.
 const (
-	maxNesting       = 16      // Answers with a status nest 8 deep
-	maxArrayElements = 1 << 16 // of one array
-	maxMapPairs      = 64      // of one object
+	maxNesting       = 16      // levels; Answers with a status have 8
+	maxArrayElements = 1 << 16 // in one array
+	maxMapPairs      = 64      // in one map
 )
 
 var (
@@ -136,7 +140,8 @@
 	}.DecMode())
 )
 
-// must is for options that are constants: a wrong one fails in any test.
+// must panics if err is set. It is only for constant options: an invalid one makes
+// every test of the package fail.
 func must[M any](mode M, err error) M {
 	if err != nil {
 		panic(err)
@@ -144,6 +149,7 @@
 	return mode
 }
 
+// checkCalls validates the embedded JSON of calls.
 func checkCalls(calls []Call) error {
 	for i := range calls {
 		if s := calls[i].Submit; s != nil {
@@ -155,6 +161,7 @@
 	return nil
 }
 
+// checkAnswers validates the embedded JSON of answers.
 func checkAnswers(answers []Answer) error {
 	for i := range answers {
 		if s := answers[i].Submit; s != nil {
@@ -171,6 +178,7 @@
 	return nil
 }
 
+// checkFields validates the fields of an answer's items. Empty fields become nil.
 func checkFields(a *target.LeafAnswer) error {
 	for i := range a.Items {
 		fields := &a.Items[i].Fields
@@ -185,15 +193,15 @@
 	return nil
 }
 
-// checkJSON checks a text within a message; none at all stands for null, as in
-// textCodec.
+// checkJSON validates embedded JSON. An empty value becomes null, as with
+// jsonCodec.
 func checkJSON(text *json.RawMessage) error {
 	if len(*text) == 0 {
 		*text = json.RawMessage("null")
 		return nil
 	}
 	if !json.Valid(*text) {
-		return result.Errorf(result.BadMessage, "a text of %d bytes is not JSON", len(*text))
+		return result.Errorf(result.BadMessage, "embedded value of %d bytes is not valid JSON", len(*text))
 	}
 	return nil
 }
--- a/peer/hop/hop.go
+++ b/peer/hop/hop.go
@@ -1,13 +1,13 @@
-// Package hop carries calls to leaves through the VMs that own connections to
+// Package hop forwards calls to leaves through the VMs that own connections to
 // their targets. A VM that isn't an owner sends all calls of a query that go to
-// one owner in one message; the owner queues them for the leaves' slots, calls
-// the target and sends back what is done, several answers in one message if
-// several are.
+// one owner in one message. The owner queues them for the leaves' slots, calls
+// the target and sends back the answers. Answers that are complete at the same
+// time share a message.
 //
-// Nothing of the meaning of a call changes on the way: the request with its
-// snapshot, echo and deadline is the target's own, the answer's echo is checked
-// again by the VM that asked, and a failure says "not started" only where the
-// owner or the target is certain of it.
+// Forwarding doesn't change the meaning of a call. The request, with its
+// snapshot, echo and deadline, is the one that the target receives on a direct
+// call. The calling VM checks the answer's echo again. A failure says "not
+// started" only if the owner or the target is certain of it.
 package hop
 
 import (
@@ -18,25 +18,26 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// ConnUse names connections of this package in the hello.
+// ConnUse identifies connections of this package in the hello message.
 const ConnUse = "calls"
 
-// The methods.
+// The methods of the protocol.
 const (
-	MethodCalls   = "calls.begin"   // Batch; answered once all are queued or refused
-	MethodCancel  = "calls.cancel"  // Cancel; no answer
-	MethodAnswers = "calls.answers" // Answers; no answer
+	MethodCalls   = "calls.begin"   // carries a Batch; answered once all its calls are queued or refused
+	MethodCancel  = "calls.cancel"  // carries a Cancel; a notification without an answer
+	MethodAnswers = "calls.answers" // carries Answers; a notification without an answer
 )
 
-// Leaves reaches the leaves of targets. target.Client implements it.
+// Leaves calls the leaves of targets. target.Client implements it.
 type Leaves interface {
 	Search(ctx context.Context, target string, leaf int, req target.LeafRequest) (target.LeafAnswer, error)
 	Submit(ctx context.Context, target string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error)
 	Status(ctx context.Context, target string) (target.Status, error)
 }
 
-// Call is one call to one leaf, a search or a non-idempotent request, or a read
-// of the target's status. ID is unique on its connection.
+// Call is a search or a non-idempotent request to one leaf, or a read of the
+// target's status: exactly one of Search, Submit and Status is set. ID is unique
+// on its connection.
 type Call struct {
 	ID     uint64                `json:"id"`
 	Target string                `json:"t"`
@@ -46,8 +47,8 @@
 	Status *StatusRequest        `json:"a,omitempty"`
 }
 
-// deadline returns where the call keeps its time left, or nil if it isn't
-// exactly one of the three.
+// deadline returns a pointer to the call's remaining time in milliseconds, or nil
+// unless exactly one of Search, Submit and Status is set.
 func (c *Call) deadline() *int64 {
 	switch {
 	case c.Search != nil && c.Submit == nil && c.Status == nil:
@@ -61,22 +62,24 @@
 	}
 }
 
-// StatusRequest asks for what a target says of itself.
+// StatusRequest requests a target's status.
 type StatusRequest struct {
-	DeadlineMS int64 `json:"d"` // time left, in milliseconds
+	DeadlineMS int64 `json:"d"` // remaining time in milliseconds
 }
 
-// Batch is all calls that one VM has for one owner at a time.
+// Batch holds the calls that one VM sends to one owner in one message, at most
+// MaxBatchCalls.
 type Batch struct {
 	Calls []Call `json:"c"`
 }
 
-// Cancel gives up calls.
+// Cancel lists the calls whose answers the calling VM no longer needs.
 type Cancel struct {
 	IDs []uint64 `json:"i"`
 }
 
-// Answer is the outcome of one call: one of its four parts.
+// Answer is the outcome of the call with the same ID: one of Search, Submit,
+// Status and Failure is set.
 type Answer struct {
 	ID      uint64               `json:"id"`
 	Search  *target.LeafAnswer   `json:"s,omitempty"`
@@ -85,12 +88,12 @@
 	Failure *Failure             `json:"f,omitempty"`
 }
 
-// Answers is what an owner has to say at a time.
+// Answers holds the answers that an owner sends in one message.
 type Answers struct {
 	Answers []Answer `json:"a"`
 }
 
-// Failure is a target.CallError on the wire.
+// Failure is the encoding of a target.CallError.
 type Failure struct {
 	Kind         target.ErrorKind `json:"k"`
 	Reason       target.Reason    `json:"r,omitempty"`
@@ -102,6 +105,8 @@
 // MaxBatchCalls bounds the calls in one Batch.
 const MaxBatchCalls = 1024
 
+// failureOf encodes err. An error that isn't a *target.CallError becomes
+// target.ErrorBroken, which doesn't claim that the call was not started.
 func failureOf(err error) *Failure {
 	var call *target.CallError
 	if !errors.As(err, &call) {
@@ -116,6 +121,7 @@
 	}
 }
 
+// callError decodes f as a *target.CallError of the named target.
 func (f *Failure) callError(name string) error {
 	return &target.CallError{
 		Kind:        f.Kind,
--- a/peer/hop/own.go
+++ b/peer/hop/own.go
@@ -7,14 +7,16 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// QueuedLeaves returns the way for this VM's own calls to the targets that it owns: through
-// the same slots as its peers' calls. Beside them, the two together would be more
-// than the slots, and the target would shed calls that could have waited.
+// QueuedLeaves returns the Leaves for this VM's own calls to the targets that it
+// owns connections to. These calls wait in the same slot queues as the calls of
+// other VMs. If they bypassed the queues, both together would exceed the slots, and
+// the target would shed calls that could have waited. It is safe for concurrent use.
 func (o *Owner) QueuedLeaves() Leaves { return queuedLeaves{o} }
 
 type queuedLeaves struct{ owner *Owner }
 
-// localPeer is the name under which this VM takes its turns among its peers.
+// localPeer is the name of this VM in the slot queues, among the names of the VMs
+// that call through it.
 const localPeer = ""
 
 // Search implements Leaves.
@@ -40,12 +42,12 @@
 	return l.owner.statuses.read(ctx, l.owner.opts.Leaves, name)
 }
 
-// withSlot makes a call once a slot of its leaf is free. Its errors say NotStarted if
-// none got free in time.
+// withSlot makes a call once a slot of its leaf is free. If none becomes free in
+// time, the error is a *target.CallError with NotStarted set.
 func (o *Owner) withSlot(ctx context.Context, name string, leaf int, call func() error) error {
 	slots, owned := o.opts.Slots(name, leaf)
 	if !owned {
-		return call() // the share was given up a moment ago
+		return call() // this VM ceased to be an owner a moment ago
 	}
 	q, err := o.acquireSlot(ctx, leafKey{name, leaf}, slots)
 	if err != nil {
@@ -59,13 +61,15 @@
 	return err
 }
 
+// acquireSlot waits for a slot of a leaf. On success the caller has to release the
+// slot of the returned queue with releaseSlot.
 func (o *Owner) acquireSlot(ctx context.Context, key leafKey, slots int) (*slotQueue, error) {
 	now := time.Now()
 	deadline, hasDeadline := ctx.Deadline()
 	if !hasDeadline {
 		deadline = now.Add(defaultTimeout)
 	}
-	granted := make(chan bool, 1) // false if the deadline passed first
+	granted := make(chan bool, 1) // receives false if the deadline passed before a slot was free
 	w := &waiter{peer: localPeer, deadline: deadline}
 	w.run = func() { granted <- true }
 	w.expire = func() { granted <- false }
@@ -93,8 +97,9 @@
 	}
 }
 
-// cancelWait takes back a call that waits. If it has got its slot in this very
-// moment, the slot goes on to the next: it would be lost otherwise.
+// cancelWait removes a waiting call from its queue. If the call was granted a slot in
+// the meantime, cancelWait releases the slot to the next call; otherwise the slot
+// would stay taken permanently.
 func (o *Owner) cancelWait(q *slotQueue, w *waiter, granted <-chan bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/peer/hop/owner.go
+++ b/peer/hop/owner.go
@@ -14,12 +14,14 @@
 // OwnerOptions configure an Owner. All but MaxCalls are required.
 type OwnerOptions struct {
 	Leaves Leaves
-	// Slots returns the slots of a leaf if this VM owns connections to its
-	// target, and false for any other.
+	// Slots returns the number of slots of a leaf and true if this VM owns
+	// connections to its target, and false otherwise. It must be safe for
+	// concurrent use.
 	Slots func(target string, leaf int) (int, bool)
-	// MaxCalls bounds the calls taken from peers, waiting ones included. It is
-	// apart from the bound on callers' work, and a call taken from a peer never
-	// waits for another VM, so that VMs can't block one another in a circle.
+	// MaxCalls bounds the calls accepted from other VMs, including those that wait
+	// for a slot. It is separate from the bound on callers' requests, and a call
+	// accepted from another VM never waits for a third one, so that VMs can't
+	// deadlock by waiting for each other.
 	MaxCalls int // default 4096
 }
 
@@ -31,9 +33,9 @@
 	opts     OwnerOptions
 	statuses statusCache
 
-	mu       sync.Mutex // guards what follows; taken before a session's mu
+	mu       sync.Mutex // guards the fields below; locked before a session's mu
 	queues   map[leafKey]*slotQueue
-	calls    int
+	calls    int // calls of other VMs, waiting or in flight
 	sessions map[*wire.Conn]*session
 	draining bool // Drain was called
 }
@@ -43,20 +45,21 @@
 	leaf   int
 }
 
-// session is what an owner does for one connection.
+// session holds the state of one connection of another VM to this owner.
 type session struct {
 	owner   *Owner
 	conn    *wire.Conn
-	ctx     context.Context // ends with the connection
-	wake    chan struct{}
-	cancels map[uint64]func() // of calls under way; guarded by Owner.mu
+	ctx     context.Context   // ends with the connection
+	wake    chan struct{}     // signals sendLoop; buffers one signal
+	cancels map[uint64]func() // cancel functions of waiting and running calls, by ID; guarded by Owner.mu
 
-	mu      sync.Mutex // guards what follows
-	answers []Answer   // to be sent
-	unsent  int        // answers to be sent or being sent
+	mu      sync.Mutex // guards the fields below
+	answers []Answer   // queued for sendLoop
+	unsent  int        // answers that are queued or being written
 }
 
-// NewOwner returns an owner without any connection.
+// NewOwner returns an owner without connections. Pass its Handle method to the
+// wire server.
 func NewOwner(o OwnerOptions) *Owner {
 	if o.MaxCalls <= 0 {
 		o.MaxCalls = defaultMaxCalls
@@ -64,12 +67,13 @@
 	return &Owner{opts: o, queues: map[leafKey]*slotQueue{}, sessions: map[*wire.Conn]*session{}}
 }
 
-// drainPollInterval is the time between looks at whether calls are still under way.
+// drainPollInterval is the interval at which Drain checks for calls in flight.
 const drainPollInterval = 5 * time.Millisecond
 
-// Drain takes no further call and waits until none of another VM is under way and
-// all answers have been handed to their connections, or ctx ends. VMs that know of
-// no other owner call until the end; it would not come if their calls were taken.
+// Drain refuses further calls of other VMs. It waits until none of their calls is in
+// flight and all answers have been passed to their connections, or ctx ends. In the
+// latter case it returns the error of ctx. VMs that know no other owner keep sending
+// calls; if these were accepted, Drain might never return.
 func (o *Owner) Drain(ctx context.Context) error {
 	o.mu.Lock()
 	o.draining = true
@@ -84,13 +88,14 @@
 	return nil
 }
 
-// Calls returns the number of calls of other VMs under way.
+// Calls returns the number of calls of other VMs that are waiting or in flight.
 func (o *Owner) Calls() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.calls
 }
 
+// busy reports whether calls of other VMs are in flight or answers are unsent.
 func (o *Owner) busy() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -105,7 +110,7 @@
 	return false
 }
 
-// Handle serves the methods of this package; it is a wire.Handler.
+// Handle serves the methods that other VMs call on an owner. It is a wire.Handler.
 func (o *Owner) Handle(_ context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
 	switch method {
 	case MethodCalls:
@@ -126,9 +131,10 @@
 	}
 }
 
+// startBatch admits or refuses each call of a batch. It doesn't wait for any of them.
 func (o *Owner) startBatch(conn *wire.Conn, b *Batch) error {
 	if len(b.Calls) > MaxBatchCalls {
-		return result.Errorf(result.BadMessage, "%d calls, at most %d", len(b.Calls), MaxBatchCalls)
+		return result.Errorf(result.BadMessage, "batch of %d calls exceeds the limit of %d", len(b.Calls), MaxBatchCalls)
 	}
 	s := o.sessionFor(conn)
 	now := time.Now()
@@ -140,6 +146,7 @@
 	return nil
 }
 
+// sessionFor returns the session of a connection and creates it on first use.
 func (o *Owner) sessionFor(conn *wire.Conn) *session {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -153,8 +160,8 @@
 	return s
 }
 
-// admit queues or runs one call, or returns why it does neither. None of the
-// refusals has touched the target.
+// admit queues or starts one call, or returns the reason for its refusal. A refused
+// call has not been sent to the target.
 func (o *Owner) admit(s *session, call *Call, now time.Time) *Failure {
 	timeLeft := call.deadline()
 	slots, owned := o.opts.Slots(call.Target, call.Leaf)
@@ -199,7 +206,8 @@
 	return nil
 }
 
-// queueFor must hold mu.
+// queueFor returns the slot queue of a leaf, creates it on first use, and sets its
+// number of slots. The caller must hold mu.
 func (o *Owner) queueFor(key leafKey, slots int) *slotQueue {
 	q := o.queues[key]
 	if q == nil {
@@ -210,7 +218,8 @@
 	return q
 }
 
-// releaseSlot gives the slot of a call that has ended to the next. It must hold mu.
+// releaseSlot passes the slot of a call that took the given time to the next waiting
+// call, and expires those whose deadline has passed. The caller must hold mu.
 func (o *Owner) releaseSlot(q *slotQueue, took time.Duration, now time.Time) {
 	next, expired := q.release(took, now)
 	for _, w := range expired {
@@ -221,7 +230,8 @@
 	}
 }
 
-// admitStatus reads a target's status apart from the leaves' slots.
+// admitStatus starts a read of a target's status, or returns the reason for its
+// refusal. The read doesn't need a slot of a leaf.
 func (o *Owner) admitStatus(s *session, call *Call, timeout time.Duration) *Failure {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -249,7 +259,8 @@
 	return nil
 }
 
-// removeCall must hold mu.
+// removeCall removes a call from its session, if it is still there. The caller must
+// hold mu.
 func (o *Owner) removeCall(s *session, id uint64) {
 	if _, known := s.cancels[id]; known {
 		delete(s.cancels, id)
@@ -257,6 +268,7 @@
 	}
 }
 
+// runCall makes a call that holds a slot, queues its answer and releases the slot.
 func (o *Owner) runCall(ctx context.Context, s *session, q *slotQueue, call *Call) {
 	start := time.Now()
 	answer := o.callLeaf(ctx, call)
@@ -264,13 +276,14 @@
 	s.addAnswer(answer)
 	o.mu.Lock()
 	if stop := s.cancels[call.ID]; stop != nil {
-		stop() // frees the call's timer
+		stop() // releases the timer of the call's context
 	}
 	o.removeCall(s, call.ID)
 	o.releaseSlot(q, now.Sub(start), now)
 	o.mu.Unlock()
 }
 
+// callLeaf makes a search or a non-idempotent request and returns its answer.
 func (o *Owner) callLeaf(ctx context.Context, call *Call) Answer {
 	answer := Answer{ID: call.ID}
 	if call.Search != nil {
@@ -305,7 +318,7 @@
 	}
 }
 
-// addAnswer hands an answer to the sender.
+// addAnswer queues an answer for sendLoop.
 func (s *session) addAnswer(a Answer) {
 	s.mu.Lock()
 	s.answers = append(s.answers, a)
@@ -317,8 +330,8 @@
 	}
 }
 
-// sendLoop sends what is done until the connection ends; what gets done while a
-// message is being written goes into the next.
+// sendLoop sends queued answers until the connection ends. Answers that are queued
+// while a message is being written go into the next message.
 func (s *session) sendLoop(cancel func()) {
 	defer s.close(cancel)
 	for {
@@ -341,6 +354,7 @@
 	}
 }
 
+// hasUnsent reports whether answers are queued or being written.
 func (s *session) hasUnsent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -351,7 +365,8 @@
 	return notify(s.conn, MethodAnswers, Answers{Answers: done})
 }
 
-// close gives up all calls of a connection: nobody waits for them any more.
+// close cancels all calls of a connection that has ended, since their answers can't
+// be delivered.
 func (s *session) close(cancel func()) {
 	cancel()
 	o := s.owner
--- a/peer/hop/queue.go
+++ b/peer/hop/queue.go
@@ -4,33 +4,37 @@
 
 // waiter is a call that waits for a slot of a leaf.
 type waiter struct {
-	peer     string
+	peer     string // VM that sent the call, or localPeer
 	deadline time.Time
-	run      func()
-	expire   func() // the deadline passed while it waited
+	run      func() // starts the call once it holds a slot
+	expire   func() // fails the call if the deadline passed while it waited
 }
 
 // slotQueue shares the slots of one leaf among the VMs that call through this
-// owner. It is pure: the caller runs what it returns. An owner sees nearly the
-// whole load of its leaf, so it can tell how long a call will wait and refuse at
-// once what can't be served in time; queueing that would make all calls late.
+// owner, in round-robin order. It has no side effects: its user runs or expires the
+// calls that it returns. It isn't safe for concurrent use. An owner handles nearly
+// the whole load of its leaf, so it can estimate how long a call will wait. It
+// refuses a call immediately if it can't be served in time, since queueing such
+// calls would make all calls late.
 type slotQueue struct {
-	slots       int
-	running     int
+	slots       int                  // at least 1
+	running     int                  // slots in use
 	waiting     map[string][]*waiter // by VM, the oldest first
-	turns       []string             // VMs that have calls waiting, in turn
-	queued      int
-	meanService time.Duration // of the service times, moving
+	turns       []string             // VMs that have waiting calls, the next to be served first
+	queued      int                  // waiting calls of all VMs
+	meanService time.Duration        // moving average of the service times
 }
 
-// meanWeight is the weight of the past in the moving mean.
+// meanWeight is the divisor of the moving average: each new service time changes the
+// average by its difference from it divided by meanWeight.
 const meanWeight = 8
 
 func newSlotQueue(slots int) *slotQueue {
 	return &slotQueue{slots: max(slots, 1), waiting: map[string][]*waiter{}}
 }
 
-// expectedWait is how long a call that comes now is expected to expectedWait for a slot.
+// expectedWait returns how long a call that arrives now is expected to wait for a
+// slot.
 func (q *slotQueue) expectedWait() time.Duration {
 	if q.running < q.slots {
 		return 0
@@ -38,13 +42,15 @@
 	return time.Duration(q.queued+1) * q.meanService / time.Duration(q.slots)
 }
 
-// offer takes a call. It returns whether the call runs now; if neither that nor
-// ok it can't be served in time, and wait says when to come back.
+// offer starts, queues or refuses a call. If run is set, the call holds a slot and
+// its user has to start it; if only accepted is set, it waits. If neither is set, it
+// can't be served in time, and wait says how long to wait before a retry.
 func (q *slotQueue) offer(w *waiter, now time.Time) (run, accepted bool, wait time.Duration) {
 	wait = q.expectedWait()
-	// A leaf with nothing to do takes a call whatever its last ones took. After a time of
-	// silence the mean says that no call can be served in time; if all were refused for
-	// that, none would ever tell that the leaf is well again.
+	// An idle leaf accepts a call however long the last calls took. After a period
+	// without answers, the average suggests that no call can be served in time. If all
+	// calls were refused for that reason, none would ever show that the leaf has
+	// recovered.
 	if q.running > 0 && now.Add(wait+q.meanService).After(w.deadline) {
 		return false, false, wait
 	}
@@ -60,8 +66,9 @@
 	return false, true, wait
 }
 
-// release frees a slot. It returns the call that takes it, if any, and those
-// whose deadline passed while they waited.
+// release frees the slot of a call that took the given time. It returns the waiting
+// call that takes over the slot, if any, and the calls whose deadline passed while
+// they waited.
 func (q *slotQueue) release(took time.Duration, now time.Time) (next *waiter, expired []*waiter) {
 	q.meanService += (took - q.meanService) / meanWeight
 	for len(q.turns) > 0 && q.running <= q.slots {
@@ -75,7 +82,7 @@
 	return nil, expired
 }
 
-// pop takes the oldest call of the VM whose turn it is.
+// pop removes and returns the oldest call of the VM that is next in turn.
 func (q *slotQueue) pop() *waiter {
 	peer := q.turns[0]
 	q.turns = q.turns[1:]
@@ -91,7 +98,7 @@
 	return w
 }
 
-// remove takes out a call that was given up, and tells whether it was waiting.
+// remove removes a cancelled call and reports whether it was waiting.
 func (q *slotQueue) remove(w *waiter) bool {
 	list := q.waiting[w.peer]
 	for i := range list {
@@ -109,6 +116,7 @@
 	return false
 }
 
+// removeTurn removes a VM without waiting calls from the turns.
 func (q *slotQueue) removeTurn(peer string) {
 	for i, name := range q.turns {
 		if name == peer {
--- a/peer/hop/status.go
+++ b/peer/hop/status.go
@@ -8,23 +8,25 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// maxStatusAge is how old a status may be that an owner passes on. Many VMs ask the
-// few owners of a target; the target is read a few times a second all the same.
+// maxStatusAge bounds the age of a status that an owner returns from its cache. Many
+// VMs read a target's status through its few owners; with the cache, each owner
+// queries the target only a few times a second.
 const maxStatusAge = 200 * time.Millisecond
 
-// statusCache keeps the last status of each target for a short time and reads a
-// target once for all that ask meanwhile.
+// statusCache caches the status of each target for maxStatusAge. Concurrent reads of
+// one target share one query. It is safe for concurrent use.
 type statusCache struct {
 	mu      sync.Mutex // guards entries
 	entries map[string]*statusEntry
 }
 
 type statusEntry struct {
-	mu     sync.Mutex // held during a read, so that others wait for it
-	at     time.Time
+	mu     sync.Mutex // held during a query, so that other reads wait for its result
+	at     time.Time  // when status was read
 	status target.Status
 }
 
+// entry returns the entry of a target and creates it on first use.
 func (c *statusCache) entry(name string) *statusEntry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,6 +41,8 @@
 	return e
 }
 
+// read returns the cached status of a target, or queries the target if the status is
+// too old. Errors aren't cached.
 func (c *statusCache) read(ctx context.Context, leaves Leaves, name string) (target.Status, error) {
 	e := c.entry(name)
 	e.mu.Lock()
