--- a/peer/hop/bench_test.go
+++ b/peer/hop/bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// answerSearch gives a plain answer of some 600 bytes at once.
+// answerSearch immediately returns a sample answer of some 600 bytes.
 func answerSearch(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == target.PathStatus {
 		_ = json.NewEncoder(w).Encode(target.Status{Target: "owned", Incarnation: "1", State: target.StateServing})
@@ -41,13 +41,14 @@
 	return answer
 }
 
+// sampleLeaves answers searches in the owner's process, without a target.
 type sampleLeaves struct{ fakeLeaves }
 
 func (*sampleLeaves) Search(_ context.Context, _ string, _ int, req target.LeafRequest) (target.LeafAnswer, error) {
 	return sampleAnswer(req), nil
 }
 
-// startTarget returns a client with some connections to a target.
+// startTarget starts a target and returns a client with 4 connections to it.
 func startTarget(b *testing.B) *target.Client {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
@@ -62,10 +63,11 @@
 	client := target.NewClient(target.Options{MaxWaiting: 4096, MaxWait: testLimit})
 	b.Cleanup(client.Close)
 	client.Apply([]target.Endpoint{{Name: "owned", Address: ln.Addr().String(), Connections: connections}})
-	time.Sleep(500 * time.Millisecond) // connections are opened ahead of calls, one by one
+	time.Sleep(500 * time.Millisecond) // the client opens its connections one by one, before any call
 	return client
 }
 
+// startOwner starts an owner of the given leaves and returns a caller connected to it.
 func startOwner(b *testing.B, leaves Leaves) *Caller {
 	owner := NewOwner(OwnerOptions{Leaves: leaves, Slots: func(string, int) (int, bool) { return 1000, true }})
 	o := wire.Options{
@@ -85,14 +87,15 @@
 	return caller
 }
 
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() time.Duration {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// fanOut sends queries of some leaf calls each, a few queries at a time, and
-// reports the processor time of all ends per leaf call.
+// fanOut runs queries of the given number of leaf calls each, 4 queries at a time.
+// It reports the CPU time per leaf call, the sum of caller, owner and target.
 func fanOut(b *testing.B, leaves Leaves, calls int) {
 	const queries = 4
 	var wg sync.WaitGroup
@@ -129,8 +132,9 @@
 	wg.Wait()
 }
 
-// BenchmarkLeafCall compares calls that go direct with calls through an owner,
-// and the hop alone, whose owner answers by itself. All ends run in this process.
+// BenchmarkLeafCall compares direct calls to a target, calls through an owner, and
+// calls to an owner that answers without a target. Caller, owner and target run in
+// this process.
 func BenchmarkLeafCall(b *testing.B) {
 	for _, calls := range []int{1, 8, 40, 320} {
 		b.Run(fmt.Sprintf("direct/calls=%d", calls), func(b *testing.B) { fanOut(b, startTarget(b), calls) })
--- a/peer/hop/codec_test.go
+++ b/peer/hop/codec_test.go
@@ -62,7 +62,7 @@
 	})
 )
 
-// roundTripJSON takes a message through textCodec.
+// roundTripJSON encodes in and decodes the result into out with jsonCodec.
 func roundTripJSON(g Gomega, in, out any) {
 	data, err := jsonCodec{}.marshal(in)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -71,15 +71,16 @@
 	g.Expect(jsonCodec{}.unmarshal(outer, out)).To(Succeed())
 }
 
+// roundTripCBOR encodes in and decodes the result into out with cborCodec.
 func roundTripCBOR(g Gomega, in, out any) {
 	data, err := cborCodec{}.marshal(in)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(cborCodec{}.unmarshal(data, out)).To(Succeed())
 }
 
-// TestCodecsAgree: VMs of two releases serve one query, some calls in JSON and
-// some in CBOR. A member that one codec loses or changes would be an answer that
-// depends on the VM that carried it.
+// TestCodecsAgree guards against a codec that loses or changes a member of a message.
+// During an upgrade, VMs of two releases serve one query, with some calls in JSON and
+// some in CBOR. The answer must not depend on the VM that forwarded it.
 func TestCodecsAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
@@ -96,8 +97,9 @@
 	})
 }
 
-// TestCodecsCarryEveryField: a member added to a message later must travel in both
-// codecs, and the members of today must be the ones that the other test draws.
+// TestCodecsCarryEveryField sets every field of the messages, including fields that
+// are added later, and checks that both codecs preserve them. TestCodecsAgree only
+// covers the fields that its generators set.
 func TestCodecsCarryEveryField(t *testing.T) {
 	g := NewWithT(t)
 	for _, message := range []any{&Batch{}, &Answers{}} {
@@ -111,7 +113,7 @@
 	}
 }
 
-// fillNonZero gives all that v holds a value that isn't zero.
+// fillNonZero recursively sets v and everything in it to values other than zero.
 func fillNonZero(v reflect.Value) {
 	if _, raw := v.Interface().(json.RawMessage); raw {
 		v.SetBytes([]byte(`{"a":1}`))
@@ -141,7 +143,7 @@
 	}
 }
 
-// invalidMessages are messages that nobody of this release sends.
+// invalidMessages holds messages in hexadecimal that no VM of this release sends.
 var invalidMessages = map[string]string{
 	"nothing":              "",
 	"text in place":        hex.EncodeToString([]byte(`{"d":"e30="}`)),
@@ -160,10 +162,11 @@
 	"more after the end":   "a16161" + "80" + "00",
 }
 
-// TestInvalidMessagesAreRefused: a VM that is faulty, or speaks something else, sends bytes
-// that are no message, state lengths without the bytes, or carry what JSON can't.
-// They would take this VM's memory, or fail a caller's whole answer when it is
-// written. They are refused before memory is taken for them.
+// TestInvalidMessagesAreRefused: a faulty VM, or one with another protocol, sends
+// bytes that aren't a message, that state a length without containing as many bytes,
+// or that hold values which JSON can't represent. If accepted, they would exhaust the
+// memory of this VM, or a caller's complete answer could not be encoded. They must be
+// refused before memory is allocated for them.
 func TestInvalidMessagesAreRefused(t *testing.T) {
 	for name, text := range invalidMessages {
 		t.Run(name, func(t *testing.T) {
@@ -180,15 +183,15 @@
 	}
 }
 
-// TestTooManyArrayElements: small elements make large tables. One array holds no more
-// of them than its bound, however large messages may be.
+// TestTooManyArrayElements: elements of 1 byte each would decode into a much larger
+// slice. An array is bounded by maxArrayElements, however large messages may be.
 func TestTooManyArrayElements(t *testing.T) {
 	data := append([]byte{0xa1, 0x61, 'a', 0x9a, 0, 1, 0, 1}, bytes.Repeat([]byte{0xa0}, maxArrayElements+1)...)
 	NewWithT(t).Expect(cborCodec{}.unmarshal(data, &Answers{})).NotTo(Succeed())
 }
 
-// FuzzDecode: whatever bytes come, decoding doesn't panic, and what it accepts is
-// what JSON could have said: it goes through both codecs unchanged.
+// FuzzDecode checks that decoding doesn't panic on any input, and that JSON can
+// represent what it accepts: both codecs preserve it.
 func FuzzDecode(f *testing.F) {
 	for _, text := range invalidMessages {
 		data, _ := hex.DecodeString(text)
@@ -209,6 +212,8 @@
 	})
 }
 
+// checkDecoded decodes data into decoded. If that succeeds, it checks that both codecs
+// preserve the message; text and binary are empty messages of the same type.
 func checkDecoded(t *testing.T, data []byte, decoded, text, binary any) {
 	if (cborCodec{}).unmarshal(data, decoded) != nil {
 		return
@@ -222,9 +227,9 @@
 	g.Expect(json.Marshal(decoded)).To(MatchJSON(again))
 }
 
-// TestMixedVersions: VMs are replaced one after another by a new release that
-// speaks CBOR. While both run, a call from either to either must be answered; one
-// end that spoke what the other can't read would lose every call between them.
+// TestMixedVersions: a rolling upgrade introduces a release that speaks CBOR. While
+// both releases run, calls between them must be answered in both directions. If one
+// end used an encoding that the other can't read, every call between them would fail.
 func TestMixedVersions(t *testing.T) {
 	for name, tc := range map[string]struct{ owner, caller, agreed int }{
 		"new caller, old owner": {wire.VersionJSON, wire.VersionCBOR, wire.VersionJSON},
--- a/peer/hop/hop_test.go
+++ b/peer/hop/hop_test.go
@@ -20,11 +20,12 @@
 
 const testLimit = 20 * time.Second
 
-// fakeLeaves answers at once, or holds calls of leaf 9 until their context ends.
+// fakeLeaves answers immediately, with these exceptions: leaf 7 answers after release
+// is closed, leaf 8 refuses as cold, and leaf 9 waits until the call's context ends.
 type fakeLeaves struct {
 	started, cancelled atomic.Int64
-	mismatch           atomic.Bool
-	release            chan struct{} // lets calls of leaf 7 go on
+	mismatch           atomic.Bool   // answers have the echo of another attempt
+	release            chan struct{} // closed to answer the calls of leaf 7
 }
 
 func (f *fakeLeaves) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (target.LeafAnswer, error) {
@@ -57,6 +58,8 @@
 	return target.Status{Target: name, Incarnation: "i"}, nil
 }
 
+// testPair is a caller connected to an owner of the target "owned" with 2 slots per
+// leaf.
 type testPair struct {
 	*WithT
 	leaves   *fakeLeaves
@@ -70,7 +73,7 @@
 	return newMixedPair(t, maxCalls, wire.Version, wire.Version)
 }
 
-// newMixedPair connects two VMs whose releases speak up to the given versions.
+// newMixedPair connects two VMs whose maximum protocol versions are as given.
 func newMixedPair(t *testing.T, maxCalls, ownerVersion, callerVersion int) *testPair {
 	p := &testPair{WithT: NewWithT(t), leaves: &fakeLeaves{release: make(chan struct{})}, counters: &wire.Counters{}}
 	p.owner = NewOwner(OwnerOptions{
@@ -112,8 +115,9 @@
 	return call
 }
 
-// TestFanOutIsBatched: a query calls many leaves of one owner. Each call gets
-// its own answer, and the calls go out in far fewer messages than calls.
+// TestFanOutIsBatched: a query calls many leaves through one owner. Each call must get
+// its own answer, and the calls must be sent in far fewer messages than there are
+// calls.
 func TestFanOutIsBatched(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -140,9 +144,9 @@
 	p.Expect(err).NotTo(HaveOccurred())
 }
 
-// TestFailuresReachCallerUnchanged: what the target said, or that nothing was handed
-// to it, must reach the caller as it is; "not started" decides whether a caller
-// is told "not run".
+// TestFailuresReachCallerUnchanged: a failure stated by the target, or by an owner that
+// didn't call the target, must reach the caller unchanged. NotStarted decides whether
+// a customer's request is answered with "not run".
 func TestFailuresReachCallerUnchanged(t *testing.T) {
 	p := newPair(t, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -152,7 +156,7 @@
 		HaveField("RetryAfter", time.Second), HaveField("Incarnation", "i")))
 	p.Expect(callError(p.search(ctx, "stranger", 1))).To(And(
 		HaveField("Kind", target.ErrorUnknownTarget), HaveField("NotStarted", true)))
-	// One call is all that this owner takes from peers.
+	// This owner accepts one call from other VMs at a time.
 	held := make(chan error, 1)
 	go func() { held <- p.search(ctx, "owned", 9) }()
 	p.Eventually(p.leaves.started.Load).WithTimeout(testLimit).Should(BeNumerically("==", 2))
@@ -162,8 +166,8 @@
 	p.Expect(callError(<-held)).To(HaveField("NotStarted", false))
 }
 
-// TestCancellationReachesTarget: a hedge wins and the loser is given up; the target
-// must be told through the owner, or its slot stays taken.
+// TestCancellationReachesTarget: one of two hedged calls is answered and the other is
+// cancelled. The owner must cancel its call to the target, or the call keeps its slot.
 func TestCancellationReachesTarget(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -173,7 +177,8 @@
 	p.Eventually(p.leaves.cancelled.Load).WithTimeout(testLimit).Should(BeNumerically("==", 1))
 }
 
-// startCall makes the pair's first call and returns once the owner's target has it.
+// startCall makes the pair's first call and returns once the owner's target has
+// received it.
 func (p *testPair) startCall(ctx context.Context, leaf int) <-chan error {
 	result := make(chan error, 1)
 	go func() { result <- p.search(ctx, "owned", leaf) }()
@@ -181,9 +186,9 @@
 	return result
 }
 
-// TestOwnerStopsDuringCall: the owner dies while it has a call. The caller must
-// hear of it at once and must not be told that nothing was started; a call made
-// afterwards was certainly not.
+// TestOwnerStopsDuringCall: the owner stops while a call is in flight. The call must
+// fail immediately and must not be reported as not started. A call made afterwards
+// must be reported as not started.
 func TestOwnerStopsDuringCall(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -195,8 +200,8 @@
 		WithTimeout(testLimit).Should(And(HaveField("Kind", target.ErrorUnreachable), HaveField("NotStarted", true)))
 }
 
-// TestStatusReadsAreShared: many VMs read a target's status through its owner.
-// The target would be read as often as there are VMs; the owner reads it once.
+// TestStatusReadsAreShared: many VMs read a target's status through its owner. Without
+// the owner's cache, the target would be queried once for each VM.
 func TestStatusReadsAreShared(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -217,9 +222,9 @@
 	p.Expect(callError(err)).To(HaveField("NotStarted", true))
 }
 
-// TestDrainWaitsForCalls: an owner stops while calls of other VMs are under
-// way through it. Their answers must not be cut off: it waits for them, and for
-// the answers to be on their way, before it closes its connections.
+// TestDrainWaitsForCalls: an owner stops while calls of other VMs are in flight. Their
+// answers must not be lost: the owner waits until the calls have ended and their
+// answers are sent before it closes its connections.
 func TestDrainWaitsForCalls(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -227,7 +232,7 @@
 	held := p.startCall(ctx, 7)
 	short, stop := context.WithTimeout(ctx, 10*drainPollInterval)
 	defer stop()
-	p.Expect(p.owner.Drain(short)).To(MatchError(context.DeadlineExceeded), "it didn't wait")
+	p.Expect(p.owner.Drain(short)).To(MatchError(context.DeadlineExceeded), "Drain returned before the call ended")
 	drained := make(chan error, 1)
 	go func() {
 		drained <- p.owner.Drain(ctx)
@@ -238,8 +243,8 @@
 	p.Expect(<-held).To(Succeed())
 }
 
-// TestMismatchedAnswerClosesConnection: an owner delivers an answer of another attempt. It is
-// dropped, and the connection that delivered it is closed.
+// TestMismatchedAnswerClosesConnection: an owner returns the answer of another attempt.
+// The caller must drop it and close the connection.
 func TestMismatchedAnswerClosesConnection(t *testing.T) {
 	p := newPair(t, 0)
 	p.leaves.mismatch.Store(true)
@@ -247,9 +252,10 @@
 	p.Eventually(p.caller.Done()).WithTimeout(testLimit).Should(BeClosed())
 }
 
-// TestSlotQueueInvariants drives the queue through random calls, ends and cancellations:
-// never more run than there are slots, no call is lost or run twice, a free slot
-// is never kept from a waiting call, and VMs take turns.
+// TestSlotQueueInvariants applies random arrivals, completions and cancellations to a
+// queue. It checks that no more calls run than there are slots, that no call is lost
+// or run twice, that no slot is free while calls wait, and that each VM's calls run in
+// order.
 func TestSlotQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
@@ -263,7 +269,7 @@
 					return
 				}
 			}
-			t.Fatal("a call that wasn't waiting")
+			t.Fatal("the queue returned a call that wasn't waiting")
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "ms")) * time.Millisecond)
@@ -294,7 +300,7 @@
 			case step == 2 && len(waiting) > 0:
 				w := waiting[rapid.IntRange(0, len(waiting)-1).Draw(t, "given up")]
 				if !q.remove(w) || q.remove(w) {
-					t.Fatal("a waiting call is taken out once")
+					t.Fatal("remove must succeed exactly once for a waiting call")
 				}
 				move(w)
 			}
@@ -302,13 +308,13 @@
 				t.Fatalf("%d running (%d counted), %d waiting (%d counted), %d slots", len(running), q.running, len(waiting), q.queued, slots)
 			}
 			if len(waiting) > 0 && len(running) < slots {
-				t.Fatal("a free slot while calls wait")
+				t.Fatal("a slot is free while calls wait")
 			}
 		}
 	})
 }
 
-// checkOldestFirst: of one VM's calls that are still in time the oldest runs first.
+// checkOldestFirst checks that next is the oldest waiting call of its VM.
 func checkOldestFirst(t *rapid.T, waiting []*waiter, next *waiter) {
 	for _, w := range waiting {
 		if w.peer == next.peer {
@@ -320,8 +326,8 @@
 	}
 }
 
-// TestVMsTakeTurns: one VM sends many calls at once. Another VM's single call
-// must not wait for all of them.
+// TestVMsTakeTurns: one VM sends many calls at the same time. The single call of
+// another VM must not wait for all of them.
 func TestVMsTakeTurns(t *testing.T) {
 	g := NewWithT(t)
 	q := newSlotQueue(1)
@@ -336,8 +342,8 @@
 	g.Expect(second.peer).To(Equal("modest"))
 }
 
-// TestLateCallIsRefusedImmediately: a call that can't be served in time is refused when it comes,
-// with the time to come back, rather than when its time is over.
+// TestLateCallIsRefusedImmediately: a call that can't be served in time must be refused
+// on arrival, with the time until a retry, and not when its deadline has passed.
 func TestLateCallIsRefusedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	q := newSlotQueue(1)
@@ -351,9 +357,9 @@
 	g.Expect(ok).To(BeTrue())
 }
 
-// TestDrainRefusesNewCalls: an owner leaves and other VMs, which know of no
-// other one, go on calling. It would wait for them without end. It takes no further
-// call once it drains, and says that it started none.
+// TestDrainRefusesNewCalls: an owner leaves, and other VMs that know no other owner keep
+// sending calls. If the owner accepted them, Drain might never return. It must refuse
+// calls once it drains and report them as not started.
 func TestDrainRefusesNewCalls(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -370,9 +376,10 @@
 	p.Expect(<-drained).To(Succeed())
 }
 
-// TestLocalCallsShareSlotsWithPeers: an owner's own queries and its peers' come to one
-// leaf at once. Each side alone kept within the slots, so that together they were
-// twice as many, and the target shed what could have waited.
+// TestLocalCallsShareSlotsWithPeers: an owner's own queries and those of other VMs call
+// one leaf at the same time. When each group had its own limit, both together sent
+// twice as many calls as there are slots, and the target shed calls that could have
+// waited.
 func TestLocalCallsShareSlotsWithPeers(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -399,7 +406,7 @@
 	p.Eventually(waiting).WithTimeout(testLimit).Should(Equal(6))
 	p.Expect(p.leaves.started.Load()).To(BeNumerically("==", 2))
 
-	// One that gives up gives its turn to others and was not started.
+	// A cancelled call leaves the queue and is reported as not started.
 	short, stop := context.WithCancel(ctx)
 	gaveUp := make(chan error, 1)
 	go func() {
--- a/peer/hop/queue_test.go
+++ b/peer/hop/queue_test.go
@@ -7,9 +7,9 @@
 	"github.com/onsi/gomega"
 )
 
-// Searches through one VM stay short of a shard for good: its target was out of reach
-// for some seconds, calls to it took all their time, and since then the owner refuses
-// every call because it could not be served in time, although the target is well.
+// Searches through one VM permanently missed a shard. Its target had been unreachable for
+// some seconds, and calls to it lasted until their deadline. From then on, the moving
+// average made the owner refuse every call as too late, although the target had recovered.
 func TestIdleLeafAcceptsCallAfterTimeouts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const limit = 200 * time.Millisecond
@@ -32,7 +32,8 @@
 	g.Expect(q.meanService).To(gomega.BeNumerically("<", limit/2))
 }
 
-// What cannot be served in time behind the calls that run is still refused at once.
+// A call that can't be served in time after the running calls must still be refused
+// immediately.
 func TestBusyLeafRefusesLateCall(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000, 0)
