--- a/peer/route/hold.go
+++ b/peer/route/hold.go
@@ -10,23 +10,24 @@
 )
 
 const (
+	// placeTimeout bounds all requests to the platform in one check of the place.
 	placeTimeout = 5 * time.Second
-	// placeInterval is the time between looks at whether a place is needed, and
-	// between attempts to get one.
+	// placeInterval is the interval at which maintainPlace checks whether a place is
+	// needed and tries to acquire one.
 	placeInterval = time.Second
-	// frozenAfter is how late a look is when the process must have been frozen.
-	// Its place may have been given to another VM meanwhile.
+	// frozenAfter is the time since the last check after which the process is assumed
+	// to have been frozen. Another VM may have acquired its place in the meantime.
 	frozenAfter = 5 * time.Second
 )
 
 // heldPlace is the place that this process has claimed.
 type heldPlace struct {
 	held       *place.Held // nil if none
-	unverified bool        // it may have been given to another VM
+	unverified bool        // another VM may have acquired the place
 }
 
-// maintainPlace claims a place as soon as some target isn't reached by all VMs, and
-// gives it back at the end.
+// maintainPlace acquires a place as soon as some target doesn't accept connections of
+// all VMs, and releases it when the router stops.
 func (r *Router) maintainPlace() error {
 	ticker := time.NewTicker(placeInterval)
 	defer ticker.Stop()
@@ -48,11 +49,13 @@
 	}
 }
 
+// updatePlace verifies, releases or acquires the place as needed. It returns the new
+// state.
 func (r *Router) updatePlace(h heldPlace) heldPlace {
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), placeTimeout)
 	defer cancel()
 	if h.held != nil && h.unverified {
-		// Connections are given up until the platform has answered.
+		// Connections to shared targets are closed until the platform has answered.
 		r.setPlace(noPlace)
 		lost, err := h.held.Lost(ctx)
 		if err != nil {
@@ -79,16 +82,19 @@
 	return heldPlace{held: h.held}
 }
 
+// acquirePlace claims a place. It returns nil if none can be acquired now.
 func (r *Router) acquirePlace(ctx context.Context, places int) *place.Held {
 	held, err := place.Acquire(ctx, r.opts.Place, places)
 	if err != nil {
-		r.opts.Log.Debug("no place", "error", errors.Cause(err))
+		r.opts.Log.Debug("no place acquired", "error", errors.Cause(err))
 		return nil
 	}
-	r.opts.Log.Info("place taken", "place", held.Place)
+	r.opts.Log.Info("place acquired", "place", held.Place)
 	return held
 }
 
+// setPlace publishes this VM's place and recomputes its connections. The place is
+// noPlace if it has none.
 func (r *Router) setPlace(newPlace int) {
 	r.fleet.SetPlace(newPlace)
 	r.mu.Lock()
@@ -99,6 +105,8 @@
 	}
 }
 
+// releasePlace releases a place if held isn't nil. It doesn't use the context of the
+// tomb, which has ended when the router stops.
 func (r *Router) releasePlace(held *place.Held) {
 	if held == nil {
 		return
@@ -106,6 +114,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), placeTimeout)
 	defer cancel()
 	if err := held.Release(ctx); err != nil {
-		r.opts.Log.Warn("place not given back; it is taken over once this VM counts as lost", "error", err)
+		r.opts.Log.Warn("place not released; another VM can acquire it once this VM counts as lost", "error", err)
 	}
 }
--- a/peer/route/metrics.go
+++ b/peer/route/metrics.go
@@ -26,6 +26,6 @@
 	r.metrics.NewGauge(`bramley_route_peer_calls`, func() float64 { return float64(r.owner.Calls()) })
 }
 
-// WriteMetrics writes the router's metrics in Prometheus text format.
-// bramley_route_place is -1 on a VM that holds no place.
+// WriteMetrics writes the router's metrics in the Prometheus text format. The value
+// of bramley_route_place is -1 on a VM that holds no place.
 func (r *Router) WriteMetrics(w io.Writer) { r.metrics.WritePrometheus(w) }
--- a/peer/route/order.go
+++ b/peer/route/order.go
@@ -9,7 +9,7 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// distance is how far an owner is from this VM.
+// distance classifies how far an owner is from this VM.
 type distance int
 
 const (
@@ -18,10 +18,10 @@
 	elsewhere
 )
 
-// topology tells distances from one availability zone. Zones that the bundle doesn't
-// have are nobody's neighbours.
+// topology determines distances from one availability zone. A zone that the bundle
+// doesn't list belongs to no region.
 type topology struct {
-	local   string
+	local   string            // the availability zone of this VM
 	regions map[string]string // by zone
 }
 
@@ -41,12 +41,13 @@
 type candidate struct {
 	vm         objstore.VM
 	distance   distance
-	inCooldown bool   // it refused or was silent a short time ago
-	weight     uint64 // spreads VMs over owners that are equal otherwise
+	inCooldown bool   // refused a call, was unreachable or didn't answer a short time ago
+	weight     uint64 // spreads VMs over owners that are otherwise equal
 }
 
-// rendezvousWeight gives each VM its own order of the owners of each target. An owner that
-// is lost is replaced by another one for each VM, so that its load spreads.
+// rendezvousWeight returns the weight of an owner by rendezvous hashing. It gives each
+// VM its own order of the owners of each target. When an owner is lost, different VMs
+// replace it by different owners, so that its load is spread.
 func rendezvousWeight(self, target, owner string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -58,7 +59,8 @@
 	return d.Sum64()
 }
 
-// compareLast is the order of two of which one should be tried later.
+// compareLast compares two candidates of which only one should be tried last: the
+// first of the two if aLast is set, otherwise the second.
 func compareLast(aLast bool) int {
 	if aLast {
 		return 1
@@ -66,10 +68,11 @@
 	return -1
 }
 
-// sortCandidates sorts owners in the sortCandidates in which they are tried: the near ones first,
-// those that rest behind them, and those that are leaving last. A far owner costs
-// milliseconds, one that refuses or is silent costs the attempt, and one that is
-// leaving should get nothing new, unless it is the last.
+// sortCandidates sorts owners into the order in which they are tried. Owners in cooldown
+// come after the others, and leaving ones come last. Within each group the nearest is
+// first. A far owner costs milliseconds. An owner that refuses calls or doesn't answer
+// costs the attempt. A leaving owner should receive no new calls, unless there is no
+// other.
 func sortCandidates(list []candidate) {
 	slices.SortFunc(list, func(a, b candidate) int {
 		if a.vm.Leaving != b.vm.Leaving {
--- a/peer/route/order_test.go
+++ b/peer/route/order_test.go
@@ -22,8 +22,9 @@
 	return out
 }
 
-// TestNearOwnersFirst: the near owners are tried first, then those of the region;
-// one that refused or is silent is tried after all others, however near it is.
+// TestNearOwnersFirst: owners in the same zone are tried first, then those in the same
+// region. An owner that refused calls or doesn't answer is tried after all others that
+// aren't leaving, however near it is.
 func TestNearOwnersFirst(t *testing.T) {
 	g := NewWithT(t)
 	z := topology{local: "a", regions: map[string]string{"a": "one", "b": "one", "c": "two"}}
@@ -34,19 +35,20 @@
 	g.Expect(topology{local: "x"}.distance("y")).To(Equal(elsewhere))
 	list := []candidate{
 		{vm: objstore.VM{Name: "leaving", Leaving: true}, distance: sameZone, weight: 10},
-		{vm: objstore.VM{Name: "near, resting"}, distance: sameZone, inCooldown: true, weight: 9},
+		{vm: objstore.VM{Name: "near, in cooldown"}, distance: sameZone, inCooldown: true, weight: 9},
 		{vm: objstore.VM{Name: "far"}, distance: elsewhere, weight: 8},
 		{vm: objstore.VM{Name: "region"}, distance: sameRegion, weight: 7},
 		{vm: objstore.VM{Name: "near 1"}, distance: sameZone, weight: 1},
 		{vm: objstore.VM{Name: "near 2"}, distance: sameZone, weight: 2},
 	}
 	sortCandidates(list)
-	g.Expect(names(list)).To(Equal([]string{"near 2", "near 1", "region", "far", "near, resting", "leaving"}))
+	g.Expect(names(list)).To(Equal([]string{"near 2", "near 1", "region", "far", "near, in cooldown", "leaving"}))
 }
 
-// TestOwnerHealth: an owner is frozen and still counts as live. Calls to it would each
-// be lost or cost a hedge until the exchange finds out, seconds later. It must go
-// behind after some unanswered calls, and be tried again later.
+// TestOwnerHealth: an owner is frozen and still counts as live. Until the exchange
+// detects this, seconds later, each call to it would be lost or cost a hedge. After some
+// unanswered calls, the other owners must be tried first, and the frozen owner must be
+// tried again later.
 func TestOwnerHealth(t *testing.T) {
 	endedCtx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -55,40 +57,40 @@
 	shed := &target.CallError{Kind: target.ErrorRefused, Reason: target.ReasonShed, RetryAfter: 300 * time.Millisecond}
 	start := time.Unix(1, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	call := func(h *ownerHealth, ctx context.Context, err error, broken bool, from, to int) {
+	call := func(h *ownerHealth, ctx context.Context, err error, connEnded bool, from, to int) {
 		h.sent(at(from))
-		h.record(ctx, "t", err, broken, at(to).Sub(at(from)), at(to))
+		h.record(ctx, "t", err, connEnded, at(to).Sub(at(from)), at(to))
 	}
 	for name, tc := range map[string]struct {
-		events  func(h *ownerHealth)
-		resting map[int]bool // by time in ms
+		events     func(h *ownerHealth)
+		inCooldown map[int]bool // expected values by time in ms
 	}{
-		"answers":              {func(h *ownerHealth) { call(h, liveCtx, nil, false, 0, 10) }, map[int]bool{11: false, 5000: false}},
-		"silent for long":      {func(h *ownerHealth) { h.sent(at(0)) }, map[int]bool{19: false, 30: true, 5000: true}},
-		"slow as usual":        {func(h *ownerHealth) { h.meanLatency = 100 * time.Millisecond; h.sent(at(0)) }, map[int]bool{399: false, 401: true}},
-		"one loser of a hedge": {func(h *ownerHealth) { call(h, endedCtx, cancelled, false, 0, 5) }, map[int]bool{6: false}},
+		"answers":             {func(h *ownerHealth) { call(h, liveCtx, nil, false, 0, 10) }, map[int]bool{11: false, 5000: false}},
+		"silent for long":     {func(h *ownerHealth) { h.sent(at(0)) }, map[int]bool{19: false, 30: true, 5000: true}},
+		"slow as usual":       {func(h *ownerHealth) { h.meanLatency = 100 * time.Millisecond; h.sent(at(0)) }, map[int]bool{399: false, 401: true}},
+		"one cancelled hedge": {func(h *ownerHealth) { call(h, endedCtx, cancelled, false, 0, 5) }, map[int]bool{6: false}},
 		"short calls unanswered": {func(h *ownerHealth) {
 			for i := range maxUnanswered {
 				call(h, endedCtx, cancelled, false, 10*i, 10*i+5)
 			}
 		}, map[int]bool{26: true, 2000: true, 2026: false}},
-		"losers among answers": {func(h *ownerHealth) {
+		"cancelled hedges among answers": {func(h *ownerHealth) {
 			for i := range 5 {
 				call(h, endedCtx, cancelled, false, 10*i, 10*i+1)
 				call(h, liveCtx, nil, false, 10*i+1, 10*i+2)
 			}
 		}, map[int]bool{50: false}},
-		"no slot":               {func(h *ownerHealth) { call(h, liveCtx, shed, false, 0, 1) }, map[int]bool{2: true, 300: true, 302: false}},
-		"the connection broke":  {func(h *ownerHealth) { call(h, liveCtx, cancelled, true, 0, 1) }, map[int]bool{2: false}},
-		"it can't be reached":   {func(h *ownerHealth) { h.markUnreachable(at(0)) }, map[int]bool{1: true, 2001: false}},
-		"the target broke":      {func(h *ownerHealth) { call(h, liveCtx, &target.CallError{Kind: target.ErrorBroken}, false, 0, 1) }, map[int]bool{2: false}},
-		"answers after silence": {func(h *ownerHealth) { h.sent(at(0)); h.answered(0, at(100)) }, map[int]bool{101: false}},
+		"no slot":                        {func(h *ownerHealth) { call(h, liveCtx, shed, false, 0, 1) }, map[int]bool{2: true, 300: true, 302: false}},
+		"connection to the owner broke":  {func(h *ownerHealth) { call(h, liveCtx, cancelled, true, 0, 1) }, map[int]bool{2: false}},
+		"owner unreachable":              {func(h *ownerHealth) { h.markUnreachable(at(0)) }, map[int]bool{1: true, 2001: false}},
+		"connection to the target broke": {func(h *ownerHealth) { call(h, liveCtx, &target.CallError{Kind: target.ErrorBroken}, false, 0, 1) }, map[int]bool{2: false}},
+		"answers after silence":          {func(h *ownerHealth) { h.sent(at(0)); h.answered(0, at(100)) }, map[int]bool{101: false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			h := &ownerHealth{}
 			tc.events(h)
-			for ms, want := range tc.resting {
+			for ms, want := range tc.inCooldown {
 				g.Expect(h.inCooldown("t", at(ms))).To(Equal(want), "at %d ms", ms)
 			}
 			g.Expect(h.inFlight).To(BeNumerically(">=", 0))
@@ -100,13 +102,13 @@
 	g.Expect(h.inCooldown("another target", at(2))).To(BeFalse())
 }
 
-// selectionFixture is who calls whom in a fleet of 950 VMs in 5 zones and 2 regions with
-// 3,250 targets of 8 owners.
+// selectionFixture holds the VMs and the targets' owners of a fleet of 950 VMs in 5 zones
+// and 2 regions with 3,250 targets, each with 8 owners.
 type selectionFixture struct {
 	vms     []objstore.VM
 	regions map[string]string
 	targets []string
-	owners  [][]int
+	owners  [][]int // places of the owners, by index of the target
 }
 
 func newSelectionFixture() *selectionFixture {
@@ -122,7 +124,8 @@
 	return f
 }
 
-// firstChoice is the owner that a VM calls.
+// firstChoice returns the owner that a VM tries first for a target. Without nearFirst,
+// all distances count as equal.
 func (f *selectionFixture) firstChoice(vm objstore.VM, targetIndex int, nearFirst bool) candidate {
 	z := topology{local: vm.Zone, regions: f.regions}
 	var list []candidate
@@ -139,8 +142,8 @@
 	return list[0]
 }
 
-// BenchmarkOrder reports how the load spreads if each VM calls each target as
-// often, and what one choice costs.
+// BenchmarkOrder reports how evenly the load is spread over the owners if each VM calls
+// each target equally often, and the time of one choice.
 func BenchmarkOrder(b *testing.B) {
 	f := newSelectionFixture()
 	for _, near := range []bool{false, true} {
--- a/peer/route/owner_conn.go
+++ b/peer/route/owner_conn.go
@@ -14,38 +14,38 @@
 
 const (
 	dialTimeout = time.Second
-	// redialDelay is for how long an owner that couldn't be reached isn't dialled.
+	// redialDelay is the minimum time between a failed dial of an owner and the next.
 	redialDelay = 500 * time.Millisecond
 
-	// slowDialAfter is when an owner that is being dialled goes behind the others.
+	// slowDialAfter is the duration of a dial after which calls try other owners first.
 	slowDialAfter = 50 * time.Millisecond
 
 	defaultIdleAfter = 5 * time.Second
-	// idleChecks is how often idle connections are looked for within IdleAfter.
+	// idleChecks is the number of checks for idle connections within IdleAfter.
 	idleChecks = 5
 )
 
 var errClosed = errors.New("route: the router has stopped")
 
-// ownerConn is the connection to one owner. It is dialled by no call in
-// particular: a call that is cancelled, as the loser of a hedge is, neither ends
-// the dial that others wait for nor says anything about the owner.
+// ownerConn is the connection to one owner. Its dial doesn't use the context of any
+// call: a call that is cancelled, like the slower one of two hedged calls, neither ends
+// a dial that other calls wait for nor marks the owner as unreachable.
 type ownerConn struct {
 	dial func(context.Context) (*hop.Caller, error)
 
-	mu          sync.Mutex // guards what follows; taken after Router.mu
+	mu          sync.Mutex // guards the fields below; locked after Router.mu
 	users       int        // calls that use the connection or wait for it
 	lastUsed    time.Time  // when a call last ended
 	health      ownerHealth
 	caller      *hop.Caller
-	dialing     chan struct{} // closed when the dial under way has ended; nil if none is
-	dialStarted time.Time     // the last dial
-	dialFailed  time.Time
-	dialErr     error
+	dialing     chan struct{} // closed when the current dial has ended; nil without a dial
+	dialStarted time.Time     // start of the last dial
+	dialFailed  time.Time     // end of the last dial that failed
+	dialErr     error         // of the last dial
 	closed      bool
 }
 
-// get returns the connection and dials it if there is none. It waits for a dial
+// get returns the connection and dials the owner if there is none. It waits for a dial
 // until ctx ends.
 func (c *ownerConn) get(ctx context.Context) (*hop.Caller, error) {
 	for {
@@ -63,7 +63,9 @@
 	}
 }
 
-// callerOrDial returns the connection, or the dial to wait for, or why there is neither.
+// callerOrDial returns the connection, or a channel that is closed when the current
+// dial has ended, or an error. It starts a dial if there is none and none failed within
+// redialDelay.
 func (c *ownerConn) callerOrDial() (*hop.Caller, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,6 +85,7 @@
 	return nil, c.dialing, nil
 }
 
+// ended reports whether a connection has ended.
 func ended(caller *hop.Caller) bool {
 	select {
 	case <-caller.Done():
@@ -92,7 +95,7 @@
 	}
 }
 
-// open dials once, for all calls that wait.
+// open dials the owner once, for all calls that wait.
 func (c *ownerConn) open() {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -111,7 +114,8 @@
 	}
 }
 
-// close ends the connection. A dial under way is closed as soon as it has ended.
+// close closes the connection. The connection of a dial that is still running is closed
+// when the dial ends.
 func (c *ownerConn) close() {
 	c.mu.Lock()
 	caller := c.caller
@@ -122,14 +126,14 @@
 	}
 }
 
-// acquire counts a call in.
+// acquire counts a call that uses the connection.
 func (c *ownerConn) acquire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.users++
 }
 
-// release counts a call out.
+// release ends the use of the connection by a call.
 func (c *ownerConn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,14 +141,14 @@
 	c.lastUsed = time.Now()
 }
 
-// idle tells whether no call uses the connection, nor has for some time.
+// idle reports whether no call uses the connection or has used it within idleAfter.
 func (c *ownerConn) idle(now time.Time, idleAfter time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.users == 0 && c.dialing == nil && now.Sub(c.lastUsed) >= idleAfter
 }
 
-// lease is a connection to an owner that isn't closed as idle until release.
+// lease is a connection to an owner that isn't closed as idle until release is called.
 type lease struct {
 	*hop.Caller
 	conn *ownerConn
@@ -152,7 +156,8 @@
 
 func (l lease) release() { l.conn.release() }
 
-// call makes a call about a target, notes how it went and releases the lease.
+// call makes a call to the named target, records its outcome in the owner's health and
+// releases the lease.
 func (l lease) call(ctx context.Context, name string, f func(hop.Leaves) error) error {
 	defer l.release()
 	start := time.Now()
@@ -169,8 +174,8 @@
 	event(&c.health)
 }
 
-// inCooldown tells whether other owners of a target should be tried first. A dial
-// takes milliseconds, or as long as its limit if the owner is silent.
+// inCooldown reports whether other owners of a target should be tried first. A dial
+// takes milliseconds, or up to dialTimeout if the owner doesn't answer.
 func (c *ownerConn) inCooldown(target string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,9 +183,10 @@
 	return slowDial || c.health.inCooldown(target, now)
 }
 
-// acquireConn returns the connection to an owner; the call releases it at its end.
+// acquireConn returns a lease on the connection to an owner. The call that uses it has
+// to release it. The error is that of the dial or of ctx.
 func (r *Router) acquireConn(ctx context.Context, vm objstore.VM) (lease, error) {
-	c := r.connFor(vm)
+	c := r.reserveConn(vm)
 	caller, err := c.get(ctx)
 	if err != nil {
 		c.release()
@@ -189,7 +195,9 @@
 	return lease{Caller: caller, conn: c}, nil
 }
 
-func (r *Router) connFor(vm objstore.VM) *ownerConn {
+// reserveConn returns the connection to an owner, which may not be dialled yet, and
+// counts a call that uses it.
+func (r *Router) reserveConn(vm objstore.VM) *ownerConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.ownerConns[vm.Address]
@@ -203,10 +211,10 @@
 	return c
 }
 
-// closeIdle closes connections that no call has used for some time; otherwise a
-// VM would ping one to nearly every other VM. A call and the close of its
-// connection can't cross: a connection is taken, and found idle and dropped,
-// under Router.mu, so a later call opens another.
+// closeIdle closes connections that no call has used for IdleAfter; otherwise a VM would
+// keep connections to nearly every other VM and ping them. A call can't use a connection
+// that is being closed: reserving a connection, and detecting and removing an idle one,
+// both happen under Router.mu. A later call opens a new connection.
 func (r *Router) closeIdle() error {
 	ticker := time.NewTicker(r.opts.IdleAfter / idleChecks)
 	defer ticker.Stop()
@@ -222,8 +230,8 @@
 	}
 }
 
-// dropIdle takes idle connections out of the table. It also forgets owners that
-// are no more.
+// dropIdle removes idle connections from ownerConns and returns them. This also removes
+// the entries of VMs that are no longer owners.
 func (r *Router) dropIdle(now time.Time, idleAfter time.Duration) (dropped []*ownerConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/peer/route/owner_conn_test.go
+++ b/peer/route/owner_conn_test.go
@@ -15,8 +15,8 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// ownerBehindProxy returns a VM without connections of its own, and one of the
-// target's owners as it is reached through a fault proxy.
+// ownerBehindProxy returns a VM that isn't an owner of the target, one of the target's
+// owners with the address of a fault proxy in front of it, and the proxy.
 func (f *testFleet) ownerBehindProxy() (vm *testVM, owner objstore.VM, proxy *faultproxy.Proxy) {
 	f.waitReachable(f.vms...)
 	f.Eventually(f.owners).WithTimeout(testLimit).Should(HaveLen(2))
@@ -31,7 +31,7 @@
 	return vm, objstore.VM{Name: f.owners()[0].name, Address: proxy.Address()}, proxy
 }
 
-// isDialing tells whether an owner is being dialled.
+// isDialing reports whether an owner is being dialled.
 func (r *Router) isDialing(address string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,11 +44,10 @@
 	return c.dialing != nil
 }
 
-// TestCancelledCallDoesNotMarkOwnerUnreachable: the first call to an owner has to dial
-// it, and the query that made the call ends meanwhile, as the loser of a hedge
-// does. Users of this VM got no answers for half a second: the dial ended with
-// that call, the owner counted as one that can't be reached, and the reads of the
-// target's status that failed for it made the target count as lost.
+// TestCancelledCallDoesNotMarkOwnerUnreachable: the first call to an owner dials it and
+// is cancelled during the dial, like the slower one of two hedged calls. The cancellation
+// ended the dial, and the owner counted as unreachable. Reads of the target's status then
+// failed, and the target counted as lost. Callers of this VM got no answers for 0.5 s.
 func TestCancelledCallDoesNotMarkOwnerUnreachable(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, owner, proxy := f.ownerBehindProxy()
@@ -65,9 +64,9 @@
 	f.Expect(err).NotTo(HaveOccurred())
 }
 
-// TestCallStopsWaitingForDialAtDeadline: an owner went silent and one call is still
-// dialling it. A second call with little time left waited for that dial to end
-// before it looked at its own deadline, so its user was answered late.
+// TestCallStopsWaitingForDialAtDeadline: an owner doesn't answer, and one call is still
+// dialling it. A second call with little time left waited for the end of that dial before
+// it checked its own deadline, so its caller was answered late.
 func TestCallStopsWaitingForDialAtDeadline(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, owner, proxy := f.ownerBehindProxy()
@@ -88,15 +87,14 @@
 	f.Eventually(first).WithTimeout(testLimit).Should(Receive(HaveOccurred()))
 }
 
-// TestIdleCloseDuringCalls: connections to owners are closed when they
-// are idle while users go on asking. A call that was sent as its connection was
-// closed would count as one that may have been started, and a request that must
-// run once would end with an unknown outcome. Here each gap between calls is long
-// enough to count as idle.
+// TestIdleCloseDuringCalls: idle connections to owners are closed while callers send
+// requests. A call that is sent on a connection while it is closed would count as
+// possibly started, and a non-idempotent request would end with an unknown outcome. Here
+// every connection without a call in flight counts as idle.
 func TestIdleCloseDuringCalls(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, _, _ := f.ownerBehindProxy()
-	const enough = 10 // connections closed while calls went on
+	const minClosed = 10 // connections closed during the calls
 	var closed atomic.Int64
 	done := make(chan struct{})
 	var closer sync.WaitGroup
@@ -126,14 +124,14 @@
 		}
 		callers.Wait()
 		return closed.Load()
-	}).WithTimeout(testLimit).Should(BeNumerically(">=", enough))
+	}).WithTimeout(testLimit).Should(BeNumerically(">=", minClosed))
 	close(done)
 	closer.Wait()
 }
 
-// TestIdleConnectionsAreClosed: a VM keeps a connection to nearly every other VM
-// of a large fleet though hardly any is used, and pings them all. They are closed
-// after a time without a call, and a later call opens one again.
+// TestIdleConnectionsAreClosed: in a large fleet, a VM would keep a connection to nearly
+// every other VM and ping them all, though it rarely uses them. Connections must be
+// closed after some time without a call, and a later call must open a new one.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, _, _ := f.ownerBehindProxy()
@@ -148,9 +146,9 @@
 	f.Expect(vm.search(f)).To(Succeed())
 }
 
-// TestFrozenOwnerIsTriedLast: the nearest owner is frozen and still counts as live.
-// Each call of this VM was lost to it until the exchange found out, seconds later.
-// After the first few, calls must go to another owner.
+// TestFrozenOwnerIsTriedLast: the preferred owner is frozen and still counts as live. Each
+// call of this VM was sent to it and lost until the exchange detected this, seconds later.
+// After the first few calls, another owner must be tried first.
 func TestFrozenOwnerIsTriedLast(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, _, _ := f.ownerBehindProxy()
@@ -163,7 +161,7 @@
 	vm.router.mu.Lock()
 	vm.router.ownerConns[first.Address] = &ownerConn{dial: func(ctx context.Context) (*hop.Caller, error) {
 		o := vm.router.fleet.WireOptions()
-		o.PingInterval = testLimit // the silence isn't found by pings, as it isn't within seconds in a real fleet
+		o.PingInterval = testLimit // pings don't detect the frozen owner; in a real fleet they need seconds
 		return hop.Dial(ctx, proxy.Address(), o, &wire.Counters{})
 	}}
 	vm.router.mu.Unlock()
@@ -174,7 +172,7 @@
 		return owners[1].vm == first && owners[1].inCooldown
 	}
 	lost := 0
-	f.Eventually(func() bool { // ends as soon as it is behind, since its rest ends by itself
+	f.Eventually(func() bool { // returns as soon as the owner is tried last, since its cooldown ends after a fixed time
 		if vm.searchWithin(f, 200*time.Millisecond) != nil {
 			lost++
 		}
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -1,7 +1,7 @@
-// Package route decides for each target whether this VM calls it over its own
-// connections or through a VM that owns some, and does so. Where the targets'
-// limits let every VM own connections, all calls go direct and the package costs
-// a look into a table.
+// Package route calls each target either over this VM's own connections or through
+// another VM that owns connections to it. Where the connection limits of the targets
+// allow every VM to own connections, all calls are direct and the package costs one map
+// lookup.
 package route
 
 import (
@@ -25,57 +25,64 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// Fleet is what the exchange tells of the other VMs. peer.Exchange implements it.
+// Fleet provides what the exchange knows about the other VMs. It must be safe for
+// concurrent use. peer.Exchange implements it.
 type Fleet interface {
+	// Places returns the live VMs, including leaving ones, by the places that they
+	// hold. The map must not be changed.
 	Places() map[int]objstore.VM
+	// SetPlace publishes the place of this VM; a negative number means none.
 	SetPlace(place int)
+	// Gone reports whether an incarnation of a VM is known to have ended or to have been
+	// replaced.
 	Gone(vm, incarnation string) bool
+	// WireOptions returns the options for connections to other VMs.
 	WireOptions() wire.Options
 }
 
 // Options configure a Router. All but Log and IdleAfter are required.
 type Options struct {
-	Local hop.Leaves    // over own connections
-	Place place.Options // Gone is taken from the fleet
+	Local hop.Leaves    // calls targets over this VM's own connections
+	Place place.Options // Start sets Ended from the fleet
 	Zone  string        // the VM's availability zone
 	Log   *slog.Logger
-	// IdleAfter is for how long a connection to an owner stays open without a
-	// call; default 5 s.
+	// IdleAfter is how long a connection to an owner stays open without a call;
+	// default 5 s.
 	IdleAfter time.Duration
 }
 
-// Router reaches the leaves of targets. It is safe for concurrent use.
+// Router calls the leaves of targets. It is safe for concurrent use.
 type Router struct {
 	opts  Options
 	owner *hop.Owner
 	fleet Fleet
 	tomb  tomb.Tomb
-	wake  chan struct{} // the bundle changed
+	wake  chan struct{} // signals maintainPlace that the bundle changed; buffers one signal
 
 	metrics          *metrics.Set
 	direct, viaOwner *metrics.Counter
 	byDistance       [elsewhere + 1]*metrics.Counter
 
-	mu         sync.Mutex // guards what follows
-	targets    map[string]*targetRoute
-	ownerCache map[ownerCacheKey][]int // kept from bundle to bundle: hashing all places is slow
-	places     int                     // of the fleet, as the bundle has it
+	mu         sync.Mutex              // guards the fields below
+	targets    map[string]*targetRoute // by name
+	ownerCache map[ownerCacheKey][]int // owners' places, kept across bundles because hashing all places is slow
+	places     int                     // of the fleet, from the bundle
 	shared     bool                    // some target has fewer owners than the fleet has places
 	topology   topology
-	place      int // own place; noPlace if none
-	changed    chan struct{}
-	ownerConns map[string]*ownerConn
+	place      int                   // of this VM; noPlace if none
+	changed    chan struct{}         // see Changed
+	ownerConns map[string]*ownerConn // by address
 }
 
 const noPlace = -1
 
-// targetRoute is how one target is reached.
+// targetRoute states how one target is called.
 type targetRoute struct {
 	plan        share.Plan
 	slots       int
 	leaves      int
-	owners      []int // places; nil if direct
-	connections int   // connections of this VM's own
+	owners      []int // places of the owners; nil if every VM is one
+	connections int   // that this VM may hold
 }
 
 type ownerCacheKey struct {
@@ -108,7 +115,8 @@
 	return r.owner.Handle(ctx, conn, method, params)
 }
 
-// Start begins to hold a place where one is needed.
+// Start acquires and maintains a place if one is needed, and closes idle connections to
+// owners. It must be called once, before the first call to a target.
 func (r *Router) Start(fleet Fleet) {
 	r.fleet = fleet
 	r.opts.Place.Ended = fleet.Gone
@@ -116,13 +124,12 @@
 	r.tomb.Go(r.closeIdle)
 }
 
-// Drain waits until no call of another VM is under way through this one, or ctx
-// ends.
+// Drain refuses further calls of other VMs and waits until none of their calls through
+// this VM is in flight, or ctx ends. In the latter case it returns the error of ctx.
 func (r *Router) Drain(ctx context.Context) error { return r.owner.Drain(ctx) }
 
-// Stop gives the place back and closes the connections to owners. The
-// connections to targets must be closed by then: another VM may take the place
-// at once.
+// Stop releases the place and closes the connections to owners. The connections to
+// targets must already be closed: another VM may acquire the place immediately.
 func (r *Router) Stop() error {
 	r.tomb.Kill(nil)
 	err := r.tomb.Wait()
@@ -136,7 +143,7 @@
 	return err
 }
 
-// Apply puts a bundle's targets in force.
+// Apply puts the targets, zones and fleet size of a bundle in force.
 func (r *Router) Apply(b *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,6 +177,8 @@
 	}
 }
 
+// ownerPlaces returns the places of a target's owners, from the cache if possible. The
+// caller must hold mu.
 func (r *Router) ownerPlaces(key ownerCacheKey, plan share.Plan) []int {
 	if places, known := r.ownerCache[key]; known {
 		return places
@@ -177,7 +186,8 @@
 	return plan.OwnerPlaces(key.target)
 }
 
-// assignConnections works out this VM's own connections. It must hold mu.
+// assignConnections computes how many connections this VM may hold to each target, and
+// signals the change. The caller must hold mu.
 func (r *Router) assignConnections() {
 	for _, rt := range r.targets {
 		rt.connections = 0
@@ -205,14 +215,16 @@
 	return 0
 }
 
-// Changed returns a channel that is closed when Connections next changes.
+// Changed returns a channel that is closed when the results of Connections may next
+// change. Read it before Connections, so that no change is missed.
 func (r *Router) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// slots is what this VM, as an owner, lets peers use of a leaf.
+// slots returns the number of slots of a leaf if this VM owns connections to its target,
+// and false otherwise.
 func (r *Router) slots(name string, leaf int) (int, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,7 +235,7 @@
 	return rt.slots, true
 }
 
-// Search asks one leaf. The error is a *target.CallError.
+// Search searches one leaf. The error is a *target.CallError.
 func (r *Router) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (a target.LeafAnswer, err error) {
 	err = r.callTarget(ctx, name, func(l hop.Leaves) (err error) {
 		a, err = l.Search(ctx, name, leaf, req)
@@ -232,8 +244,8 @@
 	return a, err
 }
 
-// Submit hands a non-idempotent request to one leaf, once. The error is a
-// *target.CallError; unless it says NotStarted, the request may have been run.
+// Submit sends a non-idempotent request to one leaf, once. The error is a
+// *target.CallError; unless its NotStarted is set, the request may have been executed.
 func (r *Router) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (a target.SubmitAnswer, err error) {
 	err = r.callTarget(ctx, name, func(l hop.Leaves) (err error) {
 		a, err = l.Submit(ctx, name, leaf, req)
@@ -242,7 +254,7 @@
 	return a, err
 }
 
-// Status reads what a target says of itself. The error is a *target.CallError.
+// Status reads a target's status. The error is a *target.CallError.
 func (r *Router) Status(ctx context.Context, name string) (s target.Status, err error) {
 	err = r.callTarget(ctx, name, func(l hop.Leaves) (err error) {
 		s, err = l.Status(ctx, name)
@@ -251,10 +263,10 @@
 	return s, err
 }
 
-// callTarget makes a call over own connections or callTarget the target's owners, one
-// after another. Another owner is tried only after a failure that is certain to
-// have started nothing and that speaks of the owner, not of the target: a call
-// that may have been started is not repeated here.
+// callTarget makes a call over this VM's own connections, or through the target's
+// owners, one after another. It tries another owner only if the call is certain not to
+// have been started and the failure concerns the owner and not the target. It doesn't
+// repeat a call that may have been started.
 func (r *Router) callTarget(ctx context.Context, name string, call func(hop.Leaves) error) error {
 	owners, local := r.resolve(name)
 	if local != nil {
@@ -269,7 +281,7 @@
 			return hop.ContextError(ctx, name, true)
 		}
 		if err != nil {
-			r.opts.Log.Debug("owner not reached", "vm", c.vm.Name, "target", name, "error", err)
+			r.opts.Log.Debug("connection to owner failed", "vm", c.vm.Name, "target", name, "error", err)
 			continue
 		}
 		r.byDistance[c.distance].Inc()
@@ -281,14 +293,17 @@
 	return lastErr
 }
 
+// tryNextOwner reports whether a call that failed with err can be repeated through
+// another owner.
 func tryNextOwner(err error) bool {
 	call, ok := err.(*target.CallError)
 	return ok && call.NotStarted &&
 		(call.Kind == target.ErrorUnreachable || call.Kind == target.ErrorUnknownTarget || call.Kind == target.ErrorBroken)
 }
 
-// resolve returns the live owners of a target in the order in which this VM tries
-// them, or the way over own connections.
+// resolve returns the live owners of a target in the order in which this VM tries them,
+// or the Leaves that call it over this VM's own connections. A target that isn't in the
+// bundle is called directly.
 func (r *Router) resolve(name string) (owners []candidate, local hop.Leaves) {
 	r.mu.Lock()
 	rt := r.targets[name]
@@ -298,7 +313,7 @@
 	case rt == nil || rt.plan.Direct():
 		return nil, r.opts.Local
 	case isOwner:
-		return nil, r.owner.QueuedLeaves() // shares the slots with the peers' calls
+		return nil, r.owner.QueuedLeaves() // shares the slots with the calls of other VMs
 	}
 	vmByPlace := r.fleet.Places()
 	now := time.Now()
@@ -313,7 +328,8 @@
 	return owners, nil
 }
 
-// newCandidate must hold mu.
+// newCandidate returns an owner of the named target as a candidate. The caller must hold
+// mu.
 func (r *Router) newCandidate(name string, vm objstore.VM, now time.Time) candidate {
 	conn := r.ownerConns[vm.Address]
 	return candidate{
--- a/peer/route/route_test.go
+++ b/peer/route/route_test.go
@@ -20,7 +20,7 @@
 
 const testLimit = 20 * time.Second
 
-// noHeads takes no part in the exchange of heads.
+// noHeads implements the exchange's interface to heads without holding any.
 type noHeads struct{}
 
 func (noHeads) Revision() uint64                { return 0 }
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// testVM is a VM without the part that plans queries.
+// testVM is a VM with only an exchange, a router and a target client.
 type testVM struct {
 	name   string
 	peers  *peer.Exchange
@@ -49,8 +49,8 @@
 	vms    []*testVM
 }
 
-// newFleet starts some VMs, as many as there are places, and a target that takes
-// that many connections.
+// newFleet starts the given number of VMs, with as many places, and a target that accepts
+// the given number of connections.
 func newFleet(t *testing.T, vms, connections int) *testFleet {
 	f := &testFleet{WithT: NewWithT(t), t: t, store: platformsim.NewStore()}
 	index := targetsim.Index{Service: "desk", Snapshot: "s1", Seq: 1, Shards: 2, Records: 10}
@@ -73,6 +73,7 @@
 	return f
 }
 
+// start starts another VM and adds it to the fleet.
 func (f *testFleet) start(name string) *testVM {
 	vm := &testVM{name: name, client: target.NewClient(target.Options{}), done: make(chan struct{})}
 	vm.router = New(Options{
@@ -103,7 +104,8 @@
 	return vm
 }
 
-// followConnections opens as many connections as the router allows.
+// followConnections keeps the number of connections to the target at what the router
+// allows.
 func (vm *testVM) followConnections(address string) {
 	for {
 		changed := vm.router.Changed()
@@ -144,7 +146,7 @@
 	return err
 }
 
-// waitReachable waits until all VMs reach the target.
+// waitReachable waits until the target answers searches of all the given VMs.
 func (f *testFleet) waitReachable(vms ...*testVM) {
 	f.t.Helper()
 	for _, vm := range vms {
@@ -152,6 +154,7 @@
 	}
 }
 
+// owners returns the VMs that own connections to the target.
 func (f *testFleet) owners() (list []*testVM) {
 	for _, vm := range f.vms {
 		if vm.router.Connections("target-0") > 0 {
@@ -161,18 +164,20 @@
 	return list
 }
 
+// TestDirectWhenLimitAllows: if a target accepts connections of all VMs, every VM must
+// call it directly and none claims a place.
 func TestDirectWhenLimitAllows(t *testing.T) {
 	f := newFleet(t, 3, 7)
 	f.waitReachable(f.vms...)
 	f.Expect(f.owners()).To(HaveLen(3))
 	page, err := f.store.List(context.Background(), place.Kind, "", 10)
 	f.Expect(err).NotTo(HaveOccurred())
-	f.Expect(page.Objects).To(BeEmpty(), "a place was claimed that nobody needs")
+	f.Expect(page.Objects).To(BeEmpty(), "a place was claimed although no target needs one")
 }
 
-// TestMoreVMsThanConnections: the fleet has grown past what a target accepts.
-// Users of VMs without a connection would get nothing from it. They reach it
-// through its owners, and the target never sees more connections than it takes.
+// TestMoreVMsThanConnections: the fleet has more VMs than a target accepts connections.
+// Callers of VMs without a connection would get no answers from it. These VMs must call
+// it through its owners, and the target must never see more connections than it accepts.
 func TestMoreVMsThanConnections(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	f.waitReachable(f.vms...)
@@ -190,9 +195,9 @@
 	f.Expect(connections.Refused).To(BeZero())
 }
 
-// TestOwnersAreReplaced: one owner after another is replaced by a new VM. The
-// others must reach the target through those that are left and then through the
-// new one, which gets the place that was given back; the limit holds all along.
+// TestOwnersAreReplaced: one owner after another is replaced by a new VM. The other VMs
+// must reach the target through the remaining owners and then through the new one, which
+// acquires the released place. The connection limit must hold at all times.
 func TestOwnersAreReplaced(t *testing.T) {
 	f := newFleet(t, 4, 3)
 	f.waitReachable(f.vms...)
@@ -217,10 +222,10 @@
 	f.Expect(connections.Refused).To(BeZero())
 }
 
-// TestAllOwnersLeaving: all owners of a target are replaced at about the same
-// time, each still serving for its lame-duck time. Users of the other VMs lost the
-// target's part of their answers at once, as a leaving VM was no owner any more.
-// It must be called as long as no owner that stays is known.
+// TestAllOwnersLeaving: all owners of a target are replaced at about the same time, and
+// each still serves during its lame-duck time. When leaving VMs no longer counted as
+// owners, callers of the other VMs immediately lost the target's part of their answers.
+// A leaving owner must be called as long as no owner that stays is known.
 func TestAllOwnersLeaving(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	f.waitReachable(f.vms...)
@@ -244,7 +249,7 @@
 	owners[0].peers.AnnounceLeaving()
 	f.Eventually(staying).WithTimeout(testLimit).Should(Equal([]string{owners[1].name}))
 	list, _ := other.router.resolve("target-0")
-	f.Expect(list[0].vm.Name).To(Equal(owners[1].name), "an owner that stays comes first")
+	f.Expect(list[0].vm.Name).To(Equal(owners[1].name), "an owner that stays must be tried first")
 	owners[1].peers.AnnounceLeaving()
 	f.Eventually(staying).WithTimeout(testLimit).Should(BeEmpty())
 	f.Expect(other.search(f)).To(Succeed())
--- a/peer/route/standing.go
+++ b/peer/route/standing.go
@@ -1,16 +1,16 @@
 package route
 
-// Ownership is where this VM stands towards a target.
+// Ownership states which VMs own connections to a target.
 type Ownership struct {
-	// Shared is true if the target is reached through owners by some VMs. If not,
-	// every VM has connections of its own and the rest is not set.
+	// Shared is true if some VMs call the target through owners. If it is false, every
+	// VM has its own connections and the other fields aren't set.
 	Shared     bool
 	Owner      bool  // this VM owns connections
-	Place      int   // of this VM, if it is an owner
-	LiveOwners []int // places of the owners that live and stay, the first choice first
+	Place      int   // of this VM, or -1 if it holds none
+	LiveOwners []int // places of the owners that are live and not leaving, in the order of preference
 }
 
-// Standing returns where this VM stands towards a target of the bundle in force.
+// Standing returns the ownership of a target of the bundle in force.
 func (r *Router) Standing(name string) Ownership {
 	r.mu.Lock()
 	rt := r.targets[name]
--- a/peer/route/standing_test.go
+++ b/peer/route/standing_test.go
@@ -6,9 +6,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestLeavingOwnersAreNotLive: one of a target's owners is leaving and states
-// nothing any more. Were it still counted, a target that nobody can read would not
-// be found lost while it lasts.
+// TestLeavingOwnersAreNotLive: one of a target's owners is leaving and no longer reports
+// the target's health. If it still counted as a live owner, a target whose status no VM
+// can read would not be detected as lost until that owner has stopped.
 func TestLeavingOwnersAreNotLive(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	f.waitReachable(f.vms...)
