--- a/peer/hop/hop_test.go
+++ b/peer/hop/hop_test.go
@@ -125,18 +125,18 @@
 	const calls = 200
 	before := p.counters.Writes.Load()
 	var wg sync.WaitGroup
-	faults := make(chan error, calls)
+	failures := make(chan error, calls)
 	for shard := range calls {
 		wg.Go(func() {
 			a, err := p.caller.Search(ctx, "owned", 10+shard, request(shard))
 			if err != nil || a.Shard != shard || a.Records > testLimit.Milliseconds() || a.Records <= 0 {
-				faults <- fmt.Errorf("shard %d: %+v, %w", shard, a, err)
+				failures <- fmt.Errorf("shard %d: %+v, %w", shard, a, err)
 			}
 		})
 	}
 	wg.Wait()
-	close(faults)
-	for err := range faults {
+	close(failures)
+	for err := range failures {
 		t.Error(err)
 	}
 	p.Expect(p.counters.Writes.Load() - before).To(BeNumerically("<", calls/4))
@@ -157,13 +157,13 @@
 	p.Expect(callError(p.search(ctx, "stranger", 1))).To(And(
 		HaveField("Kind", target.ErrorUnknownTarget), HaveField("NotStarted", true)))
 	// This owner accepts one call from other VMs at a time.
-	held := make(chan error, 1)
-	go func() { held <- p.search(ctx, "owned", 9) }()
+	result := make(chan error, 1)
+	go func() { result <- p.search(ctx, "owned", 9) }()
 	p.Eventually(p.leaves.started.Load).WithTimeout(testLimit).Should(BeNumerically("==", 2))
 	p.Expect(callError(p.search(ctx, "owned", 1))).To(And(
 		HaveField("Kind", target.ErrorBusy), HaveField("NotStarted", true)))
 	cancel()
-	p.Expect(callError(<-held)).To(HaveField("NotStarted", false))
+	p.Expect(callError(<-result)).To(HaveField("NotStarted", false))
 }
 
 // TestCancellationReachesTarget: one of two hedged calls is answered and the other is
@@ -171,9 +171,9 @@
 func TestCancellationReachesTarget(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithCancel(context.Background())
-	held := p.startCall(ctx, 9)
+	result := p.startCall(ctx, 9)
 	cancel()
-	p.Expect(callError(<-held)).To(HaveField("Kind", target.ErrorCancelled))
+	p.Expect(callError(<-result)).To(HaveField("Kind", target.ErrorCancelled))
 	p.Eventually(p.leaves.cancelled.Load).WithTimeout(testLimit).Should(BeNumerically("==", 1))
 }
 
@@ -193,9 +193,9 @@
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	held := p.startCall(ctx, 9)
+	result := p.startCall(ctx, 9)
 	p.server.Stop()
-	p.Expect(callError(<-held)).To(And(HaveField("Kind", target.ErrorBroken), HaveField("NotStarted", false)))
+	p.Expect(callError(<-result)).To(And(HaveField("Kind", target.ErrorBroken), HaveField("NotStarted", false)))
 	p.Eventually(func() *target.CallError { return callError(p.search(ctx, "owned", 1)) }).
 		WithTimeout(testLimit).Should(And(HaveField("Kind", target.ErrorUnreachable), HaveField("NotStarted", true)))
 }
@@ -229,10 +229,10 @@
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	held := p.startCall(ctx, 7)
-	short, stop := context.WithTimeout(ctx, 10*drainPollInterval)
+	result := p.startCall(ctx, 7)
+	shortCtx, stop := context.WithTimeout(ctx, 10*drainPollInterval)
 	defer stop()
-	p.Expect(p.owner.Drain(short)).To(MatchError(context.DeadlineExceeded), "Drain returned before the call ended")
+	p.Expect(p.owner.Drain(shortCtx)).To(MatchError(context.DeadlineExceeded), "Drain returned before the call ended")
 	drained := make(chan error, 1)
 	go func() {
 		drained <- p.owner.Drain(ctx)
@@ -240,7 +240,7 @@
 	}()
 	close(p.leaves.release)
 	p.Expect(<-drained).To(Succeed())
-	p.Expect(<-held).To(Succeed())
+	p.Expect(<-result).To(Succeed())
 }
 
 // TestMismatchedAnswerClosesConnection: an owner returns the answer of another attempt.
@@ -262,7 +262,7 @@
 		q := newSlotQueue(slots)
 		now := time.Unix(0, 0)
 		var running, waiting []*waiter
-		move := func(w *waiter) {
+		removeWaiting := func(w *waiter) {
 			for i := range waiting {
 				if waiting[i] == w {
 					waiting = append(waiting[:i:i], waiting[i+1:]...)
@@ -290,11 +290,11 @@
 				running = running[1:]
 				next, expired := q.release(4*time.Millisecond, now)
 				for _, w := range expired {
-					move(w)
+					removeWaiting(w)
 				}
 				if next != nil {
 					checkOldestFirst(t, waiting, next)
-					move(next)
+					removeWaiting(next)
 					running = append(running, next)
 				}
 			case step == 2 && len(waiting) > 0:
@@ -302,7 +302,7 @@
 				if !q.remove(w) || q.remove(w) {
 					t.Fatal("remove must succeed exactly once for a waiting call")
 				}
-				move(w)
+				removeWaiting(w)
 			}
 			if len(running) > slots || q.running != len(running) || q.queued != len(waiting) {
 				t.Fatalf("%d running (%d counted), %d waiting (%d counted), %d slots", len(running), q.running, len(waiting), q.queued, slots)
@@ -332,11 +332,11 @@
 	g := NewWithT(t)
 	q := newSlotQueue(1)
 	now := time.Unix(0, 0)
-	far := now.Add(time.Hour)
+	deadline := now.Add(time.Hour)
 	for range 10 {
-		q.offer(&waiter{peer: "greedy", deadline: far}, now)
+		q.offer(&waiter{peer: "greedy", deadline: deadline}, now)
 	}
-	q.offer(&waiter{peer: "modest", deadline: far}, now)
+	q.offer(&waiter{peer: "modest", deadline: deadline}, now)
 	q.release(time.Millisecond, now)
 	second, _ := q.release(time.Millisecond, now)
 	g.Expect(second.peer).To(Equal("modest"))
@@ -364,7 +364,7 @@
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	held := p.startCall(ctx, 7)
+	result := p.startCall(ctx, 7)
 	drained := make(chan error, 1)
 	go func() { drained <- p.owner.Drain(ctx) }()
 	p.Eventually(func() *target.CallError { return callError(p.search(ctx, "owned", 1)) }).WithTimeout(testLimit).
@@ -372,7 +372,7 @@
 	_, err := p.caller.Status(ctx, "owned")
 	p.Expect(callError(err)).To(HaveField("NotStarted", true))
 	close(p.leaves.release)
-	p.Expect(<-held).To(Succeed())
+	p.Expect(<-result).To(Succeed())
 	p.Expect(<-drained).To(Succeed())
 }
 
@@ -384,14 +384,14 @@
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
-	own := p.owner.QueuedLeaves()
-	ask := func() error {
-		_, err := own.Search(ctx, "owned", 7, request(7))
+	local := p.owner.QueuedLeaves()
+	localSearch := func() error {
+		_, err := local.Search(ctx, "owned", 7, request(7))
 		return err
 	}
 	results := make(chan error, 8)
 	for range 4 {
-		go func() { results <- ask() }()
+		go func() { results <- localSearch() }()
 		go func() { results <- p.search(ctx, "owned", 7) }()
 	}
 	key := leafKey{"owned", 7}
@@ -407,15 +407,15 @@
 	p.Expect(p.leaves.started.Load()).To(BeNumerically("==", 2))
 
 	// A cancelled call leaves the queue and is reported as not started.
-	short, stop := context.WithCancel(ctx)
-	gaveUp := make(chan error, 1)
+	cancelCtx, stop := context.WithCancel(ctx)
+	cancelled := make(chan error, 1)
 	go func() {
-		_, err := own.Search(short, "owned", 7, request(7))
-		gaveUp <- err
+		_, err := local.Search(cancelCtx, "owned", 7, request(7))
+		cancelled <- err
 	}()
 	p.Eventually(waiting).WithTimeout(testLimit).Should(Equal(7))
 	stop()
-	p.Expect(callError(<-gaveUp)).To(And(HaveField("Kind", target.ErrorCancelled), HaveField("NotStarted", true)))
+	p.Expect(callError(<-cancelled)).To(And(HaveField("Kind", target.ErrorCancelled), HaveField("NotStarted", true)))
 
 	close(p.leaves.release)
 	for range 8 {
--- a/peer/route/owner_conn_test.go
+++ b/peer/route/owner_conn_test.go
@@ -154,12 +154,12 @@
 	vm, _, _ := f.ownerBehindProxy()
 	owners, _ := vm.router.resolve("target-0")
 	f.Expect(owners).To(HaveLen(2))
-	first := owners[0].vm
-	proxy, err := faultproxy.Start(faultproxy.Options{Target: first.Address})
+	preferred := owners[0].vm
+	proxy, err := faultproxy.Start(faultproxy.Options{Target: preferred.Address})
 	f.Expect(err).NotTo(HaveOccurred())
 	defer proxy.Close()
 	vm.router.mu.Lock()
-	vm.router.ownerConns[first.Address] = &ownerConn{dial: func(ctx context.Context) (*hop.Caller, error) {
+	vm.router.ownerConns[preferred.Address] = &ownerConn{dial: func(ctx context.Context) (*hop.Caller, error) {
 		o := vm.router.fleet.WireOptions()
 		o.PingInterval = testLimit // pings don't detect the frozen owner; in a real fleet they need seconds
 		return hop.Dial(ctx, proxy.Address(), o, &wire.Counters{})
@@ -169,7 +169,7 @@
 	proxy.SetFaults(faultproxy.Faults{Frozen: true})
 	triedLast := func() bool {
 		owners, _ := vm.router.resolve("target-0")
-		return owners[1].vm == first && owners[1].inCooldown
+		return owners[1].vm == preferred && owners[1].inCooldown
 	}
 	lost := 0
 	f.Eventually(func() bool { // returns as soon as the owner is tried last, since its cooldown ends after a fixed time
--- a/peer/route/route_test.go
+++ b/peer/route/route_test.go
@@ -205,14 +205,14 @@
 	for i := range 3 {
 		owner := f.owners()[0]
 		owner.stop()
-		var rest []*testVM
+		var others []*testVM
 		for _, vm := range f.vms {
 			if vm != owner {
-				rest = append(rest, vm)
+				others = append(others, vm)
 			}
 		}
-		f.vms = rest
-		f.waitReachable(rest...)
+		f.vms = others
+		f.waitReachable(others...)
 		f.start(fmt.Sprint("new-", i))
 		f.waitReachable(f.vms...)
 		f.Eventually(f.owners).WithTimeout(testLimit).Should(HaveLen(2))
