--- a/integration/region_test.go
+++ b/integration/region_test.go
@@ -40,7 +40,7 @@
 	far := []*fleet.Daemon{c.Daemons[1], c.Daemons[3]}
 	good, faulty := c.version("good"), c.version("faulty")
 	person := c.ctl(fleet.Signer)
-	var answer operator.ChangeAnswer
+	var answer operator.ChangeOutput
 	person.must(&answer, "rollout", good, "--reason", "good", "--wait", "30s")
 	person.must(&answer, "rollout", faulty, "--reason", "faulty", "--wait", "30s")
 	spread := answer.Revision
--- a/integration/rollout_test.go
+++ b/integration/rollout_test.go
@@ -47,7 +47,7 @@
 	digests := []string{c.version("one"), c.version("two"), c.version("three")}
 	stop := c.watchRevisions()
 	const operators, changes = 3, 4
-	told := make(chan operator.ChangeAnswer, operators*changes)
+	told := make(chan operator.ChangeOutput, operators*changes)
 	var racing sync.WaitGroup
 	for i := range operators {
 		person := c.ctl(fleet.Signer)
@@ -68,7 +68,7 @@
 	close(told)
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
 
-	var audit operator.AuditAnswer
+	var audit operator.AuditOutput
 	c.ctl(fleet.Signer).must(&audit, "audit")
 	byOp := map[rollout.OpID]uint64{}
 	for _, row := range audit.Rows {
@@ -102,12 +102,12 @@
 	return status.Digest, err
 }
 
-func raceOnce(t *testing.T, person *ctl, rng *rand.Rand, digests []string, told chan<- operator.ChangeAnswer) {
+func raceOnce(t *testing.T, person *ctl, rng *rand.Rand, digests []string, told chan<- operator.ChangeOutput) {
 	args := []string{"rollout", digests[rng.IntN(len(digests))], "--reason", "race"}
 	if rng.IntN(3) == 0 {
 		args = []string{"recall", "head", "--reason", "race"}
 	}
-	var answer operator.ChangeAnswer
+	var answer operator.ChangeOutput
 	switch f := person.run(&answer, args...); f.Code {
 	case 0:
 		told <- answer
@@ -134,14 +134,14 @@
 		time.Sleep(time.Duration(i+1) * slowMS * time.Millisecond)
 		cancel()
 		_ = cmd.Wait()
-		var answer operator.ChangeAnswer
+		var answer operator.ChangeOutput
 		person.must(&answer, "rollout", digests[(i+1)%2], "--reason", "next")
-		var audit operator.AuditAnswer
+		var audit operator.AuditOutput
 		person.must(&audit, "audit")
 		c.Expect(audit.Head).To(Equal(answer.Revision))
 	}
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
-	var audit operator.AuditAnswer
+	var audit operator.AuditOutput
 	person.must(&audit, "audit")
 	c.inForceEverywhere(audit.Head)
 }
@@ -165,7 +165,7 @@
 	}
 	for i, fault := range faults {
 		c.ok(fault())
-		var answer operator.ChangeAnswer
+		var answer operator.ChangeOutput
 		c.ctl(fleet.Signer).must(&answer, "rollout", digests[i], "--reason", "under a fault", "--wait", "30s")
 		c.inForceEverywhere(answer.Revision)
 	}
@@ -179,7 +179,7 @@
 	first, second := c.version("one"), c.version("two")
 	person := c.ctl(fleet.Signer)
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{Frozen: true}))
-	var answer operator.ChangeAnswer
+	var answer operator.ChangeOutput
 	person.must(&answer, "rollout", first, "--reason", "one VM is cut off", "--wait", "30s")
 
 	for _, p := range c.PlatformProxies {
@@ -200,7 +200,7 @@
 	for _, p := range c.PlatformProxies {
 		c.ok(p.SetFaults(faultproxy.Faults{}))
 	}
-	var audit operator.AuditAnswer
+	var audit operator.AuditOutput
 	person.must(&audit, "audit")
 	c.inForceEverywhere(audit.Head)
 }
@@ -214,7 +214,7 @@
 	person := c.ctl(fleet.Signer)
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
 	person.env = []string{"BRAMLEY_PATIENCE=500ms"}
-	var answer operator.ChangeAnswer
+	var answer operator.ChangeOutput
 	f := person.run(&answer, "rollout", digest, "--reason", "during an outage")
 	c.Expect(f.Code).To(Equal(result.PlatformDown))
 	c.Expect(f.Next).NotTo(BeEmpty())
@@ -235,7 +235,7 @@
 	stop := c.watchRevisions()
 	person := c.ctl(fleet.Signer)
 	c.ok(c.Daemons[0].Pause())
-	var answer operator.ChangeAnswer
+	var answer operator.ChangeOutput
 	person.must(&answer, "rollout", first, "--reason", "while one is frozen")
 	person.must(&answer, "rollout", second, "--reason", "while one is frozen")
 	person.must(&answer, "recall", "head", "--reason", "while one is frozen")
@@ -275,7 +275,7 @@
 		c.expectRevision(1, name)
 	}
 	must[uint64](c)(store.Put(c.ctx, rollout.KindHead, deployment, version, before.Value))
-	var answer operator.ChangeAnswer
+	var answer operator.ChangeOutput
 	c.ctl(fleet.Signer).must(&answer, "rollout", digest, "--reason", "rightly signed", "--wait", "30s")
 }
 
@@ -313,7 +313,7 @@
 	person := c.ctl(fleet.Signer)
 	store := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{})
 	before := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
-	var answer operator.ChangeAnswer
+	var answer operator.ChangeOutput
 	person.must(&answer, "rollout", digest, "--reason", "before the copy", "--wait", "30s")
 	now := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
 	must[uint64](c)(store.Put(c.ctx, rollout.KindHead, deployment, now.Version, before.Value))
--- a/integration/split_test.go
+++ b/integration/split_test.go
@@ -156,7 +156,7 @@
 		c.Expect(l.stop()).To(gomega.BeEmpty())
 	}
 
-	var answer operator.ChangeAnswer
+	var answer operator.ChangeOutput
 	c.ctl(fleet.Signer).must(&answer, "rollout", next, "--reason", "on one side")
 	for _, d := range with {
 		c.waitInForce(d, answer.Revision)
--- a/integration/stopped_operator_test.go
+++ b/integration/stopped_operator_test.go
@@ -30,16 +30,16 @@
 		stopped, other := c.ctl(fleet.Signer), c.ctl(fleet.Signer)
 		puts := func() int { return must[platformsim.Counters](c)(c.Platform.Counters()).Put }
 		before := puts()
-		var between operator.ChangeAnswer
+		var between operator.ChangeOutput
 		stopped.started = func(p *os.Process) {
 			c.Eventually(puts, limit, "1ms").Should(gomega.Equal(before + write))
 			_ = p.Signal(syscall.SIGSTOP)
 			other.must(&between, "rollout", second, "--reason", "meanwhile")
 			_ = p.Signal(syscall.SIGCONT)
 		}
-		var answer operator.ChangeAnswer
+		var answer operator.ChangeOutput
 		f := stopped.run(&answer, "rollout", first, "--reason", fmt.Sprint("stopped at write ", write))
-		var audit operator.AuditAnswer
+		var audit operator.AuditOutput
 		other.must(&audit, "audit")
 		t.Logf("write %d: told %d, revision %d; the other %d", write, f.Code, answer.Revision, between.Revision)
 		if f.Code != 0 {
@@ -52,7 +52,7 @@
 		c.Expect(audit.Rows[answer.Revision-1].Op).To(gomega.Equal(answer.Op))
 	}
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
-	var audit operator.AuditAnswer
+	var audit operator.AuditOutput
 	c.ctl(fleet.Signer).must(&audit, "audit")
 	c.Expect(audit.Rows).To(gomega.HaveLen(int(audit.Head)), "a gap in the trail")
 	c.inForceEverywhere(audit.Head)
--- a/internal/lab/platformsim/handler.go
+++ b/internal/lab/platformsim/handler.go
@@ -149,7 +149,7 @@
 		fail(w, err)
 		return
 	}
-	ans := objstore.ChangeJSON{Events: []objstore.EventJSON{}, Revision: change.Revision}
+	ans := objstore.WatchResultJSON{Events: []objstore.EventJSON{}, Revision: change.Revision}
 	for _, e := range change.Events {
 		ans.Events = append(ans.Events, objstore.EventJSON{
 			Name: e.Name, Version: e.Version, Revision: e.Revision, Deleted: e.Deleted,
--- a/internal/lab/platformsim/store.go
+++ b/internal/lab/platformsim/store.go
@@ -136,9 +136,9 @@
 }
 
 // Watch implements objstore.Store.
-func (s *Store) Watch(ctx context.Context, kind string, since uint64) (objstore.Change, error) {
+func (s *Store) Watch(ctx context.Context, kind string, since uint64) (objstore.WatchResult, error) {
 	if _, err := s.begin(ctx, callWatch, kind); err != nil {
-		return objstore.Change{}, err
+		return objstore.WatchResult{}, err
 	}
 	s.mu.Lock()
 	wait := s.wait
@@ -149,7 +149,7 @@
 		change, changed, silent := s.since(kind, since)
 		if silent {
 			<-ctx.Done()
-			return objstore.Change{}, errors.Trace(ctx.Err())
+			return objstore.WatchResult{}, errors.Trace(ctx.Err())
 		}
 		if len(change.Events) > 0 {
 			return change, nil
@@ -159,17 +159,17 @@
 		case <-timer.C:
 			return change, nil
 		case <-ctx.Done():
-			return objstore.Change{}, errors.Trace(ctx.Err())
+			return objstore.WatchResult{}, errors.Trace(ctx.Err())
 		}
 	}
 }
 
 // since returns the changes of the kind after that revision, and a channel
 // that is closed at the next one.
-func (s *Store) since(kind string, since uint64) (objstore.Change, <-chan struct{}, bool) {
+func (s *Store) since(kind string, since uint64) (objstore.WatchResult, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change := objstore.Change{Revision: s.revision}
+	change := objstore.WatchResult{Revision: s.revision}
 	objs := s.kind(kind)
 	for name, e := range objs.byName {
 		if e.version > since {
--- a/objstore/api.go
+++ b/objstore/api.go
@@ -45,9 +45,9 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// ChangeJSON is the answer to a watch. Events is empty when the platform's own
+// WatchResultJSON is the answer to a watch. Events is empty when the platform's own
 // wait ended without a change.
-type ChangeJSON struct {
+type WatchResultJSON struct {
 	Events   []EventJSON `json:"events"`
 	Revision uint64      `json:"revision"`
 }
--- a/objstore/client.go
+++ b/objstore/client.go
@@ -153,14 +153,14 @@
 // Watch implements Store. It ends with an error when the platform says nothing
 // for longer than WatchTimeout, since a silent connection looks like a platform
 // where nothing changes.
-func (c *Client) Watch(ctx context.Context, kind string, since uint64) (Change, error) {
-	var ans ChangeJSON
+func (c *Client) Watch(ctx context.Context, kind string, since uint64) (WatchResult, error) {
+	var ans WatchResultJSON
 	path := PathWatch + url.PathEscape(kind) + "?since=" + strconv.FormatUint(since, 10)
 	err := c.callJSON(ctx, request{method: http.MethodGet, path: path, timeout: c.opts.WatchTimeout}, &ans)
 	if err != nil {
-		return Change{}, errors.Annotatef(err, "watch %s", kind)
+		return WatchResult{}, errors.Annotatef(err, "watch %s", kind)
 	}
-	out := Change{Revision: ans.Revision}
+	out := WatchResult{Revision: ans.Revision}
 	for _, e := range ans.Events {
 		out.Events = append(out.Events, Event{
 			Kind: kind, Name: e.Name, Version: e.Version, Revision: e.Revision, Deleted: e.Deleted,
@@ -227,7 +227,7 @@
 }
 
 func (c *Client) send(ctx context.Context, req request) (answer, error) {
-	hreq, err := req.http(ctx, c.base)
+	hreq, err := req.httpRequest(ctx, c.base)
 	if err != nil {
 		return answer{}, err
 	}
@@ -253,7 +253,7 @@
 	return answer{header: resp.Header, body: body}, nil
 }
 
-func (r request) http(ctx context.Context, base string) (*http.Request, error) {
+func (r request) httpRequest(ctx context.Context, base string) (*http.Request, error) {
 	hreq, err := http.NewRequestWithContext(ctx, r.method, base+r.path, nil)
 	if err != nil {
 		return nil, errors.Trace(err)
--- a/objstore/client_test.go
+++ b/objstore/client_test.go
@@ -14,13 +14,13 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// limit bounds each wait for something that is bound to happen.
-const limit = 20 * time.Second
+// testTimeout bounds each wait for something that is bound to happen.
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// proxied returns a client that reaches a store through a fault proxy.
-func proxied(t *testing.T, opts objstore.ClientOptions) (*objstore.Client, *platformsim.Store, *faultproxy.Proxy) {
+// newProxiedClient returns a client that reaches a store through a fault proxy.
+func newProxiedClient(t *testing.T, opts objstore.ClientOptions) (*objstore.Client, *platformsim.Store, *faultproxy.Proxy) {
 	store := platformsim.NewStore()
 	server := httptest.NewServer(store.Handler())
 	t.Cleanup(server.Close)
@@ -38,14 +38,14 @@
 // a VM and the platform has lost track of all its open connections, which stay
 // open and say nothing. The first call to meet one times out; the calls after
 // it must not meet the others one by one.
-func TestOneTimeoutFindsAllSilentConnections(t *testing.T) {
+func TestTimeoutClosesAllIdleConnections(t *testing.T) {
 	g := gomega.NewWithT(t)
-	client, store, proxy := proxied(t, objstore.ClientOptions{CallTimeout: time.Second})
+	client, store, proxy := newProxiedClient(t, objstore.ClientOptions{CallTimeout: time.Second})
 	var wg sync.WaitGroup
 	for range 4 { // leaves four idle connections
 		wg.Go(func() { client.Watch(t.Context(), "k", 0) })
 	}
-	g.Eventually(func() int { return store.Counters().Watch }, limit).Should(gomega.Equal(4))
+	g.Eventually(func() int { return store.Counters().Watch }, testTimeout).Should(gomega.Equal(4))
 	_, err := store.Put(t.Context(), "k", "a", 0, []byte(`1`))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	wg.Wait()
@@ -59,9 +59,9 @@
 // A VM stays on an old bundle for good: its watch waits on a connection that
 // has gone silent, which looks just like a platform where nothing changes. The
 // watch has to end by itself.
-func TestSilentWatchEnds(t *testing.T) {
+func TestSilentWatchTimesOut(t *testing.T) {
 	g := gomega.NewWithT(t)
-	client, store, _ := proxied(t, objstore.ClientOptions{WatchTimeout: 100 * time.Millisecond})
+	client, store, _ := newProxiedClient(t, objstore.ClientOptions{WatchTimeout: 100 * time.Millisecond})
 	store.SetFaults(platformsim.Faults{WatchesSilent: true})
 	_, err := client.Watch(t.Context(), "k", 0)
 	g.Expect(err).To(gomega.HaveOccurred())
@@ -71,9 +71,9 @@
 // A VM tells a caller that another VM holds its claim, although it holds it
 // itself: the connection broke after the write was carried out, and the write
 // was sent a second time by the HTTP library, which conflicts with the first.
-func TestWriteOnABrokenConnectionIsSentOnce(t *testing.T) {
+func TestWriteOnBrokenConnectionIsSentOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	client, store, _ := proxied(t, objstore.ClientOptions{})
+	client, store, _ := newProxiedClient(t, objstore.ClientOptions{})
 	version, err := client.Put(t.Context(), "k", "a", 0, []byte(`1`)) // its connection is reused
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	store.SetFaults(platformsim.Faults{LoseAnswers: 2})
--- a/objstore/objstore.go
+++ b/objstore/objstore.go
@@ -36,8 +36,8 @@
 	More     bool   // further names follow the last one
 }
 
-// Change is the answer to one call of Watch.
-type Change struct {
+// WatchResult is the answer to one call of Watch.
+type WatchResult struct {
 	Events   []Event
 	Revision uint64 // to be passed to the next call
 }
@@ -83,7 +83,7 @@
 	// Watch waits until an object of the kind changes after the store's
 	// revision since, or until the platform's own wait ends, and then returns
 	// what changed, if anything.
-	Watch(ctx context.Context, kind string, since uint64) (Change, error)
+	Watch(ctx context.Context, kind string, since uint64) (WatchResult, error)
 	// VMs returns the platform's lagging list of VMs.
 	VMs(ctx context.Context) ([]VM, error)
 }
--- a/objstore/objstoretest/objstoretest.go
+++ b/objstore/objstoretest/objstoretest.go
@@ -15,8 +15,8 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// limit bounds each wait for something that is bound to happen.
-const limit = 20 * time.Second
+// testTimeout bounds each wait for something that is bound to happen.
+const testTimeout = 20 * time.Second
 
 // Run tests the stores that open returns, each of them empty.
 func Run(t *testing.T, open func(t *testing.T) objstore.Store) {
@@ -24,29 +24,29 @@
 		name string
 		test func(context.Context, *gomega.WithT, objstore.Store)
 	}{
-		{"absent object", testAbsent},
-		{"create, replace, remove", testLife},
+		{"absent object", testAbsentObject},
+		{"create, replace, remove", testCreateReplaceDelete},
 		{"version never returns", testVersionRises},
 		{"value kept byte by byte", testExactValue},
-		{"names with any characters", testNames},
+		{"names with any characters", testSpecialCharacters},
 		{"value too large", testTooLarge},
-		{"one of racing writers wins", testRace},
-		{"listing in pages", testPages},
-		{"watch wakes at a change", testWatchWakes},
-		{"watch tells of an earlier change", testWatchEarlier},
-		{"watch tells of a removal", testWatchRemoval},
-		{"watch ends with its context", testWatchCancel},
+		{"one of racing writers wins", testConcurrentPuts},
+		{"listing in pages", testListPages},
+		{"watch wakes at a change", testWatchReturnsOnChange},
+		{"watch tells of an earlier change", testWatchReturnsEarlierChange},
+		{"watch tells of a removal", testWatchReturnsDeletion},
+		{"watch ends with its context", testWatchEndsWithContext},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(t.Context(), limit)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			tt.test(ctx, gomega.NewWithT(t), open(t))
 		})
 	}
 }
 
-func testAbsent(ctx context.Context, g *gomega.WithT, s objstore.Store) {
+func testAbsentObject(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	_, err := s.Get(ctx, "k", "none")
 	g.Expect(err).To(gomega.MatchError(objstore.ErrNotFound))
 	g.Expect(s.Delete(ctx, "k", "none", 1)).To(gomega.MatchError(objstore.ErrNotFound))
@@ -57,7 +57,7 @@
 	g.Expect(page.Objects).To(gomega.BeEmpty())
 }
 
-func testLife(ctx context.Context, g *gomega.WithT, s objstore.Store) {
+func testCreateReplaceDelete(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	v1 := put(ctx, g, s, "a", 0, `1`)
 	_, err := s.Put(ctx, "k", "a", 0, []byte(`2`))
 	g.Expect(err).To(gomega.MatchError(objstore.ErrConflict))
@@ -95,7 +95,7 @@
 	g.Expect(page.Objects[0].Value).To(gomega.MatchJSON(value))
 }
 
-func testNames(ctx context.Context, g *gomega.WithT, s objstore.Store) {
+func testSpecialCharacters(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	for _, name := range []string{"a/b", "a b", "a%2Fb", "é", "a?b#c", "..", "a+b"} {
 		v := put(ctx, g, s, name, 0, `1`)
 		obj, err := s.Get(ctx, "k", name)
@@ -113,7 +113,7 @@
 	g.Expect(err).To(gomega.MatchError(objstore.ErrNotFound))
 }
 
-func testRace(ctx context.Context, g *gomega.WithT, s objstore.Store) {
+func testConcurrentPuts(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	version := put(ctx, g, s, "a", 0, `1`)
 	var won atomic.Int32
 	var wg sync.WaitGroup
@@ -128,7 +128,7 @@
 	g.Expect(won.Load()).To(gomega.Equal(int32(1)))
 }
 
-func testPages(ctx context.Context, g *gomega.WithT, s objstore.Store) {
+func testListPages(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	var want []string
 	for i := range 7 {
 		name := fmt.Sprintf("n%d", i)
@@ -151,9 +151,9 @@
 	g.Expect(got).To(gomega.Equal(want))
 }
 
-func testWatchWakes(ctx context.Context, g *gomega.WithT, s objstore.Store) {
+func testWatchReturnsOnChange(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	v1 := put(ctx, g, s, "a", 0, `1`)
-	got := make(chan objstore.Change, 1)
+	got := make(chan objstore.WatchResult, 1)
 	go func() {
 		if change, err := s.Watch(ctx, "k", v1); err == nil {
 			got <- change
@@ -162,15 +162,15 @@
 	_, err := s.Put(ctx, "other", "x", 0, []byte(`1`))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	v2 := put(ctx, g, s, "a", v1, `2`)
-	var change objstore.Change
-	g.Eventually(got, limit).Should(gomega.Receive(&change))
+	var change objstore.WatchResult
+	g.Eventually(got, testTimeout).Should(gomega.Receive(&change))
 	g.Expect(change.Events).To(gomega.HaveLen(1))
 	g.Expect(change.Events[0].Name).To(gomega.Equal("a"))
 	g.Expect(change.Events[0].Version).To(gomega.Equal(v2))
 	g.Expect(change.Revision).To(gomega.BeNumerically(">=", change.Events[0].Revision))
 }
 
-func testWatchEarlier(ctx context.Context, g *gomega.WithT, s objstore.Store) {
+func testWatchReturnsEarlierChange(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	page, err := s.List(ctx, "k", "", 1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	put(ctx, g, s, "a", 0, `1`)
@@ -179,7 +179,7 @@
 	g.Expect(change.Events).To(gomega.HaveLen(1))
 }
 
-func testWatchRemoval(ctx context.Context, g *gomega.WithT, s objstore.Store) {
+func testWatchReturnsDeletion(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	v := put(ctx, g, s, "a", 0, `1`)
 	g.Expect(s.Delete(ctx, "k", "a", v)).To(gomega.Succeed())
 	change, err := s.Watch(ctx, "k", v)
@@ -188,7 +188,7 @@
 	g.Expect(change.Events[0].Deleted).To(gomega.BeTrue())
 }
 
-func testWatchCancel(ctx context.Context, g *gomega.WithT, s objstore.Store) {
+func testWatchEndsWithContext(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	watchCtx, cancel := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	go func() {
@@ -196,7 +196,7 @@
 		ended <- err
 	}()
 	cancel()
-	g.Eventually(ended, limit).Should(gomega.Receive(gomega.HaveOccurred()))
+	g.Eventually(ended, testTimeout).Should(gomega.Receive(gomega.HaveOccurred()))
 }
 
 func put(ctx context.Context, g *gomega.WithT, s objstore.Store, name string, expect uint64, value string) uint64 {
--- a/once/store_test.go
+++ b/once/store_test.go
@@ -160,9 +160,9 @@
 	return nil
 }
 
-func (s *faultStore) Watch(ctx context.Context, kind string, since uint64) (objstore.Change, error) {
+func (s *faultStore) Watch(ctx context.Context, kind string, since uint64) (objstore.WatchResult, error) {
 	<-ctx.Done()
-	return objstore.Change{}, ctx.Err()
+	return objstore.WatchResult{}, ctx.Err()
 }
 
 func (s *faultStore) VMs(ctx context.Context) ([]objstore.VM, error) {
--- a/peer/hop/bench_test.go
+++ b/peer/hop/bench_test.go
@@ -60,7 +60,7 @@
 	go func() { _ = server.Serve(ln) }()
 	b.Cleanup(func() { server.Close() })
 	const connections = 4
-	client := target.NewClient(target.Options{MaxWaiting: 4096, MaxWait: testLimit})
+	client := target.NewClient(target.Options{MaxWaiters: 4096, MaxWait: testLimit})
 	b.Cleanup(client.Close)
 	client.Apply([]target.Endpoint{{Name: "owned", Address: ln.Addr().String(), Connections: connections}})
 	time.Sleep(500 * time.Millisecond) // the client opens its connections one by one, before any call
--- a/peer/hop/caller.go
+++ b/peer/hop/caller.go
@@ -41,7 +41,7 @@
 	c := &Caller{wake: make(chan struct{}, 1), calls: map[uint64]*pending{}}
 	o.Use = ConnUse
 	o.Handler = c.handle
-	o.WaitForRoom = true // a refused answer would be lost, and its call would wait until the deadline
+	o.WaitForCallSlot = true // a refused answer would be lost, and its call would wait until the deadline
 	conn, err := wire.Dial(ctx, address, o, counters)
 	if err != nil {
 		return nil, err
@@ -225,7 +225,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
 	err := call(ctx, c.conn, MethodCalls, Batch{Calls: calls})
-	switch result.Of(err) {
+	switch result.CodeOf(err) {
 	case result.Complete:
 	case result.PeerBusy:
 		for i := range calls {
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -133,14 +133,14 @@
 	return nil
 }
 
-func (f *Follower) watch(since uint64) (objstore.Change, error) {
+func (f *Follower) watch(since uint64) (objstore.WatchResult, error) {
 	ctx, cancel := context.WithTimeout(f.tomb.Context(context.Background()), f.opts.WatchTimeout)
 	defer cancel()
 	f.metrics.watches.Inc()
 	return f.opts.Store.Watch(ctx, KindHead, since)
 }
 
-func (f *Follower) affectsHead(change objstore.Change) bool {
+func (f *Follower) affectsHead(change objstore.WatchResult) bool {
 	for _, e := range change.Events {
 		if e.Name == f.opts.Deployment {
 			return true
--- a/target/body.go
+++ b/target/body.go
@@ -10,8 +10,8 @@
 
 // The life of a requestBody: from fresh to either handed or sealed, once.
 const (
-	bodyFresh  int32 = iota
-	bodyHanded       // the transport has read from it
+	bodyUnread int32 = iota
+	bodyRead         // the transport has read from it
 	bodySealed       // the call has ended before that
 )
 
@@ -33,7 +33,7 @@
 
 // Read implements io.Reader.
 func (b *requestBody) Read(p []byte) (int, error) {
-	if !b.state.CompareAndSwap(bodyFresh, bodyHanded) && b.state.Load() == bodySealed {
+	if !b.state.CompareAndSwap(bodyUnread, bodyRead) && b.state.Load() == bodySealed {
 		return 0, errors.New("the call has ended")
 	}
 	return b.data.Read(p)
@@ -45,7 +45,7 @@
 // seal ends the call and reports whether nothing of the body was handed out,
 // now or ever.
 func (b *requestBody) seal() bool {
-	return b.state.CompareAndSwap(bodyFresh, bodySealed) || b.state.Load() == bodySealed
+	return b.state.CompareAndSwap(bodyUnread, bodySealed) || b.state.Load() == bodySealed
 }
 
 var _ io.ReadCloser = (*requestBody)(nil)
--- a/target/call.go
+++ b/target/call.go
@@ -13,31 +13,31 @@
 
 // call is one exchange with a target.
 type call struct {
-	target   string
-	method   string
-	path     string
-	request  any          // nil for none
-	echo     Echo         // of request
-	answer   any          // decoded into
-	probe    bool         // tests the connection that was idle for longest
-	deadline *int64       // field of request that takes the time left, in ms
-	check    func() error // holds the answer against the request
+	target     string
+	method     string
+	path       string
+	request    any          // nil for none
+	echo       Echo         // of request
+	answer     any          // decoded into
+	probe      bool         // tests the connection that was idle for longest
+	deadlineMS *int64       // field of request that takes the time left, in ms
+	validate   func() error // holds the answer against the request
 }
 
 func statusCall(target string, status *Status) *call {
 	return &call{
-		target: target,
-		method: http.MethodGet,
-		path:   PathStatus,
-		answer: status,
-		probe:  true,
-		check:  func() error { return checkStatus(target, status) },
+		target:   target,
+		method:   http.MethodGet,
+		path:     PathStatus,
+		answer:   status,
+		probe:    true,
+		validate: func() error { return checkStatus(target, status) },
 	}
 }
 
-// exchange runs a call on a connection from the target's pool.
-func (c *Client) exchange(ctx context.Context, k *call) error {
-	err := c.exchangePooled(ctx, k)
+// do runs a call on a connection from the target's pool.
+func (c *Client) do(ctx context.Context, k *call) error {
+	err := c.tryConnections(ctx, k)
 	if err == nil {
 		return nil
 	}
@@ -46,45 +46,45 @@
 	return err
 }
 
-func (c *Client) exchangePooled(ctx context.Context, k *call) *CallError {
+func (c *Client) tryConnections(ctx context.Context, k *call) *CallError {
 	p := c.pool(k.target)
 	if p == nil {
-		return c.noPool(k.target)
+		return c.noPoolError(k.target)
 	}
-	for range unwrittenTries - 1 {
-		err := c.exchangeOnce(ctx, p, k)
+	for range maxSendTries - 1 {
+		err := c.tryOnce(ctx, p, k)
 		if err == nil || err.Kind != ErrorBroken || !err.NotStarted {
 			return err
 		}
 	}
-	return c.exchangeOnce(ctx, p, k)
+	return c.tryOnce(ctx, p, k)
 }
 
-// unwrittenTries bounds how often a call is begun. A connection can end between
+// maxSendTries bounds how often a call is begun. A connection can end between
 // its choice and the write; while nothing of the request was handed out, any
 // request may be sent on another connection.
-const unwrittenTries = 3
+const maxSendTries = 3
 
-func (c *Client) exchangeOnce(ctx context.Context, p *pool, k *call) *CallError {
+func (c *Client) tryOnce(ctx context.Context, p *pool, k *call) *CallError {
 	cn, err := p.acquire(ctx, k.probe)
 	if err != nil {
 		return err
 	}
 	defer p.release(cn)
 	start := time.Now()
-	err = c.exchangeOn(ctx, cn, k)
+	err = c.roundTrip(ctx, cn, k)
 	switch {
 	case err == nil:
 	case err.Kind == ErrorMismatched:
-		p.distrust(cn, err)
+		p.retireMismatched(cn, err)
 	case err.Kind == ErrorDeadline && k.probe:
-		p.probed(cn, start)
+		p.probeTimedOut(cn, start)
 	}
 	return err
 }
 
-// exchangeOn runs a call on one connection, which the caller holds.
-func (c *Client) exchangeOn(ctx context.Context, cn *conn, k *call) *CallError {
+// roundTrip runs a call on one connection, which the caller holds.
+func (c *Client) roundTrip(ctx context.Context, cn *conn, k *call) *CallError {
 	body, err := k.encode(ctx)
 	if err != nil {
 		return err
@@ -92,15 +92,15 @@
 	c.metrics.calls.Inc()
 	resp, rtErr := cn.http.RoundTrip(k.httpRequest(ctx, body))
 	if rtErr != nil {
-		return failure(ctx, rtErr, body.seal())
+		return transportError(ctx, rtErr, body.seal())
 	}
 	defer resp.Body.Close()
-	data, readErr := io.ReadAll(io.LimitReader(resp.Body, c.opts.MaxAnswer+1))
+	data, readErr := io.ReadAll(io.LimitReader(resp.Body, c.opts.MaxAnswerBytes+1))
 	if readErr != nil {
-		return failure(ctx, readErr, false)
+		return transportError(ctx, readErr, false)
 	}
-	incarnation := c.noteState(k.target, resp.Header)
-	err = c.judge(k, resp.StatusCode, data)
+	incarnation := c.reportState(k.target, resp.Header)
+	err = c.decodeResponse(k, resp.StatusCode, data)
 	if err != nil {
 		err.Incarnation = incarnation
 	}
@@ -110,14 +110,14 @@
 // encode writes the time left into the request and returns its body.
 func (k *call) encode(ctx context.Context) (*requestBody, *CallError) {
 	if err := ctx.Err(); err != nil {
-		return nil, failure(ctx, err, true)
+		return nil, transportError(ctx, err, true)
 	}
 	if k.request == nil {
 		return newRequestBody(nil), nil
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		*k.deadline = time.Until(deadline).Milliseconds()
-		if *k.deadline <= 0 {
+		*k.deadlineMS = time.Until(deadline).Milliseconds()
+		if *k.deadlineMS <= 0 {
 			return nil, &CallError{Kind: ErrorDeadline, NotStarted: true, cause: context.DeadlineExceeded}
 		}
 	}
@@ -148,8 +148,8 @@
 	return req.WithContext(ctx)
 }
 
-// failure returns the error of a call that ended without an answer.
-func failure(ctx context.Context, cause error, notStarted bool) *CallError {
+// transportError returns the error of a call that ended without an answer.
+func transportError(ctx context.Context, cause error, notStarted bool) *CallError {
 	kind := ErrorBroken
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -160,7 +160,7 @@
 	return &CallError{Kind: kind, NotStarted: notStarted, cause: errors.Trace(cause)}
 }
 
-func (c *Client) noteState(target string, header http.Header) string {
+func (c *Client) reportState(target string, header http.Header) string {
 	incarnation := header.Get(HeaderIncarnation)
 	state := header.Get(HeaderState)
 	if c.opts.Sink != nil && incarnation != "" && state != "" {
@@ -169,26 +169,26 @@
 	return incarnation
 }
 
-// judge decodes an answer and decides whether it can be used.
-func (c *Client) judge(k *call, status int, data []byte) *CallError {
-	if int64(len(data)) > c.opts.MaxAnswer {
-		return &CallError{Kind: ErrorMalformed, cause: errors.Errorf("answer exceeds %d bytes", c.opts.MaxAnswer)}
+// decodeResponse decodes an answer and decides whether it can be used.
+func (c *Client) decodeResponse(k *call, status int, data []byte) *CallError {
+	if int64(len(data)) > c.opts.MaxAnswerBytes {
+		return &CallError{Kind: ErrorMalformed, cause: errors.Errorf("answer exceeds %d bytes", c.opts.MaxAnswerBytes)}
 	}
 	switch status {
 	case http.StatusOK:
-		return judgeAnswer(k, data)
+		return decodeAnswer(k, data)
 	case http.StatusServiceUnavailable:
-		return judgeRefusal(k, data)
+		return decodeRefusal(k, data)
 	default:
 		return &CallError{Kind: ErrorStatus, cause: errors.Errorf("HTTP status %d", status)}
 	}
 }
 
-func judgeAnswer(k *call, data []byte) *CallError {
+func decodeAnswer(k *call, data []byte) *CallError {
 	if err := json.Unmarshal(data, k.answer); err != nil {
 		return &CallError{Kind: ErrorMalformed, cause: errors.Trace(err)}
 	}
-	err := k.check()
+	err := k.validate()
 	switch {
 	case err == nil:
 		return nil
@@ -199,7 +199,7 @@
 	}
 }
 
-func judgeRefusal(k *call, data []byte) *CallError {
+func decodeRefusal(k *call, data []byte) *CallError {
 	var refusal Refusal
 	if err := json.Unmarshal(data, &refusal); err != nil {
 		return &CallError{Kind: ErrorMalformed, cause: errors.Annotate(err, "refusal")}
--- a/target/client.go
+++ b/target/client.go
@@ -28,15 +28,15 @@
 type Client struct {
 	opts      Options
 	transport *http.Transport
-	metrics   *instruments
-	dials     chan struct{} // holds a token for each connection being opened
+	metrics   *clientMetrics
+	dialSlots chan struct{} // holds a token for each connection being opened
 	tomb      tomb.Tomb     // runs the keeper of each pool
 
-	mu      sync.RWMutex // guards what follows; may be held when a pool's mu is taken
-	pools   map[string]*pool
-	unowned map[string]struct{} // endpoints in force of which this VM has no share
-	leaving []*pool             // retired, but with connections that calls still use
-	closed  bool
+	mu           sync.RWMutex // guards what follows; may be held when a pool's mu is taken
+	pools        map[string]*pool
+	withoutShare map[string]struct{} // endpoints in force of which this VM has no share
+	retiredPools []*pool             // retired, but with connections that calls still use
+	closed       bool
 }
 
 // NewClient returns a client without endpoints. Close ends it.
@@ -45,8 +45,8 @@
 	c := &Client{
 		opts:      opts,
 		transport: newTransport(&opts),
-		metrics:   newInstruments(opts.Metrics),
-		dials:     make(chan struct{}, opts.MaxDials),
+		metrics:   newClientMetrics(opts.Metrics),
+		dialSlots: make(chan struct{}, opts.MaxDials),
 		pools:     make(map[string]*pool),
 	}
 	c.tomb.Go(func() error {
@@ -67,15 +67,15 @@
 	}
 	old := c.pools
 	c.pools = make(map[string]*pool, len(endpoints))
-	c.unowned = make(map[string]struct{})
+	c.withoutShare = make(map[string]struct{})
 	for _, e := range endpoints {
 		if e.Connections <= 0 {
-			c.unowned[e.Name] = struct{}{}
+			c.withoutShare[e.Name] = struct{}{}
 			continue
 		}
 		p := old[e.Name]
 		if p == nil || p.address != e.Address {
-			p = c.reviveOrNew(e)
+			p = c.reuseOrCreatePool(e)
 		}
 		p.update(e)
 		c.pools[e.Name] = p
@@ -83,25 +83,25 @@
 	for name, p := range old {
 		if c.pools[name] != p {
 			p.retire()
-			c.leaving = append(c.leaving, p)
+			c.retiredPools = append(c.retiredPools, p)
 		}
 	}
 }
 
-// reviveOrNew returns a pool for an endpoint that is new. If the endpoint was
+// reuseOrCreatePool returns a pool for an endpoint that is new. If the endpoint was
 // taken out a moment ago, as by a recall, calls may still run on connections of
 // its old pool. These count against the share, so the old pool goes on. c.mu
 // must be held.
-func (c *Client) reviveOrNew(e Endpoint) *pool {
-	c.leaving = slices.DeleteFunc(c.leaving, (*pool).hasEnded)
-	for i, p := range c.leaving {
-		if p.name == e.Name && p.address == e.Address && p.revive() {
-			c.leaving = slices.Delete(c.leaving, i, i+1)
+func (c *Client) reuseOrCreatePool(e Endpoint) *pool {
+	c.retiredPools = slices.DeleteFunc(c.retiredPools, (*pool).hasStopped)
+	for i, p := range c.retiredPools {
+		if p.name == e.Name && p.address == e.Address && p.reactivate() {
+			c.retiredPools = slices.Delete(c.retiredPools, i, i+1)
 			return p
 		}
 	}
 	p := newPool(c, e)
-	c.tomb.Go(p.keep)
+	c.tomb.Go(p.maintain)
 	return p
 }
 
@@ -121,12 +121,12 @@
 	return c.pools[target]
 }
 
-// noPool returns the error of a target without a pool. Pools are kept for targets
+// noPoolError returns the error of a target without a pool. Pools are kept for targets
 // of which this VM has a share, since a VM owns few of a large deployment's.
-func (c *Client) noPool(target string) *CallError {
+func (c *Client) noPoolError(target string) *CallError {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if _, inForce := c.unowned[target]; inForce {
+	if _, inForce := c.withoutShare[target]; inForce {
 		return &CallError{Kind: ErrorBusy, NotStarted: true, cause: errors.New("this VM has no share of connections")}
 	}
 	return &CallError{Kind: ErrorUnknownTarget, NotStarted: true}
@@ -136,15 +136,15 @@
 // time left until ctx ends. The error is a *CallError.
 func (c *Client) Search(ctx context.Context, target string, leaf int, req LeafRequest) (LeafAnswer, error) {
 	var answer LeafAnswer
-	err := c.exchange(ctx, &call{
-		target:   target,
-		method:   http.MethodPost,
-		path:     leafPath(leaf, "search"),
-		request:  &req,
-		echo:     req.Echo,
-		answer:   &answer,
-		deadline: &req.DeadlineMS,
-		check:    func() error { return checkAnswer(&req, &answer) },
+	err := c.do(ctx, &call{
+		target:     target,
+		method:     http.MethodPost,
+		path:       leafPath(leaf, "search"),
+		request:    &req,
+		echo:       req.Echo,
+		answer:     &answer,
+		deadlineMS: &req.DeadlineMS,
+		validate:   func() error { return checkAnswer(&req, &answer) },
 	})
 	if err != nil {
 		return LeafAnswer{}, err
@@ -156,15 +156,15 @@
 // *CallError; unless it says NotStarted, the request may have been run.
 func (c *Client) Submit(ctx context.Context, target string, leaf int, req SubmitRequest) (SubmitAnswer, error) {
 	var answer SubmitAnswer
-	err := c.exchange(ctx, &call{
-		target:   target,
-		method:   http.MethodPost,
-		path:     leafPath(leaf, "submit"),
-		request:  &req,
-		echo:     req.Echo,
-		answer:   &answer,
-		deadline: &req.DeadlineMS,
-		check:    func() error { return checkSubmitAnswer(&req, &answer) },
+	err := c.do(ctx, &call{
+		target:     target,
+		method:     http.MethodPost,
+		path:       leafPath(leaf, "submit"),
+		request:    &req,
+		echo:       req.Echo,
+		answer:     &answer,
+		deadlineMS: &req.DeadlineMS,
+		validate:   func() error { return checkSubmitAnswer(&req, &answer) },
 	})
 	if err != nil {
 		return SubmitAnswer{}, err
@@ -176,7 +176,7 @@
 func (c *Client) Status(ctx context.Context, target string) (Status, error) {
 	var status Status
 	c.metrics.statusReads.Inc()
-	err := c.exchange(ctx, statusCall(target, &status))
+	err := c.do(ctx, statusCall(target, &status))
 	if err != nil {
 		return Status{}, err
 	}
--- a/target/client_test.go
+++ b/target/client_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func newTestClient(t testing.TB, o Options, endpoints ...Endpoint) *Client {
 	o.Metrics = metrics.NewSet()
@@ -30,8 +30,8 @@
 	return LeafRequest{Echo: Echo{Request: "r" + strconv.Itoa(n), Snapshot: "s1"}, Kind: KindSearch, Limit: 10}
 }
 
-func soon(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -42,38 +42,38 @@
 	for name, protocol := range protocols {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := newStandIn(t, "a", 0)
+			s := newFakeTarget(t, "a", 0)
 			c := newTestClient(t, Options{Protocol: protocol}, s.endpoint(2))
-			answer, err := c.Search(soon(t), "a", 0, request(1))
+			answer, err := c.Search(testContext(t), "a", 0, request(1))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(answer.Items).To(ConsistOf(Item{Key: "r1"}))
-			submitted, err := c.Submit(soon(t), "a", 1, SubmitRequest{Echo: Echo{Request: "r2"}, Key: "k"})
+			submitted, err := c.Submit(testContext(t), "a", 1, SubmitRequest{Echo: Echo{Request: "r2"}, Key: "k"})
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(submitted.Key).To(Equal("k"))
-			_, err = c.Search(soon(t), "b", 0, request(3))
+			_, err = c.Search(testContext(t), "b", 0, request(3))
 			g.Expect(err).To(HaveField("Kind", ErrorUnknownTarget))
 		})
 	}
 }
 
 // A share of two is opened ahead of the calls, and no more than that.
-func TestShareIsWarmedAndNeverExceeded(t *testing.T) {
+func TestShareIsOpenedAheadAndNeverExceeded(t *testing.T) {
 	for name, protocol := range protocols {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := newStandIn(t, "a", 0)
+			s := newFakeTarget(t, "a", 0)
 			hold := make(chan struct{})
-			s.onSearch(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
+			s.setSearchHandler(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
 				<-hold
 				answerSearch(w, r, req)
 			})
-			c := newTestClient(t, Options{Protocol: protocol, MaxWait: patience}, s.endpoint(2))
+			c := newTestClient(t, Options{Protocol: protocol, MaxWait: testTimeout}, s.endpoint(2))
 			opened := func() int { _, open, _, _ := s.counts(); return open }
-			g.Eventually(opened, patience).Should(Equal(2))
+			g.Eventually(opened, testTimeout).Should(Equal(2))
 			var calls sync.WaitGroup
 			for i := range 20 {
 				calls.Go(func() {
-					_, err := c.Search(soon(t), "a", 0, request(i))
+					_, err := c.Search(testContext(t), "a", 0, request(i))
 					g.Expect(err).NotTo(HaveOccurred())
 				})
 			}
@@ -85,42 +85,42 @@
 	}
 }
 
-// sinkRecord keeps what a Sink was told, as one word each.
-type sinkRecord struct {
-	mu    sync.Mutex // guards words
-	words []string
+// recordingSink keeps what a Sink was told, as one word each.
+type recordingSink struct {
+	mu      sync.Mutex // guards words
+	entries []string
 }
 
-func (s *sinkRecord) add(words ...string) {
+func (s *recordingSink) record(words ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.words = append(s.words, strings.Join(words, " "))
+	s.entries = append(s.entries, strings.Join(words, " "))
 }
 
-func (s *sinkRecord) all() []string {
+func (s *recordingSink) recorded() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.words...)
+	return append([]string(nil), s.entries...)
 }
 
-func (s *sinkRecord) TargetStatus(target string, status Status, _ time.Time) {
-	s.add("status", target, string(status.State))
+func (s *recordingSink) TargetStatus(target string, status Status, _ time.Time) {
+	s.record("status", target, string(status.State))
 }
-func (s *sinkRecord) TargetFailed(target string, _ error, _ time.Time) { s.add("failed", target) }
-func (s *sinkRecord) TargetState(target, incarnation string, state State, _ time.Time) {
-	s.add("state", target, incarnation, string(state))
+func (s *recordingSink) TargetFailed(target string, _ error, _ time.Time) { s.record("failed", target) }
+func (s *recordingSink) TargetState(target, incarnation string, state State, _ time.Time) {
+	s.record("state", target, incarnation, string(state))
 }
 
-func TestMonitorTellsStatusAndFailure(t *testing.T) {
+func TestMonitorReportsStatusAndFailure(t *testing.T) {
 	g := NewWithT(t)
-	s := newStandIn(t, "a", 0)
-	sink := &sinkRecord{}
+	s := newFakeTarget(t, "a", 0)
+	sink := &recordingSink{}
 	down := Endpoint{Name: "down", Address: "127.0.0.1:1", Connections: 1, HealthInterval: 20 * time.Millisecond}
 	endpoints := []Endpoint{s.endpoint(1), down}
 	c := newTestClient(t, Options{Sink: sink}, endpoints...)
 	m := NewMonitor(MonitorOptions{Reader: c, Sink: sink})
 	m.Start()
 	m.Apply(endpoints)
-	g.Eventually(sink.all, patience).Should(ContainElements("status a serving", "state a one serving", "failed down"))
+	g.Eventually(sink.recorded, testTimeout).Should(ContainElements("status a serving", "state a one serving", "failed down"))
 	g.Expect(m.Stop()).To(Succeed())
 }
--- a/target/conn.go
+++ b/target/conn.go
@@ -15,48 +15,48 @@
 	http *http.ClientConn
 	wire *wireConn
 
-	calls      int       // that hold this connection
-	retiring   bool      // takes no new call and closes once idle
-	probing    bool      // a probe is under way
-	silent     bool      // closes at once
-	closing    bool      // counts until the target has closed it too
-	unanswered time.Time // start of the first call since the last byte received
+	calls        int       // that hold this connection
+	retiring     bool      // takes no new call and closes once idle
+	probing      bool      // a probe is under way
+	silent       bool      // closes at once
+	closing      bool      // counts until the target has closed it too
+	waitingSince time.Time // start of the first call since the last byte received
 }
 
-// suspect reports that a call has waited for longer than after while nothing
+// isSuspect reports that a call has waited for longer than after while nothing
 // at all was received. A connection that something between the two ends has
 // lost track of looks like that: writes succeed, and no FIN or RST ever comes.
 // So does a connection whose only call is slow; being passed over until the
 // next byte does not harm it, and a probe tells the two apart.
-func (c *conn) suspect(now time.Time, after time.Duration) bool {
-	return c.awaitsByte() && now.Sub(c.unanswered) > after
+func (c *conn) isSuspect(now time.Time, after time.Duration) bool {
+	return c.awaitsData() && now.Sub(c.waitingSince) > after
 }
 
-// awaitsByte reports that nothing was received since a call began. It stays
+// awaitsData reports that nothing was received since a call began. It stays
 // true when that call is given up, because that says nothing about the wire.
-func (c *conn) awaitsByte() bool {
-	return c.unanswered.After(c.wire.lastRead())
+func (c *conn) awaitsData() bool {
+	return c.waitingSince.After(c.wire.lastRead())
 }
 
 // wireConn is a net.Conn that knows when it last received something.
 type wireConn struct {
 	net.Conn
-	read atomic.Int64 // time of the last read, in ns since the epoch
+	lastReadNanos atomic.Int64 // time of the last read, in ns since the epoch
 }
 
 func newWireConn(inner net.Conn) *wireConn {
 	w := &wireConn{Conn: inner}
-	w.read.Store(time.Now().UnixNano())
+	w.lastReadNanos.Store(time.Now().UnixNano())
 	return w
 }
 
-func (w *wireConn) lastRead() time.Time { return time.Unix(0, w.read.Load()) }
+func (w *wireConn) lastRead() time.Time { return time.Unix(0, w.lastReadNanos.Load()) }
 
 // Read implements net.Conn.
 func (w *wireConn) Read(p []byte) (int, error) {
 	n, err := w.Conn.Read(p)
 	if n > 0 {
-		w.read.Store(time.Now().UnixNano())
+		w.lastReadNanos.Store(time.Now().UnixNano())
 	}
 	return n, err
 }
@@ -70,8 +70,8 @@
 	return w.Conn.Close()
 }
 
-// awaitEnd reads until the other end has closed, for at most limit.
-func (w *wireConn) awaitEnd(limit time.Duration) {
+// awaitRemoteClose reads until the other end has closed, for at most limit.
+func (w *wireConn) awaitRemoteClose(limit time.Duration) {
 	_ = w.Conn.SetReadDeadline(time.Now().Add(limit))
 	_, _ = io.Copy(io.Discard, w.Conn)
 }
@@ -94,7 +94,7 @@
 	return w, nil
 }
 
-const maxAnswerHeader = 16 << 10
+const maxAnswerHeaderBytes = 16 << 10
 
 // newTransport returns the transport that opens the connections of a Client.
 // Its own pool, with its replays and unbounded dials, stays unused.
@@ -109,7 +109,7 @@
 		DialContext:            dialWire,
 		Protocols:              protocols,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxAnswerHeader,
+		MaxResponseHeaderBytes: maxAnswerHeaderBytes,
 		HTTP2: &http.HTTP2Config{
 			SendPingTimeout:  o.PingAfter,
 			PingTimeout:      o.ProbeTimeout,
@@ -118,16 +118,16 @@
 	}
 }
 
-// closeLinger bounds the wait for the other end to close a connection too.
-const closeLinger = 200 * time.Millisecond
+// maxCloseWait bounds the wait for the other end to close a connection too.
+const maxCloseWait = 200 * time.Millisecond
 
-// shut closes the connection; calls still on it fail. It returns once the
+// close closes the connection; calls still on it fail. It returns once the
 // target has closed its end: until then the target counts the connection, and
 // a new one in its place could be one above the target's limit.
-func (c *conn) shut(inHaste bool) {
+func (c *conn) close(inHaste bool) {
 	_ = c.http.Close()
 	if !inHaste {
-		c.wire.awaitEnd(closeLinger)
+		c.wire.awaitRemoteClose(maxCloseWait)
 	}
 	_ = c.wire.Conn.Close()
 }
--- a/target/failure_test.go
+++ b/target/failure_test.go
@@ -16,10 +16,10 @@
 
 // forProtocols runs a test over both protocols, each with a target "a" and a
 // client that is allowed some connections to it, all of them open.
-func forProtocols(t *testing.T, connections int, o Options, test func(g *WithT, s *standIn, c *Client)) {
+func forProtocols(t *testing.T, connections int, o Options, test func(g *WithT, s *fakeTarget, c *Client)) {
 	for name, protocol := range protocols {
 		t.Run(name, func(t *testing.T) {
-			s := newStandIn(t, "a", 0)
+			s := newFakeTarget(t, "a", 0)
 			o.Protocol = protocol
 			c := newTestClient(t, o, s.endpoint(connections))
 			waitOpen(c, connections)
@@ -28,24 +28,24 @@
 	}
 }
 
-func within(limit time.Duration, c *Client, n int) (LeafAnswer, error) {
+func searchWithin(limit time.Duration, c *Client, n int) (LeafAnswer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	return c.Search(ctx, "a", 0, request(n))
 }
 
-// holdOne sends a search that the target runs until finish is closed.
-func (s *standIn) holdOne(g *WithT, c *Client) (done chan error, finish chan struct{}) {
+// startBlockedSearch sends a search that the target runs until finish is closed.
+func (s *fakeTarget) startBlockedSearch(g *WithT, c *Client) (done chan error, finish chan struct{}) {
 	began := make(chan struct{}, 1)
 	done, finish = make(chan error, 1), make(chan struct{})
-	s.onSearch(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
+	s.setSearchHandler(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
 		began <- struct{}{}
 		<-finish
 		answerSearch(w, r, req)
 	})
-	go func() { _, err := within(patience, c, 1); done <- err }()
-	g.Eventually(began, patience).Should(Receive())
-	s.onSearch(answerSearch)
+	go func() { _, err := searchWithin(testTimeout, c, 1); done <- err }()
+	g.Eventually(began, testTimeout).Should(Receive())
+	s.setSearchHandler(answerSearch)
 	return done, finish
 }
 
@@ -58,21 +58,21 @@
 // connection closed while idle and sent the report again by itself. The
 // control shows that this really happens to a request that can be rewound.
 func TestSubmitIsNeverReplayed(t *testing.T) {
-	forProtocols(t, 2, Options{}, func(g *WithT, s *standIn, c *Client) {
-		s.onSubmit(func() { s.forLegs(cut) })
-		_, err := c.Submit(soon(t), "a", 0, SubmitRequest{Key: "k"})
+	forProtocols(t, 2, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
+		s.setAfterSubmit(func() { s.forEachConn(breakConn) })
+		_, err := c.Submit(testContext(t), "a", 0, SubmitRequest{Key: "k"})
 		g.Expect(err).To(And(HaveField("Kind", ErrorBroken), HaveField("NotStarted", false)))
-		g.Eventually(func() error { _, err := c.Status(soon(t), "a"); return err }, patience).Should(Succeed())
+		g.Eventually(func() error { _, err := c.Status(testContext(t), "a"); return err }, testTimeout).Should(Succeed())
 		_, _, _, submits := s.counts()
 		g.Expect(submits).To(Equal(1))
 	})
 	t.Run("control", func(t *testing.T) {
 		g := NewWithT(t)
-		s := newStandIn(t, "a", 0)
+		s := newFakeTarget(t, "a", 0)
 		plain := &http.Transport{}
 		defer plain.CloseIdleConnections()
 		send := func() {
-			req, err := http.NewRequestWithContext(soon(t), http.MethodPost, "http://"+s.address+leafPath(0, "submit"), bytes.NewReader([]byte("{}")))
+			req, err := http.NewRequestWithContext(testContext(t), http.MethodPost, "http://"+s.address+leafPath(0, "submit"), bytes.NewReader([]byte("{}")))
 			g.Expect(err).NotTo(HaveOccurred())
 			req.Header.Set("Idempotency-Key", "k")
 			if resp, err := plain.RoundTrip(req); err == nil {
@@ -81,7 +81,7 @@
 			}
 		}
 		send()
-		s.onSubmit(func() { s.forLegs(cut) })
+		s.setAfterSubmit(func() { s.forEachConn(breakConn) })
 		send()
 		_, _, _, submits := s.counts()
 		g.Expect(submits).To(BeNumerically(">", 2))
@@ -91,7 +91,7 @@
 // A caller was told that its report was not run, and it was. The call ended
 // while a goroutine of net/http was still about to write the request, which
 // then went out. Sealing the body settles it: read first, or never read.
-func TestBodyIsHandedOutOrSealed(t *testing.T) {
+func TestBodyIsReadOrSealed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := newRequestBody([]byte("report"))
 		handed, sealed := false, false
@@ -117,18 +117,18 @@
 // crossed, and was taken for the answer to the next request. Both calls here
 // get an answer made for the other; neither may see it, and the connection
 // that carried it must not carry another call.
-func TestCrossedAnswersAreDropped(t *testing.T) {
-	forProtocols(t, 1, Options{}, func(g *WithT, s *standIn, c *Client) {
-		s.onSearch(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
+func TestMismatchedAnswersAreRejected(t *testing.T) {
+	forProtocols(t, 1, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
+		s.setSearchHandler(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
 			crossed := req
 			crossed.Attempt++
 			answerSearch(w, r, crossed)
 		})
-		_, err := c.Search(soon(t), "a", 0, request(1))
+		_, err := c.Search(testContext(t), "a", 0, request(1))
 		g.Expect(err).To(HaveField("Kind", ErrorMismatched))
 		g.Expect(counter(c, "mismatched_answers_total")()).To(BeEquivalentTo(1))
-		s.onSearch(answerSearch)
-		g.Eventually(func() error { _, err := c.Search(soon(t), "a", 0, request(2)); return err }, patience).Should(Succeed())
+		s.setSearchHandler(answerSearch)
+		g.Eventually(func() error { _, err := c.Search(testContext(t), "a", 0, request(2)); return err }, testTimeout).Should(Succeed())
 		accepts, _, maxOpen, _ := s.counts()
 		g.Expect([]int{accepts, maxOpen}).To(Equal([]int{2, 1}))
 	})
@@ -137,20 +137,20 @@
 // A target refuses other VMs' connections. This VM had closed one and opened
 // another in its place, but the busy target had not yet noticed the close and
 // counted both. The place is free only once the target has closed its end.
-func TestReplacementWaitsForTheTargetsClose(t *testing.T) {
+func TestReplacementWaitsForTargetClose(t *testing.T) {
 	for name, protocol := range protocols {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := newStandIn(t, "a", 0)
-			s.closeLag = 30 * time.Millisecond
+			s := newFakeTarget(t, "a", 0)
+			s.closeDelay = 30 * time.Millisecond
 			c := newTestClient(t, Options{Protocol: protocol}, s.endpoint(1))
 			waitOpen(c, 1)
 			for n := range 3 {
-				s.onSearch(func(w http.ResponseWriter, r *http.Request, _ LeafRequest) { answerSearch(w, r, LeafRequest{}) })
-				_, err := c.Search(soon(t), "a", 0, request(n))
+				s.setSearchHandler(func(w http.ResponseWriter, r *http.Request, _ LeafRequest) { answerSearch(w, r, LeafRequest{}) })
+				_, err := c.Search(testContext(t), "a", 0, request(n))
 				g.Expect(err).To(HaveField("Kind", ErrorMismatched))
-				s.onSearch(answerSearch)
-				g.Eventually(func() error { _, err := c.Search(soon(t), "a", 0, request(n)); return err }, patience).Should(Succeed())
+				s.setSearchHandler(answerSearch)
+				g.Eventually(func() error { _, err := c.Search(testContext(t), "a", 0, request(n)); return err }, testTimeout).Should(Succeed())
 			}
 			accepts, _, maxOpen, _ := s.counts()
 			g.Expect([]int{accepts, maxOpen}).To(Equal([]int{4, 1}))
@@ -160,20 +160,20 @@
 
 // The same over HTTP/1.1, where something on the way repeats an answer: the
 // copy waits in the connection when the next request is sent.
-func TestDuplicateAnswerIsDropped(t *testing.T) {
+func TestDuplicateAnswerIsRejected(t *testing.T) {
 	g := NewWithT(t)
-	s := newStandIn(t, "a", 0)
+	s := newFakeTarget(t, "a", 0)
 	c := newTestClient(t, Options{Protocol: HTTP1}, s.endpoint(1))
 	waitOpen(c, 1)
-	s.forLegs(func(l *leg) { l.twice.Store(true) })
+	s.forEachConn(func(l *serverConn) { l.duplicateWrites.Store(true) })
 	for n := range 5 {
 		g.Eventually(func() error {
-			answer, err := c.Search(soon(t), "a", 0, request(n))
+			answer, err := c.Search(testContext(t), "a", 0, request(n))
 			if err == nil {
 				g.Expect(answer.Echo).To(Equal(request(n).Echo))
 			}
 			return err
-		}, patience).Should(Succeed())
+		}, testTimeout).Should(Succeed())
 	}
 }
 
@@ -181,19 +181,19 @@
 // time left, and a cancelled call ends at the target; over HTTP/2 it costs no
 // connection.
 func TestDeadlineAndCancellationReachTheTarget(t *testing.T) {
-	forProtocols(t, 1, Options{}, func(g *WithT, s *standIn, c *Client) {
+	forProtocols(t, 1, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		limits, ended := make(chan int64, 1), make(chan struct{})
-		s.onSearch(func(_ http.ResponseWriter, r *http.Request, req LeafRequest) {
+		s.setSearchHandler(func(_ http.ResponseWriter, r *http.Request, req LeafRequest) {
 			limits <- req.DeadlineMS
 			<-r.Context().Done()
 			close(ended)
 		})
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		failed := make(chan error, 1)
 		go func() { _, err := c.Search(ctx, "a", 0, request(1)); failed <- err }()
-		g.Expect(<-limits).To(BeNumerically("~", patience.Milliseconds(), 5000))
+		g.Expect(<-limits).To(BeNumerically("~", testTimeout.Milliseconds(), 5000))
 		cancel()
-		g.Eventually(ended, patience).Should(BeClosed())
+		g.Eventually(ended, testTimeout).Should(BeClosed())
 		g.Expect(<-failed).To(And(HaveField("Kind", ErrorCancelled), HaveField("NotStarted", false)))
 		if c.opts.Protocol == HTTP2 {
 			g.Expect(counter(c, "connections_opened_total")()).To(BeEquivalentTo(1))
@@ -210,7 +210,7 @@
 	g.Expect(listener.Close()).To(Succeed())
 	c := newTestClient(t, Options{}, down, Endpoint{Name: "none", Address: down.Address})
 	for target, kind := range map[string]ErrorKind{"down": ErrorUnreachable, "none": ErrorBusy, "gone": ErrorUnknownTarget} {
-		_, err := c.Submit(soon(t), target, 0, SubmitRequest{Key: "k"})
+		_, err := c.Submit(testContext(t), target, 0, SubmitRequest{Key: "k"})
 		g.Expect(err).To(And(HaveField("Kind", kind), HaveField("NotStarted", true)), target)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -240,14 +240,14 @@
 		"other's refusal":  {503, `{"reason":"shed","not_started":true,"echo":{"request":"r9"}}`, CallError{Kind: ErrorMismatched}},
 		"refusal unclear":  {503, `busy`, CallError{Kind: ErrorMalformed}},
 	}
-	forProtocols(t, 1, Options{MaxAnswer: 1000, MaxWait: patience}, func(g *WithT, s *standIn, c *Client) {
+	forProtocols(t, 1, Options{MaxAnswerBytes: 1000, MaxWait: testTimeout}, func(g *WithT, s *fakeTarget, c *Client) {
 		for name, k := range cases {
-			s.onSearch(func(w http.ResponseWriter, _ *http.Request, _ LeafRequest) {
+			s.setSearchHandler(func(w http.ResponseWriter, _ *http.Request, _ LeafRequest) {
 				w.Header().Set(HeaderIncarnation, "one")
 				w.WriteHeader(k.status)
 				_, _ = io.WriteString(w, k.body)
 			})
-			_, err := c.Search(soon(t), "a", 0, request(1))
+			_, err := c.Search(testContext(t), "a", 0, request(1))
 			got, ok := err.(*CallError)
 			g.Expect(ok).To(BeTrue(), name)
 			want := k.want
@@ -260,27 +260,27 @@
 // A bundle takes a target out, or moves it: its connections close once idle,
 // and the call on one of them is answered.
 func TestRemovedEndpointFinishesItsCalls(t *testing.T) {
-	forProtocols(t, 2, Options{}, func(g *WithT, s *standIn, c *Client) {
-		done, finish := s.holdOne(g, c)
+	forProtocols(t, 2, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
+		done, finish := s.startBlockedSearch(g, c)
 		c.Apply(nil)
 		open := func() int { _, open, _, _ := s.counts(); return open }
-		g.Eventually(open, patience).Should(Equal(1))
+		g.Eventually(open, testTimeout).Should(Equal(1))
 		close(finish)
 		g.Expect(<-done).NotTo(HaveOccurred())
-		g.Eventually(open, patience).Should(BeZero())
+		g.Eventually(open, testTimeout).Should(BeZero())
 	})
 }
 
 // A target refuses connections after a recall. The bundle before had taken it
 // out while calls ran there, and the recall put it back: the connections of
 // those calls still count against the share of the new ones.
-func TestEndpointPutBackKeepsItsShare(t *testing.T) {
-	forProtocols(t, 1, Options{MaxWait: patience}, func(g *WithT, s *standIn, c *Client) {
-		done, finish := s.holdOne(g, c)
+func TestReaddedEndpointKeepsItsShare(t *testing.T) {
+	forProtocols(t, 1, Options{MaxWait: testTimeout}, func(g *WithT, s *fakeTarget, c *Client) {
+		done, finish := s.startBlockedSearch(g, c)
 		c.Apply(nil)
 		c.Apply([]Endpoint{s.endpoint(1)})
 		again := make(chan error, 1)
-		go func() { _, err := c.Search(soon(t), "a", 0, request(2)); again <- err }()
+		go func() { _, err := c.Search(testContext(t), "a", 0, request(2)); again <- err }()
 		g.Consistently(func() int { _, open, _, _ := s.counts(); return open }, "50ms").Should(Equal(1))
 		close(finish)
 		g.Expect(<-done).NotTo(HaveOccurred())
@@ -293,13 +293,13 @@
 // A rolling restart of targets cuts searches off. A target that stops in good
 // order asks its clients to use no connection for new calls; what runs on them
 // must be left to end.
-func TestTargetsOrderlyStopFinishesCalls(t *testing.T) {
-	forProtocols(t, 1, Options{}, func(g *WithT, s *standIn, c *Client) {
-		done, finish := s.holdOne(g, c)
+func TestGracefulTargetShutdownFinishesCalls(t *testing.T) {
+	forProtocols(t, 1, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
+		done, finish := s.startBlockedSearch(g, c)
 		stopped := make(chan error, 1)
-		go func() { stopped <- s.server.Shutdown(soon(t)) }()
+		go func() { stopped <- s.server.Shutdown(testContext(t)) }()
 		if c.opts.Protocol == HTTP2 {
-			g.Eventually(c.pool("a").conns[0].http.Available, patience).Should(BeZero())
+			g.Eventually(c.pool("a").conns[0].http.Available, testTimeout).Should(BeZero())
 		}
 		c.pool("a").sweep()
 		close(finish)
@@ -310,23 +310,23 @@
 
 // Calls pile up behind a slow target until the VM runs out of memory. Only so
 // many wait for a connection, and only for so long; none of them was started.
-func TestWaitForAConnectionIsBounded(t *testing.T) {
+func TestWaitForConnectionIsBounded(t *testing.T) {
 	busy := And(HaveField("Kind", ErrorBusy), HaveField("NotStarted", true))
 	for name, o := range map[string]Options{
 		"time":   {Protocol: HTTP1, MaxWait: time.Millisecond},
-		"number": {Protocol: HTTP1, MaxWait: patience, MaxWaiting: 1},
+		"number": {Protocol: HTTP1, MaxWait: testTimeout, MaxWaiters: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := newStandIn(t, "a", 0)
+			s := newFakeTarget(t, "a", 0)
 			c := newTestClient(t, o, s.endpoint(1))
 			waitOpen(c, 1)
-			done, finish := s.holdOne(g, c)
-			if o.MaxWaiting > 0 {
-				go func() { _, _ = within(patience, c, 2) }()
-				g.Eventually(c.pool("a").waiting.Load, patience).Should(BeEquivalentTo(1))
+			done, finish := s.startBlockedSearch(g, c)
+			if o.MaxWaiters > 0 {
+				go func() { _, _ = searchWithin(testTimeout, c, 2) }()
+				g.Eventually(c.pool("a").numWaiting.Load, testTimeout).Should(BeEquivalentTo(1))
 			}
-			_, err := c.Search(soon(t), "a", 0, request(3))
+			_, err := c.Search(testContext(t), "a", 0, request(3))
 			g.Expect(err).To(busy)
 			close(finish)
 			g.Expect(<-done).NotTo(HaveOccurred())
@@ -345,23 +345,23 @@
 		p.setLimits(cost, &o)
 		now := time.Unix(1000, 0)
 		for _, event := range rapid.SliceOf(rapid.SampledFrom([]string{"opened", "closed", "failed"})).Draw(t, "events") {
-			before := p.next
+			before := p.notBefore
 			switch event {
 			case "opened":
 				p.opened(now)
 			case "closed":
 				p.closed(now)
-				if p.next.Before(before) {
+				if p.notBefore.Before(before) {
 					t.Fatal("a closed connection hastened the next")
 				}
 			case "failed":
 				p.failed(now)
 			}
-			wait := p.next.Sub(now)
+			wait := p.notBefore.Sub(now)
 			if wait < max(cost, o.MinPace/2) || wait > 2*max(o.MaxBackoff, p.pause) {
 				t.Fatalf("pause of %s after %s", wait, event)
 			}
-			now = p.next
+			now = p.notBefore
 		}
 	})
 }
--- a/target/keeper.go
+++ b/target/keeper.go
@@ -9,14 +9,14 @@
 	"github.com/juju/errors"
 )
 
-// idleKeeper is how long a keeper sleeps when nothing is to be done.
-const idleKeeper = time.Minute
+// idleInterval is how long a keeper sleeps when nothing is to be done.
+const idleInterval = time.Minute
 
-// keep opens the connections of the pool up to the share, one at a time and
+// maintain opens the connections of the pool up to the share, one at a time and
 // paced, replaces those that were lost and closes those that retire. It is the
 // only place that opens or closes connections, so that the share holds at all
 // times. It ends with the client, or once a retired pool is empty.
-func (p *pool) keep() error {
+func (p *pool) maintain() error {
 	ctx := p.client.tomb.Context(context.Background())
 	for {
 		p.sweep()
@@ -35,7 +35,7 @@
 			timer.Stop()
 			p.closeAll()
 			return nil
-		case <-p.kick:
+		case <-p.wakeup:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -47,54 +47,54 @@
 func (p *pool) plan(now time.Time) (due time.Duration, done bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	due = p.nextLook(now)
+	due = p.nextSuspectCheck(now)
 	if p.retired {
-		p.ended = len(p.conns) == 0
-		return due, p.ended
+		p.stopped = len(p.conns) == 0
+		return due, p.stopped
 	}
-	if p.wantsMore(now) {
-		due = min(due, p.pace.next.Sub(now))
+	if p.needsConn(now) {
+		due = min(due, p.pacer.notBefore.Sub(now))
 	}
 	return due, false
 }
 
-// nextLook returns the time until a connection may have become suspect. p.mu
+// nextSuspectCheck returns the time until a connection may have become suspect. p.mu
 // must be held.
-func (p *pool) nextLook(now time.Time) time.Duration {
+func (p *pool) nextSuspectCheck(now time.Time) time.Duration {
 	if !p.watching {
-		return idleKeeper
+		return idleInterval
 	}
 	after := p.client.opts.SuspectAfter
 	due := after
 	for _, cn := range p.conns {
-		if wait := cn.unanswered.Add(after).Sub(now); wait > 0 && cn.awaitsByte() {
+		if wait := cn.waitingSince.Add(after).Sub(now); wait > 0 && cn.awaitsData() {
 			due = min(due, wait)
 		}
 	}
 	return max(due, time.Millisecond)
 }
 
-// wantsMore reports whether a connection is to be opened. Those that went silent
+// needsConn reports whether a connection is to be opened. Those that went silent
 // keep their places in the share for a while, but never the last one: a target
 // that has forgotten them, as most soon do, must not go without calls. p.mu
 // must be held.
-func (p *pool) wantsMore(now time.Time) bool {
-	for len(p.lost) > 0 && now.Sub(p.lost[0]) > p.client.opts.SilentHold {
-		p.lost = p.lost[1:]
+func (p *pool) needsConn(now time.Time) bool {
+	for len(p.silentTimes) > 0 && now.Sub(p.silentTimes[0]) > p.client.opts.SilentHold {
+		p.silentTimes = p.silentTimes[1:]
 	}
-	if len(p.conns) >= max(p.endpoint.Connections-len(p.lost), 1) {
+	if len(p.conns) >= max(p.endpoint.Connections-len(p.silentTimes), 1) {
 		return false
 	}
-	return p.client.opts.Protocol == HTTP1 || p.usable() < p.client.opts.MaxOpen
+	return p.client.opts.Protocol == HTTP1 || p.countUsable() < p.client.opts.MaxOpen
 }
 
-// usable counts the connections that take calls. Those on which the last calls
+// countUsable counts the connections that take calls. Those on which the last calls
 // end, or that are full, are not among them and need a replacement. p.mu must
 // be held.
-func (p *pool) usable() int {
+func (p *pool) countUsable() int {
 	count := 0
 	for _, cn := range p.conns {
-		if p.hasRoom(cn) {
+		if p.hasCapacity(cn) {
 			count++
 		}
 	}
@@ -127,7 +127,7 @@
 func (p *pool) remove(cn *conn) {
 	p.mu.Lock()
 	p.conns = slices.DeleteFunc(p.conns, func(other *conn) bool { return other == cn })
-	p.pace.closed(time.Now())
+	p.pacer.closed(time.Now())
 	p.mu.Unlock()
 	p.wake()
 }
@@ -151,7 +151,7 @@
 	p.mu.Lock()
 	inHaste = inHaste || cn.silent
 	p.mu.Unlock()
-	cn.shut(inHaste)
+	cn.close(inHaste)
 	p.client.metrics.closed.Inc()
 }
 
@@ -159,7 +159,7 @@
 	p.mu.Lock()
 	conns := slices.DeleteFunc(slices.Clone(p.conns), func(cn *conn) bool { return cn.closing })
 	p.retired = true
-	p.ended = true
+	p.stopped = true
 	p.failWaiters()
 	p.mu.Unlock()
 	for _, cn := range conns {
@@ -170,24 +170,24 @@
 // open opens one connection and puts it into the pool.
 func (p *pool) open(ctx context.Context) {
 	select {
-	case p.client.dials <- struct{}{}:
+	case p.client.dialSlots <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
 	cn, err := p.dial(ctx)
-	<-p.client.dials
+	<-p.client.dialSlots
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lastErr = err
+	p.lastDialErr = err
 	if err != nil {
 		p.client.metrics.dialErrors.Inc()
-		p.pace.failed(time.Now())
+		p.pacer.failed(time.Now())
 		if len(p.conns) == 0 {
 			p.failWaiters()
 		}
 		return
 	}
-	p.pace.opened(time.Now())
+	p.pacer.opened(time.Now())
 	p.conns = append(p.conns, cn)
 	p.serveWaiters()
 }
@@ -210,7 +210,7 @@
 	cn.http = cc
 	p.client.metrics.opened.Inc()
 	var status Status
-	if callErr := p.client.exchangeOn(ctx, cn, statusCall(p.name, &status)); callErr != nil {
+	if callErr := p.client.roundTrip(ctx, cn, statusCall(p.name, &status)); callErr != nil {
 		p.close(cn, callErr.Kind == ErrorDeadline)
 		return nil, errors.Annotatef(callErr, "warming up a connection to %s", p.address)
 	}
@@ -221,7 +221,7 @@
 // stateChanged wakes the keeper when a connection is lost or has room for a
 // waiting call. It must not take p.mu, which callers of its ClientConn hold.
 func (p *pool) stateChanged(cc *http.ClientConn) {
-	if cc.Err() != nil || p.waiting.Load() > 0 {
+	if cc.Err() != nil || p.numWaiting.Load() > 0 {
 		p.wake()
 	}
 }
--- a/target/metrics.go
+++ b/target/metrics.go
@@ -6,8 +6,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// instruments are the metrics of a Client.
-type instruments struct {
+// clientMetrics are the metrics of a Client.
+type clientMetrics struct {
 	set         *metrics.Set
 	calls       *metrics.Counter // handed to a connection, status reads included
 	opened      *metrics.Counter
@@ -18,8 +18,8 @@
 	statusReads *metrics.Counter
 }
 
-func newInstruments(set *metrics.Set) *instruments {
-	return &instruments{
+func newClientMetrics(set *metrics.Set) *clientMetrics {
+	return &clientMetrics{
 		set:         set,
 		calls:       set.GetOrCreateCounter("bramley_target_calls_total"),
 		opened:      set.GetOrCreateCounter("bramley_target_connections_opened_total"),
@@ -31,7 +31,7 @@
 	}
 }
 
-func (m *instruments) callFailed(kind ErrorKind) {
+func (m *clientMetrics) callFailed(kind ErrorKind) {
 	name := fmt.Sprintf("bramley_target_call_errors_total{kind=%q}", kind)
 	m.set.GetOrCreateCounter(name).Inc()
 }
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -37,23 +37,23 @@
 // Monitor reads the status of each endpoint at its interval and tells the Sink.
 // A pool of workers does the reads; one target is never read twice at once.
 type Monitor struct {
-	opts MonitorOptions
-	tomb tomb.Tomb
-	work chan *watched
-	kick chan struct{} // wakes the scheduler
+	opts   MonitorOptions
+	tomb   tomb.Tomb
+	work   chan *polledEndpoint
+	wakeup chan struct{} // wakes the scheduler
 
 	mu      sync.Mutex // guards what follows and the fields of each watched
-	targets map[string]*watched
+	targets map[string]*polledEndpoint
 }
 
-// watched is an endpoint whose status is read.
-type watched struct {
-	endpoint Endpoint
-	due      time.Time
-	last     time.Time     // end of the last read
-	calm     time.Duration // between reads if others tell of the target; 0 if not
-	reading  bool
-	gone     bool // no longer in force; what is read of it is dropped
+// polledEndpoint is an endpoint whose status is read.
+type polledEndpoint struct {
+	endpoint     Endpoint
+	nextRead     time.Time
+	lastRead     time.Time     // end of the last read
+	readInterval time.Duration // between reads if others tell of the target; 0 if not
+	reading      bool
+	removed      bool // no longer in force; what is read of it is dropped
 }
 
 // NewMonitor returns a monitor without endpoints.
@@ -61,12 +61,12 @@
 	if opts.Log == nil {
 		opts.Log = logging.Discard()
 	}
-	defaults.Set(&opts.Workers, defaultMonitorWorkers)
+	defaults.SetIfZero(&opts.Workers, defaultMonitorWorkers)
 	return &Monitor{
 		opts:    opts,
-		work:    make(chan *watched),
-		kick:    make(chan struct{}, 1),
-		targets: make(map[string]*watched),
+		work:    make(chan *polledEndpoint),
+		wakeup:  make(chan struct{}, 1),
+		targets: make(map[string]*polledEndpoint),
 	}
 }
 
@@ -74,7 +74,7 @@
 func (m *Monitor) Start() {
 	m.tomb.Go(m.schedule)
 	for range m.opts.Workers {
-		m.tomb.Go(m.readAll)
+		m.tomb.Go(m.runWorker)
 	}
 }
 
@@ -91,22 +91,22 @@
 func (m *Monitor) Apply(endpoints []Endpoint) {
 	m.mu.Lock()
 	old := m.targets
-	m.targets = make(map[string]*watched, len(endpoints))
+	m.targets = make(map[string]*polledEndpoint, len(endpoints))
 	now := time.Now()
 	for _, e := range endpoints {
 		w := old[e.Name]
 		if w == nil || w.endpoint.Address != e.Address {
-			w = &watched{due: now.Add(jitter(firstRead(e)))}
+			w = &polledEndpoint{nextRead: now.Add(jitter(firstReadDelay(e)))}
 		}
 		w.endpoint = withHealthDefaults(e)
-		if e.Connections > 0 && w.calm > 0 {
-			w.calm = 0
-			w.due = now.Add(jitter(firstReadSpread))
+		if e.Connections > 0 && w.readInterval > 0 {
+			w.readInterval = 0
+			w.nextRead = now.Add(jitter(firstReadSpread))
 		}
 		m.targets[e.Name] = w
 	}
 	for name, w := range old {
-		w.gone = m.targets[name] != w
+		w.removed = m.targets[name] != w
 	}
 	m.mu.Unlock()
 	m.wake()
@@ -115,15 +115,15 @@
 const (
 	// firstReadSpread keeps the first reads of all targets from starting at once.
 	firstReadSpread = 20 * time.Millisecond
-	// firstToldSpread leaves other VMs time to tell of targets.
-	firstToldSpread = 400 * time.Millisecond
+	// firstReadSpreadNoShare leaves other VMs time to tell of targets.
+	firstReadSpreadNoShare = 400 * time.Millisecond
 )
 
-func firstRead(e Endpoint) time.Duration {
+func firstReadDelay(e Endpoint) time.Duration {
 	if e.Connections > 0 {
 		return firstReadSpread
 	}
-	return firstToldSpread
+	return firstReadSpreadNoShare
 }
 
 // Relax makes a target be read only every so often, because another VM has just
@@ -136,10 +136,10 @@
 	if w == nil || w.endpoint.Connections > 0 {
 		return
 	}
-	if before := w.calm; (before == 0) != (every == 0) {
-		w.due = time.Now().Add(jitter(max(every, w.endpoint.HealthInterval)))
+	if before := w.readInterval; (before == 0) != (every == 0) {
+		w.nextRead = time.Now().Add(jitter(max(every, w.endpoint.HealthInterval)))
 	}
-	w.calm = every
+	w.readInterval = every
 }
 
 // Hurry makes a target be read soon, because something contradicts what is known
@@ -151,22 +151,22 @@
 		m.mu.Unlock()
 		return
 	}
-	if soon := w.last.Add(jitter(w.endpoint.HealthInterval)); soon.Before(w.due) {
-		w.due = soon
+	if soon := w.lastRead.Add(jitter(w.endpoint.HealthInterval)); soon.Before(w.nextRead) {
+		w.nextRead = soon
 	}
 	m.mu.Unlock()
 	m.wake()
 }
 
 func withHealthDefaults(e Endpoint) Endpoint {
-	defaults.Set(&e.HealthInterval, defaultHealthInterval)
-	defaults.Set(&e.HealthTimeout, defaultHealthTimeout)
+	defaults.SetIfZero(&e.HealthInterval, defaultHealthInterval)
+	defaults.SetIfZero(&e.HealthTimeout, defaultHealthTimeout)
 	return e
 }
 
 func (m *Monitor) wake() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -174,7 +174,7 @@
 // schedule hands each target that is due to a worker.
 func (m *Monitor) schedule() error {
 	for {
-		w, wait := m.next(time.Now())
+		w, wait := m.nextDue(time.Now())
 		if w != nil {
 			select {
 			case m.work <- w:
@@ -186,7 +186,7 @@
 		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
-		case <-m.kick:
+		case <-m.wakeup:
 		case <-m.tomb.Dying():
 			timer.Stop()
 			return nil
@@ -195,48 +195,48 @@
 	}
 }
 
-// next marks the target that has been due for longest as being read and returns
+// nextDue marks the target that has been due for longest as being read and returns
 // it, or returns the time until one is due.
-func (m *Monitor) next(now time.Time) (*watched, time.Duration) {
+func (m *Monitor) nextDue(now time.Time) (*polledEndpoint, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var first *watched
+	var first *polledEndpoint
 	for _, w := range m.targets {
-		if !w.reading && (first == nil || w.due.Before(first.due)) {
+		if !w.reading && (first == nil || w.nextRead.Before(first.nextRead)) {
 			first = w
 		}
 	}
 	if first == nil {
-		return nil, idleKeeper
+		return nil, idleInterval
 	}
-	if wait := first.due.Sub(now); wait > 0 {
+	if wait := first.nextRead.Sub(now); wait > 0 {
 		return nil, wait
 	}
 	first.reading = true
 	return first, 0
 }
 
-// readAll is a worker.
-func (m *Monitor) readAll() error {
+// runWorker is a worker.
+func (m *Monitor) runWorker() error {
 	for {
 		select {
 		case w := <-m.work:
-			m.read(w)
+			m.readStatus(w)
 		case <-m.tomb.Dying():
 			return nil
 		}
 	}
 }
 
-// read reads one status, within the endpoint's timeout, and tells the sink.
-func (m *Monitor) read(w *watched) {
+// readStatus reads one status, within the endpoint's timeout, and tells the sink.
+func (m *Monitor) readStatus(w *polledEndpoint) {
 	m.mu.Lock()
 	e := w.endpoint
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(m.tomb.Context(context.Background()), e.HealthTimeout)
 	status, err := m.opts.Reader.Status(ctx, e.Name)
 	cancel()
-	if !m.finished(w) {
+	if !m.finishRead(w) {
 		return
 	}
 	now := time.Now()
@@ -248,14 +248,14 @@
 	m.opts.Sink.TargetStatus(e.Name, status, now)
 }
 
-// finished sets the time of the next read and reports whether the result of
+// finishRead sets the time of the next read and reports whether the result of
 // this one still counts.
-func (m *Monitor) finished(w *watched) bool {
+func (m *Monitor) finishRead(w *polledEndpoint) bool {
 	m.mu.Lock()
 	w.reading = false
-	w.last = time.Now()
-	w.due = w.last.Add(jitter(max(w.calm, w.endpoint.HealthInterval)))
-	counts := !w.gone
+	w.lastRead = time.Now()
+	w.nextRead = w.lastRead.Add(jitter(max(w.readInterval, w.endpoint.HealthInterval)))
+	counts := !w.removed
 	m.mu.Unlock()
 	m.wake()
 	return counts && m.tomb.Alive()
--- a/target/monitor_test.go
+++ b/target/monitor_test.go
@@ -8,24 +8,24 @@
 	. "github.com/onsi/gomega"
 )
 
-// countedReads is a reader and sink that counts.
-type countedReads struct{ reads chan string }
+// countingReader is a reader and sink that counts.
+type countingReader struct{ reads chan string }
 
-func (c countedReads) Status(_ context.Context, name string) (Status, error) {
+func (c countingReader) Status(_ context.Context, name string) (Status, error) {
 	c.reads <- name
 	return Status{Target: name}, nil
 }
-func (countedReads) TargetStatus(string, Status, time.Time)       {}
-func (countedReads) TargetFailed(string, error, time.Time)        {}
-func (countedReads) TargetState(string, string, State, time.Time) {}
+func (countingReader) TargetStatus(string, Status, time.Time)       {}
+func (countingReader) TargetFailed(string, error, time.Time)        {}
+func (countingReader) TargetState(string, string, State, time.Time) {}
 
-// TestToldTargetsAreReadSeldom: others tell of a target that this VM has no
+// TestReportedTargetsAreReadRarely: others tell of a target that this VM has no
 // connections to, so it is not read again until something contradicts what was
 // told, or this VM gets connections of its own. If it went on reading, each VM
 // would read every target.
-func TestToldTargetsAreReadSeldom(t *testing.T) {
+func TestReportedTargetsAreReadRarely(t *testing.T) {
 	g := NewWithT(t)
-	c := countedReads{make(chan string, 100)}
+	c := countingReader{make(chan string, 100)}
 	m := NewMonitor(MonitorOptions{Reader: c, Sink: c})
 	e := Endpoint{Name: "t", HealthInterval: 10 * time.Millisecond}
 	m.Apply([]Endpoint{e})
@@ -33,7 +33,7 @@
 	m.Start()
 	defer m.Stop()
 	m.mu.Lock()
-	calm := time.Until(m.targets["t"].due)
+	calm := time.Until(m.targets["t"].nextRead)
 	m.mu.Unlock()
 	g.Expect(calm).To(BeNumerically(">", time.Minute))
 
@@ -42,7 +42,7 @@
 	g.Eventually(func() time.Duration {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return time.Until(m.targets["t"].due)
+		return time.Until(m.targets["t"].nextRead)
 	}).Should(BeNumerically(">", time.Minute), "calm again after the read")
 
 	e.Connections = 1
--- a/target/options.go
+++ b/target/options.go
@@ -37,7 +37,7 @@
 	Metrics  *metrics.Set // the default set if nil
 	Protocol Protocol
 
-	MaxAnswer int64 // bytes of an answer's body; 4 MiB
+	MaxAnswerBytes int64 // bytes of an answer's body; 4 MiB
 	// MaxOpen is how many connections are kept open to one target over HTTP/2
 	// (3), within the share. The rest of the share is a reserve: a target still
 	// counts a connection that has gone silent, because it never hears of its
@@ -47,7 +47,7 @@
 	SilentHold time.Duration
 
 	MaxStreams int           // calls at once on one HTTP/2 connection; 100
-	MaxWaiting int           // calls that wait for a connection to one target; 64
+	MaxWaiters int           // calls that wait for a connection to one target; 64
 	MaxWait    time.Duration // for a connection; 250 ms
 	MaxDials   int           // connections being opened at once, over all targets; 8
 
@@ -70,19 +70,19 @@
 }
 
 const (
-	defaultMaxAnswer    = 4 << 20
-	defaultMaxOpen      = 3
-	defaultSilentHold   = 2 * time.Minute
-	defaultMaxStreams   = 100
-	defaultMaxWaiting   = 64
-	defaultMaxWait      = 250 * time.Millisecond
-	defaultMaxDials     = 8
-	defaultDialTimeout  = time.Second
-	defaultPaceFactor   = 2
-	defaultMinPace      = 5 * time.Millisecond
-	defaultMaxBackoff   = time.Second
-	defaultSuspectAfter = 100 * time.Millisecond
-	defaultProbeTimeout = 500 * time.Millisecond
+	defaultMaxAnswerBytes = 4 << 20
+	defaultMaxOpen        = 3
+	defaultSilentHold     = 2 * time.Minute
+	defaultMaxStreams     = 100
+	defaultMaxWaiters     = 64
+	defaultMaxWait        = 250 * time.Millisecond
+	defaultMaxDials       = 8
+	defaultDialTimeout    = time.Second
+	defaultPaceFactor     = 2
+	defaultMinPace        = 5 * time.Millisecond
+	defaultMaxBackoff     = time.Second
+	defaultSuspectAfter   = 100 * time.Millisecond
+	defaultProbeTimeout   = 500 * time.Millisecond
 )
 
 func (o Options) withDefaults() Options {
@@ -92,18 +92,18 @@
 	if o.Metrics == nil {
 		o.Metrics = metrics.GetDefaultSet()
 	}
-	defaults.Set(&o.MaxAnswer, defaultMaxAnswer)
-	defaults.Set(&o.MaxOpen, defaultMaxOpen)
-	defaults.Set(&o.SilentHold, defaultSilentHold)
-	defaults.Set(&o.MaxStreams, defaultMaxStreams)
-	defaults.Set(&o.MaxWaiting, defaultMaxWaiting)
-	defaults.Set(&o.MaxWait, defaultMaxWait)
-	defaults.Set(&o.MaxDials, defaultMaxDials)
-	defaults.Set(&o.DialTimeout, defaultDialTimeout)
-	defaults.Set(&o.PaceFactor, defaultPaceFactor)
-	defaults.Set(&o.MinPace, defaultMinPace)
-	defaults.Set(&o.MaxBackoff, defaultMaxBackoff)
-	defaults.Set(&o.SuspectAfter, defaultSuspectAfter)
-	defaults.Set(&o.ProbeTimeout, defaultProbeTimeout)
+	defaults.SetIfZero(&o.MaxAnswerBytes, defaultMaxAnswerBytes)
+	defaults.SetIfZero(&o.MaxOpen, defaultMaxOpen)
+	defaults.SetIfZero(&o.SilentHold, defaultSilentHold)
+	defaults.SetIfZero(&o.MaxStreams, defaultMaxStreams)
+	defaults.SetIfZero(&o.MaxWaiters, defaultMaxWaiters)
+	defaults.SetIfZero(&o.MaxWait, defaultMaxWait)
+	defaults.SetIfZero(&o.MaxDials, defaultMaxDials)
+	defaults.SetIfZero(&o.DialTimeout, defaultDialTimeout)
+	defaults.SetIfZero(&o.PaceFactor, defaultPaceFactor)
+	defaults.SetIfZero(&o.MinPace, defaultMinPace)
+	defaults.SetIfZero(&o.MaxBackoff, defaultMaxBackoff)
+	defaults.SetIfZero(&o.SuspectAfter, defaultSuspectAfter)
+	defaults.SetIfZero(&o.ProbeTimeout, defaultProbeTimeout)
 	return o
 }
--- a/target/pool.go
+++ b/target/pool.go
@@ -12,23 +12,23 @@
 // pool holds the connections to one target. Its keeper goroutine opens and
 // closes them; calls only borrow them.
 type pool struct {
-	client  *Client
-	name    string
-	address string
-	kick    chan struct{} // wakes the keeper
-	waiting atomic.Int32  // len(waiters), readable without mu
+	client     *Client
+	name       string
+	address    string
+	wakeup     chan struct{} // wakes the keeper
+	numWaiting atomic.Int32  // len(waiters), readable without mu
 
-	mu       sync.Mutex // guards what follows and the plain fields of each conn
-	endpoint Endpoint
-	conns    []*conn     // open, the retiring ones included
-	lost     []time.Time // when connections were found silent, within SilentHold
-	alarm    time.Time   // when the last one was, or since when one is suspect
-	waiters  []chan *conn
-	retired  bool // the endpoint is no longer in force
-	ended    bool // the keeper has ended, and all connections with it
-	watching bool // the keeper looks at the connections every SuspectAfter
-	pace     pacer
-	lastErr  error // of the last attempt to open a connection
+	mu            sync.Mutex // guards what follows and the plain fields of each conn
+	endpoint      Endpoint
+	conns         []*conn     // open, the retiring ones included
+	silentTimes   []time.Time // when connections were found silent, within SilentHold
+	suspicionTime time.Time   // when the last one was, or since when one is suspect
+	waiters       []chan *conn
+	retired       bool // the endpoint is no longer in force
+	stopped       bool // the keeper has ended, and all connections with it
+	watching      bool // the keeper looks at the connections every SuspectAfter
+	pacer         pacer
+	lastDialErr   error // of the last attempt to open a connection
 }
 
 func newPool(c *Client, e Endpoint) *pool {
@@ -36,7 +36,7 @@
 		client:  c,
 		name:    e.Name,
 		address: e.Address,
-		kick:    make(chan struct{}, 1),
+		wakeup:  make(chan struct{}, 1),
 	}
 }
 
@@ -44,7 +44,7 @@
 func (p *pool) update(e Endpoint) {
 	p.mu.Lock()
 	p.endpoint = e
-	p.pace.setLimits(e.ConnectCost, &p.client.opts)
+	p.pacer.setLimits(e.ConnectCost, &p.client.opts)
 	p.mu.Unlock()
 	p.wake()
 }
@@ -58,23 +58,23 @@
 	p.wake()
 }
 
-// revive undoes retire, unless the keeper has ended.
-func (p *pool) revive() bool {
+// reactivate undoes retire, unless the keeper has ended.
+func (p *pool) reactivate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.retired = p.ended
-	return !p.ended
+	p.retired = p.stopped
+	return !p.stopped
 }
 
-func (p *pool) hasEnded() bool {
+func (p *pool) hasStopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.stopped
 }
 
 func (p *pool) wake() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -90,11 +90,11 @@
 		choose = p.pickIdlest
 	}
 	if cn := choose(now); cn != nil {
-		p.hold(cn, now)
+		p.addCall(cn, now)
 		p.mu.Unlock()
 		return cn, nil
 	}
-	if err := p.hopeless(now); err != nil {
+	if err := p.waitError(now); err != nil {
 		p.mu.Unlock()
 		return nil, err
 	}
@@ -102,57 +102,57 @@
 	p.setWaiters(append(p.waiters, turn))
 	p.mu.Unlock()
 	p.wake()
-	return p.await(ctx, turn)
+	return p.awaitTurn(ctx, turn)
 }
 
-// hopeless returns an error if waiting for a connection makes no sense. p.mu
+// waitError returns an error if waiting for a connection makes no sense. p.mu
 // must be held.
-func (p *pool) hopeless(now time.Time) *CallError {
+func (p *pool) waitError(now time.Time) *CallError {
 	switch {
 	case p.retired:
 		return &CallError{Kind: ErrorUnknownTarget, NotStarted: true}
-	case len(p.conns) == 0 && p.lastErr != nil:
-		return p.unreachable(now)
-	case len(p.waiters) >= p.client.opts.MaxWaiting:
+	case len(p.conns) == 0 && p.lastDialErr != nil:
+		return p.unreachableError(now)
+	case len(p.waiters) >= p.client.opts.MaxWaiters:
 		return &CallError{Kind: ErrorBusy, NotStarted: true, cause: errors.New("too many calls wait for a connection")}
 	}
 	return nil
 }
 
-// unreachable returns the error of a target to which no connection could be
+// unreachableError returns the error of a target to which no connection could be
 // opened. p.mu must be held.
-func (p *pool) unreachable(now time.Time) *CallError {
-	after := p.pace.next.Sub(now)
-	return &CallError{Kind: ErrorUnreachable, NotStarted: true, RetryAfter: max(after, 0), cause: p.lastErr}
+func (p *pool) unreachableError(now time.Time) *CallError {
+	after := p.pacer.notBefore.Sub(now)
+	return &CallError{Kind: ErrorUnreachable, NotStarted: true, RetryAfter: max(after, 0), cause: p.lastDialErr}
 }
 
-// await waits for the turn of a call.
-func (p *pool) await(ctx context.Context, turn chan *conn) (*conn, *CallError) {
+// awaitTurn waits for the turn of a call.
+func (p *pool) awaitTurn(ctx context.Context, turn chan *conn) (*conn, *CallError) {
 	limit := time.NewTimer(p.client.opts.MaxWait)
 	defer limit.Stop()
 	select {
 	case cn := <-turn:
-		return p.arrived(cn)
+		return p.connOrError(cn)
 	case <-ctx.Done():
 	case <-limit.C:
 	case <-p.client.tomb.Dying():
 	}
 	if p.leaveQueue(turn) {
 		if ctx.Err() != nil {
-			return nil, failure(ctx, ctx.Err(), true)
+			return nil, transportError(ctx, ctx.Err(), true)
 		}
 		return nil, &CallError{Kind: ErrorBusy, NotStarted: true, cause: errors.New("no connection became free")}
 	}
-	return p.arrived(<-turn)
+	return p.connOrError(<-turn)
 }
 
-func (p *pool) arrived(cn *conn) (*conn, *CallError) {
+func (p *pool) connOrError(cn *conn) (*conn, *CallError) {
 	if cn != nil {
 		return cn, nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return nil, p.unreachable(time.Now())
+	return nil, p.unreachableError(time.Now())
 }
 
 // leaveQueue reports whether turn was still waiting; if not, it has been served.
@@ -171,14 +171,14 @@
 // setWaiters must be called with p.mu held.
 func (p *pool) setWaiters(waiters []chan *conn) {
 	p.waiters = waiters
-	p.waiting.Store(int32(len(waiters)))
+	p.numWaiting.Store(int32(len(waiters)))
 }
 
-// hold must be called with p.mu held.
-func (p *pool) hold(cn *conn, now time.Time) {
+// addCall must be called with p.mu held.
+func (p *pool) addCall(cn *conn, now time.Time) {
 	cn.calls++
-	if !cn.awaitsByte() {
-		cn.unanswered = now
+	if !cn.awaitsData() {
+		cn.waitingSince = now
 	}
 	if !p.watching {
 		p.watching = true
@@ -193,10 +193,10 @@
 	var best *conn
 	var bestSuspect bool
 	for _, cn := range p.conns {
-		if !p.hasRoom(cn) {
+		if !p.hasCapacity(cn) {
 			continue
 		}
-		suspect := cn.suspect(now, p.client.opts.SuspectAfter) || cn.wire.lastRead().Before(p.alarm)
+		suspect := cn.isSuspect(now, p.client.opts.SuspectAfter) || cn.wire.lastRead().Before(p.suspicionTime)
 		if best == nil || (bestSuspect && !suspect) || (bestSuspect == suspect && cn.calls < best.calls) {
 			best, bestSuspect = cn, suspect
 		}
@@ -210,7 +210,7 @@
 func (p *pool) pickIdlest(now time.Time) *conn {
 	var idlest *conn
 	for _, cn := range p.conns {
-		if !p.hasRoom(cn) || cn.probing || cn.suspect(now, p.client.opts.SuspectAfter) {
+		if !p.hasCapacity(cn) || cn.probing || cn.isSuspect(now, p.client.opts.SuspectAfter) {
 			continue
 		}
 		if idlest == nil || cn.wire.lastRead().Before(idlest.wire.lastRead()) {
@@ -223,8 +223,8 @@
 	return idlest
 }
 
-// hasRoom must be called with p.mu held.
-func (p *pool) hasRoom(cn *conn) bool {
+// hasCapacity must be called with p.mu held.
+func (p *pool) hasCapacity(cn *conn) bool {
 	if cn.retiring || cn.silent || cn.http.Err() != nil {
 		return false
 	}
@@ -246,10 +246,10 @@
 	}
 }
 
-// distrust keeps new calls off a connection that delivered another request's
+// retireMismatched keeps new calls off a connection that delivered another request's
 // answer, and closes it once it is idle. The calls still on it are checked like
 // any other.
-func (p *pool) distrust(cn *conn, err *CallError) {
+func (p *pool) retireMismatched(cn *conn, err *CallError) {
 	p.client.metrics.mismatched.Inc()
 	p.mu.Lock()
 	first := !cn.retiring
@@ -269,7 +269,7 @@
 		if cn == nil {
 			return
 		}
-		p.hold(cn, now)
+		p.addCall(cn, now)
 		p.waiters[0] <- cn
 		p.setWaiters(p.waiters[1:])
 	}
--- a/target/probe.go
+++ b/target/probe.go
@@ -12,12 +12,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.watching = false
-	p.noteSuspects(now)
+	p.updateSuspicionTime(now)
 	for _, cn := range p.conns {
-		if cn.calls > 0 || cn.awaitsByte() {
+		if cn.calls > 0 || cn.awaitsData() {
 			p.watching = true
 		}
-		if !p.mayBeSilent(cn, now) || (p.client.opts.Protocol == HTTP1 && cn.calls > 0) {
+		if !p.needsProbe(cn, now) || (p.client.opts.Protocol == HTTP1 && cn.calls > 0) {
 			continue
 		}
 		cn.probing = true
@@ -29,26 +29,26 @@
 	}
 }
 
-// noteSuspects raises the alarm for connections that have become suspect. Without
+// updateSuspicionTime raises the alarm for connections that have become suspect. Without
 // it calls would find the silent connections of a target one after another, each
 // at the cost of SuspectAfter and of all calls that meet it. p.mu must be held.
-func (p *pool) noteSuspects(now time.Time) {
+func (p *pool) updateSuspicionTime(now time.Time) {
 	for _, cn := range p.conns {
-		if cn.suspect(now, p.client.opts.SuspectAfter) && cn.unanswered.After(p.alarm) {
-			p.alarm = cn.unanswered
+		if cn.isSuspect(now, p.client.opts.SuspectAfter) && cn.waitingSince.After(p.suspicionTime) {
+			p.suspicionTime = cn.waitingSince
 		}
 	}
 }
 
-// mayBeSilent reports whether a connection needs a probe: because it is
+// needsProbe reports whether a connection needs a probe: because it is
 // suspect, or because another one to the same target is suspect or was found
 // silent, and nothing came on this one since. Connections mostly go silent
 // together. p.mu must be held.
-func (p *pool) mayBeSilent(cn *conn, now time.Time) bool {
+func (p *pool) needsProbe(cn *conn, now time.Time) bool {
 	if cn.probing || cn.silent || cn.retiring {
 		return false
 	}
-	return cn.suspect(now, p.client.opts.SuspectAfter) || cn.wire.lastRead().Before(p.alarm)
+	return cn.isSuspect(now, p.client.opts.SuspectAfter) || cn.wire.lastRead().Before(p.suspicionTime)
 }
 
 // probe reads the status over one connection.
@@ -57,9 +57,9 @@
 	ctx, cancel := context.WithTimeout(p.client.tomb.Context(context.Background()), p.client.opts.ProbeTimeout)
 	defer cancel()
 	var status Status
-	err := p.client.exchangeOn(ctx, cn, statusCall(p.name, &status))
+	err := p.client.roundTrip(ctx, cn, statusCall(p.name, &status))
 	if err != nil && err.Kind == ErrorDeadline {
-		p.probed(cn, start)
+		p.probeTimedOut(cn, start)
 	}
 	p.mu.Lock()
 	cn.probing = false
@@ -67,10 +67,10 @@
 	p.release(cn)
 }
 
-// probed notes that a read of the status, begun at start, timed out. If nothing
+// probeTimedOut notes that a read of the status, begun at start, timed out. If nothing
 // at all was received since, the connection has gone silent: it is closed, also
 // under the calls that still wait on it, because none of them would ever end.
-func (p *pool) probed(cn *conn, start time.Time) {
+func (p *pool) probeTimedOut(cn *conn, start time.Time) {
 	if cn.wire.lastRead().After(start) {
 		return
 	}
@@ -79,8 +79,8 @@
 	first := !cn.silent
 	if first {
 		cn.silent = true
-		p.alarm = now
-		p.lost = append(p.lost, now)
+		p.suspicionTime = now
+		p.silentTimes = append(p.silentTimes, now)
 	}
 	p.mu.Unlock()
 	if first {
--- a/target/standin_test.go
+++ b/target/standin_test.go
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// standIn is a target in this process.
-type standIn struct {
+// fakeTarget is a target in this process.
+type fakeTarget struct {
 	name    string
 	server  *http.Server
 	address string
 
-	closeLag time.Duration // between the end of a connection and its close; set before use
+	closeDelay time.Duration // between the end of a connection and its close; set before use
 
-	mu      sync.Mutex // guards what follows
-	search  func(w http.ResponseWriter, r *http.Request, req LeafRequest)
-	legs    []*leg
-	submit  func() // after a request was run, before its answer
-	submits int    // requests run
-	accepts int
-	open    int
-	maxOpen int
+	mu            sync.Mutex // guards what follows
+	searchHandler func(w http.ResponseWriter, r *http.Request, req LeafRequest)
+	conns         []*serverConn
+	afterSubmit   func() // after a request was run, before its answer
+	submits       int    // requests run
+	accepts       int
+	open          int
+	maxOpen       int
 }
 
-// leg is the target's end of a connection, which can go silent: what arrives is
+// serverConn is the target's end of a connection, which can go silent: what arrives is
 // lost, what is written is swallowed, and no end hears of the other's close.
-type leg struct {
+type serverConn struct {
 	net.Conn
-	silent atomic.Bool
-	twice  atomic.Bool // repeats what the target writes
-	closed chan struct{}
-	owner  *standIn
-	once   sync.Once
+	silent          atomic.Bool
+	duplicateWrites atomic.Bool // repeats what the target writes
+	closed          chan struct{}
+	target          *fakeTarget
+	once            sync.Once
 }
 
-func (l *leg) Read(p []byte) (int, error) {
+func (l *serverConn) Read(p []byte) (int, error) {
 	n, err := l.Conn.Read(p)
 	if !l.silent.Load() {
 		return n, err
@@ -48,11 +48,11 @@
 	return 0, net.ErrClosed
 }
 
-func (l *leg) Write(p []byte) (int, error) {
+func (l *serverConn) Write(p []byte) (int, error) {
 	if l.silent.Load() {
 		return len(p), nil
 	}
-	if l.twice.Load() {
+	if l.duplicateWrites.Load() {
 		p = append(p[:len(p):len(p)], p...)
 		_, err := l.Conn.Write(p)
 		return len(p) / 2, err
@@ -61,13 +61,13 @@
 }
 
 // Close leaves the count after the target's lag, and only then tells the client.
-func (l *leg) Close() error {
+func (l *serverConn) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
-		time.Sleep(l.owner.closeLag)
-		l.owner.mu.Lock()
-		l.owner.open--
-		l.owner.mu.Unlock()
+		time.Sleep(l.target.closeDelay)
+		l.target.mu.Lock()
+		l.target.open--
+		l.target.mu.Unlock()
 	})
 	if l.silent.Load() {
 		return nil // the stand-in's cleanup closes it
@@ -75,43 +75,43 @@
 	return l.Conn.Close()
 }
 
-// costlyListener spends a time on each new connection, one after the other.
-type costlyListener struct {
+// slowListener spends a time on each new connection, one after the other.
+type slowListener struct {
 	net.Listener
-	cost  time.Duration
-	owner *standIn
+	acceptDelay time.Duration
+	target      *fakeTarget
 }
 
-func (c *costlyListener) Accept() (net.Conn, error) {
+func (c *slowListener) Accept() (net.Conn, error) {
 	inner, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	time.Sleep(c.cost)
-	l := &leg{Conn: inner, closed: make(chan struct{}), owner: c.owner}
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	c.owner.legs = append(c.owner.legs, l)
-	c.owner.accepts++
-	c.owner.open++
-	c.owner.maxOpen = max(c.owner.maxOpen, c.owner.open)
+	time.Sleep(c.acceptDelay)
+	l := &serverConn{Conn: inner, closed: make(chan struct{}), target: c.target}
+	c.target.mu.Lock()
+	defer c.target.mu.Unlock()
+	c.target.conns = append(c.target.conns, l)
+	c.target.accepts++
+	c.target.open++
+	c.target.maxOpen = max(c.target.maxOpen, c.target.open)
 	return l, nil
 }
 
-// forLegs calls f for each connection opened so far.
-func (s *standIn) forLegs(f func(*leg)) {
+// forEachConn calls f for each connection opened so far.
+func (s *fakeTarget) forEachConn(f func(*serverConn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.legs {
+	for _, l := range s.conns {
 		f(l)
 	}
 }
 
-func goSilent(l *leg) { l.silent.Store(true) }
-func cut(l *leg)      { l.Conn.Close() }
+func silence(l *serverConn)   { l.silent.Store(true) }
+func breakConn(l *serverConn) { l.Conn.Close() }
 
-func newStandIn(t testing.TB, name string, connectCost time.Duration) *standIn {
-	s := &standIn{name: name, search: answerSearch}
+func newFakeTarget(t testing.TB, name string, connectCost time.Duration) *fakeTarget {
+	s := &fakeTarget{name: name, searchHandler: answerSearch}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /leaves/{leaf}/search", s.serveSearch)
 	mux.HandleFunc("POST /leaves/{leaf}/submit", s.serveSubmit)
@@ -126,27 +126,27 @@
 	}
 	s.address = listener.Addr().String()
 	done := make(chan struct{})
-	go func() { defer close(done); _ = s.server.Serve(&costlyListener{listener, connectCost, s}) }()
-	t.Cleanup(func() { s.server.Close(); <-done; s.forLegs(cut) })
+	go func() { defer close(done); _ = s.server.Serve(&slowListener{listener, connectCost, s}) }()
+	t.Cleanup(func() { s.server.Close(); <-done; s.forEachConn(breakConn) })
 	return s
 }
 
-func (s *standIn) counts() (accepts, open, maxOpen, submits int) {
+func (s *fakeTarget) counts() (accepts, open, maxOpen, submits int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepts, s.open, s.maxOpen, s.submits
 }
 
-func (s *standIn) onSearch(f func(http.ResponseWriter, *http.Request, LeafRequest)) {
+func (s *fakeTarget) setSearchHandler(f func(http.ResponseWriter, *http.Request, LeafRequest)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.search = f
+	s.searchHandler = f
 }
 
-func (s *standIn) onSubmit(f func()) {
+func (s *fakeTarget) setAfterSubmit(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.submit = f
+	s.afterSubmit = f
 }
 
 func writeAnswer(w http.ResponseWriter, answer any) {
@@ -159,19 +159,19 @@
 	writeAnswer(w, LeafAnswer{Echo: req.Echo, Records: 10, Complete: true, Items: []Item{{Key: req.Request}}})
 }
 
-func (s *standIn) serveSearch(w http.ResponseWriter, r *http.Request) {
+func (s *fakeTarget) serveSearch(w http.ResponseWriter, r *http.Request) {
 	var req LeafRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	f := s.search
+	f := s.searchHandler
 	s.mu.Unlock()
 	f(w, r, req)
 }
 
-func (s *standIn) serveSubmit(w http.ResponseWriter, r *http.Request) {
+func (s *fakeTarget) serveSubmit(w http.ResponseWriter, r *http.Request) {
 	var req SubmitRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -179,7 +179,7 @@
 	}
 	s.mu.Lock()
 	s.submits++
-	f := s.submit
+	f := s.afterSubmit
 	s.mu.Unlock()
 	if f != nil {
 		f()
@@ -187,11 +187,11 @@
 	writeAnswer(w, SubmitAnswer{Echo: req.Echo, Key: req.Key})
 }
 
-func (s *standIn) serveStatus(w http.ResponseWriter, _ *http.Request) {
+func (s *fakeTarget) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	writeAnswer(w, Status{Target: s.name, Incarnation: "one", State: StateServing})
 }
 
-func (s *standIn) endpoint(connections int) Endpoint {
+func (s *fakeTarget) endpoint(connections int) Endpoint {
 	return Endpoint{Name: s.name, Address: s.address, Connections: connections, ConnectCost: time.Millisecond,
 		HealthInterval: 20 * time.Millisecond, HealthTimeout: 200 * time.Millisecond}
 }
--- a/target/transport_bench_test.go
+++ b/target/transport_bench_test.go
@@ -37,9 +37,9 @@
 }
 
 // benchClient returns a client whose share is open.
-func benchClient(b *testing.B, s *standIn, protocol Protocol, connections int) (*Client, *metrics.Set) {
+func benchClient(b *testing.B, s *fakeTarget, protocol Protocol, connections int) (*Client, *metrics.Set) {
 	set := metrics.NewSet()
-	c := NewClient(Options{Protocol: protocol, Metrics: set, MaxWait: patience, MaxWaiting: 10000})
+	c := NewClient(Options{Protocol: protocol, Metrics: set, MaxWait: testTimeout, MaxWaiters: 10000})
 	b.Cleanup(c.Close)
 	endpoint := s.endpoint(connections)
 	endpoint.ConnectCost = connectCost
@@ -58,14 +58,14 @@
 	}
 }
 
-func opened(set *metrics.Set) uint64 {
+func openedCount(set *metrics.Set) uint64 {
 	return set.GetOrCreateCounter("bramley_target_connections_opened_total").Get()
 }
 
 func BenchmarkCall(b *testing.B) {
 	for _, k := range transportCases {
 		b.Run(k.name, func(b *testing.B) {
-			s := newStandIn(b, "a", connectCost)
+			s := newFakeTarget(b, "a", connectCost)
 			c, _ := benchClient(b, s, k.protocol, k.connections)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
@@ -90,8 +90,8 @@
 func BenchmarkCancel(b *testing.B) {
 	for _, k := range transportCases {
 		b.Run(k.name, func(b *testing.B) {
-			s := newStandIn(b, "a", connectCost)
-			s.onSearch(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
+			s := newFakeTarget(b, "a", connectCost)
+			s.setSearchHandler(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
 				select {
 				case <-time.After(4 * time.Millisecond):
 				case <-r.Context().Done():
@@ -99,7 +99,7 @@
 				answerSearch(w, r, req)
 			})
 			c, set := benchClient(b, s, k.protocol, k.connections)
-			before := opened(set)
+			before := openedCount(set)
 			b.ResetTimer()
 			var kept, keptTime time.Duration
 			for n := range b.N {
@@ -113,7 +113,7 @@
 				kept++
 				keptTime += time.Since(start)
 			}
-			b.ReportMetric(float64(opened(set)-before)/float64(b.N), "conns/cancel")
+			b.ReportMetric(float64(openedCount(set)-before)/float64(b.N), "conns/cancel")
 			b.ReportMetric(float64((keptTime/kept).Microseconds())/1000, "kept-ms")
 		})
 	}
@@ -143,14 +143,14 @@
 }
 
 func silentTrial(b *testing.B, protocol Protocol, connections int, ping time.Duration) (time.Duration, int) {
-	s := newStandIn(b, "a", connectCost)
+	s := newFakeTarget(b, "a", connectCost)
 	c := NewClient(Options{Protocol: protocol, Metrics: metrics.NewSet(), PingAfter: ping})
 	defer c.Close()
 	endpoint := s.endpoint(connections)
 	endpoint.ConnectCost = connectCost
 	c.Apply([]Endpoint{endpoint})
 	waitOpen(c, connections)
-	s.forLegs(goSilent)
+	s.forEachConn(silence)
 	start := time.Now()
 	results := make(chan bool)
 	calls, good, lost := 0, 0, 0
@@ -187,7 +187,7 @@
 func BenchmarkIdlePings(b *testing.B) {
 	for _, ping := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second} {
 		b.Run(fmt.Sprintf("ping=%s", ping), func(b *testing.B) {
-			s := newStandIn(b, "a", 0)
+			s := newFakeTarget(b, "a", 0)
 			c := NewClient(Options{Metrics: metrics.NewSet(), PingAfter: ping, MinPace: time.Microsecond, MaxOpen: 150})
 			defer c.Close()
 			endpoint := s.endpoint(150)
