--- a/integration/harness_test.go
+++ b/integration/harness_test.go
@@ -221,7 +221,7 @@
 		o.PeersAt = proxy.Address
 	}
 	if s.Settings != nil {
-		o.Change = func(set *settings.Settings) { s.Settings(i, set) }
+		o.EditSettings = func(set *settings.Settings) { s.Settings(i, set) }
 	}
 	c.Daemons = append(c.Daemons, must[*fleet.Daemon](c)(c.StartDaemon(o)))
 }
