--- a/gateway/cursor.go
+++ b/gateway/cursor.go
@@ -22,12 +22,12 @@
 }
 
 // decodeCursor returns the cursor of a page of the given search.
-func decodeCursor(s, search string) (cursor, error) {
-	if s == "" {
+func decodeCursor(encoded, search string) (cursor, error) {
+	if encoded == "" {
 		return cursor{}, nil
 	}
 	var c cursor
-	raw, err := base64.RawURLEncoding.DecodeString(s)
+	raw, err := base64.RawURLEncoding.DecodeString(encoded)
 	if err == nil {
 		err = json.Unmarshal(raw, &c)
 	}
--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -41,10 +41,10 @@
 		g.Expect(info.Name).To(And(Equal(a.Name), Not(Equal("Unlisted"))))
 		g.Expect(res.Code).To(Equal(info.HTTP))
 		g.Expect(res.Header().Get(HeaderRequest)).NotTo(BeEmpty())
-		if asked := fake.lastSearch; asked != nil {
-			g.Expect(asked.MaxItems).To(And(BeNumerically(">=", 1), BeNumerically("<=", asked.Search.MaxItems)))
-			g.Expect(asked.MinCoverage).To(And(BeNumerically(">=", asked.Search.Coverage.Min), BeNumerically("<=", 1)))
-			g.Expect(asked.TimeLimit.Milliseconds()).To(And(BeNumerically(">=", asked.Search.TimeLimit.MinMS), BeNumerically("<=", asked.Search.TimeLimit.MaxMS)))
+		if search := fake.lastSearch; search != nil {
+			g.Expect(search.MaxItems).To(And(BeNumerically(">=", 1), BeNumerically("<=", search.Search.MaxItems)))
+			g.Expect(search.MinCoverage).To(And(BeNumerically(">=", search.Search.Coverage.Min), BeNumerically("<=", 1)))
+			g.Expect(search.TimeLimit.Milliseconds()).To(And(BeNumerically(">=", search.Search.TimeLimit.MinMS), BeNumerically("<=", search.Search.TimeLimit.MaxMS)))
 		}
 		if fake.submissions > 0 {
 			g.Expect(json.Valid([]byte(body))).To(BeTrue())
--- a/gateway/search.go
+++ b/gateway/search.go
@@ -119,14 +119,14 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-func applyCursor(q *query.Request, s string) error {
-	if s == "" {
+func applyCursor(q *query.Request, encoded string) error {
+	if encoded == "" {
 		return nil
 	}
 	if q.Search.Kind != bundle.KindBrowse {
 		return result.Errorf(result.BadRequest, "cursor: only browse pages take one")
 	}
-	c, err := decodeCursor(s, q.Search.Name)
+	c, err := decodeCursor(encoded, q.Search.Name)
 	if err != nil {
 		return err
 	}
--- a/node/example_test.go
+++ b/node/example_test.go
@@ -12,7 +12,7 @@
 // A program of your own embeds the daemon: it reads the settings, makes a node
 // and runs it until its context ends.
 func Example() {
-	set, err := settings.Parse([]byte(`{
+	cfg, err := settings.Parse([]byte(`{
 		"name": "vm-1", "deployment": "vatnsleit", "zone": "reykjanes",
 		"listen": {"callers": "127.0.0.1:0", "ops": "127.0.0.1:0", "peers": "127.0.0.1:0"},
 		"platform": {"address": "127.0.0.1:1"},
@@ -25,7 +25,7 @@
 		fmt.Println(err)
 		return
 	}
-	n, err := node.New(set, logging.Discard())
+	n, err := node.New(cfg, logging.Discard())
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/node/follow.go
+++ b/node/follow.go
@@ -14,9 +14,9 @@
 	var applied *rollout.InForce
 	for {
 		changed := n.follower.Changed()
-		if force := n.follower.Current(); force != applied {
-			n.applyRevision(force)
-			applied = force
+		if inForce := n.follower.Current(); inForce != applied {
+			n.applyRevision(inForce)
+			applied = inForce
 		}
 		shares := n.router.Changed()
 		if applied != nil {
@@ -34,16 +34,16 @@
 	}
 }
 
-func (n *Node) applyRevision(force *rollout.InForce) {
-	n.router.Apply(force.Bundle)
-	endpoints := n.endpoints(force.Bundle)
-	n.engine.Apply(force.Bundle)
+func (n *Node) applyRevision(inForce *rollout.InForce) {
+	n.router.Apply(inForce.Bundle)
+	endpoints := n.endpoints(inForce.Bundle)
+	n.engine.Apply(inForce.Bundle)
 	n.client.Apply(endpoints)
-	n.health.Apply(force.Bundle)
+	n.health.Apply(inForce.Bundle)
 	n.monitor.Apply(endpoints)
 	n.applyDrains()
-	n.claims.SetFleetSize(force.Bundle.Fleet.MaxVMs)
-	n.log.Info("revision in force", "revision", force.Revision, "digest", force.Digest)
+	n.claims.SetFleetSize(inForce.Bundle.Fleet.MaxVMs)
+	n.log.Info("revision in force", "revision", inForce.Revision, "digest", inForce.Digest)
 }
 
 // followDrains takes drains that other VMs learned.
--- a/node/node.go
+++ b/node/node.go
@@ -70,25 +70,25 @@
 }
 
 // New prepares a daemon with checked settings. Nothing runs before Run.
-func New(set *settings.Settings, log *slog.Logger) (*Node, error) {
+func New(cfg *settings.Settings, log *slog.Logger) (*Node, error) {
 	n := &Node{
-		settings:    set,
+		settings:    cfg,
 		log:         log,
 		incarnation: uuid.NewString(),
 		started:     time.Now(),
 		metrics:     metrics.NewSet(),
 	}
-	keys, err := bundle.NewKeyring(set.OperatorKeys...)
+	keys, err := bundle.NewKeyring(cfg.OperatorKeys...)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	n.store = objstore.NewClient(set.Platform.Address, objstore.ClientOptions{})
+	n.store = objstore.NewClient(cfg.Platform.Address, objstore.ClientOptions{})
 	n.follower = rollout.NewFollower(rollout.Options{
-		Deployment: set.Deployment,
+		Deployment: cfg.Deployment,
 		Keys:       keys,
 		// Its reads may take longer than a claim: a slow platform must not count
 		// as one that is down.
-		Store: objstore.NewClient(set.Platform.Address, objstore.ClientOptions{
+		Store: objstore.NewClient(cfg.Platform.Address, objstore.ClientOptions{
 			CallTimeout: rollout.DefaultReadTimeout,
 		}),
 		Log:     logging.Part(log, "rollout"),
@@ -104,7 +104,7 @@
 		Config:     n.follower,
 		Engine:     n.engine,
 		Claims:     n.claims,
-		Deployment: set.Deployment,
+		Deployment: cfg.Deployment,
 		Log:        logging.Part(log, "gateway"),
 		Metrics:    n.metrics,
 	})
@@ -138,10 +138,10 @@
 // the client, the client tells the engine, and so does the monitor by way of the
 // relay of targets' health.
 func (n *Node) buildTargets() {
-	relay := &deferredSink{}
+	clientSink := &deferredSink{}
 	n.client = target.NewClient(target.Options{
 		Log:     logging.Part(n.log, "target"),
-		Sink:    relay,
+		Sink:    clientSink,
 		Metrics: n.metrics,
 	})
 	n.router = route.New(route.Options{
@@ -155,10 +155,10 @@
 		Zone: n.settings.Zone,
 		Log:  logging.Part(n.log, "route"),
 	})
-	engine := &deferredHealthSink{}
+	healthSink := &deferredHealthSink{}
 	n.health = health.New(health.Options{
 		Router:  n.router,
-		Sink:    engine,
+		Sink:    healthSink,
 		Log:     logging.Part(n.log, "health"),
 		Metrics: n.metrics,
 	})
@@ -172,8 +172,8 @@
 			n.peers.LearnDrain(peer.Drain{Target: target, Incarnation: incarnation})
 		},
 	})
-	relay.Sink = n.engine
-	engine.Sink = n.engine
+	clientSink.Sink = n.engine
+	healthSink.Sink = n.engine
 	n.monitor = target.NewMonitor(target.MonitorOptions{
 		Log:    logging.Part(n.log, "monitor"),
 		Reader: n.health,
--- a/node/status.go
+++ b/node/status.go
@@ -26,11 +26,11 @@
 	if err := n.follower.LastRefusal(); err != nil {
 		st.Refused = err.Error()
 	}
-	if force := n.follower.Current(); force != nil {
-		st.Revision = force.Revision
-		st.Digest = force.Digest
-		st.Since = force.Since
-		st.Ready = !st.Leaving && n.isWarmedUp(force.Since)
+	if inForce := n.follower.Current(); inForce != nil {
+		st.Revision = inForce.Revision
+		st.Digest = inForce.Digest
+		st.Since = inForce.Since
+		st.Ready = !st.Leaving && n.isWarmedUp(inForce.Since)
 	}
 	return st
 }
--- a/query/admit.go
+++ b/query/admit.go
@@ -8,8 +8,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// admit waits for room to run a query. It returns nil if the query is admitted,
-// and its final answer if it is refused.
+// admit waits until the query may run. It returns nil if the query is admitted, and
+// the final answer if it is refused. Searches with the plain policy skip admission.
 func (e *Engine) admit(ctx context.Context, svc *service, req *Request) *Answer {
 	if req.plain() {
 		return nil
@@ -17,30 +17,31 @@
 	return e.admitUntil(ctx, svc, req.deadline())
 }
 
+// admitUntil is admit for a request that must be answered by deadline.
 func (e *Engine) admitUntil(ctx context.Context, svc *service, deadline time.Time) *Answer {
 	arrived := e.now()
 	svc.mu.Lock()
-	v := svc.admission.Arrive(arrived, deadline)
+	verdict := svc.admission.Arrive(arrived, deadline)
 	var decided chan policy.Verdict
-	if v.Decision == policy.Wait {
+	if verdict.Decision == policy.Wait {
 		decided = make(chan policy.Verdict, 1)
-		svc.waiting[v.Ticket] = decided
+		svc.waiting[verdict.Ticket] = decided
 	}
 	svc.mu.Unlock()
 	if decided != nil {
-		v = e.awaitAdmission(ctx, svc, v.Ticket, decided, deadline)
+		verdict = e.awaitAdmission(ctx, svc, verdict.Ticket, decided, deadline)
 	}
-	if v.Decision == policy.Admit {
+	if verdict.Decision == policy.Admit {
 		svc.metrics.admitted.Inc()
 		svc.metrics.observePhase(phaseAdmission, e.now().Sub(arrived))
 		return nil
 	}
 	svc.metrics.refused.Inc()
-	return &Answer{Code: result.Overloaded, Ran: result.RanNo, RetryAfter: v.RetryAfter}
+	return &Answer{Code: result.Overloaded, Ran: result.RanNo, RetryAfter: verdict.RetryAfter}
 }
 
-// awaitAdmission returns the verdict on a waiting query. The policy decides by the
-// query's deadline as long as it is called; the timer calls it.
+// awaitAdmission returns the verdict on a waiting query. The policy decides only when
+// it is called; if no call decides in time, the query is refused at its deadline.
 func (e *Engine) awaitAdmission(ctx context.Context, svc *service, id policy.TicketID, decided chan policy.Verdict, deadline time.Time) policy.Verdict {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
@@ -56,10 +57,11 @@
 		delete(svc.waiting, id)
 		return policy.Verdict{Ticket: id, Decision: policy.Refuse, RetryAfter: defaultRetryAfter}
 	}
-	return <-decided // sent under the lock, before the ticket left the queue
+	return <-decided // was sent under svc.mu when the ticket left the queue
 }
 
-// release takes the end of a query and wakes those that were waiting for it.
+// release records the end of a query in the metrics and the policy, and notifies the
+// waiting queries that are decided by it.
 func (e *Engine) release(svc *service, req *Request, began time.Time, out *policy.Outcome) {
 	if req.plain() {
 		return
@@ -75,12 +77,13 @@
 	})
 }
 
-// finishQuery passes on the verdicts that the end of a query brings. It must hold mu.
+// finishQuery records the end of an admitted query and sends the verdicts on waiting
+// queries that follow from it. The caller must hold mu.
 func (s *service) finishQuery(now time.Time, end policy.QueryEnd) {
-	for _, v := range s.admission.Done(now, end) {
-		if decided := s.waiting[v.Ticket]; decided != nil {
-			decided <- v
-			delete(s.waiting, v.Ticket)
+	for _, verdict := range s.admission.Done(now, end) {
+		if decided := s.waiting[verdict.Ticket]; decided != nil {
+			decided <- verdict
+			delete(s.waiting, verdict.Ticket)
 		}
 	}
 }
--- a/query/answer.go
+++ b/query/answer.go
@@ -10,8 +10,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// newAnswer turns a query's outcome into the caller's answer. Items are given
-// only with an answer that meets the coverage that the caller needs.
+// newAnswer turns a query's outcome into the caller's answer. It includes items only
+// if the answer reaches the coverage that the caller needs.
 func newAnswer(req *Request, out *policy.Outcome) *Answer {
 	a := &Answer{
 		Code:     resultCode(req, out),
@@ -65,9 +65,9 @@
 	}
 }
 
-// merge returns the first items of all answers in the order of the search's
-// kind. Each leaf gave as many as the caller wants, so none is lost here but
-// those beyond the caller's own limit, and More says that these exist.
+// merge returns the first req.MaxItems items of all answers in the order of the
+// search's kind, and whether further matches exist. Each leaf returns up to
+// req.MaxItems items, so merge drops only items beyond the caller's own limit.
 func merge(req *Request, answers []*target.LeafAnswer) ([]target.Item, bool) {
 	var items []target.Item
 	more := false
--- a/query/engine.go
+++ b/query/engine.go
@@ -15,7 +15,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Leaves reaches the leaves of targets. target.Client implements it.
+// Leaves calls the leaves of targets. target.Client implements it.
 type Leaves interface {
 	Search(ctx context.Context, target string, leaf int, req target.LeafRequest) (target.LeafAnswer, error)
 	Submit(ctx context.Context, target string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error)
@@ -25,12 +25,13 @@
 type Options struct {
 	Leaves  Leaves
 	Zone    string // of this VM
-	Workers int    // calls to leaves in flight, at most; 512 if 0
+	Workers int    // maximum number of leaf calls in flight; 512 if 0
 	Seed    uint64 // of random choices
 	Log     *slog.Logger
-	Metrics *metrics.Set     // a set of its own if nil
+	Metrics *metrics.Set     // a new set if nil
 	Clock   func() time.Time // time.Now if nil
-	// OnDrain is told of each drain learned from an answer or a status.
+	// OnDrain, if not nil, is called for each new drain that an answer or a status
+	// states, without a lock held.
 	OnDrain func(target, incarnation string)
 }
 
@@ -42,23 +43,23 @@
 	pool *Pool
 	now  func() time.Time
 
-	mu       sync.RWMutex // guards the two maps, not what they point to
-	services map[string]*service
-	byTarget map[string]*service
+	mu       sync.RWMutex        // guards the two maps, not the services in them
+	services map[string]*service // by service name
+	byTarget map[string]*service // by target name
 }
 
-// service is the shared state of one service's targets.
+// service is the state that all queries of one service share.
 type service struct {
 	name    string
 	metrics *serviceMetrics
 
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	table     *policy.Table
 	admission *policy.Admission
 	waiting   map[policy.TicketID]chan policy.Verdict
 }
 
-// NewEngine returns an engine that knows no service; Apply tells it of some.
+// NewEngine returns an engine without services; Apply sets them. Close ends it.
 func NewEngine(opt Options) *Engine {
 	if opt.Workers == 0 {
 		opt.Workers = defaultWorkers
@@ -84,11 +85,11 @@
 	}
 }
 
-// Close ends the workers. No query may be running.
+// Close stops the workers. No query may be running.
 func (e *Engine) Close() { e.pool.Stop() }
 
-// Apply takes the targets and limits of the bundle in force. Services that stay
-// keep what is known of their targets.
+// Apply sets the services, targets and limits to those of the bundle in force.
+// Services that remain keep what is known of their targets.
 func (e *Engine) Apply(b *bundle.Bundle) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,8 +135,8 @@
 	s.table.Retries.SetShare(retry)
 }
 
-// fairShare is how many whole queries this VM may run so that all VMs together
-// just fill the slots of the service's targets.
+// fairShare returns how many whole queries this VM may run at once so that all VMs
+// together just fill the slots of the service's targets.
 func fairShare(b *bundle.Bundle, spec *bundle.Service) float64 {
 	slots := 0
 	for i := range spec.Targets {
@@ -144,8 +145,9 @@
 	return float64(slots) / float64(max(spec.Shards, 1)) / float64(max(b.Fleet.MaxVMs, 1))
 }
 
-// budgets returns the largest shares that a service's searches allow. Targets
-// are shared by the searches, and so is what may be added to their load.
+// budgets returns the largest hedge and retry budgets, as shares of first attempts,
+// that a service's searches allow. The searches use the same targets, so they also
+// share the extra load that the targets may get.
 func budgets(b *bundle.Bundle, service string) (hedge, retry float64) {
 	for i := range b.Searches {
 		if s := &b.Searches[i]; s.Service == service {
@@ -156,7 +158,8 @@
 	return hedge, retry
 }
 
-// Readable reports whether some snapshot of every service can be read.
+// Readable reports whether every service has a snapshot that can be read, and there is
+// at least one service.
 func (e *Engine) Readable() bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -195,9 +198,9 @@
 	}
 	svc.mu.Lock()
 	svc.table.ApplyStatus(name, st, at)
-	news := st.State == target.StateDraining && svc.table.MarkDraining(name, st.Incarnation)
+	isNew := st.State == target.StateDraining && svc.table.MarkDraining(name, st.Incarnation)
 	svc.mu.Unlock()
-	if news {
+	if isNew {
 		e.opt.OnDrain(name, st.Incarnation)
 	}
 }
@@ -208,14 +211,14 @@
 	if svc == nil {
 		return
 	}
-	e.opt.Log.Debug("status of a target could not be read", "target", name, "error", err)
+	e.opt.Log.Debug("reading a target's status failed", "target", name, "error", err)
 	svc.mu.Lock()
 	svc.table.StatusReadFailed(name)
 	svc.mu.Unlock()
 }
 
-// TargetLost takes from other VMs that no VM that has connections to a target can
-// read its status.
+// TargetLost records a report of other VMs: no VM that has connections to the target
+// can read its status.
 func (e *Engine) TargetLost(name string) {
 	svc := e.serviceOf(name)
 	if svc == nil {
@@ -236,14 +239,15 @@
 		return
 	}
 	svc.mu.Lock()
-	news := svc.table.ObserveState(name, incarnation, state)
+	isNew := svc.table.ObserveState(name, incarnation, state)
 	svc.mu.Unlock()
-	if news {
+	if isNew {
 		e.opt.OnDrain(name, incarnation)
 	}
 }
 
-// MarkDraining takes from another VM that an incarnation of a target is leaving.
+// MarkDraining records a report of another VM: this incarnation of the target is
+// draining.
 func (e *Engine) MarkDraining(name, incarnation string) {
 	svc := e.serviceOf(name)
 	if svc == nil {
--- a/query/metrics.go
+++ b/query/metrics.go
@@ -9,21 +9,21 @@
 	"github.com/bramleybarrow/bramleybarrow/policy"
 )
 
-// phase is a part of a query's time.
+// phase is a section of a query's time, named as in the metric's label.
 type phase string
 
-// The phases of a query, in order. Together they are the time from its arrival
-// to the answer that was awaited longest.
+// The phases of a query, in order. Together they are the time from its arrival to the
+// answer that arrived last.
 const (
-	phaseAdmission phase = "admission" // waiting for room
-	phaseHeld      phase = "held"      // until the last answer's attempt was sent
-	phaseAttempt   phase = "attempt"   // of that attempt, its wait at the target included
+	phaseAdmission phase = "admission" // until the query was admitted
+	phaseHeld      phase = "held"      // from then until the attempt that answered last was sent
+	phaseAttempt   phase = "attempt"   // that attempt, including its wait at the target
 )
 
-// phaseBuckets are the upper bounds of the histograms of phases, in seconds.
+// phaseBuckets are the bucket upper bounds of the phase histograms, in seconds.
 var phaseBuckets = []float64{.001, .002, .005, .01, .02, .035, .05, .075, .1, .15, .2, .3, .5, 1}
 
-// serviceMetrics are the metrics of one service's queries.
+// serviceMetrics holds the metrics of one service's queries.
 type serviceMetrics struct {
 	phases   map[phase]*metrics.PrometheusHistogram
 	hedges   *metrics.Counter
@@ -50,8 +50,8 @@
 
 func (m *serviceMetrics) observePhase(p phase, d time.Duration) { m.phases[p].Update(d.Seconds()) }
 
-// recordEnd counts an admitted query. Phases are of queries answered in whole: of
-// others, no single answer was awaited.
+// recordEnd counts an admitted query. It records phases only for queries that every
+// shard answered: other queries did not end with an answer.
 func (m *serviceMetrics) recordEnd(out *policy.Outcome) {
 	m.hedges.Add(out.Hedges)
 	m.retries.Add(out.Retries)
--- a/query/metrics_test.go
+++ b/query/metrics_test.go
@@ -14,7 +14,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// fakeLeaves answers every search in whole.
+// fakeLeaves answers every search completely.
 type fakeLeaves struct{}
 
 func (fakeLeaves) Search(_ context.Context, _ string, _ int, req target.LeafRequest) (target.LeafAnswer, error) {
@@ -25,8 +25,9 @@
 	return target.SubmitAnswer{}, nil
 }
 
-// Searches get slower, and an operator cannot tell whether they wait for
-// admission, for a retry or for a leaf. Each phase of a whole answer is counted.
+// Guards against searches that get slower without a metric that shows whether they
+// wait for admission, for a retry or for a leaf. Each phase of a complete answer must
+// be counted.
 func TestPhaseMetrics(t *testing.T) {
 	g := NewWithT(t)
 	set := metrics.NewSet()
--- a/query/pool.go
+++ b/query/pool.go
@@ -2,14 +2,15 @@
 
 import "gopkg.in/tomb.v2"
 
-// Pool is a fixed number of workers that run jobs in order of arrival. It bounds
-// how many calls a VM has in flight.
+// Pool runs jobs on a fixed number of workers and starts them in the order in which
+// they were queued. It bounds how many calls a VM has in flight. It is safe for
+// concurrent use.
 type Pool struct {
 	jobs chan func()
 	tomb tomb.Tomb
 }
 
-// queuedJobsPerWorker is how many jobs may wait for each worker.
+// queuedJobsPerWorker bounds the queue: the number of waiting jobs per worker.
 const queuedJobsPerWorker = 4
 
 // NewPool starts a pool of n workers.
@@ -32,7 +33,7 @@
 	}
 }
 
-// TryEnqueue queues a job and reports whether there was room for it.
+// TryEnqueue queues a job. It returns false if the queue is full.
 func (p *Pool) TryEnqueue(job func()) bool {
 	select {
 	case p.jobs <- job:
@@ -42,8 +43,8 @@
 	}
 }
 
-// Stop ends the workers once their present jobs are done. Jobs that still wait
-// are not run.
+// Stop ends the workers and waits until their running jobs are done. Jobs that no
+// worker has taken are dropped.
 func (p *Pool) Stop() {
 	p.tomb.Kill(nil)
 	_ = p.tomb.Wait()
--- a/query/reason.go
+++ b/query/reason.go
@@ -5,7 +5,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// missingReason names a failed call in the terms of the coverage account.
+// missingReason returns the reason that the coverage states for a shard whose call
+// failed with e.
 func missingReason(e *target.CallError) policy.Reason {
 	switch e.Kind {
 	case target.ErrorUnknownTarget:
@@ -25,6 +26,7 @@
 	}
 }
 
+// refusalReason is missingReason for a call that the target refused.
 func refusalReason(r target.Reason) policy.Reason {
 	switch r {
 	case target.ReasonNoSnapshot:
--- a/query/request.go
+++ b/query/request.go
@@ -9,44 +9,44 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Request is a search or one browse page. The caller has checked it against
-// the bundle under which it runs.
+// Request is a search or one browse page. It must already be checked against the
+// bundle under which it runs.
 type Request struct {
 	ID          string
-	Search      *bundle.Search // of the bundle in force when the request arrived
+	Search      *bundle.Search // from the bundle in force when the request arrived
 	Arrived     time.Time
-	TimeLimit   time.Duration // the caller waits this long from Arrived
-	MinCoverage float64       // coverage
+	TimeLimit   time.Duration // how long the caller waits, from Arrived
+	MinCoverage float64       // coverage that the caller needs, 0 to 1
 	Query       string
-	MaxItems    int    // wanted at most
-	Snapshot    string // that a cursor pins; empty: free choice
-	After       string // browse: keys greater than this
+	MaxItems    int    // maximum number of items to return
+	Snapshot    string // the one that a cursor names; empty if any may be read
+	After       string // browse only: return keys greater than this one
 }
 
 // Answer is the outcome of a Request.
 type Answer struct {
 	Code       result.Code
 	Detail     string
-	RetryAfter time.Duration // for codes that say later
+	RetryAfter time.Duration // for codes whose Retry is RetryLater
 	Ran        result.Ran
 	Snapshot   policy.Snapshot
 	Coverage   policy.Coverage
 	Items      []target.Item
 	More       bool // further matches exist beyond Items
-	Sent       int  // attempts
+	Sent       int  // attempts sent, hedges and retries included
 	Hedges     int
 	Retries    int
 }
 
-// decisionReserve is the part of the time limit that is kept for merging and
-// sending the answer, within bounds.
+// The part of the time limit that is reserved for merging and sending the answer: one
+// part in reserveDivisor, within minReserve and maxReserve.
 const (
-	reserveDivisor = 20 // one part in
+	reserveDivisor = 20
 	minReserve     = 2 * time.Millisecond
 	maxReserve     = 20 * time.Millisecond
 )
 
-// deadline is when the decision must be made for the answer to arrive in time.
+// deadline returns when the outcome must be decided for the answer to arrive in time.
 func (r *Request) deadline() time.Time {
 	reserve := min(max(r.TimeLimit/reserveDivisor, minReserve), maxReserve)
 	return r.Arrived.Add(r.TimeLimit - reserve)
--- a/query/run.go
+++ b/query/run.go
@@ -11,12 +11,12 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// defaultRetryAfter is stated with answers that fell short for want of replicas: about
-// the time in which the health of targets is learned anew.
+// defaultRetryAfter is the retry time that is stated with answers that failed for lack
+// of replicas. It is about the time in which changes of targets' health become known.
 const defaultRetryAfter = time.Second
 
-// Search runs a query to its end. It returns when the outcome is decided, and
-// never holds a decided outcome back.
+// Search runs a query to its end. It returns as soon as the outcome is decided. It
+// never returns nil.
 func (e *Engine) Search(ctx context.Context, req *Request) *Answer {
 	svc := e.service(req.Search.Service)
 	if svc == nil {
@@ -31,7 +31,7 @@
 	return newAnswer(req, out)
 }
 
-// run feeds one query's events to the policy and carries out its actions.
+// run passes one query's events to the policy and executes the policy's actions.
 func (e *Engine) run(ctx context.Context, svc *service, req *Request) *policy.Outcome {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -46,11 +46,12 @@
 	return r.loop()
 }
 
-// eventBuffer lets attempts end without waiting for the query's loop.
+// eventBuffer is the number of events that attempts can post without waiting for the
+// query's loop.
 const eventBuffer = 64
 
-// runner is one query in progress. Its fields belong to the goroutine that
-// runs loop; attempts reach it through events alone.
+// runner is one query in progress. Only the goroutine that runs loop uses its
+// changing fields; attempts send their results to events.
 type runner struct {
 	engine  *Engine
 	svc     *service
@@ -97,7 +98,8 @@
 	return r.query.NextTick(), acts
 }
 
-// handleEvents feeds an event, and those that have come meanwhile, under one lock.
+// handleEvents passes ev and all events that are queued by now to the policy, under one
+// lock.
 func (r *runner) handleEvents(ev event) (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -113,7 +115,7 @@
 	}
 }
 
-// handleEvent passes an event to the policy. It must hold svc.mu.
+// handleEvent passes an event to the policy. The caller must hold svc.mu.
 func (r *runner) handleEvent(now time.Time, ev event) []policy.Action {
 	if ev.answer != nil {
 		return r.query.HandleAnswer(now, ev.attempt, ev.answer)
@@ -129,7 +131,7 @@
 	return r.query.NextTick(), acts
 }
 
-// abandon ends a query whose caller went away.
+// abandon ends a query whose caller disconnected.
 func (r *runner) abandon() *policy.Outcome {
 	r.svc.mu.Lock()
 	acts := r.query.Abandon(r.engine.now())
@@ -137,8 +139,8 @@
 	return r.execute(acts)
 }
 
-// execute does what the policy decided. It returns the outcome once there is
-// one.
+// execute executes the policy's actions. It returns the outcome if one of them ends the
+// query, and nil otherwise.
 func (r *runner) execute(acts []policy.Action) *policy.Outcome {
 	for _, act := range acts {
 		switch a := act.(type) {
@@ -173,7 +175,7 @@
 	}
 }
 
-// post hands an event to the loop, unless the query has ended.
+// post sends an event to the loop, and drops it if the query has ended.
 func (r *runner) post(ev event) {
 	select {
 	case r.events <- ev:
@@ -202,7 +204,7 @@
 	return event{attempt: s.Attempt, answer: &answer}
 }
 
-// failureOf translates a client's error for the policy.
+// failureOf translates an error of Leaves for the policy.
 func failureOf(err error) policy.Failure {
 	var call *target.CallError
 	if !errors.As(err, &call) {
--- a/query/submit.go
+++ b/query/submit.go
@@ -14,16 +14,16 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Submission is a non-idempotent request. Its right to run has been claimed.
+// Submission is a non-idempotent request. The caller must have claimed its key.
 type Submission struct {
 	ID       string
 	Search   *bundle.Search
-	Key      string
+	Key      string // idempotency key
 	Payload  json.RawMessage
 	Deadline time.Time
 }
 
-// SubmitResult is what became of a Submission. Code is Accepted, or a code whose
+// SubmitResult is the outcome of a Submission. Code is Accepted, or a code whose
 // Ran is "not run", or OutcomeUnknown.
 type SubmitResult struct {
 	Code       result.Code
@@ -32,8 +32,9 @@
 	RetryAfter time.Duration
 }
 
-// Admit takes or refuses a non-idempotent request for a service, before its
-// key is claimed. If refused is nil, done must be called once at its end.
+// Admit admits or refuses a non-idempotent request for a service, before its key is
+// claimed. It may wait until deadline. If refused is nil, done must be called once
+// when the request ends.
 func (e *Engine) Admit(ctx context.Context, service string, deadline time.Time) (done func(), refused *Answer) {
 	svc := e.service(service)
 	if svc == nil {
@@ -51,8 +52,8 @@
 	}, nil
 }
 
-// Submit hands a claimed request to one target. It offers it to another one
-// only after a target's own word that it did not start it.
+// Submit sends a claimed request to one target. It sends the request to another one
+// only after the first has answered that it did not start it.
 func (e *Engine) Submit(ctx context.Context, req *Submission) SubmitResult {
 	svc := e.service(req.Search.Service)
 	if svc == nil {
@@ -70,10 +71,10 @@
 func (e *Engine) runSubmission(ctx context.Context, svc *service, req *Submission, sub *policy.Submission) SubmitResult {
 	for {
 		svc.mu.Lock()
-		send, wait, ok := sub.Next(e.now())
+		send, retryAt, ok := sub.Next(e.now())
 		svc.mu.Unlock()
 		if !ok {
-			if wait.IsZero() || !wait.Before(req.Deadline) || !sleep(ctx, time.Until(wait)) {
+			if retryAt.IsZero() || !retryAt.Before(req.Deadline) || !sleep(ctx, time.Until(retryAt)) {
 				return notStartedResult(sub)
 			}
 			continue
@@ -88,11 +89,11 @@
 		if !endOfAttempt(err).Refused {
 			return SubmitResult{Code: result.OutcomeUnknown, Detail: err.Error()}
 		}
-		e.opt.Log.Debug("a target did not start a request", "request", req.ID, "error", err)
+		e.opt.Log.Debug("target did not start the request", "request", req.ID, "error", err)
 	}
 }
 
-// sleep waits and reports whether ctx still stands.
+// sleep waits for d. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -66,9 +66,9 @@
 		"300000":              func(s *Settings) { s.LameDuckMS = MaxLameDuckMS + 1 },
 		"an IP address and p": func(s *Settings) { s.Listen.Peers = "x" },
 	}
-	for want, spoil := range cases {
+	for want, corrupt := range cases {
 		s := validSettings(t)
-		spoil(s)
+		corrupt(s)
 		err := parse(t, s)
 		g := NewWithT(t)
 		g.Expect(result.Of(err)).To(Equal(result.BadSettings), want)
--- a/wire/auth_bench_test.go
+++ b/wire/auth_bench_test.go
@@ -15,8 +15,8 @@
 // BenchmarkConnectByProof opens, proves and closes one connection; both ends run
 // in this process.
 func BenchmarkConnectByProof(b *testing.B) {
-	count := &Counters{}
-	s, err := Listen("127.0.0.1:0", options("a", oldKey), count, func(c *Conn) { c.Serve() })
+	counters := &Counters{}
+	s, err := Listen("127.0.0.1:0", options("a", oldKey), counters, func(c *Conn) { c.Serve() })
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 		c.Close()
 		c.Wait()
 	}
-	b.ReportMetric(float64(count.BytesIn.Load()+count.BytesOut.Load())/float64(b.N), "wire-B/op")
+	b.ReportMetric(float64(counters.BytesIn.Load()+counters.BytesOut.Load())/float64(b.N), "wire-B/op")
 }
 
 // BenchmarkConnectByTLS does the same with TLS 1.3 and certificates at both
@@ -41,7 +41,7 @@
 		b.Fatal(err)
 	}
 	defer ln.Close()
-	count := &Counters{}
+	counters := &Counters{}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -62,7 +62,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		c := tls.Client(&timedConn{Conn: raw, silenceTimeout: time.Minute, counters: count}, config)
+		c := tls.Client(&timedConn{Conn: raw, silenceTimeout: time.Minute, counters: counters}, config)
 		one := []byte{1}
 		if _, err := c.Write(one); err != nil {
 			b.Fatal(err)
@@ -72,7 +72,7 @@
 		}
 		c.Close()
 	}
-	b.ReportMetric(float64(count.BytesIn.Load()+count.BytesOut.Load())/float64(b.N), "wire-B/op")
+	b.ReportMetric(float64(counters.BytesIn.Load()+counters.BytesOut.Load())/float64(b.N), "wire-B/op")
 }
 
 func testCertificates(b *testing.B) *tls.Config {
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -45,7 +45,7 @@
 	serving   chan struct{} // closed by Serve
 }
 
-func newConn(raw net.Conn, o *Options, count *Counters, dialed bool) *Conn {
+func newConn(raw net.Conn, o *Options, counters *Counters, dialed bool) *Conn {
 	c := &Conn{
 		opts:      o,
 		dialed:    dialed,
@@ -56,13 +56,13 @@
 		serving: make(chan struct{}),
 	}
 	c.limit.Store(maxHelloMessage)
-	timed := &timedConn{Conn: raw, silenceTimeout: o.SilentAfter, counters: count}
+	timed := &timedConn{Conn: raw, silenceTimeout: o.SilentAfter, counters: counters}
 	codec := boundedCodec{limit: &c.limit, maxSend: o.MaxMessage, bodies: &c.bodies, withBodies: o.MaxVersion >= VersionCBOR}
 	stream := jsonrpc2.NewBufferedStream(timed, codec)
-	gate := gatedStream{ObjectStream: stream, open: make(chan struct{}), onInvalid: c.reportInvalidMessage}
+	gated := gatedStream{ObjectStream: stream, open: make(chan struct{}), onInvalid: c.reportInvalidMessage}
 	logger := jsonrpc2.SetLogger(rpcLogger{o.Log})
-	c.rpc = jsonrpc2.NewConn(context.Background(), gate, c, logger, jsonrpc2.OnSend(c.bodies.onSend))
-	close(gate.open)
+	c.rpc = jsonrpc2.NewConn(context.Background(), gated, c, logger, jsonrpc2.OnSend(c.bodies.onSend))
+	close(gated.open)
 	return c
 }
 
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -10,7 +10,7 @@
 
 // Dial opens a connection to a VM and proves itself. The caller closes it, and
 // calls Serve if the peer may call back.
-func Dial(ctx context.Context, address string, o Options, count *Counters) (*Conn, error) {
+func Dial(ctx context.Context, address string, o Options, counters *Counters) (*Conn, error) {
 	o = o.withDefaults()
 	ctx, cancel := context.WithTimeout(ctx, o.HelloTimeout)
 	defer cancel()
@@ -18,7 +18,7 @@
 	if err != nil {
 		return nil, result.Wrap(result.ExchangeFailed, err, "dial")
 	}
-	c := newConn(raw, &o, count, true)
+	c := newConn(raw, &o, counters, true)
 	if err := c.sendHello(ctx); err != nil {
 		c.Close()
 		return nil, err
@@ -45,12 +45,12 @@
 	// The peer may call as soon as it has sent its proof, before this end has
 	// looked at it; they are held back until Serve.
 	c.limit.Store(int64(c.opts.MaxMessage))
-	var theirs Proof
-	own := Proof{Proof: computeProof(key, roleDialer, hello, &answer)}
-	if err := c.Call(ctx, MethodProve, own, &theirs); err != nil {
+	var peerProof Proof
+	ownProof := Proof{Proof: computeProof(key, roleDialer, hello, &answer)}
+	if err := c.Call(ctx, MethodProve, ownProof, &peerProof); err != nil {
 		return err
 	}
-	if !hmac.Equal(theirs.Proof, computeProof(key, roleAcceptor, hello, &answer)) {
+	if !hmac.Equal(peerProof.Proof, computeProof(key, roleAcceptor, hello, &answer)) {
 		return result.Errorf(result.WrongKey, "the accepting end's proof is wrong")
 	}
 	c.setAuthenticated(answer.From, c.opts.Use, answer.Version)
@@ -76,8 +76,8 @@
 }
 
 func (c *Conn) handleProve(params json.RawMessage) (any, error) {
-	var theirs Proof
-	if err := json.Unmarshal(params, &theirs); err != nil {
+	var peerProof Proof
+	if err := json.Unmarshal(params, &peerProof); err != nil {
 		return nil, result.Wrap(result.BadHello, err, "")
 	}
 	c.mu.Lock()
@@ -86,7 +86,7 @@
 	if hello == nil {
 		return nil, result.Errorf(result.BadHello, "proof without a hello")
 	}
-	if !hmac.Equal(theirs.Proof, computeProof(key, roleDialer, hello, answer)) {
+	if !hmac.Equal(peerProof.Proof, computeProof(key, roleDialer, hello, answer)) {
 		return nil, result.Errorf(result.WrongKey, "the proof is wrong")
 	}
 	return Proof{Proof: computeProof(key, roleAcceptor, hello, answer)}, nil
--- a/wire/server.go
+++ b/wire/server.go
@@ -27,7 +27,7 @@
 // Listen starts to accept connections at address. Each authenticated one is
 // passed to onConn, which calls Serve and must not block; the server closes it
 // when it stops.
-func Listen(address string, o Options, count *Counters, onConn func(*Conn)) (*Server, error) {
+func Listen(address string, o Options, counters *Counters, onConn func(*Conn)) (*Server, error) {
 	for _, key := range o.Keys {
 		if len(key) < MinKeyBytes {
 			return nil, result.Errorf(result.BadSettings, "fleet key of %d bytes, at least %d are needed", len(key), MinKeyBytes)
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "listen for peers")
 	}
-	s := &Server{opts: o.withDefaults(), counters: count, ln: ln, onConn: onConn, conns: map[*Conn]struct{}{}}
+	s := &Server{opts: o.withDefaults(), counters: counters, ln: ln, onConn: onConn, conns: map[*Conn]struct{}{}}
 	s.tomb.Go(s.accept)
 	return s, nil
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -162,10 +162,10 @@
 			_, err = raw.Write(tc.sent)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(raw.SetReadDeadline(time.Now().Add(testLimit))).To(Succeed())
-			told, err := io.ReadAll(bufio.NewReader(raw))
+			received, err := io.ReadAll(bufio.NewReader(raw))
 			g.Expect(isTimeout(err)).To(BeFalse(), "the connection was not cut off")
 			if tc.code != 0 {
-				g.Expect(string(told)).To(ContainSubstring(fmt.Sprintf(`"code":%d`, tc.code)))
+				g.Expect(string(received)).To(ContainSubstring(fmt.Sprintf(`"code":%d`, tc.code)))
 			}
 			c, err := dial(s, options("b", oldKey))
 			g.Expect(err).NotTo(HaveOccurred())
@@ -208,13 +208,13 @@
 	o := options("a", oldKey)
 	o.PingInterval = 50 * time.Millisecond
 	s := serve(t, o)
-	hole := newBlackhole(t, s.Addr().String())
+	proxy := newBlackhole(t, s.Addr().String())
 	client := options("b", oldKey)
 	client.PingInterval = o.PingInterval
-	c, err := Dial(context.Background(), hole.addr(), client, &Counters{})
+	c, err := Dial(context.Background(), proxy.addr(), client, &Counters{})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(call(c, "echo", 1)).To(Succeed())
-	hole.dropAll()
+	proxy.dropAll()
 	g.Eventually(c.Done()).WithTimeout(testLimit).Should(BeClosed())
 	g.Eventually(func() int {
 		s.mu.Lock()
@@ -267,7 +267,7 @@
 func TestInOrderMessagesKeepOrder(t *testing.T) {
 	const messages = 2000
 	g := NewWithT(t)
-	var taken []int
+	var handled []int
 	done := make(chan struct{})
 	o := options("a", oldKey)
 	o.MaxCalls = messages
@@ -277,7 +277,7 @@
 		if err := json.Unmarshal(params, &n); err != nil {
 			return nil, err
 		}
-		if taken = append(taken, n); len(taken) == messages {
+		if handled = append(handled, n); len(handled) == messages {
 			close(done)
 		}
 		return nil, nil
@@ -293,7 +293,7 @@
 		sent = append(sent, n)
 	}
 	g.Eventually(done).WithTimeout(testLimit).Should(BeClosed())
-	g.Expect(taken).To(Equal(sent))
+	g.Expect(handled).To(Equal(sent))
 }
 
 // blackhole forwards one connection until it is told to swallow all bytes.
