--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -14,21 +14,21 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// readBody takes the body, up to MaxBody.
+// readBody reads the request's body, which may have up to MaxBodyBytes.
 func (req *request) readBody(w http.ResponseWriter) error {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.http.Body, MaxBodyBytes))
 	var tooBig *http.MaxBytesError
 	if errors.As(err, &tooBig) {
-		return result.Errorf(result.TooLarge, "body: allowed are %d bytes", MaxBodyBytes)
+		return result.Errorf(result.TooLarge, "body: larger than the allowed %d bytes", MaxBodyBytes)
 	}
 	if err != nil {
-		return result.Errorf(result.BadRequest, "body: could not be read; send it whole")
+		return result.Errorf(result.BadRequest, "body: could not be read completely")
 	}
 	req.body = body
 	return nil
 }
 
-// newAnswer returns the general part of an answer of the given code.
+// newAnswer returns an answer with the fields that follow from its code.
 func newAnswer(code result.Code) *Answer {
 	info := code.Info()
 	return &Answer{
@@ -39,7 +39,7 @@
 	}
 }
 
-// errorAnswer turns an error into an answer.
+// errorAnswer returns the answer for a request that failed with err.
 func errorAnswer(err error) *Answer {
 	a := newAnswer(result.Of(err))
 	var e *result.Error
@@ -50,7 +50,8 @@
 	return a
 }
 
-// ceilMillis rounds up, so that a caller never comes back too early.
+// ceilMillis returns d in milliseconds, rounded up, so that a caller does not retry too
+// early.
 func ceilMillis(d time.Duration) int64 {
 	return int64(math.Ceil(float64(d) / float64(time.Millisecond)))
 }
@@ -72,6 +73,7 @@
 
 const msPerSecond = int64(time.Second / time.Millisecond)
 
+// writeAnswer completes the answer, counts it and sends it.
 func (g *Gateway) writeAnswer(w http.ResponseWriter, req *request, a *Answer) {
 	a.Request = req.id
 	if req.inForce != nil {
@@ -82,9 +84,9 @@
 	g.updateMetrics(a, took)
 	body, err := json.Marshal(a)
 	if err != nil {
-		// Only a target's malformed raw JSON can cause this; its client has
-		// checked that, so it is a fault of this program.
-		g.opt.Log.Error("an answer could not be encoded", "request", req.id, "error", err)
+		// Only malformed raw JSON from a target can cause this. target.Client
+		// checks such JSON, so this is a bug in this program.
+		g.opt.Log.Error("encoding an answer failed", "request", req.id, "error", err)
 		http.Error(w, "internal fault", http.StatusInternalServerError)
 		return
 	}
@@ -100,7 +102,7 @@
 	}
 	w.WriteHeader(result.Code(a.Code).Info().HTTP)
 	if _, err := w.Write(body); err != nil {
-		g.opt.Log.Debug("a caller went away before its answer", "request", req.id, "error", err)
+		g.opt.Log.Debug("sending an answer failed", "request", req.id, "error", err)
 	}
 }
 
--- a/gateway/cursor.go
+++ b/gateway/cursor.go
@@ -7,21 +7,21 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// cursor is where the next browse page begins. It pins the snapshot, so that
-// the pages of one listing never mix two.
+// cursor states where the next browse page begins. It names the snapshot, so that all
+// pages of one listing come from the same snapshot.
 type cursor struct {
 	Search   string `json:"search"`
 	Snapshot string `json:"snapshot"`
-	After    string `json:"after"`
+	After    string `json:"after"` // key of the last item of the page before
 }
 
 func (c cursor) encode() string {
-	// A struct of strings always encodes.
-	raw, _ := json.Marshal(c)
+	raw, _ := json.Marshal(c) // a struct of strings can always be encoded
 	return base64.RawURLEncoding.EncodeToString(raw)
 }
 
-// decodeCursor returns the cursor of a page of the given search.
+// decodeCursor decodes a cursor and checks that it belongs to the given search. An
+// empty string gives the zero cursor, which begins at the first page.
 func decodeCursor(encoded, search string) (cursor, error) {
 	if encoded == "" {
 		return cursor{}, nil
@@ -32,10 +32,10 @@
 		err = json.Unmarshal(raw, &c)
 	}
 	if err != nil || c.Snapshot == "" {
-		return cursor{}, result.Errorf(result.BadRequest, "cursor: not one that this service gave out; send the cursor of an answer unchanged")
+		return cursor{}, result.Errorf(result.BadRequest, "cursor: not issued by this service; send the cursor of an answer unchanged")
 	}
 	if c.Search != search {
-		return cursor{}, result.Errorf(result.BadRequest, "cursor: belongs to search %q, allowed is one of %q", c.Search, search)
+		return cursor{}, result.Errorf(result.BadRequest, "cursor: belongs to search %q, allowed is a cursor of search %q", c.Search, search)
 	}
 	return c, nil
 }
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,3 +1,3 @@
-// Package gateway is the callers' HTTP interface: searches, browse pages and
+// Package gateway serves the HTTP interface for callers: searches, browse pages and
 // non-idempotent requests. docs/API.md describes it with examples.
 package gateway
--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -12,9 +12,9 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// FuzzRequest: whatever a caller sends, the answer is whole, its code is one of the
-// table's, and its status and headers fit the code. What gets through to the engine
-// or to a target is within the bundle's bounds.
+// FuzzRequest sends arbitrary requests. Each answer must be complete JSON with a code of
+// the result table, and its status and headers must match the code. Requests that reach
+// the engine must be within the bundle's bounds.
 func FuzzRequest(f *testing.F) {
 	const keyed, unkeyed = validKey, ""
 	f.Add("search/find", `{"query":"x","limit":3,"time_limit_ms":50,"coverage":0.7,"explain":true}`, unkeyed)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -19,22 +19,23 @@
 	"github.com/bramleybarrow/bramleybarrow/rollout"
 )
 
-// Bounds of what a caller may send.
+// Bounds on requests and connections of callers.
 const (
 	MaxBodyBytes   = 64 << 10 // bytes
 	MaxHeaderBytes = 16 << 10 // bytes
 	readTimeout    = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
-	writeMargin    = 10 * time.Second // beyond the longest time limit of a request
+	writeMargin    = 10 * time.Second // for writing the answer, beyond the longest time limit of a request
 	maxTimeLimit   = time.Minute
 )
 
-// Config tells the bundle in force. rollout.Keeper implements it.
+// Config returns the bundle in force, or nil before there is one. rollout.Follower
+// implements it.
 type Config interface {
 	Current() *rollout.InForce
 }
 
-// Engine runs requests. query.Engine implements it.
+// Engine runs requests on targets. query.Engine implements it.
 type Engine interface {
 	Search(ctx context.Context, req *query.Request) *query.Answer
 	Admit(ctx context.Context, service string, deadline time.Time) (done func(), refused *query.Answer)
@@ -52,17 +53,17 @@
 	Engine     Engine
 	Claims     Claims
 	Deployment string
-	Log        *slog.Logger
-	Metrics    *metrics.Set
+	Log        *slog.Logger // discards all if nil
+	Metrics    *metrics.Set // a new set if nil
 }
 
-// Gateway serves callers. It is safe for concurrent use.
+// Gateway serves callers' requests over HTTP. It is safe for concurrent use.
 type Gateway struct {
 	opt     Options
 	leaving atomic.Bool
 }
 
-// New returns a gateway.
+// New returns a gateway. It serves requests through Handler or Server.
 func New(opt Options) *Gateway {
 	if opt.Log == nil {
 		opt.Log = logging.Discard()
@@ -73,11 +74,11 @@
 	return &Gateway{opt: opt}
 }
 
-// Leave makes the gateway ask callers, with each answer, not to use the
-// connection again. Requests are still served.
+// Leave makes the gateway send "Connection: close" with each answer, so that callers
+// do not use the connection again. Requests are still served.
 func (g *Gateway) Leave() { g.leaving.Store(true) }
 
-// Server returns an HTTP server for the gateway with its bounds set.
+// Server returns an HTTP server for the gateway with its timeouts and size limits set.
 func (g *Gateway) Server() *http.Server {
 	return &http.Server{
 		Handler:           g.Handler(),
@@ -100,19 +101,19 @@
 	return mux
 }
 
-// request is one caller's request on its way through the gateway.
+// request is one caller's request while the gateway handles it.
 type request struct {
 	id      string
 	arrived time.Time
-	inForce *rollout.InForce // for the request's whole life
+	inForce *rollout.InForce // when the request arrived; used until its end
 	http    *http.Request
 	body    []byte
 }
 
 type handler func(req *request) *Answer
 
-// serve wraps what all requests share: the revision that the request lives
-// under, its id, the bounds and the form of the answer.
+// serve returns an HTTP handler that does what all requests have in common: it assigns
+// an id and the revision in force to the request, reads its body and writes the answer.
 func (g *Gateway) serve(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := &request{
@@ -136,7 +137,7 @@
 	return h(req)
 }
 
-// noBundleRetryAfter is stated by a VM that has no bundle in force yet.
+// noBundleRetryAfter is the retry time that a VM states while it has no bundle in force.
 const noBundleRetryAfter = time.Second
 
 func unknownPath(*request) *Answer {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -21,7 +21,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// fake is a bundle in force, an engine and claims in one.
+// fake implements Config, Engine and Claims.
 type fake struct {
 	inForce     *rollout.InForce
 	answer      query.Answer
@@ -93,6 +93,8 @@
 
 const validKey = "1700000000-abcdefgh"
 
+// Guards against requests that are outside the bounds and reach the engine, or that are
+// refused with the wrong code.
 func TestInvalidRequestCodes(t *testing.T) {
 	cases := []struct {
 		path, body string
@@ -132,6 +134,8 @@
 	}
 }
 
+// Guards against answers that do not name the revision, snapshot and coverage that they
+// are based on, and against a next page from another snapshot.
 func TestAnswerNamesRevisionSnapshotAndCoverage(t *testing.T) {
 	g := NewWithT(t)
 	f := newFake()
@@ -146,8 +150,8 @@
 	g.Expect(f.lastSearch.After).To(Equal("b"))
 }
 
-// A caller that is refused comes back at once and makes the overload worse: it
-// was not told when to come back.
+// Guards against refusals without a retry time: callers would retry immediately and
+// increase the overload.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	g := NewWithT(t)
 	f := newFake()
@@ -162,8 +166,8 @@
 	g.Expect(res.Header.Get(HeaderRetryAfter)).NotTo(BeEmpty())
 }
 
-// FuzzCursor: whatever a caller sends as a cursor, it is refused with a code or
-// read as one that was given out.
+// FuzzCursor decodes arbitrary strings. Each must be refused with BadRequest, or give a
+// cursor of the right search with a snapshot.
 func FuzzCursor(f *testing.F) {
 	f.Add(cursor{Search: "list", Snapshot: "v1", After: "b"}.encode())
 	f.Add("")
--- a/gateway/messages.go
+++ b/gateway/messages.go
@@ -7,7 +7,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// The headers of the interface.
+// The HTTP headers of requests and answers.
 const (
 	HeaderKey        = "Idempotency-Key"
 	HeaderTimeLimit  = "Time-Limit-Ms" // of a non-idempotent request
@@ -18,22 +18,22 @@
 // SearchBody is the body of a search or a browse page.
 type SearchBody struct {
 	Query       string  `json:"query"`
-	Limit       int     `json:"limit,omitempty"`         // items wanted; the bundle's max_items if 0
+	Limit       int     `json:"limit,omitempty"`         // maximum number of items; the bundle's max_items if 0
 	TimeLimitMS int     `json:"time_limit_ms,omitempty"` // the bundle's default if 0
-	Coverage    float64 `json:"coverage,omitempty"`      // needed; the bundle's default if 0
-	Cursor      string  `json:"cursor,omitempty"`        // of the page before; browse only
-	Explain     bool    `json:"explain,omitempty"`       // list the shards of which records are missing
+	Coverage    float64 `json:"coverage,omitempty"`      // least coverage, 0 to 1; the bundle's default if 0
+	Cursor      string  `json:"cursor,omitempty"`        // from the answer with the page before; browse only
+	Explain     bool    `json:"explain,omitempty"`       // list the shards with missing records
 }
 
-// Coverage is the account of what an answer rests on.
+// Coverage states how many of a snapshot's shards and records an answer is based on.
 type Coverage struct {
-	Ratio          float64           `json:"ratio"`           // share of shards read, 0 to 1
+	Ratio          float64           `json:"ratio"`           // share of the shards that was read, 0 to 1
 	Shards         int               `json:"shards"`          // of the snapshot's partition map
-	ShardsAnswered int               `json:"shards_answered"` // in full
+	ShardsAnswered int               `json:"shards_answered"` // completely
 	Records        int64             `json:"records"`         // read
 	Missing        int64             `json:"missing"`         // records known to be missing
-	UnknownShards  int               `json:"unknown_shards"`  // shards of which the missing records cannot be counted
-	Gaps           []policy.ShardGap `json:"gaps,omitempty"`  // on request
+	UnknownShards  int               `json:"unknown_shards"`  // shards whose missing records cannot be counted
+	Gaps           []policy.ShardGap `json:"gaps,omitempty"`  // only if the request says explain
 }
 
 // Answer is the body of every answer.
--- a/gateway/search.go
+++ b/gateway/search.go
@@ -42,7 +42,8 @@
 	return cursor{Search: q.Search.Name, Snapshot: out.Snapshot.Name, After: last.Key}.encode()
 }
 
-// findSearch returns the search that the path names, if it is of the path's kind.
+// findSearch returns the search that the path names. The kind in the path must be the
+// search's kind.
 func (req *request) findSearch() (*bundle.Search, error) {
 	name := pat.Param(req.http, "search")
 	s, ok := req.inForce.Bundle.Search(name)
@@ -73,7 +74,7 @@
 	return q, &body, applyCursor(q, body.Cursor)
 }
 
-// decodeStrict reads a body strictly.
+// decodeStrict decodes a JSON body. Unknown, repeated or missing fields are errors.
 func decodeStrict(data []byte, into any) error {
 	findings := strictjson.Decode(data, into)
 	if len(findings) == 0 {
@@ -82,7 +83,8 @@
 	return result.Errorf(result.BadRequest, "%s", findings[0])
 }
 
-// applyBounds takes what the caller asked for within what the bundle allows.
+// applyBounds sets the time limit, coverage and number of items that the caller asks
+// for, or the bundle's defaults. Values that the bundle does not allow are errors.
 func applyBounds(q *query.Request, body *SearchBody) error {
 	s := q.Search
 	limit, err := timeLimit(s, body.TimeLimitMS)
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// timeLimit returns how long the caller waits; ms is 0 if it did not say.
+// timeLimit returns the caller's time limit, and the search's default if ms is 0.
 func timeLimit(s *bundle.Search, ms int) (time.Duration, error) {
 	if ms == 0 {
 		ms = s.TimeLimit.DefaultMS
@@ -124,7 +126,7 @@
 		return nil
 	}
 	if q.Search.Kind != bundle.KindBrowse {
-		return result.Errorf(result.BadRequest, "cursor: only browse pages take one")
+		return result.Errorf(result.BadRequest, "cursor: allowed only in browse requests")
 	}
 	c, err := decodeCursor(encoded, q.Search.Name)
 	if err != nil {
--- a/gateway/submit.go
+++ b/gateway/submit.go
@@ -31,8 +31,9 @@
 	return g.runOnce(req, s, key, deadline)
 }
 
-// runOnce claims the key and runs the request. A caller that goes away does not
-// end it: what was handed to a target is followed to its outcome.
+// runOnce claims the key and runs the request. The request is not cancelled if the
+// caller disconnects: a request that was sent to a target is followed to its outcome,
+// up to its deadline.
 func (g *Gateway) runOnce(req *request, s *bundle.Search, key once.Key, deadline time.Time) *Answer {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(req.http.Context()), deadline)
 	defer cancel()
@@ -60,6 +61,7 @@
 	return a
 }
 
+// parseSubmit returns the request's search, key and time limit.
 func (req *request) parseSubmit() (*bundle.Search, once.Key, time.Duration, error) {
 	s, err := req.findSearch()
 	if err != nil {
--- a/query/engine.go
+++ b/query/engine.go
@@ -56,7 +56,7 @@
 	mu        sync.Mutex // guards the fields below
 	table     *policy.Table
 	admission *policy.Admission
-	waiting   map[policy.TicketID]chan policy.Verdict
+	waiting   map[policy.TicketID]chan policy.Verdict // queries that wait for admission
 }
 
 // NewEngine returns an engine without services; Apply sets them. Close ends it.
