--- a/node/claims.go
+++ b/node/claims.go
@@ -11,8 +11,8 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// buildClaims makes the runner of non-idempotent requests and its ways to the
-// VMs that commit for this one.
+// buildClaims creates the runner of non-idempotent requests, and the links to the VMs
+// that commit claims for this VM.
 func (n *Node) buildClaims() {
 	n.links = relay.NewLinks(relay.Options{
 		Self:  n.settings.Name,
@@ -30,7 +30,8 @@
 	})
 }
 
-// handlePeerCall serves the calls that other VMs make over connections of their own.
+// handlePeerCall serves the calls that other VMs make over connections opened for such
+// calls: relayed claims, and calls to leaves of targets that this VM owns.
 func (n *Node) handlePeerCall(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
 	if strings.HasPrefix(method, relay.Prefix) {
 		return relay.Handle(ctx, n.claims, method, params)
--- a/node/example_test.go
+++ b/node/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// A program of your own embeds the daemon: it reads the settings, makes a node
-// and runs it until its context ends.
+// A program that embeds the daemon reads the settings, creates a node and runs it until
+// its context ends.
 func Example() {
 	cfg, err := settings.Parse([]byte(`{
 		"name": "vm-1", "deployment": "vatnsleit", "zone": "reykjanes",
@@ -31,7 +31,7 @@
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	stop() // at once, so that the example ends
+	stop() // immediately, so that the example ends
 	fmt.Println("ended:", n.Run(ctx))
 	// Output: ended: <nil>
 }
--- a/node/follow.go
+++ b/node/follow.go
@@ -8,8 +8,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// followRevisions puts each revision that comes into force to work, and opens and closes
-// connections when this VM becomes an owner of targets or ceases to be one.
+// followRevisions applies each revision that comes into force. It also opens and closes
+// connections when this VM becomes an owner of targets or stops being one.
 func (n *Node) followRevisions() error {
 	var applied *rollout.InForce
 	for {
@@ -34,6 +34,7 @@
 	}
 }
 
+// applyRevision applies a bundle that came into force to all parts of the daemon.
 func (n *Node) applyRevision(inForce *rollout.InForce) {
 	n.router.Apply(inForce.Bundle)
 	endpoints := n.endpoints(inForce.Bundle)
@@ -46,7 +47,7 @@
 	n.log.Info("revision in force", "revision", inForce.Revision, "digest", inForce.Digest)
 }
 
-// followDrains takes drains that other VMs learned.
+// followDrains applies the drains that other VMs report.
 func (n *Node) followDrains() error {
 	for {
 		changed := n.peers.DrainsChanged()
@@ -65,10 +66,12 @@
 	}
 }
 
-// watchingCheckInterval is how often this VM asks itself whether it is one of those
-// that watch the platform.
+// watchingCheckInterval is how often this VM checks whether it is one of the VMs that
+// watch the platform.
 const watchingCheckInterval = time.Second
 
+// updateWatching tells the follower whether this VM is to watch the platform or to rely
+// on its peers.
 func (n *Node) updateWatching() error {
 	ticker := time.NewTicker(watchingCheckInterval)
 	defer ticker.Stop()
@@ -82,7 +85,8 @@
 	}
 }
 
-// endpoints gives this VM its share of each target's connections.
+// endpoints returns the endpoints of a bundle's targets, each with this VM's share of
+// the target's connections.
 func (n *Node) endpoints(b *bundle.Bundle) []target.Endpoint {
 	var list []target.Endpoint
 	for i := range b.Services {
--- a/node/node.go
+++ b/node/node.go
@@ -28,7 +28,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Node is one daemon.
+// Node is one daemon. Run may be called once; Status may be called at any time.
 type Node struct {
 	settings    *settings.Settings
 	log         *slog.Logger
@@ -37,7 +37,7 @@
 	metrics     *metrics.Set
 	tomb        tomb.Tomb
 	leaving     atomic.Bool
-	warmedUp    atomic.Bool // targets were known once
+	warmedUp    atomic.Bool // set when isWarmedUp first returned true
 
 	store    objstore.Store
 	follower *rollout.Follower
@@ -69,7 +69,7 @@
 	return &listener{server: server, socket: socket}, nil
 }
 
-// New prepares a daemon with checked settings. Nothing runs before Run.
+// New creates a daemon from checked settings. It serves nothing before Run.
 func New(cfg *settings.Settings, log *slog.Logger) (*Node, error) {
 	n := &Node{
 		settings:    cfg,
@@ -86,8 +86,8 @@
 	n.follower = rollout.NewFollower(rollout.Options{
 		Deployment: cfg.Deployment,
 		Keys:       keys,
-		// Its reads may take longer than a claim: a slow platform must not count
-		// as one that is down.
+		// Reads of the follower may take longer than those of claims: a slow
+		// platform must not count as unreachable.
 		Store: objstore.NewClient(cfg.Platform.Address, objstore.ClientOptions{
 			CallTimeout: rollout.DefaultReadTimeout,
 		}),
@@ -133,10 +133,10 @@
 	return errors.Trace(err)
 }
 
-// buildTargets makes the client, the router, the engine and the monitor, which
-// refer to each other: the engine calls through the router, the router through
-// the client, the client tells the engine, and so does the monitor by way of the
-// relay of targets' health.
+// buildTargets creates the client, the router, the engine and the monitor, which refer
+// to each other: the engine calls through the router, and the router through the
+// client. The client reports to the engine. The monitor reports to the health relay,
+// which reports to the engine.
 func (n *Node) buildTargets() {
 	clientSink := &deferredSink{}
 	n.client = target.NewClient(target.Options{
@@ -181,9 +181,9 @@
 	})
 }
 
-// deferredSink lets the client be made before the engine that it reports to. No
-// call is made before both exist.
+// deferredSink lets the client be created before the engine that it reports to. The
+// Sink must be set before the first call.
 type deferredSink struct{ target.Sink }
 
-// deferredHealthSink is the same for the relay of targets' health.
+// deferredHealthSink is the same for the health relay.
 type deferredHealthSink struct{ health.Sink }
--- a/node/run.go
+++ b/node/run.go
@@ -11,9 +11,9 @@
 	"github.com/bramleybarrow/bramleybarrow/ops"
 )
 
-// Run serves until ctx ends, then leaves in order: readiness fails, callers are
-// asked to go elsewhere for the lame-duck time while requests are still served,
-// and only then the listeners close and what is in flight is waited for.
+// Run serves until ctx ends, then shuts down in steps. First readiness fails and, during
+// the lame-duck time, callers are asked to use other VMs while their requests are still
+// served. Then the listeners close, and Run waits for the requests in flight.
 func (n *Node) Run(ctx context.Context) error {
 	if err := n.openListeners(); err != nil {
 		return errors.Trace(err)
@@ -61,9 +61,9 @@
 	}
 }
 
-// leave keeps serving for the lame-duck time. The platform's list of VMs lags,
-// so callers are still sent here for a while; a listener that closed at once
-// would cut off requests that are already on their way.
+// leave announces that this VM is leaving and serves for the lame-duck time. The
+// platform's list of VMs lags, so callers are still sent here for a while. Closing the
+// listener immediately would cut off requests that are already on their way.
 func (n *Node) leave() {
 	n.leaving.Store(true)
 	n.gateway.Leave()
@@ -72,8 +72,8 @@
 	time.Sleep(time.Duration(n.settings.LameDuckMS) * time.Millisecond)
 }
 
-// shutdownTimeout bounds the wait for what is in flight. No request may take
-// longer than a minute.
+// shutdownTimeout bounds the wait for requests in flight. No request may take longer
+// than 1 min.
 const shutdownTimeout = 70 * time.Second
 
 func (n *Node) shutdown() error {
--- a/node/status.go
+++ b/node/status.go
@@ -6,11 +6,11 @@
 	"github.com/bramleybarrow/bramleybarrow/ops"
 )
 
-// maxPlatformSilence is how long the platform may go unread before this VM says
-// that it cannot reach it.
+// maxPlatformSilence is the time since the last successful read from which on this VM
+// reports the platform as unreachable.
 const maxPlatformSilence = 5 * time.Second
 
-// Status returns what the operators' page shows.
+// Status returns the state that the status page for operators shows.
 func (n *Node) Status() ops.Status {
 	st := ops.Status{
 		VM:              n.settings.Name,
@@ -35,14 +35,15 @@
 	return st
 }
 
-// warmupTimeout is how long readiness waits for targets. Where a service has lost
-// them all, the others must be served all the same.
+// warmupTimeout bounds how long readiness waits for targets, counted from when the
+// bundle came into force. If one service has lost all its targets, the other services
+// must still be served.
 const warmupTimeout = 3 * time.Second
 
-// isWarmedUp reports whether this VM has got to know its targets since it started. A
-// VM that took callers' requests as soon as a bundle is in force would tell them
-// that no replica lives. Once isWarmedUp it stays so: a rollout that brings a new
-// service must not make all VMs unready together.
+// isWarmedUp reports whether this VM has learned the state of its targets since it
+// started, or warmupTimeout has passed. A VM that accepted requests as soon as a bundle
+// is in force would answer that no replica is alive. Once true, the result stays true: a
+// rollout that adds a service must not make all VMs not ready at the same time.
 func (n *Node) isWarmedUp(inForceSince time.Time) bool {
 	if n.warmedUp.Load() {
 		return true
--- a/settings/load.go
+++ b/settings/load.go
@@ -13,36 +13,36 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// MinFleetKeyBytes is the least length of a fleet key, in bytes.
+// MinFleetKeyBytes is the least length of a decoded fleet key, in bytes.
 const MinFleetKeyBytes = 32
 
-// MaxLameDuckMS bounds lame_duck_ms.
+// MaxLameDuckMS is the largest value of lame_duck_ms, in milliseconds.
 const MaxLameDuckMS = 300_000
 
-// Load reads and checks a settings file. The error names each field that is
-// amiss, what was found and what is allowed.
+// Load reads and validates a settings file. The error has code BadSettings. It names
+// each invalid field, what was found and what is allowed.
 func Load(path string) (*Settings, error) {
 	s := &Settings{}
 	return s, LoadInto(path, s, s.validate)
 }
 
-// Parse reads and checks settings.
+// Parse is Load for the content of a settings file.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{}
 	return s, ParseInto(data, s, s.validate)
 }
 
-// LoadInto reads a settings file into the struct that into points at, and checks what
-// was read.
+// LoadInto decodes a settings file into the struct that into points at, and then calls
+// check, which returns what is invalid. Errors are as for Load.
 func LoadInto(path string, into any, check func() []strictjson.Finding) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return result.Wrap(result.BadSettings, err, "the file cannot be read")
+		return result.Wrap(result.BadSettings, err, "reading the settings file failed")
 	}
 	return ParseInto(data, into, check)
 }
 
-// ParseInto reads settings into the struct that into points at, and checks what was read.
+// ParseInto is LoadInto for the content of a settings file.
 func ParseInto(data []byte, into any, check func() []strictjson.Finding) error {
 	findings := strictjson.Decode(data, into)
 	if len(findings) == 0 {
@@ -94,6 +94,7 @@
 	return c.findings
 }
 
+// validator collects the findings on a settings file.
 type validator struct{ findings []strictjson.Finding }
 
 func (c *validator) add(path, found, allowed string) {
@@ -112,11 +113,12 @@
 	}
 }
 
-// base64Key checks a key. The key itself is not repeated in the finding.
+// base64Key checks the length of a base64 key, in decoded bytes. The finding does not
+// contain the key itself.
 func (c *validator) base64Key(path, found string, low, high int) {
 	raw, err := base64.StdEncoding.DecodeString(found)
 	if err != nil {
-		c.add(path, "no base64", "base64 of a key")
+		c.add(path, "not base64", "base64 of a key")
 		return
 	}
 	if len(raw) < low || len(raw) > high {
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -46,8 +46,9 @@
 	g.Expect(result.Of(err)).To(Equal(result.BadSettings))
 }
 
-// A daemon starts with half of its settings ignored, since a field was misspelt
-// or has a value that cannot work. Each is one clear error that names the field.
+// Guards against a daemon that starts although a field of its settings is misspelt, and
+// so ignored, or has a value that cannot work. Each must give an error that names the
+// field.
 func TestInvalidSettingsNameTheField(t *testing.T) {
 	cases := map[string]func(s *Settings){
 		"$.name":              func(s *Settings) { s.Name = "" },
@@ -78,7 +79,8 @@
 	NewWithT(t).Expect(err).To(MatchError(ContainSubstring("$.nmae")))
 }
 
-// A fleet key ends up in a log: the error of a bad one must not repeat it.
+// Guards against fleet keys in logs: errors are logged, so the error about an invalid key
+// must not contain the key.
 func TestErrorsDoNotRepeatFleetKeys(t *testing.T) {
 	s := validSettings(t)
 	s.FleetKeys = []string{"c2VjcmV0LXNlY3JldA=="}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds a daemon's own settings: what a process must know
-// before it can reach the platform. Everything else comes with the bundle.
+// Package settings holds the settings of a daemon: what a process must know before it
+// can reach the platform. Everything else is in the bundle.
 package settings
 
 import (
@@ -10,32 +10,33 @@
 
 // Settings is the JSON settings file of bramleyd.
 type Settings struct {
-	Name       string   `json:"name"` // of this VM, as in the platform's list
+	Name       string   `json:"name"` // name of this VM in the platform's list
 	Deployment string   `json:"deployment"`
 	Zone       string   `json:"zone"`
 	Listen     Listen   `json:"listen"`
 	Platform   Platform `json:"platform"`
-	// OperatorKeys are the public keys whose signatures count. Two keys of one
-	// person are valid at once during a rotation.
+	// OperatorKeys are the public keys whose signatures are accepted. One person may
+	// have two valid keys during a rotation.
 	OperatorKeys []bundle.PublicKey `json:"operator_keys"`
-	// FleetKeys are shared by the VMs of the deployment, newest first, in
-	// base64. Each proves membership; the first is offered.
+	// FleetKeys are the base64 keys that the VMs of the deployment share, newest
+	// first. Each proves membership. A connection uses the first key of the dialling VM
+	// that both VMs hold.
 	FleetKeys []string `json:"fleet_keys"`
-	// Seeds are addresses of other VMs' peer listeners, asked when neither the
-	// platform nor a peer names any. They let a fleet start while the platform
-	// is down.
+	// Seeds are addresses of other VMs' peer listeners. They are used when neither the
+	// platform nor a peer names any VM, so that a fleet can start while the platform is
+	// down.
 	Seeds      []string `json:"seeds,omitempty"`
 	Log        Log      `json:"log"`
-	LameDuckMS int      `json:"lame_duck_ms"` // serving time after SIGTERM, longer than the balancer's lag
+	LameDuckMS int      `json:"lame_duck_ms"` // time that requests are served after SIGTERM; should exceed the load balancer's lag
 }
 
-// Listen holds the IP addresses and ports that a daemon serves.
+// Listen holds the IP addresses and ports that a daemon listens on.
 type Listen struct {
 	Callers string `json:"callers"`
 	Ops     string `json:"ops"`
 	Peers   string `json:"peers"`
-	// PeersAt is where other VMs reach Peers, if that is another address: behind
-	// address translation, or if Peers is a wildcard.
+	// PeersAt is the address at which other VMs reach Peers, if it differs from Peers:
+	// behind address translation, or if Peers is a wildcard address.
 	PeersAt string `json:"peers_at,omitempty"`
 }
 
@@ -47,18 +48,19 @@
 	return l.Peers
 }
 
-// Platform says where the platform's object API is.
+// Platform holds the address of the platform's object API.
 type Platform struct {
 	Address string `json:"address"` // IP and port
 }
 
-// Log governs the daemon's log.
+// Log configures the daemon's log.
 type Log struct {
 	Level string `json:"level"` // debug, info, warn or error
 	JSON  bool   `json:"json"`
 }
 
-// FleetKeyBytes returns the fleet keys decoded. Settings have been checked.
+// FleetKeyBytes returns the decoded fleet keys. The settings must be validated: keys that
+// are not base64 are left out.
 func (s *Settings) FleetKeyBytes() [][]byte {
 	keys := make([][]byte, 0, len(s.FleetKeys))
 	for _, k := range s.FleetKeys {
