--- a/wire/auth.go
+++ b/wire/auth.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	nonceBytes = 16
-	keyIDBytes = 8
+	nonceBytes = 16 // length of a nonce before hex encoding
+	keyIDBytes = 8  // length of a key id before hex encoding
 )
 
-// The roles keep a proof of one end from being sent back as the other's.
+// Each proof covers the role of its sender, so that a proof cannot be sent back as the
+// proof of the other end.
 const (
 	roleDialer   = "dialer"
 	roleAcceptor = "acceptor"
@@ -23,24 +24,24 @@
 
 // Hello is the first message of a connection.
 type Hello struct {
-	Versions []int    `json:"versions"`
+	Versions []int    `json:"versions"` // all that the sender speaks
 	From     Identity `json:"from"`
-	Use      string   `json:"use,omitempty"`
-	Nonce    string   `json:"nonce"`
-	KeyIDs   []string `json:"key_ids"`
+	Use      string   `json:"use,omitempty"` // Options.Use of the sender
+	Nonce    string   `json:"nonce"`         // hex
+	KeyIDs   []string `json:"key_ids"`       // of all keys that the sender holds, the newest first
 }
 
-// HelloAnswer challenges the dialling end.
+// HelloAnswer is the acceptor's answer to a Hello: what it chose, and its own nonce.
 type HelloAnswer struct {
-	Version int      `json:"version"`
+	Version int      `json:"version"` // chosen
 	From    Identity `json:"from"`
-	Nonce   string   `json:"nonce"`
-	KeyID   string   `json:"key_id"`
+	Nonce   string   `json:"nonce"`  // hex
+	KeyID   string   `json:"key_id"` // chosen
 }
 
-// Proof shows that its sender holds the agreed key.
+// Proof shows that its sender holds the chosen key.
 type Proof struct {
-	Proof []byte `json:"proof"`
+	Proof []byte `json:"proof"` // HMAC-SHA256; see computeProof
 }
 
 func newNonce() string {
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// computeProof returns the proof of one end. It covers both messages of the hello,
-// with both nonces and identities, so that it is of no use in another hello.
+// computeProof returns the proof of the end with the given role. It covers both messages
+// of the hello, with both nonces and identities, so that it is invalid for any other hello.
 func computeProof(key []byte, role string, hello *Hello, answer *HelloAnswer) []byte {
 	mac := hmac.New(sha256.New, key)
 	enc := json.NewEncoder(mac)
@@ -82,7 +83,7 @@
 	return mac.Sum(nil)
 }
 
-// answerHello checks a hello and chooses version and key.
+// answerHello validates a hello and chooses the version and the key.
 func answerHello(o *Options, hello *Hello) (*HelloAnswer, []byte, error) {
 	if hello.From.VM == "" || hello.From.Incarnation == "" || len(hello.Nonce) != 2*nonceBytes {
 		return nil, nil, result.Errorf(result.BadHello, "vm, incarnation and a nonce of %d hex digits are needed", 2*nonceBytes)
@@ -102,13 +103,13 @@
 	return nil, nil, result.Errorf(result.WrongKey, "no key in common")
 }
 
-// validateAnswer checks what the accepting end chose and returns the agreed key.
+// validateAnswer validates the acceptor's choice and returns the chosen key.
 func validateAnswer(o *Options, answer *HelloAnswer) ([]byte, error) {
 	if answer.From.Deployment != o.Self.Deployment {
 		return nil, result.Errorf(result.WrongFleet, "deployment %q found, want %q", answer.From.Deployment, o.Self.Deployment)
 	}
 	if newestCommon([]int{answer.Version}, o.MaxVersion) == 0 || answer.From.VM == "" || len(answer.Nonce) != 2*nonceBytes {
-		return nil, result.Errorf(result.BadHello, "answer of version %d from VM %q", answer.Version, answer.From.VM)
+		return nil, result.Errorf(result.BadHello, "invalid answer to the hello: version %d, VM %q", answer.Version, answer.From.VM)
 	}
 	key := findKey(o.Keys, answer.KeyID)
 	if key == nil {
@@ -117,7 +118,7 @@
 	return key, nil
 }
 
-// supportedVersions lists what an end speaks, the newest first.
+// supportedVersions returns all versions up to newest, the newest first.
 func supportedVersions(newest int) (list []int) {
 	for v := newest; v >= VersionJSON; v-- {
 		list = append(list, v)
@@ -125,7 +126,8 @@
 	return list
 }
 
-// newestCommon returns the newestCommon of the offered versions that an end speaks, or 0.
+// newestCommon returns the newest offered version that is at most limit and not older
+// than VersionJSON, or 0 if there is none.
 func newestCommon(offered []int, limit int) int {
 	best := 0
 	for _, v := range offered {
--- a/wire/auth_bench_test.go
+++ b/wire/auth_bench_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// BenchmarkConnectByProof opens, proves and closes one connection; both ends run
-// in this process.
+// BenchmarkConnectByProof opens, authenticates and closes a connection. Both ends run in
+// this process.
 func BenchmarkConnectByProof(b *testing.B) {
 	counters := &Counters{}
 	s, err := Listen("127.0.0.1:0", options("a", oldKey), counters, func(c *Conn) { c.Serve() })
@@ -32,8 +32,8 @@
 	b.ReportMetric(float64(counters.BytesIn.Load()+counters.BytesOut.Load())/float64(b.N), "wire-B/op")
 }
 
-// BenchmarkConnectByTLS does the same with TLS 1.3 and certificates at both
-// ends, without any message after the handshake.
+// BenchmarkConnectByTLS does the same with TLS 1.3 and certificates at both ends. One
+// byte is sent and returned after the handshake.
 func BenchmarkConnectByTLS(b *testing.B) {
 	config := testCertificates(b)
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", config)
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -17,37 +17,38 @@
 )
 
 // boundedCodec is jsonrpc2.VarintObjectCodec with bounds on the size of messages.
-// The library's codec believes the length that the other end states: one
-// connection could make this VM read without end.
+// The library's codec trusts the length that the other end states, so that one
+// connection could make this VM read an unlimited amount.
 //
-// A message may have a body of bytes, in a frame of its own before it: JSON-RPC's
-// layers walk through a message several times in each direction, which costs a
-// body of leaf calls more than all else that is done with it.
+// A message may have a binary body, which is sent in a separate frame before it. The
+// layers of JSON-RPC parse a message several times in each direction, and for a body of
+// leaf calls that costs more than all its other processing.
 type boundedCodec struct {
-	limit      *atomic.Int64 // of what is read
-	maxSend    int
+	limit      *atomic.Int64 // bytes of one frame that is read
+	maxSend    int           // bytes of one frame that is written
 	bodies     *bodies
 	withBodies bool // this end speaks VersionCBOR
 }
 
-// bodies holds the bodies of the messages that are being written and read. The
-// JSON-RPC library writes one message at a time, calls OnSend just before, and
-// hands out one message before it reads the next.
+// bodies holds the bodies of the message that is being written and of the one that is
+// being read. No lock is needed: the JSON-RPC library writes one message at a time and
+// calls OnSend just before, and it passes a message to the handler before it reads the
+// next.
 type bodies struct {
 	out, in []byte
 }
 
-// bodyMarker begins the frame of a body; JSON never begins with it.
+// bodyMarker is the first byte of a body's frame. JSON never begins with it.
 const bodyMarker = 0
 
-// bodyAttachment is how a body gets from a call to the hook that runs before the
-// message is written.
+// bodyAttachment carries a body from a call to onSend, which runs just before the message
+// is written.
 type bodyAttachment []byte
 
-// bodyField names the member that carries attached within this process.
+// bodyField is the name of the extra field that holds a bodyAttachment. It is not sent.
 const bodyField = "body"
 
-// onSend takes the body out of a message.
+// onSend moves the body from the message's extra field to b.out.
 func (b *bodies) onSend(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
 	b.out = nil
 	if req == nil || len(req.ExtraFields) == 0 {
@@ -59,8 +60,9 @@
 	}
 }
 
-// WriteObject implements jsonrpc2.ObjectCodec. What the other end would not read
-// fails here, with its code, and the connection goes on.
+// WriteObject implements jsonrpc2.ObjectCodec. A message that exceeds maxSend, which the
+// other end would refuse to read, fails with MessageTooBig before anything is written, and
+// the connection stays usable.
 func (c boundedCodec) WriteObject(stream io.Writer, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -85,7 +87,8 @@
 	return err
 }
 
-// ReadObject implements jsonrpc2.ObjectCodec.
+// ReadObject implements jsonrpc2.ObjectCodec. Errors about the message itself have the
+// code MessageTooBig or BadMessage.
 func (c boundedCodec) ReadObject(stream *bufio.Reader, v any) error {
 	c.bodies.in = nil
 	data, err := c.readFrame(stream)
@@ -115,10 +118,9 @@
 	return buf, err
 }
 
-// timedConn bounds each read by the time without a byte from the peer and each
-// write by the same, and counts bytes. A connection can go silent without FIN
-// or RST while writes still go into the kernel's buffer; only a deadline on
-// progress finds that out.
+// timedConn sets a deadline for each read and each write, and counts bytes. A connection
+// can become silent without FIN or RST while writes still succeed into the kernel's
+// buffer. Only a deadline on progress detects that.
 type timedConn struct {
 	net.Conn
 	silenceTimeout time.Duration
@@ -153,9 +155,9 @@
 	return time.Now().Add(c.silenceTimeout)
 }
 
-// Counters counts what passed over the connections of one end, hello included.
+// Counters counts the traffic of all connections of one end, hellos included.
 type Counters struct {
 	BytesIn, BytesOut, Writes atomic.Uint64
-	HellosRefused             atomic.Uint64
-	SilentClosed              atomic.Uint64
+	HellosRefused             atomic.Uint64 // accepted connections that were not authenticated, or exceeded Options.MaxConns
+	SilentClosed              atomic.Uint64 // reads that ended at their deadline
 }
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -17,23 +17,24 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Conn is one authenticated connection. It is safe for concurrent use.
+// Conn is one connection. Dial returns it, and a Server passes it on, when it is
+// authenticated. It is safe for concurrent use.
 type Conn struct {
 	tomb      tomb.Tomb
 	rpc       *jsonrpc2.Conn
 	opts      *Options
 	dialed    bool
-	remote    string
-	limit     atomic.Int64  // bytes of one message
-	callSlots chan struct{} // one token per running handler
-	bodies    bodies
-	handlers  sync.WaitGroup
-	version   atomic.Int64 // agreed in the hello
-	lastSent  atomic.Int64 // when something was last sent, in Unix nanoseconds
+	remote    string         // the other end's IP and port
+	limit     atomic.Int64   // bytes of one message
+	callSlots chan struct{}  // one token per running handler
+	bodies    bodies         // of the messages being written and read
+	handlers  sync.WaitGroup // the running ones
+	version   atomic.Int64   // agreed in the hello
+	lastSent  atomic.Int64   // when Call or Notify was last called, in Unix nanoseconds
 
 	mu         sync.Mutex // guards the fields below
 	waitCalled bool       // Wait was called: no further handler may begin
-	hello      *Hello
+	hello      *Hello     // acceptor only, as the next two: from the hello until the proof
 	answer     *HelloAnswer
 	key        []byte
 	peer       Identity
@@ -66,8 +67,8 @@
 	return c
 }
 
-// gatedStream reads nothing until open is closed: jsonrpc2.NewConn starts to
-// read, and thereby to call Handle, before it has returned the connection.
+// gatedStream reads nothing until open is closed. jsonrpc2.NewConn starts to read, and so
+// may call Handle, before it has returned the connection.
 type gatedStream struct {
 	jsonrpc2.ObjectStream
 	open      chan struct{}
@@ -84,21 +85,21 @@
 	return err
 }
 
-// reportInvalidMessage tells the other end why the connection is about to be closed: a
-// message that can't be read has no id to answer to.
+// reportInvalidMessage notifies the other end why the connection is about to be closed. A
+// message that cannot be read has no id, so no answer to it can be sent.
 func (c *Conn) reportInvalidMessage(err error) {
 	c.opts.Log.Warn("message refused", "peer", c.remote, "error", err)
 	_ = c.rpc.Notify(context.Background(), methodRefused, Refused{Code: result.Of(err)})
 }
 
-// Peer returns who is at the other end.
+// Peer returns the identity of the other end.
 func (c *Conn) Peer() Identity {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.peer
 }
 
-// Use returns what the end that dialled wants the connection for.
+// Use returns Options.Use of the end that dialled.
 func (c *Conn) Use() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,25 +112,25 @@
 // Remote returns the other end's IP and port.
 func (c *Conn) Remote() string { return c.remote }
 
-// Dialed tells whether this end opened the connection.
+// Dialed reports whether this end opened the connection.
 func (c *Conn) Dialed() bool { return c.dialed }
 
-// Done is closed when the connection is.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Conn) Done() <-chan struct{} { return c.rpc.DisconnectNotify() }
 
-// Serve lets handlers run. Until it is called they are held back, so that the
-// owner can enter the connection into its tables before the first message.
+// Serve lets handlers run. Until it is called, messages for handlers wait, so that the
+// owner can register the connection before the first message is handled.
 func (c *Conn) Serve() {
 	c.serveOnce.Do(func() { close(c.serving) })
 }
 
-// Close closes the connection; calls that wait on it fail.
+// Close closes the connection. Pending calls fail.
 func (c *Conn) Close() {
 	c.rpc.Close()
 	c.tomb.Kill(nil)
 }
 
-// Wait returns after Close, when no handler of the connection runs any more.
+// Wait returns when the connection is closed and none of its handlers is running.
 func (c *Conn) Wait() {
 	<-c.Done()
 	c.mu.Lock()
@@ -142,36 +143,37 @@
 	}
 }
 
-// Call calls a method of the peer and stores its result. Its errors carry the
-// peer's code, or PeerSilent if ctx ended first, or ExchangeFailed if the
-// connection broke.
+// Call calls a method of the peer and decodes the result into the value that into points
+// at. Its errors have the code that the peer sent, MessageTooBig if the message exceeds
+// Options.MaxMessage, PeerSilent if ctx ended first, or ExchangeFailed if the connection
+// failed.
 func (c *Conn) Call(ctx context.Context, method string, params, into any) error {
 	c.lastSent.Store(time.Now().UnixNano())
 	return callError(method, c.rpc.Call(ctx, method, params, into))
 }
 
-// Notify sends a message that has no answer.
+// Notify sends a message without waiting for an answer.
 func (c *Conn) Notify(method string, params any) error {
 	c.lastSent.Store(time.Now().UnixNano())
 	return callError(method, c.rpc.Notify(context.Background(), method, params))
 }
 
-// CallBody is Call with a body of bytes in place of parameters. The peer must
-// speak VersionCBOR.
+// CallBody is Call with a binary body in place of parameters, and without a result. The
+// peer must speak VersionCBOR.
 func (c *Conn) CallBody(ctx context.Context, method string, body []byte) error {
 	c.lastSent.Store(time.Now().UnixNano())
 	return callError(method, c.rpc.Call(ctx, method, nil, nil, jsonrpc2.ExtraField(bodyField, bodyAttachment(body))))
 }
 
-// NotifyBody is Notify with a body of bytes in place of parameters. The peer must
-// speak VersionCBOR.
+// NotifyBody is Notify with a binary body in place of parameters. The peer must speak
+// VersionCBOR.
 func (c *Conn) NotifyBody(method string, body []byte) error {
 	c.lastSent.Store(time.Now().UnixNano())
 	return callError(method, c.rpc.Notify(context.Background(), method, nil, jsonrpc2.ExtraField(bodyField, bodyAttachment(body))))
 }
 
-// Handle implements jsonrpc2.Handler. It must not block: the connection reads
-// nothing more until it returns.
+// Handle implements jsonrpc2.Handler. The connection reads nothing more until it returns,
+// so it must not block.
 func (c *Conn) Handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	switch {
 	case req.Method == MethodHello && !c.dialed && !c.isProven():
@@ -205,11 +207,11 @@
 	return c.proven
 }
 
-// serve runs the handler apart from the reading loop, within the bound on work
-// taken from this peer.
+// serve runs the handler in a goroutine of its own, so that reading goes on. It bounds how
+// many handlers run for this peer at once.
 func (c *Conn) serve(ctx context.Context, req *jsonrpc2.Request) {
 	if !c.acquireCallSlot() {
-		c.replyError(ctx, req, result.Errorf(result.PeerBusy, "%d calls run already", cap(c.callSlots)))
+		c.replyError(ctx, req, result.Errorf(result.PeerBusy, "%d calls are already running", cap(c.callSlots)))
 		return
 	}
 	if !c.addHandler() {
@@ -223,15 +225,16 @@
 			return
 		}
 		c.reply(ctx, req, func(params json.RawMessage) (any, error) {
-			// Room is made before the answer goes out: a peer that makes one
-			// call after another is never told that its last one still runs.
+			// The slot is released before the answer is sent: a peer that makes
+			// one call after another must not be refused because its last call
+			// still counts as running.
 			defer func() { <-c.callSlots }()
 			return c.callHandler(ctx, req.Method, params)
 		}, false)
 	}()
 }
 
-// serveInOrder runs the handler on the reading loop, before the next message is read.
+// serveInOrder runs the handler in the reading goroutine, before the next message is read.
 func (c *Conn) serveInOrder(ctx context.Context, req *jsonrpc2.Request) {
 	if !c.addHandler() {
 		return
@@ -252,9 +255,9 @@
 	return c.opts.Handler(ctx, c, method, params)
 }
 
-// awaitServing waits until messages are served, and returns false if the
-// connection ended before. What came in before its end is served all the same:
-// an answer may be the last thing that a peer sends.
+// awaitServing waits until Serve was called. It returns false if the connection was closed
+// before Serve. After Serve, messages that arrived before the connection was closed are
+// still handled: an answer may be the last message that a peer sends.
 func (c *Conn) awaitServing() bool {
 	select {
 	case <-c.serving:
@@ -269,6 +272,8 @@
 	}
 }
 
+// acquireCallSlot takes a slot for a handler. If none is free it returns false, or waits
+// if Options.WaitForCallSlot is set.
 func (c *Conn) acquireCallSlot() bool {
 	if c.opts.WaitForCallSlot {
 		select {
@@ -286,7 +291,7 @@
 	}
 }
 
-// addHandler counts a handler in, unless Wait has been called.
+// addHandler counts a handler as running. It returns false if Wait has been called.
 func (c *Conn) addHandler() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -298,8 +303,8 @@
 
 type replyFunc func(params json.RawMessage) (any, error)
 
-// reply runs f, sends its outcome and tells whether f succeeded. An error
-// closes the connection if fatal.
+// reply runs f, sends its result or error, and reports whether f succeeded. If fatal is
+// set, an error closes the connection.
 func (c *Conn) reply(ctx context.Context, req *jsonrpc2.Request, f replyFunc, fatal bool) bool {
 	var params json.RawMessage
 	if req.Params != nil {
@@ -319,9 +324,11 @@
 	if result.Of(err) == result.MessageTooBig {
 		c.replyError(ctx, req, err)
 	}
-	return true // a broken connection shows at its reader
+	return true // a failed connection is detected by its reader
 }
 
+// replyError answers a request with an error. For a notification, which has no answer, it
+// only logs the error.
 func (c *Conn) replyError(ctx context.Context, req *jsonrpc2.Request, err error) {
 	if req.Notif {
 		c.opts.Log.Debug("notification refused", "method", req.Method, "peer", c.remote, "error", err)
@@ -336,11 +343,12 @@
 	_ = c.rpc.ReplyWithError(ctx, req.ID, rpcErr)
 }
 
-// errorData travels with an error's code and detail.
+// errorData is the data member of a JSON-RPC error.
 type errorData struct {
 	RetryAfterMS int64 `json:"retry_after_ms"`
 }
 
+// callError translates an error of the JSON-RPC library for the caller; see Call.
 func callError(method string, err error) error {
 	var rpcErr *jsonrpc2.Error
 	switch {
@@ -362,7 +370,7 @@
 	}
 }
 
-// setAuthenticated opens the connection for all methods.
+// setAuthenticated marks the connection as authenticated, so that all methods are served.
 func (c *Conn) setAuthenticated(peer Identity, use string, version int) {
 	c.mu.Lock()
 	c.peer = peer
@@ -376,9 +384,9 @@
 	close(c.ready)
 }
 
-// ping keeps an idle connection from counting as silent at either end. The end
-// that dialled pings; a peer that doesn't answer lets its read run into the
-// deadline of timedConn, which closes the connection.
+// ping keeps an idle connection from being closed as silent by either end. The end that
+// dialled sends the pings. If the peer does not answer, the read of the connection
+// reaches its deadline (see timedConn), and the connection is closed.
 func (c *Conn) ping() error {
 	ticker := time.NewTicker(c.opts.PingInterval)
 	defer ticker.Stop()
@@ -402,7 +410,7 @@
 	}
 }
 
-// rpcLogger passes the library's remarks to the daemon's log.
+// rpcLogger writes the log lines of the JSON-RPC library to the daemon's log.
 type rpcLogger struct{ log *slog.Logger }
 
 // Printf implements jsonrpc2.Logger.
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -8,8 +8,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Dial opens a connection to a VM and proves itself. The caller closes it, and
-// calls Serve if the peer may call back.
+// Dial opens a connection to a VM and authenticates both ends. The caller must close it,
+// and must call Serve if the peer may call methods of this end.
 func Dial(ctx context.Context, address string, o Options, counters *Counters) (*Conn, error) {
 	o = o.withDefaults()
 	ctx, cancel := context.WithTimeout(ctx, o.HelloTimeout)
@@ -42,8 +42,8 @@
 	if err != nil {
 		return err
 	}
-	// The peer may call as soon as it has sent its proof, before this end has
-	// looked at it; they are held back until Serve.
+	// The peer may send calls as soon as it has sent its proof, before this end has
+	// checked the proof. Such calls wait until Serve.
 	c.limit.Store(int64(c.opts.MaxMessage))
 	var peerProof Proof
 	ownProof := Proof{Proof: computeProof(key, roleDialer, hello, &answer)}
@@ -92,8 +92,8 @@
 	return Proof{Proof: computeProof(key, roleAcceptor, hello, answer)}, nil
 }
 
-// finishHello opens the accepting end after its proof was sent: no message may
-// overtake the proof.
+// finishHello marks the acceptor's connection as authenticated. It is called after the
+// acceptor's proof was sent, so that no other message is sent before the proof.
 func (c *Conn) finishHello() {
 	c.mu.Lock()
 	hello, answer := c.hello, c.answer
--- a/wire/server.go
+++ b/wire/server.go
@@ -20,13 +20,13 @@
 	onConn   func(*Conn)
 
 	mu     sync.Mutex // guards the fields below
-	hellos []*Conn    // in hello, the oldest first
+	hellos []*Conn    // not yet authenticated, the oldest first
 	conns  map[*Conn]struct{}
 }
 
-// Listen starts to accept connections at address. Each authenticated one is
-// passed to onConn, which calls Serve and must not block; the server closes it
-// when it stops.
+// Listen starts to accept connections at address. Each connection is passed to onConn when
+// it is authenticated. onConn must call Serve and must not block. The server closes the
+// connections when it stops.
 func Listen(address string, o Options, counters *Counters, onConn func(*Conn)) (*Server, error) {
 	for _, key := range o.Keys {
 		if len(key) < MinKeyBytes {
@@ -48,7 +48,8 @@
 // Addr returns the listener's address.
 func (s *Server) Addr() net.Addr { return s.ln.Addr() }
 
-// Stop closes the listener and all connections and waits for their handlers.
+// Stop closes the listener and all connections, and waits until their handlers have
+// returned.
 func (s *Server) Stop() {
 	s.tomb.Kill(nil)
 	s.ln.Close()
@@ -83,12 +84,14 @@
 	}
 }
 
-// acceptRetryPause keeps a lack of file descriptors from becoming a busy loop.
+// acceptRetryPause is the pause after a failed accept. Without it, a lack of file
+// descriptors would cause a busy loop.
 const acceptRetryPause = 50 * time.Millisecond
 
-// startHello makes room by closing the oldest connection in hello: a process
-// without the key that opens connections and says nothing must not keep VMs
-// out, and a VM's hello takes milliseconds, so it is hardly ever the oldest.
+// startHello starts the hello of an accepted connection. If more than MaxHellos
+// connections are not yet authenticated, it closes the oldest of them: a process without
+// the key that opens connections and sends nothing must not keep VMs out. The hello of a
+// VM takes milliseconds, so it is rarely the oldest.
 func (s *Server) startHello(raw net.Conn) *Conn {
 	c := newConn(raw, &s.opts, s.counters, false)
 	s.mu.Lock()
@@ -105,6 +108,8 @@
 	return c
 }
 
+// serveConn waits until a connection is authenticated, passes it to onConn, and returns
+// when it is closed.
 func (s *Server) serveConn(c *Conn) error {
 	defer c.Wait()
 	defer c.Close()
@@ -131,7 +136,9 @@
 	return nil
 }
 
-// endHello moves c to the authenticated connections, if there is room.
+// endHello removes c from the connections that are not yet authenticated. It adds c to
+// the authenticated ones and returns true, unless c is not proven or there are MaxConns
+// of them already.
 func (s *Server) endHello(c *Conn, proven bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,13 +1,13 @@
-// Package wire is the inner protocol between the VMs of one deployment:
-// JSON-RPC 2.0 over TCP, length-prefixed, by IP number. From VersionCBOR on a
-// message may have a body of bytes in place of parameters.
+// Package wire implements the protocol between the VMs of one deployment: JSON-RPC
+// 2.0 over TCP, with length-prefixed messages. VMs are addressed by IP address.
+// From VersionCBOR on, a message may have a binary body in place of parameters.
 //
-// A connection begins with two calls by the end that dialled. MethodHello
-// carries the versions, the deployment, the VM's incarnation and the ids of the
-// keys it holds; it is answered with a nonce. MethodProve carries the proof of
-// a shared key and is answered with the other end's proof. Until both are done
-// messages are small, the time is bounded, and no other method is served.
-// Afterwards either end may call the other.
+// A connection begins with two calls by the end that dialled. MethodHello carries
+// the versions, the deployment, the VM's incarnation and the ids of the keys that
+// it holds; the answer carries a nonce. MethodProve carries the proof that the
+// dialer holds the shared key; the answer carries the acceptor's proof. Until both
+// calls are done, messages must be small, the time is bounded, and no other method
+// is served. Afterwards either end may call the other.
 package wire
 
 import (
@@ -22,81 +22,83 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// The versions of the protocol. The dialling end offers all that it speaks and
-// the accepting end chooses the newest in common, so that VMs of two releases
-// work together while one replaces the other.
+// The versions of the protocol. The dialer offers all versions that it speaks, and the
+// acceptor chooses the newest that both speak, so that VMs of two releases can work
+// together during an upgrade.
 const (
 	VersionJSON = 1 // all bodies are JSON
-	VersionCBOR = 2 // leaf calls and their answers are CBOR within the message
+	VersionCBOR = 2 // leaf calls and their answers are binary bodies in CBOR
 
 	Version = VersionCBOR // the newest that this code speaks
 )
 
-// The methods that the package itself serves.
+// The methods that this package itself serves.
 const (
 	MethodHello = "hello"
 	MethodProve = "prove"
 	MethodPing  = "ping"
 
-	methodRefused = "refused" // Refused; the connection is closed next
+	methodRefused = "refused" // has Refused as parameters; the connection is closed next
 )
 
-// Refused is the last message on a connection that carried one that could not be
-// read.
+// Refused is the last message that an end sends on a connection from which it read an
+// invalid message.
 type Refused struct {
 	Code result.Code `json:"code"`
 }
 
-// Identity names one life of one VM.
+// Identity identifies one incarnation of one VM.
 type Identity struct {
 	Deployment  string `json:"deployment"`
 	VM          string `json:"vm"`
 	Incarnation string `json:"incarnation"`
 }
 
-// Handler serves one call or notification of an authenticated peer. Its params
-// are the body if the message has one. Its result is sent as JSON. An error that carries a result.Code reaches the peer with
-// that code. Handlers of one connection run at the same time, but for Options.InOrder.
+// Handler serves one call or notification of an authenticated peer. params is the
+// message's body if it has one. The result is sent as JSON. The peer gets an error's
+// result.Code. Handlers of one connection run concurrently, except for the methods of
+// Options.InOrder.
 type Handler func(ctx context.Context, conn *Conn, method string, params json.RawMessage) (any, error)
 
-// Options governs connections. Zero values are replaced by the defaults.
+// Options configures connections. Zero values are replaced by the defaults.
 type Options struct {
 	Self Identity
-	// Use says what a dialled connection is for, in the words of its user.
+	// Use states what dialled connections are for. This package passes it to the
+	// acceptor and gives it no meaning.
 	Use string
-	// MaxVersion is the newest version offered and chosen; default Version.
+	// MaxVersion is the newest version that is offered or chosen; default Version.
 	MaxVersion int
 	// Keys are shared by the fleet, the newest first; each has at least
-	// MinKeyBytes. Two ends agree on the first key of the dialling end that
-	// both hold, so that two keys are valid at once during a rotation.
+	// MinKeyBytes. A connection uses the first key of the dialer that both ends
+	// hold, so that two keys can be valid at once during a rotation.
 	Keys    [][]byte
-	Handler Handler
-	// InOrder names the methods whose messages are handled one after another, in the
-	// order in which the peer sent them. Their handlers must not wait for anything:
-	// the connection reads nothing meanwhile.
+	Handler Handler // may be nil: no further methods are served
+	// InOrder reports whether the messages of a method are handled one after another,
+	// in the order in which the peer sent them; nil means none are. Handlers of such
+	// methods must not wait for anything, since the connection reads nothing meanwhile.
 	InOrder func(method string) bool
 	Log     *slog.Logger
-	// DialContext opens TCP connections; default net.Dialer's.
+	// DialContext opens TCP connections; the default is net.Dialer.DialContext.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
 	HelloTimeout time.Duration // for the whole hello; default 2 s
-	MaxHellos    int           // connections in hello at once; default 32
-	MaxConns     int           // accepted and authenticated at once; default 256
-	MaxMessage   int           // bytes of one message; default 2 MiB
-	MaxCalls     int           // served for one connection at once; default 16
-	// WaitForCallSlot makes a connection read nothing more while MaxCalls are
-	// served, in place of refusing with PeerBusy. Only for handlers that never
-	// wait: a handler that waited for the same peer would block both.
+	MaxHellos    int           // accepted connections that are not yet authenticated; default 32
+	MaxConns     int           // accepted connections that are authenticated; default 256
+	MaxMessage   int           // bytes of one message, or of one body; default 2 MiB
+	MaxCalls     int           // handlers that run for one connection at once; default 16
+	// WaitForCallSlot makes a connection stop reading while MaxCalls handlers run,
+	// in place of refusing calls with PeerBusy. It is only for handlers that never
+	// wait: a handler that waited for the same peer would block both ends.
 	WaitForCallSlot bool
 	PingInterval    time.Duration // default 2 s
-	SilentAfter     time.Duration // without a byte from the peer; default 3 ping intervals
+	SilentAfter     time.Duration // without a byte from the peer until the connection is closed; default 3 ping intervals
 }
 
-// MinKeyBytes is the least length of a key.
+// MinKeyBytes is the least length of a key, in bytes.
 const MinKeyBytes = 32
 
 const (
-	maxHelloMessage = 4 << 10
+	maxHelloMessage = 4 << 10 // bytes of one message during the hello
 
 	defaultHelloTimeout = 2 * time.Second
 	defaultMaxHellos    = 32
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -26,7 +26,8 @@
 	badKey = bytes.Repeat([]byte("b"), MinKeyBytes)
 )
 
-// echo answers "echo" with its params, blocks on "block" and fails on "fail".
+// echo is the test handler. It answers "echo" with its params and "large" with a result
+// that is too big, blocks on "block" and fails on "fail".
 func echo(ctx context.Context, _ *Conn, method string, params json.RawMessage) (any, error) {
 	switch method {
 	case "echo":
@@ -74,8 +75,9 @@
 	return c.Call(ctx, method, params, nil)
 }
 
-// TestHelloAcceptance covers keys, deployments and versions. Two keys are valid at
-// once, in whichever order the ends got the new one.
+// Guards against hellos that are accepted or refused wrongly, by key, deployment, version
+// or identity. During a key rotation two keys are valid at once, whichever end gets the
+// new one first.
 func TestHelloAcceptance(t *testing.T) {
 	foreign := options("b", oldKey)
 	foreign.Self.Deployment = "other"
@@ -112,8 +114,8 @@
 	}
 }
 
-// TestKeyIDWithoutKeyIsRefused: a process that knows a key's id, but not the key, says hello.
-// It gets a nonce and then nothing: its proof is refused and no method is served.
+// Guards against access by a process that knows a key's id, but not the key. Its hello is
+// answered with a nonce, but its proof must be refused and the connection closed.
 func TestKeyIDWithoutKeyIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, options("a", oldKey))
@@ -135,12 +137,12 @@
 	return append(binary.AppendUvarint(nil, uint64(len(body))), body...)
 }
 
-// TestInvalidBytesCloseConnection: something that doesn't speak the protocol, or lies about
-// sizes, connects. It is cut off, and VMs still get in and are served.
+// Guards against damage by a process that does not speak the protocol or states wrong
+// sizes. Its connection must be closed, and VMs must still be accepted and served.
 func TestInvalidBytesCloseConnection(t *testing.T) {
 	for name, tc := range map[string]struct {
 		sent []byte
-		code result.Code // that is told before the end; 0 for none
+		code result.Code // sent before the connection is closed; 0 for none
 	}{
 		"http":                {[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), 0},
 		"huge length":         {binary.AppendUvarint(nil, 1<<40), result.MessageTooBig},
@@ -163,7 +165,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(raw.SetReadDeadline(time.Now().Add(testLimit))).To(Succeed())
 			received, err := io.ReadAll(bufio.NewReader(raw))
-			g.Expect(isTimeout(err)).To(BeFalse(), "the connection was not cut off")
+			g.Expect(isTimeout(err)).To(BeFalse(), "the connection was not closed")
 			if tc.code != 0 {
 				g.Expect(string(received)).To(ContainSubstring(fmt.Sprintf(`"code":%d`, tc.code)))
 			}
@@ -181,8 +183,8 @@
 	return ok && netErr.Timeout()
 }
 
-// TestSilentConnectionsDoNotBlockHellos: a process opens many connections and says nothing. VMs
-// can't join if those fill the room for hellos; the oldest make way.
+// Guards against a process that opens many connections and sends nothing. If these used up
+// the limit on unauthenticated connections, VMs could not join. The oldest must be closed.
 func TestSilentConnectionsDoNotBlockHellos(t *testing.T) {
 	g := NewWithT(t)
 	o := options("a", oldKey)
@@ -200,9 +202,9 @@
 	c.Wait()
 }
 
-// TestSilentConnectionIsClosed: the path to a peer loses its state; no FIN and no RST
-// comes, and writes still succeed. Calls would wait for ever; the ping's
-// deadline closes the connection at both ends, and a new one works.
+// Guards against calls that wait forever because the network path to a peer lost its
+// state: no FIN and no RST arrives, and writes still succeed. The ping's deadline must
+// close the connection at both ends, and a new connection must work.
 func TestSilentConnectionIsClosed(t *testing.T) {
 	g := NewWithT(t)
 	o := options("a", oldKey)
@@ -229,8 +231,8 @@
 	again.Wait()
 }
 
-// TestCallErrorsAndLimits: unknown methods, errors and too much work at once each get
-// their code, and the connection goes on.
+// Guards against wrong result codes, or a closed connection, after unknown methods, too
+// big messages, handlers' errors and too many calls at once.
 func TestCallErrorsAndLimits(t *testing.T) {
 	g := NewWithT(t)
 	running := make(chan struct{})
@@ -262,8 +264,8 @@
 	g.Expect(result.Of(<-blocked)).To(Equal(result.PeerSilent))
 }
 
-// A call is answered by two messages, and the last one is taken before the first: handlers
-// of one connection ran side by side.
+// Guards against reordering: handlers of one connection run concurrently, so the second of
+// two messages could be handled before the first. Methods of InOrder must keep the order.
 func TestInOrderMessagesKeepOrder(t *testing.T) {
 	const messages = 2000
 	g := NewWithT(t)
@@ -296,7 +298,8 @@
 	g.Expect(handled).To(Equal(sent))
 }
 
-// blackhole forwards one connection until it is told to swallow all bytes.
+// blackhole is a proxy that forwards one connection until dropAll is called. From then on
+// it drops all bytes and keeps the connection open.
 type blackhole struct {
 	ln       net.Listener
 	dropping chan struct{}
