--- a/node/follow.go
+++ b/node/follow.go
@@ -70,8 +70,8 @@
 // watch the platform.
 const watchingCheckInterval = time.Second
 
-// updateWatching tells the follower whether this VM is to watch the platform or to rely
-// on its peers.
+// updateWatching keeps the follower's choice between watching the platform and relying on
+// peers up to date.
 func (n *Node) updateWatching() error {
 	ticker := time.NewTicker(watchingCheckInterval)
 	defer ticker.Stop()
