--- a/cmd/bramley-lab/main.go
+++ b/cmd/bramley-lab/main.go
@@ -79,7 +79,7 @@
 	failed := make(chan error, 2)
 	go func() { failed <- apiServer.Serve(api) }()
 	go func() { failed <- ctlServer.Serve(ctl) }()
-	if err := ready("platform", api.Addr().String(), ctl.Addr().String()); err != nil {
+	if err := printReady("platform", api.Addr().String(), ctl.Addr().String()); err != nil {
 		return err
 	}
 	select {
@@ -99,7 +99,7 @@
 		Flags: append(listenFlags(),
 			&cli.StringFlag{Name: "options", Required: true, Usage: "JSON file of targetsim.Options"}),
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			opts, err := readOptions(cmd.String("options"))
+			opts, err := readTargetOptions(cmd.String("options"))
 			if err != nil {
 				return err
 			}
@@ -113,7 +113,7 @@
 			if err != nil {
 				return errors.Trace(err)
 			}
-			if err := ready("target", target.Address(), target.ControlAddress()); err != nil {
+			if err := printReady("target", target.Address(), target.ControlAddress()); err != nil {
 				return err
 			}
 			<-ctx.Done()
@@ -122,7 +122,7 @@
 	}
 }
 
-func readOptions(path string) (targetsim.Options, error) {
+func readTargetOptions(path string) (targetsim.Options, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return targetsim.Options{}, errors.Trace(err)
@@ -150,7 +150,7 @@
 			if err != nil {
 				return errors.Trace(err)
 			}
-			if err := ready("proxy", proxy.Address(), proxy.ControlAddress()); err != nil {
+			if err := printReady("proxy", proxy.Address(), proxy.ControlAddress()); err != nil {
 				return err
 			}
 			<-ctx.Done()
@@ -159,7 +159,7 @@
 	}
 }
 
-// ready prints where a stand-in serves.
-func ready(role, listen, control string) error {
+// printReady prints where a stand-in serves.
+func printReady(role, listen, control string) error {
 	return errors.Trace(json.NewEncoder(os.Stdout).Encode(labhttp.Ready{Role: role, Listen: listen, Control: control}))
 }
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -41,7 +41,7 @@
 
 // errorAnswer returns the answer for a request that failed with err.
 func errorAnswer(err error) *Answer {
-	a := newAnswer(result.Of(err))
+	a := newAnswer(result.CodeOf(err))
 	var e *result.Error
 	if errors.As(err, &e) {
 		a.Detail = e.Detail
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -87,7 +87,7 @@
 		WriteTimeout:      maxTimeLimit + writeMargin,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    MaxHeaderBytes,
-		ErrorLog:          logging.Standard(g.opt.Log),
+		ErrorLog:          logging.StdLogger(g.opt.Log),
 	}
 }
 
@@ -129,7 +129,7 @@
 
 func (g *Gateway) handle(w http.ResponseWriter, req *request, h handler) *Answer {
 	if req.inForce == nil {
-		return errorAnswer(result.Errorf(result.NoBundle, "").After(noBundleRetryAfter))
+		return errorAnswer(result.Errorf(result.NoBundle, "").WithRetryAfter(noBundleRetryAfter))
 	}
 	if err := req.readBody(w); err != nil {
 		return errorAnswer(err)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -174,8 +174,8 @@
 	f.Add("eyJzZWFyY2giOiJ4In0")
 	f.Fuzz(func(t *testing.T, s string) {
 		c, err := decodeCursor(s, "list")
-		if err != nil && result.Of(err) != result.BadRequest {
-			t.Fatalf("code %v", result.Of(err))
+		if err != nil && result.CodeOf(err) != result.BadRequest {
+			t.Fatalf("code %v", result.CodeOf(err))
 		}
 		if err == nil && s != "" && (c.Search != "list" || c.Snapshot == "") {
 			t.Fatalf("accepted %+v", c)
--- a/node/claims.go
+++ b/node/claims.go
@@ -17,13 +17,13 @@
 	n.links = relay.NewLinks(relay.Options{
 		Self:  n.settings.Name,
 		Fleet: n.peers,
-		Log:   logging.Part(n.log, "claims"),
+		Log:   logging.Component(n.log, "claims"),
 	})
 	n.claims = once.NewRunner(once.Options{
 		Store:       n.store,
 		VM:          n.settings.Name,
 		Incarnation: n.incarnation,
-		Log:         logging.Part(n.log, "once"),
+		Log:         logging.Component(n.log, "once"),
 		Metrics:     n.metrics,
 		Deployment:  n.settings.Deployment,
 		Peers:       n.links,
--- a/node/node.go
+++ b/node/node.go
@@ -91,7 +91,7 @@
 		Store: objstore.NewClient(cfg.Platform.Address, objstore.ClientOptions{
 			CallTimeout: rollout.DefaultReadTimeout,
 		}),
-		Log:     logging.Part(log, "rollout"),
+		Log:     logging.Component(log, "rollout"),
 		Metrics: n.metrics,
 		Watch:   true,
 	})
@@ -105,7 +105,7 @@
 		Engine:     n.engine,
 		Claims:     n.claims,
 		Deployment: cfg.Deployment,
-		Log:        logging.Part(log, "gateway"),
+		Log:        logging.Component(log, "gateway"),
 		Metrics:    n.metrics,
 	})
 	return n, nil
@@ -128,7 +128,7 @@
 		Store:       n.store,
 		Heads:       n.follower,
 		CallHandler: n.handlePeerCall,
-		Log:         logging.Part(n.log, "peer"),
+		Log:         logging.Component(n.log, "peer"),
 	})
 	return errors.Trace(err)
 }
@@ -140,7 +140,7 @@
 func (n *Node) buildTargets() {
 	clientSink := &deferredSink{}
 	n.client = target.NewClient(target.Options{
-		Log:     logging.Part(n.log, "target"),
+		Log:     logging.Component(n.log, "target"),
 		Sink:    clientSink,
 		Metrics: n.metrics,
 	})
@@ -153,20 +153,20 @@
 			Incarnation: n.incarnation,
 		},
 		Zone: n.settings.Zone,
-		Log:  logging.Part(n.log, "route"),
+		Log:  logging.Component(n.log, "route"),
 	})
 	healthSink := &deferredHealthSink{}
 	n.health = health.New(health.Options{
 		Router:  n.router,
 		Sink:    healthSink,
-		Log:     logging.Part(n.log, "health"),
+		Log:     logging.Component(n.log, "health"),
 		Metrics: n.metrics,
 	})
 	n.engine = query.NewEngine(query.Options{
 		Leaves:  n.health.CheckCalls(n.router),
 		Zone:    n.settings.Zone,
 		Seed:    uint64(n.started.UnixNano()),
-		Log:     logging.Part(n.log, "query"),
+		Log:     logging.Component(n.log, "query"),
 		Metrics: n.metrics,
 		OnDrain: func(target, incarnation string) {
 			n.peers.LearnDrain(peer.Drain{Target: target, Incarnation: incarnation})
@@ -175,7 +175,7 @@
 	clientSink.Sink = n.engine
 	healthSink.Sink = n.engine
 	n.monitor = target.NewMonitor(target.MonitorOptions{
-		Log:    logging.Part(n.log, "monitor"),
+		Log:    logging.Component(n.log, "monitor"),
 		Reader: n.health,
 		Sink:   n.health,
 	})
--- a/peer/hop/caller.go
+++ b/peer/hop/caller.go
@@ -219,7 +219,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
 	err := call(ctx, c.conn, MethodCalls, Batch{Calls: calls})
-	switch result.Of(err) {
+	switch result.CodeOf(err) {
 	case result.Complete:
 	case result.PeerBusy:
 		for i := range calls {
--- a/policy/table.go
+++ b/policy/table.go
@@ -85,8 +85,8 @@
 	scratch      []*replica // buffer of usableReplicas, reused by Pick
 	shedShare    float64    // smoothed share of recent attempts that targets refused because no slot was free
 
-	Latency *latency.Record // of attempts that were answered
-	Median  MedianLatency   // median latency of the same attempts, used for admission and timeouts
+	Latency *latency.Recorder // of attempts that were answered
+	Median  MedianLatency     // median latency of the same attempts, used for admission and timeouts
 	Hedges  *Budget
 	Retries *Budget
 }
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -43,7 +43,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(set.FleetKeyBytes()).To(HaveLen(1))
 	_, err = Load(path + ".absent")
-	g.Expect(result.Of(err)).To(Equal(result.BadSettings))
+	g.Expect(result.CodeOf(err)).To(Equal(result.BadSettings))
 }
 
 // Guards against a daemon that starts although a field of its settings is misspelt, and
@@ -72,7 +72,7 @@
 		corrupt(s)
 		err := parse(t, s)
 		g := NewWithT(t)
-		g.Expect(result.Of(err)).To(Equal(result.BadSettings), want)
+		g.Expect(result.CodeOf(err)).To(Equal(result.BadSettings), want)
 		g.Expect(err).To(MatchError(ContainSubstring(want)))
 	}
 	_, err := Parse([]byte(`{"nmae":"x"}`))
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -79,7 +79,7 @@
 func (s gatedStream) ReadObject(v any) error {
 	<-s.open
 	err := s.ObjectStream.ReadObject(v)
-	if code := result.Of(err); code == result.MessageTooBig || code == result.BadMessage {
+	if code := result.CodeOf(err); code == result.MessageTooBig || code == result.BadMessage {
 		s.onInvalid(err)
 	}
 	return err
@@ -89,7 +89,7 @@
 // message that cannot be read has no id, so no answer to it can be sent.
 func (c *Conn) reportInvalidMessage(err error) {
 	c.opts.Log.Warn("message refused", "peer", c.remote, "error", err)
-	_ = c.rpc.Notify(context.Background(), methodRefused, Refused{Code: result.Of(err)})
+	_ = c.rpc.Notify(context.Background(), methodRefused, Refused{Code: result.CodeOf(err)})
 }
 
 // Peer returns the identity of the other end.
@@ -321,7 +321,7 @@
 	if !req.Notif {
 		err = c.rpc.Reply(ctx, req.ID, answer)
 	}
-	if result.Of(err) == result.MessageTooBig {
+	if result.CodeOf(err) == result.MessageTooBig {
 		c.replyError(ctx, req, err)
 	}
 	return true // a failed connection is detected by its reader
@@ -334,7 +334,7 @@
 		c.opts.Log.Debug("notification refused", "method", req.Method, "peer", c.remote, "error", err)
 		return
 	}
-	rpcErr := &jsonrpc2.Error{Code: int64(result.Of(err)), Message: err.Error()}
+	rpcErr := &jsonrpc2.Error{Code: int64(result.CodeOf(err)), Message: err.Error()}
 	var coded *result.Error
 	if errors.As(err, &coded) {
 		rpcErr.Message = coded.Detail
@@ -354,7 +354,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case result.Of(err) == result.MessageTooBig:
+	case result.CodeOf(err) == result.MessageTooBig:
 		return err
 	case errors.As(err, &rpcErr):
 		var data errorData
@@ -362,7 +362,7 @@
 			_ = json.Unmarshal(*rpcErr.Data, &data) // zero if the peer sent none
 		}
 		coded := result.Errorf(result.Code(rpcErr.Code), "%s", rpcErr.Message)
-		return coded.After(time.Duration(data.RetryAfterMS) * time.Millisecond)
+		return coded.WithRetryAfter(time.Duration(data.RetryAfterMS) * time.Millisecond)
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		return result.Wrap(result.PeerSilent, err, method)
 	default:
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -110,14 +110,14 @@
 )
 
 func (o Options) withDefaults() Options {
-	defaults.Positive(&o.MaxVersion, Version)
-	defaults.Positive(&o.HelloTimeout, defaultHelloTimeout)
-	defaults.Positive(&o.MaxHellos, defaultMaxHellos)
-	defaults.Positive(&o.MaxConns, defaultMaxConns)
-	defaults.Positive(&o.MaxMessage, defaultMaxMessage)
-	defaults.Positive(&o.MaxCalls, defaultMaxCalls)
-	defaults.Positive(&o.PingInterval, defaultPingInterval)
-	defaults.Positive(&o.SilentAfter, silentAfterPings*o.PingInterval)
+	defaults.SetIfNotPositive(&o.MaxVersion, Version)
+	defaults.SetIfNotPositive(&o.HelloTimeout, defaultHelloTimeout)
+	defaults.SetIfNotPositive(&o.MaxHellos, defaultMaxHellos)
+	defaults.SetIfNotPositive(&o.MaxConns, defaultMaxConns)
+	defaults.SetIfNotPositive(&o.MaxMessage, defaultMaxMessage)
+	defaults.SetIfNotPositive(&o.MaxCalls, defaultMaxCalls)
+	defaults.SetIfNotPositive(&o.PingInterval, defaultPingInterval)
+	defaults.SetIfNotPositive(&o.SilentAfter, silentAfterPings*o.PingInterval)
 	if o.Log == nil {
 		o.Log = logging.Discard()
 	}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -38,7 +38,7 @@
 	case "large":
 		return make([]byte, defaultMaxMessage), nil
 	case "fail":
-		return nil, result.Errorf(result.PeerBusy, "why").After(time.Second)
+		return nil, result.Errorf(result.PeerBusy, "why").WithRetryAfter(time.Second)
 	default:
 		return nil, result.Errorf(result.UnknownMethod, "%q", method)
 	}
@@ -103,7 +103,7 @@
 			g := NewWithT(t)
 			s := serve(t, tc.server)
 			c, err := dial(s, tc.client)
-			g.Expect(result.Of(err)).To(Equal(tc.want))
+			g.Expect(result.CodeOf(err)).To(Equal(tc.want))
 			if err == nil {
 				g.Expect(c.Peer()).To(Equal(tc.server.Self))
 				g.Expect(call(c, "echo", 1)).To(Succeed())
@@ -129,7 +129,7 @@
 	var answer HelloAnswer
 	g.Expect(c.Call(context.Background(), MethodHello, hello, &answer)).To(Succeed())
 	proof := Proof{Proof: computeProof(badKey, roleDialer, &hello, &answer)}
-	g.Expect(result.Of(call(c, MethodProve, proof))).To(Equal(result.WrongKey))
+	g.Expect(result.CodeOf(call(c, MethodProve, proof))).To(Equal(result.WrongKey))
 	g.Eventually(c.Done()).WithTimeout(testLimit).Should(BeClosed())
 }
 
@@ -249,19 +249,19 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	defer c.Wait()
 	defer c.Close()
-	g.Expect(result.Of(call(c, "nonsense", nil))).To(Equal(result.UnknownMethod))
-	g.Expect(result.Of(call(c, "echo", make([]byte, defaultMaxMessage)))).To(Equal(result.MessageTooBig))
-	g.Expect(result.Of(call(c, "large", nil))).To(Equal(result.MessageTooBig))
+	g.Expect(result.CodeOf(call(c, "nonsense", nil))).To(Equal(result.UnknownMethod))
+	g.Expect(result.CodeOf(call(c, "echo", make([]byte, defaultMaxMessage)))).To(Equal(result.MessageTooBig))
+	g.Expect(result.CodeOf(call(c, "large", nil))).To(Equal(result.MessageTooBig))
 	err = call(c, "fail", nil)
 	g.Expect(err).To(HaveField("RetryAfter", time.Second))
 	ctx, cancel := context.WithCancel(context.Background())
 	blocked := make(chan error, 1)
 	go func() { blocked <- c.Call(ctx, "block", nil, nil) }()
 	g.Eventually(running).WithTimeout(testLimit).Should(BeClosed())
-	g.Expect(result.Of(call(c, "echo", 1))).To(Equal(result.PeerBusy))
+	g.Expect(result.CodeOf(call(c, "echo", 1))).To(Equal(result.PeerBusy))
 	g.Expect(call(c, MethodPing, nil)).To(Succeed())
 	cancel()
-	g.Expect(result.Of(<-blocked)).To(Equal(result.PeerSilent))
+	g.Expect(result.CodeOf(<-blocked)).To(Equal(result.PeerSilent))
 }
 
 // Guards against reordering: handlers of one connection run concurrently, so the second of
