--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -12,9 +12,9 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// FuzzRequest: whatever a caller sends, the answer is whole, its code is one of the
-// table's, and its status and headers fit the code. What gets through to the engine
-// or to a target is within the bundle's bounds.
+// FuzzRequest sends arbitrary requests. Each answer must be complete JSON with a code of
+// the result table, and its status and headers must match the code. Requests that reach
+// the engine must be within the bundle's bounds.
 func FuzzRequest(f *testing.F) {
 	const keyed, unkeyed = validKey, ""
 	f.Add("search/find", `{"query":"x","limit":3,"time_limit_ms":50,"coverage":0.7,"explain":true}`, unkeyed)
@@ -41,10 +41,10 @@
 		g.Expect(info.Name).To(And(Equal(a.Name), Not(Equal("Unlisted"))))
 		g.Expect(res.Code).To(Equal(info.HTTP))
 		g.Expect(res.Header().Get(HeaderRequest)).NotTo(BeEmpty())
-		if asked := fake.lastSearch; asked != nil {
-			g.Expect(asked.MaxItems).To(And(BeNumerically(">=", 1), BeNumerically("<=", asked.Search.MaxItems)))
-			g.Expect(asked.MinCoverage).To(And(BeNumerically(">=", asked.Search.Coverage.Min), BeNumerically("<=", 1)))
-			g.Expect(asked.TimeLimit.Milliseconds()).To(And(BeNumerically(">=", asked.Search.TimeLimit.MinMS), BeNumerically("<=", asked.Search.TimeLimit.MaxMS)))
+		if search := fake.lastSearch; search != nil {
+			g.Expect(search.MaxItems).To(And(BeNumerically(">=", 1), BeNumerically("<=", search.Search.MaxItems)))
+			g.Expect(search.MinCoverage).To(And(BeNumerically(">=", search.Search.Coverage.Min), BeNumerically("<=", 1)))
+			g.Expect(search.TimeLimit.Milliseconds()).To(And(BeNumerically(">=", search.Search.TimeLimit.MinMS), BeNumerically("<=", search.Search.TimeLimit.MaxMS)))
 		}
 		if fake.submissions > 0 {
 			g.Expect(json.Valid([]byte(body))).To(BeTrue())
--- a/node/example_test.go
+++ b/node/example_test.go
@@ -9,10 +9,10 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// A program of your own embeds the daemon: it reads the settings, makes a node
-// and runs it until its context ends.
+// A program that embeds the daemon reads the settings, creates a node and runs it until
+// its context ends.
 func Example() {
-	set, err := settings.Parse([]byte(`{
+	cfg, err := settings.Parse([]byte(`{
 		"name": "vm-1", "deployment": "vatnsleit", "zone": "reykjanes",
 		"listen": {"callers": "127.0.0.1:0", "ops": "127.0.0.1:0", "peers": "127.0.0.1:0"},
 		"platform": {"address": "127.0.0.1:1"},
@@ -25,13 +25,13 @@
 		fmt.Println(err)
 		return
 	}
-	n, err := node.New(set, logging.Discard())
+	n, err := node.New(cfg, logging.Discard())
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	stop() // at once, so that the example ends
+	stop() // immediately, so that the example ends
 	fmt.Println("ended:", n.Run(ctx))
 	// Output: ended: <nil>
 }
--- a/node/follow.go
+++ b/node/follow.go
@@ -8,15 +8,15 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// followRevisions puts each revision that comes into force to work, and opens and closes
-// connections when this VM becomes an owner of targets or ceases to be one.
+// followRevisions applies each revision that comes into force. It also opens and closes
+// connections when this VM becomes an owner of targets or stops being one.
 func (n *Node) followRevisions() error {
 	var applied *rollout.InForce
 	for {
 		changed := n.follower.Changed()
-		if force := n.follower.Current(); force != applied {
-			n.applyRevision(force)
-			applied = force
+		if inForce := n.follower.Current(); inForce != applied {
+			n.applyRevision(inForce)
+			applied = inForce
 		}
 		shares := n.router.Changed()
 		if applied != nil {
@@ -34,19 +34,20 @@
 	}
 }
 
-func (n *Node) applyRevision(force *rollout.InForce) {
-	n.router.Apply(force.Bundle)
-	endpoints := n.endpoints(force.Bundle)
-	n.engine.Apply(force.Bundle)
+// applyRevision applies a bundle that came into force to all parts of the daemon.
+func (n *Node) applyRevision(inForce *rollout.InForce) {
+	n.router.Apply(inForce.Bundle)
+	endpoints := n.endpoints(inForce.Bundle)
+	n.engine.Apply(inForce.Bundle)
 	n.client.Apply(endpoints)
-	n.health.Apply(force.Bundle)
+	n.health.Apply(inForce.Bundle)
 	n.monitor.Apply(endpoints)
 	n.applyDrains()
-	n.claims.SetFleetSize(force.Bundle.Fleet.MaxVMs)
-	n.log.Info("revision in force", "revision", force.Revision, "digest", force.Digest)
+	n.claims.SetFleetSize(inForce.Bundle.Fleet.MaxVMs)
+	n.log.Info("revision in force", "revision", inForce.Revision, "digest", inForce.Digest)
 }
 
-// followDrains takes drains that other VMs learned.
+// followDrains applies the drains that other VMs report.
 func (n *Node) followDrains() error {
 	for {
 		changed := n.peers.DrainsChanged()
@@ -65,10 +66,12 @@
 	}
 }
 
-// watchingCheckInterval is how often this VM asks itself whether it is one of those
-// that watch the platform.
+// watchingCheckInterval is how often this VM checks whether it is one of the VMs that
+// watch the platform.
 const watchingCheckInterval = time.Second
 
+// updateWatching keeps the follower's choice between watching the platform and relying on
+// peers up to date.
 func (n *Node) updateWatching() error {
 	ticker := time.NewTicker(watchingCheckInterval)
 	defer ticker.Stop()
@@ -82,7 +85,8 @@
 	}
 }
 
-// endpoints gives this VM its share of each target's connections.
+// endpoints returns the endpoints of a bundle's targets, each with this VM's share of
+// the target's connections.
 func (n *Node) endpoints(b *bundle.Bundle) []target.Endpoint {
 	var list []target.Endpoint
 	for i := range b.Services {
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -46,8 +46,9 @@
 	g.Expect(result.CodeOf(err)).To(Equal(result.BadSettings))
 }
 
-// A daemon starts with half of its settings ignored, since a field was misspelt
-// or has a value that cannot work. Each is one clear error that names the field.
+// Guards against a daemon that starts although a field of its settings is misspelt, and
+// so ignored, or has a value that cannot work. Each must give an error that names the
+// field.
 func TestInvalidSettingsNameTheField(t *testing.T) {
 	cases := map[string]func(s *Settings){
 		"$.name":              func(s *Settings) { s.Name = "" },
@@ -66,9 +67,9 @@
 		"300000":              func(s *Settings) { s.LameDuckMS = MaxLameDuckMS + 1 },
 		"an IP address and p": func(s *Settings) { s.Listen.Peers = "x" },
 	}
-	for want, spoil := range cases {
+	for want, corrupt := range cases {
 		s := validSettings(t)
-		spoil(s)
+		corrupt(s)
 		err := parse(t, s)
 		g := NewWithT(t)
 		g.Expect(result.CodeOf(err)).To(Equal(result.BadSettings), want)
@@ -78,7 +79,8 @@
 	NewWithT(t).Expect(err).To(MatchError(ContainSubstring("$.nmae")))
 }
 
-// A fleet key ends up in a log: the error of a bad one must not repeat it.
+// Guards against fleet keys in logs: errors are logged, so the error about an invalid key
+// must not contain the key.
 func TestErrorsDoNotRepeatFleetKeys(t *testing.T) {
 	s := validSettings(t)
 	s.FleetKeys = []string{"c2VjcmV0LXNlY3JldA=="}
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -8,9 +8,9 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Dial opens a connection to a VM and proves itself. The caller closes it, and
-// calls Serve if the peer may call back.
-func Dial(ctx context.Context, address string, o Options, count *Counters) (*Conn, error) {
+// Dial opens a connection to a VM and authenticates both ends. The caller must close it,
+// and must call Serve if the peer may call methods of this end.
+func Dial(ctx context.Context, address string, o Options, counters *Counters) (*Conn, error) {
 	o = o.withDefaults()
 	ctx, cancel := context.WithTimeout(ctx, o.HelloTimeout)
 	defer cancel()
@@ -18,7 +18,7 @@
 	if err != nil {
 		return nil, result.Wrap(result.ExchangeFailed, err, "dial")
 	}
-	c := newConn(raw, &o, count, true)
+	c := newConn(raw, &o, counters, true)
 	if err := c.sendHello(ctx); err != nil {
 		c.Close()
 		return nil, err
@@ -42,15 +42,15 @@
 	if err != nil {
 		return err
 	}
-	// The peer may call as soon as it has sent its proof, before this end has
-	// looked at it; they are held back until Serve.
+	// The peer may send calls as soon as it has sent its proof, before this end has
+	// checked the proof. Such calls wait until Serve.
 	c.limit.Store(int64(c.opts.MaxMessage))
-	var theirs Proof
-	own := Proof{Proof: computeProof(key, roleDialer, hello, &answer)}
-	if err := c.Call(ctx, MethodProve, own, &theirs); err != nil {
+	var peerProof Proof
+	ownProof := Proof{Proof: computeProof(key, roleDialer, hello, &answer)}
+	if err := c.Call(ctx, MethodProve, ownProof, &peerProof); err != nil {
 		return err
 	}
-	if !hmac.Equal(theirs.Proof, computeProof(key, roleAcceptor, hello, &answer)) {
+	if !hmac.Equal(peerProof.Proof, computeProof(key, roleAcceptor, hello, &answer)) {
 		return result.Errorf(result.WrongKey, "the accepting end's proof is wrong")
 	}
 	c.setAuthenticated(answer.From, c.opts.Use, answer.Version)
@@ -76,8 +76,8 @@
 }
 
 func (c *Conn) handleProve(params json.RawMessage) (any, error) {
-	var theirs Proof
-	if err := json.Unmarshal(params, &theirs); err != nil {
+	var peerProof Proof
+	if err := json.Unmarshal(params, &peerProof); err != nil {
 		return nil, result.Wrap(result.BadHello, err, "")
 	}
 	c.mu.Lock()
@@ -86,14 +86,14 @@
 	if hello == nil {
 		return nil, result.Errorf(result.BadHello, "proof without a hello")
 	}
-	if !hmac.Equal(theirs.Proof, computeProof(key, roleDialer, hello, answer)) {
+	if !hmac.Equal(peerProof.Proof, computeProof(key, roleDialer, hello, answer)) {
 		return nil, result.Errorf(result.WrongKey, "the proof is wrong")
 	}
 	return Proof{Proof: computeProof(key, roleAcceptor, hello, answer)}, nil
 }
 
-// finishHello opens the accepting end after its proof was sent: no message may
-// overtake the proof.
+// finishHello marks the acceptor's connection as authenticated. It is called after the
+// acceptor's proof was sent, so that no other message is sent before the proof.
 func (c *Conn) finishHello() {
 	c.mu.Lock()
 	hello, answer := c.hello, c.answer
