--- a/objstore/api.go
+++ b/objstore/api.go
@@ -6,16 +6,17 @@
 //
 //	GET    /v1/objects/{kind}/{name}                 one object
 //	PUT    /v1/objects/{kind}/{name}                 conditional write
-//	DELETE /v1/objects/{kind}/{name}                 conditional removal
+//	DELETE /v1/objects/{kind}/{name}                 conditional deletion
 //	GET    /v1/objects/{kind}?after=NAME&limit=N     a page of a listing
 //	GET    /v1/watch/{kind}?since=REVISION           long poll for changes
 //	GET    /v1/vms                                   the list of VMs
 //
-// PUT needs "If-Match: <version>" or, to create, "If-None-Match: *". DELETE
-// needs "If-Match". Reads and writes of one object carry its version in
-// HeaderVersion. Status 404 means absent, 412 a version conflict, 413 a value
-// too large, 429 refused by rate before running. Any other failure leaves the
-// effect of a write unknown.
+// PUT requires "If-Match: <version>" or, to create an object, "If-None-Match: *".
+// DELETE requires "If-Match". The answers to reads and writes of one object carry
+// its version in HeaderVersion. Status 404 means that the object does not exist,
+// 412 a version conflict, 413 a value that is too large, and 429 a call that was
+// refused by rate limiting before it ran. After any other failure it is unknown
+// whether a write took effect.
 const (
 	HeaderVersion = "Object-Version"
 	PathObjects   = "/v1/objects/"
@@ -23,7 +24,7 @@
 	PathVMs       = "/v1/vms"
 )
 
-// ObjectJSON is an object in a listing.
+// ObjectJSON is the JSON form of an object in a listing.
 type ObjectJSON struct {
 	Name    string          `json:"name"`
 	Version uint64          `json:"version"`
@@ -37,7 +38,7 @@
 	More     bool         `json:"more"`
 }
 
-// EventJSON is one change in the answer to a watch.
+// EventJSON is one change of an object in the answer to a watch.
 type EventJSON struct {
 	Name     string `json:"name"`
 	Version  uint64 `json:"version"`
@@ -45,14 +46,14 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// WatchResultJSON is the answer to a watch. Events is empty when the platform's own
-// wait ended without a change.
+// WatchResultJSON is the answer to a watch. Events is empty if the platform's own
+// wait limit passed without a change.
 type WatchResultJSON struct {
 	Events   []EventJSON `json:"events"`
 	Revision uint64      `json:"revision"`
 }
 
-// VMsJSON is the answer to a read of the list of VMs.
+// VMsJSON is the answer to a request for the list of VMs.
 type VMsJSON struct {
 	VMs []VM `json:"vms"`
 }
--- a/objstore/client.go
+++ b/objstore/client.go
@@ -15,7 +15,7 @@
 	"github.com/juju/errors"
 )
 
-// Defaults of ClientOptions.
+// Defaults of the fields of ClientOptions.
 const (
 	DefaultCallTimeout  = 2 * time.Second
 	DefaultWatchTimeout = 15 * time.Second
@@ -23,15 +23,15 @@
 	DefaultConnections  = 16
 )
 
-// maxListBytes bounds the answer to a listing or a watch.
+// maxListBytes bounds the size of an answer that isn't a single object.
 const maxListBytes = 16 * MaxValue
 
-// ClientOptions tune a Client. A zero field stands for its default.
+// ClientOptions configure a Client. A field that is 0 or less means its default.
 type ClientOptions struct {
-	CallTimeout  time.Duration // of every call but a watch, its answer read included
-	WatchTimeout time.Duration // longer than the platform's own wait
+	CallTimeout  time.Duration // of every call except a watch, including the read of its answer
+	WatchTimeout time.Duration // of a watch; must be longer than the platform's own wait limit
 	IdleTimeout  time.Duration // after which an unused connection is closed
-	Connections  int           // open to the platform at once, at most
+	Connections  int           // limit of open connections to the platform
 }
 
 func (o ClientOptions) withDefaults() ClientOptions {
@@ -50,16 +50,17 @@
 	return o
 }
 
-// Client is a Store that speaks the platform's HTTP interface.
+// Client is a Store that uses the platform's HTTP interface. It is safe for
+// concurrent use.
 //
-// It never sends a write twice. net/http by itself repeats a request whose
-// reused connection fails if the body can be rewound and the request looks
-// idempotent; a repeated conditional write would answer ErrConflict about
-// itself. So writes carry a body that cannot be rewound.
+// It never sends a write twice. If a reused connection fails, net/http resends a
+// request by itself when its body can be rewound and the request looks idempotent.
+// A conditional write that is sent again fails with ErrConflict because of its own
+// first copy. So the body of a write can't be rewound.
 //
-// A connection that has gone silent shows as a call that runs into its timeout.
-// HTTP/1.1 then closes that connection, and the Client drops every idle one
-// too, since whatever lost track of one has often lost track of them all.
+// A call on a connection that has gone silent times out. net/http then closes that
+// HTTP/1.1 connection, and the Client closes all idle ones too, because a device
+// that has lost the state of one connection has often lost that of all.
 type Client struct {
 	base      string
 	opts      ClientOptions
@@ -69,7 +70,7 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a Client of the platform at address, an IP and port.
+// NewClient returns a Client for the platform at address, an IP and port.
 func NewClient(address string, opts ClientOptions) *Client {
 	opts = opts.withDefaults()
 	dialer := &net.Dialer{Timeout: opts.CallTimeout}
@@ -90,7 +91,7 @@
 	}
 }
 
-// Close drops the idle connections. The Client stays usable.
+// Close closes the idle connections. The Client stays usable.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
 // Get implements Store.
@@ -122,15 +123,15 @@
 }
 
 // Put implements Store.
-func (c *Client) Put(ctx context.Context, kind, name string, expect uint64, value []byte) (uint64, error) {
+func (c *Client) Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error) {
 	if len(value) > MaxValue {
 		return 0, errors.Annotatef(ErrTooLarge, "put %s/%s of %d bytes", kind, name, len(value))
 	}
 	req := request{method: http.MethodPut, path: objectPath(kind, name), body: value}
-	if expect == 0 {
+	if expectedVersion == 0 {
 		req.ifNoneMatch = "*"
 	} else {
-		req.ifMatch = strconv.FormatUint(expect, 10)
+		req.ifMatch = strconv.FormatUint(expectedVersion, 10)
 	}
 	ans, err := c.call(ctx, req)
 	if err != nil {
@@ -141,18 +142,18 @@
 }
 
 // Delete implements Store.
-func (c *Client) Delete(ctx context.Context, kind, name string, expect uint64) error {
+func (c *Client) Delete(ctx context.Context, kind, name string, expectedVersion uint64) error {
 	_, err := c.call(ctx, request{
 		method:  http.MethodDelete,
 		path:    objectPath(kind, name),
-		ifMatch: strconv.FormatUint(expect, 10),
+		ifMatch: strconv.FormatUint(expectedVersion, 10),
 	})
 	return errors.Annotatef(err, "delete %s/%s", kind, name)
 }
 
-// Watch implements Store. It ends with an error when the platform says nothing
-// for longer than WatchTimeout, since a silent connection looks like a platform
-// where nothing changes.
+// Watch implements Store. It returns an error if the platform has not answered
+// within WatchTimeout, because a silent connection looks like a platform on which
+// nothing changes.
 func (c *Client) Watch(ctx context.Context, kind string, since uint64) (WatchResult, error) {
 	var ans WatchResultJSON
 	path := PathWatch + url.PathEscape(kind) + "?since=" + strconv.FormatUint(since, 10)
@@ -178,23 +179,24 @@
 	return ans.VMs, nil
 }
 
-// request is one call, before it is sent.
+// request describes one call.
 type request struct {
 	method      string
-	path        string // escaped, with its query
-	ifMatch     string
-	ifNoneMatch string
+	path        string // escaped, including the query
+	ifMatch     string // the If-Match header; empty for none
+	ifNoneMatch string // the If-None-Match header; empty for none
 	body        []byte
-	limit       int64         // of the answer in bytes; 0 means maxListBytes
+	limit       int64         // of the answer's size, in bytes; 0 means maxListBytes
 	timeout     time.Duration // 0 means CallTimeout
 }
 
-// answer is a successful answer, read whole.
+// answer is a successful answer with its complete body.
 type answer struct {
 	header http.Header
 	body   []byte
 }
 
+// version returns the object version in the answer's header.
 func (a answer) version() (uint64, error) {
 	text := a.header.Get(HeaderVersion)
 	v, err := strconv.ParseUint(text, 10, 64)
@@ -204,14 +206,17 @@
 	return v, nil
 }
 
-func (c *Client) callJSON(ctx context.Context, req request, into any) error {
+// callJSON makes a call and decodes the answer into result, a pointer.
+func (c *Client) callJSON(ctx context.Context, req request, result any) error {
 	ans, err := c.call(ctx, req)
 	if err != nil {
 		return err
 	}
-	return errors.Annotate(json.Unmarshal(ans.body, into), "object store: malformed answer")
+	return errors.Annotate(json.Unmarshal(ans.body, result), "object store: malformed answer")
 }
 
+// call sends a request with its timeout. If the request times out, call closes all
+// idle connections; see Client.
 func (c *Client) call(ctx context.Context, req request) (answer, error) {
 	timeout := req.timeout
 	if timeout == 0 {
@@ -259,7 +264,7 @@
 		return nil, errors.Trace(err)
 	}
 	if r.body != nil {
-		// NopCloser hides the reader's type, so that GetBody stays nil.
+		// NopCloser hides the reader's type, so that the body can't be rewound.
 		hreq.Body = io.NopCloser(bytes.NewReader(r.body))
 		hreq.ContentLength = int64(len(r.body))
 		hreq.Header.Set("Content-Type", "application/json")
@@ -286,8 +291,8 @@
 	case http.StatusTooManyRequests:
 		return ErrBusy
 	}
-	const shown = 200
-	text := strings.TrimSpace(string(body[:min(len(body), shown)]))
+	const maxShown = 200 // bytes of the answer in the error text
+	text := strings.TrimSpace(string(body[:min(len(body), maxShown)]))
 	return errors.Errorf("object store: status %d: %s", resp.StatusCode, text)
 }
 
--- a/objstore/client_test.go
+++ b/objstore/client_test.go
@@ -14,12 +14,13 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// testTimeout bounds each wait for something that is bound to happen.
+// testTimeout bounds each wait for an event that must happen.
 const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// newProxiedClient returns a client that reaches a store through a fault proxy.
+// newProxiedClient returns a client that is connected to a store through a fault
+// proxy.
 func newProxiedClient(t *testing.T, opts objstore.ClientOptions) (*objstore.Client, *platformsim.Store, *faultproxy.Proxy) {
 	store := platformsim.NewStore()
 	server := httptest.NewServer(store.Handler())
@@ -34,10 +35,10 @@
 	return client, store, proxy
 }
 
-// Operators see rollouts hang for one timeout after another: something between
-// a VM and the platform has lost track of all its open connections, which stay
-// open and say nothing. The first call to meet one times out; the calls after
-// it must not meet the others one by one.
+// Guards against calls to the platform that time out one after another, so that a
+// rollout hangs. A device between a VM and the platform has lost the state of all
+// open connections: they stay open, but nothing arrives on them. The first call on
+// one of them times out. Later calls must not use the other idle connections.
 func TestTimeoutClosesAllIdleConnections(t *testing.T) {
 	g := gomega.NewWithT(t)
 	client, store, proxy := newProxiedClient(t, objstore.ClientOptions{CallTimeout: time.Second})
@@ -56,9 +57,9 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-// A VM stays on an old bundle for good: its watch waits on a connection that
-// has gone silent, which looks just like a platform where nothing changes. The
-// watch has to end by itself.
+// Guards against a VM that stays on an old bundle permanently. Its watch waits on a
+// connection that has gone silent, which looks like a platform on which nothing
+// changes. The watch must time out.
 func TestSilentWatchTimesOut(t *testing.T) {
 	g := gomega.NewWithT(t)
 	client, store, _ := newProxiedClient(t, objstore.ClientOptions{WatchTimeout: 100 * time.Millisecond})
@@ -68,9 +69,9 @@
 	g.Expect(t.Context().Err()).NotTo(gomega.HaveOccurred())
 }
 
-// A VM tells a caller that another VM holds its claim, although it holds it
-// itself: the connection broke after the write was carried out, and the write
-// was sent a second time by the HTTP library, which conflicts with the first.
+// Guards against a VM that reports that another VM holds a claim, although it holds
+// the claim itself. The connection breaks after the platform has executed a write,
+// net/http sends the write again, and the second write conflicts with the first.
 func TestWriteOnBrokenConnectionIsSentOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	client, store, _ := newProxiedClient(t, objstore.ClientOptions{})
--- a/objstore/objstore.go
+++ b/objstore/objstore.go
@@ -1,6 +1,6 @@
-// Package objstore is the one way in which bramleybarrow reaches the platform:
-// its object store with versions, conditional updates and watches, and its list
-// of VMs. Store is the interface; Client speaks the platform's HTTP interface.
+// Package objstore is the only access of bramleybarrow to the platform: to its
+// object store with versions, conditional updates and watches, and to its list of
+// VMs. Store is the interface; Client implements it over the platform's HTTP API.
 package objstore
 
 import (
@@ -8,57 +8,57 @@
 	"errors"
 )
 
-// MaxValue is the largest value, in bytes, that the platform holds.
+// MaxValue is the size of the largest value, in bytes, that the platform stores.
 const MaxValue = 1 << 20
 
 // Object is one stored value.
 type Object struct {
 	Kind    string
 	Name    string
-	Version uint64 // rises with each write of this object; 0 means absent
+	Version uint64 // increases with each write of this object; 0 means that it does not exist
 	Value   []byte
 }
 
-// Event tells that an object changed. It is a hint: events can be lost,
-// repeated, reordered or withheld, so the truth is a read of the object.
+// Event reports that an object changed. It is a hint: events can be lost, repeated,
+// reordered or withheld. Only a read of the object returns its actual state.
 type Event struct {
 	Kind     string
 	Name     string
 	Version  uint64
-	Revision uint64 // of the store, rises with each write to it
+	Revision uint64 // of the store; increases with each write to it
 	Deleted  bool
 }
 
-// Page is a part of a listing, in the order of names.
+// Page is a part of a listing, in name order.
 type Page struct {
 	Objects  []Object
 	Revision uint64 // of the store at the time of the read
-	More     bool   // further names follow the last one
+	More     bool   // more objects follow the last one
 }
 
-// WatchResult is the answer to one call of Watch.
+// WatchResult is the result of one call of Watch.
 type WatchResult struct {
 	Events   []Event
-	Revision uint64 // to be passed to the next call
+	Revision uint64 // of the store; pass it to the next call
 }
 
-// VM is an entry of the platform's list. The list lags.
+// VM is an entry of the platform's list of VMs. The list may be out of date.
 type VM struct {
 	Name    string `json:"name"`
-	Address string `json:"address"` // of the inner protocol, IP and port
+	Address string `json:"address"` // of the protocol between VMs, IP and port
 	Ops     string `json:"ops"`     // of the operators' page, IP and port
 	Zone    string `json:"zone"`
 	Leaving bool   `json:"leaving"`
 }
 
-// The errors of a Store. Any other error, a timeout among them, leaves it
-// unknown whether a write took effect.
+// The errors of a Store. After any other error, including a timeout, it is unknown
+// whether a write took effect.
 var (
 	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("object store: object not found")
-	// ErrConflict means that the object's version is another than expected, and
-	// that this write did not take effect. After a lost answer it may still
-	// speak of the caller's own earlier write.
+	// ErrConflict means that the object's version differs from the expected one,
+	// and that this write did not take effect. After a lost answer, the conflict
+	// may be with the caller's own earlier write.
 	ErrConflict = errors.New("object store: version conflict")
 	// ErrTooLarge means that the value exceeds MaxValue; nothing was written.
 	ErrTooLarge = errors.New("object store: value too large")
@@ -67,23 +67,24 @@
 )
 
 // Store is the platform's object store. Implementations are safe for
-// concurrent use. Each call, a waiting watch as one, counts against the
-// platform's rates.
+// concurrent use. Each call counts against the platform's rate limits; a watch
+// counts as one call, however long it waits.
 type Store interface {
 	// Get returns the object, or ErrNotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// List returns up to limit objects of the kind whose names follow after.
+	// List returns up to limit objects of the kind whose names sort after after,
+	// in name order.
 	List(ctx context.Context, kind, after string, limit int) (Page, error)
-	// Put writes value if the object's version is expect, where 0 means that
-	// the object must not exist, and returns the new version. It returns
-	// ErrConflict if the version is another.
-	Put(ctx context.Context, kind, name string, expect uint64, value []byte) (uint64, error)
-	// Delete removes the object if its version is expect.
-	Delete(ctx context.Context, kind, name string, expect uint64) error
-	// Watch waits until an object of the kind changes after the store's
-	// revision since, or until the platform's own wait ends, and then returns
-	// what changed, if anything.
+	// Put writes value if the object's version is expectedVersion, and returns
+	// the new version. An expectedVersion of 0 means that the object must not
+	// exist. Put returns ErrConflict if the version differs.
+	Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error)
+	// Delete deletes the object if its version is expectedVersion.
+	Delete(ctx context.Context, kind, name string, expectedVersion uint64) error
+	// Watch waits until an object of the kind changes after the store's revision
+	// since, or until the platform's own wait limit has passed. It returns the
+	// changes, of which there may be none.
 	Watch(ctx context.Context, kind string, since uint64) (WatchResult, error)
-	// VMs returns the platform's lagging list of VMs.
+	// VMs returns the platform's list of VMs, which may be out of date.
 	VMs(ctx context.Context) ([]VM, error)
 }
--- a/objstore/objstoretest/objstoretest.go
+++ b/objstore/objstoretest/objstoretest.go
@@ -1,4 +1,4 @@
-// Package objstoretest holds the tests that every objstore.Store must pass.
+// Package objstoretest contains the tests that every objstore.Store must pass.
 package objstoretest
 
 import (
@@ -15,26 +15,27 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// testTimeout bounds each wait for something that is bound to happen.
+// testTimeout bounds each wait for an event that must happen.
 const testTimeout = 20 * time.Second
 
-// Run tests the stores that open returns, each of them empty.
+// Run runs each test on a store of its own, which open returns and which must be
+// empty.
 func Run(t *testing.T, open func(t *testing.T) objstore.Store) {
 	tests := []struct {
 		name string
 		test func(context.Context, *gomega.WithT, objstore.Store)
 	}{
 		{"absent object", testAbsentObject},
-		{"create, replace, remove", testCreateReplaceDelete},
-		{"version never returns", testVersionRises},
-		{"value kept byte by byte", testExactValue},
-		{"names with any characters", testSpecialCharacters},
+		{"create, replace, delete", testCreateReplaceDelete},
+		{"version is never reused", testVersionIncreases},
+		{"value returned byte for byte", testExactValue},
+		{"names with special characters", testSpecialCharacters},
 		{"value too large", testTooLarge},
-		{"one of racing writers wins", testConcurrentPuts},
+		{"one of several concurrent writers succeeds", testConcurrentPuts},
 		{"listing in pages", testListPages},
-		{"watch wakes at a change", testWatchReturnsOnChange},
-		{"watch tells of an earlier change", testWatchReturnsEarlierChange},
-		{"watch tells of a removal", testWatchReturnsDeletion},
+		{"watch returns on a change", testWatchReturnsOnChange},
+		{"watch returns an earlier change", testWatchReturnsEarlierChange},
+		{"watch returns a deletion", testWatchReturnsDeletion},
 		{"watch ends with its context", testWatchEndsWithContext},
 	}
 	for _, tt := range tests {
@@ -73,7 +74,7 @@
 	g.Expect(err).To(gomega.MatchError(objstore.ErrNotFound))
 }
 
-func testVersionRises(ctx context.Context, g *gomega.WithT, s objstore.Store) {
+func testVersionIncreases(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	last := uint64(0)
 	for range 3 {
 		v := put(ctx, g, s, "a", 0, `1`)
@@ -199,9 +200,9 @@
 	g.Eventually(ended, testTimeout).Should(gomega.Receive(gomega.HaveOccurred()))
 }
 
-func put(ctx context.Context, g *gomega.WithT, s objstore.Store, name string, expect uint64, value string) uint64 {
-	v, err := s.Put(ctx, "k", name, expect, []byte(value))
+func put(ctx context.Context, g *gomega.WithT, s objstore.Store, name string, expectedVersion uint64, value string) uint64 {
+	v, err := s.Put(ctx, "k", name, expectedVersion, []byte(value))
 	g.Expect(err).NotTo(gomega.HaveOccurred(), name)
-	g.Expect(v).To(gomega.BeNumerically(">", expect), name)
+	g.Expect(v).To(gomega.BeNumerically(">", expectedVersion), name)
 	return v
 }
