--- a/target/body.go
+++ b/target/body.go
@@ -8,20 +8,20 @@
 	"github.com/juju/errors"
 )
 
-// The life of a requestBody: from fresh to either handed or sealed, once.
+// The states of a requestBody. It changes once, from unread to read or sealed.
 const (
 	bodyUnread int32 = iota
 	bodyRead         // the transport has read from it
-	bodySealed       // the call has ended before that
+	bodySealed       // the call ended before the transport read from it
 )
 
-// requestBody is the body of one call. It can be read once and offers no way
-// to rewind, so that net/http can never replay a request by itself.
+// requestBody is the body of one call. It can be read once and can't be
+// rewound, so that net/http can't resend a request by itself.
 //
-// It also settles whether the target may have started the call: a call that
-// fails may leave a goroutine of net/http behind that is about to write the
-// request. Sealing an unread body makes that write fail, and a target that
-// gets no byte of the body can't run the request.
+// It also determines whether the target may have started the call. When a call
+// fails, a goroutine of net/http may still be about to write the request.
+// Sealing an unread body makes that write fail, and a target that receives no
+// byte of the body can't run the request.
 type requestBody struct {
 	data  *bytes.Reader
 	state atomic.Int32
@@ -42,8 +42,8 @@
 // Close implements io.Closer.
 func (b *requestBody) Close() error { return nil }
 
-// seal ends the call and reports whether nothing of the body was handed out,
-// now or ever.
+// seal ends the call and reports whether the body was never read. If it reports
+// true, later reads fail, so the body is never sent.
 func (b *requestBody) seal() bool {
 	return b.state.CompareAndSwap(bodyUnread, bodySealed) || b.state.Load() == bodySealed
 }
--- a/target/call.go
+++ b/target/call.go
@@ -11,17 +11,17 @@
 	"github.com/juju/errors"
 )
 
-// call is one exchange with a target.
+// call is one request to a target, with the destination of its answer.
 type call struct {
 	target     string
 	method     string
 	path       string
-	request    any          // nil for none
-	echo       Echo         // of request
-	answer     any          // decoded into
-	probe      bool         // tests the connection that was idle for longest
-	deadlineMS *int64       // field of request that takes the time left, in ms
-	validate   func() error // holds the answer against the request
+	request    any          // nil if the call has no body
+	echo       Echo         // of request; the zero value if it has none
+	answer     any          // pointer that the answer is decoded into
+	probe      bool         // use the connection that received nothing for longest, to test it
+	deadlineMS *int64       // field of request that is set to the time left, in ms
+	validate   func() error // checks the decoded answer against the request
 }
 
 func statusCall(target string, status *Status) *call {
@@ -35,7 +35,7 @@
 	}
 }
 
-// do runs a call on a connection from the target's pool.
+// do sends a call on a connection from the target's pool.
 func (c *Client) do(ctx context.Context, k *call) error {
 	err := c.tryConnections(ctx, k)
 	if err == nil {
@@ -60,9 +60,10 @@
 	return c.tryOnce(ctx, p, k)
 }
 
-// maxSendTries bounds how often a call is begun. A connection can end between
-// its choice and the write; while nothing of the request was handed out, any
-// request may be sent on another connection.
+// maxSendTries bounds the number of connections that a call is tried on. A
+// connection can end between being picked and the write. As long as the
+// transport has read nothing of the body, any request, also a non-idempotent
+// one, may be sent on another connection.
 const maxSendTries = 3
 
 func (c *Client) tryOnce(ctx context.Context, p *pool, k *call) *CallError {
@@ -83,7 +84,8 @@
 	return err
 }
 
-// roundTrip runs a call on one connection, which the caller holds.
+// roundTrip sends a call on a connection that the caller has acquired, and
+// decodes the answer.
 func (c *Client) roundTrip(ctx context.Context, cn *conn, k *call) *CallError {
 	body, err := k.encode(ctx)
 	if err != nil {
@@ -107,7 +109,8 @@
 	return err
 }
 
-// encode writes the time left into the request and returns its body.
+// encode sets the request's deadline to the time left until ctx ends and returns
+// the encoded body.
 func (k *call) encode(ctx context.Context) (*requestBody, *CallError) {
 	if err := ctx.Err(); err != nil {
 		return nil, transportError(ctx, err, true)
@@ -128,7 +131,7 @@
 	return newRequestBody(data), nil
 }
 
-// httpRequest returns a request that net/http has no way to replay: it has no
+// httpRequest returns a request that net/http can't resend by itself: it has no
 // GetBody and no idempotency header.
 func (k *call) httpRequest(ctx context.Context, body *requestBody) *http.Request {
 	req := &http.Request{
@@ -160,6 +163,8 @@
 	return &CallError{Kind: kind, NotStarted: notStarted, cause: errors.Trace(cause)}
 }
 
+// reportState passes the state in the headers of an answer to the Sink, and
+// returns the target's incarnation, or "" if the answer has none.
 func (c *Client) reportState(target string, header http.Header) string {
 	incarnation := header.Get(HeaderIncarnation)
 	state := header.Get(HeaderState)
@@ -169,7 +174,8 @@
 	return incarnation
 }
 
-// decodeResponse decodes an answer and decides whether it can be used.
+// decodeResponse decodes an answer. It returns an error if the answer is a
+// refusal or can't be used.
 func (c *Client) decodeResponse(k *call, status int, data []byte) *CallError {
 	if int64(len(data)) > c.opts.MaxAnswerBytes {
 		return &CallError{Kind: ErrorMalformed, cause: errors.Errorf("answer exceeds %d bytes", c.opts.MaxAnswerBytes)}
--- a/target/check.go
+++ b/target/check.go
@@ -7,17 +7,18 @@
 	"github.com/juju/errors"
 )
 
-func leafPath(leaf int, verb string) string {
-	return "/leaves/" + strconv.Itoa(leaf) + "/" + verb
+func leafPath(leaf int, operation string) string {
+	return "/leaves/" + strconv.Itoa(leaf) + "/" + operation
 }
 
 // errMismatched marks an answer that belongs to another request.
 var errMismatched = errors.New("the answer belongs to another request")
 
-// checkEcho guards against answers that arrive crossed, late or twice: such an
-// answer is well formed and would be merged into another caller's result.
-// Request, attempt, shard and snapshot together name one call, so that an
-// answer with the same four was made for that call.
+// checkEcho rejects answers that were swapped with another request's, or that
+// arrive late or twice. Such an answer is well formed and would otherwise be
+// merged into another caller's result. Request, attempt, shard and snapshot
+// together identify one call, so an answer with the same four values was made
+// for that call.
 func checkEcho(want, got Echo) error {
 	if want == got {
 		return nil
@@ -30,10 +31,10 @@
 		return err
 	}
 	if req.Limit > 0 && len(answer.Items) > req.Limit {
-		return errors.Errorf("%d items, but %d were asked for", len(answer.Items), req.Limit)
+		return errors.Errorf("%d items exceed the limit of %d", len(answer.Items), req.Limit)
 	}
 	if answer.Records < 0 || answer.Missing < 0 || answer.Missing > answer.Records {
-		return errors.Errorf("%d of %d records missing", answer.Missing, answer.Records)
+		return errors.Errorf("invalid record counts: %d of %d records missing", answer.Missing, answer.Records)
 	}
 	return nil
 }
@@ -50,7 +51,7 @@
 
 func checkStatus(target string, status *Status) error {
 	if status.Target != target {
-		return fmt.Errorf("%w: asked %q, got the status of %q", errMismatched, target, status.Target)
+		return fmt.Errorf("%w: sent to %q, got the status of %q", errMismatched, target, status.Target)
 	}
 	return nil
 }
--- a/target/client.go
+++ b/target/client.go
@@ -11,31 +11,32 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Sink is told what is learned of targets. Its methods may be called at the
-// same time and must not block.
+// Sink receives what a Client and a Monitor learn about the state of targets.
+// Its methods may be called concurrently and must not block.
 type Sink interface {
-	// TargetStatus is called after each successful read of a status.
+	// TargetStatus is called after each successful status read.
 	TargetStatus(target string, status Status, at time.Time)
-	// TargetFailed is called after each read of a status that failed.
+	// TargetFailed is called after each failed status read.
 	TargetFailed(target string, err error, at time.Time)
-	// TargetState is called with what the headers of an answer state.
+	// TargetState is called with the incarnation and the state in the headers
+	// of an answer.
 	TargetState(target, incarnation string, state State, at time.Time)
 }
 
 // Client calls the leaves of targets. It keeps connections to each target, up
-// to this VM's share, and opens them ahead of the calls. It is safe for
+// to this VM's share, and opens them before calls need them. It is safe for
 // concurrent use.
 type Client struct {
 	opts      Options
 	transport *http.Transport
 	metrics   *clientMetrics
 	dialSlots chan struct{} // holds a token for each connection being opened
-	tomb      tomb.Tomb     // runs the keeper of each pool
+	tomb      tomb.Tomb     // runs the maintainer of each pool
 
-	mu           sync.RWMutex // guards what follows; may be held when a pool's mu is taken
+	mu           sync.RWMutex // guards the fields below; a pool's mu may be acquired while it is held
 	pools        map[string]*pool
-	withoutShare map[string]struct{} // endpoints in force of which this VM has no share
-	retiredPools []*pool             // retired, but with connections that calls still use
+	withoutShare map[string]struct{} // endpoints in force to which this VM may open no connections
+	retiredPools []*pool             // pools of removed endpoints, on whose connections calls may still run
 	closed       bool
 }
 
@@ -56,9 +57,9 @@
 	return c
 }
 
-// Apply puts the endpoints in force. Connections to endpoints that are gone, or
-// whose address changed, or of which this VM has no share any more, take no new
-// calls and close once they are idle.
+// Apply puts the endpoints in force. Connections to an endpoint that was removed,
+// whose address changed, or of which this VM no longer has a share, accept no
+// new calls and close once they are idle. After Close, Apply does nothing.
 func (c *Client) Apply(endpoints []Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,10 +89,10 @@
 	}
 }
 
-// reuseOrCreatePool returns a pool for an endpoint that is new. If the endpoint was
-// taken out a moment ago, as by a recall, calls may still run on connections of
-// its old pool. These count against the share, so the old pool goes on. c.mu
-// must be held.
+// reuseOrCreatePool returns a pool for an endpoint that has none in force. If the
+// endpoint was removed a moment ago and is now back, for example after a recall,
+// calls may still run on connections of its old pool. Those count against the
+// share, so the old pool is used again. c.mu must be held.
 func (c *Client) reuseOrCreatePool(e Endpoint) *pool {
 	c.retiredPools = slices.DeleteFunc(c.retiredPools, (*pool).hasStopped)
 	for i, p := range c.retiredPools {
@@ -105,14 +106,14 @@
 	return p
 }
 
-// Close ends all calls and connections.
+// Close ends all calls, closes all connections and waits until that is done.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
 	c.pools = nil
 	c.mu.Unlock()
 	c.tomb.Kill(nil)
-	_ = c.tomb.Wait() // keepers return no error
+	_ = c.tomb.Wait() // maintainers return no error
 }
 
 func (c *Client) pool(target string) *pool {
@@ -121,8 +122,9 @@
 	return c.pools[target]
 }
 
-// noPoolError returns the error of a target without a pool. Pools are kept for targets
-// of which this VM has a share, since a VM owns few of a large deployment's.
+// noPoolError returns the error for a target without a pool. Only targets of which
+// this VM has a share have a pool, because in a large deployment a VM owns few of
+// the targets.
 func (c *Client) noPoolError(target string) *CallError {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -132,8 +134,8 @@
 	return &CallError{Kind: ErrorUnknownTarget, NotStarted: true}
 }
 
-// Search asks one leaf for its shard. The request's DeadlineMS is set to the
-// time left until ctx ends. The error is a *CallError.
+// Search sends a search or browse request to one leaf. It sets the request's
+// DeadlineMS to the time left until ctx's deadline. The error is a *CallError.
 func (c *Client) Search(ctx context.Context, target string, leaf int, req LeafRequest) (LeafAnswer, error) {
 	var answer LeafAnswer
 	err := c.do(ctx, &call{
@@ -152,8 +154,8 @@
 	return answer, nil
 }
 
-// Submit hands a non-idempotent request to one leaf, once. The error is a
-// *CallError; unless it says NotStarted, the request may have been run.
+// Submit sends a non-idempotent request to one leaf at most once. The error is a
+// *CallError; unless its NotStarted is true, the request may have been run.
 func (c *Client) Submit(ctx context.Context, target string, leaf int, req SubmitRequest) (SubmitAnswer, error) {
 	var answer SubmitAnswer
 	err := c.do(ctx, &call{
@@ -172,7 +174,7 @@
 	return answer, nil
 }
 
-// Status reads what the target says of itself. The error is a *CallError.
+// Status reads the target's status. The error is a *CallError.
 func (c *Client) Status(ctx context.Context, target string) (Status, error) {
 	var status Status
 	c.metrics.statusReads.Inc()
--- a/target/client_test.go
+++ b/target/client_test.go
@@ -16,8 +16,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// testTimeout bounds each wait for an event that must happen.
 const testTimeout = 20 * time.Second
 
+// newTestClient returns a client with its own metrics and the endpoints in force.
+// It is closed at the end of the test.
 func newTestClient(t testing.TB, o Options, endpoints ...Endpoint) *Client {
 	o.Metrics = metrics.NewSet()
 	c := NewClient(o)
@@ -26,10 +29,12 @@
 	return c
 }
 
+// request returns the search request r<n>.
 func request(n int) LeafRequest {
 	return LeafRequest{Echo: Echo{Request: "r" + strconv.Itoa(n), Snapshot: "s1"}, Kind: KindSearch, Limit: 10}
 }
 
+// testContext returns a context that ends after testTimeout.
 func testContext(t testing.TB) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
@@ -56,15 +61,16 @@
 	}
 }
 
-// A share of two is opened ahead of the calls, and no more than that.
+// A share of two connections is opened before the first call, and 20 concurrent
+// calls open no more.
 func TestShareIsOpenedAheadAndNeverExceeded(t *testing.T) {
 	for name, protocol := range protocols {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := newFakeTarget(t, "a", 0)
-			hold := make(chan struct{})
+			finish := make(chan struct{})
 			s.setSearchHandler(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
-				<-hold
+				<-finish
 				answerSearch(w, r, req)
 			})
 			c := newTestClient(t, Options{Protocol: protocol, MaxWait: testTimeout}, s.endpoint(2))
@@ -77,7 +83,7 @@
 					g.Expect(err).NotTo(HaveOccurred())
 				})
 			}
-			close(hold)
+			close(finish)
 			calls.Wait()
 			accepted := func() int { accepts, _, _, _ := s.counts(); return accepts }
 			g.Consistently(accepted, "100ms").Should(Equal(2))
@@ -85,16 +91,16 @@
 	}
 }
 
-// recordingSink keeps what a Sink was told, as one word each.
+// recordingSink is a Sink that records each call as one string.
 type recordingSink struct {
-	mu      sync.Mutex // guards words
+	mu      sync.Mutex // guards entries
 	entries []string
 }
 
-func (s *recordingSink) record(words ...string) {
+func (s *recordingSink) record(parts ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entries = append(s.entries, strings.Join(words, " "))
+	s.entries = append(s.entries, strings.Join(parts, " "))
 }
 
 func (s *recordingSink) recorded() []string {
--- a/target/conn.go
+++ b/target/conn.go
@@ -9,39 +9,41 @@
 	"time"
 )
 
-// conn is one connection to a target. Its plain fields are guarded by the mu
-// of its pool.
+// conn is one connection to a target. The mu of its pool guards the fields below
+// wire.
 type conn struct {
 	http *http.ClientConn
 	wire *wireConn
 
-	calls        int       // that hold this connection
-	retiring     bool      // takes no new call and closes once idle
-	probing      bool      // a probe is under way
-	silent       bool      // closes at once
-	closing      bool      // counts until the target has closed it too
-	waitingSince time.Time // start of the first call since the last byte received
+	calls        int       // calls and probes in progress on this connection
+	retiring     bool      // accepts no new call and is closed once idle
+	probing      bool      // a probe is in progress
+	silent       bool      // found silent; is closed at once
+	closing      bool      // being closed; counts against the share until the target has closed its end
+	waitingSince time.Time // start of the first call since the last byte was received
 }
 
-// isSuspect reports that a call has waited for longer than after while nothing
-// at all was received. A connection that something between the two ends has
-// lost track of looks like that: writes succeed, and no FIN or RST ever comes.
-// So does a connection whose only call is slow; being passed over until the
-// next byte does not harm it, and a probe tells the two apart.
-func (c *conn) isSuspect(now time.Time, after time.Duration) bool {
-	return c.awaitsData() && now.Sub(c.waitingSince) > after
+// isSuspect reports whether a call has waited for longer than suspectAfter while
+// nothing at all was received. This is what happens if a device between the two
+// ends, such as a firewall, has lost the state of the connection: writes succeed,
+// and no FIN or RST ever arrives. A connection whose only call is slow looks the
+// same. Not using it until its next byte does no harm, and a probe distinguishes
+// the two cases.
+func (c *conn) isSuspect(now time.Time, suspectAfter time.Duration) bool {
+	return c.awaitsData() && now.Sub(c.waitingSince) > suspectAfter
 }
 
-// awaitsData reports that nothing was received since a call began. It stays
-// true when that call is given up, because that says nothing about the wire.
+// awaitsData reports whether nothing was received since a call began. It stays
+// true after that call is cancelled or times out, because the end of the call
+// does not show whether the connection works.
 func (c *conn) awaitsData() bool {
 	return c.waitingSince.After(c.wire.lastRead())
 }
 
-// wireConn is a net.Conn that knows when it last received something.
+// wireConn is a net.Conn that records when it last received data.
 type wireConn struct {
 	net.Conn
-	lastReadNanos atomic.Int64 // time of the last read, in ns since the epoch
+	lastReadNanos atomic.Int64 // time of the last read that returned data, in ns since the Unix epoch
 }
 
 func newWireConn(inner net.Conn) *wireConn {
@@ -61,8 +63,8 @@
 	return n, err
 }
 
-// Close tells the other end that nothing more will come. What it still sends
-// can be read, so that its own close is seen; see conn.shut.
+// Close closes the sending side. Data from the other end can still be read, so
+// that its own close is seen; see conn.shutdown.
 func (w *wireConn) Close() error {
 	if tcp, ok := w.Conn.(*net.TCPConn); ok {
 		return tcp.CloseWrite()
@@ -70,17 +72,19 @@
 	return w.Conn.Close()
 }
 
-// awaitRemoteClose reads until the other end has closed, for at most limit.
+// awaitRemoteClose reads until the other end has closed the connection, for at
+// most limit.
 func (w *wireConn) awaitRemoteClose(limit time.Duration) {
 	_ = w.Conn.SetReadDeadline(time.Now().Add(limit))
 	_, _ = io.Copy(io.Discard, w.Conn)
 }
 
-// wireKey is the context key under which dialWire leaves its connection.
+// wireKey is the context key of the **wireConn that dialWire sets.
 type wireKey struct{}
 
-// dialWire opens a TCP connection for http.Transport.NewClientConn and leaves
-// it in the context, because an http.ClientConn does not show its net.Conn.
+// dialWire opens a TCP connection for http.Transport.NewClientConn. It also
+// stores the connection in the **wireConn of the context, because an
+// http.ClientConn gives no access to its net.Conn.
 func dialWire(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	inner, err := dialer.DialContext(ctx, network, address)
@@ -94,10 +98,12 @@
 	return w, nil
 }
 
+// maxAnswerHeaderBytes bounds the size of an answer's header.
 const maxAnswerHeaderBytes = 16 << 10
 
-// newTransport returns the transport that opens the connections of a Client.
-// Its own pool, with its replays and unbounded dials, stays unused.
+// newTransport returns the transport that opens the connections of a Client. The
+// transport's own connection pool is not used, because it resends requests and
+// does not bound the number of dials.
 func newTransport(o *Options) *http.Transport {
 	protocols := new(http.Protocols)
 	if o.Protocol == HTTP1 {
@@ -118,15 +124,16 @@
 	}
 }
 
-// maxCloseWait bounds the wait for the other end to close a connection too.
+// maxCloseWait bounds the wait for the other end to close a connection.
 const maxCloseWait = 200 * time.Millisecond
 
-// close closes the connection; calls still on it fail. It returns once the
-// target has closed its end: until then the target counts the connection, and
-// a new one in its place could be one above the target's limit.
-func (c *conn) close(inHaste bool) {
+// shutdown closes the connection; calls that still use it fail. Unless immediately
+// is true, shutdown waits up to maxCloseWait until the target has closed its end.
+// Until then the target counts the connection, and a replacement could exceed
+// the target's limit.
+func (c *conn) shutdown(immediately bool) {
 	_ = c.http.Close()
-	if !inHaste {
+	if !immediately {
 		c.wire.awaitRemoteClose(maxCloseWait)
 	}
 	_ = c.wire.Conn.Close()
--- a/target/errors.go
+++ b/target/errors.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// ErrorKind tells why a call gave no answer that can be used.
+// ErrorKind is the reason for which a call returned no usable answer.
 type ErrorKind string
 
 // The kinds of call errors.
 const (
 	ErrorUnknownTarget ErrorKind = "unknown_target" // not among the endpoints in force
 	ErrorUnreachable   ErrorKind = "unreachable"    // no connection could be opened
-	ErrorBusy          ErrorKind = "busy"           // this VM's share of connections is taken
-	ErrorRefused       ErrorKind = "refused"        // the target said that it will not serve the call
+	ErrorBusy          ErrorKind = "busy"           // no connection of this VM's share is free
+	ErrorRefused       ErrorKind = "refused"        // the target refused the call; see CallError.Reason
 	ErrorBroken        ErrorKind = "broken"         // the connection or stream failed during the call
 	ErrorDeadline      ErrorKind = "deadline"
 	ErrorCancelled     ErrorKind = "cancelled"
 	ErrorMismatched    ErrorKind = "mismatched" // the answer belongs to another request
-	ErrorMalformed     ErrorKind = "malformed"  // the answer breaks the protocol or a bound
-	ErrorStatus        ErrorKind = "status"     // an HTTP status that the protocol does not know
+	ErrorMalformed     ErrorKind = "malformed"  // the answer violates the protocol or a limit
+	ErrorStatus        ErrorKind = "status"     // an HTTP status that the protocol does not define
 )
 
-// CallError is the error of every call of a Client.
+// CallError is the error that the calls of a Client return.
 type CallError struct {
 	Kind   ErrorKind
 	Target string
-	Reason Reason // of a refusal
+	Reason Reason // of a refusal; empty otherwise
 	// NotStarted is true only if it is certain that the target did not start
-	// the request: nothing of its body was handed to a connection, or the
-	// target's own refusal says so.
+	// the request: the transport read nothing of its body, or the target
+	// guarantees it in its refusal.
 	NotStarted  bool
-	RetryAfter  time.Duration // when to come back; 0 if not known
+	RetryAfter  time.Duration // wait before the next try; 0 if not known
 	Incarnation string        // of the target that answered; empty if none did
 	cause       error
 }
--- a/target/failure_test.go
+++ b/target/failure_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// forProtocols runs a test over both protocols, each with a target "a" and a
-// client that is allowed some connections to it, all of them open.
+// forProtocols runs a test over both protocols, each with a target "a" and a client
+// that has all connections of its share open.
 func forProtocols(t *testing.T, connections int, o Options, test func(g *WithT, s *fakeTarget, c *Client)) {
 	for name, protocol := range protocols {
 		t.Run(name, func(t *testing.T) {
@@ -28,6 +28,7 @@
 	}
 }
 
+// searchWithin sends search n to target "a" with a time limit.
 func searchWithin(limit time.Duration, c *Client, n int) (LeafAnswer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -35,6 +36,7 @@
 }
 
 // startBlockedSearch sends a search that the target runs until finish is closed.
+// Its result is sent to done. Later searches are answered at once.
 func (s *fakeTarget) startBlockedSearch(g *WithT, c *Client) (done chan error, finish chan struct{}) {
 	began := make(chan struct{}, 1)
 	done, finish = make(chan error, 1), make(chan struct{})
@@ -49,14 +51,15 @@
 	return done, finish
 }
 
+// counter returns the getter of a metric, whose name lacks the prefix.
 func counter(c *Client, name string) func() uint64 {
 	return c.opts.Metrics.GetOrCreateCounter("bramley_target_" + name).Get
 }
 
-// A withdrawal report shows up twice in the totals. The target ran the report,
-// and the connection broke before the answer; net/http took that for a
-// connection closed while idle and sent the report again by itself. The
-// control shows that this really happens to a request that can be rewound.
+// Guards against a submit that runs twice. The target runs the submit, and the
+// connection breaks before the answer. net/http takes this for a connection that
+// was closed while idle, and resends the request by itself. The control shows that
+// net/http does this to a request whose body can be rewound.
 func TestSubmitIsNeverReplayed(t *testing.T) {
 	forProtocols(t, 2, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		s.setAfterSubmit(func() { s.forEachConn(breakConn) })
@@ -88,18 +91,18 @@
 	})
 }
 
-// A caller was told that its report was not run, and it was. The call ended
-// while a goroutine of net/http was still about to write the request, which
-// then went out. Sealing the body settles it: read first, or never read.
+// Guards against a call that fails as not started although the target runs it. The
+// call ends while a goroutine of net/http is about to write the request, which is
+// then sent. A body must either be read before it is sealed, or never be read.
 func TestBodyIsReadOrSealed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := newRequestBody([]byte("report"))
-		handed, sealed := false, false
+		read, sealed := false, false
 		for _, seal := range rapid.SliceOfN(rapid.Bool(), 1, 6).Draw(t, "order") {
 			if seal {
 				notStarted := body.seal()
-				if notStarted == handed {
-					t.Fatalf("handed %v, sealed as not started %v", handed, notStarted)
+				if notStarted == read {
+					t.Fatalf("read %v, sealed as not started %v", read, notStarted)
 				}
 				sealed = notStarted
 				continue
@@ -108,21 +111,21 @@
 			if sealed && (n > 0 || err == nil) {
 				t.Fatal("a sealed body was read")
 			}
-			handed = handed || n > 0
+			read = read || n > 0
 		}
 	})
 }
 
-// An inspector sees another farm's permits. A leaf's answer came late or
-// crossed, and was taken for the answer to the next request. Both calls here
-// get an answer made for the other; neither may see it, and the connection
-// that carried it must not carry another call.
+// Guards against a caller that gets another request's result. A leaf's answer that
+// was swapped or came late is taken for the answer to a different request. The
+// first call here gets an answer made for another attempt. It must fail, and the
+// connection that delivered the answer must not carry another call.
 func TestMismatchedAnswersAreRejected(t *testing.T) {
 	forProtocols(t, 1, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		s.setSearchHandler(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
-			crossed := req
-			crossed.Attempt++
-			answerSearch(w, r, crossed)
+			other := req
+			other.Attempt++
+			answerSearch(w, r, other)
 		})
 		_, err := c.Search(testContext(t), "a", 0, request(1))
 		g.Expect(err).To(HaveField("Kind", ErrorMismatched))
@@ -134,9 +137,10 @@
 	})
 }
 
-// A target refuses other VMs' connections. This VM had closed one and opened
-// another in its place, but the busy target had not yet noticed the close and
-// counted both. The place is free only once the target has closed its end.
+// Guards against a target that refuses connections of other VMs. This VM closes a
+// connection and opens a replacement, but the busy target has not yet noticed the
+// close and counts both. The replacement must wait until the target has closed its
+// end.
 func TestReplacementWaitsForTargetClose(t *testing.T) {
 	for name, protocol := range protocols {
 		t.Run(name, func(t *testing.T) {
@@ -158,8 +162,9 @@
 	}
 }
 
-// The same over HTTP/1.1, where something on the way repeats an answer: the
-// copy waits in the connection when the next request is sent.
+// Guards against a duplicated answer over HTTP/1.1 that is taken for the answer to
+// the next request. The copy is already in the connection when the next request is
+// sent.
 func TestDuplicateAnswerIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeTarget(t, "a", 0)
@@ -177,9 +182,9 @@
 	}
 }
 
-// A target works on for callers who have left. The deadline goes out as the
-// time left, and a cancelled call ends at the target; over HTTP/2 it costs no
-// connection.
+// Guards against a target that works for callers that are no longer waiting. The
+// deadline is sent as the time left, and cancelling a call also cancels it at the
+// target. Over HTTP/2 the connection stays open.
 func TestDeadlineAndCancellationReachTheTarget(t *testing.T) {
 	forProtocols(t, 1, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		limits, ended := make(chan int64, 1), make(chan struct{})
@@ -201,7 +206,8 @@
 	})
 }
 
-// What can't be sent fails at once and is called not started.
+// A call for which no connection can be opened or used fails at once, as not
+// started.
 func TestCallsWithoutConnectionAreNotStarted(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -219,8 +225,8 @@
 	g.Expect(err).To(HaveField("NotStarted", true))
 }
 
-// Answers that break the protocol or a bound are errors, and their text never
-// reaches a caller as an empty but whole answer.
+// Answers that violate the protocol or a limit are errors. They must not reach a
+// caller as an empty but complete answer.
 func TestBadAnswers(t *testing.T) {
 	echo := `"request":"r1","snapshot":"s1"`
 	cases := map[string]struct {
@@ -257,8 +263,8 @@
 	})
 }
 
-// A bundle takes a target out, or moves it: its connections close once idle,
-// and the call on one of them is answered.
+// A bundle removes a target or changes its address. Its connections must close only
+// once they are idle, so that a call on one of them is still answered.
 func TestRemovedEndpointFinishesItsCalls(t *testing.T) {
 	forProtocols(t, 2, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		done, finish := s.startBlockedSearch(g, c)
@@ -271,9 +277,9 @@
 	})
 }
 
-// A target refuses connections after a recall. The bundle before had taken it
-// out while calls ran there, and the recall put it back: the connections of
-// those calls still count against the share of the new ones.
+// Guards against a target that refuses connections after a recall. A bundle removes
+// the target while calls run on it, and the recall adds it again. The connections
+// of those calls must still count against the share.
 func TestReaddedEndpointKeepsItsShare(t *testing.T) {
 	forProtocols(t, 1, Options{MaxWait: testTimeout}, func(g *WithT, s *fakeTarget, c *Client) {
 		done, finish := s.startBlockedSearch(g, c)
@@ -290,9 +296,9 @@
 	})
 }
 
-// A rolling restart of targets cuts searches off. A target that stops in good
-// order asks its clients to use no connection for new calls; what runs on them
-// must be left to end.
+// Guards against searches that fail during a rolling restart of targets. A target
+// that shuts down gracefully signals to its clients not to start new calls on its
+// connections. Calls in progress on them must be allowed to finish.
 func TestGracefulTargetShutdownFinishesCalls(t *testing.T) {
 	forProtocols(t, 1, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		done, finish := s.startBlockedSearch(g, c)
@@ -308,8 +314,9 @@
 	})
 }
 
-// Calls pile up behind a slow target until the VM runs out of memory. Only so
-// many wait for a connection, and only for so long; none of them was started.
+// Guards against calls that accumulate behind a slow target until the VM runs out of
+// memory. The number of calls that wait for a connection and the time of the wait
+// are bounded. Calls that exceed a bound fail as not started.
 func TestWaitForConnectionIsBounded(t *testing.T) {
 	busy := And(HaveField("Kind", ErrorBusy), HaveField("NotStarted", true))
 	for name, o := range map[string]Options{
@@ -334,9 +341,10 @@
 	}
 }
 
-// After a restart of a target every VM wants its connections back at once, and
-// the target spends all its time on them. Whatever happens, two connections to
-// one target are at least half a pause apart, and failures only lengthen it.
+// Guards against a restarted target that spends all its time on new connections,
+// because every VM opens its connections at the same time. In every sequence of
+// events, new connections to one target are at least half a pause apart, and
+// failures only lengthen the pause.
 func TestNewConnectionsArePaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p pacer
@@ -352,7 +360,7 @@
 			case "closed":
 				p.closed(now)
 				if p.notBefore.Before(before) {
-					t.Fatal("a closed connection hastened the next")
+					t.Fatal("a closed connection moved the time of the next one forward")
 				}
 			case "failed":
 				p.failed(now)
--- a/target/keeper.go
+++ b/target/keeper.go
@@ -9,13 +9,14 @@
 	"github.com/juju/errors"
 )
 
-// idleInterval is how long a keeper sleeps when nothing is to be done.
+// idleInterval is how long a pool's maintainer, or a Monitor's scheduler, sleeps
+// when there is nothing to do.
 const idleInterval = time.Minute
 
 // maintain opens the connections of the pool up to the share, one at a time and
-// paced, replaces those that were lost and closes those that retire. It is the
-// only place that opens or closes connections, so that the share holds at all
-// times. It ends with the client, or once a retired pool is empty.
+// paced, replaces lost ones and closes retiring ones. Connections are opened and
+// closed only from here, so that the share is never exceeded. It returns when the
+// client is closed, or once a retired pool is empty.
 func (p *pool) maintain() error {
 	ctx := p.client.tomb.Context(context.Background())
 	for {
@@ -42,8 +43,8 @@
 	}
 }
 
-// plan returns the time until the keeper has to act, where 0 and less mean that
-// a connection is to be opened, and whether its work is done for good.
+// plan returns the time until the maintainer has to act, and whether it is done
+// permanently. If due is 0 or less, a connection is to be opened.
 func (p *pool) plan(now time.Time) (due time.Duration, done bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,26 +59,26 @@
 	return due, false
 }
 
-// nextSuspectCheck returns the time until a connection may have become suspect. p.mu
-// must be held.
+// nextSuspectCheck returns the time until a connection may have become suspect.
+// p.mu must be held.
 func (p *pool) nextSuspectCheck(now time.Time) time.Duration {
 	if !p.watching {
 		return idleInterval
 	}
-	after := p.client.opts.SuspectAfter
-	due := after
+	suspectAfter := p.client.opts.SuspectAfter
+	due := suspectAfter
 	for _, cn := range p.conns {
-		if wait := cn.waitingSince.Add(after).Sub(now); wait > 0 && cn.awaitsData() {
+		if wait := cn.waitingSince.Add(suspectAfter).Sub(now); wait > 0 && cn.awaitsData() {
 			due = min(due, wait)
 		}
 	}
 	return max(due, time.Millisecond)
 }
 
-// needsConn reports whether a connection is to be opened. Those that went silent
-// keep their places in the share for a while, but never the last one: a target
-// that has forgotten them, as most soon do, must not go without calls. p.mu
-// must be held.
+// needsConn reports whether a connection is to be opened. Silent connections count
+// against the share for SilentHold, but one connection is always allowed: most
+// targets soon drop their side of a silent connection, and such a target must
+// not be left without calls. p.mu must be held.
 func (p *pool) needsConn(now time.Time) bool {
 	for len(p.silentTimes) > 0 && now.Sub(p.silentTimes[0]) > p.client.opts.SilentHold {
 		p.silentTimes = p.silentTimes[1:]
@@ -88,9 +89,8 @@
 	return p.client.opts.Protocol == HTTP1 || p.countUsable() < p.client.opts.MaxOpen
 }
 
-// countUsable counts the connections that take calls. Those on which the last calls
-// end, or that are full, are not among them and need a replacement. p.mu must
-// be held.
+// countUsable counts the connections that accept calls. Those that are retiring or
+// full are not counted and need a replacement. p.mu must be held.
 func (p *pool) countUsable() int {
 	count := 0
 	for _, cn := range p.conns {
@@ -101,8 +101,8 @@
 	return count
 }
 
-// sweep begins to close what must be closed and hands free connections to
-// waiters.
+// sweep starts to close the connections that failed, went silent or have finished
+// retiring, and assigns free connections to waiting calls.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +123,8 @@
 	p.serveWaiters()
 }
 
-// remove takes a closed connection out of the share.
+// remove removes a closed connection from the pool, so that it no longer counts
+// against the share.
 func (p *pool) remove(cn *conn) {
 	p.mu.Lock()
 	p.conns = slices.DeleteFunc(p.conns, func(other *conn) bool { return other == cn })
@@ -132,7 +133,7 @@
 	p.wake()
 }
 
-// retireSurplus retires connections beyond the share. p.mu must be held.
+// retireSurplus retires the connections that exceed the share. p.mu must be held.
 func (p *pool) retireSurplus() {
 	share := p.endpoint.Connections
 	if p.retired {
@@ -145,16 +146,19 @@
 	}
 }
 
-// close closes a connection. It waits for the target to do the same, unless in
-// haste or on a silent connection, where that would never be seen.
-func (p *pool) close(cn *conn, inHaste bool) {
+// close closes a connection. It waits for the target to close its end too, unless
+// immediately is true or the connection is silent, where the target's close would
+// never be seen.
+func (p *pool) close(cn *conn, immediately bool) {
 	p.mu.Lock()
-	inHaste = inHaste || cn.silent
+	immediately = immediately || cn.silent
 	p.mu.Unlock()
-	cn.close(inHaste)
+	cn.shutdown(immediately)
 	p.client.metrics.closed.Inc()
 }
 
+// closeAll retires the pool and closes its connections without waiting for the
+// target.
 func (p *pool) closeAll() {
 	p.mu.Lock()
 	conns := slices.DeleteFunc(slices.Clone(p.conns), func(cn *conn) bool { return cn.closing })
@@ -167,7 +171,7 @@
 	}
 }
 
-// open opens one connection and puts it into the pool.
+// open opens one connection and adds it to the pool.
 func (p *pool) open(ctx context.Context) {
 	select {
 	case p.client.dialSlots <- struct{}{}:
@@ -192,9 +196,9 @@
 	p.serveWaiters()
 }
 
-// dial opens a connection and warms it up with a read of the status, so that
-// no query meets what the target spends on a new connection, and a port that
-// accepts but never answers does not count as a connection.
+// dial opens a connection and warms it up with a status read. No query is delayed
+// by the time that the target spends on a new connection, and a port that accepts
+// but never answers does not count as a connection.
 func (p *pool) dial(ctx context.Context) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.client.opts.DialTimeout)
 	defer cancel()
@@ -218,8 +222,9 @@
 	return cn, nil
 }
 
-// stateChanged wakes the keeper when a connection is lost or has room for a
-// waiting call. It must not take p.mu, which callers of its ClientConn hold.
+// stateChanged wakes the maintainer when a connection is lost or can accept a
+// waiting call. It must not lock p.mu, because code that holds p.mu calls methods of
+// the ClientConn.
 func (p *pool) stateChanged(cc *http.ClientConn) {
 	if cc.Err() != nil || p.numWaiting.Load() > 0 {
 		p.wake()
--- a/target/metrics.go
+++ b/target/metrics.go
@@ -9,9 +9,9 @@
 // clientMetrics are the metrics of a Client.
 type clientMetrics struct {
 	set         *metrics.Set
-	calls       *metrics.Counter // handed to a connection, status reads included
+	calls       *metrics.Counter // sent on a connection, status reads included
 	opened      *metrics.Counter
-	closed      *metrics.Counter // opened less closed is what is open
+	closed      *metrics.Counter // opened minus closed is the number of open connections
 	dialErrors  *metrics.Counter
 	mismatched  *metrics.Counter
 	silent      *metrics.Counter // connections found silent
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -18,31 +18,32 @@
 	Status(ctx context.Context, target string) (Status, error)
 }
 
-// MonitorOptions govern a Monitor. Reader and Sink are required.
+// MonitorOptions configure a Monitor. Reader and Sink are required.
 type MonitorOptions struct {
 	Log     *slog.Logger
 	Reader  StatusReader
 	Sink    Sink
-	Workers int // status reads at once; 16
+	Workers int // concurrent status reads; 0 means 16
 }
 
 const defaultMonitorWorkers = 16
 
-// Bounds of a read that an Endpoint leaves unset.
+// Defaults of the fields that an Endpoint leaves unset.
 const (
 	defaultHealthInterval = time.Second
 	defaultHealthTimeout  = 500 * time.Millisecond
 )
 
-// Monitor reads the status of each endpoint at its interval and tells the Sink.
-// A pool of workers does the reads; one target is never read twice at once.
+// Monitor reads the status of each endpoint at its interval and passes the results
+// to the Sink. A pool of workers does the reads; reads of one endpoint never overlap.
+// Apply, Relax and Hurry are safe for concurrent use.
 type Monitor struct {
 	opts   MonitorOptions
 	tomb   tomb.Tomb
-	work   chan *polledEndpoint
-	wakeup chan struct{} // wakes the scheduler
+	work   chan *polledEndpoint // endpoints that are due, for the workers
+	wakeup chan struct{}        // wakes the scheduler
 
-	mu      sync.Mutex // guards what follows and the fields of each watched
+	mu      sync.Mutex // guards the fields below and those of each polledEndpoint
 	targets map[string]*polledEndpoint
 }
 
@@ -51,9 +52,9 @@
 	endpoint     Endpoint
 	nextRead     time.Time
 	lastRead     time.Time     // end of the last read
-	readInterval time.Duration // between reads if others tell of the target; 0 if not
+	readInterval time.Duration // lower bound of the interval while other VMs report the target; 0 if they don't
 	reading      bool
-	removed      bool // no longer in force; what is read of it is dropped
+	removed      bool // no longer in force; the result of a read in progress is dropped
 }
 
 // NewMonitor returns a monitor without endpoints.
@@ -70,7 +71,7 @@
 	}
 }
 
-// Start begins to read. It is called once.
+// Start starts the reads. It must be called at most once.
 func (m *Monitor) Start() {
 	m.tomb.Go(m.schedule)
 	for range m.opts.Workers {
@@ -78,44 +79,46 @@
 	}
 }
 
-// Stop ends the reads and waits for them.
+// Stop cancels the reads and waits until they have ended.
 func (m *Monitor) Stop() error {
 	m.tomb.Kill(nil)
 	return errors.Trace(m.tomb.Wait())
 }
 
-// Apply puts the endpoints in force. New ones are read at once, slightly spread.
-// Those without a share of connections are read too: the Reader may reach them
-// by way of another VM. They come a little later, so that what others tell of
-// them can make these reads unnecessary; see Relax.
+// Apply puts the endpoints in force. New ones are read after a short random delay.
+// Endpoints without a share of connections are read too, because the Reader may
+// reach them through another VM. Their first reads come a little later, so that
+// reports from other VMs can make these reads unnecessary; see Relax.
 func (m *Monitor) Apply(endpoints []Endpoint) {
 	m.mu.Lock()
 	old := m.targets
 	m.targets = make(map[string]*polledEndpoint, len(endpoints))
 	now := time.Now()
 	for _, e := range endpoints {
-		w := old[e.Name]
-		if w == nil || w.endpoint.Address != e.Address {
-			w = &polledEndpoint{nextRead: now.Add(jitter(firstReadDelay(e)))}
+		p := old[e.Name]
+		if p == nil || p.endpoint.Address != e.Address {
+			p = &polledEndpoint{nextRead: now.Add(jitter(firstReadDelay(e)))}
 		}
-		w.endpoint = withHealthDefaults(e)
-		if e.Connections > 0 && w.readInterval > 0 {
-			w.readInterval = 0
-			w.nextRead = now.Add(jitter(firstReadSpread))
+		p.endpoint = withHealthDefaults(e)
+		if e.Connections > 0 && p.readInterval > 0 {
+			p.readInterval = 0
+			p.nextRead = now.Add(jitter(firstReadSpread))
 		}
-		m.targets[e.Name] = w
+		m.targets[e.Name] = p
 	}
-	for name, w := range old {
-		w.removed = m.targets[name] != w
+	for name, p := range old {
+		p.removed = m.targets[name] != p
 	}
 	m.mu.Unlock()
 	m.wake()
 }
 
 const (
-	// firstReadSpread keeps the first reads of all targets from starting at once.
+	// firstReadSpread is the mean delay of a first read. The jitter around it keeps
+	// the first reads of all targets from starting at the same time.
 	firstReadSpread = 20 * time.Millisecond
-	// firstReadSpreadNoShare leaves other VMs time to tell of targets.
+	// firstReadSpreadNoShare is used for endpoints without a share of connections. It
+	// leaves other VMs time to report these targets.
 	firstReadSpreadNoShare = 400 * time.Millisecond
 )
 
@@ -126,33 +129,33 @@
 	return firstReadSpreadNoShare
 }
 
-// Relax makes a target be read only every so often, because another VM has just
-// told of it; 0 means at the health interval again. It does nothing to a target
-// that this VM has connections to.
-func (m *Monitor) Relax(name string, every time.Duration) {
+// Relax sets a longer interval between reads of a target, because another VM has
+// just reported the target's state. An interval of 0 means the health interval
+// again. Relax has no effect on a target that this VM has connections to.
+func (m *Monitor) Relax(name string, interval time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	w := m.targets[name]
-	if w == nil || w.endpoint.Connections > 0 {
+	p := m.targets[name]
+	if p == nil || p.endpoint.Connections > 0 {
 		return
 	}
-	if before := w.readInterval; (before == 0) != (every == 0) {
-		w.nextRead = time.Now().Add(jitter(max(every, w.endpoint.HealthInterval)))
+	if previous := p.readInterval; (previous == 0) != (interval == 0) {
+		p.nextRead = time.Now().Add(jitter(max(interval, p.endpoint.HealthInterval)))
 	}
-	w.readInterval = every
+	p.readInterval = interval
 }
 
-// Hurry makes a target be read soon, because something contradicts what is known
-// of it; but no more often than at its health interval.
+// Hurry moves the next read of a target forward, because something contradicts its
+// known state. The target is still read no more often than at its health interval.
 func (m *Monitor) Hurry(name string) {
 	m.mu.Lock()
-	w := m.targets[name]
-	if w == nil || w.reading {
+	p := m.targets[name]
+	if p == nil || p.reading {
 		m.mu.Unlock()
 		return
 	}
-	if soon := w.lastRead.Add(jitter(w.endpoint.HealthInterval)); soon.Before(w.nextRead) {
-		w.nextRead = soon
+	if earliest := p.lastRead.Add(jitter(p.endpoint.HealthInterval)); earliest.Before(p.nextRead) {
+		p.nextRead = earliest
 	}
 	m.mu.Unlock()
 	m.wake()
@@ -171,13 +174,13 @@
 	}
 }
 
-// schedule hands each target that is due to a worker.
+// schedule passes each endpoint that is due to a worker.
 func (m *Monitor) schedule() error {
 	for {
-		w, wait := m.nextDue(time.Now())
-		if w != nil {
+		p, wait := m.nextDue(time.Now())
+		if p != nil {
 			select {
-			case m.work <- w:
+			case m.work <- p:
 				continue
 			case <-m.tomb.Dying():
 				return nil
@@ -195,15 +198,15 @@
 	}
 }
 
-// nextDue marks the target that has been due for longest as being read and returns
-// it, or returns the time until one is due.
+// nextDue marks the endpoint that has been due for longest as being read and returns
+// it. If none is due, it returns nil and the time until one is.
 func (m *Monitor) nextDue(now time.Time) (*polledEndpoint, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var first *polledEndpoint
-	for _, w := range m.targets {
-		if !w.reading && (first == nil || w.nextRead.Before(first.nextRead)) {
-			first = w
+	for _, p := range m.targets {
+		if !p.reading && (first == nil || p.nextRead.Before(first.nextRead)) {
+			first = p
 		}
 	}
 	if first == nil {
@@ -216,27 +219,28 @@
 	return first, 0
 }
 
-// runWorker is a worker.
+// runWorker reads the endpoints that schedule passes on, until the Monitor stops.
 func (m *Monitor) runWorker() error {
 	for {
 		select {
-		case w := <-m.work:
-			m.readStatus(w)
+		case p := <-m.work:
+			m.readStatus(p)
 		case <-m.tomb.Dying():
 			return nil
 		}
 	}
 }
 
-// readStatus reads one status, within the endpoint's timeout, and tells the sink.
-func (m *Monitor) readStatus(w *polledEndpoint) {
+// readStatus reads one status, within the endpoint's timeout, and passes the result
+// to the Sink.
+func (m *Monitor) readStatus(p *polledEndpoint) {
 	m.mu.Lock()
-	e := w.endpoint
+	e := p.endpoint
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(m.tomb.Context(context.Background()), e.HealthTimeout)
 	status, err := m.opts.Reader.Status(ctx, e.Name)
 	cancel()
-	if !m.finishRead(w) {
+	if !m.finishRead(p) {
 		return
 	}
 	now := time.Now()
@@ -248,15 +252,15 @@
 	m.opts.Sink.TargetStatus(e.Name, status, now)
 }
 
-// finishRead sets the time of the next read and reports whether the result of
-// this one still counts.
-func (m *Monitor) finishRead(w *polledEndpoint) bool {
+// finishRead sets the time of the next read and reports whether the result of this
+// one is to be passed on.
+func (m *Monitor) finishRead(p *polledEndpoint) bool {
 	m.mu.Lock()
-	w.reading = false
-	w.lastRead = time.Now()
-	w.nextRead = w.lastRead.Add(jitter(max(w.readInterval, w.endpoint.HealthInterval)))
-	counts := !w.removed
+	p.reading = false
+	p.lastRead = time.Now()
+	p.nextRead = p.lastRead.Add(jitter(max(p.readInterval, p.endpoint.HealthInterval)))
+	valid := !p.removed
 	m.mu.Unlock()
 	m.wake()
-	return counts && m.tomb.Alive()
+	return valid && m.tomb.Alive()
 }
--- a/target/monitor_test.go
+++ b/target/monitor_test.go
@@ -8,7 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// countingReader is a reader and sink that counts.
+// countingReader is a StatusReader that sends the name of each target read to
+// reads, and a Sink that ignores all calls.
 type countingReader struct{ reads chan string }
 
 func (c countingReader) Status(_ context.Context, name string) (Status, error) {
@@ -19,10 +20,9 @@
 func (countingReader) TargetFailed(string, error, time.Time)        {}
 func (countingReader) TargetState(string, string, State, time.Time) {}
 
-// TestReportedTargetsAreReadRarely: others tell of a target that this VM has no
-// connections to, so it is not read again until something contradicts what was
-// told, or this VM gets connections of its own. If it went on reading, each VM
-// would read every target.
+// Guards against every VM reading every target. Other VMs report a target that this
+// VM has no connections to. This VM must not read it again until something
+// contradicts the reports, or until it gets connections of its own.
 func TestReportedTargetsAreReadRarely(t *testing.T) {
 	g := NewWithT(t)
 	c := countingReader{make(chan string, 100)}
@@ -33,9 +33,9 @@
 	m.Start()
 	defer m.Stop()
 	m.mu.Lock()
-	calm := time.Until(m.targets["t"].nextRead)
+	wait := time.Until(m.targets["t"].nextRead)
 	m.mu.Unlock()
-	g.Expect(calm).To(BeNumerically(">", time.Minute))
+	g.Expect(wait).To(BeNumerically(">", time.Minute))
 
 	m.Hurry("t")
 	g.Eventually(c.reads).Should(Receive())
@@ -43,14 +43,14 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		return time.Until(m.targets["t"].nextRead)
-	}).Should(BeNumerically(">", time.Minute), "calm again after the read")
+	}).Should(BeNumerically(">", time.Minute), "long interval again after the read")
 
 	e.Connections = 1
 	m.Apply([]Endpoint{e})
 	for range 3 {
 		g.Eventually(c.reads).Should(Receive())
 	}
-	m.Relax("t", time.Hour) // an owner reads all the same
+	m.Relax("t", time.Hour) // no effect: this VM has connections to the target
 	for range 3 {
 		g.Eventually(c.reads).Should(Receive())
 	}
--- a/target/options.go
+++ b/target/options.go
@@ -10,62 +10,64 @@
 	"github.com/bramleybarrow/bramleybarrow/logging"
 )
 
-// Endpoint is a target as one VM uses it.
+// Endpoint is a target with the settings that one VM uses for it.
 type Endpoint struct {
 	Name           string
 	Zone           string
 	Address        string        // IP and port
-	Connections    int           // this VM's share; a hard cap, 0 means that all calls fail
-	ConnectCost    time.Duration // what a new connection costs the target
-	HealthInterval time.Duration // between reads of the status
-	HealthTimeout  time.Duration // after which a read has failed
+	Connections    int           // this VM's share; a hard limit, 0 means that all calls fail
+	ConnectCost    time.Duration // time that the target spends on a new connection
+	HealthInterval time.Duration // between status reads
+	HealthTimeout  time.Duration // after which a status read fails
 }
 
-// Protocol is the version of HTTP that a Client speaks.
+// Protocol is the version of HTTP that a Client uses.
 type Protocol int
 
-// The protocols. docs/design/target-transport.md says why HTTP2 is the default.
+// The protocols. docs/design/target-transport.md explains why HTTP2 is the default.
 const (
 	HTTP2 Protocol = iota // without TLS, with prior knowledge
 	HTTP1
 )
 
-// Options govern a Client. The zero value of each field stands for its default.
+// Options configure a Client. The zero value of a field means its default, which
+// its comment gives.
 type Options struct {
 	Log      *slog.Logger
-	Sink     Sink         // told of the state that each answer states; may be nil
+	Sink     Sink         // receives the state in each answer's headers; may be nil
 	Metrics  *metrics.Set // the default set if nil
 	Protocol Protocol
 
-	MaxAnswerBytes int64 // bytes of an answer's body; 4 MiB
-	// MaxOpen is how many connections are kept open to one target over HTTP/2
-	// (3), within the share. The rest of the share is a reserve: a target still
-	// counts a connection that has gone silent, because it never hears of its
-	// end, so its replacement must find a place beside it. The place of a silent
-	// connection counts as taken for SilentHold (2 min).
+	MaxAnswerBytes int64 // limit of an answer's body, in bytes; 4 MiB
+	// MaxOpen is the number of connections kept open to one target over HTTP/2
+	// (3), within the share. The remainder of the share is a reserve: a target
+	// still counts a connection that has gone silent, because it never sees the
+	// close, so a replacement must fit into the share beside it. A silent
+	// connection counts against the share for SilentHold (2 min).
 	MaxOpen    int
 	SilentHold time.Duration
 
-	MaxStreams int           // calls at once on one HTTP/2 connection; 100
+	MaxStreams int           // concurrent calls on one HTTP/2 connection; 100
 	MaxWaiters int           // calls that wait for a connection to one target; 64
-	MaxWait    time.Duration // for a connection; 250 ms
-	MaxDials   int           // connections being opened at once, over all targets; 8
+	MaxWait    time.Duration // wait of a call for a connection; 250 ms
+	MaxDials   int           // connections being opened concurrently, over all targets; 8
 
 	DialTimeout time.Duration // to open a connection and warm it up; 1 s
-	PaceFactor  float64       // pause between new connections to a target, in ConnectCosts; 2
+	PaceFactor  float64       // pause between new connections to a target, as a multiple of ConnectCost; 2
 	MinPace     time.Duration // lower bound of that pause; 5 ms
-	MaxBackoff  time.Duration // pause after repeated failures to connect; 1 s
+	MaxBackoff  time.Duration // upper bound of the pause after repeated failures to connect; 1 s
 
-	// A connection on which a call has waited for SuspectAfter (100 ms) while
-	// nothing at all was received is passed over and probed with a read of the
-	// status. If nothing comes within ProbeTimeout (500 ms) either, it counts as
-	// silent and is closed.
+	// A connection is suspect if a call has waited on it for SuspectAfter (100 ms)
+	// while nothing at all was received. Other connections are preferred to it,
+	// and it is probed with a status read. If nothing is received within
+	// ProbeTimeout (500 ms) either, the connection is silent and is closed.
 	SuspectAfter time.Duration
 	ProbeTimeout time.Duration
 
-	// PingAfter is the time without a frame after which HTTP/2 pings go out on
-	// idle connections. 0 means none: the reads of a Monitor go to the
-	// connection that was idle for longest, and so test them at no extra cost.
+	// PingAfter is the time without a received frame after which HTTP/2 pings are
+	// sent on idle connections. 0 means no pings: the status reads of a Monitor
+	// use the connection that was idle for longest, and so test the connections
+	// at no extra cost.
 	PingAfter time.Duration
 }
 
--- a/target/pool.go
+++ b/target/pool.go
@@ -9,26 +9,26 @@
 	"github.com/juju/errors"
 )
 
-// pool holds the connections to one target. Its keeper goroutine opens and
-// closes them; calls only borrow them.
+// pool holds the connections to one target. Its maintainer goroutine opens and
+// closes them; calls only acquire and release them.
 type pool struct {
 	client     *Client
 	name       string
 	address    string
-	wakeup     chan struct{} // wakes the keeper
+	wakeup     chan struct{} // wakes the maintainer
 	numWaiting atomic.Int32  // len(waiters), readable without mu
 
-	mu            sync.Mutex // guards what follows and the plain fields of each conn
+	mu            sync.Mutex // guards the fields below and those of each conn below its wire
 	endpoint      Endpoint
-	conns         []*conn     // open, the retiring ones included
-	silentTimes   []time.Time // when connections were found silent, within SilentHold
-	suspicionTime time.Time   // when the last one was, or since when one is suspect
-	waiters       []chan *conn
-	retired       bool // the endpoint is no longer in force
-	stopped       bool // the keeper has ended, and all connections with it
-	watching      bool // the keeper looks at the connections every SuspectAfter
+	conns         []*conn      // open connections, including retiring and closing ones
+	silentTimes   []time.Time  // when connections were found silent, oldest first, within SilentHold
+	suspicionTime time.Time    // latest time at which a connection was found silent, or since which a suspect one waits
+	waiters       []chan *conn // waiting calls, oldest first; each receives a conn, or nil if it fails
+	retired       bool         // the endpoint is no longer in force
+	stopped       bool         // the maintainer has returned or is about to, and opens no more connections
+	watching      bool         // the maintainer checks for suspect connections every SuspectAfter
 	pacer         pacer
-	lastDialErr   error // of the last attempt to open a connection
+	lastDialErr   error // of the last try to open a connection; nil if it succeeded
 }
 
 func newPool(c *Client, e Endpoint) *pool {
@@ -40,7 +40,7 @@
 	}
 }
 
-// update puts new settings of the same target in force.
+// update applies new settings of the same target.
 func (p *pool) update(e Endpoint) {
 	p.mu.Lock()
 	p.endpoint = e
@@ -49,7 +49,8 @@
 	p.wake()
 }
 
-// retire lets the connections close once they are idle, then ends the keeper.
+// retire makes the connections close once they are idle, and the maintainer stop
+// after that. Waiting calls fail.
 func (p *pool) retire() {
 	p.mu.Lock()
 	p.retired = true
@@ -58,7 +59,8 @@
 	p.wake()
 }
 
-// reactivate undoes retire, unless the keeper has ended.
+// reactivate undoes retire. It reports false, and does nothing, if the maintainer
+// has stopped.
 func (p *pool) reactivate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,9 +81,10 @@
 	}
 }
 
-// acquire borrows a connection for one call. It waits for one while one can be
-// expected, and fails at once otherwise; nothing was sent if it fails.
-// A probe gets the connection that was idle for longest.
+// acquire returns a connection for one call, which must be released afterwards. It
+// waits up to MaxWait for one if one can be expected to become free, and fails at
+// once otherwise. If it fails, nothing was sent. A probe gets the connection that
+// was idle for longest.
 func (p *pool) acquire(ctx context.Context, probe bool) (*conn, *CallError) {
 	p.mu.Lock()
 	now := time.Now()
@@ -98,15 +101,15 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	turn := make(chan *conn, 1)
-	p.setWaiters(append(p.waiters, turn))
+	waiter := make(chan *conn, 1)
+	p.setWaiters(append(p.waiters, waiter))
 	p.mu.Unlock()
 	p.wake()
-	return p.awaitTurn(ctx, turn)
+	return p.awaitTurn(ctx, waiter)
 }
 
-// waitError returns an error if waiting for a connection makes no sense. p.mu
-// must be held.
+// waitError returns an error if a call can't wait for a connection, and nil if it
+// can. p.mu must be held.
 func (p *pool) waitError(now time.Time) *CallError {
 	switch {
 	case p.retired:
@@ -119,33 +122,35 @@
 	return nil
 }
 
-// unreachableError returns the error of a target to which no connection could be
+// unreachableError returns the error for a target to which no connection could be
 // opened. p.mu must be held.
 func (p *pool) unreachableError(now time.Time) *CallError {
-	after := p.pacer.notBefore.Sub(now)
-	return &CallError{Kind: ErrorUnreachable, NotStarted: true, RetryAfter: max(after, 0), cause: p.lastDialErr}
+	retryAfter := p.pacer.notBefore.Sub(now)
+	return &CallError{Kind: ErrorUnreachable, NotStarted: true, RetryAfter: max(retryAfter, 0), cause: p.lastDialErr}
 }
 
-// awaitTurn waits for the turn of a call.
-func (p *pool) awaitTurn(ctx context.Context, turn chan *conn) (*conn, *CallError) {
+// awaitTurn waits until waiter, which is in the queue, receives a connection.
+func (p *pool) awaitTurn(ctx context.Context, waiter chan *conn) (*conn, *CallError) {
 	limit := time.NewTimer(p.client.opts.MaxWait)
 	defer limit.Stop()
 	select {
-	case cn := <-turn:
+	case cn := <-waiter:
 		return p.connOrError(cn)
 	case <-ctx.Done():
 	case <-limit.C:
 	case <-p.client.tomb.Dying():
 	}
-	if p.leaveQueue(turn) {
+	if p.leaveQueue(waiter) {
 		if ctx.Err() != nil {
 			return nil, transportError(ctx, ctx.Err(), true)
 		}
 		return nil, &CallError{Kind: ErrorBusy, NotStarted: true, cause: errors.New("no connection became free")}
 	}
-	return p.connOrError(<-turn)
+	return p.connOrError(<-waiter)
 }
 
+// connOrError converts what a waiter received to the results of acquire. A nil conn
+// means that failWaiters was called.
 func (p *pool) connOrError(cn *conn) (*conn, *CallError) {
 	if cn != nil {
 		return cn, nil
@@ -155,12 +160,13 @@
 	return nil, p.unreachableError(time.Now())
 }
 
-// leaveQueue reports whether turn was still waiting; if not, it has been served.
-func (p *pool) leaveQueue(turn chan *conn) bool {
+// leaveQueue removes waiter from the queue. It reports false if waiter is no longer
+// queued, because it has received its result.
+func (p *pool) leaveQueue(waiter chan *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, w := range p.waiters {
-		if w == turn {
+	for i, queued := range p.waiters {
+		if queued == waiter {
 			p.setWaiters(append(p.waiters[:i:i], p.waiters[i+1:]...))
 			return true
 		}
@@ -168,13 +174,14 @@
 	return false
 }
 
-// setWaiters must be called with p.mu held.
+// setWaiters sets the queue of waiting calls. p.mu must be held.
 func (p *pool) setWaiters(waiters []chan *conn) {
 	p.waiters = waiters
 	p.numWaiting.Store(int32(len(waiters)))
 }
 
-// addCall must be called with p.mu held.
+// addCall counts a call on a connection and starts the checks for suspect
+// connections. p.mu must be held.
 func (p *pool) addCall(cn *conn, now time.Time) {
 	cn.calls++
 	if !cn.awaitsData() {
@@ -186,9 +193,9 @@
 	}
 }
 
-// pick returns the connection with the fewest calls, or nil if none has room.
-// First come those that are not suspect and have received something since the
-// last alarm. p.mu must be held.
+// pick returns the connection with the fewest calls, or nil if none accepts another
+// call. It prefers connections that are not suspect and have received data since
+// suspicionTime. p.mu must be held.
 func (p *pool) pick(now time.Time) *conn {
 	var best *conn
 	var bestSuspect bool
@@ -204,9 +211,10 @@
 	return best
 }
 
-// pickIdlest returns the connection that has received nothing for longest, or
-// nil if none has room. A suspect one has a probe of its own and would hide the
-// target's state from the reader. p.mu must be held.
+// pickIdlest returns the connection that has received nothing for longest, or nil
+// if none accepts another call. It avoids suspect connections: they get a probe of
+// their own, and if one is silent, the read would not return the target's state.
+// p.mu must be held.
 func (p *pool) pickIdlest(now time.Time) *conn {
 	var idlest *conn
 	for _, cn := range p.conns {
@@ -223,7 +231,7 @@
 	return idlest
 }
 
-// hasCapacity must be called with p.mu held.
+// hasCapacity reports whether a connection accepts another call. p.mu must be held.
 func (p *pool) hasCapacity(cn *conn) bool {
 	if cn.retiring || cn.silent || cn.http.Err() != nil {
 		return false
@@ -234,7 +242,7 @@
 	return cn.calls < p.client.opts.MaxStreams && cn.http.Available() > 0
 }
 
-// release gives a connection back.
+// release returns a connection that acquire returned.
 func (p *pool) release(cn *conn) {
 	p.mu.Lock()
 	cn.calls--
@@ -246,9 +254,9 @@
 	}
 }
 
-// retireMismatched keeps new calls off a connection that delivered another request's
-// answer, and closes it once it is idle. The calls still on it are checked like
-// any other.
+// retireMismatched retires a connection that delivered another request's answer: it
+// accepts no new calls and is closed once idle. The answers of calls still on it
+// are checked like all others.
 func (p *pool) retireMismatched(cn *conn, err *CallError) {
 	p.client.metrics.mismatched.Inc()
 	p.mu.Lock()
@@ -260,7 +268,7 @@
 	}
 }
 
-// serveWaiters hands connections with room to waiting calls, in their order.
+// serveWaiters assigns connections that accept calls to waiting calls, oldest first.
 // p.mu must be held.
 func (p *pool) serveWaiters() {
 	for len(p.waiters) > 0 {
@@ -275,11 +283,10 @@
 	}
 }
 
-// failWaiters tells all waiting calls that no connection can be had. p.mu must
-// be held.
+// failWaiters fails all waiting calls. p.mu must be held.
 func (p *pool) failWaiters() {
-	for _, turn := range p.waiters {
-		turn <- nil
+	for _, waiter := range p.waiters {
+		waiter <- nil
 	}
 	p.setWaiters(nil)
 }
--- a/target/probe.go
+++ b/target/probe.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// probeSuspects starts a probe on each connection that may be silent, and ends
-// the keeper's watch when no call waits for a byte. A connection of HTTP/1.1
-// has no room for a probe beside a call; it is closed when the call is given up.
+// probeSuspects starts a probe on each connection that may be silent. It ends the
+// checks for suspect connections when no call is in progress or waits for data.
+// An HTTP/1.1 connection can't carry a probe beside a call; it is closed when the
+// call is cancelled or times out.
 func (p *pool) probeSuspects(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,9 +30,10 @@
 	}
 }
 
-// updateSuspicionTime raises the alarm for connections that have become suspect. Without
-// it calls would find the silent connections of a target one after another, each
-// at the cost of SuspectAfter and of all calls that meet it. p.mu must be held.
+// updateSuspicionTime sets suspicionTime for connections that have become suspect, so
+// that all connections of the pool are probed. Otherwise calls would find the silent
+// connections of a target one after another, each at the cost of SuspectAfter and
+// of all calls on it. p.mu must be held.
 func (p *pool) updateSuspicionTime(now time.Time) {
 	for _, cn := range p.conns {
 		if cn.isSuspect(now, p.client.opts.SuspectAfter) && cn.waitingSince.After(p.suspicionTime) {
@@ -40,10 +42,10 @@
 	}
 }
 
-// needsProbe reports whether a connection needs a probe: because it is
-// suspect, or because another one to the same target is suspect or was found
-// silent, and nothing came on this one since. Connections mostly go silent
-// together. p.mu must be held.
+// needsProbe reports whether a connection needs a probe: because it is suspect, or
+// because another connection to the same target is suspect or was found silent and
+// this one has received nothing since. Connections mostly go silent together. p.mu
+// must be held.
 func (p *pool) needsProbe(cn *conn, now time.Time) bool {
 	if cn.probing || cn.silent || cn.retiring {
 		return false
@@ -51,7 +53,7 @@
 	return cn.isSuspect(now, p.client.opts.SuspectAfter) || cn.wire.lastRead().Before(p.suspicionTime)
 }
 
-// probe reads the status over one connection.
+// probe reads the target's status on a connection and releases the connection.
 func (p *pool) probe(cn *conn) {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(p.client.tomb.Context(context.Background()), p.client.opts.ProbeTimeout)
@@ -67,9 +69,9 @@
 	p.release(cn)
 }
 
-// probeTimedOut notes that a read of the status, begun at start, timed out. If nothing
-// at all was received since, the connection has gone silent: it is closed, also
-// under the calls that still wait on it, because none of them would ever end.
+// probeTimedOut handles the timeout of a status read that began at start. If nothing
+// at all was received since then, the connection is silent. It is closed even if
+// calls still wait on it, because none of them would ever be answered.
 func (p *pool) probeTimedOut(cn *conn, start time.Time) {
 	if cn.wire.lastRead().After(start) {
 		return
--- a/target/silence_test.go
+++ b/target/silence_test.go
@@ -8,10 +8,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// All searches that touch one target come back short, for good. A firewall
-// between forgot the open connections: what is sent on them is lost, without
-// FIN or RST, while new connections work. Found are they only by what they do
-// not deliver; closed and replaced, within the share, calls work again.
+// Guards against searches that permanently miss the shards of one target. A firewall
+// on the path has lost the state of the open connections: data sent on them is
+// dropped without FIN or RST, while new connections work. Such connections can only
+// be detected because nothing arrives on them. They must be closed and replaced
+// within the share, so that calls work again.
 func TestSilentConnectionsAreReplaced(t *testing.T) {
 	forProtocols(t, 3, Options{ProbeTimeout: 100 * time.Millisecond}, func(g *WithT, s *fakeTarget, c *Client) {
 		s.forEachConn(silence)
@@ -21,9 +22,10 @@
 	})
 }
 
-// A target refuses this VM's new connections. It still counts the ones that
-// went silent, of whose end it never hears. One found silent has the others
-// asked too, and their places in the share stay taken while they are replaced.
+// Guards against a target that refuses this VM's new connections, because it still
+// counts the silent ones, whose close it never sees. When one connection is found
+// silent, the others must be probed too. Silent connections must count against the
+// share while they are replaced.
 func TestSilentConnectionsCountAgainstShare(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeTarget(t, "a", 0)
@@ -41,9 +43,10 @@
 	g.Consistently(func() int { _, _, maxOpen, _ := s.counts(); return maxOpen }, "200ms").Should(Equal(5))
 }
 
-// The reader of the status goes blind: its one connection went silent while
-// idle, and the target's drain is not noticed. A read that times out closes
-// the connection, so that the next one has a fresh connection.
+// Guards against a Monitor that no longer gets a target's status, so that the
+// target's drain is not noticed. Its only connection has gone silent while idle. A
+// read that times out must close the connection, so that the next read uses a new
+// one.
 func TestMonitorRecoversFromSilentConnection(t *testing.T) {
 	forProtocols(t, 1, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		s.forEachConn(silence)
@@ -56,8 +59,9 @@
 	})
 }
 
-// One call on a silent connection would take the others along. While a call
-// waits without a byte, later calls go to the other connections.
+// Guards against calls that join a call on a silent connection and fail with it.
+// While a call waits and nothing is received, later calls must use the other
+// connections.
 func TestSuspectConnectionIsAvoided(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeTarget(t, "a", 0)
@@ -74,10 +78,10 @@
 	g.Expect(counter(c, "silent_connections_total")()).To(BeZero())
 }
 
-// Searches of one target are slow for a multiple of SuspectAfter. All of its
-// connections went silent together, and calls found them one after another:
-// what was learned of the first was not held against the others. The first
-// suspicion has all of them asked, and calls go to those that answer.
+// Guards against searches of one target that are slow for a multiple of
+// SuspectAfter. All connections of the target have gone silent together, and calls
+// find them one after another. When the first connection becomes suspect, all must
+// be probed, so that calls use those that answer.
 func TestSuspectConnectionTriggersProbeOfAll(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeTarget(t, "a", 0)
--- a/target/standin_test.go
+++ b/target/standin_test.go
@@ -10,30 +10,31 @@
 	"time"
 )
 
-// fakeTarget is a target in this process.
+// fakeTarget is a target that runs in the test process.
 type fakeTarget struct {
 	name    string
 	server  *http.Server
 	address string
 
-	closeDelay time.Duration // between the end of a connection and its close; set before use
+	closeDelay time.Duration // between the end of a connection and its close; set before the first connection
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	searchHandler func(w http.ResponseWriter, r *http.Request, req LeafRequest)
 	conns         []*serverConn
-	afterSubmit   func() // after a request was run, before its answer
-	submits       int    // requests run
-	accepts       int
-	open          int
-	maxOpen       int
+	afterSubmit   func() // called after a submit was run, before its answer; may be nil
+	submits       int    // submits run
+	accepts       int    // connections accepted
+	open          int    // connections open now
+	maxOpen       int    // highest value of open
 }
 
-// serverConn is the target's end of a connection, which can go silent: what arrives is
-// lost, what is written is swallowed, and no end hears of the other's close.
+// serverConn is the target's end of a connection, which can go silent: data that
+// arrives is lost, data that is written is dropped, and neither end sees the other's
+// close.
 type serverConn struct {
 	net.Conn
 	silent          atomic.Bool
-	duplicateWrites atomic.Bool // repeats what the target writes
+	duplicateWrites atomic.Bool // each write is sent twice
 	closed          chan struct{}
 	target          *fakeTarget
 	once            sync.Once
@@ -60,7 +61,8 @@
 	return l.Conn.Write(p)
 }
 
-// Close leaves the count after the target's lag, and only then tells the client.
+// Close reduces the target's count of open connections after closeDelay, and closes
+// the connection to the client only then.
 func (l *serverConn) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
@@ -70,12 +72,12 @@
 		l.target.mu.Unlock()
 	})
 	if l.silent.Load() {
-		return nil // the stand-in's cleanup closes it
+		return nil // newFakeTarget's cleanup closes it
 	}
 	return l.Conn.Close()
 }
 
-// slowListener spends a time on each new connection, one after the other.
+// slowListener spends acceptDelay on each new connection, one at a time.
 type slowListener struct {
 	net.Listener
 	acceptDelay time.Duration
@@ -131,6 +133,8 @@
 	return s
 }
 
+// counts returns the accepted connections, those open now, the highest number open
+// at the same time, and the submits that were run.
 func (s *fakeTarget) counts() (accepts, open, maxOpen, submits int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/target/transport_bench_test.go
+++ b/target/transport_bench_test.go
@@ -11,11 +11,11 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// The benchmarks behind docs/design/target-transport.md. Both ends run in this
-// process.
+// These benchmarks give the figures in docs/design/target-transport.md. Both ends run
+// in this process.
 
-// transportCases are the ways to reach a target whose 25 connections seven VMs
-// share.
+// transportCases are the protocols and connections per VM for a target whose 25
+// connections are shared by seven VMs.
 var transportCases = []struct {
 	name        string
 	protocol    Protocol
@@ -26,8 +26,10 @@
 	{"HTTP2/conns=3", HTTP2, 3},
 }
 
+// connectCost is the time that the target spends on a new connection.
 const connectCost = 6 * time.Millisecond
 
+// cpuTime returns the processor time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -36,7 +38,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// benchClient returns a client whose share is open.
+// benchClient returns a client with all connections of its share open.
 func benchClient(b *testing.B, s *fakeTarget, protocol Protocol, connections int) (*Client, *metrics.Set) {
 	set := metrics.NewSet()
 	c := NewClient(Options{Protocol: protocol, Metrics: set, MaxWait: testTimeout, MaxWaiters: 10000})
@@ -48,7 +50,7 @@
 	return c, set
 }
 
-// waitOpen waits until the connections to target "a" are open and warm.
+// waitOpen waits until the connections to target "a" are open and warmed up.
 func waitOpen(c *Client, connections int) {
 	p := c.pool("a")
 	for open := 0; open < connections; time.Sleep(time.Millisecond) {
@@ -85,8 +87,9 @@
 	}
 }
 
-// BenchmarkCancel gives up every second call after 2 ms, while a leaf takes
-// 4 ms, and shows what that costs in connections and in the wait of the others.
+// BenchmarkCancel cancels every second call after 2 ms, while a leaf takes 4 ms. It
+// reports the connections opened for each cancelled call, and the mean time of the
+// other calls.
 func BenchmarkCancel(b *testing.B) {
 	for _, k := range transportCases {
 		b.Run(k.name, func(b *testing.B) {
@@ -101,7 +104,7 @@
 			c, set := benchClient(b, s, k.protocol, k.connections)
 			before := openedCount(set)
 			b.ResetTimer()
-			var kept, keptTime time.Duration
+			var completed, completedTime time.Duration
 			for n := range b.N {
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Millisecond)
 				_, _ = c.Search(ctx, "a", 0, request(n))
@@ -110,17 +113,18 @@
 				if _, err := c.Search(context.Background(), "a", 0, request(n)); err != nil {
 					b.Error(err)
 				}
-				kept++
-				keptTime += time.Since(start)
+				completed++
+				completedTime += time.Since(start)
 			}
 			b.ReportMetric(float64(openedCount(set)-before)/float64(b.N), "conns/cancel")
-			b.ReportMetric(float64((keptTime/kept).Microseconds())/1000, "kept-ms")
+			b.ReportMetric(float64((completedTime/completed).Microseconds())/1000, "completed-ms")
 		})
 	}
 }
 
-// BenchmarkSilent silences all open connections and measures the time until
-// ten calls in a row succeed, one each 10 ms with a time limit of 100 ms.
+// BenchmarkSilent makes all open connections silent and measures the time until ten
+// consecutive calls succeed. A call is started every 10 ms, with a time limit of
+// 100 ms.
 func BenchmarkSilent(b *testing.B) {
 	for _, k := range transportCases {
 		for _, ping := range []time.Duration{0, 500 * time.Millisecond} {
@@ -131,17 +135,19 @@
 				var total time.Duration
 				failed := 0
 				for range b.N {
-					took, lost := silentTrial(b, k.protocol, k.connections, ping)
+					took, failures := silentTrial(b, k.protocol, k.connections, ping)
 					total += took
-					failed += lost
+					failed += failures
 				}
-				b.ReportMetric(float64(total.Milliseconds())/float64(b.N), "whole-again-ms")
+				b.ReportMetric(float64(total.Milliseconds())/float64(b.N), "recovery-ms")
 				b.ReportMetric(float64(failed)/float64(b.N), "failed-calls")
 			})
 		}
 	}
 }
 
+// silentTrial returns the time until ten consecutive calls succeeded, and the number
+// of calls that failed before.
 func silentTrial(b *testing.B, protocol Protocol, connections int, ping time.Duration) (time.Duration, int) {
 	s := newFakeTarget(b, "a", connectCost)
 	c := NewClient(Options{Protocol: protocol, Metrics: metrics.NewSet(), PingAfter: ping})
@@ -153,10 +159,10 @@
 	s.forEachConn(silence)
 	start := time.Now()
 	results := make(chan bool)
-	calls, good, lost := 0, 0, 0
+	calls, succeeded, failed := 0, 0, 0
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
-	for good < 10 {
+	for succeeded < 10 {
 		select {
 		case <-tick.C:
 			calls++
@@ -168,10 +174,10 @@
 			}()
 		case ok := <-results:
 			calls--
-			good++
+			succeeded++
 			if !ok {
-				good = 0
-				lost++
+				succeeded = 0
+				failed++
 			}
 		}
 	}
@@ -179,11 +185,11 @@
 	for ; calls > 0; calls-- {
 		<-results
 	}
-	return took, lost
+	return took, failed
 }
 
-// BenchmarkIdlePings shows the processor time that 150 idle connections cost
-// both ends together, as a share of one core.
+// BenchmarkIdlePings reports the processor time that 150 idle connections cost both
+// ends together, as a percentage of one core.
 func BenchmarkIdlePings(b *testing.B) {
 	for _, ping := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second} {
 		b.Run(fmt.Sprintf("ping=%s", ping), func(b *testing.B) {
