--- a/target/failure_test.go
+++ b/target/failure_test.go
@@ -206,8 +206,7 @@
 	})
 }
 
-// A call for which no connection can be opened or used fails at once, as not
-// started.
+// A call that can't be sent fails at once, as not started.
 func TestCallsWithoutConnectionAreNotStarted(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -238,13 +237,13 @@
 		"cut off":          {200, `{` + echo, CallError{Kind: ErrorMalformed}},
 		"too large":        {200, `{` + echo + strings.Repeat(" ", 2000) + `}`, CallError{Kind: ErrorMalformed}},
 		"empty":            {200, `{}`, CallError{Kind: ErrorMismatched}},
-		"more than asked":  {200, `{` + echo + `,"items":[` + strings.Repeat(`{},`, 10) + `{}]}`, CallError{Kind: ErrorMalformed}},
+		"more than limit":  {200, `{` + echo + `,"items":[` + strings.Repeat(`{},`, 10) + `{}]}`, CallError{Kind: ErrorMalformed}},
 		"missing too many": {200, `{` + echo + `,"records":1,"missing":2}`, CallError{Kind: ErrorMalformed}},
 		"unknown status":   {404, `{}`, CallError{Kind: ErrorStatus}},
 		"refused":          {503, `{"reason":"shed","not_started":true,"retry_after_ms":70}`, CallError{Kind: ErrorRefused, Reason: ReasonShed, NotStarted: true, RetryAfter: 70 * time.Millisecond}},
 		"refused, started": {503, `{"reason":"draining"}`, CallError{Kind: ErrorRefused, Reason: ReasonDraining}},
 		"other's refusal":  {503, `{"reason":"shed","not_started":true,"echo":{"request":"r9"}}`, CallError{Kind: ErrorMismatched}},
-		"refusal unclear":  {503, `busy`, CallError{Kind: ErrorMalformed}},
+		"refusal not JSON": {503, `busy`, CallError{Kind: ErrorMalformed}},
 	}
 	forProtocols(t, 1, Options{MaxAnswerBytes: 1000, MaxWait: testTimeout}, func(g *WithT, s *fakeTarget, c *Client) {
 		for name, k := range cases {
--- a/target/pool.go
+++ b/target/pool.go
@@ -242,7 +242,7 @@
 	return cn.calls < p.client.opts.MaxStreams && cn.http.Available() > 0
 }
 
-// release returns a connection that acquire returned.
+// release ends one call's use of a connection, which may then serve a waiting call.
 func (p *pool) release(cn *conn) {
 	p.mu.Lock()
 	cn.calls--
--- a/target/transport_bench_test.go
+++ b/target/transport_bench_test.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// BenchmarkCancel cancels every second call after 2 ms, while a leaf takes 4 ms. It
-// reports the connections opened for each cancelled call, and the mean time of the
-// other calls.
+// BenchmarkCancel ends every second call after 2 ms, while a leaf takes 4 ms. It
+// reports the connections opened for each call that it ends, and the mean time of
+// the other calls.
 func BenchmarkCancel(b *testing.B) {
 	for _, k := range transportCases {
 		b.Run(k.name, func(b *testing.B) {
