--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -136,7 +136,7 @@
 	most := make([]byte, MaxBytes)
 	g.Expect(len(Sign(PurposeBundle, most, key).Bytes())).To(BeNumerically("<=", objstore.MaxValue))
 	_, err := Package(append(most, ' '), key)
-	g.Expect(result.Of(err)).To(Equal(result.BundleTooLarge))
+	g.Expect(result.CodeOf(err)).To(Equal(result.BundleTooLarge))
 }
 
 // A sign-off was changed after it was signed, or was signed with an unknown key,
@@ -170,19 +170,19 @@
 	}
 	for _, c := range cases {
 		_, err := ring.OpenSignOff(c.signed)
-		NewWithT(t).Expect(result.Of(err)).To(Equal(c.code), c.name)
+		NewWithT(t).Expect(result.CodeOf(err)).To(Equal(c.code), c.name)
 	}
 	_, err := ring.Verify(swapped, PurposeEntry)
-	NewWithT(t).Expect(result.Of(err)).To(Equal(result.NotSigned), "a sign-off is no entry")
+	NewWithT(t).Expect(result.CodeOf(err)).To(Equal(result.NotSigned), "a sign-off is no entry")
 }
 
 func TestAnAuthorCannotSignOff(t *testing.T) {
 	g := NewWithT(t)
 	b, _ := Parse(example(t, "vatnsleit"))
 	err := b.CheckSignOff(SignOff{Deployment: "vatnsleit", Digest: "x", Person: "sigrun"}, "x")
-	g.Expect(result.Of(err)).To(Equal(result.SelfSigned))
+	g.Expect(result.CodeOf(err)).To(Equal(result.SelfSigned))
 	_, err = Package(example(t, "vatnsleit"), testKey(t, "jon-1", "jon"))
-	g.Expect(result.Of(err)).To(Equal(result.BadBundle), "only the author can push a bundle")
+	g.Expect(result.CodeOf(err)).To(Equal(result.BadBundle), "only the author can push a bundle")
 }
 
 func TestMain(m *testing.M) {
--- a/cmd/bramleyd/main.go
+++ b/cmd/bramleyd/main.go
@@ -31,11 +31,11 @@
 	}
 	if err := app.Run(ctx, os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "bramleyd:", err)
-		os.Exit(int(result.Of(err).Class()))
+		os.Exit(int(result.CodeOf(err).Class()))
 	}
 }
 
-func load(cmd *cli.Command) (*settings.Settings, error) {
+func loadSettings(cmd *cli.Command) (*settings.Settings, error) {
 	path, err := settingsPath(cmd)
 	if err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 }
 
 func check(_ context.Context, cmd *cli.Command) error {
-	if _, err := load(cmd); err != nil {
+	if _, err := loadSettings(cmd); err != nil {
 		return err
 	}
 	fmt.Println("settings are valid")
@@ -59,7 +59,7 @@
 }
 
 func run(ctx context.Context, cmd *cli.Command) error {
-	set, err := load(cmd)
+	set, err := loadSettings(cmd)
 	if err != nil {
 		return err
 	}
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -18,7 +18,7 @@
 	exchange         Exchange
 	pool             *leafhttp.Pool
 	inForce          routing.InForce
-	rotation         *routing.Rotation
+	rotation         *routing.Splitter
 	elapsed          *elapsedTimes
 	log              *slog.Logger
 	stats            *stats
@@ -50,7 +50,7 @@
 	return &Engine{
 		exchange:         opt.Exchange,
 		pool:             leafhttp.NewPool(),
-		rotation:         routing.NewRotation(),
+		rotation:         routing.NewSplitter(),
 		elapsed:          newElapsedTimes(),
 		log:              opt.Log,
 		stats:            newStats(),
@@ -69,17 +69,17 @@
 	if !e.inForce.Offer(m) {
 		return false
 	}
-	e.rotation.Keep(m)
+	e.rotation.Prune(m)
 	e.elapsed.prune(m)
 	e.feed.setManifest(m)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	shards := m.Shards()
+	shards := m.ShardServices()
 	for name, svc := range m.Services {
 		e.table.SetServiceConfig(now, name, scatter.ServiceConfig{MaxConnections: svc.MaxConnections, Shard: shards[name]})
 	}
-	e.table.SetMaxShards(now, m.Widest())
+	e.table.SetMaxShards(now, m.MaxShards())
 	return true
 }
 
@@ -97,7 +97,7 @@
 	e.feed.appendChanges(changes)
 	for _, c := range changes {
 		if c.Gone {
-			e.pool.Forget(poolKey(scatter.LeafID{ID: c.Leaf.ID, Born: c.Leaf.Born}))
+			e.pool.CloseIdle(poolKey(scatter.LeafID{ID: c.Leaf.ID, Born: c.Leaf.Born}))
 		}
 	}
 	return changes
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -177,7 +177,7 @@
 			}
 			f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
 				if hold := age.hold(now, list.AfterOutage, f.settings.Bounds.drainBound()); hold > 0 {
-					time.AfterFunc(time.Until(r.Returned(now, hold)), f.expireHeldLeafs)
+					time.AfterFunc(time.Until(r.StoreRecovered(now, hold)), f.expireHeldLeafs)
 				}
 				return r.Replace(now, list.Leafs)
 			}), list.Revision)
@@ -232,9 +232,9 @@
 	switch {
 	case afterOutage, a.failed && a.freshAt.IsZero():
 		// So too for a VM that has just started and at first found nobody to read from.
-		hold = registry.LapseHold
+		hold = registry.OutageHold
 	case a.failed:
-		hold = min(registry.LapseHold, a.freshAt.Add(time.Duration(maxHoldShare*float64(bound))).Sub(now))
+		hold = min(registry.OutageHold, a.freshAt.Add(time.Duration(maxHoldShare*float64(bound))).Sub(now))
 	}
 	*a = listAge{freshAt: now}
 	return max(hold, 0)
@@ -260,6 +260,6 @@
 // expireHeldLeafs drops the leafs that are still missing when the hold after an outage ends.
 func (f *follower) expireHeldLeafs() {
 	f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
-		return r.Expire(now)
+		return r.ExpireHeld(now)
 	}), 0)
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -159,7 +159,7 @@
 		MaxHeaderBytes:    headerBytes,
 		ConnState:         trackCallerState,
 		ConnContext:       withCallerConn,
-		ErrorLog:          logging.Standard(n.log),
+		ErrorLog:          logging.StdLogger(n.log),
 	}
 }
 
@@ -246,7 +246,7 @@
 		return nil
 	}
 	identity := wire.Identity{Deployment: "platform", VM: self.Name, Incarnation: uuid.NewString()}
-	p, err := joinPeers(n.engine, identity, n.settings.Listen.VMs, []byte(self.Key), logging.Part(n.log, "vms"))
+	p, err := joinPeers(n.engine, identity, n.settings.Listen.VMs, []byte(self.Key), logging.Component(n.log, "vms"))
 	if err != nil {
 		return errors.Annotate(err, "listen to VMs")
 	}
@@ -262,7 +262,7 @@
 func (n *Node) sweepIdleConns(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, sweepPeriod)
-		n.engine.pool.Sweep(time.Now())
+		n.engine.pool.CloseExpired(time.Now())
 	}
 }
 
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -117,7 +117,7 @@
 		return err
 	}
 	err = conn.Call(ctx, method, call, into)
-	if result.Of(err) == result.PeerSilent {
+	if result.CodeOf(err) == result.PeerSilent {
 		link.drop(conn)
 	}
 	return err
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -128,7 +128,7 @@
 func (n *Node) probeLeaf(ctx context.Context, leaf registry.Leaf) {
 	id := scatter.LeafID{ID: leaf.ID, Born: leaf.Born}
 	n.engine.mu.Lock()
-	peer := leafhttp.Peer{Key: poolKey(id), Address: leaf.Address, Transient: !n.engine.table.KeepsConnection(id)}
+	peer := leafhttp.Endpoint{Key: poolKey(id), Address: leaf.Address, Transient: !n.engine.table.KeepsConnection(id)}
 	n.engine.mu.Unlock()
 	err := n.engine.pool.Warm(ctx, peer)
 	n.engine.mu.Lock()
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -273,7 +273,7 @@
 
 // recordReaderCall takes how a call to a VM that reads the store ended.
 func (r *relay) recordReaderCall(vm scatter.VM, method string, err error) {
-	if result.Of(err) == result.PositionGone {
+	if result.CodeOf(err) == result.PositionGone {
 		err = nil // it answers; this VM lags
 	}
 	r.mu.Lock()
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -92,15 +92,15 @@
 		outage bool
 		hold   time.Duration
 	}{
-		{0, false, registry.LapseHold},
+		{0, false, registry.OutageHold},
 		{3500 * time.Millisecond, false, 750 * time.Millisecond},
 		{10 * time.Second, false, 0},
-		{10 * time.Second, true, registry.LapseHold},
+		{10 * time.Second, true, registry.OutageHold},
 	} {
 		d := listAge{failed: true, freshAt: start}
 		g.Expect(d.hold(start.Add(c.silent), c.outage, bound)).To(gomega.Equal(c.hold))
 		g.Expect(d.hold(start.Add(c.silent), false, bound)).To(gomega.BeZero(), "the list is fresh again")
 	}
 	unread := listAge{failed: true}
-	g.Expect(unread.hold(start, false, bound)).To(gomega.Equal(registry.LapseHold))
+	g.Expect(unread.hold(start, false, bound)).To(gomega.Equal(registry.OutageHold))
 }
--- a/edge/run.go
+++ b/edge/run.go
@@ -211,7 +211,7 @@
 func (r *runner) send(s scatter.Send) {
 	ctx, cancel := context.WithDeadline(r.attempts, s.Until.Add(r.linger()))
 	defer cancel()
-	peer := leafhttp.Peer{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
+	peer := leafhttp.Endpoint{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
 	var word LeafMetadata
 	// A leaf may send the answer to an earlier request late, where the next is expected.
 	own := func(ans *leafhttp.Answer) bool {
@@ -227,7 +227,7 @@
 	}
 	if ev.end == scatter.EndSilent {
 		// Others to this leaf may be as silent.
-		r.e.pool.Forget(peer.Key)
+		r.e.pool.CloseIdle(peer.Key)
 	}
 	r.e.mu.Lock()
 	now := time.Now()
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -36,7 +36,7 @@
   "budget": {"ratio": -1, "floor": 54, "window_s": 10},
   "power": 0.4, "memory_mb": 284, "log_level": "loud"
 }`))
-	g.Expect(result.Of(err)).To(gomega.Equal(result.BadSettings))
+	g.Expect(result.CodeOf(err)).To(gomega.Equal(result.BadSettings))
 	for _, path := range []string{"$.name", "$.listen.callers", "$.grace_s", "$.budget.ratio", "$.log_level"} {
 		g.Expect(err.Error()).To(gomega.ContainSubstring(path))
 	}
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -31,13 +31,13 @@
 	}
 }
 
-func (e *Engine) unusedLeafPeers() []leafhttp.Peer {
+func (e *Engine) unusedLeafPeers() []leafhttp.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var peers []leafhttp.Peer
+	var peers []leafhttp.Endpoint
 	for _, l := range e.table.UnusedLeafs() {
 		key := poolKey(scatter.LeafID{ID: l.ID, Born: l.Born})
-		peers = append(peers, leafhttp.Peer{Key: key, Address: l.Address})
+		peers = append(peers, leafhttp.Endpoint{Key: key, Address: l.Address})
 	}
 	return peers
 }
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -38,8 +38,8 @@
 	messageGather  = "gathered for a VM"
 )
 
-// maxLine is the longest line that is read, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the longest line that is read, in bytes.
+const maxLineBytes = 1 << 20
 
 // Reader collects the lines of one request.
 type Reader struct {
@@ -53,14 +53,14 @@
 // collectors of logs put the time or the machine there.
 func (r *Reader) Read(source string, log io.Reader) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		r.take(source, scanner.Text())
+		r.parseLine(source, scanner.Text())
 	}
 	return scanner.Err()
 }
 
-func (r *Reader) take(source, text string) {
+func (r *Reader) parseLine(source, text string) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
 		if strings.TrimSpace(text) != "" {
@@ -102,7 +102,7 @@
 		case messageRefused:
 			return fmt.Sprintf("It was answered %v without being handed to any leaf: %v.", line.Fields["status"], line.Fields["why"])
 		case messageRequest:
-			return r.causeOf(line)
+			return r.requestCause(line)
 		}
 	}
 	if len(r.report.Lines) > 0 {
@@ -111,8 +111,8 @@
 	return "No line speaks of it."
 }
 
-// verdicts says what each verdict of a request means.
-var verdicts = map[string]string{
+// verdictTexts says what each verdict of a request means.
+var verdictTexts = map[string]string{
 	"answered":    "It was answered",
 	"leaf_failed": "A leaf ran it and failed",
 	"not_run":     "No leaf ran it: it was refused, or all leafs were full, away or out of reach",
@@ -122,8 +122,8 @@
 	"short":       "Too few shards could be had for an answer",
 }
 
-func (r *Reader) causeOf(line *Line) string {
-	text := verdicts[fmt.Sprint(line.Fields["verdict"])]
+func (r *Reader) requestCause(line *Line) string {
+	text := verdictTexts[fmt.Sprint(line.Fields["verdict"])]
 	if missing, _ := line.Fields["missing"].(float64); missing > 0 {
 		text += fmt.Sprintf(", without %v shards", missing)
 	}
@@ -131,17 +131,17 @@
 	if wait, ok := line.Fields["wait_ms"]; ok {
 		text += fmt.Sprintf("; a shard that it needed was expected to wait %v ms, %v at most were allowed", wait, line.Fields["wait_limit_ms"])
 	}
-	if gaps := r.gaps(); gaps != "" {
+	if gaps := r.gapSummary(); gaps != "" {
 		text += "; " + gaps
 	}
-	if why := r.failures(); why != "" {
+	if why := r.failureSummary(); why != "" {
 		text += "; " + why
 	}
 	return text + "."
 }
 
-// gapCauses says what each cause means for which a shard had no answer.
-var gapCauses = map[string]string{
+// gapTexts says what each cause means for which a shard had no answer.
+var gapTexts = map[string]string{
 	"slow":     "asked, and not answered in time",
 	"room":     "not asked, since leafs were full or left alone",
 	"budget":   "not asked again, since the budget for that was spent",
@@ -154,8 +154,8 @@
 	"declined": "left to the VM that called",
 }
 
-// gaps says why shards were missing, at the VM that took the request and at those it called.
-func (r *Reader) gaps() string {
+// gapSummary says why shards were missing, at the VM that took the request and at those it called.
+func (r *Reader) gapSummary() string {
 	var parts []string
 	for i := range r.report.Lines {
 		line := &r.report.Lines[i]
@@ -167,18 +167,18 @@
 		if line.Message == messageGather {
 			where = "at a VM that was called"
 		}
-		parts = append(parts, where+": "+gapWords(text))
+		parts = append(parts, where+": "+describeGaps(text))
 	}
 	return strings.Join(parts, "; ")
 }
 
-// gapWords turns "slow 2: a b; budget 1: c" into words.
-func gapWords(text string) string {
+// describeGaps turns "slow 2: a b; budget 1: c" into words.
+func describeGaps(text string) string {
 	var parts []string
 	for part := range strings.SplitSeq(text, "; ") {
 		head, names, _ := strings.Cut(part, ": ")
 		cause, count, _ := strings.Cut(head, " ")
-		words, known := gapCauses[cause]
+		words, known := gapTexts[cause]
 		if !known {
 			words = cause
 		}
@@ -187,8 +187,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// failures sums up the attempts and calls that failed.
-func (r *Reader) failures() string {
+// failureSummary sums up the attempts and calls that failed.
+func (r *Reader) failureSummary() string {
 	counts := make(map[string]int)
 	for _, line := range r.report.Lines {
 		switch line.Message {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -27,7 +27,7 @@
 	g.Expect(report.Cause).To(gomega.Equal("A leaf may have run it, but gave no answer that proves it after 90 ms; 1 attempts at leafs ended broken."))
 }
 
-func TestRequestThatNobodyKnows(t *testing.T) {
+func TestUnknownRequestIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(NewReader("cc").Report().Cause).To(gomega.Equal("No line speaks of it."))
 }
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -14,12 +14,12 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// read takes the body, up to MaxBody.
-func (req *request) read(w http.ResponseWriter) error {
-	body, err := io.ReadAll(http.MaxBytesReader(w, req.http.Body, MaxBody))
+// readBody takes the body, up to MaxBody.
+func (req *request) readBody(w http.ResponseWriter) error {
+	body, err := io.ReadAll(http.MaxBytesReader(w, req.http.Body, MaxBodyBytes))
 	var tooBig *http.MaxBytesError
 	if errors.As(err, &tooBig) {
-		return result.Errorf(result.TooLarge, "body: allowed are %d bytes", MaxBody)
+		return result.Errorf(result.TooLarge, "body: allowed are %d bytes", MaxBodyBytes)
 	}
 	if err != nil {
 		return result.Errorf(result.BadRequest, "body: could not be read; send it whole")
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// answerOf returns the general part of an answer of the given code.
-func answerOf(code result.Code) *Answer {
+// newAnswer returns the general part of an answer of the given code.
+func newAnswer(code result.Code) *Answer {
 	info := code.Info()
 	return &Answer{
 		Code: int(code),
@@ -39,23 +39,23 @@
 	}
 }
 
-// failed turns an error into an answer.
-func failed(err error) *Answer {
-	a := answerOf(result.Of(err))
+// errorAnswer turns an error into an answer.
+func errorAnswer(err error) *Answer {
+	a := newAnswer(result.CodeOf(err))
 	var e *result.Error
 	if errors.As(err, &e) {
 		a.Detail = e.Detail
-		a.RetryAfterMS = millis(e.RetryAfter)
+		a.RetryAfterMS = ceilMillis(e.RetryAfter)
 	}
 	return a
 }
 
-// millis rounds up, so that a caller never comes back too early.
-func millis(d time.Duration) int64 {
+// ceilMillis rounds up, so that a caller never comes back too early.
+func ceilMillis(d time.Duration) int64 {
 	return int64(math.Ceil(float64(d) / float64(time.Millisecond)))
 }
 
-func coverageOf(c *policy.Coverage, explain bool) *Coverage {
+func newCoverage(c *policy.Coverage, explain bool) *Coverage {
 	out := &Coverage{
 		Ratio:          c.Ratio(),
 		Shards:         c.Shards,
@@ -70,16 +70,16 @@
 	return out
 }
 
-const secondMS = int64(time.Second / time.Millisecond)
+const msPerSecond = int64(time.Second / time.Millisecond)
 
-func (g *Gateway) write(w http.ResponseWriter, req *request, a *Answer) {
+func (g *Gateway) writeAnswer(w http.ResponseWriter, req *request, a *Answer) {
 	a.Request = req.id
-	if req.force != nil {
-		a.Revision = req.force.Revision
+	if req.inForce != nil {
+		a.Revision = req.inForce.Revision
 	}
 	took := time.Since(req.arrived)
 	a.TookMS = float64(took.Microseconds()) / 1000
-	g.count(a, took)
+	g.updateMetrics(a, took)
 	body, err := json.Marshal(a)
 	if err != nil {
 		// Only a target's malformed raw JSON can cause this; its client has
@@ -93,7 +93,7 @@
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set(HeaderRequest, req.id)
 	if a.RetryAfterMS > 0 {
-		h.Set(HeaderRetryAfter, strconv.FormatInt((a.RetryAfterMS+secondMS-1)/secondMS, 10))
+		h.Set(HeaderRetryAfter, strconv.FormatInt((a.RetryAfterMS+msPerSecond-1)/msPerSecond, 10))
 	}
 	if g.leaving.Load() {
 		h.Set("Connection", "close")
@@ -104,7 +104,7 @@
 	}
 }
 
-func (g *Gateway) count(a *Answer, took time.Duration) {
+func (g *Gateway) updateMetrics(a *Answer, took time.Duration) {
 	g.opt.Metrics.GetOrCreateCounter(fmt.Sprintf(`bramley_requests_total{code="%s"}`, a.Name)).Inc()
 	g.opt.Metrics.GetOrCreateHistogram("bramley_request_seconds").Update(took.Seconds())
 	g.opt.Metrics.GetOrCreateCounter("bramley_leaf_calls_total").Add(a.Attempts)
--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -16,7 +16,7 @@
 // table's, and its status and headers fit the code. What gets through to the engine
 // or to a target is within the bundle's bounds.
 func FuzzRequest(f *testing.F) {
-	const keyed, unkeyed = goodKey, ""
+	const keyed, unkeyed = validKey, ""
 	f.Add("search/find", `{"query":"x","limit":3,"time_limit_ms":50,"coverage":0.7,"explain":true}`, unkeyed)
 	f.Add("search/find", `{"query":"x","limit":3000000000,"coverage":1e300}`, unkeyed)
 	f.Add("browse/list", `{"query":"","cursor":"`+cursor{Search: "list", Snapshot: "v1", After: "k"}.encode()+`"}`, unkeyed)
@@ -41,12 +41,12 @@
 		g.Expect(info.Name).To(And(Equal(a.Name), Not(Equal("Unlisted"))))
 		g.Expect(res.Code).To(Equal(info.HTTP))
 		g.Expect(res.Header().Get(HeaderRequest)).NotTo(BeEmpty())
-		if asked := fake.asked; asked != nil {
-			g.Expect(asked.Items).To(And(BeNumerically(">=", 1), BeNumerically("<=", asked.Search.MaxItems)))
-			g.Expect(asked.Need).To(And(BeNumerically(">=", asked.Search.Coverage.Min), BeNumerically("<=", 1)))
-			g.Expect(asked.Limit.Milliseconds()).To(And(BeNumerically(">=", asked.Search.TimeLimit.MinMS), BeNumerically("<=", asked.Search.TimeLimit.MaxMS)))
+		if asked := fake.lastSearch; asked != nil {
+			g.Expect(asked.MaxItems).To(And(BeNumerically(">=", 1), BeNumerically("<=", asked.Search.MaxItems)))
+			g.Expect(asked.MinCoverage).To(And(BeNumerically(">=", asked.Search.Coverage.Min), BeNumerically("<=", 1)))
+			g.Expect(asked.TimeLimit.Milliseconds()).To(And(BeNumerically(">=", asked.Search.TimeLimit.MinMS), BeNumerically("<=", asked.Search.TimeLimit.MaxMS)))
 		}
-		if fake.ran > 0 {
+		if fake.submissions > 0 {
 			g.Expect(json.Valid([]byte(body))).To(BeTrue())
 		}
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,11 +21,11 @@
 
 // Bounds of what a caller may send.
 const (
-	MaxBody        = 64 << 10 // bytes
-	MaxHeader      = 16 << 10 // bytes
+	MaxBodyBytes   = 64 << 10 // bytes
+	MaxHeaderBytes = 16 << 10 // bytes
 	readTimeout    = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
-	writeAllowance = 10 * time.Second // beyond the longest time limit of a request
+	writeMargin    = 10 * time.Second // beyond the longest time limit of a request
 	maxTimeLimit   = time.Minute
 )
 
@@ -38,7 +38,7 @@
 type Engine interface {
 	Search(ctx context.Context, req *query.Request) *query.Answer
 	Admit(ctx context.Context, service string, deadline time.Time) (done func(), refused *query.Answer)
-	Submit(ctx context.Context, req *query.Submission) query.Submitted
+	Submit(ctx context.Context, req *query.Submission) query.SubmitResult
 }
 
 // Claims runs a non-idempotent request at most once. once.Runner implements it.
@@ -83,10 +83,10 @@
 		Handler:           g.Handler(),
 		ReadHeaderTimeout: readTimeout,
 		ReadTimeout:       readTimeout,
-		WriteTimeout:      maxTimeLimit + writeAllowance,
+		WriteTimeout:      maxTimeLimit + writeMargin,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    MaxHeader,
-		ErrorLog:          logging.Standard(g.opt.Log),
+		MaxHeaderBytes:    MaxHeaderBytes,
+		ErrorLog:          logging.StdLogger(g.opt.Log),
 	}
 }
 
@@ -104,7 +104,7 @@
 type request struct {
 	id      string
 	arrived time.Time
-	force   *rollout.InForce // for the request's whole life
+	inForce *rollout.InForce // for the request's whole life
 	http    *http.Request
 	body    []byte
 }
@@ -118,28 +118,28 @@
 		req := &request{
 			id:      uuid.NewString(),
 			arrived: time.Now(),
-			force:   g.opt.Config.Current(),
+			inForce: g.opt.Config.Current(),
 			http:    r,
 		}
 		answer := g.handle(w, req, h)
-		g.write(w, req, answer)
+		g.writeAnswer(w, req, answer)
 	}
 }
 
 func (g *Gateway) handle(w http.ResponseWriter, req *request, h handler) *Answer {
-	if req.force == nil {
-		return failed(result.Errorf(result.NoBundle, "").After(noBundlePause))
+	if req.inForce == nil {
+		return errorAnswer(result.Errorf(result.NoBundle, "").WithRetryAfter(noBundleRetryAfter))
 	}
-	if err := req.read(w); err != nil {
-		return failed(err)
+	if err := req.readBody(w); err != nil {
+		return errorAnswer(err)
 	}
 	return h(req)
 }
 
-// noBundlePause is stated by a VM that has no bundle in force yet.
-const noBundlePause = time.Second
+// noBundleRetryAfter is stated by a VM that has no bundle in force yet.
+const noBundleRetryAfter = time.Second
 
 func unknownPath(*request) *Answer {
-	return failed(result.Errorf(result.UnknownSearch,
+	return errorAnswer(result.Errorf(result.UnknownSearch,
 		"allowed are POST /v1/search/NAME, POST /v1/browse/NAME and POST /v1/submit/NAME"))
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -23,27 +23,27 @@
 
 // fake is a bundle in force, an engine and claims in one.
 type fake struct {
-	force  *rollout.InForce
-	answer query.Answer
-	asked  *query.Request
-	refuse *query.Answer
-	ran    int
+	inForce     *rollout.InForce
+	answer      query.Answer
+	lastSearch  *query.Request
+	refusal     *query.Answer
+	submissions int
 }
 
-func (f *fake) Current() *rollout.InForce { return f.force }
+func (f *fake) Current() *rollout.InForce { return f.inForce }
 
 func (f *fake) Search(_ context.Context, req *query.Request) *query.Answer {
-	f.asked = req
+	f.lastSearch = req
 	return &f.answer
 }
 
 func (f *fake) Admit(context.Context, string, time.Time) (func(), *query.Answer) {
-	return func() {}, f.refuse
+	return func() {}, f.refusal
 }
 
-func (f *fake) Submit(context.Context, *query.Submission) query.Submitted {
-	f.ran++
-	return query.Submitted{Code: result.Accepted, Result: json.RawMessage(`{"filed":1}`)}
+func (f *fake) Submit(context.Context, *query.Submission) query.SubmitResult {
+	f.submissions++
+	return query.SubmitResult{Code: result.Accepted, Result: json.RawMessage(`{"filed":1}`)}
 }
 
 func (f *fake) Run(ctx context.Context, _ once.Request, run func(context.Context) once.Outcome) once.Outcome {
@@ -59,7 +59,7 @@
 		}
 	}
 	return &fake{
-		force: &rollout.InForce{Revision: 7, Bundle: &bundle.Bundle{Searches: []bundle.Search{
+		inForce: &rollout.InForce{Revision: 7, Bundle: &bundle.Bundle{Searches: []bundle.Search{
 			search("find", bundle.KindSearch), search("list", bundle.KindBrowse), search("file", bundle.KindSubmit),
 		}}},
 		answer: query.Answer{
@@ -91,9 +91,9 @@
 	return a, res
 }
 
-const goodKey = "1700000000-abcdefgh"
+const validKey = "1700000000-abcdefgh"
 
-func TestBadRequestsGetTheirCode(t *testing.T) {
+func TestInvalidRequestCodes(t *testing.T) {
 	cases := []struct {
 		path, body string
 		header     []string
@@ -111,14 +111,14 @@
 		{"/v1/search/find", `{"query":"x","time_limit_ms":5}`, nil, result.BadTimeLimit},
 		{"/v1/search/find", `{"query":"x","coverage":0.2}`, nil, result.BadCoverage},
 		{"/v1/search/find", `{"query":"x","coverage":1.2}`, nil, result.BadCoverage},
-		{"/v1/search/find", `{"query":"` + strings.Repeat("x", MaxBody) + `"}`, nil, result.TooLarge},
+		{"/v1/search/find", `{"query":"` + strings.Repeat("x", MaxBodyBytes) + `"}`, nil, result.TooLarge},
 		{"/v1/search/none", `{"query":"x"}`, nil, result.UnknownSearch},
 		{"/v1/browse/find", `{"query":"x"}`, nil, result.UnknownSearch},
 		{"/elsewhere", `{}`, nil, result.UnknownSearch},
 		{"/v1/submit/file", `{}`, nil, result.KeyRequired},
 		{"/v1/submit/file", `{}`, []string{HeaderKey, "short"}, result.KeyRequired},
-		{"/v1/submit/file", `{`, []string{HeaderKey, goodKey}, result.BadRequest},
-		{"/v1/submit/file", `{}`, []string{HeaderKey, goodKey, HeaderTimeLimit, "soon"}, result.BadRequest},
+		{"/v1/submit/file", `{`, []string{HeaderKey, validKey}, result.BadRequest},
+		{"/v1/submit/file", `{}`, []string{HeaderKey, validKey, HeaderTimeLimit, "soon"}, result.BadRequest},
 	}
 	for _, c := range cases {
 		f := newFake()
@@ -127,36 +127,36 @@
 		g.Expect(a.Code).To(Equal(int(c.code)), "%s %.60s: %s", c.path, c.body, a.Detail)
 		g.Expect(res.StatusCode).To(Equal(c.code.Info().HTTP))
 		g.Expect(a.Ran).To(Equal("not run"))
-		g.Expect(f.asked).To(BeNil())
-		g.Expect(f.ran).To(BeZero())
+		g.Expect(f.lastSearch).To(BeNil())
+		g.Expect(f.submissions).To(BeZero())
 	}
 }
 
-func TestAnswerStatesWhatItRestsOn(t *testing.T) {
+func TestAnswerNamesRevisionSnapshotAndCoverage(t *testing.T) {
 	g := NewWithT(t)
 	f := newFake()
 	a, _ := f.post(t, "/v1/browse/list", `{"query":"x","limit":2}`)
 	g.Expect(a.Revision).To(Equal(uint64(7)))
 	g.Expect(a.Snapshot).To(Equal("v1"))
 	g.Expect(a.Coverage.Ratio).To(Equal(1.0))
-	g.Expect(f.asked.Limit).To(Equal(100 * time.Millisecond))
+	g.Expect(f.lastSearch.TimeLimit).To(Equal(100 * time.Millisecond))
 	next, _ := f.post(t, "/v1/browse/list", `{"query":"x","limit":2,"cursor":"`+a.Cursor+`"}`)
 	g.Expect(next.Code).To(Equal(100))
-	g.Expect(f.asked.Snapshot).To(Equal("v1"))
-	g.Expect(f.asked.After).To(Equal("b"))
+	g.Expect(f.lastSearch.Snapshot).To(Equal("v1"))
+	g.Expect(f.lastSearch.After).To(Equal("b"))
 }
 
 // A caller that is refused comes back at once and makes the overload worse: it
 // was not told when to come back.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	g := NewWithT(t)
 	f := newFake()
-	f.refuse = &query.Answer{Code: result.Overloaded, Ran: result.RanNo, RetryAfter: 1200 * time.Millisecond}
-	a, res := f.post(t, "/v1/submit/file", `{}`, HeaderKey, goodKey)
+	f.refusal = &query.Answer{Code: result.Overloaded, Ran: result.RanNo, RetryAfter: 1200 * time.Millisecond}
+	a, res := f.post(t, "/v1/submit/file", `{}`, HeaderKey, validKey)
 	g.Expect(a.RetryAfterMS).To(Equal(int64(1200)))
 	g.Expect(res.Header.Get(HeaderRetryAfter)).To(Equal("2"))
-	g.Expect(f.ran).To(BeZero())
-	f.force = nil
+	g.Expect(f.submissions).To(BeZero())
+	f.inForce = nil
 	a, res = f.post(t, "/v1/search/find", `{"query":"x"}`)
 	g.Expect(a.Code).To(Equal(int(result.NoBundle)))
 	g.Expect(res.Header.Get(HeaderRetryAfter)).NotTo(BeEmpty())
@@ -170,8 +170,8 @@
 	f.Add("eyJzZWFyY2giOiJ4In0")
 	f.Fuzz(func(t *testing.T, s string) {
 		c, err := decodeCursor(s, "list")
-		if err != nil && result.Of(err) != result.BadRequest {
-			t.Fatalf("code %v", result.Of(err))
+		if err != nil && result.CodeOf(err) != result.BadRequest {
+			t.Fatalf("code %v", result.CodeOf(err))
 		}
 		if err == nil && s != "" && (c.Search != "list" || c.Snapshot == "") {
 			t.Fatalf("accepted %+v", c)
--- a/gateway/search.go
+++ b/gateway/search.go
@@ -16,19 +16,19 @@
 func (g *Gateway) search(req *request) *Answer {
 	q, body, err := req.parseSearch()
 	if err != nil {
-		return failed(err)
+		return errorAnswer(err)
 	}
 	out := g.opt.Engine.Search(req.http.Context(), q)
-	a := answerOf(out.Code)
+	a := newAnswer(out.Code)
 	a.Detail = out.Detail
 	a.Ran = out.Ran.String()
 	a.Snapshot = out.Snapshot.Name
 	a.Items = out.Items
 	a.More = out.More
 	a.Attempts = out.Sent
-	a.RetryAfterMS = millis(out.RetryAfter)
+	a.RetryAfterMS = ceilMillis(out.RetryAfter)
 	if out.Coverage.Shards > 0 {
-		a.Coverage = coverageOf(&out.Coverage, body.Explain)
+		a.Coverage = newCoverage(&out.Coverage, body.Explain)
 	}
 	a.Cursor = nextCursor(q, out)
 	return a
@@ -42,10 +42,10 @@
 	return cursor{Search: q.Search.Name, Snapshot: out.Snapshot.Name, After: last.Key}.encode()
 }
 
-// find returns the search that the path names, if it is of the path's kind.
-func (req *request) find() (*bundle.Search, error) {
+// findSearch returns the search that the path names, if it is of the path's kind.
+func (req *request) findSearch() (*bundle.Search, error) {
 	name := pat.Param(req.http, "search")
-	s, ok := req.force.Bundle.Search(name)
+	s, ok := req.inForce.Bundle.Search(name)
 	if !ok || !strings.HasPrefix(req.http.URL.Path, "/v1/"+string(s.Kind)+"/") {
 		return nil, result.Errorf(result.UnknownSearch, "search %q", name)
 	}
@@ -53,12 +53,12 @@
 }
 
 func (req *request) parseSearch() (*query.Request, *SearchBody, error) {
-	s, err := req.find()
+	s, err := req.findSearch()
 	if err != nil {
 		return nil, nil, err
 	}
 	var body SearchBody
-	if err := decode(req.body, &body); err != nil {
+	if err := decodeStrict(req.body, &body); err != nil {
 		return nil, nil, err
 	}
 	q := &query.Request{
@@ -67,14 +67,14 @@
 		Arrived: req.arrived,
 		Query:   body.Query,
 	}
-	if err := setBounds(q, &body); err != nil {
+	if err := applyBounds(q, &body); err != nil {
 		return nil, nil, err
 	}
-	return q, &body, setCursor(q, body.Cursor)
+	return q, &body, applyCursor(q, body.Cursor)
 }
 
-// decode reads a body strictly.
-func decode(data []byte, into any) error {
+// decodeStrict reads a body strictly.
+func decodeStrict(data []byte, into any) error {
 	findings := strictjson.Decode(data, into)
 	if len(findings) == 0 {
 		return nil
@@ -82,26 +82,26 @@
 	return result.Errorf(result.BadRequest, "%s", findings[0])
 }
 
-// setBounds takes what the caller asked for within what the bundle allows.
-func setBounds(q *query.Request, body *SearchBody) error {
+// applyBounds takes what the caller asked for within what the bundle allows.
+func applyBounds(q *query.Request, body *SearchBody) error {
 	s := q.Search
 	limit, err := timeLimit(s, body.TimeLimitMS)
 	if err != nil {
 		return err
 	}
-	q.Limit = limit
-	q.Need = body.Coverage
-	if q.Need == 0 {
-		q.Need = s.Coverage.Default
+	q.TimeLimit = limit
+	q.MinCoverage = body.Coverage
+	if q.MinCoverage == 0 {
+		q.MinCoverage = s.Coverage.Default
 	}
-	if q.Need < s.Coverage.Min || q.Need > 1 {
-		return result.Errorf(result.BadCoverage, "coverage: found %g, allowed is %g to 1", q.Need, s.Coverage.Min)
+	if q.MinCoverage < s.Coverage.Min || q.MinCoverage > 1 {
+		return result.Errorf(result.BadCoverage, "coverage: found %g, allowed is %g to 1", q.MinCoverage, s.Coverage.Min)
 	}
-	q.Items = body.Limit
-	if q.Items == 0 {
-		q.Items = s.MaxItems
+	q.MaxItems = body.Limit
+	if q.MaxItems == 0 {
+		q.MaxItems = s.MaxItems
 	}
-	if q.Items < 1 || q.Items > s.MaxItems {
+	if q.MaxItems < 1 || q.MaxItems > s.MaxItems {
 		return result.Errorf(result.BadRequest, "limit: found %d, allowed is 1 to %d", body.Limit, s.MaxItems)
 	}
 	return nil
@@ -119,7 +119,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-func setCursor(q *query.Request, s string) error {
+func applyCursor(q *query.Request, s string) error {
 	if s == "" {
 		return nil
 	}
--- a/gateway/submit.go
+++ b/gateway/submit.go
@@ -18,13 +18,13 @@
 func (g *Gateway) submit(req *request) *Answer {
 	s, key, limit, err := req.parseSubmit()
 	if err != nil {
-		return failed(err)
+		return errorAnswer(err)
 	}
 	deadline := req.arrived.Add(limit)
 	done, refused := g.opt.Engine.Admit(req.http.Context(), s.Service, deadline)
 	if refused != nil {
-		a := answerOf(refused.Code)
-		a.RetryAfterMS = millis(refused.RetryAfter)
+		a := newAnswer(refused.Code)
+		a.RetryAfterMS = ceilMillis(refused.RetryAfter)
 		return a
 	}
 	defer done()
@@ -53,15 +53,15 @@
 		})
 		return once.Outcome{Code: got.Code, Result: got.Result, Detail: got.Detail, RetryAfter: got.RetryAfter}
 	})
-	a := answerOf(out.Code)
+	a := newAnswer(out.Code)
 	a.Detail = out.Detail
 	a.Result = out.Result
-	a.RetryAfterMS = millis(out.RetryAfter)
+	a.RetryAfterMS = ceilMillis(out.RetryAfter)
 	return a
 }
 
 func (req *request) parseSubmit() (*bundle.Search, once.Key, time.Duration, error) {
-	s, err := req.find()
+	s, err := req.findSearch()
 	if err != nil {
 		return nil, once.Key{}, 0, err
 	}
--- a/integration/stopped_operator_test.go
+++ b/integration/stopped_operator_test.go
@@ -22,24 +22,24 @@
 func TestOperatorStoppedAtEachWrite(t *testing.T) {
 	t.Parallel()                 // it waits for most of its time
 	const slowMS, writes = 50, 2 // the entry before the head, and the head
-	c := start(t, shape{Daemons: 2})
-	first, second := c.version("one"), c.version("two")
+	c := start(t, clusterConfig{Daemons: 2})
+	first, second := c.pushSignedBundle("one"), c.pushSignedBundle("two")
 	c.ok(c.Platform.SetFaults(platformsim.Faults{SlowMS: slowMS}))
 	stop := c.watchRevisions()
 	for write := 1; write <= writes; write++ {
 		stopped, other := c.ctl(fleet.Signer), c.ctl(fleet.Signer)
 		puts := func() int { return must[platformsim.Counters](c)(c.Platform.Counters()).Put }
 		before := puts()
-		var between operator.ChangeAnswer
-		stopped.started = func(p *os.Process) {
-			c.Eventually(puts, limit, "1ms").Should(gomega.Equal(before + write))
+		var between operator.ChangeOutput
+		stopped.onStart = func(p *os.Process) {
+			c.Eventually(puts, waitTimeout, "1ms").Should(gomega.Equal(before + write))
 			_ = p.Signal(syscall.SIGSTOP)
 			other.must(&between, "rollout", second, "--reason", "meanwhile")
 			_ = p.Signal(syscall.SIGCONT)
 		}
-		var answer operator.ChangeAnswer
+		var answer operator.ChangeOutput
 		f := stopped.run(&answer, "rollout", first, "--reason", fmt.Sprint("stopped at write ", write))
-		var audit operator.AuditAnswer
+		var audit operator.AuditOutput
 		other.must(&audit, "audit")
 		t.Logf("write %d: told %d, revision %d; the other %d", write, f.Code, answer.Revision, between.Revision)
 		if f.Code != 0 {
@@ -52,9 +52,9 @@
 		c.Expect(audit.Rows[answer.Revision-1].Op).To(gomega.Equal(answer.Op))
 	}
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
-	var audit operator.AuditAnswer
+	var audit operator.AuditOutput
 	c.ctl(fleet.Signer).must(&audit, "audit")
 	c.Expect(audit.Rows).To(gomega.HaveLen(int(audit.Head)), "a gap in the trail")
-	c.inForceEverywhere(audit.Head)
+	c.waitInForceEverywhere(audit.Head)
 	c.Expect(stop()).To(gomega.BeEmpty(), "VMs that went back")
 }
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -50,18 +50,18 @@
 	dec.UseNumber()
 	tree, err := readValue(dec, 0)
 	if err == nil {
-		err = readEnd(dec)
+		err = expectEOF(dec)
 	}
 	if err != nil {
 		where := fmt.Sprintf("%v near byte %d", err, dec.InputOffset())
 		return []Finding{{Path: "$", Found: where, Allowed: "one JSON document"}}
 	}
-	w := &walker{}
-	w.walk("$", tree, reflect.ValueOf(into).Elem())
-	return w.report()
+	w := &decoder{}
+	w.decode("$", tree, reflect.ValueOf(into).Elem())
+	return w.allFindings()
 }
 
-func readEnd(dec *json.Decoder) error {
+func expectEOF(dec *json.Decoder) error {
 	_, err := dec.Token()
 	if err == io.EOF {
 		return nil
@@ -122,33 +122,33 @@
 	return list, err
 }
 
-type walker struct {
+type decoder struct {
 	findings []Finding
-	more     int // findings beyond MaxFindings
+	omitted  int // findings beyond MaxFindings
 }
 
-func (w *walker) add(path, found, allowed string) {
+func (w *decoder) add(path, found, allowed string) {
 	if len(w.findings) >= MaxFindings {
-		w.more++
+		w.omitted++
 		return
 	}
 	w.findings = append(w.findings, Finding{Path: path, Found: found, Allowed: allowed})
 }
 
-// report returns the findings, and one that counts those left out.
-func (w *walker) report() []Finding {
-	if w.more > 0 {
-		return append(w.findings, Finding{Path: "$", Found: fmt.Sprintf("%d findings more", w.more), Allowed: "none"})
+// allFindings returns the findings, and one that counts those left out.
+func (w *decoder) allFindings() []Finding {
+	if w.omitted > 0 {
+		return append(w.findings, Finding{Path: "$", Found: fmt.Sprintf("%d findings more", w.omitted), Allowed: "none"})
 	}
 	return w.findings
 }
 
-func (w *walker) walk(path string, node any, v reflect.Value) {
+func (w *decoder) decode(path string, node any, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
-		w.walkStruct(path, node, v)
+		w.decodeStruct(path, node, v)
 	case reflect.Slice:
-		w.walkSlice(path, node, v)
+		w.decodeSlice(path, node, v)
 	case reflect.String:
 		s, ok := node.(string)
 		if !ok {
@@ -164,11 +164,11 @@
 		}
 		v.SetBool(b)
 	default:
-		w.walkNumber(path, node, v)
+		w.decodeNumber(path, node, v)
 	}
 }
 
-func (w *walker) walkNumber(path string, node any, v reflect.Value) {
+func (w *decoder) decodeNumber(path string, node any, v reflect.Value) {
 	num, ok := node.(json.Number)
 	if !ok {
 		w.add(path, describe(node), "a number")
@@ -202,7 +202,7 @@
 	}
 }
 
-func (w *walker) walkSlice(path string, node any, v reflect.Value) {
+func (w *decoder) decodeSlice(path string, node any, v reflect.Value) {
 	list, ok := node.([]any)
 	if !ok {
 		w.add(path, describe(node), "an array")
@@ -210,11 +210,11 @@
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(list), len(list)))
 	for i, item := range list {
-		w.walk(fmt.Sprintf("%s[%d]", path, i), item, v.Index(i))
+		w.decode(fmt.Sprintf("%s[%d]", path, i), item, v.Index(i))
 	}
 }
 
-func (w *walker) walkStruct(path string, node any, v reflect.Value) {
+func (w *decoder) decodeStruct(path string, node any, v reflect.Value) {
 	obj, ok := node.(object)
 	if !ok {
 		w.add(path, describe(node), "an object")
@@ -232,7 +232,7 @@
 			w.add(at, "the field twice", "the field once")
 		default:
 			seen[m.name] = true
-			w.walk(at, m.value, v.Field(field.index))
+			w.decode(at, m.value, v.Field(field.index))
 		}
 	}
 	for _, name := range names {
--- a/leafhttp/conn.go
+++ b/leafhttp/conn.go
@@ -13,8 +13,8 @@
 // conn is a connection to a leaf. It belongs to one request at a time.
 type conn struct {
 	net.Conn
-	in    *bufio.Reader
-	until time.Time // not reused after that
+	reader        *bufio.Reader
+	reusableUntil time.Time // not reused after that
 }
 
 // Times of connections.
@@ -25,8 +25,8 @@
 	// unackedTimeout is how long sent bytes may stay unacknowledged
 	// (TCP_USER_TIMEOUT). A connection that went silent takes writes for ever.
 	unackedTimeout = 1500 * time.Millisecond
-	// readBuffer holds the head and body of most answers, in bytes.
-	readBuffer = 2 << 10
+	// readBufferSize holds the head and body of most answers, in bytes.
+	readBufferSize = 2 << 10
 )
 
 func dial(ctx context.Context, address string) (*conn, error) {
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, in: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
 func setOptions(_, _ string, raw syscall.RawConn) error {
@@ -50,12 +50,12 @@
 	return err
 }
 
-// clean reports whether nothing has come in since the last answer. Bytes that wait
+// reusable reports whether nothing has come in since the last answer. Bytes that wait
 // belong to no request: a leaf may send a second answer, which the next request would
 // take for its own. The end of the connection shows here too, before a request is
 // lost on it.
-func (c *conn) clean() bool {
-	if c.in.Buffered() > 0 {
+func (c *conn) reusable() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
--- a/leafhttp/pool.go
+++ b/leafhttp/pool.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Peer is the leaf at an address. Connections are kept for each Peer, so that those
+// Endpoint is the leaf at an address. Connections are kept for each Endpoint, so that those
 // to a former leaf of an address are never used for the next one.
-type Peer struct {
+type Endpoint struct {
 	Key     string // of this lifetime of the leaf
 	Address string // IP and port
 	// Transient connections are closed soon after their request. A leaf accepts a number of
@@ -19,14 +19,14 @@
 	Transient bool
 }
 
-// transientKeep is how long a transient connection stays idle. Requests to a leaf that a VM seldom
+// transientIdleTimeout is how long a transient connection stays idle. Requests to a leaf that a VM seldom
 // asks come in bursts, as after a start of all VMs, and a new connection takes a slot.
-const transientKeep = 500 * time.Millisecond
+const transientIdleTimeout = 500 * time.Millisecond
 
-// keeps returns how long a connection may stay idle that the leaf keeps for a time.
-func (p Peer) keeps(d time.Duration) time.Duration {
+// limitIdle returns how long a connection may stay idle that the leaf limitIdle for a time.
+func (p Endpoint) limitIdle(d time.Duration) time.Duration {
 	if p.Transient {
-		return min(d, transientKeep)
+		return min(d, transientIdleTimeout)
 	}
 	return d
 }
@@ -38,7 +38,7 @@
 	mu   sync.Mutex // guards idle
 	idle map[string][]*conn
 
-	dials, reuses, dirty atomic.Uint64
+	dials, reuses, discarded atomic.Uint64
 }
 
 // NewPool returns a pool without connections.
@@ -47,7 +47,7 @@
 // Stats counts connections opened, reused, and thrown away with bytes on them that
 // nobody had asked for, or closed by the leaf.
 func (p *Pool) Stats() (dials, reuses, dirty uint64) {
-	return p.dials.Load(), p.reuses.Load(), p.dirty.Load()
+	return p.dials.Load(), p.reuses.Load(), p.discarded.Load()
 }
 
 // Idle returns the number of idle connections.
@@ -61,11 +61,11 @@
 	return n
 }
 
-// errTooLong is an answer beyond maxAnswer.
-var errTooLong = errors.New("leafhttp: answer too long")
+// errAnswerTooLong is an answer beyond maxAnswer.
+var errAnswerTooLong = errors.New("leafhttp: answer too long")
 
-// errForeign is an answer to another request.
-var errForeign = errors.New("leafhttp: answer to another request")
+// errMismatchedAnswer is an answer to another request.
+var errMismatchedAnswer = errors.New("leafhttp: answer to another request")
 
 // UnreachableError says that nothing of a request was sent.
 type UnreachableError struct{ Err error }
@@ -81,7 +81,7 @@
 // whether the leaf ran the request. Do sends it once only. If ctx ends, the connection
 // is closed. An answer that accept refuses belongs to another request: it is an error,
 // and the connection is closed.
-func (p *Pool) Do(ctx context.Context, leaf Peer, req *Request, extra http.Header, accept func(*Answer) bool) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, leaf Endpoint, req *Request, extra http.Header, accept func(*Answer) bool) (*Answer, error) {
 	c, err := p.get(ctx, leaf)
 	if err != nil {
 		return nil, &UnreachableError{Err: err}
@@ -90,28 +90,28 @@
 		// Reads and writes in progress end at once.
 		_ = c.SetDeadline(time.Unix(1, 0))
 	})
-	ans, keep, err := exchange(c, req, extra)
+	ans, keep, err := roundTrip(c, req, extra)
 	if err == nil && !accept(ans) {
-		ans, err = nil, errForeign
+		ans, err = nil, errMismatchedAnswer
 	}
 	if !stop() || err != nil || keep <= 0 {
 		_ = c.Close()
 		return ans, err
 	}
-	p.put(leaf, c, leaf.keeps(keep))
+	p.put(leaf, c, leaf.limitIdle(keep))
 	return ans, nil
 }
 
-// longBody is the size from which a body is written beside reading: a leaf may answer
+// concurrentWriteSize is the size from which a body is written beside reading: a leaf may answer
 // before it has read all of it, and small windows would keep the writer waiting.
-const longBody = 8 << 10
+const concurrentWriteSize = 8 << 10
 
-// exchange sends a request and reads its answer. keep is how long the connection may
+// roundTrip sends a request and reads its answer. keep is how long the connection may
 // be kept.
-func exchange(c *conn, req *Request, extra http.Header) (ans *Answer, keep time.Duration, err error) {
+func roundTrip(c *conn, req *Request, extra http.Header) (ans *Answer, keep time.Duration, err error) {
 	head := req.head(extra)
 	written := make(chan error, 1)
-	if len(req.Body) < longBody {
+	if len(req.Body) < concurrentWriteSize {
 		if _, err := c.Write(append(head, req.Body...)); err != nil {
 			return nil, 0, err
 		}
@@ -136,20 +136,20 @@
 		// next request on this connection would be taken for it.
 		return ans, 0, nil
 	}
-	return ans, keepFor(resp), nil
+	return ans, idleTimeoutAfter(resp), nil
 }
 
-func (p *Pool) get(ctx context.Context, leaf Peer) (*conn, error) {
+func (p *Pool) get(ctx context.Context, leaf Endpoint) (*conn, error) {
 	for {
 		c := p.pop(leaf)
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.until) && c.clean() {
+		if time.Now().Before(c.reusableUntil) && c.reusable() {
 			p.reuses.Add(1)
 			return c, nil
 		}
-		p.dirty.Add(1)
+		p.discarded.Add(1)
 		_ = c.Close()
 	}
 	p.dials.Add(1)
@@ -158,7 +158,7 @@
 
 // pop takes the connection that was used last: it is the least likely to have been
 // closed or forgotten meanwhile.
-func (p *Pool) pop(leaf Peer) *conn {
+func (p *Pool) pop(leaf Endpoint) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[leaf.Key]
@@ -170,21 +170,21 @@
 	return c
 }
 
-func (p *Pool) put(leaf Peer, c *conn, keep time.Duration) {
-	c.until = time.Now().Add(keep)
+func (p *Pool) put(leaf Endpoint, c *conn, keep time.Duration) {
+	c.reusableUntil = time.Now().Add(keep)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[leaf.Key] = append(p.idle[leaf.Key], c)
 }
 
 // Warm opens a connection to a leaf that has no idle one.
-func (p *Pool) Warm(ctx context.Context, leaf Peer) error {
+func (p *Pool) Warm(ctx context.Context, leaf Endpoint) error {
 	if c := p.pop(leaf); c != nil {
-		if time.Now().Before(c.until) && c.clean() {
-			p.put(leaf, c, time.Until(c.until))
+		if time.Now().Before(c.reusableUntil) && c.reusable() {
+			p.put(leaf, c, time.Until(c.reusableUntil))
 			return nil
 		}
-		p.dirty.Add(1)
+		p.discarded.Add(1)
 		_ = c.Close()
 	}
 	p.dials.Add(1)
@@ -192,12 +192,12 @@
 	if err != nil {
 		return err
 	}
-	p.put(leaf, c, leaf.keeps(defaultKeep))
+	p.put(leaf, c, leaf.limitIdle(defaultIdleTimeout))
 	return nil
 }
 
-// Forget closes the idle connections to a leaf that is gone.
-func (p *Pool) Forget(key string) {
+// CloseIdle closes the idle connections to a leaf that is gone.
+func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
 	list := p.idle[key]
 	delete(p.idle, key)
@@ -207,14 +207,14 @@
 	}
 }
 
-// Sweep closes connections whose time is over.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes connections whose time is over.
+func (p *Pool) CloseExpired(now time.Time) {
 	var old []*conn
 	p.mu.Lock()
 	for key, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.reusableUntil) {
 				kept = append(kept, c)
 			} else {
 				old = append(old, c)
--- a/leafhttp/pool_test.go
+++ b/leafhttp/pool_test.go
@@ -15,13 +15,13 @@
 
 // call sends one request with an id to a leaf.
 func call(pool *leafhttp.Pool, l *edgesim.Leaf, id string) (*leafhttp.Answer, error) {
-	return callFor(pool, l, id, time.Second)
+	return callWithTimeout(pool, l, id, time.Second)
 }
 
-func callFor(pool *leafhttp.Pool, l *edgesim.Leaf, id string, wait time.Duration) (*leafhttp.Answer, error) {
+func callWithTimeout(pool *leafhttp.Pool, l *edgesim.Leaf, id string, wait time.Duration) (*leafhttp.Answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	peer := leafhttp.Peer{Key: l.ID, Address: l.Address()}
+	peer := leafhttp.Endpoint{Key: l.ID, Address: l.Address()}
 	req := &leafhttp.Request{Method: "POST", Target: "/x", Host: "h", Header: http.Header{}, Body: []byte("report"), HasBody: true}
 	extra := http.Header{"Bramleybarrow-Attempt-Id": {id}}
 	return pool.Do(ctx, peer, req, extra, func(ans *leafhttp.Answer) bool {
@@ -43,7 +43,7 @@
 	pool := leafhttp.NewPool()
 	_, err := call(pool, l, "warm")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	l.SetFaults(edgesim.LeafFaults{Lose: true})
+	l.SetFaults(edgesim.LeafFaults{LoseAnswers: true})
 	for _, id := range []string{"reused", "fresh"} {
 		_, err = call(pool, l, id)
 		g.Expect(err).To(gomega.HaveOccurred())
@@ -55,14 +55,14 @@
 
 // A caller gets half a register that looks whole: the leaf's answer was cut, or ended
 // with its connection.
-func TestCutAnswerIsAnError(t *testing.T) {
+func TestTruncatedAnswerIsError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
 	pool := leafhttp.NewPool()
-	l.SetFaults(edgesim.LeafFaults{Cut: true})
+	l.SetFaults(edgesim.LeafFaults{TruncateBody: true})
 	_, err := call(pool, l, "cut")
 	g.Expect(err).To(gomega.HaveOccurred())
-	l.SetFaults(edgesim.LeafFaults{NoLength: true})
+	l.SetFaults(edgesim.LeafFaults{NoContentLength: true})
 	ans, err := call(pool, l, "open-ended")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(ans.Body).To(gomega.Equal(l.Answer("open-ended")))
@@ -70,11 +70,11 @@
 
 // A caller gets the answer to another caller's request: the leaf sent two answers, and
 // the second waited on the connection for the next request.
-func TestSecondAnswerIsNeverTakenForTheNext(t *testing.T) {
+func TestExtraAnswerIsNotReadByNextRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
 	pool := leafhttp.NewPool()
-	l.SetFaults(edgesim.LeafFaults{Extra: true})
+	l.SetFaults(edgesim.LeafFaults{ExtraAnswer: true})
 	_, err := call(pool, l, "first")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	l.SetFaults(edgesim.LeafFaults{})
@@ -87,7 +87,7 @@
 
 // Every request opens a connection, each of which takes a slot of the leaf; or one waits
 // on a connection that the leaf has closed meanwhile.
-func TestConnectionsAreReusedWhileTheyAreGood(t *testing.T) {
+func TestOpenConnectionsAreReused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
 	pool := leafhttp.NewPool()
@@ -95,7 +95,7 @@
 		_, err := call(pool, l, "again")
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 	}
-	_, conns := l.Total()
+	_, conns := l.Totals()
 	g.Expect(conns).To(gomega.Equal(1))
 	l.DropConnections()
 	g.Eventually(func() error {
@@ -118,31 +118,31 @@
 
 // A leaf says nothing. The request ends when its caller gives up, and the connection is
 // not used again.
-func TestSilentLeafEndsWithTheRequestsTime(t *testing.T) {
+func TestRequestToSilentLeafEndsWithContext(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
 	pool := leafhttp.NewPool()
 	l.SetFaults(edgesim.LeafFaults{Silent: true})
-	_, err := callFor(pool, l, "silent", 50*time.Millisecond)
+	_, err := callWithTimeout(pool, l, "silent", 50*time.Millisecond)
 	g.Expect(err).To(gomega.HaveOccurred())
 	g.Expect(pool.Idle()).To(gomega.Equal(0))
 }
 
 // Guards against hundreds of VMs that each hold a connection to a leaf which accepts fewer.
-func TestTransientConnectionIsClosedSoonAfterItsRequest(t *testing.T) {
+func TestTransientConnectionExpiresSoon(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
 	pool := leafhttp.NewPool()
-	peer := leafhttp.Peer{Key: l.ID, Address: l.Address(), Transient: true}
+	peer := leafhttp.Endpoint{Key: l.ID, Address: l.Address(), Transient: true}
 	g.Expect(pool.Warm(context.Background(), peer)).To(gomega.Succeed())
 	req := &leafhttp.Request{Method: "GET", Target: "/x", Host: "h", Header: http.Header{}}
 	_, err := pool.Do(context.Background(), peer, req, nil, func(*leafhttp.Answer) bool { return true })
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(pool.Idle()).To(gomega.Equal(1), "for the next request of a burst")
-	pool.Sweep(time.Now().Add(time.Second))
+	pool.CloseExpired(time.Now().Add(time.Second))
 	g.Expect(pool.Idle()).To(gomega.BeZero())
 	_, err = call(pool, l, "kept")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	pool.Sweep(time.Now().Add(time.Second))
+	pool.CloseExpired(time.Now().Add(time.Second))
 	g.Expect(pool.Idle()).To(gomega.Equal(1))
 }
--- a/leafhttp/request.go
+++ b/leafhttp/request.go
@@ -19,8 +19,8 @@
 	// HasBody tells a request with an empty body from one without a body.
 	HasBody bool
 
-	prepare sync.Once
-	start   []byte // of the head, the same for each attempt
+	commonOnce sync.Once
+	commonHead []byte // of the head, the same for each attempt
 }
 
 // Answer is a leaf's whole answer.
@@ -34,73 +34,73 @@
 // attempt to the next. A gathered request is sent to 100 leafs, so all that is the same
 // for them is written once (BenchmarkHead: 0.92 us to 0.40 us for each).
 func (r *Request) head(extra http.Header) []byte {
-	r.prepare.Do(r.writeStart)
-	b := bytes.NewBuffer(make([]byte, 0, len(r.start)+extraBytes))
-	b.Write(r.start)
+	r.commonOnce.Do(r.writeCommonHead)
+	b := bytes.NewBuffer(make([]byte, 0, len(r.commonHead)+extraHeadSize))
+	b.Write(r.commonHead)
 	// Writes to a buffer don't fail. Line breaks in a value are made harmless.
 	_ = extra.Write(b)
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
 
-func (r *Request) writeStart() {
+func (r *Request) writeCommonHead() {
 	var b bytes.Buffer
-	b.Grow(headBytes)
+	b.Grow(commonHeadSize)
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	_ = r.Header.Write(&b)
 	if r.HasBody {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
-	r.start = b.Bytes()
+	r.commonHead = b.Bytes()
 }
 
-// headBytes is about the size of a request's head.
-const headBytes = 512
+// commonHeadSize is about the size of a request's head.
+const commonHeadSize = 512
 
-// extraBytes is about the size of the headers that differ.
-const extraBytes = 128
+// extraHeadSize is about the size of the headers that differ.
+const extraHeadSize = 128
 
-// maxAnswer bounds the body of a leaf's answer, in bytes, so that a faulty leaf
+// maxAnswerBytes bounds the body of a leaf's answer, in bytes, so that a faulty leaf
 // can't use up this VM's memory.
-const maxAnswer = 4 << 20
+const maxAnswerBytes = 4 << 20
 
 // readAnswer reads the answer to a request. A body that ends too early is an error,
 // also where only the end of the connection delimits it and that end is a reset.
 func readAnswer(c *conn, method string) (*Answer, *http.Response, error) {
 	for {
-		resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, nil, err
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue // informational; the answer follows
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 		if err != nil {
 			return nil, nil, err
 		}
-		if len(body) > maxAnswer {
-			return nil, nil, errTooLong
+		if len(body) > maxAnswerBytes {
+			return nil, nil, errAnswerTooLong
 		}
 		return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, resp, nil
 	}
 }
 
-// keepFor returns how long a connection may stay idle after an answer, 0 if not at
+// idleTimeoutAfter returns how long a connection may stay idle after an answer, 0 if not at
 // all. It leaves a margin before the leaf's own timeout: a request that crosses the
 // leaf's close is lost.
-func keepFor(resp *http.Response) time.Duration {
+func idleTimeoutAfter(resp *http.Response) time.Duration {
 	if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return 0
 	}
 	seconds, stated := keepAliveTimeout(resp.Header)
 	if !stated {
-		return defaultKeep
+		return defaultIdleTimeout
 	}
-	return max(time.Duration(seconds)*time.Second-keepMargin, 0)
+	return max(time.Duration(seconds)*time.Second-idleTimeoutMargin, 0)
 }
 
 const (
-	defaultKeep = 20 * time.Second       // where the leaf states no timeout
-	keepMargin  = 500 * time.Millisecond // before the timeout that the leaf states
+	defaultIdleTimeout = 20 * time.Second       // where the leaf states no timeout
+	idleTimeoutMargin  = 500 * time.Millisecond // before the timeout that the leaf states
 )
--- a/leafhttp/request_test.go
+++ b/leafhttp/request_test.go
@@ -10,7 +10,7 @@
 	"github.com/onsi/gomega"
 )
 
-func someRequest() *Request {
+func testRequest() *Request {
 	return &Request{
 		Method: "POST", Target: "/a/b%2f?q=1", Host: "h.example",
 		Header: http.Header{"Accept": {"*/*"}, "X-Two": {"1", "2"}, "User-Agent": {"caller"}},
@@ -20,9 +20,9 @@
 
 // Two leafs get one request, each with a header of its own and all else the same: what
 // one attempt was sent must not show in the next.
-func TestAttemptsOfARequestDifferInTheirOwnHeadersOnly(t *testing.T) {
+func TestAttemptsDifferOnlyInExtraHeaders(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := someRequest()
+	r := testRequest()
 	for _, leaf := range []string{"leaf-1", "leaf-2"} {
 		head := r.head(http.Header{"X-Leaf": {leaf}})
 		got, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(append(head, r.Body...))))
@@ -40,7 +40,7 @@
 // BenchmarkHead writes the head of one attempt: 0.92 us where each attempt wrote all of
 // it, 0.40 us with the common part kept.
 func BenchmarkHead(b *testing.B) {
-	r := someRequest()
+	r := testRequest()
 	extra := http.Header{"X-Left-Ms": {"300"}, "X-Leaf": {"leaf-1"}}
 	for b.Loop() {
 		r.head(extra)
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -42,15 +42,15 @@
 // says how many lines were dropped.
 func New(out io.Writer, opt Options) (*slog.Logger, func()) {
 	dropped := new(atomic.Uint64)
-	w := newWriter(out, dropped)
+	w := newAsyncWriter(out, dropped)
 	form := &slog.HandlerOptions{Level: opt.Level}
 	var handler slog.Handler = slog.NewTextHandler(w, form)
 	if opt.JSON {
 		handler = slog.NewJSONHandler(w, form)
 	}
-	bounded := slog.New(&boundedHandler{
+	bounded := slog.New(&rateLimitedHandler{
 		Handler: handler,
-		limit:   rate.NewLimiter(linesPerSecond, burstLines),
+		limiter: rate.NewLimiter(linesPerSecond, burstLines),
 		dropped: dropped,
 	})
 	return bounded, func() {
@@ -62,27 +62,27 @@
 	}
 }
 
-// Part returns a log whose lines say which part of the daemon wrote them.
-func Part(l *slog.Logger, name string) *slog.Logger { return l.With("part", name) }
+// Component returns a log whose lines say which part of the daemon wrote them.
+func Component(l *slog.Logger, name string) *slog.Logger { return l.With("part", name) }
 
 // Discard returns a log that writes nothing.
 func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// Standard returns a log for libraries that want the standard one; its lines have the
+// StdLogger returns a log for libraries that want the standard one; its lines have the
 // level debug.
-func Standard(l *slog.Logger) *log.Logger { return slog.NewLogLogger(l.Handler(), slog.LevelDebug) }
+func StdLogger(l *slog.Logger) *log.Logger { return slog.NewLogLogger(l.Handler(), slog.LevelDebug) }
 
-// boundedHandler drops lines beyond a rate before they are put into words: under overload
+// rateLimitedHandler drops lines beyond a rate before they are put into words: under overload
 // a line that is dropped must cost next to nothing.
-type boundedHandler struct {
+type rateLimitedHandler struct {
 	slog.Handler
-	limit   *rate.Limiter
+	limiter *rate.Limiter
 	dropped *atomic.Uint64
 }
 
 // Handle implements slog.Handler.
-func (h *boundedHandler) Handle(ctx context.Context, r slog.Record) error {
-	if !h.limit.Allow() {
+func (h *rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
+	if !h.limiter.Allow() {
 		h.dropped.Add(1)
 		return nil
 	}
@@ -90,11 +90,11 @@
 }
 
 // WithAttrs implements slog.Handler; the rate is shared.
-func (h *boundedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &boundedHandler{Handler: h.Handler.WithAttrs(attrs), limit: h.limit, dropped: h.dropped}
+func (h *rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &rateLimitedHandler{Handler: h.Handler.WithAttrs(attrs), limiter: h.limiter, dropped: h.dropped}
 }
 
 // WithGroup implements slog.Handler; the rate is shared.
-func (h *boundedHandler) WithGroup(name string) slog.Handler {
-	return &boundedHandler{Handler: h.Handler.WithGroup(name), limit: h.limit, dropped: h.dropped}
+func (h *rateLimitedHandler) WithGroup(name string) slog.Handler {
+	return &rateLimitedHandler{Handler: h.Handler.WithGroup(name), limiter: h.limiter, dropped: h.dropped}
 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -9,35 +9,35 @@
 	"github.com/onsi/gomega"
 )
 
-// costly counts how often it is put into words.
-type costly struct{ asked *int }
+// countingValuer counts how often it is put into words.
+type countingValuer struct{ calls *int }
 
-func (c costly) LogValue() slog.Value {
-	*c.asked++
+func (c countingValuer) LogValue() slog.Value {
+	*c.calls++
 	return slog.StringValue("costly")
 }
 
 // Leafs fail by the hundred, and each failure writes a line. The lines beyond the rate are
 // dropped, but a VM with a fifth of a core spent its time on putting them into words, and
 // its answers came late.
-func TestDroppedLinesAreNotPutIntoWords(t *testing.T) {
+func TestDroppedLinesAreNotFormatted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	asked := 0
 	log, flush := New(&bytes.Buffer{}, Options{JSON: true})
 	const lines = 100 * burstLines
 	for range lines {
-		log.Info("a line", "value", costly{&asked})
+		log.Info("a line", "value", countingValuer{&asked})
 	}
 	flush()
 	g.Expect(asked).To(gomega.BeNumerically("<", lines/2))
 }
 
 // The parts of a daemon share one rate: a part of its own must not have a rate of its own.
-func TestPartsShareTheRate(t *testing.T) {
+func TestComponentsShareRateLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
 	log, flush := New(&out, Options{JSON: true})
-	parts := []*slog.Logger{Part(log, "a"), Part(log, "b"), log.WithGroup("g")}
+	parts := []*slog.Logger{Component(log, "a"), Component(log, "b"), log.WithGroup("g")}
 	for range burstLines {
 		for _, part := range parts {
 			part.Info("a line")
@@ -48,15 +48,15 @@
 	g.Expect(out.String()).To(gomega.ContainSubstring("log lines dropped"))
 }
 
-func TestLinesAreJSONWithTheLevelAskedFor(t *testing.T) {
+func TestJSONLinesRespectLevel(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
 	level, err := ParseLevel("warn")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	log, flush := New(&out, Options{Level: level, JSON: true})
 	log.Info("left out")
-	Part(log, "vms").Warn("written", "count", 3)
-	Standard(log).Println("a library's remark")
+	Component(log, "vms").Warn("written", "count", 3)
+	StdLogger(log).Println("a library's remark")
 	flush()
 	var line map[string]any
 	g.Expect(json.Unmarshal(out.Bytes(), &line)).To(gomega.Succeed())
@@ -65,7 +65,7 @@
 	g.Expect(line).To(gomega.HaveKeyWithValue("count", 3.0))
 }
 
-func TestUnknownLevelsAreRefused(t *testing.T) {
+func TestParseLevelRejectsUnknownNames(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, name := range []string{"", "trace", "INFO", "warn+2"} {
 		_, err := ParseLevel(name)
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	queueLines = 512      // lines that wait for the reader of the log
-	writeBytes = 32 << 10 // about how many bytes are written at once, at most
-	flushTime  = 200 * time.Millisecond
+	queueLines    = 512      // lines that wait for the reader of the log
+	maxWriteBytes = 32 << 10 // about how many bytes are written at once, at most
+	flushTimeout  = 200 * time.Millisecond
 )
 
-// writer passes lines to the real output without ever waiting for it: a reader that stops
+// asyncWriter passes lines to the real output without ever waiting for it: a reader that stops
 // reading would otherwise stop every request. Lines beyond the queue are counted and left
 // out.
-type writer struct {
+type asyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped *atomic.Uint64
 	pending atomic.Int64 // lines taken and not written yet
 }
 
-func newWriter(out io.Writer, dropped *atomic.Uint64) *writer {
-	w := &writer{out: out, lines: make(chan []byte, queueLines), dropped: dropped}
+func newAsyncWriter(out io.Writer, dropped *atomic.Uint64) *asyncWriter {
+	w := &asyncWriter{out: out, lines: make(chan []byte, queueLines), dropped: dropped}
 	go w.run()
 	return w
 }
 
 // Write implements io.Writer. It takes one whole line.
-func (w *writer) Write(line []byte) (int, error) {
+func (w *asyncWriter) Write(line []byte) (int, error) {
 	w.pending.Add(1)
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -42,10 +42,10 @@
 
 // run writes lines for as long as the process lives. Those that wait are written at once:
 // one system call for a request's lines in place of one for each.
-func (w *writer) run() {
+func (w *asyncWriter) run() {
 	for line := range w.lines {
 		count := int64(1)
-		for len(line) < writeBytes && len(w.lines) > 0 {
+		for len(line) < maxWriteBytes && len(w.lines) > 0 {
 			line = append(line, <-w.lines...)
 			count++
 		}
@@ -57,8 +57,8 @@
 
 // flush waits until what was taken is written, as far as the reader takes it within
 // flushTime.
-func (w *writer) flush() {
-	deadline := time.Now().Add(flushTime)
+func (w *asyncWriter) flush() {
+	deadline := time.Now().Add(flushTimeout)
 	for w.pending.Load() > 0 && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
--- a/logging/writer_test.go
+++ b/logging/writer_test.go
@@ -10,25 +10,25 @@
 	"github.com/onsi/gomega"
 )
 
-// stuckReader takes nothing until it is freed.
-type stuckReader struct {
-	free  chan struct{}
-	mu    sync.Mutex
-	taken bytes.Buffer
+// blockedWriter takes nothing until it is freed.
+type blockedWriter struct {
+	release chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (r *stuckReader) Write(p []byte) (int, error) {
-	<-r.free
+func (r *blockedWriter) Write(p []byte) (int, error) {
+	<-r.release
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.taken.Write(p)
+	return r.written.Write(p)
 }
 
 // Whoever reads the log stops reading. Every request that writes a line stops with it,
 // and all callers wait. Lines are dropped instead, and how many is said.
 func TestLogNeverBlocks(t *testing.T) {
 	g := gomega.NewWithT(t)
-	out := &stuckReader{free: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	log, flush := New(out, Options{JSON: true})
 	done := make(chan struct{})
 	go func() {
@@ -38,34 +38,34 @@
 		close(done)
 	}()
 	g.Eventually(done, "5s").Should(gomega.BeClosed())
-	close(out.free)
+	close(out.release)
 	time.Sleep(10 * time.Millisecond)
 	flush()
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	g.Expect(strings.Count(out.taken.String(), "a line")).To(gomega.BeNumerically("<", burstLines+queueLines+2*linesPerSecond))
+	g.Expect(strings.Count(out.written.String(), "a line")).To(gomega.BeNumerically("<", burstLines+queueLines+2*linesPerSecond))
 }
 
-// slowReader takes a while for each write, and counts them.
-type slowReader struct {
-	mu     sync.Mutex
-	taken  bytes.Buffer
-	writes int
+// slowWriter takes a while for each write, and counts them.
+type slowWriter struct {
+	mu      sync.Mutex
+	written bytes.Buffer
+	writes  int
 }
 
-func (r *slowReader) Write(p []byte) (int, error) {
+func (r *slowWriter) Write(p []byte) (int, error) {
 	time.Sleep(5 * time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writes++
-	return r.taken.Write(p)
+	return r.written.Write(p)
 }
 
 // A process that stops loses the last lines of its log, which say why it stops, although
 // they were taken: the queue is empty while they are still being written.
-func TestFlushWaitsForLinesThatAreBeingWritten(t *testing.T) {
+func TestFlushWaitsForWritesInProgress(t *testing.T) {
 	g := gomega.NewWithT(t)
-	out := &slowReader{}
+	out := &slowWriter{}
 	log, flush := New(out, Options{JSON: true})
 	for range 50 {
 		log.Info("a line")
@@ -73,6 +73,6 @@
 	flush()
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	g.Expect(strings.Count(out.taken.String(), "a line")).To(gomega.Equal(50))
+	g.Expect(strings.Count(out.written.String(), "a line")).To(gomega.Equal(50))
 	g.Expect(out.writes).To(gomega.BeNumerically("<", 50), "lines that wait are written together")
 }
--- a/node/claims.go
+++ b/node/claims.go
@@ -15,23 +15,23 @@
 // VMs that commit for this one.
 func (n *Node) buildClaims() {
 	n.links = relay.NewLinks(relay.Options{
-		Self:  n.set.Name,
+		Self:  n.settings.Name,
 		Fleet: n.peers,
-		Log:   logging.Part(n.log, "claims"),
+		Log:   logging.Component(n.log, "claims"),
 	})
 	n.claims = once.NewRunner(once.Options{
 		Store:       n.store,
-		VM:          n.set.Name,
+		VM:          n.settings.Name,
 		Incarnation: n.incarnation,
-		Log:         logging.Part(n.log, "once"),
+		Log:         logging.Component(n.log, "once"),
 		Metrics:     n.metrics,
-		Deployment:  n.set.Deployment,
+		Deployment:  n.settings.Deployment,
 		Peers:       n.links,
 	})
 }
 
-// serveCall serves the calls that other VMs make over connections of their own.
-func (n *Node) serveCall(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
+// handlePeerCall serves the calls that other VMs make over connections of their own.
+func (n *Node) handlePeerCall(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
 	if strings.HasPrefix(method, relay.Prefix) {
 		return relay.Handle(ctx, n.claims, method, params)
 	}
--- a/node/follow.go
+++ b/node/follow.go
@@ -8,14 +8,14 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// follow puts each revision that comes into force to work, and opens and closes
+// followRevisions puts each revision that comes into force to work, and opens and closes
 // connections when this VM becomes an owner of targets or ceases to be one.
-func (n *Node) follow() error {
+func (n *Node) followRevisions() error {
 	var applied *rollout.InForce
 	for {
-		changed := n.keeper.Changed()
-		if force := n.keeper.Current(); force != applied {
-			n.apply(force)
+		changed := n.follower.Changed()
+		if force := n.follower.Current(); force != applied {
+			n.applyRevision(force)
 			applied = force
 		}
 		shares := n.router.Changed()
@@ -34,7 +34,7 @@
 	}
 }
 
-func (n *Node) apply(force *rollout.InForce) {
+func (n *Node) applyRevision(force *rollout.InForce) {
 	n.router.Apply(force.Bundle)
 	endpoints := n.endpoints(force.Bundle)
 	n.engine.Apply(force.Bundle)
@@ -61,19 +61,19 @@
 
 func (n *Node) applyDrains() {
 	for _, d := range n.peers.Drains() {
-		n.engine.Drain(d.Target, d.Incarnation)
+		n.engine.MarkDraining(d.Target, d.Incarnation)
 	}
 }
 
-// watchingInterval is how often this VM asks itself whether it is one of those
+// watchingCheckInterval is how often this VM asks itself whether it is one of those
 // that watch the platform.
-const watchingInterval = time.Second
+const watchingCheckInterval = time.Second
 
-func (n *Node) followWatching() error {
-	ticker := time.NewTicker(watchingInterval)
+func (n *Node) updateWatching() error {
+	ticker := time.NewTicker(watchingCheckInterval)
 	defer ticker.Stop()
 	for {
-		n.keeper.SetWatching(n.peers.Watching())
+		n.follower.SetWatching(n.peers.Watching())
 		select {
 		case <-ticker.C:
 		case <-n.tomb.Dying():
--- a/node/node.go
+++ b/node/node.go
@@ -30,26 +30,26 @@
 
 // Node is one daemon.
 type Node struct {
-	set         *settings.Settings
+	settings    *settings.Settings
 	log         *slog.Logger
 	incarnation string
 	started     time.Time
 	metrics     *metrics.Set
 	tomb        tomb.Tomb
 	leaving     atomic.Bool
-	warmed      atomic.Bool // targets were known once
+	warmedUp    atomic.Bool // targets were known once
 
-	store   objstore.Store
-	keeper  *rollout.Follower
-	client  *target.Client
-	monitor *target.Monitor
-	engine  *query.Engine
-	claims  *once.Runner
-	links   *relay.Links
-	peers   *peer.Exchange
-	router  *route.Router
-	health  *health.Relay
-	gateway *gateway.Gateway
+	store    objstore.Store
+	follower *rollout.Follower
+	client   *target.Client
+	monitor  *target.Monitor
+	engine   *query.Engine
+	claims   *once.Runner
+	links    *relay.Links
+	peers    *peer.Exchange
+	router   *route.Router
+	health   *health.Relay
+	gateway  *gateway.Gateway
 
 	callers *listener
 	ops     *listener
@@ -72,7 +72,7 @@
 // New prepares a daemon with checked settings. Nothing runs before Run.
 func New(set *settings.Settings, log *slog.Logger) (*Node, error) {
 	n := &Node{
-		set:         set,
+		settings:    set,
 		log:         log,
 		incarnation: uuid.NewString(),
 		started:     time.Now(),
@@ -83,7 +83,7 @@
 		return nil, errors.Trace(err)
 	}
 	n.store = objstore.NewClient(set.Platform.Address, objstore.ClientOptions{})
-	n.keeper = rollout.NewFollower(rollout.Options{
+	n.follower = rollout.NewFollower(rollout.Options{
 		Deployment: set.Deployment,
 		Keys:       keys,
 		// Its reads may take longer than a claim: a slow platform must not count
@@ -91,7 +91,7 @@
 		Store: objstore.NewClient(set.Platform.Address, objstore.ClientOptions{
 			CallTimeout: rollout.DefaultReadTimeout,
 		}),
-		Log:     logging.Part(log, "rollout"),
+		Log:     logging.Component(log, "rollout"),
 		Metrics: n.metrics,
 		Watch:   true,
 	})
@@ -101,11 +101,11 @@
 	}
 	n.buildClaims()
 	n.gateway = gateway.New(gateway.Options{
-		Config:     n.keeper,
+		Config:     n.follower,
 		Engine:     n.engine,
 		Claims:     n.claims,
 		Deployment: set.Deployment,
-		Log:        logging.Part(log, "gateway"),
+		Log:        logging.Component(log, "gateway"),
 		Metrics:    n.metrics,
 	})
 	return n, nil
@@ -115,20 +115,20 @@
 	var err error
 	n.peers, err = peer.New(peer.Options{
 		VM: objstore.VM{
-			Name:    n.set.Name,
-			Address: n.set.Listen.PeersAddress(),
-			Ops:     n.set.Listen.Ops,
-			Zone:    n.set.Zone,
+			Name:    n.settings.Name,
+			Address: n.settings.Listen.PeersAddress(),
+			Ops:     n.settings.Listen.Ops,
+			Zone:    n.settings.Zone,
 		},
 		Incarnation: n.incarnation,
-		Deployment:  n.set.Deployment,
-		FleetKeys:   n.set.FleetKeyBytes(),
-		Listen:      n.set.Listen.Peers,
-		Seeds:       n.set.Seeds,
+		Deployment:  n.settings.Deployment,
+		FleetKeys:   n.settings.FleetKeyBytes(),
+		Listen:      n.settings.Listen.Peers,
+		Seeds:       n.settings.Seeds,
 		Store:       n.store,
-		Heads:       n.keeper,
-		CallHandler: n.serveCall,
-		Log:         logging.Part(n.log, "peer"),
+		Heads:       n.follower,
+		CallHandler: n.handlePeerCall,
+		Log:         logging.Component(n.log, "peer"),
 	})
 	return errors.Trace(err)
 }
@@ -138,9 +138,9 @@
 // the client, the client tells the engine, and so does the monitor by way of the
 // relay of targets' health.
 func (n *Node) buildTargets() {
-	relay := &sinkRelay{}
+	relay := &deferredSink{}
 	n.client = target.NewClient(target.Options{
-		Log:     logging.Part(n.log, "target"),
+		Log:     logging.Component(n.log, "target"),
 		Sink:    relay,
 		Metrics: n.metrics,
 	})
@@ -148,25 +148,25 @@
 		Local: n.client,
 		Place: place.Options{
 			Store:       n.store,
-			Deployment:  n.set.Deployment,
-			VM:          n.set.Name,
+			Deployment:  n.settings.Deployment,
+			VM:          n.settings.Name,
 			Incarnation: n.incarnation,
 		},
-		Zone: n.set.Zone,
-		Log:  logging.Part(n.log, "route"),
+		Zone: n.settings.Zone,
+		Log:  logging.Component(n.log, "route"),
 	})
-	engine := &engineRelay{}
+	engine := &deferredHealthSink{}
 	n.health = health.New(health.Options{
 		Router:  n.router,
 		Sink:    engine,
-		Log:     logging.Part(n.log, "health"),
+		Log:     logging.Component(n.log, "health"),
 		Metrics: n.metrics,
 	})
 	n.engine = query.NewEngine(query.Options{
 		Leaves:  n.health.CheckCalls(n.router),
-		Zone:    n.set.Zone,
+		Zone:    n.settings.Zone,
 		Seed:    uint64(n.started.UnixNano()),
-		Log:     logging.Part(n.log, "query"),
+		Log:     logging.Component(n.log, "query"),
 		Metrics: n.metrics,
 		OnDrain: func(target, incarnation string) {
 			n.peers.LearnDrain(peer.Drain{Target: target, Incarnation: incarnation})
@@ -175,15 +175,15 @@
 	relay.Sink = n.engine
 	engine.Sink = n.engine
 	n.monitor = target.NewMonitor(target.MonitorOptions{
-		Log:    logging.Part(n.log, "monitor"),
+		Log:    logging.Component(n.log, "monitor"),
 		Reader: n.health,
 		Sink:   n.health,
 	})
 }
 
-// sinkRelay lets the client be made before the engine that it reports to. No
+// deferredSink lets the client be made before the engine that it reports to. No
 // call is made before both exist.
-type sinkRelay struct{ target.Sink }
+type deferredSink struct{ target.Sink }
 
-// engineRelay is the same for the relay of targets' health.
-type engineRelay struct{ health.Sink }
+// deferredHealthSink is the same for the relay of targets' health.
+type deferredHealthSink struct{ health.Sink }
--- a/node/run.go
+++ b/node/run.go
@@ -15,7 +15,7 @@
 // asked to go elsewhere for the lame-duck time while requests are still served,
 // and only then the listeners close and what is in flight is waited for.
 func (n *Node) Run(ctx context.Context) error {
-	if err := n.open(); err != nil {
+	if err := n.openListeners(); err != nil {
 		return errors.Trace(err)
 	}
 	if err := n.peers.Start(); err != nil {
@@ -23,11 +23,11 @@
 	}
 	n.router.Start(n.peers)
 	n.health.Start(n.peers, n.monitor)
-	n.keeper.Start()
+	n.follower.Start()
 	n.monitor.Start()
-	n.tomb.Go(n.follow)
+	n.tomb.Go(n.followRevisions)
 	n.tomb.Go(n.followDrains)
-	n.tomb.Go(n.followWatching)
+	n.tomb.Go(n.updateWatching)
 	n.tomb.Go(n.serve(n.ops))
 	n.tomb.Go(n.serve(n.callers))
 	n.log.Info("serving", "callers", n.callers.socket.Addr(), "ops", n.ops.socket.Addr(), "incarnation", n.incarnation)
@@ -36,15 +36,15 @@
 	case <-n.tomb.Dying():
 	}
 	n.leave()
-	return errors.Trace(n.close())
+	return errors.Trace(n.shutdown())
 }
 
-func (n *Node) open() error {
+func (n *Node) openListeners() error {
 	var err error
-	if n.callers, err = listen(n.set.Listen.Callers, n.gateway.Server()); err != nil {
+	if n.callers, err = listen(n.settings.Listen.Callers, n.gateway.Server()); err != nil {
 		return errors.Trace(err)
 	}
-	n.ops, err = listen(n.set.Listen.Ops, ops.Server(ops.Options{
+	n.ops, err = listen(n.settings.Listen.Ops, ops.NewHTTPServer(ops.Options{
 		Status:  n.Status,
 		Metrics: []func(io.Writer){n.metrics.WritePrometheus, n.peers.WriteMetrics, n.router.WriteMetrics},
 	}))
@@ -68,16 +68,16 @@
 	n.leaving.Store(true)
 	n.gateway.Leave()
 	n.peers.AnnounceLeaving()
-	n.log.Info("leaving", "lame_duck_ms", n.set.LameDuckMS)
-	time.Sleep(time.Duration(n.set.LameDuckMS) * time.Millisecond)
+	n.log.Info("leaving", "lame_duck_ms", n.settings.LameDuckMS)
+	time.Sleep(time.Duration(n.settings.LameDuckMS) * time.Millisecond)
 }
 
-// closeTimeout bounds the wait for what is in flight. No request may take
+// shutdownTimeout bounds the wait for what is in flight. No request may take
 // longer than a minute.
-const closeTimeout = 70 * time.Second
+const shutdownTimeout = 70 * time.Second
 
-func (n *Node) close() error {
-	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
+func (n *Node) shutdown() error {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	err := n.callers.server.Shutdown(ctx)
 	n.tomb.Kill(nil)
@@ -85,7 +85,7 @@
 	n.links.Stop()
 	err = firstError(err, n.monitor.Stop())
 	err = firstError(err, n.health.Stop())
-	err = firstError(err, n.keeper.Stop(ctx))
+	err = firstError(err, n.follower.Stop(ctx))
 	err = firstError(err, n.router.Drain(ctx))
 	err = firstError(err, n.peers.Stop(ctx))
 	n.engine.Close()
--- a/node/status.go
+++ b/node/status.go
@@ -6,50 +6,50 @@
 	"github.com/bramleybarrow/bramleybarrow/ops"
 )
 
-// platformSilence is how long the platform may go unread before this VM says
+// maxPlatformSilence is how long the platform may go unread before this VM says
 // that it cannot reach it.
-const platformSilence = 5 * time.Second
+const maxPlatformSilence = 5 * time.Second
 
 // Status returns what the operators' page shows.
 func (n *Node) Status() ops.Status {
 	st := ops.Status{
-		VM:              n.set.Name,
-		Zone:            n.set.Zone,
-		Deployment:      n.set.Deployment,
+		VM:              n.settings.Name,
+		Zone:            n.settings.Zone,
+		Deployment:      n.settings.Deployment,
 		Incarnation:     n.incarnation,
 		Started:         n.started,
 		Leaving:         n.leaving.Load(),
-		PlatformContact: n.keeper.PlatformContact(),
+		PlatformContact: n.follower.PlatformContact(),
 		Peers:           n.peers.Peers(),
 	}
-	st.PlatformReachable = time.Since(st.PlatformContact) < platformSilence
-	if err := n.keeper.LastRefusal(); err != nil {
+	st.PlatformReachable = time.Since(st.PlatformContact) < maxPlatformSilence
+	if err := n.follower.LastRefusal(); err != nil {
 		st.Refused = err.Error()
 	}
-	if force := n.keeper.Current(); force != nil {
+	if force := n.follower.Current(); force != nil {
 		st.Revision = force.Revision
 		st.Digest = force.Digest
 		st.Since = force.Since
-		st.Ready = !st.Leaving && n.warm(force.Since)
+		st.Ready = !st.Leaving && n.isWarmedUp(force.Since)
 	}
 	return st
 }
 
-// warmupLimit is how long readiness waits for targets. Where a service has lost
+// warmupTimeout is how long readiness waits for targets. Where a service has lost
 // them all, the others must be served all the same.
-const warmupLimit = 3 * time.Second
+const warmupTimeout = 3 * time.Second
 
-// warm reports whether this VM has got to know its targets since it started. A
+// isWarmedUp reports whether this VM has got to know its targets since it started. A
 // VM that took callers' requests as soon as a bundle is in force would tell them
-// that no replica lives. Once warm it stays so: a rollout that brings a new
+// that no replica lives. Once isWarmedUp it stays so: a rollout that brings a new
 // service must not make all VMs unready together.
-func (n *Node) warm(inForceSince time.Time) bool {
-	if n.warmed.Load() {
+func (n *Node) isWarmedUp(inForceSince time.Time) bool {
+	if n.warmedUp.Load() {
 		return true
 	}
-	if !n.engine.Readable() && time.Since(inForceSince) < warmupLimit {
+	if !n.engine.Readable() && time.Since(inForceSince) < warmupTimeout {
 		return false
 	}
-	n.warmed.Store(true)
+	n.warmedUp.Store(true)
 	return true
 }
--- a/once/key_test.go
+++ b/once/key_test.go
@@ -31,7 +31,7 @@
 		g := NewWithT(t)
 		key, err := ParseKey(tc.text)
 		if tc.want == "" {
-			g.Expect(result.Of(err)).To(Equal(result.KeyRequired), "%q", tc.text)
+			g.Expect(result.CodeOf(err)).To(Equal(result.KeyRequired), "%q", tc.text)
 			continue
 		}
 		g.Expect(err).NotTo(HaveOccurred())
--- a/once/options.go
+++ b/once/options.go
@@ -79,17 +79,17 @@
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewSet()
 	}
-	defaults.Set(&o.KeyTTL, defaultKeyTTL)
-	defaults.Set(&o.MaxClockSkew, defaultMaxClockSkew)
-	defaults.Set(&o.ClaimWait, defaultClaimWait)
-	defaults.Set(&o.OutcomeWait, defaultOutcomeWait)
-	defaults.Set(&o.CallTimeout, defaultCallTimeout)
-	defaults.Set(&o.RunTimeout, defaultRunTimeout)
-	defaults.Set(&o.FleetWriteRate, defaultFleetWriteRate)
-	defaults.Set(&o.MaxPending, defaultMaxPending)
-	defaults.Set(&o.MaxPeerPending, defaultMaxPeerPending)
-	defaults.Set(&o.MaxResultBytes, defaultMaxResultBytes)
-	defaults.Set(&o.CleanInterval, defaultCleanInterval)
+	defaults.SetIfZero(&o.KeyTTL, defaultKeyTTL)
+	defaults.SetIfZero(&o.MaxClockSkew, defaultMaxClockSkew)
+	defaults.SetIfZero(&o.ClaimWait, defaultClaimWait)
+	defaults.SetIfZero(&o.OutcomeWait, defaultOutcomeWait)
+	defaults.SetIfZero(&o.CallTimeout, defaultCallTimeout)
+	defaults.SetIfZero(&o.RunTimeout, defaultRunTimeout)
+	defaults.SetIfZero(&o.FleetWriteRate, defaultFleetWriteRate)
+	defaults.SetIfZero(&o.MaxPending, defaultMaxPending)
+	defaults.SetIfZero(&o.MaxPeerPending, defaultMaxPeerPending)
+	defaults.SetIfZero(&o.MaxResultBytes, defaultMaxResultBytes)
+	defaults.SetIfZero(&o.CleanInterval, defaultCleanInterval)
 	return o
 }
 
--- a/once/relay/link.go
+++ b/once/relay/link.go
@@ -193,7 +193,7 @@
 // isRefusal reports whether the error is the other VM's answer that it accepted
 // nothing.
 func isRefusal(err error) bool {
-	switch result.Of(err) {
+	switch result.CodeOf(err) {
 	case result.PeerBusy, result.UnknownMethod, result.BadMessage:
 		return true
 	}
--- a/once/relay/links.go
+++ b/once/relay/links.go
@@ -84,10 +84,10 @@
 
 // NewLinks returns Links without any connection. Call Stop to end it.
 func NewLinks(o Options) *Links {
-	defaults.Positive(&o.Hold, defaultHold)
-	defaults.Positive(&o.ResponseTimeout, defaultResponseTimeout)
-	defaults.Positive(&o.AvoidFor, defaultAvoidFor)
-	defaults.Positive(&o.IdleTimeout, defaultIdleTimeout)
+	defaults.SetIfNotPositive(&o.Hold, defaultHold)
+	defaults.SetIfNotPositive(&o.ResponseTimeout, defaultResponseTimeout)
+	defaults.SetIfNotPositive(&o.AvoidFor, defaultAvoidFor)
+	defaults.SetIfNotPositive(&o.IdleTimeout, defaultIdleTimeout)
 	if o.Log == nil {
 		o.Log = logging.Discard()
 	}
--- a/operator/app.go
+++ b/operator/app.go
@@ -31,10 +31,10 @@
 	if err == nil {
 		return 0
 	}
-	if !app.printed {
+	if !app.errorPrinted {
 		app.printError(err)
 	}
-	return int(result.Of(err).Class())
+	return int(result.CodeOf(err).Class())
 }
 
 // app is one run of the command line.
@@ -42,8 +42,8 @@
 	out    io.Writer
 	err    io.Writer
 	format string // formatText or formatJSON
-	// printed means that the output tells of the failure already.
-	printed bool
+	// errorPrinted means that the output tells of the failure already.
+	errorPrinted bool
 }
 
 func newApp(stdout, stderr io.Writer) *app {
@@ -59,7 +59,7 @@
 		Writer:                a.out,
 		ErrWriter:             a.err,
 		Flags:                 commonFlags(),
-		Before:                a.before,
+		Before:                a.setFormat,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
 		Commands: []*cli.Command{
 			a.keygenCommand(),
@@ -75,19 +75,19 @@
 			a.explainRequestCommand(),
 		},
 	}
-	forEach(root, func(c *cli.Command) {
+	forEachCommand(root, func(c *cli.Command) {
 		c.OnUsageError = usageError
 		if c.Action == nil {
-			c.Action = needsCommand
+			c.Action = missingCommand
 		}
 	})
 	return root
 }
 
-func forEach(c *cli.Command, do func(*cli.Command)) {
+func forEachCommand(c *cli.Command, do func(*cli.Command)) {
 	do(c)
 	for _, sub := range c.Commands {
-		forEach(sub, do)
+		forEachCommand(sub, do)
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 }
 
-func (a *app) before(ctx context.Context, c *cli.Command) (context.Context, error) {
+func (a *app) setFormat(ctx context.Context, c *cli.Command) (context.Context, error) {
 	format := c.String(flagOutput)
 	if format != formatText && format != formatJSON {
 		return ctx, result.Errorf(result.BadRequest, "--output: found %q, allowed is text or json", format)
@@ -116,15 +116,15 @@
 	return result.Wrap(result.BadRequest, err, fmt.Sprintf("see %s --help", c.FullName()))
 }
 
-func needsCommand(_ context.Context, c *cli.Command) error {
+func missingCommand(_ context.Context, c *cli.Command) error {
 	if c.Args().Present() {
 		return result.Errorf(result.BadRequest, "found the command %q; see %s --help for those there are", c.Args().First(), c.FullName())
 	}
 	return cli.ShowSubcommandHelp(c)
 }
 
-// oneArg returns the only argument of a command.
-func oneArg(c *cli.Command, what string) (string, error) {
+// singleArg returns the only argument of a command.
+func singleArg(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
 		return "", result.Errorf(result.BadRequest, "found %d arguments, allowed is one: %s", c.Args().Len(), what)
 	}
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -13,8 +13,8 @@
 	"github.com/bramleybarrow/bramleybarrow/rollout"
 )
 
-// AuditAnswer is what audit prints.
-type AuditAnswer struct {
+// AuditOutput is what audit prints.
+type AuditOutput struct {
 	Unbroken bool       `json:"unbroken"` // false is reported as error 610 instead
 	Head     uint64     `json:"head"`
 	Rows     []AuditRow `json:"rows"`
@@ -93,8 +93,8 @@
 		rows = append(rows, refusedRows(refused)...)
 		sort.SliceStable(rows, func(i, j int) bool { return rows[i].At.Before(rows[j].At) })
 	}
-	rows = filterRows(rows, filterOf(c))
-	answer := AuditAnswer{Unbroken: true, Head: chain.Head, Rows: rows}
+	rows = filterRows(rows, newAuditFilter(c))
+	answer := AuditOutput{Unbroken: true, Head: chain.Head, Rows: rows}
 	return a.print(answer, auditTable(answer))
 }
 
@@ -127,14 +127,14 @@
 	last                   int
 }
 
-func filterOf(c *cli.Command) auditFilter {
+func newAuditFilter(c *cli.Command) auditFilter {
 	return auditFilter{
 		person: c.String("person"), action: c.String("action"), digest: c.String("digest"),
 		since: c.Timestamp("since"), until: c.Timestamp("until"), last: c.Int("last"),
 	}
 }
 
-func (f auditFilter) takes(r AuditRow) bool {
+func (f auditFilter) matches(r AuditRow) bool {
 	return (f.person == "" || r.Person == f.person) &&
 		(f.action == "" || string(r.Action) == f.action) &&
 		(strings.HasPrefix(r.Digest, f.digest) || r.InForce != "" && strings.HasPrefix(r.InForce, f.digest)) &&
@@ -145,7 +145,7 @@
 func filterRows(rows []AuditRow, f auditFilter) []AuditRow {
 	kept := []AuditRow{}
 	for _, r := range rows {
-		if f.takes(r) {
+		if f.matches(r) {
 			kept = append(kept, r)
 		}
 	}
@@ -155,14 +155,14 @@
 	return kept
 }
 
-func auditTable(answer AuditAnswer) table {
+func auditTable(answer AuditOutput) table {
 	t := table{head: []string{"REVISION", "AT", "PERSON", "ACTION", "DIGEST", "IN FORCE", "REASON"}}
 	for _, r := range answer.Rows {
 		if !r.Accepted {
-			t.add("refused", clock(r.At), r.Person, string(r.Action), shortDigest(r.Digest), "", r.Reason+" ("+r.Code.String()+")")
+			t.add("refused", formatTime(r.At), r.Person, string(r.Action), shortDigest(r.Digest), "", r.Reason+" ("+r.Code.String()+")")
 			continue
 		}
-		t.add(strconv.FormatUint(r.Revision, 10), clock(r.At), r.Person, string(r.Action),
+		t.add(strconv.FormatUint(r.Revision, 10), formatTime(r.At), r.Person, string(r.Action),
 			shortDigest(r.Digest), shortDigest(r.InForce), r.Reason)
 	}
 	t.add("unbroken up to revision " + strconv.FormatUint(answer.Head, 10))
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -29,17 +29,17 @@
 	}
 }
 
-// CheckAnswer is what bundle check prints.
-type CheckAnswer struct {
+// CheckOutput is what bundle check prints.
+type CheckOutput struct {
 	Digest   string           `json:"digest"`
 	Bytes    int              `json:"bytes"`
 	Findings []bundle.Finding `json:"findings"`
 	Warnings []bundle.Finding `json:"warnings"`
 }
 
-// fileArg reads the file that is the command's one argument.
-func fileArg(c *cli.Command) ([]byte, error) {
-	path, err := oneArg(c, "a file")
+// readFileArg reads the file that is the command's one argument.
+func readFileArg(c *cli.Command) ([]byte, error) {
+	path, err := singleArg(c, "a file")
 	if err != nil {
 		return nil, err
 	}
@@ -51,12 +51,12 @@
 }
 
 func (a *app) bundleCheck(_ context.Context, c *cli.Command) error {
-	data, err := fileArg(c)
+	data, err := readFileArg(c)
 	if err != nil {
 		return err
 	}
 	b, findings := bundle.Parse(data)
-	answer := CheckAnswer{
+	answer := CheckOutput{
 		Digest: bundle.Digest(data), Bytes: len(data),
 		Findings: append([]bundle.Finding{}, findings...), Warnings: []bundle.Finding{},
 	}
@@ -78,7 +78,7 @@
 		return err
 	}
 	if len(findings) > 0 {
-		a.printed = true
+		a.errorPrinted = true
 		return result.Errorf(result.BadBundle, "%d findings", len(findings))
 	}
 	if len(data) > bundle.MaxBytes {
@@ -88,7 +88,7 @@
 }
 
 func (a *app) bundlePush(ctx context.Context, c *cli.Command) error {
-	data, err := fileArg(c)
+	data, err := readFileArg(c)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 }
 
 func (a *app) bundleShow(ctx context.Context, c *cli.Command) error {
-	arg, err := oneArg(c, "a digest or head")
+	arg, err := singleArg(c, "a digest or head")
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	digest, err := s.digest(ctx, arg)
+	digest, err := s.resolveDigest(ctx, arg)
 	if err != nil {
 		return err
 	}
@@ -144,11 +144,11 @@
 	if c.Args().Len() != 2 {
 		return result.Errorf(result.BadRequest, "found %d arguments, allowed are two: FROM TO", c.Args().Len())
 	}
-	from, err := a.anyBundle(ctx, c, c.Args().Get(0))
+	from, err := a.readBundle(ctx, c, c.Args().Get(0))
 	if err != nil {
 		return err
 	}
-	to, err := a.anyBundle(ctx, c, c.Args().Get(1))
+	to, err := a.readBundle(ctx, c, c.Args().Get(1))
 	if err != nil {
 		return err
 	}
@@ -166,8 +166,8 @@
 	return a.print(changes, t)
 }
 
-// anyBundle reads a file, or else a bundle on the platform.
-func (a *app) anyBundle(ctx context.Context, c *cli.Command, arg string) ([]byte, error) {
+// readBundle reads a file, or else a bundle on the platform.
+func (a *app) readBundle(ctx context.Context, c *cli.Command, arg string) ([]byte, error) {
 	data, err := os.ReadFile(arg)
 	if err == nil {
 		if !json.Valid(data) {
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, err
 	}
-	digest, err := s.digest(ctx, arg)
+	digest, err := s.resolveDigest(ctx, arg)
 	if err != nil {
 		return nil, err
 	}
@@ -189,11 +189,11 @@
 // argHead stands for the bundle in force.
 const argHead = "head"
 
-// minPrefix is the least number of digits that stands for a digest.
-const minPrefix = 6
+// minDigestPrefix is the least number of digits that stands for a digest.
+const minDigestPrefix = 6
 
-// digest turns head, or the beginning of a digest, into the whole digest.
-func (s *session) digest(ctx context.Context, arg string) (string, error) {
+// resolveDigest turns head, or the beginning of a resolveDigest, into the whole resolveDigest.
+func (s *session) resolveDigest(ctx context.Context, arg string) (string, error) {
 	const whole = 64
 	if len(arg) == whole {
 		return arg, nil
@@ -208,8 +208,8 @@
 		}
 		return entry.Digest, nil
 	}
-	if len(arg) < minPrefix {
-		return "", result.Errorf(result.BadRequest, "found %q, allowed is a digest or at least its first %d digits", arg, minPrefix)
+	if len(arg) < minDigestPrefix {
+		return "", result.Errorf(result.BadRequest, "found %q, allowed is a digest or at least its first %d digits", arg, minDigestPrefix)
 	}
 	page, err := s.store.List(ctx, rollout.KindBundle, arg, 2)
 	if err != nil {
--- a/operator/changes.go
+++ b/operator/changes.go
@@ -48,7 +48,7 @@
 }
 
 func (a *app) openDigest(ctx context.Context, c *cli.Command) (*session, string, error) {
-	arg, err := oneArg(c, "a digest")
+	arg, err := singleArg(c, "a digest")
 	if err != nil {
 		return nil, "", err
 	}
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	digest, err := s.digest(ctx, arg)
+	digest, err := s.resolveDigest(ctx, arg)
 	return s, digest, err
 }
 
@@ -67,7 +67,7 @@
 		ArgsUsage: "DIGEST",
 		Flags:     changeFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			return a.change(ctx, c, (*rollout.Client).Rollout)
+			return a.runChange(ctx, c, (*rollout.Client).Rollout)
 		},
 	}
 }
@@ -79,13 +79,13 @@
 		ArgsUsage: "DIGEST|head",
 		Flags:     changeFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			return a.change(ctx, c, (*rollout.Client).Recall)
+			return a.runChange(ctx, c, (*rollout.Client).Recall)
 		},
 	}
 }
 
-// ChangeAnswer is what rollout and recall print.
-type ChangeAnswer struct {
+// ChangeOutput is what rollout and recall print.
+type ChangeOutput struct {
 	DryRun   bool           `json:"dry_run,omitempty"`
 	Outcome  string         `json:"outcome"`
 	Op       rollout.OpID   `json:"op"`
@@ -99,7 +99,7 @@
 
 type changeFunc func(*rollout.Client, context.Context, string, rollout.Request) (rollout.Entry, error)
 
-func (a *app) change(ctx context.Context, c *cli.Command, do changeFunc) error {
+func (a *app) runChange(ctx context.Context, c *cli.Command, do changeFunc) error {
 	s, digest, err := a.openDigest(ctx, c)
 	if err != nil {
 		return err
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	answer := ChangeAnswer{
+	answer := ChangeOutput{
 		DryRun: ask.DryRun, Outcome: "accepted", Op: entry.Op, Revision: entry.Revision, Action: entry.Action,
 		InForce: entry.Digest, Name: entry.Name, Before: entry.Before, Recalled: entry.Recalled,
 	}
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func changeTable(answer ChangeAnswer) table {
+func changeTable(answer ChangeOutput) table {
 	t := table{rows: [][]string{
 		{string(answer.Action), answer.Outcome},
 		{"revision", strconv.FormatUint(answer.Revision, 10)},
@@ -141,8 +141,8 @@
 	return t
 }
 
-// pollEvery is the pause between two looks at the VMs.
-const pollEvery = 200 * time.Millisecond
+// pollInterval is the pause between two looks at the VMs.
+const pollInterval = 200 * time.Millisecond
 
 // waitForFleet watches the VMs' own pages until each has the revision. A look
 // that has begun is finished, so that the error names the VMs that lag and not
@@ -156,7 +156,7 @@
 		if err != nil {
 			progress.text = "the list of VMs can't be read: " + err.Error()
 		}
-		a.note(&last, progress.text)
+		a.printProgress(&last, progress.text)
 		if progress.done {
 			return nil
 		}
@@ -165,7 +165,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -48,7 +48,7 @@
 		Usage:     "say what a result code means and what to do",
 		ArgsUsage: "CODE",
 		Action: func(_ context.Context, c *cli.Command) error {
-			arg, err := oneArg(c, "a code's number or name")
+			arg, err := singleArg(c, "a code's number or name")
 			if err != nil {
 				return err
 			}
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -130,16 +130,16 @@
 	return p
 }
 
-// note prints progress when it changed.
-func (a *app) note(last *string, text string) {
+// printProgress prints progress when it changed.
+func (a *app) printProgress(last *string, text string) {
 	if *last != text {
 		fmt.Fprintln(a.err, text)
 		*last = text
 	}
 }
 
-// StatusAnswer is what status prints.
-type StatusAnswer struct {
+// StatusOutput is what status prints.
+type StatusOutput struct {
 	Head      *rollout.Entry `json:"head"` // nil: nothing rolled out, or HeadError
 	HeadError string         `json:"head_error,omitempty"`
 	VMs       []VMRow        `json:"vms"`
@@ -147,7 +147,7 @@
 }
 
 // warnings tells of states that look healthy and end badly.
-func (s *session) warnings(answer StatusAnswer) []string {
+func (s *session) warnings(answer StatusOutput) []string {
 	list := []string{}
 	if answer.Head == nil {
 		return list
@@ -172,7 +172,7 @@
 			if err != nil {
 				return err
 			}
-			var answer StatusAnswer
+			var answer StatusOutput
 			// VMs first: a rollout in between must not make them look past the head.
 			if answer.VMs, err = s.readFleet(ctx); err != nil {
 				return result.Wrap(result.PlatformDown, err, "the list of VMs can't be read; name VMs with --vm")
@@ -186,7 +186,7 @@
 	}
 }
 
-func statusTable(answer StatusAnswer) table {
+func statusTable(answer StatusOutput) table {
 	t := table{head: []string{"VM", "REVISION", "DIGEST", "SINCE", "READY", "LEAVING", "PLATFORM", "PEERS"}}
 	switch h := answer.Head; {
 	case answer.HeadError != "":
@@ -194,7 +194,7 @@
 	case h == nil:
 		t.add("(head)", "0", "nothing rolled out yet")
 	default:
-		t.add("(head)", strconv.FormatUint(h.Revision, 10), shortDigest(h.Digest), clock(h.At), "", "", "", "")
+		t.add("(head)", strconv.FormatUint(h.Revision, 10), shortDigest(h.Digest), formatTime(h.At), "", "", "", "")
 	}
 	for _, row := range answer.VMs {
 		if row.Status == nil {
@@ -204,9 +204,9 @@
 		st := row.Status
 		contact := "reachable"
 		if !st.PlatformReachable {
-			contact = "lost, last " + clock(st.PlatformContact)
+			contact = "lost, last " + formatTime(st.PlatformContact)
 		}
-		t.add(row.VM, strconv.FormatUint(st.Revision, 10), shortDigest(st.Digest), clock(st.Since),
+		t.add(row.VM, strconv.FormatUint(st.Revision, 10), shortDigest(st.Digest), formatTime(st.Since),
 			strconv.FormatBool(st.Ready), strconv.FormatBool(st.Leaving || row.ListedLeaving), contact, strconv.Itoa(st.Peers))
 	}
 	for _, w := range answer.Warnings {
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -18,24 +18,24 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// desk is the command line of three people against a stand-in platform.
-type desk struct {
+// testCLI is the command line of three people against a stand-in platform.
+type testCLI struct {
 	t      *testing.T
 	dir    string
 	store  *platformsim.Store
 	config string
 }
 
-// newDesk makes keys by keygen and writes the settings that list them.
-func newDesk(t *testing.T) *desk {
+// newTestCLI makes keys by keygen and writes the settings that list them.
+func newTestCLI(t *testing.T) *testCLI {
 	t.Helper()
-	d := &desk{t: t, dir: t.TempDir(), store: platformsim.NewStore()}
+	d := &testCLI{t: t, dir: t.TempDir(), store: platformsim.NewStore()}
 	server := httptest.NewServer(d.store.Handler())
 	t.Cleanup(server.Close)
 	set := Settings{Platform: strings.TrimPrefix(server.URL, "http://"), Deployment: "vatnsleit", Key: "asta.json"}
 	for _, person := range []string{"sigrun", "jon", "asta"} {
 		var key OperatorKey
-		d.must(&key, "keygen", "--id", person+"-1", "--person", person, "--out", d.path(person+".json"))
+		d.mustRun(&key, "keygen", "--id", person+"-1", "--person", person, "--out", d.path(person+".json"))
 		set.OperatorKeys = append(set.OperatorKeys, key)
 	}
 	data, err := json.Marshal(set)
@@ -49,10 +49,10 @@
 	return d
 }
 
-func (d *desk) path(name string) string { return filepath.Join(d.dir, name) }
+func (d *testCLI) path(name string) string { return filepath.Join(d.dir, name) }
 
 // run returns the exit status and both outputs.
-func (d *desk) run(args ...string) (int, string, string) {
+func (d *testCLI) run(args ...string) (int, string, string) {
 	var out, notes bytes.Buffer
 	all := []string{"bramleyctl"}
 	if d.config != "" {
@@ -62,8 +62,8 @@
 	return status, out.String(), notes.String()
 }
 
-// must runs a command that has to succeed and decodes its JSON.
-func (d *desk) must(into any, args ...string) {
+// mustRun runs a command that has to succeed and decodes its JSON.
+func (d *testCLI) mustRun(into any, args ...string) {
 	d.t.Helper()
 	status, out, notes := d.run(append([]string{"-o", "json"}, args...)...)
 	if status != 0 {
@@ -74,8 +74,8 @@
 	}
 }
 
-// fails runs a command that has to fail with the code.
-func (d *desk) fails(code result.Code, args ...string) errorJSON {
+// mustFail runs a command that has to fail with the code.
+func (d *testCLI) mustFail(code result.Code, args ...string) errorJSON {
 	d.t.Helper()
 	g := NewWithT(d.t)
 	status, out, notes := d.run(append([]string{"-o", "json"}, args...)...)
@@ -89,56 +89,56 @@
 
 const exampleFile = "../examples/vatnsleit.json"
 
-// pushed pushes the example as its author and returns its digest.
-func (d *desk) pushed() string {
+// pushExample pushes the example as its author and returns its digest.
+func (d *testCLI) pushExample() string {
 	d.t.Helper()
 	var answer struct{ Digest string }
-	d.must(&answer, "bundle", "push", exampleFile, "--key", d.path("sigrun.json"))
+	d.mustRun(&answer, "bundle", "push", exampleFile, "--key", d.path("sigrun.json"))
 	return answer.Digest
 }
 
-func TestABundlesWholeLife(t *testing.T) {
+func TestBundleLifecycle(t *testing.T) {
 	g := NewWithT(t)
-	d := newDesk(t)
-	d.fails(result.NotFound, "bundle", "show", "head")
-	digest := d.pushed()
+	d := newTestCLI(t)
+	d.mustFail(result.NotFound, "bundle", "show", "head")
+	digest := d.pushExample()
 	short := digest[:10]
-	d.fails(result.NotSigned, "rollout", short, "--reason", "first")
-	d.fails(result.SelfSigned, "sign", short, "--reason", "mine", "--key", d.path("sigrun.json"))
+	d.mustFail(result.NotSigned, "rollout", short, "--reason", "first")
+	d.mustFail(result.SelfSigned, "sign", short, "--reason", "mine", "--key", d.path("sigrun.json"))
 	var off struct{ Person string }
-	d.must(&off, "sign", short, "--reason", "checked", "--key", d.path("jon.json"))
+	d.mustRun(&off, "sign", short, "--reason", "checked", "--key", d.path("jon.json"))
 	g.Expect(off.Person).To(Equal("jon"))
 
-	var change ChangeAnswer
-	d.must(&change, "rollout", short, "--reason", "first", "--dry-run")
+	var change ChangeOutput
+	d.mustRun(&change, "rollout", short, "--reason", "first", "--dry-run")
 	g.Expect(change.DryRun).To(BeTrue())
-	d.fails(result.NotFound, "bundle", "show", "head")
-	d.must(&change, "rollout", short, "--reason", "first")
+	d.mustFail(result.NotFound, "bundle", "show", "head")
+	d.mustRun(&change, "rollout", short, "--reason", "first")
 	g.Expect(change.Revision).To(Equal(uint64(1)))
-	var again ChangeAnswer
-	d.must(&again, "rollout", short, "--reason", "first", "--op", string(change.Op))
+	var again ChangeOutput
+	d.mustRun(&again, "rollout", short, "--reason", "first", "--op", string(change.Op))
 	g.Expect(again.Revision).To(Equal(uint64(1)), "the same operation is made once")
-	d.fails(result.NothingBefore, "recall", "head", "--reason", "faulty")
-	d.fails(result.Conflict, "rollout", short, "--reason", "late", "--expect", "9")
+	d.mustFail(result.NothingBefore, "recall", "head", "--reason", "faulty")
+	d.mustFail(result.Conflict, "rollout", short, "--reason", "late", "--expect", "9")
 
 	_, shown, _ := d.run("bundle", "show", "head")
 	file, err := os.ReadFile(exampleFile)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(shown).To(Equal(string(file)))
 	var differences []Difference
-	d.must(&differences, "bundle", "diff", exampleFile, "head")
+	d.mustRun(&differences, "bundle", "diff", exampleFile, "head")
 	g.Expect(differences).To(BeEmpty())
 	var list []struct{ Digest, Author string }
-	d.must(&list, "bundle", "list")
+	d.mustRun(&list, "bundle", "list")
 	g.Expect(list).To(HaveLen(1))
 
-	var audit AuditAnswer
-	d.must(&audit, "audit", "--refused")
+	var audit AuditOutput
+	d.mustRun(&audit, "audit", "--refused")
 	g.Expect(audit.Rows).To(HaveLen(4), "one accepted; not signed, nothing before, conflict")
-	d.must(&audit, "audit", "--person", "asta", "--action", "rollout", "--last", "1")
+	d.mustRun(&audit, "audit", "--person", "asta", "--action", "rollout", "--last", "1")
 	g.Expect(audit.Rows).To(HaveLen(1))
 	g.Expect(audit.Rows[0].Reason).To(Equal("first"))
-	d.must(&audit, "audit", "--person", "jon")
+	d.mustRun(&audit, "audit", "--person", "jon")
 	g.Expect(audit.Rows).To(BeEmpty())
 	_, text, _ := d.run("audit")
 	g.Expect(text).To(ContainSubstring("unbroken up to revision 1"))
@@ -146,25 +146,25 @@
 
 // Somebody with access to the platform deletes an entry of the trail. A user
 // would see nothing amiss unless audit says that a change is missing.
-func TestAuditTellsOfAMissingEntry(t *testing.T) {
+func TestAuditReportsMissingEntry(t *testing.T) {
 	g := NewWithT(t)
-	d := newDesk(t)
-	digest := d.pushed()
-	d.must(&struct{}{}, "sign", digest, "--reason", "checked", "--key", d.path("jon.json"))
+	d := newTestCLI(t)
+	digest := d.pushExample()
+	d.mustRun(&struct{}{}, "sign", digest, "--reason", "checked", "--key", d.path("jon.json"))
 	for range 3 {
-		d.must(&ChangeAnswer{}, "rollout", digest, "--reason", "again")
+		d.mustRun(&ChangeOutput{}, "rollout", digest, "--reason", "again")
 	}
 	name := "vatnsleit.00000000000000000002"
 	obj, err := d.store.Get(context.Background(), "bramley-audit", name)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(d.store.Delete(context.Background(), "bramley-audit", name, obj.Version)).To(Succeed())
-	d.fails(result.BrokenAudit, "audit")
+	d.mustFail(result.BrokenAudit, "audit")
 }
 
-func TestStatusNamesVMsThatDoNotAnswer(t *testing.T) {
+func TestStatusReportsUnreachableVMs(t *testing.T) {
 	g := NewWithT(t)
-	d := newDesk(t)
-	page := httptest.NewServer(ops.Server(ops.Options{Status: func() ops.Status {
+	d := newTestCLI(t)
+	page := httptest.NewServer(ops.NewHTTPServer(ops.Options{Status: func() ops.Status {
 		return ops.Status{VM: "vm-1", Revision: 4, Digest: "abc", Ready: true, PlatformReachable: true}
 	}}).Handler)
 	t.Cleanup(page.Close)
@@ -172,8 +172,8 @@
 		{Name: "vm-1", Ops: strings.TrimPrefix(page.URL, "http://")},
 		{Name: "vm-2", Ops: "127.0.0.1:1"},
 	}, 0)
-	var answer StatusAnswer
-	d.must(&answer, "status")
+	var answer StatusOutput
+	d.mustRun(&answer, "status")
 	g.Expect(answer.VMs).To(HaveLen(2))
 	g.Expect(answer.VMs[0].Status.Revision).To(Equal(uint64(4)))
 	g.Expect(answer.VMs[1].Error).NotTo(BeEmpty())
@@ -186,24 +186,24 @@
 
 	d.store.SetFaults(platformsim.Faults{Outage: true})
 	t.Setenv("BRAMLEY_PATIENCE", "50ms")
-	d.fails(result.PlatformDown, "status")
-	d.must(&answer, "status", "--vm", strings.TrimPrefix(page.URL, "http://"))
+	d.mustFail(result.PlatformDown, "status")
+	d.mustRun(&answer, "status", "--vm", strings.TrimPrefix(page.URL, "http://"))
 	g.Expect(answer.HeadError).NotTo(BeEmpty())
 	g.Expect(answer.VMs[0].Status.Revision).To(Equal(uint64(4)), "also while the platform is down")
 }
 
 // A key is retired before its sign-off was replaced, and a VM is past the head.
 // Both look healthy until a VM is replaced or a rollout never arrives.
-func TestStatusWarnsOfWhatLooksHealthy(t *testing.T) {
+func TestStatusWarnsOfHiddenFaults(t *testing.T) {
 	g := NewWithT(t)
-	d := newDesk(t)
-	digest := d.pushed()
-	d.must(&struct{}{}, "sign", digest, "--reason", "checked", "--key", d.path("jon.json"))
-	d.must(&ChangeAnswer{}, "rollout", digest, "--reason", "first")
-	page := httptest.NewServer(ops.Server(ops.Options{Status: func() ops.Status { return ops.Status{Revision: 4} }}).Handler)
+	d := newTestCLI(t)
+	digest := d.pushExample()
+	d.mustRun(&struct{}{}, "sign", digest, "--reason", "checked", "--key", d.path("jon.json"))
+	d.mustRun(&ChangeOutput{}, "rollout", digest, "--reason", "first")
+	page := httptest.NewServer(ops.NewHTTPServer(ops.Options{Status: func() ops.Status { return ops.Status{Revision: 4} }}).Handler)
 	t.Cleanup(page.Close)
-	var answer StatusAnswer
-	d.must(&answer, "status")
+	var answer StatusOutput
+	d.mustRun(&answer, "status")
 	g.Expect(answer.Warnings).To(BeEmpty())
 
 	d.store.SetVMs([]objstore.VM{{Name: "vm-1", Ops: strings.TrimPrefix(page.URL, "http://")}}, 0)
@@ -211,23 +211,23 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	retired := strings.Replace(string(data), `"person":"jon"`, `"retired":true,"person":"jon"`, 1)
 	g.Expect(os.WriteFile(d.config, []byte(retired), 0o600)).To(Succeed())
-	d.must(&answer, "status")
+	d.mustRun(&answer, "status")
 	g.Expect(answer.Warnings).To(ConsistOf(ContainSubstring("jon-1"), ContainSubstring("past the head")))
 }
 
-func TestSettingsInTheUsualOrder(t *testing.T) {
-	d := newDesk(t)
-	d.pushed()
+func TestSettingsPrecedence(t *testing.T) {
+	d := newTestCLI(t)
+	d.pushExample()
 	d.store.SetFaults(platformsim.Faults{Outage: true})
 	t.Setenv("BRAMLEY_PATIENCE", "50ms")
-	d.fails(result.PlatformDown, "bundle", "list")
+	d.mustFail(result.PlatformDown, "bundle", "list")
 	t.Setenv("BRAMLEY_KEY", d.path("none.json"))
-	d.fails(result.BadSettings, "bundle", "list")
-	d.fails(result.PlatformDown, "bundle", "list", "--key", d.path("jon.json"))
+	d.mustFail(result.BadSettings, "bundle", "list")
+	d.mustFail(result.PlatformDown, "bundle", "list", "--key", d.path("jon.json"))
 }
 
-func TestWrongCommandLines(t *testing.T) {
-	d := newDesk(t)
+func TestInvalidCommandLines(t *testing.T) {
+	d := newTestCLI(t)
 	bad := d.path("bad.json")
 	if err := os.WriteFile(bad, []byte(`{"platfrom": "x"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -247,7 +247,7 @@
 		{result.BadSettings, []string{"--key", bad, "status"}},
 		{result.BadRequest, []string{"keygen", "--id", "a", "--person", "a", "--out", bad}},
 	} {
-		d.fails(c.code, c.args...)
+		d.mustFail(c.code, c.args...)
 	}
 }
 
--- a/operator/output.go
+++ b/operator/output.go
@@ -64,7 +64,7 @@
 }
 
 func (a *app) printError(err error) {
-	code := result.Of(err)
+	code := result.CodeOf(err)
 	if a.format == formatJSON {
 		_ = a.printJSON(errorJSON{Code: code, Name: code.String(), Detail: err.Error(), Next: nextSteps[code]})
 		return
@@ -75,7 +75,7 @@
 	}
 }
 
-func clock(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "never"
 	}
--- a/ops/server.go
+++ b/ops/server.go
@@ -12,8 +12,8 @@
 	"goji.io/pat"
 )
 
-// opsTimeout bounds a request, a profile of up to a minute included.
-const opsTimeout = 70 * time.Second
+// requestTimeout bounds a request, a profile of up to a minute included.
+const requestTimeout = 70 * time.Second
 
 // Options configure the operators' page. Status is required.
 type Options struct {
@@ -21,8 +21,8 @@
 	Metrics []func(io.Writer) // in Prometheus text format
 }
 
-// Server returns the HTTP server of the operators' page.
-func Server(opt Options) *http.Server {
+// NewHTTPServer returns the HTTP server of the operators' page.
+func NewHTTPServer(opt Options) *http.Server {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(PathHealth), func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
@@ -47,8 +47,8 @@
 	})
 	return &http.Server{
 		Handler:           mux,
-		ReadHeaderTimeout: opsTimeout,
-		ReadTimeout:       opsTimeout,
-		WriteTimeout:      opsTimeout,
+		ReadHeaderTimeout: requestTimeout,
+		ReadTimeout:       requestTimeout,
+		WriteTimeout:      requestTimeout,
 	}
 }
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -96,13 +96,13 @@
 )
 
 func (o Options) withDefaults() Options {
-	defaults.Positive(&o.Interval, defaultInterval)
-	defaults.Positive(&o.Fanout, defaultFanout)
-	defaults.Positive(&o.MaxInbound, defaultMaxInbound)
-	defaults.Positive(&o.RotateInterval, defaultRotate)
-	defaults.Positive(&o.SuspectAfter, defaultSuspectAfter)
-	defaults.Positive(&o.ListInterval, defaultListInterval)
-	defaults.Positive(&o.PingInterval, defaultPingInterval)
+	defaults.SetIfNotPositive(&o.Interval, defaultInterval)
+	defaults.SetIfNotPositive(&o.Fanout, defaultFanout)
+	defaults.SetIfNotPositive(&o.MaxInbound, defaultMaxInbound)
+	defaults.SetIfNotPositive(&o.RotateInterval, defaultRotate)
+	defaults.SetIfNotPositive(&o.SuspectAfter, defaultSuspectAfter)
+	defaults.SetIfNotPositive(&o.ListInterval, defaultListInterval)
+	defaults.SetIfNotPositive(&o.PingInterval, defaultPingInterval)
 	if o.Log == nil {
 		o.Log = logging.Discard()
 	}
--- a/peer/hop/caller.go
+++ b/peer/hop/caller.go
@@ -39,7 +39,7 @@
 	c := &Caller{wake: make(chan struct{}, 1), calls: map[uint64]*pending{}}
 	o.Use = ConnUse
 	o.Handler = c.handle
-	o.WaitForRoom = true // a dropped answer would be waited for until the deadline
+	o.WaitForCallSlot = true // a dropped answer would be waited for until the deadline
 	conn, err := wire.Dial(ctx, address, o, count)
 	if err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
 	err := call(ctx, c.conn, MethodCalls, Batch{Calls: calls})
-	switch result.Of(err) {
+	switch result.CodeOf(err) {
 	case result.Complete:
 	case result.PeerBusy:
 		for i := range calls {
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -172,7 +172,7 @@
 func (x *Exchange) sync(l *link) {
 	if err := x.trySync(l); err != nil {
 		x.opts.Log.Debug("comparison with a peer failed", "peer", l.name, "error", err)
-		if result.Of(err) != result.PeerBusy {
+		if result.CodeOf(err) != result.PeerBusy {
 			l.conn.Close()
 		}
 	}
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -88,7 +88,7 @@
 	if o.Log == nil {
 		o.Log = logging.Discard()
 	}
-	defaults.Positive(&o.IdleAfter, defaultIdleAfter)
+	defaults.SetIfNotPositive(&o.IdleAfter, defaultIdleAfter)
 	r := &Router{
 		opts:       o,
 		wake:       make(chan struct{}, 1),
--- a/policy/table.go
+++ b/policy/table.go
@@ -84,8 +84,8 @@
 	scratch      []*replica // reused by Pick
 	shedShare    float64    // share of the latest attempts that were turned away for want of slots
 
-	Latency *latency.Record // of attempts that answered
-	Median  MedianLatency   // the same, for admission
+	Latency *latency.Recorder // of attempts that answered
+	Median  MedianLatency     // the same, for admission
 	Hedges  *Budget
 	Retries *Budget
 }
--- a/query/admit.go
+++ b/query/admit.go
@@ -20,7 +20,7 @@
 func (e *Engine) admitUntil(ctx context.Context, svc *service, deadline time.Time) *Answer {
 	arrived := e.now()
 	svc.mu.Lock()
-	v := svc.admit.Arrive(arrived, deadline)
+	v := svc.admission.Arrive(arrived, deadline)
 	var decided chan policy.Verdict
 	if v.Decision == policy.Wait {
 		decided = make(chan policy.Verdict, 1)
@@ -28,20 +28,20 @@
 	}
 	svc.mu.Unlock()
 	if decided != nil {
-		v = e.await(ctx, svc, v.Ticket, decided, deadline)
+		v = e.awaitAdmission(ctx, svc, v.Ticket, decided, deadline)
 	}
 	if v.Decision == policy.Admit {
 		svc.metrics.admitted.Inc()
-		svc.metrics.took(phaseAdmission, e.now().Sub(arrived))
+		svc.metrics.observePhase(phaseAdmission, e.now().Sub(arrived))
 		return nil
 	}
 	svc.metrics.refused.Inc()
 	return &Answer{Code: result.Overloaded, Ran: result.RanNo, RetryAfter: v.RetryAfter}
 }
 
-// await returns the verdict on a waiting query. The policy decides by the
+// awaitAdmission returns the verdict on a waiting query. The policy decides by the
 // query's deadline as long as it is called; the timer calls it.
-func (e *Engine) await(ctx context.Context, svc *service, id policy.TicketID, decided chan policy.Verdict, deadline time.Time) policy.Verdict {
+func (e *Engine) awaitAdmission(ctx context.Context, svc *service, id policy.TicketID, decided chan policy.Verdict, deadline time.Time) policy.Verdict {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
@@ -52,9 +52,9 @@
 	}
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
-	if svc.admit.Abandon(id) {
+	if svc.admission.Abandon(id) {
 		delete(svc.waiting, id)
-		return policy.Verdict{Ticket: id, Decision: policy.Refuse, RetryAfter: retryPause}
+		return policy.Verdict{Ticket: id, Decision: policy.Refuse, RetryAfter: defaultRetryAfter}
 	}
 	return <-decided // sent under the lock, before the ticket left the queue
 }
@@ -64,20 +64,20 @@
 	if req.plain() {
 		return
 	}
-	svc.metrics.ended(out)
+	svc.metrics.recordEnd(out)
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
 	now := e.now()
-	svc.table.Median.UpdateBaseline(now, svc.admit.OverShare())
-	svc.done(now, policy.QueryEnd{
+	svc.table.Median.UpdateBaseline(now, svc.admission.OverShare())
+	svc.finishQuery(now, policy.QueryEnd{
 		Took:     now.Sub(began),
-		Pressure: svc.table.Pressure(out, req.Limit),
+		Pressure: svc.table.Pressure(out, req.TimeLimit),
 	})
 }
 
-// done passes on the verdicts that the end of a query brings. It must hold mu.
-func (s *service) done(now time.Time, end policy.QueryEnd) {
-	for _, v := range s.admit.Done(now, end) {
+// finishQuery passes on the verdicts that the end of a query brings. It must hold mu.
+func (s *service) finishQuery(now time.Time, end policy.QueryEnd) {
+	for _, v := range s.admission.Done(now, end) {
 		if decided := s.waiting[v.Ticket]; decided != nil {
 			decided <- v
 			delete(s.waiting, v.Ticket)
--- a/query/answer.go
+++ b/query/answer.go
@@ -10,12 +10,12 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// answerOf turns a query's outcome into the caller's answer. Items are given
+// newAnswer turns a query's outcome into the caller's answer. Items are given
 // only with an answer that meets the coverage that the caller needs.
-func answerOf(req *Request, out *policy.Outcome) *Answer {
+func newAnswer(req *Request, out *policy.Outcome) *Answer {
 	a := &Answer{
-		Code:     codeOf(req, out),
-		Ran:      ranOf(out),
+		Code:     resultCode(req, out),
+		Ran:      ranState(out),
 		Snapshot: out.Snapshot,
 		Coverage: out.Coverage,
 		Sent:     out.Sent,
@@ -27,13 +27,13 @@
 		a.Items, a.More = merge(req, out.Answers)
 	default:
 		if a.Code.Info().Retry == result.RetryLater {
-			a.RetryAfter = retryPause
+			a.RetryAfter = defaultRetryAfter
 		}
 	}
 	return a
 }
 
-func codeOf(req *Request, out *policy.Outcome) result.Code {
+func resultCode(req *Request, out *policy.Outcome) result.Code {
 	switch {
 	case out.End == policy.EndNoSnapshot && req.Snapshot != "":
 		return result.CursorGone
@@ -41,7 +41,7 @@
 		return result.NoReplica
 	case out.Coverage.AllAnswered():
 		return result.Complete
-	case len(out.Answers) > 0 && out.Coverage.Ratio() >= req.Need:
+	case len(out.Answers) > 0 && out.Coverage.Ratio() >= req.MinCoverage:
 		return result.Partial
 	case out.Sent == 0:
 		return result.NoReplica
@@ -54,7 +54,7 @@
 	}
 }
 
-func ranOf(out *policy.Outcome) result.Ran {
+func ranState(out *policy.Outcome) result.Ran {
 	switch {
 	case len(out.Answers) > 0:
 		return result.RanYes
@@ -80,8 +80,8 @@
 	} else {
 		slices.SortFunc(items, byScore)
 	}
-	if len(items) > req.Items {
-		items = slices.Clip(items[:req.Items])
+	if len(items) > req.MaxItems {
+		items = slices.Clip(items[:req.MaxItems])
 		more = true
 	}
 	return items, more
--- a/query/engine.go
+++ b/query/engine.go
@@ -50,12 +50,12 @@
 // service is the shared state of one service's targets.
 type service struct {
 	name    string
-	metrics *instruments
+	metrics *serviceMetrics
 
-	mu      sync.Mutex // guards all below
-	table   *policy.Table
-	admit   *policy.Admission
-	waiting map[policy.TicketID]chan policy.Verdict
+	mu        sync.Mutex // guards all below
+	table     *policy.Table
+	admission *policy.Admission
+	waiting   map[policy.TicketID]chan policy.Verdict
 }
 
 // NewEngine returns an engine that knows no service; Apply tells it of some.
@@ -114,7 +114,7 @@
 	rng := rand.New(rand.NewPCG(e.opt.Seed, uint64(len(name))))
 	return &service{
 		name:    name,
-		metrics: newInstruments(e.opt.Metrics, name),
+		metrics: newServiceMetrics(e.opt.Metrics, name),
 		table:   policy.NewTable(e.opt.Zone, rng),
 		waiting: make(map[policy.TicketID]chan policy.Verdict),
 	}
@@ -125,10 +125,10 @@
 	defer s.mu.Unlock()
 	s.table.Apply(spec)
 	share := fairShare(b, spec)
-	if s.admit == nil {
-		s.admit = policy.NewAdmission(share)
+	if s.admission == nil {
+		s.admission = policy.NewAdmission(share)
 	}
-	s.admit.SetShare(share)
+	s.admission.SetShare(share)
 	hedge, retry := budgets(b, spec.Name)
 	s.table.Hedges.SetShare(hedge)
 	s.table.Retries.SetShare(retry)
@@ -243,8 +243,8 @@
 	}
 }
 
-// Drain takes from another VM that an incarnation of a target is leaving.
-func (e *Engine) Drain(name, incarnation string) {
+// MarkDraining takes from another VM that an incarnation of a target is leaving.
+func (e *Engine) MarkDraining(name, incarnation string) {
 	svc := e.serviceOf(name)
 	if svc == nil {
 		return
--- a/query/metrics.go
+++ b/query/metrics.go
@@ -23,8 +23,8 @@
 // phaseBuckets are the upper bounds of the histograms of phases, in seconds.
 var phaseBuckets = []float64{.001, .002, .005, .01, .02, .035, .05, .075, .1, .15, .2, .3, .5, 1}
 
-// instruments are the metrics of one service's queries.
-type instruments struct {
+// serviceMetrics are the metrics of one service's queries.
+type serviceMetrics struct {
 	phases   map[phase]*metrics.PrometheusHistogram
 	hedges   *metrics.Counter
 	retries  *metrics.Counter
@@ -32,9 +32,9 @@
 	admitted *metrics.Counter
 }
 
-func newInstruments(set *metrics.Set, service string) *instruments {
+func newServiceMetrics(set *metrics.Set, service string) *serviceMetrics {
 	name := func(metric string) string { return fmt.Sprintf("bramley_query_%s{service=%q}", metric, service) }
-	m := &instruments{
+	m := &serviceMetrics{
 		phases:   make(map[phase]*metrics.PrometheusHistogram),
 		hedges:   set.GetOrCreateCounter(name("hedges_total")),
 		retries:  set.GetOrCreateCounter(name("retries_total")),
@@ -48,16 +48,16 @@
 	return m
 }
 
-func (m *instruments) took(p phase, d time.Duration) { m.phases[p].Update(d.Seconds()) }
+func (m *serviceMetrics) observePhase(p phase, d time.Duration) { m.phases[p].Update(d.Seconds()) }
 
-// ended counts an admitted query. Phases are of queries answered in whole: of
+// recordEnd counts an admitted query. Phases are of queries answered in whole: of
 // others, no single answer was awaited.
-func (m *instruments) ended(out *policy.Outcome) {
+func (m *serviceMetrics) recordEnd(out *policy.Outcome) {
 	m.hedges.Add(out.Hedges)
 	m.retries.Add(out.Retries)
 	if out.End != policy.EndComplete {
 		return
 	}
-	m.took(phaseHeld, out.LastAnswer.SentAfter)
-	m.took(phaseAttempt, out.LastAnswer.Took)
+	m.observePhase(phaseHeld, out.LastAnswer.SentAfter)
+	m.observePhase(phaseAttempt, out.LastAnswer.Took)
 }
--- a/query/metrics_test.go
+++ b/query/metrics_test.go
@@ -14,23 +14,23 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// leaves answers every search in whole.
-type leaves struct{}
+// fakeLeaves answers every search in whole.
+type fakeLeaves struct{}
 
-func (leaves) Search(_ context.Context, _ string, _ int, req target.LeafRequest) (target.LeafAnswer, error) {
+func (fakeLeaves) Search(_ context.Context, _ string, _ int, req target.LeafRequest) (target.LeafAnswer, error) {
 	return target.LeafAnswer{Echo: req.Echo, Records: 1, Complete: true}, nil
 }
 
-func (leaves) Submit(context.Context, string, int, target.SubmitRequest) (target.SubmitAnswer, error) {
+func (fakeLeaves) Submit(context.Context, string, int, target.SubmitRequest) (target.SubmitAnswer, error) {
 	return target.SubmitAnswer{}, nil
 }
 
 // Searches get slower, and an operator cannot tell whether they wait for
 // admission, for a retry or for a leaf. Each phase of a whole answer is counted.
-func TestPhasesAreCounted(t *testing.T) {
+func TestPhaseMetrics(t *testing.T) {
 	g := NewWithT(t)
 	set := metrics.NewSet()
-	e := NewEngine(Options{Leaves: leaves{}, Metrics: set})
+	e := NewEngine(Options{Leaves: fakeLeaves{}, Metrics: set})
 	defer e.Close()
 	e.Apply(&bundle.Bundle{
 		Fleet:    bundle.Fleet{MaxVMs: 1},
@@ -41,7 +41,7 @@
 		Leaves: []target.LeafStatus{{Holdings: []target.Holding{{Snapshot: "v1", Seq: 1, Shards: 1, Records: 1}}}},
 	}, time.Now())
 	a := e.Search(context.Background(), &Request{
-		Search: &bundle.Search{Service: "s"}, Arrived: time.Now(), Limit: 10 * time.Second, Need: 1, Items: 1,
+		Search: &bundle.Search{Service: "s"}, Arrived: time.Now(), TimeLimit: 10 * time.Second, MinCoverage: 1, MaxItems: 1,
 	})
 	g.Expect(a.Code).To(Equal(result.Complete))
 	var text bytes.Buffer
--- a/query/pool.go
+++ b/query/pool.go
@@ -6,17 +6,17 @@
 // how many calls a VM has in flight.
 type Pool struct {
 	jobs chan func()
-	t    tomb.Tomb
+	tomb tomb.Tomb
 }
 
-// jobsPerWorker is how many jobs may wait for each worker.
-const jobsPerWorker = 4
+// queuedJobsPerWorker is how many jobs may wait for each worker.
+const queuedJobsPerWorker = 4
 
 // NewPool starts a pool of n workers.
 func NewPool(n int) *Pool {
-	p := &Pool{jobs: make(chan func(), n*jobsPerWorker)}
+	p := &Pool{jobs: make(chan func(), n*queuedJobsPerWorker)}
 	for range n {
-		p.t.Go(p.work)
+		p.tomb.Go(p.work)
 	}
 	return p
 }
@@ -26,14 +26,14 @@
 		select {
 		case job := <-p.jobs:
 			job()
-		case <-p.t.Dying():
+		case <-p.tomb.Dying():
 			return nil
 		}
 	}
 }
 
-// Try queues a job and reports whether there was room for it.
-func (p *Pool) Try(job func()) bool {
+// TryEnqueue queues a job and reports whether there was room for it.
+func (p *Pool) TryEnqueue(job func()) bool {
 	select {
 	case p.jobs <- job:
 		return true
@@ -45,6 +45,6 @@
 // Stop ends the workers once their present jobs are done. Jobs that still wait
 // are not run.
 func (p *Pool) Stop() {
-	p.t.Kill(nil)
-	_ = p.t.Wait()
+	p.tomb.Kill(nil)
+	_ = p.tomb.Wait()
 }
--- a/query/reason.go
+++ b/query/reason.go
@@ -5,8 +5,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// reasonOf names a failed call in the terms of the coverage account.
-func reasonOf(e *target.CallError) policy.Reason {
+// missingReason names a failed call in the terms of the coverage account.
+func missingReason(e *target.CallError) policy.Reason {
 	switch e.Kind {
 	case target.ErrorUnknownTarget:
 		return policy.ReasonNoReplica
--- a/query/request.go
+++ b/query/request.go
@@ -12,15 +12,15 @@
 // Request is a search or one browse page. The caller has checked it against
 // the bundle under which it runs.
 type Request struct {
-	ID       string
-	Search   *bundle.Search // of the bundle in force when the request arrived
-	Arrived  time.Time
-	Limit    time.Duration // the caller waits this long from Arrived
-	Need     float64       // coverage
-	Query    string
-	Items    int    // wanted at most
-	Snapshot string // that a cursor pins; empty: free choice
-	After    string // browse: keys greater than this
+	ID          string
+	Search      *bundle.Search // of the bundle in force when the request arrived
+	Arrived     time.Time
+	TimeLimit   time.Duration // the caller waits this long from Arrived
+	MinCoverage float64       // coverage
+	Query       string
+	MaxItems    int    // wanted at most
+	Snapshot    string // that a cursor pins; empty: free choice
+	After       string // browse: keys greater than this
 }
 
 // Answer is the outcome of a Request.
@@ -41,15 +41,15 @@
 // decisionReserve is the part of the time limit that is kept for merging and
 // sending the answer, within bounds.
 const (
-	reserveShare = 20 // one part in
-	reserveMin   = 2 * time.Millisecond
-	reserveMax   = 20 * time.Millisecond
+	reserveDivisor = 20 // one part in
+	minReserve     = 2 * time.Millisecond
+	maxReserve     = 20 * time.Millisecond
 )
 
 // deadline is when the decision must be made for the answer to arrive in time.
 func (r *Request) deadline() time.Time {
-	reserve := min(max(r.Limit/reserveShare, reserveMin), reserveMax)
-	return r.Arrived.Add(r.Limit - reserve)
+	reserve := min(max(r.TimeLimit/reserveDivisor, minReserve), maxReserve)
+	return r.Arrived.Add(r.TimeLimit - reserve)
 }
 
 func (r *Request) plain() bool { return r.Search.Policy == bundle.PolicyPlain }
@@ -58,7 +58,7 @@
 	s := r.Search
 	return policy.Spec{
 		Deadline:       r.deadline(),
-		MinCoverage:    r.Need,
+		MinCoverage:    r.MinCoverage,
 		Grace:          time.Duration(s.Coverage.GraceMS) * time.Millisecond,
 		PinnedSnapshot: r.Snapshot,
 		HedgeQuantile:  s.Hedge.Quantile,
--- a/query/run.go
+++ b/query/run.go
@@ -11,16 +11,16 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// retryPause is stated with answers that fell short for want of replicas: about
+// defaultRetryAfter is stated with answers that fell short for want of replicas: about
 // the time in which the health of targets is learned anew.
-const retryPause = time.Second
+const defaultRetryAfter = time.Second
 
 // Search runs a query to its end. It returns when the outcome is decided, and
 // never holds a decided outcome back.
 func (e *Engine) Search(ctx context.Context, req *Request) *Answer {
 	svc := e.service(req.Search.Service)
 	if svc == nil {
-		return &Answer{Code: result.NoReplica, Ran: result.RanNo, RetryAfter: retryPause}
+		return &Answer{Code: result.NoReplica, Ran: result.RanNo, RetryAfter: defaultRetryAfter}
 	}
 	if refused := e.admit(ctx, svc, req); refused != nil {
 		return refused
@@ -28,7 +28,7 @@
 	began := e.now()
 	out := e.run(ctx, svc, req)
 	e.release(svc, req, began, out)
-	return answerOf(req, out)
+	return newAnswer(req, out)
 }
 
 // run feeds one query's events to the policy and carries out its actions.
@@ -36,12 +36,12 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	r := &runner{
-		engine: e,
-		svc:    svc,
-		req:    req,
-		ctx:    ctx,
-		events: make(chan event, eventBuffer),
-		cancel: make(map[policy.AttemptID]context.CancelFunc),
+		engine:  e,
+		svc:     svc,
+		req:     req,
+		ctx:     ctx,
+		events:  make(chan event, eventBuffer),
+		cancels: make(map[policy.AttemptID]context.CancelFunc),
 	}
 	return r.loop()
 }
@@ -52,13 +52,13 @@
 // runner is one query in progress. Its fields belong to the goroutine that
 // runs loop; attempts reach it through events alone.
 type runner struct {
-	engine *Engine
-	svc    *service
-	req    *Request
-	ctx    context.Context
-	events chan event
-	cancel map[policy.AttemptID]context.CancelFunc
-	query  *policy.Query
+	engine  *Engine
+	svc     *service
+	req     *Request
+	ctx     context.Context
+	events  chan event
+	cancels map[policy.AttemptID]context.CancelFunc
+	query   *policy.Query
 }
 
 // event is the end of an attempt; answer is nil if it failed.
@@ -69,17 +69,17 @@
 }
 
 func (r *runner) loop() *policy.Outcome {
-	wake, acts := r.begin()
+	wake, acts := r.start()
 	timer := time.NewTimer(time.Until(wake))
 	defer timer.Stop()
 	for {
-		if out := r.carryOut(acts); out != nil {
+		if out := r.execute(acts); out != nil {
 			return out
 		}
 		timer.Reset(time.Until(wake))
 		select {
 		case ev := <-r.events:
-			wake, acts = r.take(ev)
+			wake, acts = r.handleEvents(ev)
 		case <-timer.C:
 			wake, acts = r.tick()
 		case <-r.ctx.Done():
@@ -88,7 +88,7 @@
 	}
 }
 
-func (r *runner) begin() (time.Time, []policy.Action) {
+func (r *runner) start() (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
 	now := r.engine.now()
@@ -97,24 +97,24 @@
 	return r.query.NextTick(), acts
 }
 
-// take feeds an event, and those that have come meanwhile, under one lock.
-func (r *runner) take(ev event) (time.Time, []policy.Action) {
+// handleEvents feeds an event, and those that have come meanwhile, under one lock.
+func (r *runner) handleEvents(ev event) (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
 	now := r.engine.now()
-	acts := r.feed(now, ev)
+	acts := r.handleEvent(now, ev)
 	for {
 		select {
 		case ev = <-r.events:
-			acts = append(acts, r.feed(now, ev)...)
+			acts = append(acts, r.handleEvent(now, ev)...)
 		default:
 			return r.query.NextTick(), acts
 		}
 	}
 }
 
-// feed passes an event to the policy. It must hold svc.mu.
-func (r *runner) feed(now time.Time, ev event) []policy.Action {
+// handleEvent passes an event to the policy. It must hold svc.mu.
+func (r *runner) handleEvent(now time.Time, ev event) []policy.Action {
 	if ev.answer != nil {
 		return r.query.HandleAnswer(now, ev.attempt, ev.answer)
 	}
@@ -134,12 +134,12 @@
 	r.svc.mu.Lock()
 	acts := r.query.Abandon(r.engine.now())
 	r.svc.mu.Unlock()
-	return r.carryOut(acts)
+	return r.execute(acts)
 }
 
-// carryOut does what the policy decided. It returns the outcome once there is
+// execute does what the policy decided. It returns the outcome once there is
 // one.
-func (r *runner) carryOut(acts []policy.Action) *policy.Outcome {
+func (r *runner) execute(acts []policy.Action) *policy.Outcome {
 	for _, act := range acts {
 		switch a := act.(type) {
 		case policy.Send:
@@ -154,20 +154,20 @@
 }
 
 func (r *runner) cancelAttempt(id policy.AttemptID) {
-	if cancel := r.cancel[id]; cancel != nil {
+	if cancel := r.cancels[id]; cancel != nil {
 		cancel()
-		delete(r.cancel, id)
+		delete(r.cancels, id)
 	}
 }
 
 func (r *runner) send(s policy.Send) {
 	ctx, cancel := context.WithTimeout(r.ctx, s.Timeout)
-	r.cancel[s.Attempt] = cancel
+	r.cancels[s.Attempt] = cancel
 	job := func() {
 		defer cancel()
 		r.post(r.call(ctx, s))
 	}
-	if !r.engine.pool.Try(job) {
+	if !r.engine.pool.TryEnqueue(job) {
 		cancel()
 		go r.post(event{attempt: s.Attempt, failure: policy.Failure{Reason: policy.ReasonBusy, Refused: true}})
 	}
@@ -193,7 +193,7 @@
 		Kind:       target.Kind(r.req.Search.Kind),
 		Query:      r.req.Query,
 		After:      r.req.After,
-		Limit:      r.req.Items,
+		Limit:      r.req.MaxItems,
 		DeadlineMS: time.Until(deadline).Milliseconds(),
 	})
 	if err != nil {
@@ -209,7 +209,7 @@
 		return policy.Failure{Reason: policy.ReasonBroken}
 	}
 	return policy.Failure{
-		Reason:       reasonOf(call),
+		Reason:       missingReason(call),
 		Refused:      call.NotStarted,
 		NoConnection: call.Kind == target.ErrorUnreachable || call.Kind == target.ErrorBusy,
 		RetryAfter:   call.RetryAfter,
--- a/query/submit.go
+++ b/query/submit.go
@@ -23,9 +23,9 @@
 	Deadline time.Time
 }
 
-// Submitted is what became of a Submission. Code is Accepted, or a code whose
+// SubmitResult is what became of a Submission. Code is Accepted, or a code whose
 // Ran is "not run", or OutcomeUnknown.
-type Submitted struct {
+type SubmitResult struct {
 	Code       result.Code
 	Result     json.RawMessage
 	Detail     string
@@ -37,7 +37,7 @@
 func (e *Engine) Admit(ctx context.Context, service string, deadline time.Time) (done func(), refused *Answer) {
 	svc := e.service(service)
 	if svc == nil {
-		return nil, &Answer{Code: result.NoReplica, Ran: result.RanNo, RetryAfter: retryPause}
+		return nil, &Answer{Code: result.NoReplica, Ran: result.RanNo, RetryAfter: defaultRetryAfter}
 	}
 	if refused := e.admitUntil(ctx, svc, deadline); refused != nil {
 		return nil, refused
@@ -47,53 +47,53 @@
 		svc.mu.Lock()
 		defer svc.mu.Unlock()
 		now := e.now()
-		svc.done(now, policy.QueryEnd{Took: now.Sub(began)})
+		svc.finishQuery(now, policy.QueryEnd{Took: now.Sub(began)})
 	}, nil
 }
 
 // Submit hands a claimed request to one target. It offers it to another one
 // only after a target's own word that it did not start it.
-func (e *Engine) Submit(ctx context.Context, req *Submission) Submitted {
+func (e *Engine) Submit(ctx context.Context, req *Submission) SubmitResult {
 	svc := e.service(req.Search.Service)
 	if svc == nil {
-		return Submitted{Code: result.NoReplica, RetryAfter: retryPause}
+		return SubmitResult{Code: result.NoReplica, RetryAfter: defaultRetryAfter}
 	}
 	svc.mu.Lock()
 	sub, ok := policy.NewSubmission(svc.table, xxhash.Sum64String(req.Key), req.Search.Retry.MaxAttempts, e.now())
 	svc.mu.Unlock()
 	if !ok {
-		return Submitted{Code: result.NoReplica, RetryAfter: retryPause}
+		return SubmitResult{Code: result.NoReplica, RetryAfter: defaultRetryAfter}
 	}
-	return e.submit(ctx, svc, req, sub)
+	return e.runSubmission(ctx, svc, req, sub)
 }
 
-func (e *Engine) submit(ctx context.Context, svc *service, req *Submission, sub *policy.Submission) Submitted {
+func (e *Engine) runSubmission(ctx context.Context, svc *service, req *Submission, sub *policy.Submission) SubmitResult {
 	for {
 		svc.mu.Lock()
 		send, wait, ok := sub.Next(e.now())
 		svc.mu.Unlock()
 		if !ok {
-			if wait.IsZero() || !wait.Before(req.Deadline) || !pause(ctx, time.Until(wait)) {
-				return notStarted(sub)
+			if wait.IsZero() || !wait.Before(req.Deadline) || !sleep(ctx, time.Until(wait)) {
+				return notStartedResult(sub)
 			}
 			continue
 		}
-		answer, err := e.handOver(ctx, req, send)
+		answer, err := e.callTarget(ctx, req, send)
 		svc.mu.Lock()
-		sub.HandleEnd(e.now(), endOf(err))
+		sub.HandleEnd(e.now(), endOfAttempt(err))
 		svc.mu.Unlock()
 		if err == nil {
-			return Submitted{Code: result.Accepted, Result: answer.Result}
+			return SubmitResult{Code: result.Accepted, Result: answer.Result}
 		}
-		if !endOf(err).Refused {
-			return Submitted{Code: result.OutcomeUnknown, Detail: err.Error()}
+		if !endOfAttempt(err).Refused {
+			return SubmitResult{Code: result.OutcomeUnknown, Detail: err.Error()}
 		}
 		e.opt.Log.Debug("a target did not start a request", "request", req.ID, "error", err)
 	}
 }
 
-// pause waits and reports whether ctx still stands.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits and reports whether ctx still stands.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -102,7 +102,7 @@
 	}
 }
 
-func (e *Engine) handOver(ctx context.Context, req *Submission, send policy.Send) (target.SubmitAnswer, error) {
+func (e *Engine) callTarget(ctx context.Context, req *Submission, send policy.Send) (target.SubmitAnswer, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
 	return e.opt.Leaves.Submit(ctx, send.Replica.Target, send.Replica.Leaf, target.SubmitRequest{
@@ -118,7 +118,7 @@
 	})
 }
 
-func endOf(err error) policy.AttemptEnd {
+func endOfAttempt(err error) policy.AttemptEnd {
 	if err == nil {
 		return policy.AttemptEnd{Answered: true}
 	}
@@ -129,9 +129,9 @@
 	return policy.AttemptEnd{}
 }
 
-func notStarted(sub *policy.Submission) Submitted {
+func notStartedResult(sub *policy.Submission) SubmitResult {
 	if sub.Tried() == 0 {
-		return Submitted{Code: result.NoReplica, RetryAfter: retryPause}
+		return SubmitResult{Code: result.NoReplica, RetryAfter: defaultRetryAfter}
 	}
-	return Submitted{Code: result.NotStarted, RetryAfter: retryPause}
+	return SubmitResult{Code: result.NotStarted, RetryAfter: defaultRetryAfter}
 }
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -25,33 +25,33 @@
 	Gone bool
 }
 
-// LapseHold is how long a leaf that is missing just after an outage of the store is
+// OutageHold is how long a leaf that is missing just after an outage of the store is
 // still used. Entries lapse while leafs can't renew them, and come back within about
 // 2 s of the store's return; without the hold a VM would drop every leaf at that
 // moment and refuse all callers. It stays below the 3 s within which a leaf that
 // left must get no more requests.
-const LapseHold = 2200 * time.Millisecond
+const OutageHold = 2200 * time.Millisecond
 
 // Registry is the list of leafs. It is not safe for concurrent use.
 type Registry struct {
-	leafs   map[string]Leaf
-	lapsed  map[string]time.Time // when a missing leaf is taken as gone
-	holding time.Time            // until when leafs that go missing are held
+	leafs     map[string]Leaf
+	heldUntil map[string]time.Time // when a missing leaf is taken as gone
+	holdEnd   time.Time            // until when leafs that go missing are held
 }
 
 // New returns an empty registry.
 func New() *Registry {
-	return &Registry{leafs: make(map[string]Leaf), lapsed: make(map[string]time.Time)}
+	return &Registry{leafs: make(map[string]Leaf), heldUntil: make(map[string]time.Time)}
 }
 
 // Len returns the number of leafs, those that are held included.
 func (r *Registry) Len() int { return len(r.leafs) }
 
-// Returned takes that the store answers again after an outage, and for how long leafs
+// StoreRecovered takes that the store answers again after an outage, and for how long leafs
 // that are missing are held. It returns when Expire has to be called.
-func (r *Registry) Returned(now time.Time, hold time.Duration) time.Time {
-	r.holding = now.Add(hold)
-	return r.holding
+func (r *Registry) StoreRecovered(now time.Time, hold time.Duration) time.Time {
+	r.holdEnd = now.Add(hold)
+	return r.holdEnd
 }
 
 // Replace takes a whole listing.
@@ -62,7 +62,7 @@
 		listed[l.ID] = true
 		changes = append(changes, r.Put(l)...)
 	}
-	for _, id := range r.ids() {
+	for _, id := range r.sortedIDs() {
 		if !listed[id] {
 			changes = append(changes, r.Remove(now, id)...)
 		}
@@ -72,7 +72,7 @@
 
 // Put takes an entry.
 func (r *Registry) Put(l Leaf) []Change {
-	delete(r.lapsed, l.ID)
+	delete(r.heldUntil, l.ID)
 	old, known := r.leafs[l.ID]
 	if known && old.Born > l.Born {
 		return nil // a late word of an earlier lifetime
@@ -90,20 +90,20 @@
 	if !known {
 		return nil
 	}
-	if now.Before(r.holding) && !l.Draining {
-		if _, held := r.lapsed[id]; !held {
-			r.lapsed[id] = r.holding
+	if now.Before(r.holdEnd) && !l.Draining {
+		if _, held := r.heldUntil[id]; !held {
+			r.heldUntil[id] = r.holdEnd
 		}
 		return nil
 	}
 	return r.drop(l)
 }
 
-// Expire drops the leafs whose hold is over.
-func (r *Registry) Expire(now time.Time) []Change {
+// ExpireHeld drops the leafs whose hold is over.
+func (r *Registry) ExpireHeld(now time.Time) []Change {
 	var changes []Change
-	for _, id := range r.ids() {
-		if until, held := r.lapsed[id]; held && !now.Before(until) {
+	for _, id := range r.sortedIDs() {
+		if until, held := r.heldUntil[id]; held && !now.Before(until) {
 			changes = append(changes, r.drop(r.leafs[id])...)
 		}
 	}
@@ -112,12 +112,12 @@
 
 func (r *Registry) drop(l Leaf) []Change {
 	delete(r.leafs, l.ID)
-	delete(r.lapsed, l.ID)
+	delete(r.heldUntil, l.ID)
 	return []Change{{Leaf: l, Gone: true}}
 }
 
-// ids returns the ids in order, so that changes repeat.
-func (r *Registry) ids() []string {
+// sortedIDs returns the sortedIDs in order, so that changes repeat.
+func (r *Registry) sortedIDs() []string {
 	ids := make([]string, 0, len(r.leafs))
 	for id := range r.leafs {
 		ids = append(ids, id)
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -19,11 +19,11 @@
 	now := time.Unix(1000, 0)
 	r := New()
 	r.Replace(now, []Leaf{leaf("a", 1), leaf("b", 1)})
-	until := r.Returned(now, LapseHold)
+	until := r.StoreRecovered(now, OutageHold)
 	g.Expect(r.Replace(now, nil)).To(gomega.BeEmpty())
 	g.Expect(r.Put(leaf("a", 1))).To(gomega.BeEmpty())
-	g.Expect(r.Expire(until.Add(-time.Millisecond))).To(gomega.BeEmpty())
-	g.Expect(r.Expire(until)).To(gomega.Equal([]Change{{Leaf: leaf("b", 1), Gone: true}}))
+	g.Expect(r.ExpireHeld(until.Add(-time.Millisecond))).To(gomega.BeEmpty())
+	g.Expect(r.ExpireHeld(until)).To(gomega.Equal([]Change{{Leaf: leaf("b", 1), Gone: true}}))
 	g.Expect(r.Len()).To(gomega.Equal(1))
 }
 
@@ -35,12 +35,12 @@
 	l := leaf("a", 1)
 	l.Draining = true
 	r.Replace(now, []Leaf{l})
-	r.Returned(now, LapseHold)
+	r.StoreRecovered(now, OutageHold)
 	g.Expect(r.Replace(now, nil)).To(gomega.Equal([]Change{{Leaf: l, Gone: true}}))
 }
 
 // Without an outage a leaf that is missing is gone at once.
-func TestMissingLeafIsGoneAtOnce(t *testing.T) {
+func TestMissingLeafIsRemovedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	r := New()
@@ -51,7 +51,7 @@
 
 // A late word of a leaf's earlier life must not replace its present one, nor is a word
 // that says nothing new a change.
-func TestEarlierLifeDoesNotComeBack(t *testing.T) {
+func TestEarlierIncarnationIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New()
 	g.Expect(r.Put(leaf("a", 2))).To(gomega.HaveLen(1))
--- a/result/code.go
+++ b/result/code.go
@@ -17,13 +17,13 @@
 
 // The classes, in the order of the codes' hundreds digit.
 const (
-	ClassOK       Class = 1 // answered
-	ClassRequest  Class = 2 // the request itself has to change
-	ClassLater    Class = 3 // not run; the same request may succeed later
-	ClassShort    Class = 4 // run, but the answer falls short of what was asked
-	ClassUnknown  Class = 5 // whether the request ran is not known
-	ClassOperator Class = 6 // bundles and rollouts
-	ClassInner    Class = 7 // the protocol between VMs
+	ClassOK         Class = 1 // answered
+	ClassRequest    Class = 2 // the request itself has to change
+	ClassLater      Class = 3 // not run; the same request may succeed later
+	ClassIncomplete Class = 4 // run, but the answer falls short of what was asked
+	ClassUnknown    Class = 5 // whether the request ran is not known
+	ClassOperator   Class = 6 // bundles and rollouts
+	ClassPeer       Class = 7 // the protocol between VMs
 )
 
 // Ran says whether a request was handed to a target and run there.
@@ -113,8 +113,8 @@
 	return &Error{Code: c, Detail: detail, cause: err}
 }
 
-// After sets when to come back and returns e.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets when to come back and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
@@ -134,8 +134,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Of returns the code that err carries, or Internal if it carries none.
-func Of(err error) Code {
+// CodeOf returns the code that err carries, or Internal if it carries none.
+func CodeOf(err error) Code {
 	for err != nil {
 		if e, ok := err.(*Error); ok {
 			return e.Code
--- a/result/table_test.go
+++ b/result/table_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-func TestOfFindsWrappedCode(t *testing.T) {
+func TestCodeOfUnwrapsErrors(t *testing.T) {
 	err := fmt.Errorf("outer: %w", Errorf(Conflict, "revision %d", 7))
-	if got := Of(err); got != Conflict {
+	if got := CodeOf(err); got != Conflict {
 		t.Errorf("Of = %v, want %v", got, Conflict)
 	}
 }
--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -123,7 +123,7 @@
 // otherwise. The write of an earlier run may still take effect, so an error that
 // says that nothing was changed would be wrong.
 func outcomeUnknown(op OpID, err error) error {
-	switch result.Of(err) {
+	switch result.CodeOf(err) {
 	case result.Conflict, result.KeyReused, result.BrokenAudit, result.WriteUnknown:
 		return err
 	}
@@ -269,7 +269,7 @@
 	}
 	outcome, accepted, err := c.resolve(ctx, e.Op, e.Revision, now.head)
 	switch {
-	case result.Of(err) == result.BrokenAudit:
+	case result.CodeOf(err) == result.BrokenAudit:
 		return nil, err
 	case err != nil || outcome == OutcomeOpen:
 		return nil, nil
--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -227,7 +227,7 @@
 			continue
 		}
 		if _, err := c.LoadBundle(ctx, past.Digest); err != nil {
-			if result.Of(err) == result.PlatformDown {
+			if result.CodeOf(err) == result.PlatformDown {
 				return nil, err
 			}
 			continue
--- a/rollout/client.go
+++ b/rollout/client.go
@@ -50,8 +50,8 @@
 
 // NewClient returns a Client with defaults for the options that are not set.
 func NewClient(opts ClientOptions) *Client {
-	defaults.Positive(&opts.Patience, DefaultPatience)
-	defaults.Positive(&opts.CallTimeout, DefaultCallTimeout)
+	defaults.SetIfNotPositive(&opts.Patience, DefaultPatience)
+	defaults.SetIfNotPositive(&opts.CallTimeout, DefaultCallTimeout)
 	if opts.Backoff == nil {
 		opts.Backoff = backoffWithJitter
 	}
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -58,10 +58,10 @@
 	if o.Log == nil {
 		o.Log = logging.Discard()
 	}
-	defaults.Positive(&o.RereadInterval, DefaultRereadInterval)
-	defaults.Positive(&o.IdleInterval, DefaultIdleInterval)
-	defaults.Positive(&o.ReadTimeout, DefaultReadTimeout)
-	defaults.Positive(&o.WatchTimeout, DefaultWatchTimeout)
+	defaults.SetIfNotPositive(&o.RereadInterval, DefaultRereadInterval)
+	defaults.SetIfNotPositive(&o.IdleInterval, DefaultIdleInterval)
+	defaults.SetIfNotPositive(&o.ReadTimeout, DefaultReadTimeout)
+	defaults.SetIfNotPositive(&o.WatchTimeout, DefaultWatchTimeout)
 	return o
 }
 
@@ -303,7 +303,7 @@
 }
 
 func (f *Follower) recordRefusal(hash string, err error) {
-	f.metrics.countRefused(result.Of(err))
+	f.metrics.countRefused(result.CodeOf(err))
 	f.mu.Lock()
 	logged := f.lastRefused.hash == hash && f.lastRefused.err.Error() == err.Error()
 	f.lastRefused = refusedHead{hash: hash, err: err}
--- a/rollout/keeper_test.go
+++ b/rollout/keeper_test.go
@@ -94,7 +94,7 @@
 	close(finish)
 	g.Expect(<-slow).To(Succeed())
 	g.Expect(f.Revision()).To(Equal(uint64(3)))
-	g.Expect(result.Of(f.OfferHead(ctx, heads[0], all))).To(Equal(result.StaleExchange))
+	g.Expect(result.CodeOf(f.OfferHead(ctx, heads[0], all))).To(Equal(result.StaleExchange))
 	g.Expect(f.Revision()).To(Equal(uint64(3)))
 }
 
@@ -123,7 +123,7 @@
 	other.rollOutAll(other.pushSignedOff(3), other.pushSignedOff(4))
 	forked := other.head()
 	store.setHead(&forked)
-	g.Eventually(func() result.Code { return result.Of(f.LastRefusal()) }, eventTimeout).Should(Equal(result.BrokenAudit))
+	g.Eventually(func() result.Code { return result.CodeOf(f.LastRefusal()) }, eventTimeout).Should(Equal(result.BrokenAudit))
 	g.Expect(f.Current()).To(BeIdenticalTo(inForce))
 }
 
@@ -142,7 +142,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	asta := env.client("asta", env.store)
 	_, err = asta.Rollout(context.Background(), second, Request{Reason: "again"})
-	g.Expect(result.Of(err)).To(Equal(result.BrokenAudit))
+	g.Expect(result.CodeOf(err)).To(Equal(result.BrokenAudit))
 
 	version := env.head().Version
 	_, err = env.store.Put(context.Background(), KindHead, "vatnsleit", version, []byte("{}"))
@@ -215,10 +215,10 @@
 		g.Expect(f.OfferHead(context.Background(), head, env.fetchFrom(bytesOf))).To(Succeed())
 		fetch := func(context.Context, string) ([]byte, error) { return c.raw, nil }
 		err := f.OfferHead(context.Background(), signEntry(c.entry, c.key).Bytes(), fetch)
-		g.Expect(result.Of(err)).To(Equal(c.code), c.name)
+		g.Expect(result.CodeOf(err)).To(Equal(c.code), c.name)
 		if c.code != result.Complete {
 			g.Expect(f.Revision()).To(Equal(uint64(1)), c.name)
-			g.Expect(result.Of(f.LastRefusal())).To(Equal(c.code), c.name)
+			g.Expect(result.CodeOf(f.LastRefusal())).To(Equal(c.code), c.name)
 		}
 	}
 }
--- a/rollout/next_test.go
+++ b/rollout/next_test.go
@@ -87,7 +87,7 @@
 		head = &Head{Entry: e}
 	}
 	_, err = NextRollout("vatnsleit", head, Change{}, Approved{Digest: "bad0", After: 1})
-	g.Expect(result.Of(err)).To(Equal(result.Recalled))
+	g.Expect(result.CodeOf(err)).To(Equal(result.Recalled))
 	_, err = NextRollout("vatnsleit", head, Change{}, Approved{Digest: "bad0", After: head.Entry.Revision})
 	g.Expect(err).NotTo(HaveOccurred())
 }
@@ -95,11 +95,11 @@
 func TestRecallWithoutAnEarlierBundle(t *testing.T) {
 	g := NewWithT(t)
 	_, err := NextRecall(nil, Change{}, "d1", nil)
-	g.Expect(result.Of(err)).To(Equal(result.NothingBefore))
+	g.Expect(result.CodeOf(err)).To(Equal(result.NothingBefore))
 	first, err := NextRollout("vatnsleit", nil, Change{}, Approved{Digest: "d1"})
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = NextRecall(&Head{Entry: first}, Change{}, "d1", nil)
-	g.Expect(result.Of(err)).To(Equal(result.NothingBefore))
+	g.Expect(result.CodeOf(err)).To(Equal(result.NothingBefore))
 }
 
 func TestOperationIDs(t *testing.T) {
@@ -109,6 +109,6 @@
 	g.Expect(op.Revision()).To(Equal(uint64(7)))
 	for _, bad := range []OpID{"", "7", "0-0123456789abcdef", "x-0123456789abcdef", "7-01"} {
 		_, err := bad.Revision()
-		g.Expect(result.Of(err)).To(Equal(result.BadRequest), "%q", bad)
+		g.Expect(result.CodeOf(err)).To(Equal(result.BadRequest), "%q", bad)
 	}
 }
--- a/rollout/race_test.go
+++ b/rollout/race_test.go
@@ -130,7 +130,7 @@
 	req := Request{Reason: "race"}
 	for {
 		e, err := do(ctx, digest, req)
-		switch code := result.Of(err); code {
+		switch code := result.CodeOf(err); code {
 		case result.Complete:
 			return changeResult{op: e.Op, revision: e.Revision, accepted: true}, nil
 		case result.Conflict:
@@ -139,7 +139,7 @@
 		case result.WriteUnknown:
 			req.Op = e.Op
 		case result.Recalled:
-			if _, err := c.SignOff(ctx, digest, "good again"); err != nil && result.Of(err) != result.SelfSigned {
+			if _, err := c.SignOff(ctx, digest, "good again"); err != nil && result.CodeOf(err) != result.SelfSigned {
 				return changeResult{}, err
 			}
 			req, do = Request{Reason: "race"}, c.Recall
@@ -225,19 +225,19 @@
 	g.Expect(next.Revision).To(Equal(map[bool]uint64{false: 2, true: 3}[inChain]))
 
 	again, againErr := env.client("jon", env.store).Rollout(ctx, second, Request{Reason: "stopped", Op: e.Op})
-	switch result.Of(err) {
+	switch result.CodeOf(err) {
 	case result.Complete:
 		g.Expect(inChain).To(BeTrue())
 	case result.PlatformDown:
 		g.Expect(inChain).To(BeFalse(), "PlatformDown says that nothing was changed")
 	default:
-		g.Expect(result.Of(err)).To(Equal(result.WriteUnknown))
+		g.Expect(result.CodeOf(err)).To(Equal(result.WriteUnknown))
 	}
 	if inChain {
 		g.Expect(againErr).NotTo(HaveOccurred())
 		g.Expect(again.Revision).To(Equal(uint64(2)))
 	} else {
-		g.Expect(result.Of(againErr)).To(Equal(result.Conflict))
+		g.Expect(result.CodeOf(againErr)).To(Equal(result.Conflict))
 	}
 }
 
@@ -254,13 +254,13 @@
 		c := env.client("asta", &crashStore{Store: env.store, applyLast: applied})
 		c.opts.Patience = 50 * time.Millisecond
 		e, err := c.Rollout(ctx, digest, Request{Reason: "begin"})
-		g.Expect(result.Of(err)).To(Equal(result.WriteUnknown))
+		g.Expect(result.CodeOf(err)).To(Equal(result.WriteUnknown))
 
 		// A retry while the platform is still down. The retries below run with the
 		// platform available, the last one with another bundle.
 		c.opts.Store = &crashStore{down: true}
 		_, err = c.Rollout(ctx, digest, Request{Reason: "begin", Op: e.Op})
-		g.Expect(result.Of(err)).To(Equal(result.WriteUnknown), "not PlatformDown, which says that nothing was changed")
+		g.Expect(result.CodeOf(err)).To(Equal(result.WriteUnknown), "not PlatformDown, which says that nothing was changed")
 		for range 2 {
 			again, err := env.client("asta", env.store).Rollout(ctx, digest, Request{Reason: "begin", Op: e.Op})
 			g.Expect(err).NotTo(HaveOccurred())
@@ -268,7 +268,7 @@
 			g.Expect(again.Op).To(Equal(e.Op))
 		}
 		_, err = env.client("asta", env.store).Rollout(ctx, env.pushSignedOff(2), Request{Reason: "begin", Op: e.Op})
-		g.Expect(result.Of(err)).To(Equal(result.KeyReused))
+		g.Expect(result.CodeOf(err)).To(Equal(result.KeyReused))
 		audit, err := c.withStore(env.store).Audit(ctx)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(audit.Entries).To(HaveLen(1))
@@ -297,10 +297,10 @@
 	op, err := NewOpID(1)
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = jon.Rollout(ctx, second, Request{Reason: "mine", Op: op})
-	g.Expect(result.Of(err)).To(Equal(result.Conflict))
+	g.Expect(result.CodeOf(err)).To(Equal(result.Conflict))
 	g.Expect(err.Error()).To(And(ContainSubstring("asta"), ContainSubstring("more zones"), ContainSubstring(first)))
 	_, err = jon.Rollout(ctx, second, Request{Reason: "mine", Expect: 7})
-	g.Expect(result.Of(err)).To(Equal(result.Conflict))
+	g.Expect(result.CodeOf(err)).To(Equal(result.Conflict))
 	refused, err := asta.Refusals(ctx)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(refused).To(HaveLen(2))
--- a/rollout/refusal.go
+++ b/rollout/refusal.go
@@ -34,7 +34,7 @@
 	if err == nil {
 		return e, nil
 	}
-	code := result.Of(err)
+	code := result.CodeOf(err)
 	if req.DryRun || c.opts.Key == nil || code == result.WriteUnknown || code == result.PlatformDown {
 		return e, err
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -129,7 +129,7 @@
 	g.Expect(f.Current().Digest).To(Equal(first))
 
 	_, err = asta.Rollout(ctx, second, Request{Reason: "again"})
-	g.Expect(result.Of(err)).To(Equal(result.Recalled))
+	g.Expect(result.CodeOf(err)).To(Equal(result.Recalled))
 	env.signOff(second)
 	_, err = asta.Rollout(ctx, second, Request{Reason: "checked again"})
 	g.Expect(err).NotTo(HaveOccurred())
--- a/rollout/rotation_test.go
+++ b/rollout/rotation_test.go
@@ -41,7 +41,7 @@
 
 	f := NewFollower(Options{Deployment: "vatnsleit", Keys: after, Store: env.store})
 	all := env.fetchFrom(env.packages(1))
-	g.Expect(result.Of(f.OfferHead(ctx, byOldKey, all))).To(Equal(result.UnknownKey))
+	g.Expect(result.CodeOf(f.OfferHead(ctx, byOldKey, all))).To(Equal(result.UnknownKey))
 	env.keys = after
 	byNewKey := env.rollOutAll(digest)[0]
 	g.Expect(f.OfferHead(ctx, byNewKey, all)).To(Succeed())
--- a/routing/manifest.go
+++ b/routing/manifest.go
@@ -26,8 +26,8 @@
 	return "idempotent"
 }
 
-// Weighted is one part of a split.
-type Weighted struct {
+// WeightedService is one part of a split.
+type WeightedService struct {
 	Service string
 	Weight  float64 // share of the requests, relative to the sum of all parts
 }
@@ -45,7 +45,7 @@
 	Priority    int           // 0 is the most urgent
 
 	Service string
-	Split   []Weighted
+	Split   []WeightedService
 
 	Gather   []string // the services that hold one shard each
 	Top      int      // records of an answer to a gathered request, at most
@@ -113,8 +113,8 @@
 	return m
 }
 
-// Shards returns the services that only gathered routes name.
-func (m *Manifest) Shards() map[string]bool {
+// ShardServices returns the services that only gathered routes name.
+func (m *Manifest) ShardServices() map[string]bool {
 	shards := make(map[string]bool)
 	for _, r := range m.Routes {
 		for _, name := range r.Gather {
@@ -132,8 +132,8 @@
 	return shards
 }
 
-// Widest returns the number of shards of the gathered route that has most, 0 without one.
-func (m *Manifest) Widest() int {
+// MaxShards returns the number of shards of the gathered route that has most, 0 without one.
+func (m *Manifest) MaxShards() int {
 	n := 0
 	for _, r := range m.Routes {
 		n = max(n, len(r.Gather))
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func document(version int64, routes ...*Route) Document {
+func newDocument(version int64, routes ...*Route) Document {
 	return Document{Version: version, Routes: routes}
 }
 
@@ -15,7 +15,7 @@
 // found first.
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	g := gomega.NewWithT(t)
-	m := NewManifest(document(1,
+	m := NewManifest(newDocument(1,
 		&Route{Name: "short", Host: "a.example", Prefix: "/x/"},
 		&Route{Name: "long", Host: "a.example", Prefix: "/x/y/"},
 		&Route{Name: "other", Host: "b.example", Prefix: "/x/y/z/"},
@@ -28,13 +28,13 @@
 
 // A route that was dropped serves again: an old manifest, read slowly, came after the new
 // one.
-func TestVersionsOnlyRise(t *testing.T) {
+func TestInForceVersionOnlyIncreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
 		var f InForce
 		var highest int64
 		for _, v := range rapid.SliceOfN(rapid.Int64Range(1, 20), 1, 30).Draw(t, "versions") {
-			g.Expect(f.Offer(NewManifest(document(v)))).To(gomega.Equal(v > highest))
+			g.Expect(f.Offer(NewManifest(newDocument(v)))).To(gomega.Equal(v > highest))
 			highest = max(highest, v)
 			g.Expect(f.Get().Version).To(gomega.Equal(highest))
 		}
@@ -43,17 +43,17 @@
 
 // A tenth of the callers should try a new release; a VM that sees few requests sends it
 // none, or half.
-func TestSplitKeepsItsSharesInShortRuns(t *testing.T) {
+func TestSplitMatchesWeightsInShortRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
 		weights := rapid.SliceOfN(rapid.Float64Range(1, 100), 2, 4).Draw(t, "weights")
 		route := &Route{Name: "r"}
 		total := 0.0
 		for i, w := range weights {
-			route.Split = append(route.Split, Weighted{Service: string(rune('a' + i)), Weight: w})
+			route.Split = append(route.Split, WeightedService{Service: string(rune('a' + i)), Weight: w})
 			total += w
 		}
-		r := NewRotation()
+		r := NewSplitter()
 		counts := make(map[string]float64)
 		for n := 1; n <= 200; n++ {
 			counts[r.Next(route)]++
@@ -66,14 +66,14 @@
 
 // The shares of a split that is not changed by a new manifest go on where they were, and
 // routes that are gone leave nothing behind.
-func TestRotationForgetsRoutesThatAreGone(t *testing.T) {
+func TestSplitterPrunesRemovedRoutes(t *testing.T) {
 	g := gomega.NewWithT(t)
-	split := []Weighted{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
+	split := []WeightedService{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
 	route := &Route{Name: "r", Split: split}
-	r := NewRotation()
+	r := NewSplitter()
 	first := r.Next(route)
-	r.Keep(NewManifest(document(2, &Route{Name: "r", Split: split})))
+	r.Prune(NewManifest(newDocument(2, &Route{Name: "r", Split: split})))
 	g.Expect(r.Next(route)).NotTo(gomega.Equal(first))
-	r.Keep(NewManifest(document(3)))
+	r.Prune(NewManifest(newDocument(3)))
 	g.Expect(r.routes).To(gomega.BeEmpty())
 }
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -28,7 +28,7 @@
 	vmsKnown      bool                    // SetVMs was called at least once
 	liveness      livenessRound
 	startedAt     time.Time // when this VM's process started
-	durations     map[durationKey]*latency.Record
+	durations     map[durationKey]*latency.Recorder
 
 	ackTimes        map[string]ackTime // by zone
 	callRefusalRate failureRate        // share of calls that other VMs refuse
@@ -68,7 +68,7 @@
 		services:     make(map[string]*service),
 		vms:          make(map[string]*vm),
 		members:      make(map[string]memberInfo),
-		durations:    make(map[durationKey]*latency.Record),
+		durations:    make(map[durationKey]*latency.Recorder),
 		ackTimes:     make(map[string]ackTime),
 	}
 	t.partitionZones(time.Time{})
@@ -250,7 +250,7 @@
 }
 
 // durationsOf returns the recorded durations of one kind of request.
-func (t *Table) durationsOf(key durationKey) *latency.Record {
+func (t *Table) durationsOf(key durationKey) *latency.Recorder {
 	r := t.durations[key]
 	if r == nil {
 		r = latency.New()
--- a/settings/load.go
+++ b/settings/load.go
@@ -13,8 +13,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// MinFleetKey is the least length of a fleet key, in bytes.
-const MinFleetKey = 32
+// MinFleetKeyBytes is the least length of a fleet key, in bytes.
+const MinFleetKeyBytes = 32
 
 // MaxLameDuckMS bounds lame_duck_ms.
 const MaxLameDuckMS = 300_000
@@ -23,13 +23,13 @@
 // amiss, what was found and what is allowed.
 func Load(path string) (*Settings, error) {
 	s := &Settings{}
-	return s, LoadInto(path, s, s.check)
+	return s, LoadInto(path, s, s.validate)
 }
 
 // Parse reads and checks settings.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{}
-	return s, ParseInto(data, s, s.check)
+	return s, ParseInto(data, s, s.validate)
 }
 
 // LoadInto reads a settings file into the struct that into points at, and checks what
@@ -58,11 +58,11 @@
 	return result.Errorf(result.BadSettings, "%s", strings.Join(lines, "; "))
 }
 
-func (s *Settings) check() []strictjson.Finding {
-	var c checker
-	c.filled("$.name", s.Name)
-	c.filled("$.deployment", s.Deployment)
-	c.filled("$.zone", s.Zone)
+func (s *Settings) validate() []strictjson.Finding {
+	var c validator
+	c.nonEmpty("$.name", s.Name)
+	c.nonEmpty("$.deployment", s.Deployment)
+	c.nonEmpty("$.zone", s.Zone)
 	c.address("$.listen.callers", s.Listen.Callers)
 	c.address("$.listen.ops", s.Listen.Ops)
 	c.address("$.listen.peers", s.Listen.Peers)
@@ -80,7 +80,7 @@
 		c.add("$.operator_keys", "none", "at least one key")
 	}
 	for i, k := range s.FleetKeys {
-		c.base64(fmt.Sprintf("$.fleet_keys[%d]", i), k, MinFleetKey, MinFleetKey*2)
+		c.base64Key(fmt.Sprintf("$.fleet_keys[%d]", i), k, MinFleetKeyBytes, MinFleetKeyBytes*2)
 	}
 	if n := len(s.FleetKeys); n < 1 || n > 2 {
 		c.add("$.fleet_keys", fmt.Sprintf("%d keys", n), "1 key, or 2 during a rotation")
@@ -94,26 +94,26 @@
 	return c.findings
 }
 
-type checker struct{ findings []strictjson.Finding }
+type validator struct{ findings []strictjson.Finding }
 
-func (c *checker) add(path, found, allowed string) {
+func (c *validator) add(path, found, allowed string) {
 	c.findings = append(c.findings, strictjson.Finding{Path: path, Found: found, Allowed: allowed})
 }
 
-func (c *checker) filled(path, found string) {
+func (c *validator) nonEmpty(path, found string) {
 	if found == "" {
 		c.add(path, `""`, "a name")
 	}
 }
 
-func (c *checker) address(path, found string) {
+func (c *validator) address(path, found string) {
 	if _, err := netip.ParseAddrPort(found); err != nil {
 		c.add(path, fmt.Sprintf("%q", found), "an IP address and port, such as 10.0.0.7:8001")
 	}
 }
 
-// base64 checks a key. The key itself is not repeated in the finding.
-func (c *checker) base64(path, found string, low, high int) {
+// base64Key checks a key. The key itself is not repeated in the finding.
+func (c *validator) base64Key(path, found string, low, high int) {
 	raw, err := base64.StdEncoding.DecodeString(found)
 	if err != nil {
 		c.add(path, "no base64", "base64 of a key")
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -12,7 +12,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-func valid(t *testing.T) *Settings {
+func validSettings(t *testing.T) *Settings {
 	key, err := bundle.NewPrivateKey("ana-1", "ana")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return &Settings{
@@ -33,9 +33,9 @@
 	return err
 }
 
-func TestValidSettingsPass(t *testing.T) {
+func TestLoadValidSettings(t *testing.T) {
 	g := NewWithT(t)
-	data, err := json.Marshal(valid(t))
+	data, err := json.Marshal(validSettings(t))
 	g.Expect(err).NotTo(HaveOccurred())
 	path := filepath.Join(t.TempDir(), "settings.json")
 	g.Expect(os.WriteFile(path, data, 0o600)).To(Succeed())
@@ -43,12 +43,12 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(set.FleetKeyBytes()).To(HaveLen(1))
 	_, err = Load(path + ".absent")
-	g.Expect(result.Of(err)).To(Equal(result.BadSettings))
+	g.Expect(result.CodeOf(err)).To(Equal(result.BadSettings))
 }
 
 // A daemon starts with half of its settings ignored, since a field was misspelt
 // or has a value that cannot work. Each is one clear error that names the field.
-func TestBadSettingsNameTheField(t *testing.T) {
+func TestInvalidSettingsNameTheField(t *testing.T) {
 	cases := map[string]func(s *Settings){
 		"$.name":              func(s *Settings) { s.Name = "" },
 		"$.zone":              func(s *Settings) { s.Zone = "" },
@@ -67,11 +67,11 @@
 		"an IP address and p": func(s *Settings) { s.Listen.Peers = "x" },
 	}
 	for want, spoil := range cases {
-		s := valid(t)
+		s := validSettings(t)
 		spoil(s)
 		err := parse(t, s)
 		g := NewWithT(t)
-		g.Expect(result.Of(err)).To(Equal(result.BadSettings), want)
+		g.Expect(result.CodeOf(err)).To(Equal(result.BadSettings), want)
 		g.Expect(err).To(MatchError(ContainSubstring(want)))
 	}
 	_, err := Parse([]byte(`{"nmae":"x"}`))
@@ -80,7 +80,7 @@
 
 // A fleet key ends up in a log: the error of a bad one must not repeat it.
 func TestErrorsDoNotRepeatFleetKeys(t *testing.T) {
-	s := valid(t)
+	s := validSettings(t)
 	s.FleetKeys = []string{"c2VjcmV0LXNlY3JldA=="}
 	NewWithT(t).Expect(parse(t, s)).To(MatchError(Not(ContainSubstring("c2VjcmV0"))))
 }
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -62,7 +62,7 @@
 	if opts.Log == nil {
 		opts.Log = logging.Discard()
 	}
-	defaults.Set(&opts.Workers, defaultMonitorWorkers)
+	defaults.SetIfZero(&opts.Workers, defaultMonitorWorkers)
 	return &Monitor{
 		opts:    opts,
 		work:    make(chan *polledEndpoint),
@@ -162,8 +162,8 @@
 }
 
 func withHealthDefaults(e Endpoint) Endpoint {
-	defaults.Set(&e.HealthInterval, defaultHealthInterval)
-	defaults.Set(&e.HealthTimeout, defaultHealthTimeout)
+	defaults.SetIfZero(&e.HealthInterval, defaultHealthInterval)
+	defaults.SetIfZero(&e.HealthTimeout, defaultHealthTimeout)
 	return e
 }
 
--- a/topk/topk.go
+++ b/topk/topk.go
@@ -32,7 +32,7 @@
 	if top <= 0 {
 		return []byte{}
 	}
-	kept := make(records, 0, top)
+	kept := make(minHeap, 0, top)
 	for _, part := range parts {
 		for ; len(part) >= RecordBytes; part = part[RecordBytes:] {
 			r := recordAt(part)
@@ -62,23 +62,23 @@
 	return out
 }
 
-// records is a heap with the least record at its root.
-type records []record
+// minHeap is a heap with the least record at its root.
+type minHeap []record
 
 // Len implements heap.Interface.
-func (r records) Len() int { return len(r) }
+func (r minHeap) Len() int { return len(r) }
 
 // Less implements heap.Interface.
-func (r records) Less(i, j int) bool { return r[i].less(r[j]) }
+func (r minHeap) Less(i, j int) bool { return r[i].less(r[j]) }
 
 // Swap implements heap.Interface.
-func (r records) Swap(i, j int) { r[i], r[j] = r[j], r[i] }
+func (r minHeap) Swap(i, j int) { r[i], r[j] = r[j], r[i] }
 
 // Push implements heap.Interface.
-func (r *records) Push(x any) { *r = append(*r, x.(record)) }
+func (r *minHeap) Push(x any) { *r = append(*r, x.(record)) }
 
 // Pop implements heap.Interface.
-func (r *records) Pop() any {
+func (r *minHeap) Pop() any {
 	last := (*r)[len(*r)-1]
 	*r = (*r)[:len(*r)-1]
 	return last
--- a/topk/topk_test.go
+++ b/topk/topk_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// plain merges by sorting everything.
-func plain(top int, parts [][]byte) []byte {
+// mergeBySorting merges by sorting everything.
+func mergeBySorting(top int, parts [][]byte) []byte {
 	var all [][]byte
 	for _, part := range parts {
 		for ; len(part) >= RecordBytes; part = part[RecordBytes:] {
@@ -23,13 +23,13 @@
 }
 
 // A page shows other records than the greatest, or misses one of two equal ones.
-func TestMergeGivesTheGreatestRecords(t *testing.T) {
+func TestMergeReturnsGreatestRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
 		// Few values, so that equal records are common, and rests that are no record.
 		parts := rapid.SliceOfN(rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 100), 0, 6).Draw(t, "parts")
 		top := rapid.IntRange(0, 20).Draw(t, "top")
-		g.Expect(Merge(top, parts)).To(gomega.Equal(append([]byte{}, plain(top, parts)...)))
+		g.Expect(Merge(top, parts)).To(gomega.Equal(append([]byte{}, mergeBySorting(top, parts)...)))
 	})
 }
 
--- a/wire/auth.go
+++ b/wire/auth.go
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// prove returns the proof of one end. It covers both messages of the hello,
+// computeProof returns the proof of one end. It covers both messages of the hello,
 // with both nonces and identities, so that it is of no use in another hello.
-func prove(key []byte, role string, hello *Hello, answer *HelloAnswer) []byte {
+func computeProof(key []byte, role string, hello *Hello, answer *HelloAnswer) []byte {
 	mac := hmac.New(sha256.New, key)
 	enc := json.NewEncoder(mac)
 	_ = enc.Encode(role) // writing to a hash never fails
@@ -90,9 +90,9 @@
 	if hello.From.Deployment != o.Self.Deployment {
 		return nil, nil, result.Errorf(result.WrongFleet, "deployment %q found, want %q", hello.From.Deployment, o.Self.Deployment)
 	}
-	version := newest(hello.Versions, o.MaxVersion)
+	version := newestCommon(hello.Versions, o.MaxVersion)
 	if version == 0 {
-		return nil, nil, result.Errorf(result.WrongVersion, "versions %v found, want %v", hello.Versions, versions(o.MaxVersion))
+		return nil, nil, result.Errorf(result.WrongVersion, "versions %v found, want %v", hello.Versions, supportedVersions(o.MaxVersion))
 	}
 	for _, id := range hello.KeyIDs {
 		if key := findKey(o.Keys, id); key != nil {
@@ -102,12 +102,12 @@
 	return nil, nil, result.Errorf(result.WrongKey, "no key in common")
 }
 
-// checkAnswer checks what the accepting end chose and returns the agreed key.
-func checkAnswer(o *Options, answer *HelloAnswer) ([]byte, error) {
+// validateAnswer checks what the accepting end chose and returns the agreed key.
+func validateAnswer(o *Options, answer *HelloAnswer) ([]byte, error) {
 	if answer.From.Deployment != o.Self.Deployment {
 		return nil, result.Errorf(result.WrongFleet, "deployment %q found, want %q", answer.From.Deployment, o.Self.Deployment)
 	}
-	if newest([]int{answer.Version}, o.MaxVersion) == 0 || answer.From.VM == "" || len(answer.Nonce) != 2*nonceBytes {
+	if newestCommon([]int{answer.Version}, o.MaxVersion) == 0 || answer.From.VM == "" || len(answer.Nonce) != 2*nonceBytes {
 		return nil, result.Errorf(result.BadHello, "answer of version %d from VM %q", answer.Version, answer.From.VM)
 	}
 	key := findKey(o.Keys, answer.KeyID)
@@ -117,16 +117,16 @@
 	return key, nil
 }
 
-// versions lists what an end speaks, the newest first.
-func versions(newest int) (list []int) {
+// supportedVersions lists what an end speaks, the newest first.
+func supportedVersions(newest int) (list []int) {
 	for v := newest; v >= VersionJSON; v-- {
 		list = append(list, v)
 	}
 	return list
 }
 
-// newest returns the newest of the offered versions that an end speaks, or 0.
-func newest(offered []int, limit int) int {
+// newestCommon returns the newestCommon of the offered versions that an end speaks, or 0.
+func newestCommon(offered []int, limit int) int {
 	best := 0
 	for _, v := range offered {
 		if v >= VersionJSON && v <= limit {
--- a/wire/auth_bench_test.go
+++ b/wire/auth_bench_test.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		c := tls.Client(&timedConn{Conn: raw, silent: time.Minute, count: count}, config)
+		c := tls.Client(&timedConn{Conn: raw, silenceTimeout: time.Minute, counters: count}, config)
 		one := []byte{1}
 		if _, err := c.Write(one); err != nil {
 			b.Fatal(err)
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -37,15 +37,15 @@
 	out, in []byte
 }
 
-// bodyMark begins the frame of a body; JSON never begins with it.
-const bodyMark = 0
+// bodyMarker begins the frame of a body; JSON never begins with it.
+const bodyMarker = 0
 
-// attached is how a body gets from a call to the hook that runs before the
+// bodyAttachment is how a body gets from a call to the hook that runs before the
 // message is written.
-type attached []byte
+type bodyAttachment []byte
 
-// attachedField names the member that carries attached within this process.
-const attachedField = "body"
+// bodyField names the member that carries attached within this process.
+const bodyField = "body"
 
 // onSend takes the body out of a message.
 func (b *bodies) onSend(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
@@ -53,7 +53,7 @@
 	if req == nil || len(req.ExtraFields) == 0 {
 		return
 	}
-	if body, ok := req.ExtraFields[0].Value.(attached); ok {
+	if body, ok := req.ExtraFields[0].Value.(bodyAttachment); ok {
 		b.out = body
 		req.ExtraFields = nil
 	}
@@ -71,7 +71,7 @@
 	}
 	if c.bodies.out != nil {
 		head := binary.AppendUvarint(nil, uint64(len(c.bodies.out))+1)
-		if _, err := stream.Write(append(head, bodyMark)); err != nil {
+		if _, err := stream.Write(append(head, bodyMarker)); err != nil {
 			return err
 		}
 		if _, err := stream.Write(c.bodies.out); err != nil {
@@ -89,7 +89,7 @@
 func (c boundedCodec) ReadObject(stream *bufio.Reader, v any) error {
 	c.bodies.in = nil
 	data, err := c.readFrame(stream)
-	if err == nil && c.withBodies && len(data) > 0 && data[0] == bodyMark {
+	if err == nil && c.withBodies && len(data) > 0 && data[0] == bodyMarker {
 		c.bodies.in = data[1:]
 		data, err = c.readFrame(stream)
 	}
@@ -121,36 +121,36 @@
 // progress finds that out.
 type timedConn struct {
 	net.Conn
-	silent time.Duration
-	count  *Counters
+	silenceTimeout time.Duration
+	counters       *Counters
 }
 
 // Read implements io.Reader.
 func (c *timedConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(c.until()); err != nil {
+	if err := c.SetReadDeadline(c.nextDeadline()); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
-	c.count.BytesIn.Add(uint64(n))
+	c.counters.BytesIn.Add(uint64(n))
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		c.count.SilentClosed.Add(1)
+		c.counters.SilentClosed.Add(1)
 	}
 	return n, err
 }
 
 // Write implements io.Writer.
 func (c *timedConn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(c.until()); err != nil {
+	if err := c.SetWriteDeadline(c.nextDeadline()); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
-	c.count.BytesOut.Add(uint64(n))
-	c.count.Writes.Add(1)
+	c.counters.BytesOut.Add(uint64(n))
+	c.counters.Writes.Add(1)
 	return n, err
 }
 
-func (c *timedConn) until() time.Time {
-	return time.Now().Add(c.silent)
+func (c *timedConn) nextDeadline() time.Time {
+	return time.Now().Add(c.silenceTimeout)
 }
 
 // Counters counts what passed over the connections of one end, hello included.
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -19,27 +19,27 @@
 
 // Conn is one authenticated connection. It is safe for concurrent use.
 type Conn struct {
-	tomb    tomb.Tomb
-	rpc     *jsonrpc2.Conn
-	opts    *Options
-	dialed  bool
-	remote  string
-	limit   atomic.Int64  // bytes of one message
-	calls   chan struct{} // one token per running handler
-	bodies  bodies
-	served  sync.WaitGroup
-	version atomic.Int64 // agreed in the hello
-	last    atomic.Int64 // when something was last sent, in Unix nanoseconds
-
-	mu     sync.Mutex // guards the fields below
-	ended  bool       // Wait was called: no further handler may begin
-	hello  *Hello
-	answer *HelloAnswer
-	key    []byte
-	peer   Identity
-	use    string
-	proven bool
-	ready  chan struct{} // closed when proven
+	tomb      tomb.Tomb
+	rpc       *jsonrpc2.Conn
+	opts      *Options
+	dialed    bool
+	remote    string
+	limit     atomic.Int64  // bytes of one message
+	callSlots chan struct{} // one token per running handler
+	bodies    bodies
+	handlers  sync.WaitGroup
+	version   atomic.Int64 // agreed in the hello
+	lastSent  atomic.Int64 // when something was last sent, in Unix nanoseconds
+
+	mu         sync.Mutex // guards the fields below
+	waitCalled bool       // Wait was called: no further handler may begin
+	hello      *Hello
+	answer     *HelloAnswer
+	key        []byte
+	peer       Identity
+	use        string
+	proven     bool
+	ready      chan struct{} // closed when proven
 
 	serveOnce sync.Once
 	serving   chan struct{} // closed by Serve
@@ -47,19 +47,19 @@
 
 func newConn(raw net.Conn, o *Options, count *Counters, dialed bool) *Conn {
 	c := &Conn{
-		opts:   o,
-		dialed: dialed,
-		remote: raw.RemoteAddr().String(),
-		calls:  make(chan struct{}, o.MaxCalls),
-		ready:  make(chan struct{}),
+		opts:      o,
+		dialed:    dialed,
+		remote:    raw.RemoteAddr().String(),
+		callSlots: make(chan struct{}, o.MaxCalls),
+		ready:     make(chan struct{}),
 
 		serving: make(chan struct{}),
 	}
 	c.limit.Store(maxHelloMessage)
-	timed := &timedConn{Conn: raw, silent: o.SilentAfter, count: count}
+	timed := &timedConn{Conn: raw, silenceTimeout: o.SilentAfter, counters: count}
 	codec := boundedCodec{limit: &c.limit, maxSend: o.MaxMessage, bodies: &c.bodies, withBodies: o.MaxVersion >= VersionCBOR}
 	stream := jsonrpc2.NewBufferedStream(timed, codec)
-	gate := gatedStream{ObjectStream: stream, open: make(chan struct{}), refuse: c.refuseMessage}
+	gate := gatedStream{ObjectStream: stream, open: make(chan struct{}), onInvalid: c.reportInvalidMessage}
 	logger := jsonrpc2.SetLogger(rpcLogger{o.Log})
 	c.rpc = jsonrpc2.NewConn(context.Background(), gate, c, logger, jsonrpc2.OnSend(c.bodies.onSend))
 	close(gate.open)
@@ -70,25 +70,25 @@
 // read, and thereby to call Handle, before it has returned the connection.
 type gatedStream struct {
 	jsonrpc2.ObjectStream
-	open   chan struct{}
-	refuse func(error)
+	open      chan struct{}
+	onInvalid func(error)
 }
 
 // ReadObject implements jsonrpc2.ObjectStream.
 func (s gatedStream) ReadObject(v any) error {
 	<-s.open
 	err := s.ObjectStream.ReadObject(v)
-	if code := result.Of(err); code == result.MessageTooBig || code == result.BadMessage {
-		s.refuse(err)
+	if code := result.CodeOf(err); code == result.MessageTooBig || code == result.BadMessage {
+		s.onInvalid(err)
 	}
 	return err
 }
 
-// refuseMessage tells the other end why the connection is about to be closed: a
+// reportInvalidMessage tells the other end why the connection is about to be closed: a
 // message that can't be read has no id to answer to.
-func (c *Conn) refuseMessage(err error) {
+func (c *Conn) reportInvalidMessage(err error) {
 	c.opts.Log.Warn("message refused", "peer", c.remote, "error", err)
-	_ = c.rpc.Notify(context.Background(), methodRefused, Refused{Code: result.Of(err)})
+	_ = c.rpc.Notify(context.Background(), methodRefused, Refused{Code: result.CodeOf(err)})
 }
 
 // Peer returns who is at the other end.
@@ -133,10 +133,10 @@
 func (c *Conn) Wait() {
 	<-c.Done()
 	c.mu.Lock()
-	c.ended = true
+	c.waitCalled = true
 	proven := c.proven
 	c.mu.Unlock()
-	c.served.Wait()
+	c.handlers.Wait()
 	if proven {
 		_ = c.tomb.Wait()
 	}
@@ -146,28 +146,28 @@
 // peer's code, or PeerSilent if ctx ended first, or ExchangeFailed if the
 // connection broke.
 func (c *Conn) Call(ctx context.Context, method string, params, into any) error {
-	c.last.Store(time.Now().UnixNano())
+	c.lastSent.Store(time.Now().UnixNano())
 	return callError(method, c.rpc.Call(ctx, method, params, into))
 }
 
 // Notify sends a message that has no answer.
 func (c *Conn) Notify(method string, params any) error {
-	c.last.Store(time.Now().UnixNano())
+	c.lastSent.Store(time.Now().UnixNano())
 	return callError(method, c.rpc.Notify(context.Background(), method, params))
 }
 
 // CallBody is Call with a body of bytes in place of parameters. The peer must
 // speak VersionCBOR.
 func (c *Conn) CallBody(ctx context.Context, method string, body []byte) error {
-	c.last.Store(time.Now().UnixNano())
-	return callError(method, c.rpc.Call(ctx, method, nil, nil, jsonrpc2.ExtraField(attachedField, attached(body))))
+	c.lastSent.Store(time.Now().UnixNano())
+	return callError(method, c.rpc.Call(ctx, method, nil, nil, jsonrpc2.ExtraField(bodyField, bodyAttachment(body))))
 }
 
 // NotifyBody is Notify with a body of bytes in place of parameters. The peer must
 // speak VersionCBOR.
 func (c *Conn) NotifyBody(method string, body []byte) error {
-	c.last.Store(time.Now().UnixNano())
-	return callError(method, c.rpc.Notify(context.Background(), method, nil, jsonrpc2.ExtraField(attachedField, attached(body))))
+	c.lastSent.Store(time.Now().UnixNano())
+	return callError(method, c.rpc.Notify(context.Background(), method, nil, jsonrpc2.ExtraField(bodyField, bodyAttachment(body))))
 }
 
 // Handle implements jsonrpc2.Handler. It must not block: the connection reads
@@ -181,7 +181,7 @@
 			c.finishHello()
 		}
 	case !c.dialed && !c.isProven():
-		c.refuse(ctx, req, result.Errorf(result.BadHello, "method %q before the hello", req.Method))
+		c.replyError(ctx, req, result.Errorf(result.BadHello, "method %q before the hello", req.Method))
 		c.rpc.Close()
 	case req.Method == methodRefused:
 		c.opts.Log.Warn("a peer refused a message", "peer", c.remote, "refused", req.Params)
@@ -208,44 +208,44 @@
 // serve runs the handler apart from the reading loop, within the bound on work
 // taken from this peer.
 func (c *Conn) serve(ctx context.Context, req *jsonrpc2.Request) {
-	if !c.takeRoom() {
-		c.refuse(ctx, req, result.Errorf(result.PeerBusy, "%d calls run already", cap(c.calls)))
+	if !c.acquireCallSlot() {
+		c.replyError(ctx, req, result.Errorf(result.PeerBusy, "%d calls run already", cap(c.callSlots)))
 		return
 	}
-	if !c.begin() {
-		<-c.calls
+	if !c.addHandler() {
+		<-c.callSlots
 		return
 	}
 	go func() {
-		defer c.served.Done()
+		defer c.handlers.Done()
 		if !c.awaitServing() {
-			<-c.calls
+			<-c.callSlots
 			return
 		}
 		c.reply(ctx, req, func(params json.RawMessage) (any, error) {
 			// Room is made before the answer goes out: a peer that makes one
 			// call after another is never told that its last one still runs.
-			defer func() { <-c.calls }()
-			return c.handle(ctx, req.Method, params)
+			defer func() { <-c.callSlots }()
+			return c.callHandler(ctx, req.Method, params)
 		}, false)
 	}()
 }
 
 // serveInOrder runs the handler on the reading loop, before the next message is read.
 func (c *Conn) serveInOrder(ctx context.Context, req *jsonrpc2.Request) {
-	if !c.begin() {
+	if !c.addHandler() {
 		return
 	}
-	defer c.served.Done()
+	defer c.handlers.Done()
 	if !c.awaitServing() {
 		return
 	}
 	c.reply(ctx, req, func(params json.RawMessage) (any, error) {
-		return c.handle(ctx, req.Method, params)
+		return c.callHandler(ctx, req.Method, params)
 	}, false)
 }
 
-func (c *Conn) handle(ctx context.Context, method string, params json.RawMessage) (any, error) {
+func (c *Conn) callHandler(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	if c.opts.Handler == nil {
 		return nil, result.Errorf(result.UnknownMethod, "%q", method)
 	}
@@ -269,45 +269,45 @@
 	}
 }
 
-func (c *Conn) takeRoom() bool {
-	if c.opts.WaitForRoom {
+func (c *Conn) acquireCallSlot() bool {
+	if c.opts.WaitForCallSlot {
 		select {
-		case c.calls <- struct{}{}:
+		case c.callSlots <- struct{}{}:
 			return true
 		case <-c.Done():
 			return false
 		}
 	}
 	select {
-	case c.calls <- struct{}{}:
+	case c.callSlots <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-// begin counts a handler in, unless Wait has been called.
-func (c *Conn) begin() bool {
+// addHandler counts a handler in, unless Wait has been called.
+func (c *Conn) addHandler() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ended {
-		c.served.Add(1)
+	if !c.waitCalled {
+		c.handlers.Add(1)
 	}
-	return !c.ended
+	return !c.waitCalled
 }
 
-type serveFunc func(params json.RawMessage) (any, error)
+type replyFunc func(params json.RawMessage) (any, error)
 
 // reply runs f, sends its outcome and tells whether f succeeded. An error
 // closes the connection if fatal.
-func (c *Conn) reply(ctx context.Context, req *jsonrpc2.Request, f serveFunc, fatal bool) bool {
+func (c *Conn) reply(ctx context.Context, req *jsonrpc2.Request, f replyFunc, fatal bool) bool {
 	var params json.RawMessage
 	if req.Params != nil {
 		params = *req.Params
 	}
 	answer, err := f(params)
 	if err != nil {
-		c.refuse(ctx, req, err)
+		c.replyError(ctx, req, err)
 		if fatal {
 			c.rpc.Close()
 		}
@@ -316,18 +316,18 @@
 	if !req.Notif {
 		err = c.rpc.Reply(ctx, req.ID, answer)
 	}
-	if result.Of(err) == result.MessageTooBig {
-		c.refuse(ctx, req, err)
+	if result.CodeOf(err) == result.MessageTooBig {
+		c.replyError(ctx, req, err)
 	}
 	return true // a broken connection shows at its reader
 }
 
-func (c *Conn) refuse(ctx context.Context, req *jsonrpc2.Request, err error) {
+func (c *Conn) replyError(ctx context.Context, req *jsonrpc2.Request, err error) {
 	if req.Notif {
 		c.opts.Log.Debug("notification refused", "method", req.Method, "peer", c.remote, "error", err)
 		return
 	}
-	rpcErr := &jsonrpc2.Error{Code: int64(result.Of(err)), Message: err.Error()}
+	rpcErr := &jsonrpc2.Error{Code: int64(result.CodeOf(err)), Message: err.Error()}
 	var coded *result.Error
 	if errors.As(err, &coded) {
 		rpcErr.Message = coded.Detail
@@ -346,7 +346,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case result.Of(err) == result.MessageTooBig:
+	case result.CodeOf(err) == result.MessageTooBig:
 		return err
 	case errors.As(err, &rpcErr):
 		var data errorData
@@ -354,7 +354,7 @@
 			_ = json.Unmarshal(*rpcErr.Data, &data) // zero if the peer sent none
 		}
 		coded := result.Errorf(result.Code(rpcErr.Code), "%s", rpcErr.Message)
-		return coded.After(time.Duration(data.RetryAfterMS) * time.Millisecond)
+		return coded.WithRetryAfter(time.Duration(data.RetryAfterMS) * time.Millisecond)
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		return result.Wrap(result.PeerSilent, err, method)
 	default:
@@ -362,8 +362,8 @@
 	}
 }
 
-// authenticated opens the connection for all methods.
-func (c *Conn) authenticated(peer Identity, use string, version int) {
+// setAuthenticated opens the connection for all methods.
+func (c *Conn) setAuthenticated(peer Identity, use string, version int) {
 	c.mu.Lock()
 	c.peer = peer
 	c.version.Store(int64(version))
@@ -388,7 +388,7 @@
 			return nil
 		case <-ticker.C:
 		}
-		idle := time.Since(time.Unix(0, c.last.Load()))
+		idle := time.Since(time.Unix(0, c.lastSent.Load()))
 		if !c.dialed || idle < c.opts.PingInterval/2 {
 			continue
 		}
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -19,16 +19,16 @@
 		return nil, result.Wrap(result.ExchangeFailed, err, "dial")
 	}
 	c := newConn(raw, &o, count, true)
-	if err := c.sayHello(ctx); err != nil {
+	if err := c.sendHello(ctx); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Conn) sayHello(ctx context.Context) error {
+func (c *Conn) sendHello(ctx context.Context) error {
 	hello := &Hello{
-		Versions: versions(c.opts.MaxVersion),
+		Versions: supportedVersions(c.opts.MaxVersion),
 		From:     c.opts.Self,
 		Use:      c.opts.Use,
 		Nonce:    newNonce(),
@@ -38,7 +38,7 @@
 	if err := c.Call(ctx, MethodHello, hello, &answer); err != nil {
 		return err
 	}
-	key, err := checkAnswer(c.opts, &answer)
+	key, err := validateAnswer(c.opts, &answer)
 	if err != nil {
 		return err
 	}
@@ -46,14 +46,14 @@
 	// looked at it; they are held back until Serve.
 	c.limit.Store(int64(c.opts.MaxMessage))
 	var theirs Proof
-	own := Proof{Proof: prove(key, roleDialer, hello, &answer)}
+	own := Proof{Proof: computeProof(key, roleDialer, hello, &answer)}
 	if err := c.Call(ctx, MethodProve, own, &theirs); err != nil {
 		return err
 	}
-	if !hmac.Equal(theirs.Proof, prove(key, roleAcceptor, hello, &answer)) {
+	if !hmac.Equal(theirs.Proof, computeProof(key, roleAcceptor, hello, &answer)) {
 		return result.Errorf(result.WrongKey, "the accepting end's proof is wrong")
 	}
-	c.authenticated(answer.From, c.opts.Use, answer.Version)
+	c.setAuthenticated(answer.From, c.opts.Use, answer.Version)
 	return nil
 }
 
@@ -86,10 +86,10 @@
 	if hello == nil {
 		return nil, result.Errorf(result.BadHello, "proof without a hello")
 	}
-	if !hmac.Equal(theirs.Proof, prove(key, roleDialer, hello, answer)) {
+	if !hmac.Equal(theirs.Proof, computeProof(key, roleDialer, hello, answer)) {
 		return nil, result.Errorf(result.WrongKey, "the proof is wrong")
 	}
-	return Proof{Proof: prove(key, roleAcceptor, hello, answer)}, nil
+	return Proof{Proof: computeProof(key, roleAcceptor, hello, answer)}, nil
 }
 
 // finishHello opens the accepting end after its proof was sent: no message may
@@ -98,5 +98,5 @@
 	c.mu.Lock()
 	hello, answer := c.hello, c.answer
 	c.mu.Unlock()
-	c.authenticated(hello.From, hello.Use, answer.Version)
+	c.setAuthenticated(hello.From, hello.Use, answer.Version)
 }
--- a/wire/server.go
+++ b/wire/server.go
@@ -13,11 +13,11 @@
 
 // Server accepts connections from other VMs.
 type Server struct {
-	tomb   tomb.Tomb
-	opts   Options
-	count  *Counters
-	ln     net.Listener
-	onConn func(*Conn)
+	tomb     tomb.Tomb
+	opts     Options
+	counters *Counters
+	ln       net.Listener
+	onConn   func(*Conn)
 
 	mu     sync.Mutex // guards the fields below
 	hellos []*Conn    // in hello, the oldest first
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "listen for peers")
 	}
-	s := &Server{opts: o.withDefaults(), count: count, ln: ln, onConn: onConn, conns: map[*Conn]struct{}{}}
+	s := &Server{opts: o.withDefaults(), counters: count, ln: ln, onConn: onConn, conns: map[*Conn]struct{}{}}
 	s.tomb.Go(s.accept)
 	return s, nil
 }
@@ -75,22 +75,22 @@
 		}
 		if err != nil {
 			s.opts.Log.Warn("accept failed", "error", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryPause)
 			continue
 		}
 		c := s.startHello(raw)
-		s.tomb.Go(func() error { return s.run(c) })
+		s.tomb.Go(func() error { return s.serveConn(c) })
 	}
 }
 
-// acceptPause keeps a lack of file descriptors from becoming a busy loop.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryPause keeps a lack of file descriptors from becoming a busy loop.
+const acceptRetryPause = 50 * time.Millisecond
 
 // startHello makes room by closing the oldest connection in hello: a process
 // without the key that opens connections and says nothing must not keep VMs
 // out, and a VM's hello takes milliseconds, so it is hardly ever the oldest.
 func (s *Server) startHello(raw net.Conn) *Conn {
-	c := newConn(raw, &s.opts, s.count, false)
+	c := newConn(raw, &s.opts, s.counters, false)
 	s.mu.Lock()
 	s.hellos = append(s.hellos, c)
 	var oldest *Conn
@@ -105,7 +105,7 @@
 	return c
 }
 
-func (s *Server) run(c *Conn) error {
+func (s *Server) serveConn(c *Conn) error {
 	defer c.Wait()
 	defer c.Close()
 	timer := time.NewTimer(s.opts.HelloTimeout)
@@ -119,10 +119,10 @@
 	case <-s.tomb.Dying():
 	}
 	if !s.endHello(c, proven) {
-		s.count.HellosRefused.Add(1)
+		s.counters.HellosRefused.Add(1)
 		return nil
 	}
-	defer s.forget(c)
+	defer s.removeConn(c)
 	s.onConn(c)
 	select {
 	case <-c.Done():
@@ -148,7 +148,7 @@
 	return true
 }
 
-func (s *Server) forget(c *Conn) {
+func (s *Server) removeConn(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -84,12 +84,12 @@
 	MaxConns     int           // accepted and authenticated at once; default 256
 	MaxMessage   int           // bytes of one message; default 2 MiB
 	MaxCalls     int           // served for one connection at once; default 16
-	// WaitForRoom makes a connection read nothing more while MaxCalls are
+	// WaitForCallSlot makes a connection read nothing more while MaxCalls are
 	// served, in place of refusing with PeerBusy. Only for handlers that never
 	// wait: a handler that waited for the same peer would block both.
-	WaitForRoom  bool
-	PingInterval time.Duration // default 2 s
-	SilentAfter  time.Duration // without a byte from the peer; default 3 ping intervals
+	WaitForCallSlot bool
+	PingInterval    time.Duration // default 2 s
+	SilentAfter     time.Duration // without a byte from the peer; default 3 ping intervals
 }
 
 // MinKeyBytes is the least length of a key.
@@ -104,18 +104,18 @@
 	defaultMaxMessage   = 2 << 20
 	defaultMaxCalls     = 16
 	defaultPingInterval = 2 * time.Second
-	pingsUntilSilent    = 3
+	silentAfterPings    = 3
 )
 
 func (o Options) withDefaults() Options {
-	defaults.Positive(&o.MaxVersion, Version)
-	defaults.Positive(&o.HelloTimeout, defaultHelloTimeout)
-	defaults.Positive(&o.MaxHellos, defaultMaxHellos)
-	defaults.Positive(&o.MaxConns, defaultMaxConns)
-	defaults.Positive(&o.MaxMessage, defaultMaxMessage)
-	defaults.Positive(&o.MaxCalls, defaultMaxCalls)
-	defaults.Positive(&o.PingInterval, defaultPingInterval)
-	defaults.Positive(&o.SilentAfter, pingsUntilSilent*o.PingInterval)
+	defaults.SetIfNotPositive(&o.MaxVersion, Version)
+	defaults.SetIfNotPositive(&o.HelloTimeout, defaultHelloTimeout)
+	defaults.SetIfNotPositive(&o.MaxHellos, defaultMaxHellos)
+	defaults.SetIfNotPositive(&o.MaxConns, defaultMaxConns)
+	defaults.SetIfNotPositive(&o.MaxMessage, defaultMaxMessage)
+	defaults.SetIfNotPositive(&o.MaxCalls, defaultMaxCalls)
+	defaults.SetIfNotPositive(&o.PingInterval, defaultPingInterval)
+	defaults.SetIfNotPositive(&o.SilentAfter, silentAfterPings*o.PingInterval)
 	if o.Log == nil {
 		o.Log = logging.Discard()
 	}
