--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -37,7 +37,7 @@
 	case "large":
 		return make([]byte, defaultMaxMessage), nil
 	case "fail":
-		return nil, result.Errorf(result.PeerBusy, "why").After(time.Second)
+		return nil, result.Errorf(result.PeerBusy, "why").WithRetryAfter(time.Second)
 	default:
 		return nil, result.Errorf(result.UnknownMethod, "%q", method)
 	}
@@ -74,9 +74,9 @@
 	return c.Call(ctx, method, params, nil)
 }
 
-// TestWhoGetsIn covers keys, deployments and versions. Two keys are valid at
+// TestHelloAcceptance covers keys, deployments and versions. Two keys are valid at
 // once, in whichever order the ends got the new one.
-func TestWhoGetsIn(t *testing.T) {
+func TestHelloAcceptance(t *testing.T) {
 	foreign := options("b", oldKey)
 	foreign.Self.Deployment = "other"
 	nameless := options("", oldKey)
@@ -101,7 +101,7 @@
 			g := NewWithT(t)
 			s := serve(t, tc.server)
 			c, err := dial(s, tc.client)
-			g.Expect(result.Of(err)).To(Equal(tc.want))
+			g.Expect(result.CodeOf(err)).To(Equal(tc.want))
 			if err == nil {
 				g.Expect(c.Peer()).To(Equal(tc.server.Self))
 				g.Expect(call(c, "echo", 1)).To(Succeed())
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestStolenKeyID: a process that knows a key's id, but not the key, says hello.
+// TestKeyIDWithoutKeyIsRefused: a process that knows a key's id, but not the key, says hello.
 // It gets a nonce and then nothing: its proof is refused and no method is served.
-func TestStolenKeyID(t *testing.T) {
+func TestKeyIDWithoutKeyIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, options("a", oldKey))
 	raw, err := net.Dial("tcp", s.Addr().String())
@@ -126,32 +126,32 @@
 	hello := Hello{Versions: []int{Version}, From: o.Self, Nonce: newNonce(), KeyIDs: []string{keyID(oldKey)}}
 	var answer HelloAnswer
 	g.Expect(c.Call(context.Background(), MethodHello, hello, &answer)).To(Succeed())
-	proof := Proof{Proof: prove(badKey, roleDialer, &hello, &answer)}
-	g.Expect(result.Of(call(c, MethodProve, proof))).To(Equal(result.WrongKey))
+	proof := Proof{Proof: computeProof(badKey, roleDialer, &hello, &answer)}
+	g.Expect(result.CodeOf(call(c, MethodProve, proof))).To(Equal(result.WrongKey))
 	g.Eventually(c.Done()).WithTimeout(testLimit).Should(BeClosed())
 }
 
-func message(body string) []byte {
+func frame(body string) []byte {
 	return append(binary.AppendUvarint(nil, uint64(len(body))), body...)
 }
 
-// TestForeignBytes: something that doesn't speak the protocol, or lies about
+// TestInvalidBytesCloseConnection: something that doesn't speak the protocol, or lies about
 // sizes, connects. It is cut off, and VMs still get in and are served.
-func TestForeignBytes(t *testing.T) {
+func TestInvalidBytesCloseConnection(t *testing.T) {
 	for name, tc := range map[string]struct {
 		sent []byte
 		code result.Code // that is told before the end; 0 for none
 	}{
 		"http":                {[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), 0},
 		"huge length":         {binary.AppendUvarint(nil, 1<<40), result.MessageTooBig},
-		"over the bound":      {message(string(bytes.Repeat([]byte(" "), maxHelloMessage+1))), result.MessageTooBig},
-		"not JSON":            {message("{{{{"), result.BadMessage},
-		"no hello":            {message(`{"jsonrpc":"2.0","id":1,"method":"echo"}`), result.BadHello},
-		"ping":                {message(`{"jsonrpc":"2.0","id":1,"method":"ping"}`), result.BadHello},
-		"body and no message": {append([]byte{4, bodyMark, 1, 2, 3}, message("{{{{")...), result.BadMessage},
-		"body after body":     {append([]byte{2, bodyMark, 1}, 2, bodyMark, 1), result.BadMessage},
-		"null hello":          {message(`{"jsonrpc":"2.0","id":1,"method":"hello","params":null}`), result.BadHello},
-		"proof first":         {message(`{"jsonrpc":"2.0","id":1,"method":"prove","params":{"proof":""}}`), result.BadHello},
+		"over the bound":      {frame(string(bytes.Repeat([]byte(" "), maxHelloMessage+1))), result.MessageTooBig},
+		"not JSON":            {frame("{{{{"), result.BadMessage},
+		"no hello":            {frame(`{"jsonrpc":"2.0","id":1,"method":"echo"}`), result.BadHello},
+		"ping":                {frame(`{"jsonrpc":"2.0","id":1,"method":"ping"}`), result.BadHello},
+		"body and no message": {append([]byte{4, bodyMarker, 1, 2, 3}, frame("{{{{")...), result.BadMessage},
+		"body after body":     {append([]byte{2, bodyMarker, 1}, 2, bodyMarker, 1), result.BadMessage},
+		"null hello":          {frame(`{"jsonrpc":"2.0","id":1,"method":"hello","params":null}`), result.BadHello},
+		"proof first":         {frame(`{"jsonrpc":"2.0","id":1,"method":"prove","params":{"proof":""}}`), result.BadHello},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -181,9 +181,9 @@
 	return ok && netErr.Timeout()
 }
 
-// TestSilentHellos: a process opens many connections and says nothing. VMs
+// TestSilentConnectionsDoNotBlockHellos: a process opens many connections and says nothing. VMs
 // can't join if those fill the room for hellos; the oldest make way.
-func TestSilentHellos(t *testing.T) {
+func TestSilentConnectionsDoNotBlockHellos(t *testing.T) {
 	g := NewWithT(t)
 	o := options("a", oldKey)
 	o.MaxHellos = 4
@@ -200,21 +200,21 @@
 	c.Wait()
 }
 
-// TestSilentConnection: the path to a peer loses its state; no FIN and no RST
+// TestSilentConnectionIsClosed: the path to a peer loses its state; no FIN and no RST
 // comes, and writes still succeed. Calls would wait for ever; the ping's
 // deadline closes the connection at both ends, and a new one works.
-func TestSilentConnection(t *testing.T) {
+func TestSilentConnectionIsClosed(t *testing.T) {
 	g := NewWithT(t)
 	o := options("a", oldKey)
 	o.PingInterval = 50 * time.Millisecond
 	s := serve(t, o)
-	hole := newHole(t, s.Addr().String())
+	hole := newBlackhole(t, s.Addr().String())
 	client := options("b", oldKey)
 	client.PingInterval = o.PingInterval
 	c, err := Dial(context.Background(), hole.addr(), client, &Counters{})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(call(c, "echo", 1)).To(Succeed())
-	hole.swallow()
+	hole.dropAll()
 	g.Eventually(c.Done()).WithTimeout(testLimit).Should(BeClosed())
 	g.Eventually(func() int {
 		s.mu.Lock()
@@ -229,9 +229,9 @@
 	again.Wait()
 }
 
-// TestBoundsOfCalls: unknown methods, errors and too much work at once each get
+// TestCallErrorsAndLimits: unknown methods, errors and too much work at once each get
 // their code, and the connection goes on.
-func TestBoundsOfCalls(t *testing.T) {
+func TestCallErrorsAndLimits(t *testing.T) {
 	g := NewWithT(t)
 	running := make(chan struct{})
 	o := options("a", oldKey)
@@ -247,24 +247,24 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	defer c.Wait()
 	defer c.Close()
-	g.Expect(result.Of(call(c, "nonsense", nil))).To(Equal(result.UnknownMethod))
-	g.Expect(result.Of(call(c, "echo", make([]byte, defaultMaxMessage)))).To(Equal(result.MessageTooBig))
-	g.Expect(result.Of(call(c, "large", nil))).To(Equal(result.MessageTooBig))
+	g.Expect(result.CodeOf(call(c, "nonsense", nil))).To(Equal(result.UnknownMethod))
+	g.Expect(result.CodeOf(call(c, "echo", make([]byte, defaultMaxMessage)))).To(Equal(result.MessageTooBig))
+	g.Expect(result.CodeOf(call(c, "large", nil))).To(Equal(result.MessageTooBig))
 	err = call(c, "fail", nil)
 	g.Expect(err).To(HaveField("RetryAfter", time.Second))
 	ctx, cancel := context.WithCancel(context.Background())
 	blocked := make(chan error, 1)
 	go func() { blocked <- c.Call(ctx, "block", nil, nil) }()
 	g.Eventually(running).WithTimeout(testLimit).Should(BeClosed())
-	g.Expect(result.Of(call(c, "echo", 1))).To(Equal(result.PeerBusy))
+	g.Expect(result.CodeOf(call(c, "echo", 1))).To(Equal(result.PeerBusy))
 	g.Expect(call(c, MethodPing, nil)).To(Succeed())
 	cancel()
-	g.Expect(result.Of(<-blocked)).To(Equal(result.PeerSilent))
+	g.Expect(result.CodeOf(<-blocked)).To(Equal(result.PeerSilent))
 }
 
 // A call is answered by two messages, and the last one is taken before the first: handlers
 // of one connection ran side by side.
-func TestMessagesInOrderAreNotOvertaken(t *testing.T) {
+func TestInOrderMessagesKeepOrder(t *testing.T) {
 	const messages = 2000
 	g := NewWithT(t)
 	var taken []int
@@ -296,16 +296,16 @@
 	g.Expect(taken).To(Equal(sent))
 }
 
-// hole forwards one connection until it is told to swallow all bytes.
-type hole struct {
-	ln    net.Listener
-	quiet chan struct{}
+// blackhole forwards one connection until it is told to swallow all bytes.
+type blackhole struct {
+	ln       net.Listener
+	dropping chan struct{}
 }
 
-func newHole(t *testing.T, to string) *hole {
+func newBlackhole(t *testing.T, to string) *blackhole {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	h := &hole{ln: ln, quiet: make(chan struct{})}
+	h := &blackhole{ln: ln, dropping: make(chan struct{})}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -333,10 +333,10 @@
 	return h
 }
 
-func (h *hole) addr() string { return h.ln.Addr().String() }
-func (h *hole) swallow()     { close(h.quiet) }
+func (h *blackhole) addr() string { return h.ln.Addr().String() }
+func (h *blackhole) dropAll()     { close(h.dropping) }
 
-func (h *hole) copy(to, from net.Conn) {
+func (h *blackhole) copy(to, from net.Conn) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
@@ -344,7 +344,7 @@
 			return
 		}
 		select {
-		case <-h.quiet:
+		case <-h.dropping:
 		default:
 			_, _ = to.Write(buf[:n])
 		}
