--- a/latency/latency.go
+++ b/latency/latency.go
@@ -1,4 +1,4 @@
-// Package latency keeps recent latencies and tells their quantiles.
+// Package latency records recent latencies and returns their quantiles.
 package latency
 
 import (
@@ -8,24 +8,25 @@
 )
 
 const (
-	windowCount        = 4               // kept, the running one included
-	windowLength       = 5 * time.Second // length of one
-	maxLatency         = time.Minute     // longer ones count as this
-	significantFigures = 2               // significant figures kept
-	minSamples         = 50              // fewer samples say nothing about a quantile
+	windowCount        = 4               // windows kept, the current one included
+	windowLength       = 5 * time.Second // of each window
+	maxLatency         = time.Minute     // longer latencies are recorded as this
+	significantFigures = 2               // precision of the histogram
+	minSamples         = 50              // with fewer, a quantile is meaningless
 )
 
-// Recorder tells quantiles of recent latencies. Old samples leave with their
-// window, so that a change of the targets' speed is followed in seconds.
+// Recorder estimates quantiles of recent latencies. Samples are dropped with their
+// window, so that the quantiles follow a change of the targets' speed within seconds.
+// It is not safe for concurrent use.
 type Recorder struct {
 	hist        *hdrhistogram.WindowedHistogram
-	windowStart time.Time
-	merged      *hdrhistogram.Histogram // of all windows; nil after a change
+	windowStart time.Time               // of the current window
+	merged      *hdrhistogram.Histogram // sum of all windows; nil before the first merge
 	mergedAt    time.Time
-	quantiles   map[float64]time.Duration // quantiles of merged already looked up
+	quantiles   map[float64]time.Duration // quantiles of merged, cached by q
 }
 
-// New returns an empty record.
+// New returns an empty recorder.
 func New() *Recorder {
 	return &Recorder{
 		hist: hdrhistogram.NewWindowed(windowCount, 1, maxLatency.Microseconds(), significantFigures),
@@ -33,51 +34,52 @@
 }
 
 // Add records one latency.
-func (l *Recorder) Add(now time.Time, d time.Duration) {
-	l.rotate(now)
+func (r *Recorder) Add(now time.Time, d time.Duration) {
+	r.rotate(now)
 	us := min(max(d.Microseconds(), 1), maxLatency.Microseconds())
-	// The value lies within the histogram's bounds, so recording cannot fail.
-	_ = l.hist.Current.RecordValue(us)
+	// The value is within the histogram's bounds, so recording can't fail.
+	_ = r.hist.Current.RecordValue(us)
 }
 
-// Quantile returns the q-quantile, 0 <= q <= 1, and false while there are too
-// few samples.
-func (l *Recorder) Quantile(now time.Time, q float64) (time.Duration, bool) {
-	l.rotate(now)
-	l.merge(now)
-	if l.merged.TotalCount() < minSamples {
+// Quantile returns the q-quantile, 0 <= q <= 1, and whether there are enough samples.
+// It may be up to mergeInterval old.
+func (r *Recorder) Quantile(now time.Time, q float64) (time.Duration, bool) {
+	r.rotate(now)
+	r.merge(now)
+	if r.merged.TotalCount() < minSamples {
 		return 0, false
 	}
-	if d, ok := l.quantiles[q]; ok {
+	if d, ok := r.quantiles[q]; ok {
 		return d, true
 	}
-	d := time.Duration(l.merged.ValueAtQuantile(q*100)) * time.Microsecond
-	l.quantiles[q] = d
+	d := time.Duration(r.merged.ValueAtQuantile(q*100)) * time.Microsecond
+	r.quantiles[q] = d
 	return d, true
 }
 
-// mergeInterval bounds how often the windows are added up: a merge costs far more
-// than a query can pay for each of its shards.
+// mergeInterval is the least time between two merges of the windows: a merge costs far
+// too much to be done for each shard of a query.
 const mergeInterval = 100 * time.Millisecond
 
-func (l *Recorder) merge(now time.Time) {
-	if l.merged != nil && now.Sub(l.mergedAt) < mergeInterval {
+func (r *Recorder) merge(now time.Time) {
+	if r.merged != nil && now.Sub(r.mergedAt) < mergeInterval {
 		return
 	}
-	l.merged = l.hist.Merge()
-	l.mergedAt = now
-	l.quantiles = make(map[float64]time.Duration)
+	r.merged = r.hist.Merge()
+	r.mergedAt = now
+	r.quantiles = make(map[float64]time.Duration)
 }
 
-func (l *Recorder) rotate(now time.Time) {
-	if l.windowStart.IsZero() {
-		l.windowStart = now
+// rotate starts new windows for the time that has passed.
+func (r *Recorder) rotate(now time.Time) {
+	if r.windowStart.IsZero() {
+		r.windowStart = now
 	}
-	for n := 0; n < windowCount && now.Sub(l.windowStart) >= windowLength; n++ {
-		l.hist.Rotate()
-		l.windowStart = l.windowStart.Add(windowLength)
+	for n := 0; n < windowCount && now.Sub(r.windowStart) >= windowLength; n++ {
+		r.hist.Rotate()
+		r.windowStart = r.windowStart.Add(windowLength)
 	}
-	if now.Sub(l.windowStart) >= windowLength {
-		l.windowStart = now
+	if now.Sub(r.windowStart) >= windowLength {
+		r.windowStart = now
 	}
 }
--- a/leafhttp/conn.go
+++ b/leafhttp/conn.go
@@ -10,22 +10,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is a connection to a leaf. It belongs to one request at a time.
+// conn is a connection to a leaf. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader        *bufio.Reader
-	reusableUntil time.Time // not reused after that
+	reusableUntil time.Time // end of the idle time; set when the connection becomes idle
 }
 
-// Times of connections.
+// Timeouts and buffer size of a connection.
 const (
-	// dialTimeout bounds a connect. A leaf on a machine without power answers
-	// nothing at all; a live one takes some 10 ms under load.
+	// dialTimeout bounds a connect. A machine without power sends no reply at all;
+	// a live leaf accepts within some 10 ms under load.
 	dialTimeout = 300 * time.Millisecond
 	// unackedTimeout is how long sent bytes may stay unacknowledged
-	// (TCP_USER_TIMEOUT). A connection that went silent takes writes for ever.
+	// (TCP_USER_TIMEOUT). Without it, writes to a connection whose other end has
+	// stopped responding would go on succeeding.
 	unackedTimeout = 1500 * time.Millisecond
-	// readBufferSize holds the head and body of most answers, in bytes.
+	// readBufferSize is in bytes; the head and body of most answers fit.
 	readBufferSize = 2 << 10
 )
 
@@ -40,20 +41,21 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
+// setOptions sets TCP_USER_TIMEOUT on a new socket.
 func setOptions(_, _ string, raw syscall.RawConn) error {
 	var err error
-	if ctl := raw.Control(func(fd uintptr) {
+	if controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
-	}); ctl != nil {
-		return ctl
+	}); controlErr != nil {
+		return controlErr
 	}
 	return err
 }
 
-// reusable reports whether nothing has come in since the last answer. Bytes that wait
-// belong to no request: a leaf may send a second answer, which the next request would
-// take for its own. The end of the connection shows here too, before a request is
-// lost on it.
+// reusable reports whether the connection is open and has no unread bytes. Unread
+// bytes belong to no request: if a leaf sent a second answer, the next request would
+// read it as its own. A connection that the leaf has closed is detected here too,
+// before a request is sent on it and lost.
 func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -64,8 +66,8 @@
 	}
 	quiet := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, peekErr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buf [1]byte
+		_, _, peekErr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		quiet = peekErr == unix.EAGAIN
 		return true
 	})
--- a/leafhttp/keepalive.go
+++ b/leafhttp/keepalive.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// keepAliveTimeout returns the seconds that a Keep-Alive header states.
+// keepAliveTimeout returns the timeout parameter of the Keep-Alive header, in
+// seconds, and whether the header has a valid one.
 func keepAliveTimeout(h http.Header) (int, bool) {
 	for _, param := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
--- a/leafhttp/pool.go
+++ b/leafhttp/pool.go
@@ -9,21 +9,23 @@
 	"time"
 )
 
-// Endpoint is the leaf at an address. Connections are kept for each Endpoint, so that those
-// to a former leaf of an address are never used for the next one.
+// Endpoint is one incarnation of a leaf and its address. Idle connections are kept by
+// Key, so that a connection to an earlier leaf at an address is never used for the next
+// leaf there.
 type Endpoint struct {
-	Key     string // of this lifetime of the leaf
+	Key     string // identifies the leaf's incarnation
 	Address string // IP and port
-	// Transient connections are closed soon after their request. A leaf accepts a number of
-	// connections, which idle ones of many VMs would use up.
+	// Transient means that connections are closed soon after their request. A leaf accepts
+	// a limited number of connections, which idle ones of many VMs would use up.
 	Transient bool
 }
 
-// transientIdleTimeout is how long a transient connection stays idle. Requests to a leaf that a VM seldom
-// asks come in bursts, as after a start of all VMs, and a new connection takes a slot.
+// transientIdleTimeout is how long a transient connection may stay idle. Requests to a leaf
+// that a VM seldom uses come in bursts, as after a start of all VMs, and each new connection
+// takes a slot of the leaf.
 const transientIdleTimeout = 500 * time.Millisecond
 
-// limitIdle returns how long a connection may stay idle that the leaf limitIdle for a time.
+// limitIdle returns how long a connection may stay idle if the leaf itself allows d.
 func (p Endpoint) limitIdle(d time.Duration) time.Duration {
 	if p.Transient {
 		return min(d, transientIdleTimeout)
@@ -31,12 +33,11 @@
 	return d
 }
 
-// Pool keeps idle connections to leafs. It is safe for concurrent use. How many
-// requests a leaf gets at once, and so how many connections, is the caller's to
-// bound.
+// Pool keeps idle connections to leafs. It is safe for concurrent use. It does not
+// limit the number of concurrent requests to a leaf, and so of connections; callers do.
 type Pool struct {
-	mu   sync.Mutex // guards idle
-	idle map[string][]*conn
+	mu   sync.Mutex         // guards idle
+	idle map[string][]*conn // by Endpoint.Key; the last one used is last
 
 	dials, reuses, discarded atomic.Uint64
 }
@@ -44,9 +45,10 @@
 // NewPool returns a pool without connections.
 func NewPool() *Pool { return &Pool{idle: make(map[string][]*conn)} }
 
-// Stats counts connections opened, reused, and thrown away with bytes on them that
-// nobody had asked for, or closed by the leaf.
-func (p *Pool) Stats() (dials, reuses, dirty uint64) {
+// Stats returns how many connections were opened, how many were reused, and how many
+// were discarded when they were about to be reused: they had expired, had unexpected
+// bytes to read, or had been closed by the leaf.
+func (p *Pool) Stats() (dials, reuses, discarded uint64) {
 	return p.dials.Load(), p.reuses.Load(), p.discarded.Load()
 }
 
@@ -61,13 +63,14 @@
 	return n
 }
 
-// errAnswerTooLong is an answer beyond maxAnswer.
+// errAnswerTooLong reports a body of more than maxAnswerBytes.
 var errAnswerTooLong = errors.New("leafhttp: answer too long")
 
-// errMismatchedAnswer is an answer to another request.
+// errMismatchedAnswer reports an answer that belongs to another request.
 var errMismatchedAnswer = errors.New("leafhttp: answer to another request")
 
-// UnreachableError says that nothing of a request was sent.
+// UnreachableError reports that no connection to a leaf could be opened. Nothing of the
+// request was sent, so the leaf did not run it.
 type UnreachableError struct{ Err error }
 
 // Error implements error.
@@ -76,39 +79,40 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// Do sends a request to a leaf and returns its whole answer. Extra headers are added
-// to the request's own. An error that is not an UnreachableError says nothing about
-// whether the leaf ran the request. Do sends it once only. If ctx ends, the connection
-// is closed. An answer that accept refuses belongs to another request: it is an error,
-// and the connection is closed.
+// Do sends a request to a leaf, once only, and returns its whole answer. The extra
+// headers are added to the request's own. After an error other than an
+// UnreachableError the leaf may or may not have run the request. If ctx ends, reads
+// and writes in progress fail and the connection is closed. accept reports whether an
+// answer belongs to this request; if not, Do returns an error and closes the connection.
 func (p *Pool) Do(ctx context.Context, leaf Endpoint, req *Request, extra http.Header, accept func(*Answer) bool) (*Answer, error) {
 	c, err := p.get(ctx, leaf)
 	if err != nil {
 		return nil, &UnreachableError{Err: err}
 	}
 	stop := context.AfterFunc(ctx, func() {
-		// Reads and writes in progress end at once.
+		// Makes reads and writes in progress fail at once.
 		_ = c.SetDeadline(time.Unix(1, 0))
 	})
-	ans, keep, err := roundTrip(c, req, extra)
+	ans, idleTimeout, err := roundTrip(c, req, extra)
 	if err == nil && !accept(ans) {
 		ans, err = nil, errMismatchedAnswer
 	}
-	if !stop() || err != nil || keep <= 0 {
+	if !stop() || err != nil || idleTimeout <= 0 {
 		_ = c.Close()
 		return ans, err
 	}
-	p.put(leaf, c, leaf.limitIdle(keep))
+	p.put(leaf, c, leaf.limitIdle(idleTimeout))
 	return ans, nil
 }
 
-// concurrentWriteSize is the size from which a body is written beside reading: a leaf may answer
-// before it has read all of it, and small windows would keep the writer waiting.
+// concurrentWriteSize is the body size, in bytes, from which the request is written
+// while the answer is being read. A leaf may answer before it has read the whole body,
+// and with a small TCP window the write would block until it did.
 const concurrentWriteSize = 8 << 10
 
-// roundTrip sends a request and reads its answer. keep is how long the connection may
-// be kept.
-func roundTrip(c *conn, req *Request, extra http.Header) (ans *Answer, keep time.Duration, err error) {
+// roundTrip sends a request and reads its answer. idleTimeout is how long the connection
+// may stay idle afterwards; 0 means that it can't be reused.
+func roundTrip(c *conn, req *Request, extra http.Header) (ans *Answer, idleTimeout time.Duration, err error) {
 	head := req.head(extra)
 	written := make(chan error, 1)
 	if len(req.Body) < concurrentWriteSize {
@@ -132,13 +136,14 @@
 			return ans, 0, nil
 		}
 	default:
-		// Answered before the body was sent. The leaf reads the rest later, so the
-		// next request on this connection would be taken for it.
+		// The leaf answered before the whole body was sent. It still expects the
+		// rest of the body, so it would read the next request as part of it.
 		return ans, 0, nil
 	}
 	return ans, idleTimeoutAfter(resp), nil
 }
 
+// get returns an idle connection that can be reused, or a new one.
 func (p *Pool) get(ctx context.Context, leaf Endpoint) (*conn, error) {
 	for {
 		c := p.pop(leaf)
@@ -156,8 +161,8 @@
 	return dial(ctx, leaf.Address)
 }
 
-// pop takes the connection that was used last: it is the least likely to have been
-// closed or forgotten meanwhile.
+// pop removes and returns the idle connection that was used last, or nil. That one is
+// the least likely to have been closed by the leaf or dropped on the way meanwhile.
 func (p *Pool) pop(leaf Endpoint) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,14 +175,15 @@
 	return c
 }
 
-func (p *Pool) put(leaf Endpoint, c *conn, keep time.Duration) {
-	c.reusableUntil = time.Now().Add(keep)
+// put keeps an idle connection for at most idleTimeout.
+func (p *Pool) put(leaf Endpoint, c *conn, idleTimeout time.Duration) {
+	c.reusableUntil = time.Now().Add(idleTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[leaf.Key] = append(p.idle[leaf.Key], c)
 }
 
-// Warm opens a connection to a leaf that has no idle one.
+// Warm makes sure that a leaf has an idle connection, and opens one if needed.
 func (p *Pool) Warm(ctx context.Context, leaf Endpoint) error {
 	if c := p.pop(leaf); c != nil {
 		if time.Now().Before(c.reusableUntil) && c.reusable() {
@@ -196,7 +202,8 @@
 	return nil
 }
 
-// CloseIdle closes the idle connections to a leaf that is gone.
+// CloseIdle closes the idle connections to an endpoint with this key, for when the leaf
+// was removed.
 func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
 	list := p.idle[key]
@@ -207,25 +214,25 @@
 	}
 }
 
-// CloseExpired closes connections whose time is over.
+// CloseExpired closes connections that have been idle for longer than allowed.
 func (p *Pool) CloseExpired(now time.Time) {
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for key, list := range p.idle {
-		kept := list[:0]
+		open := list[:0]
 		for _, c := range list {
 			if now.Before(c.reusableUntil) {
-				kept = append(kept, c)
+				open = append(open, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
-		if p.idle[key] = kept; len(kept) == 0 {
+		if p.idle[key] = open; len(open) == 0 {
 			delete(p.idle, key)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		_ = c.Close()
 	}
 }
--- a/leafhttp/pool_test.go
+++ b/leafhttp/pool_test.go
@@ -13,13 +13,13 @@
 	"github.com/bramleybarrow/bramleybarrow/leafhttp"
 )
 
-// call sends one request with an id to a leaf.
+// call sends a request with an attempt id to a leaf and waits up to 1 s.
 func call(pool *leafhttp.Pool, l *edgesim.Leaf, id string) (*leafhttp.Answer, error) {
 	return callWithTimeout(pool, l, id, time.Second)
 }
 
-func callWithTimeout(pool *leafhttp.Pool, l *edgesim.Leaf, id string, wait time.Duration) (*leafhttp.Answer, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+func callWithTimeout(pool *leafhttp.Pool, l *edgesim.Leaf, id string, timeout time.Duration) (*leafhttp.Answer, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	peer := leafhttp.Endpoint{Key: l.ID, Address: l.Address()}
 	req := &leafhttp.Request{Method: "POST", Target: "/x", Host: "h", Header: http.Header{}, Body: []byte("report"), HasBody: true}
@@ -35,8 +35,9 @@
 	return l
 }
 
-// A report is filed twice: the leaf ran it and its connection broke, and the client
-// library sent it again by itself, on a reused connection as on a new one.
+// Guards against a request that runs twice: the leaf runs it, the connection breaks
+// before the answer, and the client sends it again by itself. Checked on a reused and
+// on a new connection.
 func TestRequestIsSentOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
@@ -53,8 +54,8 @@
 	}
 }
 
-// A caller gets half a register that looks whole: the leaf's answer was cut, or ended
-// with its connection.
+// Guards against a truncated answer that is returned as complete. An answer without a
+// Content-Length ends with its connection and is valid.
 func TestTruncatedAnswerIsError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
@@ -68,8 +69,9 @@
 	g.Expect(ans.Body).To(gomega.Equal(l.Answer("open-ended")))
 }
 
-// A caller gets the answer to another caller's request: the leaf sent two answers, and
-// the second waited on the connection for the next request.
+// Guards against a caller that gets the answer to another caller's request: the leaf
+// sends two answers to one request, and the next request on the connection reads the
+// second.
 func TestExtraAnswerIsNotReadByNextRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
@@ -85,8 +87,8 @@
 	}
 }
 
-// Every request opens a connection, each of which takes a slot of the leaf; or one waits
-// on a connection that the leaf has closed meanwhile.
+// Guards against a new connection for every request, each of which takes a slot of the
+// leaf, and against the reuse of a connection that the leaf has closed.
 func TestOpenConnectionsAreReused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
@@ -106,8 +108,8 @@
 	g.Expect(arrivals).To(gomega.Equal(1))
 }
 
-// A leaf that is gone looks like one that may have run the request, so a report that
-// must run once can go nowhere else.
+// Guards against a refused connection that is reported as if the leaf may have run the
+// request. A non-idempotent request could then not be sent to another leaf.
 func TestRefusedConnectionIsUnreachable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := (&edgesim.Leaf{ID: "leaf-1"}).Start()
@@ -116,8 +118,8 @@
 	g.Expect(errors.As(err, new(*leafhttp.UnreachableError))).To(gomega.BeTrue())
 }
 
-// A leaf says nothing. The request ends when its caller gives up, and the connection is
-// not used again.
+// A leaf accepts a request and never answers. The request has to end with its context,
+// and the connection must not be reused.
 func TestRequestToSilentLeafEndsWithContext(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
@@ -128,7 +130,7 @@
 	g.Expect(pool.Idle()).To(gomega.Equal(0))
 }
 
-// Guards against hundreds of VMs that each hold a connection to a leaf which accepts fewer.
+// Guards against hundreds of VMs that each keep a connection to a leaf that accepts fewer.
 func TestTransientConnectionExpiresSoon(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
@@ -138,7 +140,7 @@
 	req := &leafhttp.Request{Method: "GET", Target: "/x", Host: "h", Header: http.Header{}}
 	_, err := pool.Do(context.Background(), peer, req, nil, func(*leafhttp.Answer) bool { return true })
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(pool.Idle()).To(gomega.Equal(1), "for the next request of a burst")
+	g.Expect(pool.Idle()).To(gomega.Equal(1), "kept for the next request of a burst")
 	pool.CloseExpired(time.Now().Add(time.Second))
 	g.Expect(pool.Idle()).To(gomega.BeZero())
 	_, err = call(pool, l, "kept")
--- a/leafhttp/request.go
+++ b/leafhttp/request.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// Request is what a leaf is asked. It is sent as it stands.
+// Request is a request to a leaf. It is sent unchanged, and must not be changed after
+// its first use.
 type Request struct {
 	Method string
 	Target string // path and query, as the caller wrote them
 	Host   string
-	Header http.Header // without what concerns one connection only
+	Header http.Header // without hop-by-hop headers
 	Body   []byte
-	// HasBody tells a request with an empty body from one without a body.
+	// HasBody distinguishes a request with an empty body from one without a body.
 	HasBody bool
 
 	commonOnce sync.Once
-	commonHead []byte // of the head, the same for each attempt
+	commonHead []byte // the part of the head that is the same for each attempt
 }
 
-// Answer is a leaf's whole answer.
+// Answer is a leaf's complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -31,18 +32,19 @@
 }
 
 // head returns the request up to its body, with extra headers that differ from one
-// attempt to the next. A gathered request is sent to 100 leafs, so all that is the same
-// for them is written once (BenchmarkHead: 0.92 us to 0.40 us for each).
+// attempt to the next. A gathered request is sent to 100 leafs, so the part that they
+// have in common is encoded once (BenchmarkHead: 0.40 us instead of 0.92 us for each).
 func (r *Request) head(extra http.Header) []byte {
 	r.commonOnce.Do(r.writeCommonHead)
 	b := bytes.NewBuffer(make([]byte, 0, len(r.commonHead)+extraHeadSize))
 	b.Write(r.commonHead)
-	// Writes to a buffer don't fail. Line breaks in a value are made harmless.
+	// Writes to a buffer don't fail. Header.Write replaces line breaks in values.
 	_ = extra.Write(b)
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
 
+// writeCommonHead encodes the request line and the headers that all attempts share.
 func (r *Request) writeCommonHead() {
 	var b bytes.Buffer
 	b.Grow(commonHeadSize)
@@ -54,18 +56,19 @@
 	r.commonHead = b.Bytes()
 }
 
-// commonHeadSize is about the size of a request's head.
+// commonHeadSize is the initial capacity for a request's common head, in bytes.
 const commonHeadSize = 512
 
-// extraHeadSize is about the size of the headers that differ.
+// extraHeadSize is the capacity reserved for the extra headers of an attempt, in bytes.
 const extraHeadSize = 128
 
-// maxAnswerBytes bounds the body of a leaf's answer, in bytes, so that a faulty leaf
-// can't use up this VM's memory.
+// maxAnswerBytes bounds the body of a leaf's answer, so that a faulty leaf can't use up
+// this VM's memory.
 const maxAnswerBytes = 4 << 20
 
-// readAnswer reads the answer to a request. A body that ends too early is an error,
-// also where only the end of the connection delimits it and that end is a reset.
+// readAnswer reads the answer to a request. A body that ends too early is an error.
+// So is a reset of the connection where only the end of the connection delimits the
+// body.
 func readAnswer(c *conn, method string) (*Answer, *http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -86,9 +89,9 @@
 	}
 }
 
-// idleTimeoutAfter returns how long a connection may stay idle after an answer, 0 if not at
-// all. It leaves a margin before the leaf's own timeout: a request that crosses the
-// leaf's close is lost.
+// idleTimeoutAfter returns how long a connection may stay idle after an answer, or 0 if
+// it can't be reused. It leaves a margin before the leaf's own timeout, because a
+// request that is sent while the leaf closes the connection is lost.
 func idleTimeoutAfter(resp *http.Response) time.Duration {
 	if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return 0
@@ -101,6 +104,6 @@
 }
 
 const (
-	defaultIdleTimeout = 20 * time.Second       // where the leaf states no timeout
-	idleTimeoutMargin  = 500 * time.Millisecond // before the timeout that the leaf states
+	defaultIdleTimeout = 20 * time.Second       // if the leaf states no timeout
+	idleTimeoutMargin  = 500 * time.Millisecond // subtracted from the timeout that the leaf states
 )
--- a/leafhttp/request_test.go
+++ b/leafhttp/request_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Two leafs get one request, each with a header of its own and all else the same: what
-// one attempt was sent must not show in the next.
+// Guards against extra headers of one attempt that leak into the next: two leafs get
+// the same request, each with its own extra header.
 func TestAttemptsDifferOnlyInExtraHeaders(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := testRequest()
@@ -37,8 +37,8 @@
 	}
 }
 
-// BenchmarkHead writes the head of one attempt: 0.92 us where each attempt wrote all of
-// it, 0.40 us with the common part kept.
+// BenchmarkHead encodes the head of one attempt: 0.92 us when each attempt encoded all
+// of it, 0.40 us with the common part kept.
 func BenchmarkHead(b *testing.B) {
 	r := testRequest()
 	extra := http.Header{"X-Left-Ms": {"300"}, "X-Leaf": {"leaf-1"}}
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry keeps the list of leafs as the platform tells it, apart from
-// how it is read. It is pure: listings, changes and the time in, changes of the
-// leafs to use out.
+// Package registry keeps the list of leafs that the platform reports, whatever way it
+// is read. It reads no clock and does no I/O: its inputs are listings, single changes
+// and the time, its outputs changes of the leafs to use.
 package registry
 
 import (
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Leaf is one lifetime of one leaf.
+// Leaf is one incarnation of a leaf.
 type Leaf struct {
-	ID       string // of the leaf; a later lifetime may bear it again
-	Born     int64  // start of this lifetime, in Unix milliseconds
+	ID       string // a later incarnation may have the same one
+	Born     int64  // start of this incarnation, in Unix milliseconds
 	Service  string
-	Address  string // IP and port; others use it again when the leaf is gone
+	Address  string // IP and port; another leaf may reuse it after this one is removed
 	Zone     string // availability zone
-	Slots    int    // requests that it works on at once
-	Draining bool   // it takes no new requests
+	Slots    int    // requests that it runs concurrently
+	Draining bool   // it accepts no new requests
 }
 
-// Change is a leaf that is new or different, or one that is gone.
+// Change is a leaf that was added, changed or removed.
 type Change struct {
 	Leaf Leaf
-	Gone bool
+	Gone bool // removed; Leaf is its last state
 }
 
 // OutageHold is how long a leaf that is missing just after an outage of the store is
-// still used. Entries lapse while leafs can't renew them, and come back within about
-// 2 s of the store's return; without the hold a VM would drop every leaf at that
-// moment and refuse all callers. It stays below the 3 s within which a leaf that
+// still used. Entries expire while leafs can't renew them, and are listed again within
+// about 2 s of the store's recovery. Without the hold a VM would drop every leaf at that
+// moment and refuse all callers. It stays below the 3 s within which a leaf that has
 // left must get no more requests.
 const OutageHold = 2200 * time.Millisecond
 
 // Registry is the list of leafs. It is not safe for concurrent use.
 type Registry struct {
 	leafs     map[string]Leaf
-	heldUntil map[string]time.Time // when a missing leaf is taken as gone
-	holdEnd   time.Time            // until when leafs that go missing are held
+	heldUntil map[string]time.Time // when a missing leaf is removed, by id
+	holdEnd   time.Time            // leafs that go missing before this time are held until then
 }
 
 // New returns an empty registry.
@@ -44,17 +44,18 @@
 	return &Registry{leafs: make(map[string]Leaf), heldUntil: make(map[string]time.Time)}
 }
 
-// Len returns the number of leafs, those that are held included.
+// Len returns the number of leafs, held ones included.
 func (r *Registry) Len() int { return len(r.leafs) }
 
-// StoreRecovered takes that the store answers again after an outage, and for how long leafs
-// that are missing are held. It returns when Expire has to be called.
+// StoreRecovered records that the store answers again after an outage. Leafs that go
+// missing within hold are kept until its end. StoreRecovered returns that time, at which
+// ExpireHeld has to be called.
 func (r *Registry) StoreRecovered(now time.Time, hold time.Duration) time.Time {
 	r.holdEnd = now.Add(hold)
 	return r.holdEnd
 }
 
-// Replace takes a whole listing.
+// Replace applies a complete listing and returns the changes.
 func (r *Registry) Replace(now time.Time, list []Leaf) []Change {
 	var changes []Change
 	listed := make(map[string]bool, len(list))
@@ -70,12 +71,13 @@
 	return changes
 }
 
-// Put takes an entry.
+// Put adds or updates a leaf and returns the change, if there is one. An entry of an
+// earlier incarnation is ignored.
 func (r *Registry) Put(l Leaf) []Change {
 	delete(r.heldUntil, l.ID)
 	old, known := r.leafs[l.ID]
 	if known && old.Born > l.Born {
-		return nil // a late word of an earlier lifetime
+		return nil // a delayed entry of an earlier incarnation
 	}
 	r.leafs[l.ID] = l
 	if known && old == l {
@@ -84,7 +86,8 @@
 	return []Change{{Leaf: l}}
 }
 
-// Remove takes that an entry is missing.
+// Remove records that the platform no longer lists a leaf. The leaf is removed, or held
+// if the store has just recovered and the leaf was not draining.
 func (r *Registry) Remove(now time.Time, id string) []Change {
 	l, known := r.leafs[id]
 	if !known {
@@ -99,7 +102,7 @@
 	return r.drop(l)
 }
 
-// ExpireHeld drops the leafs whose hold is over.
+// ExpireHeld removes the leafs whose hold has ended.
 func (r *Registry) ExpireHeld(now time.Time) []Change {
 	var changes []Change
 	for _, id := range r.sortedIDs() {
@@ -116,7 +119,8 @@
 	return []Change{{Leaf: l, Gone: true}}
 }
 
-// sortedIDs returns the sortedIDs in order, so that changes repeat.
+// sortedIDs returns the ids of all leafs in order, so that the order of changes is
+// deterministic.
 func (r *Registry) sortedIDs() []string {
 	ids := make([]string, 0, len(r.leafs))
 	for id := range r.leafs {
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -11,9 +11,9 @@
 	return Leaf{ID: id, Born: born, Service: "s", Address: "127.0.0.1:1", Slots: 2}
 }
 
-// The store comes back from an outage and lists nothing, since every entry lapsed. A VM
-// that believed it would refuse all callers. Leafs that come back were never away; one
-// that stays missing is gone.
+// The store recovers from an outage and lists nothing, since every entry has expired. A
+// VM that dropped all leafs would refuse all callers. A leaf that is listed again yields
+// no change; one that stays missing is removed after the hold.
 func TestMissingLeafsAreHeldAfterAnOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -27,7 +27,7 @@
 	g.Expect(r.Len()).To(gomega.Equal(1))
 }
 
-// A leaf that said it leaves is not held: it must get no more requests.
+// A draining leaf that goes missing is not held: it must get no more requests.
 func TestDrainingLeafIsNotHeld(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -39,7 +39,7 @@
 	g.Expect(r.Replace(now, nil)).To(gomega.Equal([]Change{{Leaf: l, Gone: true}}))
 }
 
-// Without an outage a leaf that is missing is gone at once.
+// Without an outage a missing leaf is removed at once, and only once.
 func TestMissingLeafIsRemovedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -49,8 +49,8 @@
 	g.Expect(r.Remove(now, "a")).To(gomega.BeEmpty())
 }
 
-// A late word of a leaf's earlier life must not replace its present one, nor is a word
-// that says nothing new a change.
+// A delayed entry of a leaf's earlier incarnation must not replace the current one, and
+// an entry that is already known is no change.
 func TestEarlierIncarnationIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New()
--- a/routing/manifest.go
+++ b/routing/manifest.go
@@ -1,6 +1,5 @@
-// Package routing holds what a manifest puts in force: which requests are served,
-// by which services, and how long callers may wait. It is pure: it reads no clock
-// and does no I/O.
+// Package routing holds the routing rules of a manifest: which requests are served, by
+// which services, and how long callers may wait. It reads no clock and does no I/O.
 package routing
 
 import (
@@ -9,16 +8,16 @@
 	"time"
 )
 
-// Kind says how often a request may run.
+// Kind says whether a request may run more than once.
 type Kind int
 
-// The kinds.
+// The kinds. Their order is encoded.
 const (
 	Idempotent    Kind = iota // may run more than once
-	NonIdempotent             // runs at most once for each request of a caller
+	NonIdempotent             // must run at most once
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (k Kind) String() string {
 	if k == NonIdempotent {
 		return "non_idempotent"
@@ -26,33 +25,33 @@
 	return "idempotent"
 }
 
-// WeightedService is one part of a split.
+// WeightedService is one service of a split and its weight.
 type WeightedService struct {
 	Service string
-	Weight  float64 // share of the requests, relative to the sum of all parts
+	Weight  float64 // share of the requests, relative to the sum of all weights
 }
 
-// Route says who serves the requests of one host below one path. Exactly one of
-// Service, Split and Gather is set.
+// Route says which services serve the requests to one host below one path. Exactly one
+// of Service, Split and Gather is set.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // longest time that a caller is kept waiting
-	Aim         time.Duration // time within which an answer is worth most
+	Timeout     time.Duration // the longest that a caller waits for its answer
+	Aim         time.Duration // latency objective: an answer within it is worth most
 	MaxAttempts int           // leafs that may run one request, for each service
 	Priority    int           // 0 is the most urgent
 
-	Service string
-	Split   []WeightedService
+	Service string            // serves all requests
+	Split   []WeightedService // share the requests by weight
 
-	Gather   []string // the services that hold one shard each
-	Top      int      // records of an answer to a gathered request, at most
-	MinShare float64  // of the shards, without which an answer is a failure
+	Gather   []string // services that hold one shard each; all get each request
+	Top      int      // most records in the answer to a gathered request
+	MinShare float64  // least share of the shards that a successful answer needs
 }
 
-// Gathered reports whether requests fan out over shards.
+// Gathered reports whether requests are sent to all shards and their answers merged.
 func (r *Route) Gathered() bool { return len(r.Gather) > 0 }
 
 // Services returns every service that the route may send a request to.
@@ -71,22 +70,21 @@
 	}
 }
 
-// Service is what a manifest says of a group of leafs.
+// Service holds the settings of a group of interchangeable leafs.
 type Service struct {
 	Name           string
-	MaxConnections int // that one leaf accepts from all VMs together
+	MaxConnections int // connections that one leaf accepts from all VMs together
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests and connections of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration // of a caller's connection without a request
+	HeaderTimeout time.Duration // for a request's header to arrive
+	IdleTimeout   time.Duration // for a caller's connection without a request
 }
 
-// Document is one version of everything that is in force, as it is written down and
-// told between VMs.
+// Document is one version of the routing rules, as it is encoded and sent between VMs.
 type Document struct {
 	Version  int64
 	Routes   []*Route
@@ -94,13 +92,13 @@
 	Limits   Limits
 }
 
-// Manifest is a Document made ready for matching. It is immutable.
+// Manifest is a Document indexed for matching. It is immutable.
 type Manifest struct {
 	Document
-	byHost map[string][]*Route // longest prefix first
+	byHost map[string][]*Route // by host in lower case; longest prefix first
 }
 
-// NewManifest makes a document ready. The document must not change afterwards.
+// NewManifest indexes a document, which must not change afterwards.
 func NewManifest(doc Document) *Manifest {
 	m := &Manifest{Document: doc, byHost: make(map[string][]*Route)}
 	for _, r := range doc.Routes {
@@ -113,7 +111,7 @@
 	return m
 }
 
-// ShardServices returns the services that only gathered routes name.
+// ShardServices returns the services that gathered routes use and no other route does.
 func (m *Manifest) ShardServices() map[string]bool {
 	shards := make(map[string]bool)
 	for _, r := range m.Routes {
@@ -132,7 +130,8 @@
 	return shards
 }
 
-// MaxShards returns the number of shards of the gathered route that has most, 0 without one.
+// MaxShards returns the largest number of shards of a gathered route, or 0 if there is
+// no such route.
 func (m *Manifest) MaxShards() int {
 	n := 0
 	for _, r := range m.Routes {
@@ -141,8 +140,8 @@
 	return n
 }
 
-// Match returns the route of a request, or nil: of the host's routes, the one with
-// the longest prefix that begins the path. The host may bear a port.
+// Match returns the route of a request: of the routes for the host, the one whose prefix
+// of the path is longest. It returns nil if there is none. The host may include a port.
 func (m *Manifest) Match(host, path string) *Route {
 	for _, r := range m.byHost[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -152,6 +151,7 @@
 	return nil
 }
 
+// hostName returns a host in lower case, without its port.
 func hostName(host string) string {
 	name, _, _ := strings.Cut(host, ":")
 	return strings.ToLower(name)
--- a/routing/rotation.go
+++ b/routing/rotation.go
@@ -5,27 +5,28 @@
 	"sync"
 )
 
-// Splitter deals the requests of split routes to their services by smooth weighted
-// round robin: over any run of requests each service's share is off its weight by
-// less than one request, so that shares hold also where a VM sees few requests.
-// A service that is short of leafs keeps its share; its requests are refused rather
-// than moved, since a split often tries a new release on a part of the callers.
-// It is safe for concurrent use.
+// Splitter distributes the requests of split routes over their services by smooth
+// weighted round robin: over any run of requests each service's count differs from its
+// share by less than one request, so that the shares also hold on a VM that receives
+// few requests. A service that is short of leafs keeps its share; its requests are
+// refused and not moved to another service, since a split often tries a new release on
+// some of the callers. It is safe for concurrent use.
 type Splitter struct {
-	mu     sync.Mutex // guards routes
-	routes map[string]*splitState
+	mu     sync.Mutex             // guards routes
+	routes map[string]*splitState // by the route's name
 }
 
-// splitState is the state of one route's split.
+// splitState is the round-robin state of one route.
 type splitState struct {
 	split  []WeightedService
-	credit []float64
+	credit []float64 // current weights; the service with the highest is next
 }
 
-// NewSplitter returns a rotation that has dealt nothing.
+// NewSplitter returns a splitter without state.
 func NewSplitter() *Splitter { return &Splitter{routes: make(map[string]*splitState)} }
 
-// Next returns the service of the route's next request.
+// Next returns the service for the route's next request. The state of a split starts
+// again when the split changes.
 func (r *Splitter) Next(route *Route) string {
 	if len(route.Split) == 0 {
 		return route.Service
@@ -53,7 +54,7 @@
 	return s.split[best].Service
 }
 
-// Prune drops the state of routes that m no longer splits.
+// Prune removes the state of routes that m no longer splits.
 func (r *Splitter) Prune(m *Manifest) {
 	split := make(map[string]bool)
 	for _, route := range m.Routes {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -11,8 +11,8 @@
 	return Document{Version: version, Routes: routes}
 }
 
-// A request for a special page is served by the general one: the shorter prefix was
-// found first.
+// Guards against a match that depends on the order of the routes: a shorter prefix that
+// is found first must not hide a longer one.
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := NewManifest(newDocument(1,
@@ -26,8 +26,8 @@
 	g.Expect(m.Match("c.example", "/x/")).To(gomega.BeNil())
 }
 
-// A route that was dropped serves again: an old manifest, read slowly, came after the new
-// one.
+// Guards against a removed route that is served again because a slow read of an old
+// manifest ends after the read of a newer one.
 func TestInForceVersionOnlyIncreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
@@ -41,8 +41,8 @@
 	})
 }
 
-// A tenth of the callers should try a new release; a VM that sees few requests sends it
-// none, or half.
+// Guards against shares that hold only over many requests: a tenth of the callers should
+// try a new release, and a VM that receives few requests sends it none of them, or half.
 func TestSplitMatchesWeightsInShortRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
@@ -64,8 +64,8 @@
 	})
 }
 
-// The shares of a split that is not changed by a new manifest go on where they were, and
-// routes that are gone leave nothing behind.
+// A split that a new manifest leaves unchanged keeps its state, and the state of a
+// removed route is deleted.
 func TestSplitterPrunesRemovedRoutes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	split := []WeightedService{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
--- a/topk/topk.go
+++ b/topk/topk.go
@@ -1,4 +1,4 @@
-// Package topk merges the records of shards into the greatest ones.
+// Package topk selects the greatest records of several shards.
 package topk
 
 import (
@@ -7,11 +7,12 @@
 	"slices"
 )
 
-// RecordBytes is the length of a record. A shorter rest at the end of a shard's
-// answer is no record.
+// RecordBytes is the length of a record. Fewer bytes at the end of a shard's answer are
+// ignored.
 const RecordBytes = 16
 
-// record is one record as two numbers that compare as its bytes do.
+// record is a record as two big-endian numbers, which compare in the same order as its
+// bytes.
 type record struct{ high, low uint64 }
 
 func (r record) less(o record) bool {
@@ -22,22 +23,22 @@
 	return record{high: binary.BigEndian.Uint64(b), low: binary.BigEndian.Uint64(b[8:])}
 }
 
-// Merge returns the greatest records of all parts, at most top, greatest first. Equal
-// records all count.
+// Merge returns the greatest records of all parts, at most limit of them, greatest first.
+// Equal records are all kept.
 //
-// It keeps the greatest ones in a heap whose least is at the root: of 20 parts of 62
-// records nearly all are left out by one comparison. Sorting all of them took 233 us
-// for each request, this takes 19 us (BenchmarkMerge).
-func Merge(top int, parts [][]byte) []byte {
-	if top <= 0 {
+// It keeps the greatest records in a min-heap: of 20 parts of 62 records nearly all are
+// rejected by one comparison with the root. Sorting all of them took 233 us for each
+// request; the heap takes 19 us (BenchmarkMerge).
+func Merge(limit int, parts [][]byte) []byte {
+	if limit <= 0 {
 		return []byte{}
 	}
-	kept := make(minHeap, 0, top)
+	kept := make(minHeap, 0, limit)
 	for _, part := range parts {
 		for ; len(part) >= RecordBytes; part = part[RecordBytes:] {
 			r := recordAt(part)
 			switch {
-			case len(kept) < top:
+			case len(kept) < limit:
 				heap.Push(&kept, r)
 			case kept[0].less(r):
 				kept[0] = r
@@ -62,7 +63,7 @@
 	return out
 }
 
-// minHeap is a heap with the least record at its root.
+// minHeap is a heap with the smallest record at its root.
 type minHeap []record
 
 // Len implements heap.Interface.
--- a/topk/topk_test.go
+++ b/topk/topk_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// mergeBySorting merges by sorting everything.
-func mergeBySorting(top int, parts [][]byte) []byte {
+// mergeBySorting is a reference implementation that sorts all records.
+func mergeBySorting(limit int, parts [][]byte) []byte {
 	var all [][]byte
 	for _, part := range parts {
 		for ; len(part) >= RecordBytes; part = part[RecordBytes:] {
@@ -19,14 +19,16 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b []byte) int { return bytes.Compare(b, a) })
-	return bytes.Join(all[:min(top, len(all))], nil)
+	return bytes.Join(all[:min(limit, len(all))], nil)
 }
 
-// A page shows other records than the greatest, or misses one of two equal ones.
+// Guards against an answer that lacks one of the greatest records, or one of two equal
+// ones.
 func TestMergeReturnsGreatestRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
-		// Few values, so that equal records are common, and rests that are no record.
+		// Few byte values, so that equal records are common, and lengths that leave an
+		// incomplete record at the end.
 		parts := rapid.SliceOfN(rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 100), 0, 6).Draw(t, "parts")
 		top := rapid.IntRange(0, 20).Draw(t, "top")
 		g.Expect(Merge(top, parts)).To(gomega.Equal(append([]byte{}, mergeBySorting(top, parts)...)))
