--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain tells from the logs of daemons what became of one request.
+// Package explain finds out from the logs of daemons how one request ended and why.
 package explain
 
 import (
@@ -12,45 +12,46 @@
 	"time"
 )
 
-// Line is a line of a daemon's log that speaks of the request.
+// Line is a line of a daemon's log that has the request's id.
 type Line struct {
-	At      time.Time      `json:"at"`
-	Source  string         `json:"source"` // the file
+	At      time.Time      `json:"at"`     // zero if the line has no valid time
+	Source  string         `json:"source"` // name of the log file, or stdin
 	Message string         `json:"message"`
-	Fields  map[string]any `json:"fields"`
+	Fields  map[string]any `json:"fields"` // without message, time, level and request
 }
 
-// Report is what is known of a request.
+// Report says how a request ended, and has the log lines about it.
 type Report struct {
-	Request string `json:"request"`
-	Cause   string `json:"cause"` // one sentence
-	Lines   []Line `json:"lines"` // in order of time
-	// Unread counts lines that are no JSON object.
+	Request string `json:"request"` // id
+	Cause   string `json:"cause"`   // one sentence
+	Lines   []Line `json:"lines"`   // sorted by time
+	// Unread counts lines that hold no valid JSON object, empty lines excepted.
 	Unread int `json:"unread"`
 }
 
-// The messages that daemons write of a request.
+// The log messages about a request.
 const (
-	messageRequest = "request"
-	messageRefused = "request refused"
-	messageAttempt = "attempt failed"
-	messageCall    = "call to a VM failed"
-	messageGather  = "gathered for a VM"
+	messageRequest = "request"             // end of a request
+	messageRefused = "request refused"     // answered without being sent to a leaf
+	messageAttempt = "attempt failed"      // of a request at a leaf
+	messageCall    = "call to a VM failed" // delegation of shards to another VM
+	messageGather  = "gathered for a VM"   // end of such a call, at the VM that was called
 )
 
 // maxLineBytes is the longest line that is read, in bytes.
 const maxLineBytes = 1 << 20
 
-// Reader collects the lines of one request.
+// Reader collects the log lines of one request. It is not safe for concurrent use.
 type Reader struct {
 	report Report
 }
 
-// NewReader returns a reader for a request's id.
+// NewReader returns a reader for the request with this id.
 func NewReader(request string) *Reader { return &Reader{report: Report{Request: request}} }
 
-// Read takes one log. What stands before the first brace of a line is passed over, as
-// collectors of logs put the time or the machine there.
+// Read reads one log. It ignores the text before the first brace of a line, since log
+// collectors may add the time or the machine there. It returns an error if reading fails
+// or a line is longer than maxLineBytes.
 func (r *Reader) Read(source string, log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
@@ -60,6 +61,7 @@
 	return scanner.Err()
 }
 
+// parseLine adds a line to the report if it belongs to the request.
 func (r *Reader) parseLine(source, text string) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
@@ -79,7 +81,7 @@
 	line := Line{Source: source, Fields: fields}
 	line.Message, _ = fields[slog.MessageKey].(string)
 	stamp, _ := fields[slog.TimeKey].(string)
-	// A line without a time stands first.
+	// A line without a valid time keeps the zero time and sorts first.
 	line.At, _ = time.Parse(time.RFC3339Nano, stamp)
 	for _, name := range []string{slog.MessageKey, slog.TimeKey, slog.LevelKey, "request"} {
 		delete(fields, name)
@@ -87,41 +89,42 @@
 	r.report.Lines = append(r.report.Lines, line)
 }
 
-// Report returns what the logs tell.
+// Report returns the report on the logs read so far.
 func (r *Reader) Report() Report {
 	slices.SortStableFunc(r.report.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	r.report.Cause = r.cause()
 	return r.report
 }
 
-// cause says in one sentence why the request ended as it did.
+// cause returns a sentence that says how the request ended and why.
 func (r *Reader) cause() string {
 	for i := len(r.report.Lines) - 1; i >= 0; i-- {
 		line := &r.report.Lines[i]
 		switch line.Message {
 		case messageRefused:
-			return fmt.Sprintf("It was answered %v without being handed to any leaf: %v.", line.Fields["status"], line.Fields["why"])
+			return fmt.Sprintf("It was answered with status %v and sent to no leaf: %v.", line.Fields["status"], line.Fields["why"])
 		case messageRequest:
 			return r.requestCause(line)
 		}
 	}
 	if len(r.report.Lines) > 0 {
-		return "No daemon wrote how it ended: the one that took it was killed, or its line was dropped."
+		return "No daemon logged how it ended: the one that received it was killed, or its line was dropped."
 	}
 	return "No line speaks of it."
 }
 
-// verdictTexts says what each verdict of a request means.
+// verdictTexts maps the verdict of a request to its meaning.
 var verdictTexts = map[string]string{
 	"answered":    "It was answered",
 	"leaf_failed": "A leaf ran it and failed",
-	"not_run":     "No leaf ran it: it was refused, or all leafs were full, away or out of reach",
+	"not_run":     "No leaf ran it: it was refused, or all leafs were full, unavailable or unreachable",
 	"unknown":     "A leaf may have run it, but gave no answer that proves it",
-	"timed_out":   "Its time was over before a leaf had answered",
-	"abandoned":   "Its caller left",
+	"timed_out":   "Its deadline passed before a leaf answered",
+	"abandoned":   "Its caller cancelled it or disconnected",
 	"short":       "Too few shards could be had for an answer",
 }
 
+// requestCause returns the cause from the line that reports the end of the request.
 func (r *Reader) requestCause(line *Line) string {
 	text := verdictTexts[fmt.Sprint(line.Fields["verdict"])]
 	if missing, _ := line.Fields["missing"].(float64); missing > 0 {
@@ -140,21 +143,22 @@
 	return text + "."
 }
 
-// gapTexts says what each cause means for which a shard had no answer.
+// gapTexts maps the cause of a gap, a shard without an answer, to its meaning.
 var gapTexts = map[string]string{
 	"slow":     "asked, and not answered in time",
-	"room":     "not asked, since leafs were full or left alone",
+	"room":     "not asked, since leafs were full or in cooldown after failures",
 	"budget":   "not asked again, since the budget for that was spent",
-	"late":     "not asked again, since it was too late",
-	"attempts": "asked as often as allowed",
-	"no_leaf":  "without a leaf that takes requests",
+	"late":     "not asked again, since an attempt failed too late for another",
+	"attempts": "asked as often as allowed, without an answer",
+	"no_leaf":  "without a leaf that accepts requests",
 	"forecast": "not asked, since no leaf was expected to answer in time",
-	"call":     "not had by the VM that was called",
-	"silent":   "left to a VM that had not answered",
-	"declined": "left to the VM that called",
+	"call":     "without an answer at the VM that was called",
+	"silent":   "delegated to a VM that had not answered",
+	"declined": "left to the calling VM",
 }
 
-// gapSummary says why shards were missing, at the VM that took the request and at those it called.
+// gapSummary says why shards were missing, at the VM that received the request and at the
+// VMs that it called.
 func (r *Reader) gapSummary() string {
 	var parts []string
 	for i := range r.report.Lines {
@@ -172,7 +176,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// describeGaps turns "slow 2: a b; budget 1: c" into words.
+// describeGaps turns the field gaps, such as "slow 2: a b; budget 1: c", into text.
 func describeGaps(text string) string {
 	var parts []string
 	for part := range strings.SplitSeq(text, "; ") {
@@ -187,7 +191,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// failureSummary sums up the attempts and calls that failed.
+// failureSummary counts the failed attempts and calls by kind.
 func (r *Reader) failureSummary() string {
 	counts := make(map[string]int)
 	for _, line := range r.report.Lines {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -14,8 +14,8 @@
 {broken
 `
 
-// An on-call engineer has a request's id and the logs of all machines, some of whose
-// lines can't be read.
+// An on-call engineer has a request's id and the logs of all machines, some lines of
+// which can't be parsed.
 func TestRequestIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("aa")
@@ -41,8 +41,8 @@
 	g.Expect(r.Report().Cause).To(gomega.ContainSubstring("no_manifest"))
 }
 
-// Counter staff complain of a failed lookup. Which shards it lacked, and why, stands in the
-// lines of the VM that took it and of the one that it called.
+// A gathered request fails. Its missing shards and their causes are in the log lines of
+// the VM that received it and of the VM that it called.
 func TestMissingShardsAreExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("ee")
@@ -55,7 +55,7 @@
 		"shards missing: 2 asked, and not answered in time (s1 s2), 1 not asked again, since the budget for that was spent (s3)."))
 }
 
-// A caller is refused at once. The forecast that decided stands in the line.
+// A request is refused at once because of a forecast, which is in the log line.
 func TestRefusalByForecastIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("ff")
--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills in what an options struct leaves out.
+// Package defaults sets the default values of options that are unset.
 package defaults
 
-// SetIfZero gives field the value if it has its type's zero value.
+// SetIfZero sets the field to value if it has its type's zero value.
 func SetIfZero[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -9,7 +9,7 @@
 	}
 }
 
-// SetIfNotPositive gives field the value unless it is greater than zero.
+// SetIfNotPositive sets the field to value unless it is greater than zero.
 func SetIfNotPositive[T ~int | ~int64 | ~float64](field *T, value T) {
 	if *field <= 0 {
 		*field = value
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,5 +1,5 @@
 // Package strictjson decodes JSON that people write. Unlike encoding/json it
-// refuses unknown and repeated fields, names in another case, numbers out of
+// rejects unknown and repeated fields, names in another case, numbers out of
 // the range of their type and trailing data, and it reports all findings at
 // once, each with its path.
 package strictjson
@@ -18,33 +18,36 @@
 const MaxDepth = 32
 
 // MaxFindings bounds the findings that are reported one by one. A large document
-// of another kind has hundreds of thousands.
+// of another kind can have hundreds of thousands.
 const MaxFindings = 100
 
-// Finding is one fault of a document.
+// Finding is one error in a document.
 type Finding struct {
 	Path    string `json:"path"`    // such as $.services[0].name
-	Found   string `json:"found"`   // the value or kind that stands there
-	Allowed string `json:"allowed"` // what may stand there
+	Found   string `json:"found"`   // the value or kind found there
+	Allowed string `json:"allowed"` // the values allowed there
 }
 
-// String renders the finding on one line.
+// String formats the finding on one line.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: found %s, allowed is %s", f.Path, f.Found, f.Allowed)
 }
 
-// member is one field of an object, in the order of the document.
+// member is one field of an object.
 type member struct {
 	name  string
 	value any
 }
 
-// object keeps repeated names, which a map would hide.
+// object holds its members in the order of the document. Unlike a map it keeps
+// repeated names.
 type object []member
 
-// Decode reads data into the struct that into points at and returns what was
-// found amiss. Fields need a json tag; those without omitempty are required.
-// After findings the content of into is not meaningful.
+// Decode reads data into the struct that into points to and returns the errors
+// found, at most MaxFindings and one that counts the rest. Only fields with a json
+// tag are decoded; those without omitempty are required. Fields may be strings,
+// bools, numbers, structs and slices; Decode panics on other types. If there are
+// findings, the content of into is undefined.
 func Decode(data []byte, into any) []Finding {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -56,11 +59,12 @@
 		where := fmt.Sprintf("%v near byte %d", err, dec.InputOffset())
 		return []Finding{{Path: "$", Found: where, Allowed: "one JSON document"}}
 	}
-	w := &decoder{}
-	w.decode("$", tree, reflect.ValueOf(into).Elem())
-	return w.allFindings()
+	d := &decoder{}
+	d.decode("$", tree, reflect.ValueOf(into).Elem())
+	return d.allFindings()
 }
 
+// expectEOF returns an error unless the input has ended.
 func expectEOF(dec *json.Decoder) error {
 	_, err := dec.Token()
 	if err == io.EOF {
@@ -72,6 +76,7 @@
 	return fmt.Errorf("data after the document")
 }
 
+// readValue reads a value as nil, a bool, string, json.Number, object or []any.
 func readValue(dec *json.Decoder, depth int) (any, error) {
 	if depth > MaxDepth {
 		return nil, fmt.Errorf("nesting deeper than %d", MaxDepth)
@@ -122,56 +127,57 @@
 	return list, err
 }
 
+// decoder copies a parsed document into Go values and collects findings.
 type decoder struct {
 	findings []Finding
 	omitted  int // findings beyond MaxFindings
 }
 
-func (w *decoder) add(path, found, allowed string) {
-	if len(w.findings) >= MaxFindings {
-		w.omitted++
+func (d *decoder) add(path, found, allowed string) {
+	if len(d.findings) >= MaxFindings {
+		d.omitted++
 		return
 	}
-	w.findings = append(w.findings, Finding{Path: path, Found: found, Allowed: allowed})
+	d.findings = append(d.findings, Finding{Path: path, Found: found, Allowed: allowed})
 }
 
-// allFindings returns the findings, and one that counts those left out.
-func (w *decoder) allFindings() []Finding {
-	if w.omitted > 0 {
-		return append(w.findings, Finding{Path: "$", Found: fmt.Sprintf("%d findings more", w.omitted), Allowed: "none"})
+// allFindings returns the findings, and one that counts the omitted ones.
+func (d *decoder) allFindings() []Finding {
+	if d.omitted > 0 {
+		return append(d.findings, Finding{Path: "$", Found: fmt.Sprintf("%d findings more", d.omitted), Allowed: "none"})
 	}
-	return w.findings
+	return d.findings
 }
 
-func (w *decoder) decode(path string, node any, v reflect.Value) {
+func (d *decoder) decode(path string, node any, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
-		w.decodeStruct(path, node, v)
+		d.decodeStruct(path, node, v)
 	case reflect.Slice:
-		w.decodeSlice(path, node, v)
+		d.decodeSlice(path, node, v)
 	case reflect.String:
 		s, ok := node.(string)
 		if !ok {
-			w.add(path, describe(node), "a string")
+			d.add(path, describe(node), "a string")
 			return
 		}
 		v.SetString(s)
 	case reflect.Bool:
 		b, ok := node.(bool)
 		if !ok {
-			w.add(path, describe(node), "true or false")
+			d.add(path, describe(node), "true or false")
 			return
 		}
 		v.SetBool(b)
 	default:
-		w.decodeNumber(path, node, v)
+		d.decodeNumber(path, node, v)
 	}
 }
 
-func (w *decoder) decodeNumber(path string, node any, v reflect.Value) {
+func (d *decoder) decodeNumber(path string, node any, v reflect.Value) {
 	num, ok := node.(json.Number)
 	if !ok {
-		w.add(path, describe(node), "a number")
+		d.add(path, describe(node), "a number")
 		return
 	}
 	text := num.String()
@@ -179,21 +185,21 @@
 	case v.CanInt():
 		n, err := strconv.ParseInt(text, 10, v.Type().Bits())
 		if err != nil {
-			w.add(path, text, "a whole number")
+			d.add(path, text, "a whole number")
 			return
 		}
 		v.SetInt(n)
 	case v.CanUint():
 		n, err := strconv.ParseUint(text, 10, v.Type().Bits())
 		if err != nil {
-			w.add(path, text, "a whole number from 0")
+			d.add(path, text, "a whole number from 0")
 			return
 		}
 		v.SetUint(n)
 	case v.CanFloat():
 		f, err := strconv.ParseFloat(text, v.Type().Bits())
 		if err != nil {
-			w.add(path, text, "a number")
+			d.add(path, text, "a number")
 			return
 		}
 		v.SetFloat(f)
@@ -202,22 +208,22 @@
 	}
 }
 
-func (w *decoder) decodeSlice(path string, node any, v reflect.Value) {
+func (d *decoder) decodeSlice(path string, node any, v reflect.Value) {
 	list, ok := node.([]any)
 	if !ok {
-		w.add(path, describe(node), "an array")
+		d.add(path, describe(node), "an array")
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(list), len(list)))
 	for i, item := range list {
-		w.decode(fmt.Sprintf("%s[%d]", path, i), item, v.Index(i))
+		d.decode(fmt.Sprintf("%s[%d]", path, i), item, v.Index(i))
 	}
 }
 
-func (w *decoder) decodeStruct(path string, node any, v reflect.Value) {
+func (d *decoder) decodeStruct(path string, node any, v reflect.Value) {
 	obj, ok := node.(object)
 	if !ok {
-		w.add(path, describe(node), "an object")
+		d.add(path, describe(node), "an object")
 		return
 	}
 	fields, names := fieldsOf(v.Type())
@@ -227,17 +233,17 @@
 		field, known := fields[m.name]
 		switch {
 		case !known:
-			w.add(at, "an unknown field", "one of "+strings.Join(names, ", "))
+			d.add(at, "an unknown field", "one of "+strings.Join(names, ", "))
 		case seen[m.name]:
-			w.add(at, "the field twice", "the field once")
+			d.add(at, "the field twice", "the field once")
 		default:
 			seen[m.name] = true
-			w.decode(at, m.value, v.Field(field.index))
+			d.decode(at, m.value, v.Field(field.index))
 		}
 	}
 	for _, name := range names {
 		if !seen[name] && !fields[name].optional {
-			w.add(path+"."+name, "nothing", "a value; the field is required")
+			d.add(path+"."+name, "nothing", "a value; the field is required")
 		}
 	}
 }
@@ -247,6 +253,8 @@
 	optional bool
 }
 
+// fieldsOf returns the fields of a struct that have a json tag by their names, and the
+// names in order.
 func fieldsOf(t reflect.Type) (map[string]field, []string) {
 	fields := map[string]field{}
 	var names []string
@@ -261,6 +269,7 @@
 	return fields, names
 }
 
+// describe returns the text of a scalar, or the kind of another value.
 func describe(node any) string {
 	switch n := node.(type) {
 	case nil:
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -26,8 +26,8 @@
 	Key string `json:"key"`
 }
 
-// FuzzDecode: whatever a document holds, Decode doesn't panic, and what it takes
-// is what encoding/json reads from it: it is stricter, never different.
+// FuzzDecode checks that Decode never panics, and that it decodes any document it
+// accepts to the same values as encoding/json: it is stricter, never different.
 func FuzzDecode(f *testing.F) {
 	for _, text := range []string{
 		`{"name":"a","count":-3,"size":7,"share":1e-3,"on":true,"parts":[{"key":"k"}],"tags":["x"],"grid":[[1],[]]}`,
@@ -42,7 +42,7 @@
 		if len(findings) > 0 {
 			for _, finding := range findings {
 				if finding.Path == "" || finding.Found == "" || finding.Allowed == "" {
-					t.Fatalf("finding without a part: %#v", finding)
+					t.Fatalf("finding with an empty field: %#v", finding)
 				}
 			}
 			return
@@ -55,9 +55,9 @@
 	})
 }
 
-// TestFindingsAreBounded: somebody checks a file of a megabyte that is no bundle
-// at all, such as a long list of empty objects. A finding for each of them took
-// the command minutes and gigabytes; the first ones say all there is to say.
+// Guards against a report of every error in a large file that is no bundle at all.
+// With a finding for each item of a 1 MB list of empty objects, the command took
+// minutes and gigabytes of memory.
 func TestFindingsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	const parts = 10 * MaxFindings
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the daemons' logs: structured lines, bounded in rate, that never
-// block whoever writes them.
+// Package logging makes the daemons' loggers. They write structured lines at a limited
+// rate and never block their callers.
 package logging
 
 import (
@@ -13,47 +13,48 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of the lines that one process writes.
+// Limits on the lines that one logger writes, all its components together.
 const (
 	linesPerSecond = 200
-	burstLines     = 400
+	burstLines     = 400 // lines that may exceed the rate at once
 )
 
-// Levels names the levels that settings may ask for.
+// Levels lists the level names that settings may contain.
 const Levels = "debug, info, warn or error"
 
-// ParseLevel returns the level of a name in Levels.
+// ParseLevel returns the level of a name in Levels, or an error for any other name.
 func ParseLevel(name string) (slog.Level, error) {
 	var level slog.Level
 	switch name {
 	case "debug", "info", "warn", "error":
 		return level, errors.Trace(level.UnmarshalText([]byte(name)))
 	}
-	return level, errors.Errorf("level %q: want %s", name, Levels)
+	return level, errors.Errorf("unknown log level %q: want %s", name, Levels)
 }
 
-// Options of a log.
+// Options configure a logger.
 type Options struct {
-	Level slog.Level
-	JSON  bool // one JSON object a line; otherwise key=value
+	Level slog.Level // lines below it are not written
+	JSON  bool       // one JSON object per line; otherwise key=value
 }
 
-// New returns a log that never blocks, and the function that writes out what waits and
-// says how many lines were dropped.
+// New returns a logger that never blocks, and a function to call before the process
+// exits: it writes the queued lines, waiting up to flushTimeout, and logs how many lines
+// were dropped.
 func New(out io.Writer, opt Options) (*slog.Logger, func()) {
 	dropped := new(atomic.Uint64)
 	w := newAsyncWriter(out, dropped)
-	form := &slog.HandlerOptions{Level: opt.Level}
-	var handler slog.Handler = slog.NewTextHandler(w, form)
+	handlerOptions := &slog.HandlerOptions{Level: opt.Level}
+	var handler slog.Handler = slog.NewTextHandler(w, handlerOptions)
 	if opt.JSON {
-		handler = slog.NewJSONHandler(w, form)
+		handler = slog.NewJSONHandler(w, handlerOptions)
 	}
-	bounded := slog.New(&rateLimitedHandler{
+	limited := slog.New(&rateLimitedHandler{
 		Handler: handler,
 		limiter: rate.NewLimiter(linesPerSecond, burstLines),
 		dropped: dropped,
 	})
-	return bounded, func() {
+	return limited, func() {
 		w.flush()
 		if n := dropped.Load(); n > 0 {
 			slog.New(handler).Warn("log lines dropped", "count", n)
@@ -62,18 +63,18 @@
 	}
 }
 
-// Component returns a log whose lines say which part of the daemon wrote them.
+// Component returns a logger whose lines name the component that wrote them, under the
+// key "part".
 func Component(l *slog.Logger, name string) *slog.Logger { return l.With("part", name) }
 
-// Discard returns a log that writes nothing.
+// Discard returns a logger that writes nothing.
 func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// StdLogger returns a log for libraries that want the standard one; its lines have the
-// level debug.
+// StdLogger returns a log.Logger for libraries that need one. It logs at level debug.
 func StdLogger(l *slog.Logger) *log.Logger { return slog.NewLogLogger(l.Handler(), slog.LevelDebug) }
 
-// rateLimitedHandler drops lines beyond a rate before they are put into words: under overload
-// a line that is dropped must cost next to nothing.
+// rateLimitedHandler drops lines beyond a rate before they are formatted: under overload
+// a dropped line must cost next to nothing. Handlers derived from one share its limiter.
 type rateLimitedHandler struct {
 	slog.Handler
 	limiter *rate.Limiter
@@ -89,12 +90,12 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-// WithAttrs implements slog.Handler; the rate is shared.
+// WithAttrs implements slog.Handler. The new handler shares the limiter.
 func (h *rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &rateLimitedHandler{Handler: h.Handler.WithAttrs(attrs), limiter: h.limiter, dropped: h.dropped}
 }
 
-// WithGroup implements slog.Handler; the rate is shared.
+// WithGroup implements slog.Handler. The new handler shares the limiter.
 func (h *rateLimitedHandler) WithGroup(name string) slog.Handler {
 	return &rateLimitedHandler{Handler: h.Handler.WithGroup(name), limiter: h.limiter, dropped: h.dropped}
 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
-// countingValuer counts how often it is put into words.
+// countingValuer counts how often it is formatted.
 type countingValuer struct{ calls *int }
 
 func (c countingValuer) LogValue() slog.Value {
@@ -17,9 +17,9 @@
 	return slog.StringValue("costly")
 }
 
-// Leafs fail by the hundred, and each failure writes a line. The lines beyond the rate are
-// dropped, but a VM with a fifth of a core spent its time on putting them into words, and
-// its answers came late.
+// Guards against the cost of dropped lines. When leafs fail by the hundred, each failure
+// logs a line. A VM with a fifth of a core spent its time on formatting lines that were
+// then dropped, and its answers were late.
 func TestDroppedLinesAreNotFormatted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	asked := 0
@@ -32,7 +32,7 @@
 	g.Expect(asked).To(gomega.BeNumerically("<", lines/2))
 }
 
-// The parts of a daemon share one rate: a part of its own must not have a rate of its own.
+// The components of a daemon share one rate limit: a derived logger must not get its own.
 func TestComponentsShareRateLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	queueLines    = 512      // lines that wait for the reader of the log
-	maxWriteBytes = 32 << 10 // about how many bytes are written at once, at most
-	flushTimeout  = 200 * time.Millisecond
+	queueLines    = 512                    // lines that may wait to be written; further ones are dropped
+	maxWriteBytes = 32 << 10               // size from which a write takes no further lines
+	flushTimeout  = 200 * time.Millisecond // the longest that flush waits
 )
 
-// asyncWriter passes lines to the real output without ever waiting for it: a reader that stops
-// reading would otherwise stop every request. Lines beyond the queue are counted and left
-// out.
+// asyncWriter writes lines to an output from a goroutine of its own, so that callers never
+// wait for the output: a process that stops reading the log would otherwise block every
+// request. Lines that the queue has no space for are dropped and counted.
 type asyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped *atomic.Uint64
-	pending atomic.Int64 // lines taken and not written yet
+	pending atomic.Int64 // lines accepted and not yet written
 }
 
 func newAsyncWriter(out io.Writer, dropped *atomic.Uint64) *asyncWriter {
@@ -28,7 +28,8 @@
 	return w
 }
 
-// Write implements io.Writer. It takes one whole line.
+// Write implements io.Writer. It queues a copy of one complete line, or drops it, and
+// never returns an error.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	w.pending.Add(1)
 	select {
@@ -40,8 +41,8 @@
 	return len(line), nil
 }
 
-// run writes lines for as long as the process lives. Those that wait are written at once:
-// one system call for a request's lines in place of one for each.
+// run writes lines until the process exits. Queued lines are written together: one system
+// call for all lines of a request instead of one for each.
 func (w *asyncWriter) run() {
 	for line := range w.lines {
 		count := int64(1)
@@ -49,14 +50,13 @@
 			line = append(line, <-w.lines...)
 			count++
 		}
-		// There is nowhere to tell that the log can't be written.
+		// A failure to write the log can't be reported anywhere.
 		_, _ = w.out.Write(line)
 		w.pending.Add(-count)
 	}
 }
 
-// flush waits until what was taken is written, as far as the reader takes it within
-// flushTime.
+// flush waits until all accepted lines are written, for at most flushTimeout.
 func (w *asyncWriter) flush() {
 	deadline := time.Now().Add(flushTimeout)
 	for w.pending.Load() > 0 && time.Now().Before(deadline) {
--- a/logging/writer_test.go
+++ b/logging/writer_test.go
@@ -10,7 +10,7 @@
 	"github.com/onsi/gomega"
 )
 
-// blockedWriter takes nothing until it is freed.
+// blockedWriter blocks each write until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -24,8 +24,8 @@
 	return r.written.Write(p)
 }
 
-// Whoever reads the log stops reading. Every request that writes a line stops with it,
-// and all callers wait. Lines are dropped instead, and how many is said.
+// Guards against requests that block because the process that reads the log has stopped
+// reading. Lines have to be dropped instead.
 func TestLogNeverBlocks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	out := &blockedWriter{release: make(chan struct{})}
@@ -46,7 +46,7 @@
 	g.Expect(strings.Count(out.written.String(), "a line")).To(gomega.BeNumerically("<", burstLines+queueLines+2*linesPerSecond))
 }
 
-// slowWriter takes a while for each write, and counts them.
+// slowWriter takes 5 ms for each write and counts the writes.
 type slowWriter struct {
 	mu      sync.Mutex
 	written bytes.Buffer
@@ -61,8 +61,8 @@
 	return r.written.Write(p)
 }
 
-// A process that stops loses the last lines of its log, which say why it stops, although
-// they were taken: the queue is empty while they are still being written.
+// Guards against the loss of the last lines of a process, which say why it stops: the
+// queue is already empty while they are still being written.
 func TestFlushWaitsForWritesInProgress(t *testing.T) {
 	g := gomega.NewWithT(t)
 	out := &slowWriter{}
@@ -74,5 +74,5 @@
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	g.Expect(strings.Count(out.written.String(), "a line")).To(gomega.Equal(50))
-	g.Expect(out.writes).To(gomega.BeNumerically("<", 50), "lines that wait are written together")
+	g.Expect(out.writes).To(gomega.BeNumerically("<", 50), "queued lines are written together")
 }
--- a/ops/server.go
+++ b/ops/server.go
@@ -12,16 +12,19 @@
 	"goji.io/pat"
 )
 
-// requestTimeout bounds a request, a profile of up to a minute included.
+// requestTimeout bounds a request to an operators' page. A CPU profile of up to 1 min
+// has to fit.
 const requestTimeout = 70 * time.Second
 
-// Options configure the operators' page. Status is required.
+// Options configure the operators' page. Status is required. Its functions are called
+// concurrently.
 type Options struct {
 	Status  func() Status
-	Metrics []func(io.Writer) // in Prometheus text format
+	Metrics []func(io.Writer) // each writes metrics in the Prometheus text format
 }
 
-// NewServer returns the HTTP server of the operators' page.
+// NewServer returns the HTTP server of the operators' page. The caller sets its address
+// or listener.
 func NewServer(opt Options) *http.Server {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(PathHealth), func(w http.ResponseWriter, _ *http.Request) {
@@ -42,7 +45,7 @@
 	mux.Handle(pat.Get(PathHeap), pprof.Handler("heap"))
 	mux.HandleFunc(pat.Get(PathStatus), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// The connection is gone if this fails; nobody is left to be told.
+		// Encode fails only if the connection is lost, and then no error can be sent.
 		_ = json.NewEncoder(w).Encode(opt.Status())
 	})
 	return &http.Server{
--- a/ops/status.go
+++ b/ops/status.go
@@ -1,20 +1,20 @@
-// Package ops is the operators' HTTP page of a daemon: health, readiness,
-// metrics and the status that the command line reads.
+// Package ops serves the operators' HTTP page of a daemon: health, readiness, metrics,
+// profiles, and the status that the command line reads.
 package ops
 
 import "time"
 
 // The paths of the operators' page.
 const (
-	PathHealth  = "/healthz" // 200 while the process works at all
-	PathReady   = "/readyz"  // 200 while it should get callers' requests
-	PathMetrics = "/metrics"
-	PathProfile = "/profile" // of the processor time, for ?seconds=N, by runtime/pprof
-	PathHeap    = "/heap"    // profile of the memory in use, by runtime/pprof
+	PathHealth  = "/healthz" // 200 while the process runs
+	PathReady   = "/readyz"  // 200 while it should receive callers' requests, else 503
+	PathMetrics = "/metrics" // Prometheus text format
+	PathProfile = "/profile" // CPU profile over ?seconds=N, by runtime/pprof
+	PathHeap    = "/heap"    // heap profile, by runtime/pprof
 	PathStatus  = "/status"  // Status as JSON
 )
 
-// Status is what one VM says of itself.
+// Status is the state of one VM as it reports it.
 type Status struct {
 	VM          string    `json:"vm"`
 	Zone        string    `json:"zone"`
@@ -24,12 +24,12 @@
 	Ready       bool      `json:"ready"`
 	Leaving     bool      `json:"leaving"`
 
-	Revision uint64    `json:"revision"` // in force; 0 before the first
-	Digest   string    `json:"digest"`
-	Since    time.Time `json:"since"`             // when that revision came into force here
-	Refused  string    `json:"refused,omitempty"` // why the last head offered was not taken
+	Revision uint64    `json:"revision"`          // in force; 0 before the first
+	Digest   string    `json:"digest"`            // of the bundle in force
+	Since    time.Time `json:"since"`             // when that revision came into force on this VM
+	Refused  string    `json:"refused,omitempty"` // why the last offered head was refused; empty if one came into force since
 
 	PlatformReachable bool      `json:"platform_reachable"`
 	PlatformContact   time.Time `json:"platform_contact"` // last successful read
-	Peers             int       `json:"peers"`            // other VMs heard from lately
+	Peers             int       `json:"peers"`            // other VMs that sent a message recently
 }
--- a/result/code.go
+++ b/result/code.go
@@ -1,6 +1,6 @@
-// Package result defines the numbered outcomes that bramleybarrow reports to
+// Package result defines the numbered result codes that bramleybarrow reports to
 // callers, operators and its own processes. docs/RESULT-CODES.md holds the same
-// table; a test keeps the two equal.
+// table; a test checks that the two are equal.
 package result
 
 import (
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Code is the stable number of an outcome. Its hundreds digit is its class.
+// Code is the stable number of a result. Its hundreds digit is its class.
 type Code int
 
-// Class groups codes by who has to act on them. It is also the exit status of
-// the operator's command line.
+// Class groups codes by who has to act on them. It is also the exit status of the
+// operators' command line.
 type Class int
 
-// The classes, in the order of the codes' hundreds digit.
+// The classes; each is the hundreds digit of its codes.
 const (
 	ClassOK         Class = 1 // answered
 	ClassRequest    Class = 2 // the request itself has to change
 	ClassLater      Class = 3 // not run; the same request may succeed later
-	ClassIncomplete Class = 4 // run, but the answer falls short of what was asked
-	ClassUnknown    Class = 5 // whether the request ran is not known
-	ClassOperator   Class = 6 // bundles and rollouts
-	ClassPeer       Class = 7 // the protocol between VMs
+	ClassIncomplete Class = 4 // run, but the answer is less than the caller asked for
+	ClassUnknown    Class = 5 // it is not known whether the request ran
+	ClassOperator   Class = 6 // errors of bundles and rollouts
+	ClassPeer       Class = 7 // errors of the protocol between VMs
 )
 
-// Ran says whether a request was handed to a target and run there.
+// Ran says whether a target ran a request.
 type Ran int
 
-// The values of Ran. The zero value is the one that promises least.
+// The values of Ran. The zero value is the one that guarantees least.
 const (
 	RanUnknown Ran = iota // it may have run
 	RanNo                 // no target started it
 	RanYes                // at least one target ran it
 )
 
-// String returns the word used in answers and in docs/RESULT-CODES.md.
+// String returns the text used in answers and in docs/RESULT-CODES.md.
 func (r Ran) String() string {
 	switch r {
 	case RanNo:
@@ -53,12 +53,12 @@
 
 // The values of Retry.
 const (
-	RetryNo      Retry = iota // it would end the same way
+	RetryNo      Retry = iota // no: the result would be the same
 	RetryLater                // after the time stated with the answer
-	RetrySameKey              // with the same idempotency key, to learn the outcome
+	RetrySameKey              // with the same idempotency key, to get the outcome
 )
 
-// String returns the word used in docs/RESULT-CODES.md.
+// String returns the text used in docs/RESULT-CODES.md.
 func (r Retry) String() string {
 	switch r {
 	case RetryLater:
@@ -70,11 +70,11 @@
 	}
 }
 
-// Info is what is known of a code in general.
+// Info describes a code.
 type Info struct {
 	Code  Code
 	Name  string
-	HTTP  int // status of the answer to a caller
+	HTTP  int // HTTP status of the answer to a caller
 	Ran   Ran
 	Retry Retry
 	Text  string // one sentence: what happened and what to change
@@ -83,8 +83,7 @@
 // Class returns the class of c.
 func (c Code) Class() Class { return Class(int(c) / 100) }
 
-// Info returns the table's row of c, and a row named Unlisted for a code that
-// the table lacks.
+// Info returns the row of c in Table, or a row named Unlisted if there is none.
 func (c Code) Info() Info {
 	if row, ok := byCode[c]; ok {
 		return row
@@ -95,11 +94,11 @@
 // String returns the name of c.
 func (c Code) String() string { return c.Info().Name }
 
-// Error is an outcome other than success, as a Go error.
+// Error is an error with a result code.
 type Error struct {
 	Code       Code
 	Detail     string        // what was found and what is allowed
-	RetryAfter time.Duration // when to come back; 0 if the code does not say later
+	RetryAfter time.Duration // how long to wait before a retry; 0 unless the code is of RetryLater
 	cause      error
 }
 
@@ -108,12 +107,12 @@
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error of code c that keeps err as its cause.
+// Wrap returns an Error of code c that wraps err.
 func Wrap(c Code, err error, detail string) *Error {
 	return &Error{Code: c, Detail: detail, cause: err}
 }
 
-// WithRetryAfter sets when to come back and returns e.
+// WithRetryAfter sets how long to wait before a retry, and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
@@ -134,7 +133,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// CodeOf returns the code that err carries, or Internal if it carries none.
+// CodeOf returns the code of the first Error in err's chain, Internal if the chain has
+// none, and Complete if err is nil.
 func CodeOf(err error) Code {
 	for err != nil {
 		if e, ok := err.(*Error); ok {
--- a/result/table.go
+++ b/result/table.go
@@ -1,6 +1,6 @@
 package result
 
-// The codes. A number is never given a second meaning.
+// The codes. A number is never reused for another meaning.
 const (
 	Complete Code = 100
 	Partial  Code = 101
--- a/result/table_test.go
+++ b/result/table_test.go
@@ -9,8 +9,8 @@
 
 const docFile = "../docs/RESULT-CODES.md"
 
-// TestDocTableMatchesCode holds docs/RESULT-CODES.md against the table. Run
-// with UPDATE_DOCS=1 to write the file anew.
+// TestDocTableMatchesCode checks that docs/RESULT-CODES.md equals the page generated
+// from Table. Run it with UPDATE_DOCS=1 to write the file.
 func TestDocTableMatchesCode(t *testing.T) {
 	want := docPage()
 	if os.Getenv("UPDATE_DOCS") != "" {
@@ -31,7 +31,7 @@
 	last := Code(0)
 	for _, row := range Table {
 		if row.Code <= last {
-			t.Errorf("code %d stands after %d", row.Code, last)
+			t.Errorf("code %d follows %d in the table", row.Code, last)
 		}
 		last = row.Code
 	}
@@ -44,6 +44,7 @@
 	}
 }
 
+// docPage returns the text of docs/RESULT-CODES.md.
 func docPage() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\n")
