--- a/cmd/bramleyctl/main.go
+++ b/cmd/bramleyctl/main.go
@@ -1,4 +1,4 @@
-// Command bramleyctl is the operators' command line: bundles, sign-offs,
+// Command bramleyctl is the operators' command line for bundles, sign-offs,
 // rollouts, recalls and the audit trail.
 package main
 
--- a/cmd/bramleyd/edge.go
+++ b/cmd/bramleyd/edge.go
@@ -21,13 +21,13 @@
 }
 
 func checkEdge(_ context.Context, cmd *cli.Command) error {
-	set, err := loadEdge(cmd)
+	settings, err := loadEdge(cmd)
 	if err != nil {
 		return err
 	}
 	fmt.Println("settings are valid")
-	fmt.Printf("VM %s in %s serves callers at %s and asks the store at %s\n", set.Name, set.Zone, set.Listen.Callers, set.Store)
-	fmt.Printf("extra arrivals at a service: %g of its requests and %g in %g s, by all VMs\n", set.Budget.Ratio, set.Budget.Floor, set.Budget.WindowS)
+	fmt.Printf("VM %s in zone %s serves callers at %s and uses the store at %s\n", settings.Name, settings.Zone, settings.Listen.Callers, settings.Store)
+	fmt.Printf("extra arrivals at a service, by all VMs together: %g per request and %g more in %g s\n", settings.Budget.Ratio, settings.Budget.Floor, settings.Budget.WindowS)
 	return nil
 }
 
--- a/cmd/bramleyd/main.go
+++ b/cmd/bramleyd/main.go
@@ -1,4 +1,5 @@
-// Command bramleyd is the daemon that stands between callers and targets.
+// Command bramleyd is the daemon that receives callers' requests and sends them to
+// targets.
 package main
 
 import (
@@ -43,6 +44,7 @@
 	return settings.Load(path)
 }
 
+// settingsPath returns the command's only argument, the settings file.
 func settingsPath(cmd *cli.Command) (string, error) {
 	if cmd.Args().Len() != 1 {
 		return "", result.Errorf(result.BadSettings, "found %d arguments, allowed is one: the settings file", cmd.Args().Len())
--- a/operator/app.go
+++ b/operator/app.go
@@ -12,7 +12,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// The names of the flags that every command knows.
+// The names of the flags that all commands have.
 const (
 	flagConfig     = "config"
 	flagPlatform   = "platform"
@@ -23,8 +23,9 @@
 	flagVM         = "vm"
 )
 
-// Run runs one command line and returns the exit status: 0 for success, else
-// the class of the result code, which is its hundreds digit.
+// Run executes one command line and returns the exit status: 0 for success, else
+// the class of the result code, which is its hundreds digit. Results are written to
+// stdout, progress and errors to stderr; with -o json errors go to stdout, too.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	app := newApp(stdout, stderr)
 	err := app.command().Run(ctx, args)
@@ -37,12 +38,12 @@
 	return int(result.CodeOf(err).Class())
 }
 
-// app is one run of the command line.
+// app is one execution of a command line.
 type app struct {
 	out    io.Writer
 	err    io.Writer
 	format string // formatText or formatJSON
-	// errorPrinted means that the output tells of the failure already.
+	// errorPrinted means that the command's output already contains its error.
 	errorPrinted bool
 }
 
@@ -53,7 +54,7 @@
 func (a *app) command() *cli.Command {
 	root := &cli.Command{
 		Name:                  "bramleyctl",
-		Usage:                 "steer a bramleybarrow deployment by its bundles",
+		Usage:                 "manage a bramleybarrow deployment by its bundles",
 		EnableShellCompletion: true,
 		Suggest:               true,
 		Writer:                a.out,
@@ -84,6 +85,7 @@
 	return root
 }
 
+// forEachCommand calls do for a command and all its subcommands.
 func forEachCommand(c *cli.Command, do func(*cli.Command)) {
 	do(c)
 	for _, sub := range c.Commands {
@@ -98,11 +100,12 @@
 		&cli.StringFlag{Name: flagDeployment, Usage: "`NAME` of the deployment", Sources: cli.EnvVars("BRAMLEY_DEPLOYMENT")},
 		&cli.StringFlag{Name: flagKey, Usage: "`FILE` with your private key", Sources: cli.EnvVars("BRAMLEY_KEY")},
 		&cli.StringFlag{Name: flagOutput, Aliases: []string{"o"}, Value: formatText, Usage: "`FORMAT` of the output: text or json"},
-		&cli.DurationFlag{Name: flagPatience, Usage: "how long to ask the platform again after failures", Sources: cli.EnvVars("BRAMLEY_PATIENCE")},
-		&cli.StringSliceFlag{Name: flagVM, Usage: "`ADDRESS` of a VM's operators' page, for when the platform can't list VMs", Sources: cli.EnvVars("BRAMLEY_VMS")},
+		&cli.DurationFlag{Name: flagPatience, Usage: "how long to retry calls to the platform that fail", Sources: cli.EnvVars("BRAMLEY_PATIENCE")},
+		&cli.StringSliceFlag{Name: flagVM, Usage: "`ADDRESS` of a VM's operators' page, used when the platform can't list VMs", Sources: cli.EnvVars("BRAMLEY_VMS")},
 	}
 }
 
+// setFormat checks and stores the output format before any command runs.
 func (a *app) setFormat(ctx context.Context, c *cli.Command) (context.Context, error) {
 	format := c.String(flagOutput)
 	if format != formatText && format != formatJSON {
@@ -116,17 +119,19 @@
 	return result.Wrap(result.BadRequest, err, fmt.Sprintf("see %s --help", c.FullName()))
 }
 
+// missingCommand is the action of commands that only have subcommands.
 func missingCommand(_ context.Context, c *cli.Command) error {
 	if c.Args().Present() {
-		return result.Errorf(result.BadRequest, "found the command %q; see %s --help for those there are", c.Args().First(), c.FullName())
+		return result.Errorf(result.BadRequest, "found the unknown command %q; see %s --help for those allowed", c.Args().First(), c.FullName())
 	}
 	return cli.ShowSubcommandHelp(c)
 }
 
-// singleArg returns the only argument of a command.
-func singleArg(c *cli.Command, what string) (string, error) {
+// singleArg returns the only argument of a command. The error for any other number of
+// arguments names the argument.
+func singleArg(c *cli.Command, argument string) (string, error) {
 	if c.Args().Len() != 1 {
-		return "", result.Errorf(result.BadRequest, "found %d arguments, allowed is one: %s", c.Args().Len(), what)
+		return "", result.Errorf(result.BadRequest, "found %d arguments, allowed is one: %s", c.Args().Len(), argument)
 	}
 	return c.Args().First(), nil
 }
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -13,10 +13,10 @@
 	"github.com/bramleybarrow/bramleybarrow/rollout"
 )
 
-// AuditOutput is what audit prints.
+// AuditOutput is the output of audit.
 type AuditOutput struct {
-	Unbroken bool       `json:"unbroken"` // false is reported as error 610 instead
-	Head     uint64     `json:"head"`
+	Unbroken bool       `json:"unbroken"` // always true; a broken trail is reported as error 610
+	Head     uint64     `json:"head"`     // revision of the head
 	Rows     []AuditRow `json:"rows"`
 }
 
@@ -27,13 +27,13 @@
 	At       time.Time      `json:"at"`
 	Person   string         `json:"person"`
 	Action   rollout.Action `json:"action"`
-	Digest   string         `json:"digest"` // that was rolled out or recalled
-	InForce  string         `json:"in_force,omitempty"`
-	Before   string         `json:"before,omitempty"`
+	Digest   string         `json:"digest"`             // of the bundle that was rolled out or recalled
+	InForce  string         `json:"in_force,omitempty"` // digest that the change put into force
+	Before   string         `json:"before,omitempty"`   // digest in force before the change
 	Reason   string         `json:"reason"`
 	Op       rollout.OpID   `json:"op,omitempty"`
-	Code     result.Code    `json:"code,omitempty"`
-	Detail   string         `json:"detail,omitempty"`
+	Code     result.Code    `json:"code,omitempty"`   // of a refused attempt
+	Detail   string         `json:"detail,omitempty"` // of a refused attempt
 }
 
 func (a *app) auditCommand() *cli.Command {
@@ -56,7 +56,7 @@
 func (a *app) restoreHeadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "restore-head",
-		Usage: "write the latest kept entry to the head again, after the platform lost it or set it back",
+		Usage: "write the latest archived entry to the head again, after the platform lost the head or reverted it",
 		Action: func(ctx context.Context, c *cli.Command) error {
 			s, err := a.open(c)
 			if err != nil {
@@ -73,6 +73,7 @@
 	}
 }
 
+// timestamps are the accepted formats of times.
 var timestamps = cli.TimestampConfig{Layouts: []string{time.RFC3339, "2006-01-02 15:04:05", time.DateOnly}}
 
 func (a *app) audit(ctx context.Context, c *cli.Command) error {
@@ -121,10 +122,11 @@
 	return rows
 }
 
+// auditFilter selects rows. Its fields are the flags of audit; a zero field selects all.
 type auditFilter struct {
 	person, action, digest string
 	since, until           time.Time
-	last                   int
+	last                   int // number of rows
 }
 
 func newAuditFilter(c *cli.Command) auditFilter {
@@ -134,6 +136,7 @@
 	}
 }
 
+// matches reports whether a row passes all fields of the filter except last.
 func (f auditFilter) matches(r AuditRow) bool {
 	return (f.person == "" || r.Person == f.person) &&
 		(f.action == "" || string(r.Action) == f.action) &&
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -29,15 +29,15 @@
 	}
 }
 
-// CheckOutput is what bundle check prints.
+// CheckOutput is the output of bundle check.
 type CheckOutput struct {
 	Digest   string           `json:"digest"`
 	Bytes    int              `json:"bytes"`
-	Findings []bundle.Finding `json:"findings"`
+	Findings []bundle.Finding `json:"findings"` // errors; the bundle is invalid if there are any
 	Warnings []bundle.Finding `json:"warnings"`
 }
 
-// readFileArg reads the file that is the command's one argument.
+// readFileArg reads the file that is the command's only argument.
 func readFileArg(c *cli.Command) ([]byte, error) {
 	path, err := singleArg(c, "a file")
 	if err != nil {
@@ -166,7 +166,8 @@
 	return a.print(changes, t)
 }
 
-// readBundle reads a file, or else a bundle on the platform.
+// readBundle reads the file named arg, or the bundle with that digest on the platform if
+// the file can't be read.
 func (a *app) readBundle(ctx context.Context, c *cli.Command, arg string) ([]byte, error) {
 	data, err := os.ReadFile(arg)
 	if err == nil {
@@ -186,13 +187,14 @@
 	return s.client.LoadBundleBytes(ctx, digest)
 }
 
-// argHead stands for the bundle in force.
+// argHead is the argument that means the bundle in force.
 const argHead = "head"
 
-// minDigestPrefix is the least number of digits that stands for a digest.
+// minDigestPrefix is the least number of digits that may abbreviate a digest.
 const minDigestPrefix = 6
 
-// resolveDigest turns head, or the beginning of a resolveDigest, into the whole resolveDigest.
+// resolveDigest returns the full digest for argHead or the first digits of a digest. A
+// full digest is returned unchecked.
 func (s *session) resolveDigest(ctx context.Context, arg string) (string, error) {
 	const whole = 64
 	if len(arg) == whole {
@@ -218,6 +220,7 @@
 	return uniquePrefix(page.Objects, arg)
 }
 
+// uniquePrefix returns the only name among objects that has the prefix.
 func uniquePrefix(objects []objstore.Object, prefix string) (string, error) {
 	var found []string
 	for _, obj := range objects {
@@ -231,6 +234,6 @@
 	case 0:
 		return "", result.Errorf(result.NotFound, "no bundle's digest starts with %q", prefix)
 	default:
-		return "", result.Errorf(result.BadRequest, "more than one bundle's digest starts with %q; give more of it", prefix)
+		return "", result.Errorf(result.BadRequest, "more than one bundle's digest starts with %q; give more digits", prefix)
 	}
 }
--- a/operator/changes.go
+++ b/operator/changes.go
@@ -15,6 +15,7 @@
 	return &cli.StringFlag{Name: "reason", Required: true, Usage: "`TEXT` that the audit trail keeps"}
 }
 
+// changeFlags returns the flags that rollout and recall have in common.
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
 		reasonFlag(),
@@ -28,7 +29,7 @@
 func (a *app) signCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "sign",
-		Usage:     "sign a bundle off, as somebody other than its author",
+		Usage:     "sign off a bundle as a person other than its author",
 		ArgsUsage: "DIGEST",
 		Flags:     []cli.Flag{reasonFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -36,17 +37,19 @@
 			if err != nil {
 				return err
 			}
-			off, err := s.client.SignOff(ctx, digest, c.String("reason"))
+			signOff, err := s.client.SignOff(ctx, digest, c.String("reason"))
 			if err != nil {
 				return err
 			}
-			return a.print(off, table{rows: [][]string{
-				{"signed off", off.Digest}, {"by", off.Person}, {"made at revision", strconv.FormatUint(off.After, 10)},
+			return a.print(signOff, table{rows: [][]string{
+				{"signed off", signOff.Digest}, {"by", signOff.Person}, {"made at revision", strconv.FormatUint(signOff.After, 10)},
 			}})
 		},
 	}
 }
 
+// openDigest opens a session and returns it with the digest that the command's only
+// argument names.
 func (a *app) openDigest(ctx context.Context, c *cli.Command) (*session, string, error) {
 	arg, err := singleArg(c, "a digest")
 	if err != nil {
@@ -75,7 +78,7 @@
 func (a *app) recallCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "recall",
-		Usage:     "take a bundle back as a whole",
+		Usage:     "withdraw a bundle as a whole",
 		ArgsUsage: "DIGEST|head",
 		Flags:     changeFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -84,45 +87,47 @@
 	}
 }
 
-// ChangeOutput is what rollout and recall print.
+// ChangeOutput is the output of rollout and recall.
 type ChangeOutput struct {
 	DryRun   bool           `json:"dry_run,omitempty"`
-	Outcome  string         `json:"outcome"`
+	Outcome  string         `json:"outcome"` // accepted, or would be written
 	Op       rollout.OpID   `json:"op"`
 	Revision uint64         `json:"revision"`
 	Action   rollout.Action `json:"action"`
-	InForce  string         `json:"in_force"` // digest
-	Name     string         `json:"name"`
-	Before   string         `json:"before"`
-	Recalled string         `json:"recalled,omitempty"`
+	InForce  string         `json:"in_force"`           // digest of the new bundle
+	Name     string         `json:"name"`               // of the new bundle
+	Before   string         `json:"before"`             // digest of the bundle before
+	Recalled string         `json:"recalled,omitempty"` // digest of the recalled bundle
 }
 
+// changeFunc is Client.Rollout or Client.Recall.
 type changeFunc func(*rollout.Client, context.Context, string, rollout.Request) (rollout.Entry, error)
 
+// runChange makes a change, prints it, and waits for the VMs if --wait says so.
 func (a *app) runChange(ctx context.Context, c *cli.Command, do changeFunc) error {
 	s, digest, err := a.openDigest(ctx, c)
 	if err != nil {
 		return err
 	}
-	ask := rollout.Request{
+	request := rollout.Request{
 		Reason: c.String("reason"), Op: rollout.OpID(c.String("op")),
 		Expect: c.Uint64("expect"), DryRun: c.Bool("dry-run"),
 	}
-	entry, err := do(s.client, ctx, digest, ask)
+	entry, err := do(s.client, ctx, digest, request)
 	if err != nil {
 		return err
 	}
 	answer := ChangeOutput{
-		DryRun: ask.DryRun, Outcome: "accepted", Op: entry.Op, Revision: entry.Revision, Action: entry.Action,
+		DryRun: request.DryRun, Outcome: "accepted", Op: entry.Op, Revision: entry.Revision, Action: entry.Action,
 		InForce: entry.Digest, Name: entry.Name, Before: entry.Before, Recalled: entry.Recalled,
 	}
-	if ask.DryRun {
+	if request.DryRun {
 		answer.Outcome = "would be written"
 	}
 	if err := a.print(answer, changeTable(answer)); err != nil {
 		return err
 	}
-	if wait := c.Duration("wait"); wait > 0 && !ask.DryRun {
+	if wait := c.Duration("wait"); wait > 0 && !request.DryRun {
 		return a.waitForFleet(ctx, s, entry.Revision, wait)
 	}
 	return nil
@@ -141,12 +146,12 @@
 	return t
 }
 
-// pollInterval is the pause between two looks at the VMs.
+// pollInterval is the pause between two reads of the VMs' status pages.
 const pollInterval = 200 * time.Millisecond
 
-// waitForFleet watches the VMs' own pages until each has the revision. A look
-// that has begun is finished, so that the error names the VMs that lag and not
-// those that a deadline cut off.
+// waitForFleet reads the VMs' status pages until each VM has the revision in force, for
+// at most wait. It doesn't interrupt a read of the pages at the deadline, so that the
+// error names the VMs that lag and not those whose read was cut off.
 func (a *app) waitForFleet(ctx context.Context, s *session, revision uint64, wait time.Duration) error {
 	deadline := time.Now().Add(wait)
 	last := ""
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -12,12 +12,13 @@
 // Difference is one value that differs between two bundles.
 type Difference struct {
 	Path string `json:"path"`
-	From string `json:"from"` // empty: not there
-	To   string `json:"to"`   // empty: not there
+	From string `json:"from"` // JSON text; empty if the first bundle lacks the path
+	To   string `json:"to"`   // JSON text; empty if the second bundle lacks the path
 }
 
-// Diff compares two JSON documents. Items of arrays are matched by their name,
-// so that an inserted target shows as one difference.
+// Diff compares two JSON documents and returns their differences sorted by path. Items
+// of arrays are matched by their field name, so that an inserted target does not change
+// the paths of those after it.
 func Diff(from, to []byte) ([]Difference, error) {
 	before, err := flatten(from)
 	if err != nil {
@@ -71,6 +72,7 @@
 	}
 }
 
+// itemKey returns the name of an array's item, or its index if it has none.
 func itemKey(i int, item any) string {
 	if object, ok := item.(map[string]any); ok {
 		if name, ok := object["name"].(string); ok {
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -10,10 +10,10 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// nextSteps says what an operator does about a code.
+// nextSteps says what an operator should do about a code.
 var nextSteps = map[result.Code]string{
 	result.BadRequest:     "correct the command line; --help lists what a command takes",
-	result.KeyReused:      "read what that operation did with audit, and run your command without --op",
+	result.KeyReused:      "use audit to see what that operation did, and run your command without --op",
 	result.Conflict:       "read audit, decide whether your change is still wanted, and run the command again without --op",
 	result.BadBundle:      "correct each finding and run bundle check before you push",
 	result.BundleTooLarge: "shorten names or split the deployment; bundle check prints the size",
@@ -21,25 +21,25 @@
 	result.UnknownKey:     "sign with a key that the settings of all VMs list as active; keys prints those of your settings",
 	result.SelfSigned:     "have somebody other than the author run sign DIGEST",
 	result.Recalled:       "find out why it was recalled (audit), and have it signed again if it is good after all",
-	result.NotFound:       "list what there is with bundle list, and push what is missing",
+	result.NotFound:       "list the existing bundles with bundle list, and push the missing one",
 	result.WriteUnknown:   "run the same command again with the --op that is named; it takes effect once at most",
 	result.PlatformDown:   "nothing was changed; VMs go on with what is in force; try again when the platform answers",
 	result.BrokenAudit:    "change nothing, keep a copy of the platform's objects, and follow \"A broken chain\" in docs/OPERATIONS.md",
 	result.NothingBefore:  "push, sign and roll out a bundle that works",
 	result.BadSettings:    "correct the field that is named in the settings file, environment or flags",
-	result.Lagging:        "the change is accepted; look at the named VMs with status; they take it as soon as they hear of it",
+	result.Lagging:        "the change is accepted; check the named VMs with status; they put it into force as soon as they receive it",
 }
 
-// Explanation is what explain prints.
+// Explanation is the output of explain.
 type Explanation struct {
 	Code    result.Code `json:"code"`
 	Name    string      `json:"name"`
 	Class   int         `json:"class"`
-	HTTP    int         `json:"http"`
-	Ran     string      `json:"ran"`
-	Again   string      `json:"again"`
+	HTTP    int         `json:"http"`  // HTTP status
+	Ran     string      `json:"ran"`   // whether a target ran the request
+	Again   string      `json:"again"` // whether a retry makes sense
 	Meaning string      `json:"meaning"`
-	Next    string      `json:"next,omitempty"`
+	Next    string      `json:"next,omitempty"` // what the operator should do
 }
 
 func (a *app) explainCommand() *cli.Command {
@@ -74,6 +74,7 @@
 	}
 }
 
+// findCode returns the row of a code given by its number or name.
 func findCode(arg string) (result.Info, bool) {
 	for _, row := range result.Table {
 		if strconv.Itoa(int(row.Code)) == arg || strings.EqualFold(row.Name, arg) {
--- a/operator/explain_request.go
+++ b/operator/explain_request.go
@@ -19,7 +19,7 @@
 func (a *app) explainRequestCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain-request",
-		Usage:     "say from daemons' logs what became of a caller's request",
+		Usage:     "find out from daemons' logs how a caller's request ended and why",
 		ArgsUsage: "ID [LOG...]",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if !c.Args().Present() {
@@ -34,6 +34,7 @@
 	}
 }
 
+// readLogs reads the log files, or standard input if there are none.
 func readLogs(request string, paths []string) (explain.Report, error) {
 	reader := explain.NewReader(request)
 	if len(paths) == 0 {
@@ -68,7 +69,7 @@
 	return t
 }
 
-// fieldText writes fields in the order of their names.
+// fieldText formats fields as name=value, sorted by name.
 func fieldText(fields map[string]any) string {
 	parts := make([]string, 0, len(fields))
 	for name, value := range fields {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -20,23 +20,23 @@
 	"github.com/bramleybarrow/bramleybarrow/rollout"
 )
 
-// The bounds on reading VMs' status pages.
+// Limits on reading VMs' status pages.
 const (
-	maxStatusReads = 32
-	maxStatusBytes = 64 << 10
-	statusTimeout  = time.Second
+	maxStatusReads = 32          // concurrent reads
+	maxStatusBytes = 64 << 10    // of one page
+	statusTimeout  = time.Second // of one read
 )
 
-// VMRow is what is known of one VM.
+// VMRow is the state of one VM.
 type VMRow struct {
-	VM            string      `json:"vm"`
-	ListedLeaving bool        `json:"listed_leaving"` // by the platform's list
+	VM            string      `json:"vm"`             // name, or address if given by --vm
+	ListedLeaving bool        `json:"listed_leaving"` // the platform lists it as leaving
 	Error         string      `json:"error,omitempty"`
-	Status        *ops.Status `json:"status,omitempty"`
+	Status        *ops.Status `json:"status,omitempty"` // nil if it could not be read
 }
 
-// listVMs returns the platform's list of VMs, or those of the settings while
-// the platform can't be read, which is when operators need their status most.
+// listVMs returns the platform's list of VMs, or the VMs of the settings if the platform
+// can't be read, which is when operators need the status most.
 func (s *session) listVMs(ctx context.Context) ([]objstore.VM, error) {
 	vms, err := s.store.VMs(ctx)
 	if err == nil || len(s.settings.VMs) == 0 {
@@ -48,7 +48,8 @@
 	return vms, nil
 }
 
-// readFleet reads the list of VMs and every VM's status page.
+// readFleet reads the list of VMs and the status page of every VM. The rows are sorted
+// by VM; a page that can't be read is an error in its row only.
 func (s *session) readFleet(ctx context.Context) ([]VMRow, error) {
 	vms, err := s.listVMs(ctx)
 	if err != nil {
@@ -84,7 +85,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A fresh connection each time: an old one may have gone silent.
+	// Use a new connection each time: the other end of an old one may have stopped
+	// responding.
 	req.Close = true
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -99,38 +101,38 @@
 	return &status, err
 }
 
-// progress is how far a revision has come.
+// progress says on how many VMs a revision is in force.
 type progress struct {
-	done bool
+	done bool // on all VMs
 	text string
 }
 
-// fleetProgress counts the VMs that have the revision and names those that lag.
-// A VM that is leaving gets no work and is not waited for.
+// fleetProgress counts the VMs that have at least the revision in force and names the
+// others. A VM that is leaving receives no requests and is not waited for.
 func fleetProgress(rows []VMRow, revision uint64) progress {
-	have, all := 0, 0
-	var lag []string
+	inForce, total := 0, 0
+	var lagging []string
 	for _, row := range rows {
 		switch {
 		case row.ListedLeaving || row.Status != nil && row.Status.Leaving:
 			continue
 		case row.Status == nil:
-			lag = append(lag, row.VM+" (no answer)")
+			lagging = append(lagging, row.VM+" (no answer)")
 		case row.Status.Revision < revision:
-			lag = append(lag, fmt.Sprintf("%s (at %d)", row.VM, row.Status.Revision))
+			lagging = append(lagging, fmt.Sprintf("%s (at %d)", row.VM, row.Status.Revision))
 		default:
-			have++
+			inForce++
 		}
-		all++
+		total++
 	}
-	p := progress{done: all > 0 && have == all, text: fmt.Sprintf("%d of %d VMs have revision %d in force", have, all, revision)}
-	if len(lag) > 0 {
-		p.text += "; waiting for " + strings.Join(lag, ", ")
+	p := progress{done: total > 0 && inForce == total, text: fmt.Sprintf("%d of %d VMs have revision %d in force", inForce, total, revision)}
+	if len(lagging) > 0 {
+		p.text += "; waiting for " + strings.Join(lagging, ", ")
 	}
 	return p
 }
 
-// printProgress prints progress when it changed.
+// printProgress prints text unless it equals last, and stores it there.
 func (a *app) printProgress(last *string, text string) {
 	if *last != text {
 		fmt.Fprintln(a.err, text)
@@ -138,26 +140,27 @@
 	}
 }
 
-// StatusOutput is what status prints.
+// StatusOutput is the output of status.
 type StatusOutput struct {
-	Head      *rollout.Entry `json:"head"` // nil: nothing rolled out, or HeadError
-	HeadError string         `json:"head_error,omitempty"`
+	Head      *rollout.Entry `json:"head"`                 // nil if nothing was rolled out, or with HeadError
+	HeadError string         `json:"head_error,omitempty"` // why the head could not be read
 	VMs       []VMRow        `json:"vms"`
 	Warnings  []string       `json:"warnings"`
 }
 
-// warnings tells of states that look healthy and end badly.
+// warnings reports faults that the rest of the status doesn't show but that will cause
+// failures later.
 func (s *session) warnings(answer StatusOutput) []string {
 	list := []string{}
 	if answer.Head == nil {
 		return list
 	}
 	if _, err := s.keys.OpenSignOff(answer.Head.SignOff); err != nil {
-		list = append(list, "VMs that start now will not take the bundle in force; sign it again and roll it out: "+err.Error())
+		list = append(list, "VMs that start now will reject the bundle in force; sign it again and roll it out: "+err.Error())
 	}
 	for _, row := range answer.VMs {
 		if row.Status != nil && row.Status.Revision > answer.Head.Revision {
-			list = append(list, fmt.Sprintf("%s is at revision %d, past the head: the store was set back, see \"A broken chain\" in docs/OPERATIONS.md", row.VM, row.Status.Revision))
+			list = append(list, fmt.Sprintf("%s is at revision %d, past the head: the store was reverted to an earlier state, see \"A broken chain\" in docs/OPERATIONS.md", row.VM, row.Status.Revision))
 		}
 	}
 	return list
@@ -173,7 +176,8 @@
 				return err
 			}
 			var answer StatusOutput
-			// VMs first: a rollout in between must not make them look past the head.
+			// Read the VMs first: otherwise a rollout between the two reads would make
+			// them appear to be past the head.
 			if answer.VMs, err = s.readFleet(ctx); err != nil {
 				return result.Wrap(result.PlatformDown, err, "the list of VMs can't be read; name VMs with --vm")
 			}
--- a/operator/keys.go
+++ b/operator/keys.go
@@ -11,13 +11,13 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// keyFileMode lets nobody else read a private key.
+// keyFileMode makes a private key readable by its owner only.
 const keyFileMode = 0o600
 
 func (a *app) keygenCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "keygen",
-		Usage: "make a key and print its public half for the settings of VMs and operators",
+		Usage: "make a key pair and print the public key for the settings of VMs and operators",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "id", Required: true, Usage: "`ID` of the key, such as asta-2026"},
 			&cli.StringFlag{Name: "person", Required: true, Usage: "`NAME` of its owner"},
@@ -34,13 +34,15 @@
 			if err := writeKey(c.String("out"), key); err != nil {
 				return err
 			}
-			// The public half is JSON in both formats, to be pasted.
+			// The public key is printed as JSON in both formats, to be copied into
+			// settings.
 			return a.printJSON(key.Public())
 		},
 	}
 }
 
-// writeKey creates the file; it never overwrites a key that may be in use.
+// writeKey writes the key to a new file. It fails if the file exists, since the key in it
+// may be in use.
 func writeKey(path string, key *bundle.PrivateKey) error {
 	data, err := json.MarshalIndent(key, "", "  ")
 	if err != nil {
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -18,15 +18,15 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// testCLI is the command line of three people against a stand-in platform.
+// testCLI runs command lines of three people against a simulated platform.
 type testCLI struct {
 	t      *testing.T
-	dir    string
+	dir    string // holds the key files and settings
 	store  *platformsim.Store
-	config string
+	config string // path of the settings file
 }
 
-// newTestCLI makes keys by keygen and writes the settings that list them.
+// newTestCLI makes a key for each person with keygen and writes settings that list them.
 func newTestCLI(t *testing.T) *testCLI {
 	t.Helper()
 	d := &testCLI{t: t, dir: t.TempDir(), store: platformsim.NewStore()}
@@ -51,45 +51,45 @@
 
 func (d *testCLI) path(name string) string { return filepath.Join(d.dir, name) }
 
-// run returns the exit status and both outputs.
+// run executes a command line and returns the exit status, stdout and stderr.
 func (d *testCLI) run(args ...string) (int, string, string) {
-	var out, notes bytes.Buffer
+	var stdout, stderr bytes.Buffer
 	all := []string{"bramleyctl"}
 	if d.config != "" {
 		all = append(all, "-c", d.config)
 	}
-	status := Run(context.Background(), append(all, args...), &out, &notes)
-	return status, out.String(), notes.String()
+	status := Run(context.Background(), append(all, args...), &stdout, &stderr)
+	return status, stdout.String(), stderr.String()
 }
 
-// mustRun runs a command that has to succeed and decodes its JSON.
+// mustRun runs a command that has to succeed and decodes its JSON output.
 func (d *testCLI) mustRun(into any, args ...string) {
 	d.t.Helper()
-	status, out, notes := d.run(append([]string{"-o", "json"}, args...)...)
+	status, stdout, stderr := d.run(append([]string{"-o", "json"}, args...)...)
 	if status != 0 {
-		d.t.Fatalf("%v: status %d\n%s%s", args, status, out, notes)
+		d.t.Fatalf("%v: status %d\n%s%s", args, status, stdout, stderr)
 	}
-	if err := json.Unmarshal([]byte(out), into); err != nil {
-		d.t.Fatalf("%v: %v\n%s", args, err, out)
+	if err := json.Unmarshal([]byte(stdout), into); err != nil {
+		d.t.Fatalf("%v: %v\n%s", args, err, stdout)
 	}
 }
 
-// mustFail runs a command that has to fail with the code.
+// mustFail runs a command that has to fail with the code, and returns its error output.
 func (d *testCLI) mustFail(code result.Code, args ...string) errorJSON {
 	d.t.Helper()
 	g := NewWithT(d.t)
-	status, out, notes := d.run(append([]string{"-o", "json"}, args...)...)
-	g.Expect(status).To(Equal(int(code.Class())), "%v: %s%s", args, out, notes)
+	status, stdout, stderr := d.run(append([]string{"-o", "json"}, args...)...)
+	g.Expect(status).To(Equal(int(code.Class())), "%v: %s%s", args, stdout, stderr)
 	var e errorJSON
-	g.Expect(json.Unmarshal([]byte(out), &e)).To(Succeed(), out)
+	g.Expect(json.Unmarshal([]byte(stdout), &e)).To(Succeed(), stdout)
 	g.Expect(e.Code).To(Equal(code), e.Detail)
-	g.Expect(e.Next).NotTo(BeEmpty(), "says what to do next")
+	g.Expect(e.Next).NotTo(BeEmpty(), "the error says what to do next")
 	return e
 }
 
 const exampleFile = "../examples/vatnsleit.json"
 
-// pushExample pushes the example as its author and returns its digest.
+// pushExample pushes the example bundle as its author and returns its digest.
 func (d *testCLI) pushExample() string {
 	d.t.Helper()
 	var answer struct{ Digest string }
@@ -97,6 +97,8 @@
 	return answer.Digest
 }
 
+// Takes a bundle through push, sign-off, rollout, refused changes and audit, with the
+// error code of each step that comes too early.
 func TestBundleLifecycle(t *testing.T) {
 	g := NewWithT(t)
 	d := newTestCLI(t)
@@ -105,9 +107,9 @@
 	short := digest[:10]
 	d.mustFail(result.NotSigned, "rollout", short, "--reason", "first")
 	d.mustFail(result.SelfSigned, "sign", short, "--reason", "mine", "--key", d.path("sigrun.json"))
-	var off struct{ Person string }
-	d.mustRun(&off, "sign", short, "--reason", "checked", "--key", d.path("jon.json"))
-	g.Expect(off.Person).To(Equal("jon"))
+	var signOff struct{ Person string }
+	d.mustRun(&signOff, "sign", short, "--reason", "checked", "--key", d.path("jon.json"))
+	g.Expect(signOff.Person).To(Equal("jon"))
 
 	var change ChangeOutput
 	d.mustRun(&change, "rollout", short, "--reason", "first", "--dry-run")
@@ -117,7 +119,7 @@
 	g.Expect(change.Revision).To(Equal(uint64(1)))
 	var again ChangeOutput
 	d.mustRun(&again, "rollout", short, "--reason", "first", "--op", string(change.Op))
-	g.Expect(again.Revision).To(Equal(uint64(1)), "the same operation is made once")
+	g.Expect(again.Revision).To(Equal(uint64(1)), "the same operation takes effect once")
 	d.mustFail(result.NothingBefore, "recall", "head", "--reason", "faulty")
 	d.mustFail(result.Conflict, "rollout", short, "--reason", "late", "--expect", "9")
 
@@ -144,8 +146,8 @@
 	g.Expect(text).To(ContainSubstring("unbroken up to revision 1"))
 }
 
-// Somebody with access to the platform deletes an entry of the trail. A user
-// would see nothing amiss unless audit says that a change is missing.
+// An entry of the audit trail is deleted on the platform. Nothing else shows this, so
+// audit has to report that a change is missing.
 func TestAuditReportsMissingEntry(t *testing.T) {
 	g := NewWithT(t)
 	d := newTestCLI(t)
@@ -161,6 +163,8 @@
 	d.mustFail(result.BrokenAudit, "audit")
 }
 
+// Guards against a status that omits VMs which don't answer, and against a status that
+// fails while the platform is down although the addresses of VMs are given.
 func TestStatusReportsUnreachableVMs(t *testing.T) {
 	g := NewWithT(t)
 	d := newTestCLI(t)
@@ -192,8 +196,8 @@
 	g.Expect(answer.VMs[0].Status.Revision).To(Equal(uint64(4)), "also while the platform is down")
 }
 
-// A key is retired before its sign-off was replaced, and a VM is past the head.
-// Both look healthy until a VM is replaced or a rollout never arrives.
+// A key is retired before its sign-off was replaced, and a VM is past the head. The VMs
+// appear healthy until one is replaced or the next rollout doesn't reach them.
 func TestStatusWarnsOfHiddenFaults(t *testing.T) {
 	g := NewWithT(t)
 	d := newTestCLI(t)
@@ -215,6 +219,7 @@
 	g.Expect(answer.Warnings).To(ConsistOf(ContainSubstring("jon-1"), ContainSubstring("past the head")))
 }
 
+// Flags take precedence over the environment, and the environment over the settings file.
 func TestSettingsPrecedence(t *testing.T) {
 	d := newTestCLI(t)
 	d.pushExample()
@@ -226,6 +231,7 @@
 	d.mustFail(result.PlatformDown, "bundle", "list", "--key", d.path("jon.json"))
 }
 
+// Guards against invalid command lines that fail with another code than documented.
 func TestInvalidCommandLines(t *testing.T) {
 	d := newTestCLI(t)
 	bad := d.path("bad.json")
@@ -251,6 +257,8 @@
 	}
 }
 
+// Guards against a diff by index: an inserted target would make all targets after it
+// appear changed.
 func TestDiffMatchesItemsByName(t *testing.T) {
 	g := NewWithT(t)
 	file, err := os.ReadFile(exampleFile)
--- a/operator/output.go
+++ b/operator/output.go
@@ -15,15 +15,15 @@
 	formatJSON = "json"
 )
 
-// table is the text form of an answer.
+// table is the text form of a command's output.
 type table struct {
-	head []string
+	head []string // column names; may be empty
 	rows [][]string
 }
 
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
-// print writes value as JSON, or t as text.
+// print writes value as JSON or t as text, depending on the output format.
 func (a *app) print(value any, t table) error {
 	if a.format == formatJSON {
 		return a.printJSON(value)
@@ -60,7 +60,7 @@
 	Code   result.Code `json:"code"`
 	Name   string      `json:"name"`
 	Detail string      `json:"detail"`
-	Next   string      `json:"next,omitempty"`
+	Next   string      `json:"next,omitempty"` // what the operator should do
 }
 
 func (a *app) printError(err error) {
@@ -82,7 +82,8 @@
 	return t.UTC().Format("2006-01-02 15:04:05Z")
 }
 
-// shortDigest is enough of a digest for people; commands take it too.
+// shortDigest returns the first digits of a digest, for display. Commands accept them in
+// place of the digest.
 func shortDigest(digest string) string {
 	const shown = 12
 	return digest[:min(len(digest), shown)]
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -14,19 +14,19 @@
 	"github.com/bramleybarrow/bramleybarrow/rollout"
 )
 
-// Settings is the JSON settings file of the command line. Flags go before the
-// environment, which goes before the file.
+// Settings is the JSON settings file of the command line. Flags take precedence over the
+// environment, and the environment over the file.
 type Settings struct {
-	Platform     string        `json:"platform,omitempty"`
+	Platform     string        `json:"platform,omitempty"` // IP address and port
 	Deployment   string        `json:"deployment,omitempty"`
-	Key          string        `json:"key,omitempty"` // file, relative to the settings file
+	Key          string        `json:"key,omitempty"` // private key file, relative to the settings file
 	OperatorKeys []OperatorKey `json:"operator_keys,omitempty"`
-	// VMs are the addresses of operators' pages that are read when the platform
-	// cannot list its VMs.
+	// VMs are the addresses of the VMs' operators' pages. They are used when the
+	// platform can't list the VMs.
 	VMs []string `json:"vms,omitempty"`
 }
 
-// OperatorKey is a public key as in the daemons' settings.
+// OperatorKey is an operator's public key, in the same form as in the daemons' settings.
 type OperatorKey struct {
 	ID      string `json:"id"`
 	Person  string `json:"person"`
@@ -34,7 +34,8 @@
 	Retired bool   `json:"retired,omitempty"`
 }
 
-// readSettings merges the settings of a command.
+// readSettings reads the settings file, if there is one, and applies the environment and
+// flags.
 func readSettings(c *cli.Command) (Settings, error) {
 	var s Settings
 	if path := c.String(flagConfig); path != "" {
@@ -58,6 +59,7 @@
 	return s, nil
 }
 
+// override sets field to value unless value is empty.
 func override(field *string, value string) {
 	if value != "" {
 		*field = value
@@ -72,7 +74,7 @@
 	return bundle.NewKeyring(keys...)
 }
 
-// readKey reads a private key file as keygen writes it.
+// readKey reads a private key file that keygen has written.
 func readKey(path string) (*bundle.PrivateKey, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return key, key.Check()
 }
 
-// session is what a command that talks to the platform works with.
+// session holds the settings, keys and clients of a command that uses the platform.
 type session struct {
 	settings Settings
 	keys     *bundle.Keyring
@@ -93,7 +95,8 @@
 	client   *rollout.Client
 }
 
-// open makes a session. Its store is closed by the end of the process.
+// open creates a session from a command's settings. Its store is never closed; it ends
+// with the process.
 func (a *app) open(c *cli.Command) (*session, error) {
 	s, err := readSettings(c)
 	if err != nil {
@@ -115,8 +118,8 @@
 			return nil, err
 		}
 	}
-	// The rollout client bounds its calls by itself, and more generously than
-	// daemons do: a fresh process has no connection that went silent.
+	// The rollout client has its own, longer timeout than daemons use: a new process has
+	// no open connection whose other end may have stopped responding.
 	store := objstore.NewClient(s.Platform, objstore.ClientOptions{CallTimeout: rollout.DefaultCallTimeout})
 	client := rollout.NewClient(rollout.ClientOptions{
 		Deployment: s.Deployment, Keys: keys, Store: store, Key: private,
