--- a/ops/server.go
+++ b/ops/server.go
@@ -23,9 +23,9 @@
 	Metrics []func(io.Writer) // each writes metrics in the Prometheus text format
 }
 
-// NewServer returns the HTTP server of the operators' page. The caller sets its address
+// NewHTTPServer returns the HTTP server of the operators' page. The caller sets its address
 // or listener.
-func NewServer(opt Options) *http.Server {
+func NewHTTPServer(opt Options) *http.Server {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(PathHealth), func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
