--- a/leafhttp/conn.go
+++ b/leafhttp/conn.go
@@ -14,7 +14,7 @@
 type conn struct {
 	net.Conn
 	reader        *bufio.Reader
-	reusableUntil time.Time // end of the idle time; set when the connection becomes idle
+	reusableUntil time.Time // end of the idle timeout; set when the connection becomes idle
 }
 
 // Timeouts and buffer size of a connection.
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -22,14 +22,14 @@
 // then dropped, and its answers were late.
 func TestDroppedLinesAreNotFormatted(t *testing.T) {
 	g := gomega.NewWithT(t)
-	asked := 0
+	formatted := 0
 	log, flush := New(&bytes.Buffer{}, Options{JSON: true})
 	const lines = 100 * burstLines
 	for range lines {
-		log.Info("a line", "value", countingValuer{&asked})
+		log.Info("a line", "value", countingValuer{&formatted})
 	}
 	flush()
-	g.Expect(asked).To(gomega.BeNumerically("<", lines/2))
+	g.Expect(formatted).To(gomega.BeNumerically("<", lines/2))
 }
 
 // The components of a daemon share one rate limit: a derived logger must not get its own.
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -8,7 +8,7 @@
 
 const (
 	queueLines    = 512                    // lines that may wait to be written; further ones are dropped
-	maxWriteBytes = 32 << 10               // size from which a write takes no further lines
+	maxWriteBytes = 32 << 10               // a write of at least this size gets no further lines
 	flushTimeout  = 200 * time.Millisecond // the longest that flush waits
 )
 
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -95,8 +95,8 @@
 		sort.SliceStable(rows, func(i, j int) bool { return rows[i].At.Before(rows[j].At) })
 	}
 	rows = filterRows(rows, newAuditFilter(c))
-	answer := AuditOutput{Unbroken: true, Head: chain.Head, Rows: rows}
-	return a.print(answer, auditTable(answer))
+	output := AuditOutput{Unbroken: true, Head: chain.Head, Rows: rows}
+	return a.print(output, auditTable(output))
 }
 
 func acceptedRows(entries []rollout.Entry) []AuditRow {
@@ -158,9 +158,9 @@
 	return kept
 }
 
-func auditTable(answer AuditOutput) table {
+func auditTable(output AuditOutput) table {
 	t := table{head: []string{"REVISION", "AT", "PERSON", "ACTION", "DIGEST", "IN FORCE", "REASON"}}
-	for _, r := range answer.Rows {
+	for _, r := range output.Rows {
 		if !r.Accepted {
 			t.add("refused", formatTime(r.At), r.Person, string(r.Action), shortDigest(r.Digest), "", r.Reason+" ("+r.Code.String()+")")
 			continue
@@ -168,6 +168,6 @@
 		t.add(strconv.FormatUint(r.Revision, 10), formatTime(r.At), r.Person, string(r.Action),
 			shortDigest(r.Digest), shortDigest(r.InForce), r.Reason)
 	}
-	t.add("unbroken up to revision " + strconv.FormatUint(answer.Head, 10))
+	t.add("unbroken up to revision " + strconv.FormatUint(output.Head, 10))
 	return t
 }
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -56,25 +56,25 @@
 		return err
 	}
 	b, findings := bundle.Parse(data)
-	answer := CheckOutput{
+	output := CheckOutput{
 		Digest: bundle.Digest(data), Bytes: len(data),
 		Findings: append([]bundle.Finding{}, findings...), Warnings: []bundle.Finding{},
 	}
 	if len(findings) == 0 {
-		answer.Warnings = append(answer.Warnings, b.Warnings()...)
+		output.Warnings = append(output.Warnings, b.Warnings()...)
 	}
 	t := table{rows: [][]string{
-		{"digest", answer.Digest},
+		{"digest", output.Digest},
 		{"bytes", fmt.Sprintf("%d of %d allowed", len(data), bundle.MaxBytes)},
 		{"findings", strconv.Itoa(len(findings))},
 	}}
 	for _, f := range findings {
 		t.add("finding", f.String())
 	}
-	for _, f := range answer.Warnings {
+	for _, f := range output.Warnings {
 		t.add("warning", f.String())
 	}
-	if err := a.print(answer, t); err != nil {
+	if err := a.print(output, t); err != nil {
 		return err
 	}
 	if len(findings) > 0 {
--- a/operator/changes.go
+++ b/operator/changes.go
@@ -103,7 +103,7 @@
 // changeFunc is Client.Rollout or Client.Recall.
 type changeFunc func(*rollout.Client, context.Context, string, rollout.Request) (rollout.Entry, error)
 
-// runChange makes a change, prints it, and waits for the VMs if --wait says so.
+// runChange makes a change, prints it, and waits for the VMs if --wait is given.
 func (a *app) runChange(ctx context.Context, c *cli.Command, do changeFunc) error {
 	s, digest, err := a.openDigest(ctx, c)
 	if err != nil {
@@ -117,14 +117,14 @@
 	if err != nil {
 		return err
 	}
-	answer := ChangeOutput{
+	output := ChangeOutput{
 		DryRun: request.DryRun, Outcome: "accepted", Op: entry.Op, Revision: entry.Revision, Action: entry.Action,
 		InForce: entry.Digest, Name: entry.Name, Before: entry.Before, Recalled: entry.Recalled,
 	}
 	if request.DryRun {
-		answer.Outcome = "would be written"
+		output.Outcome = "would be written"
 	}
-	if err := a.print(answer, changeTable(answer)); err != nil {
+	if err := a.print(output, changeTable(output)); err != nil {
 		return err
 	}
 	if wait := c.Duration("wait"); wait > 0 && !request.DryRun {
@@ -133,15 +133,15 @@
 	return nil
 }
 
-func changeTable(answer ChangeOutput) table {
+func changeTable(output ChangeOutput) table {
 	t := table{rows: [][]string{
-		{string(answer.Action), answer.Outcome},
-		{"revision", strconv.FormatUint(answer.Revision, 10)},
-		{"in force", answer.InForce + " " + answer.Name},
-		{"operation", string(answer.Op)},
+		{string(output.Action), output.Outcome},
+		{"revision", strconv.FormatUint(output.Revision, 10)},
+		{"in force", output.InForce + " " + output.Name},
+		{"operation", string(output.Op)},
 	}}
-	if answer.Recalled != "" {
-		t.add("recalled", answer.Recalled)
+	if output.Recalled != "" {
+		t.add("recalled", output.Recalled)
 	}
 	return t
 }
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -150,16 +150,16 @@
 
 // warnings reports faults that the rest of the status doesn't show but that will cause
 // failures later.
-func (s *session) warnings(answer StatusOutput) []string {
+func (s *session) warnings(output StatusOutput) []string {
 	list := []string{}
-	if answer.Head == nil {
+	if output.Head == nil {
 		return list
 	}
-	if _, err := s.keys.OpenSignOff(answer.Head.SignOff); err != nil {
+	if _, err := s.keys.OpenSignOff(output.Head.SignOff); err != nil {
 		list = append(list, "VMs that start now will reject the bundle in force; sign it again and roll it out: "+err.Error())
 	}
-	for _, row := range answer.VMs {
-		if row.Status != nil && row.Status.Revision > answer.Head.Revision {
+	for _, row := range output.VMs {
+		if row.Status != nil && row.Status.Revision > output.Head.Revision {
 			list = append(list, fmt.Sprintf("%s is at revision %d, past the head: the store was reverted to an earlier state, see \"A broken chain\" in docs/OPERATIONS.md", row.VM, row.Status.Revision))
 		}
 	}
@@ -175,32 +175,32 @@
 			if err != nil {
 				return err
 			}
-			var answer StatusOutput
+			var output StatusOutput
 			// Read the VMs first: otherwise a rollout between the two reads would make
 			// them appear to be past the head.
-			if answer.VMs, err = s.readFleet(ctx); err != nil {
+			if output.VMs, err = s.readFleet(ctx); err != nil {
 				return result.Wrap(result.PlatformDown, err, "the list of VMs can't be read; name VMs with --vm")
 			}
-			if answer.Head, err = s.client.Head(ctx); err != nil {
-				answer.HeadError = err.Error()
+			if output.Head, err = s.client.Head(ctx); err != nil {
+				output.HeadError = err.Error()
 			}
-			answer.Warnings = s.warnings(answer)
-			return a.print(answer, statusTable(answer))
+			output.Warnings = s.warnings(output)
+			return a.print(output, statusTable(output))
 		},
 	}
 }
 
-func statusTable(answer StatusOutput) table {
+func statusTable(output StatusOutput) table {
 	t := table{head: []string{"VM", "REVISION", "DIGEST", "SINCE", "READY", "LEAVING", "PLATFORM", "PEERS"}}
-	switch h := answer.Head; {
-	case answer.HeadError != "":
-		t.add("(head)", "unknown", answer.HeadError)
+	switch h := output.Head; {
+	case output.HeadError != "":
+		t.add("(head)", "unknown", output.HeadError)
 	case h == nil:
 		t.add("(head)", "0", "nothing rolled out yet")
 	default:
 		t.add("(head)", strconv.FormatUint(h.Revision, 10), shortDigest(h.Digest), formatTime(h.At), "", "", "", "")
 	}
-	for _, row := range answer.VMs {
+	for _, row := range output.VMs {
 		if row.Status == nil {
 			t.add(row.VM, "no answer", row.Error)
 			continue
@@ -213,7 +213,7 @@
 		t.add(row.VM, strconv.FormatUint(st.Revision, 10), shortDigest(st.Digest), formatTime(st.Since),
 			strconv.FormatBool(st.Ready), strconv.FormatBool(st.Leaving || row.ListedLeaving), contact, strconv.Itoa(st.Peers))
 	}
-	for _, w := range answer.Warnings {
+	for _, w := range output.Warnings {
 		t.add("warning: " + w)
 	}
 	return t
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -97,8 +97,8 @@
 	return answer.Digest
 }
 
-// Takes a bundle through push, sign-off, rollout, refused changes and audit, with the
-// error code of each step that comes too early.
+// Takes a bundle through push, sign-off, rollout and audit, and checks the result code
+// of each command that must be refused on the way.
 func TestBundleLifecycle(t *testing.T) {
 	g := NewWithT(t)
 	d := newTestCLI(t)
@@ -231,7 +231,8 @@
 	d.mustFail(result.PlatformDown, "bundle", "list", "--key", d.path("jon.json"))
 }
 
-// Guards against invalid command lines that fail with another code than documented.
+// Guards against invalid arguments, settings or key files that are accepted, or refused
+// with the wrong result code.
 func TestInvalidCommandLines(t *testing.T) {
 	d := newTestCLI(t)
 	bad := d.path("bad.json")
--- a/routing/rotation.go
+++ b/routing/rotation.go
@@ -19,7 +19,7 @@
 // splitState is the round-robin state of one route.
 type splitState struct {
 	split  []WeightedService
-	credit []float64 // current weights; the service with the highest is next
+	credit []float64 // by service; the one with the highest is chosen next
 }
 
 // NewSplitter returns a splitter without state.
