--- a/integration/committer_test.go
+++ b/integration/committer_test.go
@@ -23,10 +23,10 @@
 // it.
 const committer = 2
 
-// startCommitting starts three daemons and waits until the first two have had
+// startRelayingCluster starts three daemons and waits until the first two have had
 // claims carried out by the third.
-func startCommitting(t *testing.T) *cluster {
-	c := start(t, shape{Daemons: 3, ProxyPlatform: true})
+func startRelayingCluster(t *testing.T) *cluster {
+	c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true})
 	for asker := range committer {
 		c.waitRelaying(asker)
 	}
@@ -38,17 +38,17 @@
 	c.t.Helper()
 	c.Eventually(func() bool {
 		before := c.metric(c.Daemons[asker], "bramley_once_relayed_total")
-		c.send(c.Daemons[asker], c.committedKey("warm"))
+		c.send(c.Daemons[asker], c.committerKey("warm"))
 		return c.metric(c.Daemons[asker], "bramley_once_relayed_total") > before
-	}, limit, "50ms").Should(gomega.BeTrue())
+	}, waitTimeout, "50ms").Should(gomega.BeTrue())
 }
 
-// committedKey returns a fresh key whose second the committer commits, if all
+// committerKey returns a fresh key whose second the committer commits, if all
 // daemons live.
-func (c *cluster) committedKey(name string) string { return c.committedKeys(name, 1)[0] }
+func (c *cluster) committerKey(name string) string { return c.committerKeys(name, 1)[0] }
 
-// committedKeys returns such keys of as many seconds.
-func (c *cluster) committedKeys(name string, n int) []string {
+// committerKeys returns such keys of as many seconds.
+func (c *cluster) committerKeys(name string, n int) []string {
 	return c.keysCommittedBy(c.Daemons[committer], name, n)
 }
 
@@ -69,9 +69,9 @@
 	return keys
 }
 
-// claimUnheard makes the first daemon's claim land by the committer's update
+// claimWithoutAnswer makes the first daemon's claim land by the committer's update
 // while the committer does not yet know.
-func (c *cluster) claimUnheard(key string) <-chan gateway.Answer {
+func (c *cluster) claimWithoutAnswer(key string) <-chan gateway.Answer {
 	c.t.Helper()
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{DelayMS: 100}))
 	c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 1, LoseKind: once.Kind}))
@@ -88,7 +88,7 @@
 	for _, d := range asked {
 		c.Expect(c.finalCode(c.Daemons[d], key)).To(gomega.Equal(result.Accepted))
 	}
-	c.Expect(c.submits()[key]).To(gomega.Equal(1))
+	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
 // A report is told "in progress" by its own claim and never runs. The VM that
@@ -96,9 +96,9 @@
 // so. The VM that asked falls back to an update of its own and must know the
 // entry that it finds for its own.
 func TestCommitterKilledBetweenClaimAndAnswer(t *testing.T) {
-	c := startCommitting(t)
-	key := c.committedKey("killed")
-	told := c.claimUnheard(key)
+	c := startRelayingCluster(t)
+	key := c.committerKey("killed")
+	told := c.claimWithoutAnswer(key)
 	c.Daemons[committer].Kill()
 	c.expectAccepted(key, <-told, 0, 1)
 }
@@ -108,23 +108,23 @@
 // that asked has found the claim meanwhile and handed the report over, and a
 // second sending finds the key free.
 func TestCommitterCutOffBetweenClaimAndAnswer(t *testing.T) {
-	c := startCommitting(t)
-	c.setTargets(targetsim.Faults{HoldSubmits: true})
-	key := c.committedKey("cut")
-	told := c.claimUnheard(key)
+	c := startRelayingCluster(t)
+	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
+	key := c.committerKey("cut")
+	told := c.claimWithoutAnswer(key)
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{Frozen: true}))
 	c.waitRun(key)
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{}))
 	c.ok(c.PlatformProxies[committer].Cut())
-	c.claimAfter(key)
+	c.flushCommitter(key)
 	c.Expect(result.Code(c.send(c.Daemons[1], key).Code)).To(gomega.Equal(result.InProgress))
-	c.setTargets(targetsim.Faults{})
+	c.setTargetFaults(targetsim.Faults{})
 	c.expectAccepted(key, <-told, 0, 1, committer)
 }
 
-// claimAfter has the committer claim another key of the same second, which comes
+// flushCommitter has the committer claim another key of the same second, which comes
 // after all that it still had to do there.
-func (c *cluster) claimAfter(key string) {
+func (c *cluster) flushCommitter(key string) {
 	c.t.Helper()
 	second, _, _ := strings.Cut(key, "-")
 	after := fmt.Sprintf("%s-after-%d", second, time.Now().UnixNano())
@@ -134,34 +134,34 @@
 		c.sendAside(c.Daemons[committer], after) // the platform may count as down for a moment
 		object, err := client.Get(c.ctx, once.Kind, deployment+"."+second)
 		return string(object.Value), err
-	}, limit, "100ms").Should(gomega.ContainSubstring(after))
+	}, waitTimeout, "100ms").Should(gomega.ContainSubstring(after))
 }
 
 // The VM that commits is frozen between claim and answer for longer than any
 // time limit, and then goes on. What it does then must change nothing.
 func TestCommitterFrozenBetweenClaimAndAnswer(t *testing.T) {
-	c := startCommitting(t)
-	key := c.committedKey("frozen")
-	told := c.claimUnheard(key)
+	c := startRelayingCluster(t)
+	key := c.committerKey("frozen")
+	told := c.claimWithoutAnswer(key)
 	c.ok(c.Daemons[committer].Pause())
 	c.expectAccepted(key, <-told, 0, 1)
-	c.waitAlone()
+	c.waitCommitterLost()
 	c.ok(c.Daemons[committer].Resume())
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{}))
 	c.Expect(c.finalCode(c.Daemons[committer], key)).To(gomega.Equal(result.Accepted))
 	c.Expect(c.finalCode(c.Daemons[0], key)).To(gomega.Equal(result.Accepted))
-	c.Expect(c.submits()[key]).To(gomega.Equal(1))
+	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
 // A report that every target refused is told "not run", and then "in progress"
 // for ever. The VM that commits is frozen before it reads the claim; the VM that
 // asked claims by itself, is refused and gives the key free; the frozen VM goes
 // on and finds the claim of a sending that has ended in its socket.
-func TestThawedCommitterKeepsNotRunTrue(t *testing.T) {
-	c := startCommitting(t)
+func TestCommitterResumedAfterNotRunAnswers(t *testing.T) {
+	c := startRelayingCluster(t)
 	c.ok(c.Daemons[committer].Pause())
-	c.setTargets(targetsim.Faults{ShedShare: 1})
-	keys := c.committedKeys("thawed", 8)
+	c.setTargetFaults(targetsim.Faults{ShedShare: 1})
+	keys := c.committerKeys("thawed", 8)
 	var told []<-chan gateway.Answer
 	for _, key := range keys {
 		told = append(told, c.sendAside(c.Daemons[0], key))
@@ -170,23 +170,23 @@
 		a := <-answer
 		c.Expect(result.Code(a.Code).Info().Ran).To(gomega.Equal(result.RanNo), a.Detail)
 	}
-	c.setTargets(targetsim.Faults{})
+	c.setTargetFaults(targetsim.Faults{})
 	c.Expect(c.metric(c.Daemons[0], "bramley_once_fallbacks_total")).To(gomega.BeNumerically(">", 0))
-	c.waitAlone()
+	c.waitCommitterLost()
 	c.ok(c.Daemons[committer].Resume())
 	for _, key := range keys {
-		c.claimAfter(key) // comes after what waits in its socket
-		c.Expect(c.submits()).NotTo(gomega.HaveKey(key))
+		c.flushCommitter(key) // comes after what waits in its socket
+		c.Expect(c.submitRuns()).NotTo(gomega.HaveKey(key))
 		c.expectAccepted(key, c.send(c.Daemons[committer], key), 0, 1)
 	}
 }
 
-// waitAlone waits until the other daemons count the committer as gone, which
+// waitCommitterLost waits until the other daemons count the committer as gone, which
 // takes longer than any time limit of a claim.
-func (c *cluster) waitAlone() {
+func (c *cluster) waitCommitterLost() {
 	c.t.Helper()
 	for d := range committer {
-		c.Eventually(func() float64 { return c.metric(c.Daemons[d], "bramley_peer_live_vms") }, limit, "100ms").
+		c.Eventually(func() float64 { return c.metric(c.Daemons[d], "bramley_peer_live_vms") }, waitTimeout, "100ms").
 			Should(gomega.BeEquivalentTo(committer))
 	}
 }
@@ -194,12 +194,12 @@
 // A bookmark sync fires twice, at two VMs at once, and both have their claims
 // carried out by a third, while the platform loses answers. One of them runs.
 func TestSameKeyAtTwoVMsThroughACommitter(t *testing.T) {
-	c := startCommitting(t)
+	c := startRelayingCluster(t)
 	for i := range 8 {
 		if i%2 == 1 {
 			c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 2, LoseKind: once.Kind}))
 		}
-		key := c.committedKey(fmt.Sprint("both", i))
+		key := c.committerKey(fmt.Sprint("both", i))
 		told := []<-chan gateway.Answer{
 			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
 			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
@@ -210,6 +210,6 @@
 		}
 		c.Expect(c.finalCode(c.Daemons[0], key)).To(gomega.Equal(result.Accepted))
 		c.Expect(c.send(c.Daemons[0], key).Result).To(gomega.MatchJSON(c.send(c.Daemons[1], key).Result))
-		c.Expect(c.submits()[key]).To(gomega.Equal(1))
+		c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 	}
 }
--- a/integration/ctl_test.go
+++ b/integration/ctl_test.go
@@ -31,7 +31,7 @@
 	program string
 	config  string
 	env     []string
-	started func(*os.Process) // called when a run has begun; may be nil
+	onStart func(*os.Process) // called when a run has begun; may be nil
 }
 
 // ctl returns the command line of a person, with settings in a file.
@@ -76,8 +76,8 @@
 	if err := cmd.Start(); err != nil {
 		return failure{Code: result.Internal, Detail: err.Error()}
 	}
-	if x.started != nil {
-		x.started(cmd.Process)
+	if x.onStart != nil {
+		x.onStart(cmd.Process)
 	}
 	err := cmd.Wait()
 	if err == nil {
@@ -108,9 +108,9 @@
 	}
 }
 
-// version pushes the cluster's bundle under another name, signs it off and
+// pushSignedBundle pushes the cluster's bundle under another name, signs it off and
 // returns its digest.
-func (c *cluster) version(name string) string {
+func (c *cluster) pushSignedBundle(name string) string {
 	c.t.Helper()
 	b := *c.Bundle
 	b.Format, b.Deployment, b.Author, b.Name = bundle.Format, deployment, fleet.Author, name
--- a/integration/harness_test.go
+++ b/integration/harness_test.go
@@ -43,20 +43,20 @@
 	service    = "desk"
 	zone       = "zone-a"
 
-	// limit bounds each wait for something that is bound to happen.
-	limit = 30 * time.Second
-	// testLimit bounds a test's calls.
-	testLimit = 3 * time.Minute
+	// waitTimeout bounds each wait for something that is bound to happen.
+	waitTimeout = 30 * time.Second
+	// testTimeout bounds a test's calls.
+	testTimeout = 3 * time.Minute
 )
 
-var programs struct{ daemon, lab string }
+var binaries struct{ daemon, lab string }
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
 
 func runTests(m *testing.M) int {
 	defer gexec.CleanupBuildArtifacts()
 	const module = "github.com/bramleybarrow/bramleybarrow/cmd/"
-	for path, into := range map[string]*string{"bramleyd": &programs.daemon, "bramley-lab": &programs.lab} {
+	for path, into := range map[string]*string{"bramleyd": &binaries.daemon, "bramley-lab": &binaries.lab} {
 		built, err := gexec.Build(module + path)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -67,8 +67,8 @@
 	return m.Run()
 }
 
-// shape describes a cluster. A zero field stands for its default.
-type shape struct {
+// clusterConfig describes a cluster. A zero field stands for its default.
+type clusterConfig struct {
 	Targets  int // 3
 	Leaves   int // of each target; 2
 	Slots    int // of each leaf; 2
@@ -94,10 +94,10 @@
 	NoRollout bool
 }
 
-// zoneOf returns the name of an availability zone; the first is zone.
-func zoneOf(i int) string { return "zone-" + string(rune('a'+i)) }
+// zoneName returns the name of an availability zone; the first is zone.
+func zoneName(i int) string { return "zone-" + string(rune('a'+i)) }
 
-func (s shape) withDefaults() shape {
+func (s clusterConfig) withDefaults() clusterConfig {
 	set := func(field *int, value int) {
 		if *field == 0 {
 			*field = value
@@ -121,9 +121,9 @@
 type cluster struct {
 	*fleet.Fleet
 	*gomega.WithT
-	ctx   context.Context // ends with the test or at its limit
-	t     *testing.T
-	shape shape
+	ctx    context.Context // ends with the test or at its limit
+	t      *testing.T
+	config clusterConfig
 
 	Platform        *fleet.Platform
 	Targets         []*fleet.Target
@@ -137,13 +137,13 @@
 
 // start runs a cluster and waits until every daemon is ready and reads every
 // shard. It ends with the test; on failure the processes' logs are printed.
-func start(t *testing.T, s shape) *cluster {
+func start(t *testing.T, s clusterConfig) *cluster {
 	t.Helper()
-	passOverKnownRed(t)
-	c := &cluster{WithT: gomega.NewWithT(t), t: t, shape: s.withDefaults()}
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	skipKnownRed(t)
+	c := &cluster{WithT: gomega.NewWithT(t), t: t, config: s.withDefaults()}
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	c.ctx = ctx
-	f, err := fleet.New(fleet.Options{Daemon: programs.daemon, Lab: programs.lab, Dir: t.TempDir(), Deployment: deployment})
+	f, err := fleet.New(fleet.Options{Daemon: binaries.daemon, Lab: binaries.lab, Dir: t.TempDir(), Deployment: deployment})
 	c.ok(err)
 	c.Fleet = f
 	t.Cleanup(func() {
@@ -154,15 +154,15 @@
 		}
 		f.Close()
 	})
-	c.Platform, err = f.StartPlatform(c.shape.WatchWait)
+	c.Platform, err = f.StartPlatform(c.config.WatchWait)
 	c.ok(err)
 	c.startTargets()
 	c.Bundle = c.makeBundle()
-	for i := range c.shape.Daemons {
+	for i := range c.config.Daemons {
 		c.startDaemon(i)
 	}
 	c.listVMs()
-	if !c.shape.NoRollout {
+	if !c.config.NoRollout {
 		c.rollOut(c.Bundle)
 	}
 	return c
@@ -186,13 +186,13 @@
 }
 
 func (c *cluster) startTargets() {
-	s := c.shape
+	s := c.config
 	c.Index = targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: s.Shards, Records: s.Records}
-	for i, holder := range targetsim.Place(c.Index, s.Targets, s.Leaves, s.Replicas) {
+	for i, holder := range targetsim.PlaceReplicas(c.Index, s.Targets, s.Leaves, s.Replicas) {
 		o := targetsim.Options{
 			Name: fmt.Sprintf("target-%d", i), Service: service, Leaves: s.Leaves, Slots: s.Slots,
 			Seed: uint64(i + 1), Timing: targetsim.Timing{BaseMS: 2},
-			Snapshots: []targetsim.Holder{holder},
+			Snapshots: []targetsim.SnapshotPlacement{holder},
 		}
 		if s.Target != nil {
 			s.Target(i, &o)
@@ -207,8 +207,8 @@
 }
 
 func (c *cluster) startDaemon(i int) {
-	s := c.shape
-	o := fleet.DaemonOptions{Name: fmt.Sprintf("vm-%d", i), Zone: zoneOf(i % s.Zones), LameDuck: s.LameDuck, LogLevel: "debug"}
+	s := c.config
+	o := fleet.DaemonOptions{Name: fmt.Sprintf("vm-%d", i), Zone: zoneName(i % s.Zones), LameDuck: s.LameDuck, LogLevel: "debug"}
 	if s.ProxyPlatform {
 		proxy := must[*fleet.Proxy](c)(c.StartProxy(o.Name+"-platform-proxy", c.Platform.Address))
 		c.PlatformProxies = append(c.PlatformProxies, proxy)
@@ -221,7 +221,7 @@
 		o.PeersAt = proxy.Address
 	}
 	if s.Settings != nil {
-		o.Change = func(set *settings.Settings) { s.Settings(i, set) }
+		o.EditSettings = func(set *settings.Settings) { s.Settings(i, set) }
 	}
 	c.Daemons = append(c.Daemons, must[*fleet.Daemon](c)(c.StartDaemon(o)))
 }
@@ -241,17 +241,17 @@
 // makeBundle describes the targets as the daemons reach them.
 func (c *cluster) makeBundle() *bundle.Bundle {
 	svc := bundle.Service{
-		Name: service, Shards: c.shape.Shards,
+		Name: service, Shards: c.config.Shards,
 		Drain: bundle.Drain{HealthIntervalMS: 100, HealthTimeoutMS: 500, SuspectAfter: 3},
 	}
 	for i, t := range c.Targets {
 		address := t.Address
-		if c.shape.ProxyTargets {
+		if c.config.ProxyTargets {
 			address = c.TargetProxies[i].Address
 		}
 		svc.Targets = append(svc.Targets, bundle.Target{
-			Name: t.Name, Zone: zoneOf(i % c.shape.Zones), Address: address,
-			Leaves: c.shape.Leaves, Slots: c.shape.Slots, Connections: 25, ConnectCostMS: 1,
+			Name: t.Name, Zone: zoneName(i % c.config.Zones), Address: address,
+			Leaves: c.config.Leaves, Slots: c.config.Slots, Connections: 25, ConnectCostMS: 1,
 		})
 	}
 	search := func(name string, kind bundle.SearchKind) bundle.Search {
@@ -268,12 +268,12 @@
 		return s
 	}
 	var zones []bundle.Zone
-	for i := range c.shape.Zones {
-		zones = append(zones, bundle.Zone{Name: zoneOf(i), Region: "region"})
+	for i := range c.config.Zones {
+		zones = append(zones, bundle.Zone{Name: zoneName(i), Region: "region"})
 	}
 	b := &bundle.Bundle{
 		Zones:    zones,
-		Fleet:    bundle.Fleet{MaxVMs: c.shape.Daemons + 1},
+		Fleet:    bundle.Fleet{MaxVMs: c.config.Daemons + 1},
 		Services: []bundle.Service{svc},
 		Searches: []bundle.Search{
 			search(findSearch, bundle.KindSearch),
@@ -283,8 +283,8 @@
 		},
 	}
 	b.Searches[3].Policy = bundle.PolicyPlain
-	if c.shape.Bundle != nil {
-		c.shape.Bundle(b)
+	if c.config.Bundle != nil {
+		c.config.Bundle(b)
 	}
 	return b
 }
@@ -297,7 +297,7 @@
 	c.ok(err)
 	for _, d := range c.Daemons {
 		c.waitInForce(d, entry.Revision)
-		c.waitWhole(d)
+		c.waitComplete(d)
 	}
 }
 
@@ -308,12 +308,12 @@
 	c.Eventually(func() (uint64, error) {
 		status, err := d.Status(c.ctx)
 		return status.Revision, err
-	}, limit, "50ms").Should(gomega.BeNumerically(">=", revision), d.Name)
-	c.Eventually(func() bool { return d.Ready(c.ctx) }, limit, "50ms").Should(gomega.BeTrue(), d.Name)
+	}, waitTimeout, "50ms").Should(gomega.BeNumerically(">=", revision), d.Name)
+	c.Eventually(func() bool { return d.Ready(c.ctx) }, waitTimeout, "50ms").Should(gomega.BeTrue(), d.Name)
 }
 
-// waitWhole waits until a search by the daemon reads every shard.
-func (c *cluster) waitWhole(d *fleet.Daemon) {
+// waitComplete waits until a search by the daemon reads every shard.
+func (c *cluster) waitComplete(d *fleet.Daemon) {
 	c.t.Helper()
 	c.Eventually(func() (float64, error) {
 		a, _, err := d.Search(c.ctx, findSearch, searchBody("ready"))
@@ -321,7 +321,7 @@
 			return 0, err
 		}
 		return a.Coverage.Ratio, nil
-	}, limit, "50ms").Should(gomega.Equal(1.0), d.Name)
+	}, waitTimeout, "50ms").Should(gomega.Equal(1.0), d.Name)
 }
 
 // newKey returns a fresh idempotency key.
@@ -329,12 +329,12 @@
 	return fmt.Sprintf("%d-%s-%d", time.Now().Unix(), name, time.Now().UnixNano())
 }
 
-// submits returns how often each key was really run, over all targets.
-func (c *cluster) submits() map[string]int {
+// submitRuns returns how often each key was really run, over all targets.
+func (c *cluster) submitRuns() map[string]int {
 	c.t.Helper()
 	runs := map[string]int{}
 	for _, t := range c.Targets {
-		for _, r := range must[targetsim.Ran](c)(t.Ran()).Submits {
+		for _, r := range must[targetsim.StartedRequests](c)(t.Ran()).Submits {
 			runs[r.Key]++
 		}
 	}
--- a/integration/health_test.go
+++ b/integration/health_test.go
@@ -20,18 +20,18 @@
 // again that others tell of: what it knows by then, it was told.
 const beforeReread = 9 * time.Second
 
-// startTold runs more VMs than a target takes connections, so that of each target
+// startWithReporters runs more VMs than a target takes connections, so that of each target
 // two VMs own some and three go through them, and waits until all are told of all
 // targets.
-func startTold(t *testing.T) *cluster {
+func startWithReporters(t *testing.T) *cluster {
 	t.Helper()
 	const daemons, connections = 5, 3
 	s := fewConnections(daemons, daemons, connections)
 	s.Replicas = 1
 	c := start(t, s)
-	c.Eventually(c.places, limit, "100ms").Should(gomega.HaveLen(daemons))
+	c.Eventually(c.placeHolders, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
 	for _, d := range c.Daemons {
-		c.Eventually(func() float64 { return c.metric(d, "bramley_peer_health_targets") }, limit, "50ms").
+		c.Eventually(func() float64 { return c.metric(d, "bramley_peer_health_targets") }, waitTimeout, "50ms").
 			Should(gomega.BeNumerically("==", len(c.Targets)), d.Name)
 	}
 	return c
@@ -49,17 +49,17 @@
 	return 0
 }
 
-// speaker lets all targets take a further index, and takes the daemon that told of
+// removeMainReporter lets all targets take a further index, and takes the daemon that told of
 // most of them out of the list.
-func (c *cluster) speaker(next targetsim.Index) *fleet.Daemon {
+func (c *cluster) removeMainReporter(next targetsim.Index) *fleet.Daemon {
 	c.t.Helper()
 	const stated = "bramley_health_told_total"
 	before := map[string]float64{}
 	for _, d := range c.Daemons {
 		before[d.Name] = c.metric(d, stated)
 	}
-	c.holdAll(c.Index, next)
-	c.know(next.Snapshot)
+	c.setAllIndexes(c.Index, next)
+	c.waitSnapshotChosen(next.Snapshot)
 	most, most0 := 0, 0.0
 	for i, d := range c.Daemons {
 		if n := c.metric(d, stated) - before[d.Name]; n > most0 {
@@ -72,13 +72,13 @@
 	return d
 }
 
-// know waits until all daemons choose a snapshot for their answers, whether these
-// come in time or not. If each shard has one replica they know by then of every
+// waitSnapshotChosen waits until all daemons choose a snapshot for their answers, whether these
+// come in time or not. If each shard has one replica they waitSnapshotChosen by then of every
 // target that it holds the snapshot.
-func (c *cluster) know(snapshot string) {
+func (c *cluster) waitSnapshotChosen(snapshot string) {
 	c.t.Helper()
 	end := time.Now().Add(beforeReread)
-	body := gateway.SearchBody{Query: "well", Coverage: leastCoverage, TimeLimitMS: 300}
+	body := gateway.SearchBody{Query: "well", Coverage: minCoverage, TimeLimitMS: 300}
 	for _, d := range c.Daemons {
 		c.Eventually(func() (string, error) {
 			a, _, err := d.Search(c.ctx, findSearch, body)
@@ -87,16 +87,16 @@
 	}
 }
 
-// holdAll makes all targets hold these indexes.
-func (c *cluster) holdAll(list ...targetsim.Index) {
+// setAllIndexes makes all targets hold these indexes.
+func (c *cluster) setAllIndexes(list ...targetsim.Index) {
 	c.t.Helper()
 	for i := range c.Targets {
-		c.hold(i, list...)
+		c.setIndexes(i, list...)
 	}
 }
 
-// answersFrom waits until all daemons answer whole from a snapshot.
-func (c *cluster) answersFrom(snapshot string) {
+// waitAnswersFrom waits until all daemons answer whole from a snapshot.
+func (c *cluster) waitAnswersFrom(snapshot string) {
 	c.t.Helper()
 	end := time.Now().Add(beforeReread)
 	for _, d := range c.Daemons {
@@ -114,32 +114,32 @@
 // down. A VM without connections to them would go on answering from the old index,
 // without any call that fails, until it reads them again. It must be told by the
 // VMs that own connections; no answer mixes the two, then or when the old is gone.
-func TestIndexSwitchIsToldToVMsWithoutConnections(t *testing.T) {
-	c := startTold(t)
+func TestIndexSwitchIsReportedToVMsWithoutConnections(t *testing.T) {
+	c := startWithReporters(t)
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
 	next := c.nextIndex("s2", 2, 6)
-	l := c.startLoad(leastCoverage, 0, truthOf(c.Index, next).check)
-	c.holdAll(c.Index, next)
-	c.know("s2")
-	c.holdAll(next)
-	l.awaitMore(100)
+	l := c.startLoad(minCoverage, 0, truthOf(c.Index, next).check)
+	c.setAllIndexes(c.Index, next)
+	c.waitSnapshotChosen("s2")
+	c.setAllIndexes(next)
+	l.waitAnswers(100)
 	c.Expect(l.stop()).To(gomega.BeEmpty())
-	c.answersFrom("s2")
+	c.waitAnswersFrom("s2")
 }
 
 // The VM that speaks for targets is killed, then they take a new index. Nobody
 // would tell the VMs without connections of it. The next owner must, and searches
 // must be answered whole all along.
-func TestSpeakerKilled(t *testing.T) {
-	c := startTold(t)
+func TestReporterKilled(t *testing.T) {
+	c := startWithReporters(t)
 	second, third := c.nextIndex("s2", 2, 6), c.nextIndex("s3", 3, 5)
-	speaker := c.speaker(second)
-	balancer := &laggingList{}
-	balancer.list(c.Daemons...)
-	stop := c.drive(balancer)
+	speaker := c.removeMainReporter(second)
+	balancer := &searchRotation{}
+	balancer.setVMs(c.Daemons...)
+	stop := c.startSearches(balancer)
 	speaker.Kill()
-	c.holdAll(c.Index, second, third)
-	c.know("s3")
+	c.setAllIndexes(c.Index, second, third)
+	c.waitSnapshotChosen("s3")
 	_, faults := stop()
 	c.Expect(faults).To(gomega.BeEmpty())
 }
@@ -147,20 +147,20 @@
 // The VM that speaks for targets is frozen, so that it still counts as live, and
 // they take a new index. Nobody would tell the others of it. The next owner must.
 // When the frozen VM runs on, what it says must not bring the old index back.
-func TestSpeakerFrozen(t *testing.T) {
-	c := startTold(t)
+func TestReporterFrozen(t *testing.T) {
+	c := startWithReporters(t)
 	all := c.Daemons
 	second, third := c.nextIndex("s2", 2, 6), c.nextIndex("s3", 3, 5)
-	speaker := c.speaker(second)
+	speaker := c.removeMainReporter(second)
 	c.ok(speaker.Pause())
-	c.holdAll(second, third)
-	c.know("s3")
-	c.holdAll(third)
+	c.setAllIndexes(second, third)
+	c.waitSnapshotChosen("s3")
+	c.setAllIndexes(third)
 	c.ok(speaker.Resume())
 	c.Daemons = all
-	l := c.startLoad(leastCoverage, 0, truthOf(c.Index, second, third).check)
-	c.answersFrom("s3")
-	l.awaitMore(100)
+	l := c.startLoad(minCoverage, 0, truthOf(c.Index, second, third).check)
+	c.waitAnswersFrom("s3")
+	l.waitAnswers(100)
 	c.Expect(l.stop()).To(gomega.BeEmpty())
 }
 
@@ -168,11 +168,11 @@
 // sending calls there, each of which costs a query time before it is known to
 // fail. It must be told by the owners that the target is lost; and when another
 // process takes its place, that it is there again.
-func TestLostTargetIsToldToVMsWithoutConnections(t *testing.T) {
-	c := startTold(t)
+func TestLostTargetIsReportedToVMsWithoutConnections(t *testing.T) {
+	c := startWithReporters(t)
 	dead := c.Targets[0]
 	dead.Kill()
-	body := gateway.SearchBody{Query: "well", Explain: true, Coverage: leastCoverage}
+	body := gateway.SearchBody{Query: "well", Explain: true, Coverage: minCoverage}
 	end := time.Now().Add(beforeReread)
 	for _, d := range c.Daemons {
 		c.Eventually(func() error {
@@ -191,5 +191,5 @@
 	o := dead.Options
 	o.Listen = dead.Address
 	c.Targets[0] = must[*fleet.Target](c)(c.StartTarget(o))
-	c.answersFrom("s1")
+	c.waitAnswersFrom("s1")
 }
--- a/integration/hop_test.go
+++ b/integration/hop_test.go
@@ -14,10 +14,10 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/fleet"
 )
 
-// withoutOwn returns the daemons that have no connection of their own to a target.
-func (c *cluster) withoutOwn() (list []*fleet.Daemon) {
-	c.Eventually(c.places, limit, "100ms").ShouldNot(gomega.BeEmpty())
-	holders := c.places()
+// daemonsWithoutPlace returns the daemons that have no connection of their own to a target.
+func (c *cluster) daemonsWithoutPlace() (list []*fleet.Daemon) {
+	c.Eventually(c.placeHolders, waitTimeout, "100ms").ShouldNot(gomega.BeEmpty())
+	holders := c.placeHolders()
 	for _, d := range c.Daemons {
 		if !slices.Contains(holders, d.Name) {
 			list = append(list, d)
@@ -41,11 +41,11 @@
 		b.Services[0].Drain.HealthIntervalMS = 15_000
 	}
 	c := start(t, s)
-	vms := c.withoutOwn()
+	vms := c.daemonsWithoutPlace()
 	c.Expect(vms).NotTo(gomega.BeEmpty())
 	for range bursts {
 		for _, d := range vms {
-			c.Eventually(func() string { return c.metrics(d) }, limit, "100ms").
+			c.Eventually(func() string { return c.metrics(d) }, waitTimeout, "100ms").
 				Should(gomega.ContainSubstring("bramley_route_owner_connections 0\n"), d.Name)
 		}
 		var wg sync.WaitGroup
@@ -67,9 +67,9 @@
 	c.expectWithinLimit(connections)
 }
 
-// twoZones adds as many VMs in another zone of the region as the cluster has, and
+// addSecondZone adds as many VMs in another zone of the region as the cluster has, and
 // waits until all of them answer whole.
-func (c *cluster) twoZones() {
+func (c *cluster) addSecondZone() {
 	for i := range c.Daemons {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: fmt.Sprint("far-", i), Zone: otherZone})
 		c.ok(err)
@@ -78,7 +78,7 @@
 	c.listVMs()
 	for _, d := range c.Daemons {
 		c.waitInForce(d, 1)
-		c.waitWhole(d)
+		c.waitComplete(d)
 	}
 }
 
@@ -97,9 +97,9 @@
 		b.Zones = append(b.Zones, bundle.Zone{Name: otherZone, Region: "region"})
 	}
 	c := start(t, s)
-	c.twoZones()
-	c.Eventually(c.places, limit, "100ms").Should(gomega.HaveLen(2 * inZone))
-	c.waitOwned(owners)
+	c.addSecondZone()
+	c.Eventually(c.placeHolders, waitTimeout, "100ms").Should(gomega.HaveLen(2 * inZone))
+	c.waitOwners(owners)
 	all := slices.Clone(c.Daemons)
 	for _, fault := range []struct {
 		victim *fleet.Daemon
@@ -109,22 +109,22 @@
 		{all[inZone], func() error { all[inZone].Kill(); return nil }},
 	} {
 		c.Daemons = slices.DeleteFunc(c.Daemons, func(d *fleet.Daemon) bool { return d == fault.victim })
-		balancer := &laggingList{}
-		balancer.list(c.Daemons...)
-		stop := c.drive(balancer)
-		c.Eventually(balancer.answered, limit, "10ms").Should(gomega.BeNumerically(">", 100))
+		balancer := &searchRotation{}
+		balancer.setVMs(c.Daemons...)
+		stop := c.startSearches(balancer)
+		c.Eventually(balancer.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", 100))
 		c.ok(fault.strike())
 		before := balancer.answered()
-		c.Eventually(balancer.answered, limit, "10ms").Should(gomega.BeNumerically(">", before+200))
+		c.Eventually(balancer.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+200))
 		_, faults := stop()
 		c.Expect(faults).To(gomega.BeEmpty(), fault.victim.Name)
 	}
-	c.Expect(c.callsWithin("zone")).To(gomega.BeNumerically(">", c.callsWithin("region")))
+	c.Expect(c.ownerCallsWithin("zone")).To(gomega.BeNumerically(">", c.ownerCallsWithin("region")))
 	c.expectWithinLimit(connections)
 }
 
-// callsWithin counts the calls to owners that are that near, by all VMs.
-func (c *cluster) callsWithin(what string) (sum int) {
+// ownerCallsWithin counts the calls to owners that are that near, by all VMs.
+func (c *cluster) ownerCallsWithin(what string) (sum int) {
 	line := regexp.MustCompile(`bramley_route_owner_calls_total\{within="` + what + `"\} (\d+)`)
 	for _, d := range c.Daemons {
 		match := line.FindStringSubmatch(c.metrics(d))
--- a/integration/known_red_test.go
+++ b/integration/known_red_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// passOverKnownRed skips a test that KNOWN-RED.txt names: it fails now and then for
+// skipKnownRed skips a test that KNOWN-RED.txt names: it fails now and then for
 // a fault that is known and not mended yet.
-func passOverKnownRed(t *testing.T) {
+func skipKnownRed(t *testing.T) {
 	t.Helper()
 	list, err := os.ReadFile("../KNOWN-RED.txt")
 	if err != nil {
--- a/integration/leaf_faults_test.go
+++ b/integration/leaf_faults_test.go
@@ -23,20 +23,20 @@
 		name   string
 		faults targetsim.Faults
 	}{
-		{"crossed", targetsim.Faults{CrossedAnswers: many}},
+		{"crossed", targetsim.Faults{MismatchedAnswers: many}},
 		{"duplicate", targetsim.Faults{DuplicateAnswers: many}},
 		{"late", targetsim.Faults{LateAnswers: many, LateMS: 300}},
-		{"late and crossed", targetsim.Faults{LateAnswers: many, LateMS: 100, CrossedAnswers: many}},
+		{"late and crossed", targetsim.Faults{LateAnswers: many, LateMS: 100, MismatchedAnswers: many}},
 	}
-	c := start(t, shape{Targets: 4, Bundle: func(b *bundle.Bundle) {
+	c := start(t, clusterConfig{Targets: 4, Bundle: func(b *bundle.Bundle) {
 		b.Searches[0].Retry.Budget, b.Searches[0].Hedge.Budget = 1, 1
 	}})
 	for _, tt := range tests {
 		l := c.startLoad(1, 0, truthOf(c.Index).check)
-		c.Eventually(func() int { return l.answered(result.Complete) }, limit).Should(gomega.BeNumerically(">", 20))
+		c.Eventually(func() int { return l.answered(result.Complete) }, waitTimeout).Should(gomega.BeNumerically(">", 20))
 		c.ok(c.Targets[1].SetFaults(tt.faults))
 		before := l.answered(result.Complete)
-		c.Eventually(func() int { return l.answered(result.Complete) }, limit).Should(gomega.BeNumerically(">", before+200), tt.name)
+		c.Eventually(func() int { return l.answered(result.Complete) }, waitTimeout).Should(gomega.BeNumerically(">", before+200), tt.name)
 		c.ok(c.Targets[1].SetFaults(targetsim.Faults{}))
 		c.Expect(l.stop()).To(gomega.BeEmpty(), tt.name)
 		c.Expect(l.answered(result.CoverageTooLow, result.TimedOut)).To(gomega.BeZero(), tt.name)
@@ -47,19 +47,19 @@
 // lies between them and the targets has lost track of every open connection;
 // they say nothing any more, and new ones work. It happens twice. The daemons
 // have to find the silent connections and open new ones by themselves.
-func TestConnectionsToTargetsGoneSilent(t *testing.T) {
-	c := start(t, shape{ProxyTargets: true, Target: func(_ int, o *targetsim.Options) {
+func TestSilentTargetConnectionsUnderLoad(t *testing.T) {
+	c := start(t, clusterConfig{ProxyTargets: true, Target: func(_ int, o *targetsim.Options) {
 		o.IdleMS = 1000 // the target's end of a silent connection counts against its limit
 	}})
 	l := c.startLoad(1, 5000, truthOf(c.Index).check)
 	for range 2 {
 		before := l.answered(result.Complete)
-		c.Eventually(func() int { return l.answered(result.Complete) }, limit).Should(gomega.BeNumerically(">", before+50))
+		c.Eventually(func() int { return l.answered(result.Complete) }, waitTimeout).Should(gomega.BeNumerically(">", before+50))
 		for _, proxy := range c.TargetProxies {
 			c.ok(proxy.Silence())
 		}
 		for _, d := range c.Daemons {
-			c.waitWhole(d)
+			c.waitComplete(d)
 		}
 	}
 	c.Expect(l.stop()).To(gomega.BeEmpty())
@@ -70,7 +70,7 @@
 // get no search from any VM, and no search may fall short meanwhile, since
 // other replicas hold its shards.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
-	c := start(t, shape{Targets: 4})
+	c := start(t, clusterConfig{Targets: 4})
 	l := c.startLoad(1, 0, truthOf(c.Index).check)
 	leaving := c.Targets[1]
 	c.ok(leaving.SetDraining(true))
@@ -81,9 +81,9 @@
 	// The load goes on: 200 more answers without any attempt at that target.
 	c.Eventually(func() bool {
 		tried, answered := attempts(), l.answered(result.Complete)
-		c.Eventually(func() int { return l.answered(result.Complete) }, limit).Should(gomega.BeNumerically(">", answered+200))
+		c.Eventually(func() int { return l.answered(result.Complete) }, waitTimeout).Should(gomega.BeNumerically(">", answered+200))
 		return attempts() == tried
-	}, limit).Should(gomega.BeTrue())
+	}, waitTimeout).Should(gomega.BeTrue())
 	c.Expect(l.stop()).To(gomega.BeEmpty())
 	c.Expect(l.answered(result.CoverageTooLow, result.TimedOut)).To(gomega.BeZero())
 }
@@ -92,7 +92,7 @@
 // the limit that was asked for. With one shard only the leaf knows that it cut
 // some; the answer has to pass that on.
 func TestMatchesCutByTheLimitAreStated(t *testing.T) {
-	c := start(t, shape{Shards: 1})
+	c := start(t, clusterConfig{Shards: 1})
 	for _, limit := range []int{1, 3, 49, 1000} {
 		for _, query := range []string{"well", ""} {
 			body := gateway.SearchBody{Query: query, Limit: limit}
--- a/integration/leaving_test.go
+++ b/integration/leaving_test.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	balancerLag = time.Second
-	lameDuck    = 3 * balancerLag
-	toApply     = 300 * time.Millisecond // from a drain being known to no choice under way that missed it
+	balancerLag    = time.Second
+	lameDuck       = 3 * balancerLag
+	drainApplyTime = 300 * time.Millisecond // from a drain being known to no choice under way that missed it
 )
 
 // balancer sends callers to the daemons that were ready some time ago, as the
@@ -34,8 +34,8 @@
 type balancer struct {
 	c  *cluster
 	mu sync.Mutex // guards shown
-	// shown is what callers are sent to.
-	shown []*fleet.Daemon
+	// listed is what callers are sent to.
+	listed []*fleet.Daemon
 }
 
 // run reads the readiness of all daemons until ctx ends. A change shows after
@@ -51,7 +51,7 @@
 		time.AfterFunc(balancerLag, func() {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			b.shown = ready
+			b.listed = ready
 		})
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -60,7 +60,7 @@
 func (b *balancer) pick(i int) *fleet.Daemon {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.shown[i%len(b.shown)]
+	return b.listed[i%len(b.listed)]
 }
 
 // caller keeps its connections open, and sends nothing twice by itself: its
@@ -97,10 +97,10 @@
 // connections that they keep open. Every request gets its answer, and the
 // process ends by itself.
 func TestStoppingVMCutsOffNoRequest(t *testing.T) {
-	c := start(t, shape{Daemons: 3, LameDuck: lameDuck})
+	c := start(t, clusterConfig{Daemons: 3, LameDuck: lameDuck})
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
-	b := &balancer{c: c, shown: c.Daemons}
+	b := &balancer{c: c, listed: c.Daemons}
 	go b.run(ctx)
 
 	leaving := c.Daemons[0]
@@ -135,7 +135,7 @@
 	time.Sleep(balancerLag)
 	stopping.Store(1)
 	c.ok(leaving.Terminate())
-	c.Eventually(leaving.Done(), limit).Should(gomega.BeClosed())
+	c.Eventually(leaving.Done(), waitTimeout).Should(gomega.BeClosed())
 	cancel()
 	wg.Wait()
 	close(faults)
@@ -152,8 +152,8 @@
 // for it, the caller gets the answer, and the outcome is kept: another VM tells
 // the same.
 func TestStoppingVMWaitsForALongRequest(t *testing.T) {
-	c := start(t, shape{LameDuck: 100 * time.Millisecond})
-	c.setTargets(targetsim.Faults{HoldSubmits: true})
+	c := start(t, clusterConfig{LameDuck: 100 * time.Millisecond})
+	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
 	key := newKey("long")
 	first := c.sendAside(c.Daemons[0], key)
 	c.waitRun(key)
@@ -161,20 +161,20 @@
 	c.Eventually(func() error {
 		_, _, err := c.Daemons[0].Search(c.ctx, findSearch, searchBody("well"))
 		return err
-	}, limit, "50ms").Should(gomega.HaveOccurred(), "the listener closes after the lame-duck time")
-	c.setTargets(targetsim.Faults{})
+	}, waitTimeout, "50ms").Should(gomega.HaveOccurred(), "the listener closes after the lame-duck time")
+	c.setTargetFaults(targetsim.Faults{})
 	a := <-first
 	c.Expect(result.Code(a.Code)).To(gomega.Equal(result.Accepted), a.Detail)
-	c.Eventually(c.Daemons[0].Done(), limit).Should(gomega.BeClosed())
+	c.Eventually(c.Daemons[0].Done(), waitTimeout).Should(gomega.BeClosed())
 	c.Expect(c.Daemons[0].ExitCode()).To(gomega.BeZero())
 	again := c.send(c.Daemons[1], key)
 	c.Expect(result.Code(again.Code)).To(gomega.Equal(result.Accepted))
 	c.Expect(again.Result).To(gomega.MatchJSON(a.Result))
-	c.Expect(c.submits()[key]).To(gomega.Equal(1))
+	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
-// offered counts the requests that a target was sent, refused ones included.
-func (c *cluster) offered(t *fleet.Target) int {
+// requestsReceived counts the requests that a target was sent, refused ones included.
+func (c *cluster) requestsReceived(t *fleet.Target) int {
 	counters := must[targetsim.Counters](c)(t.Counters())
 	n := counters.Searches + counters.Submits
 	for _, refused := range counters.Refused {
@@ -188,7 +188,7 @@
 // in ten minutes. What that one learned must reach them within seconds.
 func TestDrainLearnedByOneVMReachesAll(t *testing.T) {
 	const never = 600_000 // ms
-	c := start(t, shape{
+	c := start(t, clusterConfig{
 		Targets: 4, Daemons: 3,
 		Bundle: func(b *bundle.Bundle) { b.Services[0].Drain.HealthIntervalMS = never },
 	})
@@ -198,16 +198,16 @@
 		_, _, err := c.Daemons[0].Search(c.ctx, findSearch, searchBody("well"))
 		c.ok(err)
 		return must[targetsim.Counters](c)(leaving.Counters()).Refused["draining"]
-	}, limit, "10ms").Should(gomega.BeNumerically(">", 0), "the first VM meets the target")
+	}, waitTimeout, "10ms").Should(gomega.BeNumerically(">", 0), "the first VM meets the target")
 
 	// The other VMs have sent nothing since, so that they can only be told.
 	for _, d := range c.Daemons[1:] {
-		c.Eventually(func() string { return c.metrics(d) }, limit, "50ms").Should(gomega.ContainSubstring("bramley_peer_drains 1\n"))
+		c.Eventually(func() string { return c.metrics(d) }, waitTimeout, "50ms").Should(gomega.ContainSubstring("bramley_peer_drains 1\n"))
 	}
-	time.Sleep(toApply)
-	before := c.offered(leaving)
-	c.askAll(30)
-	c.Expect(c.offered(leaving)).To(gomega.Equal(before))
+	time.Sleep(drainApplyTime)
+	before := c.requestsReceived(leaving)
+	c.searchOthers(30)
+	c.Expect(c.requestsReceived(leaving)).To(gomega.Equal(before))
 }
 
 // metrics returns a daemon's metrics page.
@@ -225,14 +225,14 @@
 // A target comes back from its repair and stays idle, while its replicas carry
 // its load. The drain belongs to the incarnation that left.
 func TestTargetComesBackAfterDrain(t *testing.T) {
-	c := start(t, shape{Targets: 4})
+	c := start(t, clusterConfig{Targets: 4})
 	leaving := c.Targets[0]
 	c.ok(leaving.SetDraining(true))
 	c.Eventually(func() int {
-		before := c.offered(leaving)
-		c.askAll(20)
-		return c.offered(leaving) - before
-	}, limit, "200ms").Should(gomega.BeZero())
+		before := c.requestsReceived(leaving)
+		c.searchOthers(20)
+		return c.requestsReceived(leaving) - before
+	}, waitTimeout, "200ms").Should(gomega.BeZero())
 
 	o := leaving.Options
 	o.Listen = leaving.Address
@@ -240,13 +240,13 @@
 	back := must[*fleet.Target](c)(c.StartTarget(o))
 	c.Targets[0] = back
 	c.Eventually(func() int {
-		c.askAll(5)
-		return c.offered(back)
-	}, limit, "200ms").Should(gomega.BeNumerically(">", 0), "the drain sticks to the old incarnation only")
+		c.searchOthers(5)
+		return c.requestsReceived(back)
+	}, waitTimeout, "200ms").Should(gomega.BeNumerically(">", 0), "the drain sticks to the old incarnation only")
 }
 
-// askAll lets the daemons other than the first search n times each.
-func (c *cluster) askAll(n int) {
+// searchOthers lets the daemons other than the first search n times each.
+func (c *cluster) searchOthers(n int) {
 	c.t.Helper()
 	for _, d := range c.Daemons[1:] {
 		for range n {
--- a/integration/load_test.go
+++ b/integration/load_test.go
@@ -18,14 +18,14 @@
 	daemons []*fleet.Daemon
 	check   func(gateway.Answer, gateway.SearchBody) error
 
-	stopped context.CancelFunc
-	wg      sync.WaitGroup
+	cancel context.CancelFunc
+	wg     sync.WaitGroup
 
-	mu      sync.Mutex // guards what follows
-	codes   map[result.Code]int
-	notRun  []string // requests whose answer says "not run"
-	faults  []string
-	lacking []string // what was lacking of answers that were not whole, for the log
+	mu         sync.Mutex // guards what follows
+	codes      map[result.Code]int
+	notRun     []string // requests whose answer says "not run"
+	failures   []string
+	incomplete []string // what was lacking of answers that were not whole, for the log
 }
 
 const loadCallers = 4
@@ -39,48 +39,48 @@
 // startLoadOn does so with some daemons.
 func (c *cluster) startLoadOn(daemons []*fleet.Daemon, need float64, limitMS int, check func(gateway.Answer, gateway.SearchBody) error) *load {
 	ctx, cancel := context.WithCancel(c.ctx)
-	l := &load{c: c, daemons: daemons, check: check, stopped: cancel, codes: map[result.Code]int{}}
+	l := &load{c: c, daemons: daemons, check: check, cancel: cancel, codes: map[result.Code]int{}}
 	for caller := range loadCallers {
 		coverage := 1.0
 		if caller%2 == 0 {
 			coverage = need
 		}
-		l.wg.Go(func() { l.ask(ctx, caller, coverage, limitMS) })
+		l.wg.Go(func() { l.run(ctx, caller, coverage, limitMS) })
 	}
 	return l
 }
 
-func (l *load) ask(ctx context.Context, caller int, need float64, limitMS int) {
+func (l *load) run(ctx context.Context, caller int, need float64, limitMS int) {
 	for i := caller; ctx.Err() == nil; i++ {
 		d := l.daemons[i%len(l.daemons)]
 		body := gateway.SearchBody{Query: fmt.Sprintf("q%d", i%7), Explain: true, Coverage: need, TimeLimitMS: limitMS}
 		a, _, err := d.Search(l.c.ctx, findSearch, body)
 		if err == nil {
 			err = l.check(a, body)
-			l.count(d, a)
+			l.record(d, a)
 		}
 		if err != nil {
-			l.fault(fmt.Sprintf("%s, request %s: %v", d.Name, a.Request, err))
+			l.addFailure(fmt.Sprintf("%s, request %s: %v", d.Name, a.Request, err))
 		}
 	}
 }
 
-func (l *load) count(d *fleet.Daemon, a gateway.Answer) {
+func (l *load) record(d *fleet.Daemon, a gateway.Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.codes[result.Code(a.Code)]++
 	if result.Code(a.Code) != result.Complete {
-		l.lacking = append(l.lacking, fmt.Sprintf("%s %s: code %d after %.0f ms, %+v", time.Now().Format(time.TimeOnly), d.Name, a.Code, a.TookMS, a.Coverage))
+		l.incomplete = append(l.incomplete, fmt.Sprintf("%s %s: code %d after %.0f ms, %+v", time.Now().Format(time.TimeOnly), d.Name, a.Code, a.TookMS, a.Coverage))
 	}
 	if a.Ran == result.RanNo.String() {
 		l.notRun = append(l.notRun, a.Request)
 	}
 }
 
-func (l *load) fault(text string) {
+func (l *load) addFailure(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.faults = append(l.faults, text)
+	l.failures = append(l.failures, text)
 }
 
 // answered returns how many answers with one of the codes came so far.
@@ -97,13 +97,13 @@
 // stop ends the load and returns the faults found in answers. All targets must
 // be alive, since what was told to be not run is held against their records.
 func (l *load) stop() []string {
-	l.stopped()
+	l.cancel()
 	l.wg.Wait()
-	ran := l.c.searched()
+	ran := l.c.searchAttempts()
 	for _, id := range l.notRun {
 		if n := ran[id]; n > 0 {
-			l.faults = append(l.faults, fmt.Sprintf("request %s was told to be not run, targets started %d attempts", id, n))
+			l.failures = append(l.failures, fmt.Sprintf("request %s was told to be not run, targets started %d attempts", id, n))
 		}
 	}
-	return l.faults
+	return l.failures
 }
--- a/integration/once_test.go
+++ b/integration/once_test.go
@@ -49,11 +49,11 @@
 	c.Eventually(func() bool {
 		code = result.Code(c.send(d, key).Code)
 		return code != 0 && code != result.InProgress && code.Info().Ran != result.RanNo
-	}, limit, "100ms").Should(gomega.BeTrue(), "last told %v", &code)
+	}, waitTimeout, "100ms").Should(gomega.BeTrue(), "last told %v", &code)
 	return code
 }
 
-func (c *cluster) setTargets(f targetsim.Faults) {
+func (c *cluster) setTargetFaults(f targetsim.Faults) {
 	for _, t := range c.Targets {
 		c.ok(t.SetFaults(f))
 	}
@@ -71,38 +71,38 @@
 			text += string(o.Value)
 		}
 		return text, err
-	}, limit, "10ms").Should(gomega.ContainSubstring(key))
+	}, waitTimeout, "10ms").Should(gomega.ContainSubstring(key))
 }
 
 func (c *cluster) waitRun(key string) {
 	c.t.Helper()
-	c.Eventually(func() int { return c.submits()[key] }, limit, "20ms").Should(gomega.Equal(1))
+	c.Eventually(func() int { return c.submitRuns()[key] }, waitTimeout, "20ms").Should(gomega.Equal(1))
 }
 
 // A farm's withdrawal report is filed twice. The target runs it and the
 // connection breaks before the answer; the connection was a reused one, so that
 // net/http would send a request that looks idempotent again by itself.
 func TestConnectionCutAfterWriteRunsOnce(t *testing.T) {
-	c := start(t, shape{})
+	c := start(t, clusterConfig{})
 	const keys = 8
 	for i := range keys {
 		c.Expect(result.Code(c.send(c.Daemons[i%2], newKey("warm")).Code)).To(gomega.Equal(result.Accepted))
 	}
-	c.setTargets(targetsim.Faults{CutSubmits: 1000})
+	c.setTargetFaults(targetsim.Faults{CutSubmits: 1000})
 	for i := range keys {
 		key := newKey(fmt.Sprint("cut", i))
 		for turn := range 4 {
 			a := c.send(c.Daemons[(i+turn)%2], key)
 			c.Expect(result.Code(a.Code)).To(gomega.Equal(result.OutcomeUnknown), a.Detail)
 		}
-		c.Expect(c.submits()[key]).To(gomega.Equal(1))
+		c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 	}
 }
 
 // A bookmark sync fires twice. Its sender sends the key to two VMs at once, and
 // the platform takes some of their claims while the answers are lost.
 func TestSameKeyAtTwoVMsRunsOnce(t *testing.T) {
-	c := start(t, shape{})
+	c := start(t, clusterConfig{})
 	for i := range 12 {
 		if i%2 == 1 {
 			c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 2, LoseKind: once.Kind}))
@@ -118,7 +118,7 @@
 		}
 		c.Expect(c.finalCode(c.Daemons[0], key)).To(gomega.Equal(result.Accepted))
 		c.Expect(c.send(c.Daemons[0], key).Result).To(gomega.MatchJSON(c.send(c.Daemons[1], key).Result))
-		c.Expect(c.submits()[key]).To(gomega.Equal(1))
+		c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 	}
 }
 
@@ -126,51 +126,51 @@
 // answer. The inspector tries another VM, which must not run it again, and
 // can't say how it went.
 func TestVMKilledBeforeTheAnswer(t *testing.T) {
-	c := start(t, shape{})
-	c.setTargets(targetsim.Faults{HoldSubmits: true})
+	c := start(t, clusterConfig{})
+	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
 	key := newKey("killed")
 	c.sendAside(c.Daemons[0], key)
 	c.waitRun(key)
 	c.Daemons[0].Kill()
-	c.setTargets(targetsim.Faults{})
+	c.setTargetFaults(targetsim.Faults{})
 	c.Expect(c.finalCode(c.Daemons[1], key)).To(gomega.Equal(result.OutcomeUnknown))
-	c.Expect(c.submits()[key]).To(gomega.Equal(1))
+	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
 // The same, but the VM is lost after the platform took its claim and before it
 // knew: nothing ran. Nobody can tell this from a run, so nobody runs it.
 func TestVMKilledBeforeTheHandOver(t *testing.T) {
-	c := start(t, shape{ProxyPlatform: true})
-	c.setTargets(targetsim.Faults{HoldSubmits: true}) // no outcome, should the answer come before the kill
+	c := start(t, clusterConfig{ProxyPlatform: true})
+	c.setTargetFaults(targetsim.Faults{HoldSubmits: true}) // no outcome, should the answer come before the kill
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 300}))
 	key := newKey("claimed")
 	c.sendAside(c.Daemons[0], key)
 	c.waitClaim(key)
 	c.Daemons[0].Kill()
-	c.setTargets(targetsim.Faults{})
+	c.setTargetFaults(targetsim.Faults{})
 	c.Expect(c.finalCode(c.Daemons[1], key)).To(gomega.Equal(result.OutcomeUnknown))
-	c.Expect(c.submits()[key]).To(gomega.BeNumerically("<=", 1))
+	c.Expect(c.submitRuns()[key]).To(gomega.BeNumerically("<=", 1))
 }
 
 // A VM is frozen right after its claim, for longer than its time limit, while
 // the sender asks another VM; then it goes on with the claim it still believes
 // to hold. Whoever runs the report in the end, it runs once.
 func TestVMFrozenBeforeTheHandOver(t *testing.T) {
-	c := start(t, shape{ProxyPlatform: true})
-	c.setTargets(targetsim.Faults{HoldSubmits: true}) // no outcome, should the answer come before the pause
+	c := start(t, clusterConfig{ProxyPlatform: true})
+	c.setTargetFaults(targetsim.Faults{HoldSubmits: true}) // no outcome, should the answer come before the pause
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 300}))
 	key := newKey("frozen")
 	first := c.sendAside(c.Daemons[0], key)
 	c.waitClaim(key)
 	c.ok(c.Daemons[0].Pause())
-	c.setTargets(targetsim.Faults{})
+	c.setTargetFaults(targetsim.Faults{})
 	code := c.finalCode(c.Daemons[1], key)
 	c.ok(c.Daemons[0].Resume())
 	c.Expect(code).To(gomega.Equal(result.OutcomeUnknown))
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{}))
 	a := <-first
 	c.finalCode(c.Daemons[1], key)
-	runs := c.submits()[key]
+	runs := c.submitRuns()[key]
 	c.Expect(runs).To(gomega.BeNumerically("<=", 1))
 	if result.Code(a.Code) == result.Accepted {
 		c.Expect(runs).To(gomega.Equal(1))
@@ -180,19 +180,19 @@
 // A VM is frozen after the hand-over. While it is, the other VM must not run
 // the report; once it is back, both tell what the target answered.
 func TestVMFrozenBeforeTheAnswer(t *testing.T) {
-	c := start(t, shape{})
-	c.setTargets(targetsim.Faults{HoldSubmits: true})
+	c := start(t, clusterConfig{})
+	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
 	key := newKey("held")
 	first := c.sendAside(c.Daemons[0], key)
 	c.waitRun(key)
 	c.ok(c.Daemons[0].Pause())
-	c.setTargets(targetsim.Faults{})
+	c.setTargetFaults(targetsim.Faults{})
 	c.Expect(result.Code(c.send(c.Daemons[1], key).Code)).To(gomega.BeElementOf(result.InProgress, result.OutcomeUnknown))
 	c.ok(c.Daemons[0].Resume())
 	own := <-first
 	c.Expect(result.Code(own.Code)).To(gomega.BeElementOf(result.Accepted, result.OutcomeUnknown))
-	c.Eventually(func() int { return c.send(c.Daemons[1], key).Code }, limit, "100ms").Should(gomega.Equal(own.Code))
-	c.Expect(c.submits()[key]).To(gomega.Equal(1))
+	c.Eventually(func() int { return c.send(c.Daemons[1], key).Code }, waitTimeout, "100ms").Should(gomega.Equal(own.Code))
+	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
 // A VM's claim lands and it hears nothing more from the platform. It says "not
@@ -200,7 +200,7 @@
 // the first one hears from the platform again it must remove the claim, or the
 // report could never be sent under its key.
 func TestClaimAnswerLostForLong(t *testing.T) {
-	c := start(t, shape{ProxyPlatform: true})
+	c := start(t, clusterConfig{ProxyPlatform: true})
 	const tries = 20 // one whose answer came through before the fault is repeated
 	// Of keys that the other VM commits, this one would hear from there.
 	for _, key := range c.keysCommittedBy(c.Daemons[0], "unheard", tries) {
@@ -225,18 +225,18 @@
 
 func (c *cluster) expectReleased(key string) {
 	c.t.Helper()
-	c.Expect(c.submits()).NotTo(gomega.HaveKey(key))
+	c.Expect(c.submitRuns()).NotTo(gomega.HaveKey(key))
 	c.Expect(result.Code(c.send(c.Daemons[1], key).Code)).To(gomega.BeElementOf(result.InProgress, result.OutcomeUnknown))
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{}))
 	c.ok(c.PlatformProxies[0].Cut())
-	c.Eventually(func() int { return c.send(c.Daemons[1], key).Code }, limit, "100ms").Should(gomega.Equal(int(result.Accepted)))
-	c.Expect(c.submits()[key]).To(gomega.Equal(1))
+	c.Eventually(func() int { return c.send(c.Daemons[1], key).Code }, waitTimeout, "100ms").Should(gomega.Equal(int(result.Accepted)))
+	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
 // The platform is down when reports come in. Each is told "not run" and when to
 // come back; when it is up again each runs once under its old key.
 func TestPlatformDownRunsNothing(t *testing.T) {
-	c := start(t, shape{})
+	c := start(t, clusterConfig{})
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
 	var keys []string
 	for i := range 6 {
@@ -246,11 +246,11 @@
 		c.Expect(result.Code(a.Code)).To(gomega.Equal(result.ClaimsDown), a.Detail)
 		c.Expect(a.RetryAfterMS).To(gomega.BeNumerically(">", 0))
 	}
-	c.Expect(c.submits()).To(gomega.BeEmpty())
+	c.Expect(c.submitRuns()).To(gomega.BeEmpty())
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
 	for i, key := range keys {
 		c.Expect(c.finalCode(c.Daemons[(i+1)%2], key)).To(gomega.Equal(result.Accepted))
-		c.Expect(c.submits()[key]).To(gomega.Equal(1))
+		c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 	}
 }
 
@@ -262,7 +262,7 @@
 func TestOnceUnderRandomFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			c := start(t, shape{Daemons: 3, ProxyPlatform: true, ProxyTargets: true})
+			c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true, ProxyTargets: true})
 			const senders, keys, tries = 4, 6, 5
 			told := make([]map[string][]result.Code, senders)
 			var wg sync.WaitGroup
@@ -283,7 +283,7 @@
 			done := make(chan struct{})
 			go func() { wg.Wait(); close(done) }()
 			c.randomFaults(rand.New(rand.NewPCG(seed, 99)), done)
-			runs := c.submits()
+			runs := c.submitRuns()
 			for _, keys := range told {
 				for key, codes := range keys {
 					c.expectOnce(key, codes, runs[key])
@@ -327,7 +327,7 @@
 			case 4:
 				c.ok(c.TargetProxies[rng.IntN(len(c.TargetProxies))].Cut())
 			case 5:
-				c.setTargets(targetsim.Faults{CutSubmits: 1, ShedShare: 0.5})
+				c.setTargetFaults(targetsim.Faults{CutSubmits: 1, ShedShare: 0.5})
 			case 6:
 				if paused < 0 {
 					paused = d()
@@ -340,7 +340,7 @@
 			c.ok(c.Daemons[paused].Resume())
 		}
 		c.ok(c.Platform.SetFaults(platformsim.Faults{}))
-		c.setTargets(targetsim.Faults{})
+		c.setTargetFaults(targetsim.Faults{})
 		select {
 		case <-done:
 			return
--- a/integration/owner_test.go
+++ b/integration/owner_test.go
@@ -17,10 +17,10 @@
 
 // fewConnections makes a fleet that is larger than what its targets accept: each
 // takes that many connections from some VMs more.
-func fewConnections(daemons, places, connections int) shape {
-	return shape{
+func fewConnections(daemons, places, connections int) clusterConfig {
+	return clusterConfig{
 		Daemons: daemons, Targets: 3, Replicas: 2, LameDuck: time.Second,
-		Target: func(_ int, o *targetsim.Options) { o.Connections = connections },
+		Target: func(_ int, o *targetsim.Options) { o.MaxConnections = connections },
 		Bundle: func(b *bundle.Bundle) {
 			b.Fleet.MaxVMs = places
 			for i := range b.Services[0].Targets {
@@ -33,7 +33,7 @@
 func (c *cluster) expectWithinLimit(connections int) {
 	c.t.Helper()
 	for _, target := range c.Targets {
-		seen := must[struct{ Peak, Refused int }](c)(connectionsOf(target))
+		seen := must[struct{ Peak, Refused int }](c)(connectionCounts(target))
 		c.t.Logf("%s: peak of %d connections, limit %d, %d refused", target.Name, seen.Peak, connections, seen.Refused)
 		c.Expect(seen.Peak).To(gomega.BeNumerically("<=", connections))
 		c.Expect(seen.Refused).To(gomega.BeZero())
@@ -48,10 +48,10 @@
 func TestVMsWithoutConnectionsReachTargetsThroughOwners(t *testing.T) {
 	const daemons, connections = 5, 3
 	c := start(t, fewConnections(daemons, daemons+1, connections))
-	balancer := &laggingList{}
-	balancer.list(c.Daemons...)
-	stop := c.drive(balancer)
-	c.replaceAll(balancer, 0)
+	balancer := &searchRotation{}
+	balancer.setVMs(c.Daemons...)
+	stop := c.startSearches(balancer)
+	c.replaceVMs(balancer, 0)
 	good, faults := stop()
 	c.Expect(faults).To(gomega.BeEmpty())
 	c.Expect(good).To(gomega.BeNumerically(">", 0))
@@ -73,18 +73,18 @@
 func (c *cluster) killOwners() {
 	c.t.Helper()
 	const owners = 2 // of each target, with a connection each; one is left free for a frozen owner
-	c.waitOwned(owners)
-	balancer := &laggingList{}
+	c.waitOwners(owners)
+	balancer := &searchRotation{}
 	for i := range 3 {
 		victim := c.Daemons[0]
 		c.Daemons = c.Daemons[1:]
-		balancer.list(c.Daemons...)
+		balancer.setVMs(c.Daemons...)
 		before := balancer.answered()
-		stop := c.drive(balancer)
-		c.Eventually(balancer.answered, limit, "10ms").Should(gomega.BeNumerically(">", before+50))
+		stop := c.startSearches(balancer)
+		c.Eventually(balancer.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+50))
 		victim.Kill()
 		before = balancer.answered()
-		c.Eventually(balancer.answered, limit, "10ms").Should(gomega.BeNumerically(">", before+50))
+		c.Eventually(balancer.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+50))
 		_, faults := stop()
 		c.Expect(faults).To(gomega.BeEmpty())
 
@@ -93,28 +93,28 @@
 		c.Daemons = append(c.Daemons, fresh)
 		c.listVMs()
 		c.waitInForce(fresh, 1)
-		c.waitWhole(fresh)
-		c.waitOwned(owners)
+		c.waitComplete(fresh)
+		c.waitOwners(owners)
 	}
 }
 
-// waitOwned waits until each target has connections from that many owners again.
+// waitOwners waits until each target has connections from that many owners again.
 // A place passes to a new VM only once its old holder counts as lost, and until
 // then the death of a further owner can leave a target without any.
-func (c *cluster) waitOwned(owners int) {
+func (c *cluster) waitOwners(owners int) {
 	c.t.Helper()
 	for _, target := range c.Targets {
 		c.Eventually(func() (int, error) {
 			counters, err := target.Counters()
 			return counters.Connections.Current, err
-		}, limit, "50ms").Should(gomega.Equal(owners), target.Name)
+		}, waitTimeout, "50ms").Should(gomega.Equal(owners), target.Name)
 	}
 }
 
-func (b *laggingList) answered() int {
+func (b *searchRotation) answered() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.good
+	return b.complete
 }
 
 // An owner is frozen for longer than any timeout. There are more VMs than places,
@@ -126,7 +126,7 @@
 	const owned = 2 // one connection's share is left free for a frozen owner
 	c := start(t, fewConnections(daemons, places, connections))
 	frozen, rest := c.Daemons[0], c.Daemons[1:]
-	c.Eventually(c.places, limit, "100ms").Should(gomega.HaveLen(daemons))
+	c.Eventually(c.placeHolders, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
 	c.ok(frozen.Pause())
 	for i := range 2 {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: fmt.Sprint("new-", i), Zone: zone})
@@ -134,25 +134,25 @@
 		c.waitInForce(fresh, 1)
 		rest = append(rest, fresh)
 	}
-	c.Eventually(c.places, limit, "100ms").Should(gomega.And(
+	c.Eventually(c.placeHolders, waitTimeout, "100ms").Should(gomega.And(
 		gomega.HaveLen(places), gomega.Not(gomega.ContainElement(frozen.Name))))
 	c.ok(frozen.Resume())
 	c.waitInForce(frozen, 1)
 	for _, d := range append(rest, frozen) {
-		c.waitWhole(d)
+		c.waitComplete(d)
 	}
-	c.Expect(c.places()).NotTo(gomega.ContainElement(frozen.Name))
+	c.Expect(c.placeHolders()).NotTo(gomega.ContainElement(frozen.Name))
 	for _, target := range c.Targets {
 		c.Eventually(func() (int, error) {
 			counters, err := target.Counters()
 			return counters.Connections.Current, err
-		}, limit, "100ms").Should(gomega.BeNumerically("<=", owned), target.Name)
+		}, waitTimeout, "100ms").Should(gomega.BeNumerically("<=", owned), target.Name)
 	}
 	c.expectWithinLimit(connections)
 }
 
-// places returns the VMs that have claimed a place.
-func (c *cluster) places() (holders []string) {
+// placeHolders returns the VMs that have claimed a place.
+func (c *cluster) placeHolders() (holders []string) {
 	page, err := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{}).List(c.ctx, place.Kind, "", 100)
 	c.ok(err)
 	for _, object := range page.Objects {
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -23,7 +23,7 @@
 	if limit == 0 {
 		limit = most
 	}
-	items, more, records := x.Truth(kind, body.Query, "", limit)
+	items, more, records := x.ExpectedAnswer(kind, body.Query, "", limit)
 	c.Expect(a.Snapshot).To(gomega.Equal(x.Snapshot))
 	c.Expect(a.Items).To(gomega.Equal(items))
 	c.Expect(a.More).To(gomega.Equal(more))
@@ -36,7 +36,7 @@
 // the leaves of three targets under a bundle that was rolled out through the
 // platform, and gets every matching record; a non-idempotent request runs once.
 func TestWholePath(t *testing.T) {
-	c := start(t, shape{})
+	c := start(t, clusterConfig{})
 	for _, d := range c.Daemons {
 		for _, body := range []gateway.SearchBody{searchBody("well"), {Query: "well", Limit: 5}, searchBody("")} {
 			a, status, err := d.Search(c.ctx, findSearch, body)
@@ -55,5 +55,5 @@
 		c.ok(err)
 		c.Expect(a.Code).To(gomega.Equal(int(result.Accepted)), a.Detail)
 	}
-	c.Expect(c.submits()).To(gomega.Equal(map[string]int{key: 1}))
+	c.Expect(c.submitRuns()).To(gomega.Equal(map[string]int{key: 1}))
 }
--- a/integration/peer_test.go
+++ b/integration/peer_test.go
@@ -19,31 +19,31 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// laggingList sends searches to the VMs that it lists, which lags behind.
-type laggingList struct {
-	mu     sync.Mutex // guards the fields below
-	vms    []*fleet.Daemon
-	next   int
-	faults []string
-	good   int
+// searchRotation sends searches to the VMs that it lists, which lags behind.
+type searchRotation struct {
+	mu       sync.Mutex // guards the fields below
+	vms      []*fleet.Daemon
+	next     int
+	failures []string
+	complete int
 }
 
-func (b *laggingList) list(vms ...*fleet.Daemon) {
+func (b *searchRotation) setVMs(vms ...*fleet.Daemon) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.vms = vms
 }
 
-func (b *laggingList) choose() *fleet.Daemon {
+func (b *searchRotation) choose() *fleet.Daemon {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.next++
 	return b.vms[b.next%len(b.vms)]
 }
 
-// drive sends searches from some callers until stop is called, which returns how
+// startSearches sends searches from some callers until stop is called, which returns how
 // many were answered whole and what went wrong.
-func (c *cluster) drive(b *laggingList) (stop func() (good int, faults []string)) {
+func (c *cluster) startSearches(b *searchRotation) (stop func() (good int, faults []string)) {
 	const callers = 4
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -54,7 +54,7 @@
 				case <-done:
 					return
 				default:
-					b.ask(c)
+					b.search(c)
 				}
 			}
 		})
@@ -62,22 +62,22 @@
 	return func() (int, []string) {
 		close(done)
 		wg.Wait()
-		return b.good, b.faults
+		return b.complete, b.failures
 	}
 }
 
-func (b *laggingList) ask(c *cluster) {
+func (b *searchRotation) search(c *cluster) {
 	d := b.choose()
 	a, status, err := d.Search(c.ctx, findSearch, searchBody("well"))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
 	case err != nil:
-		b.faults = append(b.faults, fmt.Sprintf("%s: %v", d.Name, err))
+		b.failures = append(b.failures, fmt.Sprintf("%s: %v", d.Name, err))
 	case result.Code(a.Code) == result.Complete:
-		b.good++
+		b.complete++
 	default:
-		b.faults = append(b.faults, fmt.Sprintf("%s: status %d, code %d", d.Name, status, a.Code))
+		b.failures = append(b.failures, fmt.Sprintf("%s: status %d, code %d", d.Name, status, a.Code))
 	}
 }
 
@@ -87,7 +87,7 @@
 // must stay within each target's limit all the time, and no search be cut off.
 func TestAllVMsReplacedUnderLoad(t *testing.T) {
 	const daemons, connections, listLag = 4, 25, 3 * time.Second
-	c := start(t, shape{
+	c := start(t, clusterConfig{
 		Daemons:  daemons,
 		LameDuck: time.Second,
 		Bundle: func(b *bundle.Bundle) {
@@ -97,31 +97,31 @@
 			}
 		},
 	})
-	balancer := &laggingList{}
-	balancer.list(c.Daemons...)
-	stop := c.drive(balancer)
-	c.replaceAll(balancer, listLag)
+	balancer := &searchRotation{}
+	balancer.setVMs(c.Daemons...)
+	stop := c.startSearches(balancer)
+	c.replaceVMs(balancer, listLag)
 	good, faults := stop()
 	c.Expect(faults).To(gomega.BeEmpty())
 	c.Expect(good).To(gomega.BeNumerically(">", 0))
 	for _, target := range c.Targets {
-		seen := must[struct{ Peak, Refused int }](c)(connectionsOf(target))
+		seen := must[struct{ Peak, Refused int }](c)(connectionCounts(target))
 		t.Logf("%s: peak of %d connections, limit %d, %d refused", target.Name, seen.Peak, connections, seen.Refused)
 		c.Expect(seen.Peak).To(gomega.BeNumerically("<=", connections))
 		c.Expect(seen.Refused).To(gomega.BeZero())
 	}
 }
 
-func connectionsOf(target *fleet.Target) (seen struct{ Peak, Refused int }, err error) {
+func connectionCounts(target *fleet.Target) (seen struct{ Peak, Refused int }, err error) {
 	counters, err := target.Counters()
 	seen.Peak = counters.Connections.Peak
 	seen.Refused = counters.Connections.Refused
 	return seen, err
 }
 
-// member joins the daemons' exchange from this process.
-func (c *cluster) member() *peer.Exchange {
-	set := must[*settings.Settings](c)(settings.Load(c.Daemons[0].Settings))
+// joinExchange joins the daemons' exchange from this process.
+func (c *cluster) joinExchange() *peer.Exchange {
+	set := must[*settings.Settings](c)(settings.Load(c.Daemons[0].SettingsPath))
 	key := must[[]byte](c)(base64.StdEncoding.DecodeString(set.FleetKeys[0]))
 	x := must[*peer.Exchange](c)(peer.New(peer.Options{
 		VM: objstore.VM{Name: "member", Zone: zone}, Incarnation: "member-1",
@@ -131,7 +131,7 @@
 	}))
 	c.ok(x.Start())
 	c.t.Cleanup(func() { _ = x.Stop(c.ctx) })
-	c.Eventually(x.Peers, limit, "50ms").Should(gomega.BeNumerically(">", 0))
+	c.Eventually(x.Peers, waitTimeout, "50ms").Should(gomega.BeNumerically(">", 0))
 	return x
 }
 
@@ -140,11 +140,11 @@
 // VM may give it new work a few seconds later, the answers stay whole, and only
 // a new incarnation of the target gets work again.
 func TestDrainLearnedByOneVMOnly(t *testing.T) {
-	c := start(t, shape{Daemons: 3, Targets: 3, Replicas: 3})
+	c := start(t, clusterConfig{Daemons: 3, Targets: 3, Replicas: 3})
 	leaving := c.Targets[0]
 	counters, err := leaving.Counters()
 	c.ok(err)
-	c.member().LearnDrain(peer.Drain{Target: leaving.Name, Incarnation: counters.Incarnation})
+	c.joinExchange().LearnDrain(peer.Drain{Target: leaving.Name, Incarnation: counters.Incarnation})
 	started := func() int {
 		n, err := leaving.Counters()
 		c.ok(err)
@@ -155,7 +155,7 @@
 		before := started()
 		c.searchEverywhere()
 		return started() - before
-	}, limit, "100ms").Should(gomega.BeZero())
+	}, waitTimeout, "100ms").Should(gomega.BeZero())
 	for range 5 {
 		before := started()
 		c.searchEverywhere()
@@ -172,7 +172,7 @@
 		n, err := fresh.Counters()
 		c.ok(err)
 		return n.Searches
-	}, limit, "100ms").Should(gomega.BeNumerically(">", 0), "no work for the new incarnation")
+	}, waitTimeout, "100ms").Should(gomega.BeNumerically(">", 0), "no work for the new incarnation")
 }
 
 // searchEverywhere sends some searches to every VM, each of which must be
@@ -192,12 +192,12 @@
 // VMs but one start from nothing. A user would find no VM that serves. Each has
 // only one other VM's address, in a chain; all must get the bundle.
 func TestFleetStartsWithPlatformDown(t *testing.T) {
-	c := start(t, shape{Daemons: 1})
+	c := start(t, clusterConfig{Daemons: 1})
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
 	known := c.Daemons[0]
 	for i := range 4 {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{
-			Name: fmt.Sprint("fresh-", i), Zone: zone, Change: withSeeds(known.Peers),
+			Name: fmt.Sprint("fresh-", i), Zone: zone, EditSettings: withSeeds(known.Peers),
 		})
 		c.ok(err)
 		c.Daemons = append(c.Daemons, fresh)
@@ -211,24 +211,24 @@
 		c.Eventually(func() (int, error) {
 			status, err := d.Status(c.ctx)
 			return status.Peers, err
-		}, limit, "100ms").Should(gomega.BeNumerically(">=", 2), d.Name)
+		}, waitTimeout, "100ms").Should(gomega.BeNumerically(">=", 2), d.Name)
 	}
 }
 
-// replaceAll replaces every VM, one after another. Callers are sent to the new
+// replaceVMs replaces every VM, one after another. Callers are sent to the new
 // VM once it reads every shard; the platform's list follows after lag.
-func (c *cluster) replaceAll(callers *laggingList, lag time.Duration) {
+func (c *cluster) replaceVMs(callers *searchRotation, lag time.Duration) {
 	c.t.Helper()
 	for i := range c.Daemons {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: fmt.Sprint("new-", i), Zone: zone, LameDuck: time.Second})
 		c.ok(err)
 		c.waitInForce(fresh, 1)
-		c.waitWhole(fresh)
+		c.waitComplete(fresh)
 		old := c.Daemons[0]
 		c.Daemons = append(c.Daemons[1:], fresh)
 		c.ok(old.Terminate())
-		callers.list(c.Daemons...)
+		callers.setVMs(c.Daemons...)
 		c.listVMsAfter(lag)
-		c.Eventually(old.Done(), limit).Should(gomega.BeClosed())
+		c.Eventually(old.Done(), waitTimeout).Should(gomega.BeClosed())
 	}
 }
--- a/integration/query_test.go
+++ b/integration/query_test.go
@@ -16,15 +16,15 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-const leastCoverage = 0.01
+const minCoverage = 0.01
 
-// hold makes every target hold the given indexes, each placed in the same way.
-func (c *cluster) hold(i int, list ...targetsim.Index) {
+// setIndexes makes every target setIndexes the given indexes, each placed in the same way.
+func (c *cluster) setIndexes(i int, list ...targetsim.Index) {
 	c.t.Helper()
-	s := c.shape
-	var holders []targetsim.Holder
+	s := c.config
+	var holders []targetsim.SnapshotPlacement
 	for _, x := range list {
-		holders = append(holders, targetsim.Place(x, s.Targets, s.Leaves, s.Replicas)[i])
+		holders = append(holders, targetsim.PlaceReplicas(x, s.Targets, s.Leaves, s.Replicas)[i])
 	}
 	c.ok(c.Targets[i].SetSnapshots(holders))
 }
@@ -40,7 +40,7 @@
 // index, and repartition it, while queries run. The cause would be an attempt,
 // hedge or retry that reads another snapshot than the rest of its query.
 func TestIndexSwitchNeverMixesSnapshots(t *testing.T) {
-	c := start(t, shape{Target: func(_ int, o *targetsim.Options) { o.Timing.BaseMS = 15 }})
+	c := start(t, clusterConfig{Target: func(_ int, o *targetsim.Options) { o.Timing.BaseMS = 15 }})
 	for _, target := range c.Targets { // so that there are retries
 		c.ok(target.SetFaults(targetsim.Faults{ShedShare: 0.15}))
 	}
@@ -48,55 +48,55 @@
 	for seq, shards := range []int{6, 3, 5, 4} {
 		indexes = append(indexes, c.nextIndex(fmt.Sprint("s", seq+2), int64(seq+2), shards))
 	}
-	l := c.startLoad(leastCoverage, 0, truthOf(indexes...).check)
+	l := c.startLoad(minCoverage, 0, truthOf(indexes...).check)
 	for n := 1; n < len(indexes); n++ {
 		if n%2 == 1 { // side by side for a while, else without any overlap
 			for i := range c.Targets {
-				c.hold(i, indexes[n-1], indexes[n])
+				c.setIndexes(i, indexes[n-1], indexes[n])
 			}
-			l.awaitMore(100)
+			l.waitAnswers(100)
 		}
 		for i := range c.Targets {
-			c.hold(i, indexes[n])
-			l.awaitMore(20)
+			c.setIndexes(i, indexes[n])
+			l.waitAnswers(20)
 		}
 	}
 	c.Expect(l.stop()).To(gomega.BeEmpty())
 	c.Expect(l.answered(result.Complete)).To(gomega.BeNumerically(">", 0))
 }
 
-// awaitMore waits until n more queries were answered with some coverage.
-func (l *load) awaitMore(n int) {
+// waitAnswers waits until n more queries were answered with some coverage.
+func (l *load) waitAnswers(n int) {
 	before := l.answered(result.Complete, result.Partial)
-	l.c.Eventually(func() int { return l.answered(result.Complete, result.Partial) }, limit, "5ms").Should(gomega.BeNumerically(">", before+n))
+	l.c.Eventually(func() int { return l.answered(result.Complete, result.Partial) }, waitTimeout, "5ms").Should(gomega.BeNumerically(">", before+n))
 }
 
 // A reader turns a page and finds records twice or not at all: the index was
 // switched between the two pages. The cursor pins the snapshot; when it is gone
 // the reader is told so.
 func TestBrowseCursorPinsTheSnapshot(t *testing.T) {
-	c := start(t, shape{})
+	c := start(t, clusterConfig{})
 	d := c.Daemons[0]
 	first := must[gateway.Answer](c)(answerOnly(d.Browse(c.ctx, browseSearch, gateway.SearchBody{Limit: 10})))
 	next := c.nextIndex("s2", 2, 5)
 	for i := range c.Targets {
-		c.hold(i, c.Index, next)
+		c.setIndexes(i, c.Index, next)
 	}
 	c.Eventually(func() string {
 		a, _, _ := d.Search(c.ctx, findSearch, searchBody("x"))
 		return a.Snapshot
-	}, limit, "50ms").Should(gomega.Equal("s2"))
+	}, waitTimeout, "50ms").Should(gomega.Equal("s2"))
 	page := must[gateway.Answer](c)(answerOnly(d.Browse(c.ctx, browseSearch, gateway.SearchBody{Limit: 10, Cursor: first.Cursor})))
 	c.Expect(page.Snapshot).To(gomega.Equal("s1"))
-	want, _, _ := c.Index.Truth(target.KindBrowse, "", first.Items[9].Key, 10)
+	want, _, _ := c.Index.ExpectedAnswer(target.KindBrowse, "", first.Items[9].Key, 10)
 	c.Expect(page.Items).To(gomega.Equal(want))
 	for i := range c.Targets {
-		c.hold(i, next)
+		c.setIndexes(i, next)
 	}
 	c.Eventually(func() int {
 		a, _, _ := d.Browse(c.ctx, browseSearch, gateway.SearchBody{Limit: 10, Cursor: first.Cursor})
 		return a.Code
-	}, limit, "50ms").Should(gomega.Equal(int(result.CursorGone)))
+	}, waitTimeout, "50ms").Should(gomega.Equal(int(result.CursorGone)))
 }
 
 func answerOnly(a gateway.Answer, _ int, err error) (gateway.Answer, error) { return a, err }
@@ -104,16 +104,16 @@
 // A renewal check tells a farm that its permit has lapsed: all replicas of a
 // shard are lost and the answer does not say that records are missing.
 func TestLostShardIsStated(t *testing.T) {
-	c := start(t, shape{Targets: 2, Leaves: 1, Shards: 4, Replicas: 1})
+	c := start(t, clusterConfig{Targets: 2, Leaves: 1, Shards: 4, Replicas: 1})
 	c.Targets[0].Kill()
 	d := c.Daemons[0]
-	body := gateway.SearchBody{Query: "well", Explain: true, Coverage: leastCoverage}
+	body := gateway.SearchBody{Query: "well", Explain: true, Coverage: minCoverage}
 	var a gateway.Answer
 	c.Eventually(func() int {
 		a = must[gateway.Answer](c)(answerOnly(d.Search(c.ctx, findSearch, body)))
 		c.ok(truthOf(c.Index).check(a, body))
 		return a.Code
-	}, limit, "20ms").Should(gomega.Equal(int(result.Partial)))
+	}, waitTimeout, "20ms").Should(gomega.Equal(int(result.Partial)))
 	c.Expect(a.Coverage.ShardsAnswered).To(gomega.Equal(2))
 	c.Expect(a.Coverage.UnknownShards).To(gomega.Equal(0), "how much the lost shards held is known from before")
 	body.Coverage = 1
@@ -124,23 +124,23 @@
 
 // A page misses records although it claims to be whole: a leaf could read only
 // a part of its shard and said so itself.
-func TestLeafsOwnIncompleteIsStated(t *testing.T) {
-	c := start(t, shape{})
+func TestIncompleteLeafIsReported(t *testing.T) {
+	c := start(t, clusterConfig{})
 	const missing = 3
 	for _, target := range c.Targets {
-		c.ok(target.SetFaults(targetsim.Faults{IncompleteRecords: missing}))
+		c.ok(target.SetFaults(targetsim.Faults{MissingRecords: missing}))
 	}
-	body := gateway.SearchBody{Explain: true, Coverage: leastCoverage}
+	body := gateway.SearchBody{Explain: true, Coverage: minCoverage}
 	a := must[gateway.Answer](c)(answerOnly(c.Daemons[0].Search(c.ctx, findSearch, body)))
 	c.ok(truthOf(c.Index).check(a, body))
 	c.Expect(a.Code).To(gomega.Equal(int(result.Partial)))
-	c.Expect(a.Coverage.Missing).To(gomega.Equal(int64(missing * c.shape.Shards)))
+	c.Expect(a.Coverage.Missing).To(gomega.Equal(int64(missing * c.config.Shards)))
 }
 
 // A caller waits for its whole time limit although the query was lost at once:
 // no replica of a shard is left. Its final answer must not be held back.
 func TestGivenUpQueryIsAnsweredAtOnce(t *testing.T) {
-	c := start(t, shape{Targets: 2, Leaves: 1, Shards: 2, Replicas: 1})
+	c := start(t, clusterConfig{Targets: 2, Leaves: 1, Shards: 2, Replicas: 1})
 	c.Targets[0].Kill()
 	const limitMS = 30000
 	a := must[gateway.Answer](c)(answerOnly(c.Daemons[0].Search(c.ctx, findSearch, gateway.SearchBody{TimeLimitMS: limitMS})))
@@ -152,12 +152,12 @@
 // is paused, its connections stay open and say nothing. Other replicas hold
 // every shard, so a hedge or a retry has to answer.
 func TestFrozenTargetCostsNoAnswer(t *testing.T) {
-	c := start(t, shape{Targets: 4, Replicas: 2})
+	c := start(t, clusterConfig{Targets: 4, Replicas: 2})
 	l := c.startLoad(1, 5000, truthOf(c.Index).check)
-	c.Eventually(func() int { return l.answered(result.Complete) }, limit).Should(gomega.BeNumerically(">", 100))
+	c.Eventually(func() int { return l.answered(result.Complete) }, waitTimeout).Should(gomega.BeNumerically(">", 100))
 	c.ok(c.Targets[1].Pause())
 	before := l.answered(result.Complete)
-	c.Eventually(func() int { return l.answered(result.Complete) }, limit).Should(gomega.BeNumerically(">", before+500))
+	c.Eventually(func() int { return l.answered(result.Complete) }, waitTimeout).Should(gomega.BeNumerically(">", before+500))
 	c.ok(c.Targets[1].Resume())
 	c.Expect(l.stop()).To(gomega.BeEmpty())
 	c.Expect(l.answered(result.TimedOut, result.CoverageTooLow)).To(gomega.BeZero())
@@ -167,23 +167,23 @@
 // target sheds all of its requests, and the refusals are checked against the
 // targets' own records.
 func TestShedIsNotRun(t *testing.T) {
-	c := start(t, shape{Shards: 1, Replicas: 3})
+	c := start(t, clusterConfig{Shards: 1, Replicas: 3})
 	for _, target := range c.Targets {
 		c.ok(target.SetFaults(targetsim.Faults{ShedShare: 1}))
 	}
 	for range 20 {
 		a := must[gateway.Answer](c)(answerOnly(c.Daemons[0].Search(c.ctx, findSearch, gateway.SearchBody{TimeLimitMS: 200})))
 		c.Expect(a.Ran).To(gomega.Equal(result.RanNo.String()), a.Name)
-		c.Expect(c.searched()).NotTo(gomega.HaveKey(a.Request))
+		c.Expect(c.searchAttempts()).NotTo(gomega.HaveKey(a.Request))
 	}
 }
 
-// searched returns how many attempts of each request were started, by the
+// searchAttempts returns how many attempts of each request were started, by the
 // targets' own records.
-func (c *cluster) searched() map[string]int {
+func (c *cluster) searchAttempts() map[string]int {
 	runs := map[string]int{}
 	for _, t := range c.Targets {
-		for _, r := range must[targetsim.Ran](c)(t.Ran()).Searches {
+		for _, r := range must[targetsim.StartedRequests](c)(t.Ran()).Searches {
 			runs[r.Request]++
 		}
 	}
@@ -194,7 +194,7 @@
 // admission. What is refused must not have run, and it must say when to come
 // back; what is admitted must be whole.
 func TestRefusedAtAdmissionIsNotRun(t *testing.T) {
-	c := start(t, shape{
+	c := start(t, clusterConfig{
 		Daemons: 1,
 		Target:  func(_ int, o *targetsim.Options) { o.Timing.BaseMS = 40 },
 	})
@@ -223,7 +223,7 @@
 		c.ok(<-done)
 	}
 	close(refused)
-	ran := c.searched()
+	ran := c.searchAttempts()
 	n := 0
 	for a := range refused {
 		n++
@@ -236,7 +236,7 @@
 // A cold target slows every query down or fails it right after its start: it
 // says that it is starting. It must get no work until it says that it serves.
 func TestColdTargetGetsNoWork(t *testing.T) {
-	c := start(t, shape{
+	c := start(t, clusterConfig{
 		Targets: 3, Replicas: 2,
 		Target: func(i int, o *targetsim.Options) {
 			if i == 2 {
@@ -259,13 +259,13 @@
 func TestAnswersStayTrueUnderRandomFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 5, 8} {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
-			c := start(t, shape{Targets: 4, Replicas: 2, ProxyTargets: true, Bundle: func(b *bundle.Bundle) {
+			c := start(t, clusterConfig{Targets: 4, Replicas: 2, ProxyTargets: true, Bundle: func(b *bundle.Bundle) {
 				b.Services[0].Drain.HealthTimeoutMS = 200
 			}})
-			f := &faults{c: c, rng: rand.New(rand.NewPCG(seed, 0)), paused: map[int]bool{}, indexes: []targetsim.Index{c.Index, c.nextIndex("s2", 2, 6), c.nextIndex("s3", 3, 3)}}
-			l := c.startLoad(leastCoverage, 500, truthOf(f.indexes...).check)
+			f := &faultInjector{c: c, rng: rand.New(rand.NewPCG(seed, 0)), paused: map[int]bool{}, indexes: []targetsim.Index{c.Index, c.nextIndex("s2", 2, 6), c.nextIndex("s3", 3, 3)}}
+			l := c.startLoad(minCoverage, 500, truthOf(f.indexes...).check)
 			for range 25 {
-				f.next()
+				f.injectNext()
 				time.Sleep(50 * time.Millisecond) // paces the faults; nothing is expected of it
 			}
 			f.heal()
@@ -275,21 +275,21 @@
 					return 0
 				}
 				return a.Coverage.Ratio
-			}, limit, "50ms").Should(gomega.Equal(1.0))
+			}, waitTimeout, "50ms").Should(gomega.Equal(1.0))
 			c.Expect(l.stop()).To(gomega.BeEmpty())
 		})
 	}
 }
 
-// faults does one thing after another to the targets of a cluster.
-type faults struct {
+// faultInjector does one thing after another to the targets of a cluster.
+type faultInjector struct {
 	c       *cluster
 	rng     *rand.Rand
 	indexes []targetsim.Index
 	paused  map[int]bool
 }
 
-func (f *faults) next() {
+func (f *faultInjector) injectNext() {
 	i := f.rng.IntN(len(f.c.Targets))
 	t, p := f.c.Targets[i], f.c.TargetProxies[i]
 	if f.paused[i] {
@@ -307,33 +307,33 @@
 	case 3:
 		f.c.ok(t.SetFaults(targetsim.Faults{ShedShare: f.rng.Float64()}))
 	case 4:
-		f.c.ok(t.SetFaults(targetsim.Faults{IncompleteRecords: 2, CrossedAnswers: 5, DuplicateAnswers: 5, LateAnswers: 5, LateMS: 100}))
+		f.c.ok(t.SetFaults(targetsim.Faults{MissingRecords: 2, MismatchedAnswers: 5, DuplicateAnswers: 5, LateAnswers: 5, LateMS: 100}))
 	case 5:
-		f.c.hold(i, f.indexes[f.rng.IntN(len(f.indexes))], f.indexes[0])
+		f.c.setIndexes(i, f.indexes[f.rng.IntN(len(f.indexes))], f.indexes[0])
 	}
 }
 
-func (f *faults) resume(i int) {
+func (f *faultInjector) resume(i int) {
 	f.c.ok(f.c.Targets[i].Resume())
 	delete(f.paused, i)
 }
 
 // heal ends all faults and lets every target hold the last index.
-func (f *faults) heal() {
+func (f *faultInjector) heal() {
 	for i, t := range f.c.Targets {
 		f.c.ok(t.Resume())
 		f.c.ok(t.SetFaults(targetsim.Faults{}))
-		f.c.hold(i, f.indexes[len(f.indexes)-1])
+		f.c.setIndexes(i, f.indexes[len(f.indexes)-1])
 	}
 }
 
 // Callers of a VM that has just started are told that no replica lives: it
 // counted as ready as soon as it had a bundle, before it had heard of any target.
 func TestReadyVMKnowsItsTargets(t *testing.T) {
-	c := start(t, shape{Daemons: 1, NoRollout: true})
+	c := start(t, clusterConfig{Daemons: 1, NoRollout: true})
 	must[rollout.Entry](c)(c.RollOut(c.ctx, c.Bundle))
 	d := c.Daemons[0]
-	c.Eventually(func() bool { return d.Ready(c.ctx) }, limit, "1ms").Should(gomega.BeTrue())
+	c.Eventually(func() bool { return d.Ready(c.ctx) }, waitTimeout, "1ms").Should(gomega.BeTrue())
 	a := must[gateway.Answer](c)(answerOnly(d.Search(c.ctx, findSearch, searchBody("x"))))
 	c.Expect(a.Code).NotTo(gomega.Equal(int(result.NoReplica)))
 }
--- a/integration/region_test.go
+++ b/integration/region_test.go
@@ -22,7 +22,7 @@
 	t.Parallel() // it waits for most of its time
 	const daemons, replacement = 4, "vm-4"
 	var c *cluster
-	c = start(t, shape{
+	c = start(t, clusterConfig{
 		Daemons: daemons, Zones: 2, ProxyPeers: true, ProxyPlatform: true,
 		Bundle: func(b *bundle.Bundle) {
 			b.Fleet.MaxVMs = daemons + 1
@@ -30,7 +30,7 @@
 		},
 		Settings: func(i int, s *settings.Settings) {
 			if i >= daemons { // the replacement: its region is cut off from the platform
-				s.Zone = zoneOf(1)
+				s.Zone = zoneName(1)
 				s.Platform.Address = c.PlatformProxies[1].Address
 				s.Seeds = []string{c.Daemons[1].Peers}
 			}
@@ -38,7 +38,7 @@
 	})
 	near := []*fleet.Daemon{c.Daemons[0], c.Daemons[2]}
 	far := []*fleet.Daemon{c.Daemons[1], c.Daemons[3]}
-	good, faulty := c.version("good"), c.version("faulty")
+	good, faulty := c.pushSignedBundle("good"), c.pushSignedBundle("faulty")
 	person := c.ctl(fleet.Signer)
 	var answer operator.ChangeOutput
 	person.must(&answer, "rollout", good, "--reason", "good", "--wait", "30s")
@@ -47,7 +47,7 @@
 	stop := c.watchRevisions()
 
 	c.cutOffPlatform(far, true)
-	c.split(names(near), append(names(far), replacement))
+	c.split(daemonNames(near), append(daemonNames(far), replacement))
 	c.waitLive(c.Daemons, daemons/2)
 	person.must(&answer, "recall", "head", "--reason", "faulty")
 	c.Expect(answer.InForce).To(gomega.Equal(good))
@@ -59,25 +59,25 @@
 	far[1].Kill()
 	c.startDaemon(daemons)
 	fresh := c.Daemons[daemons]
-	c.split(names(near), append(names(far), replacement))
+	c.split(daemonNames(near), append(daemonNames(far), replacement))
 	stopFresh := c.watchRevisionsOf(fresh)
 	c.waitInForce(fresh, spread)
 	for _, d := range []*fleet.Daemon{far[0], fresh} {
 		c.Expect(must[string](c)(digestOf(c.ctx, d))).To(gomega.Equal(faulty), d.Name)
-		c.waitWhole(d)
+		c.waitComplete(d)
 	}
 	// Only its neighbour can tell the replacement of the other region's VMs. One
 	// that knows nobody else is on its own until the platform is back.
 	c.waitMetric([]*fleet.Daemon{fresh}, "bramley_peer_lost_vms 3\n")
 	c.ok(far[0].Pause())
 
-	c.join()
+	c.endSplit()
 	c.waitInForce(fresh, recalled)
 	c.ok(far[0].Resume())
 	c.waitInForce(far[0], recalled)
 	for _, d := range append(near, far[0], fresh) {
 		c.Expect(must[string](c)(digestOf(c.ctx, d))).To(gomega.Equal(good), d.Name)
-		c.waitWhole(d)
+		c.waitComplete(d)
 	}
 	c.Expect(stop()).To(gomega.BeEmpty(), "VMs that went back")
 	c.Expect(stopFresh()).To(gomega.BeEmpty(), "VMs that went back")
--- a/integration/rollout_test.go
+++ b/integration/rollout_test.go
@@ -24,7 +24,7 @@
 	"github.com/bramleybarrow/bramleybarrow/rollout"
 )
 
-func (c *cluster) inForceEverywhere(revision uint64) {
+func (c *cluster) waitInForceEverywhere(revision uint64) {
 	c.t.Helper()
 	for _, d := range c.Daemons {
 		c.waitInForce(d, revision)
@@ -38,13 +38,13 @@
 // his change was refused while it is in force.
 func TestOperatorsRaceOverALossyPlatform(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { raceProcesses(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { raceOperators(t, seed) })
 	}
 }
 
-func raceProcesses(t *testing.T, seed uint64) {
-	c := start(t, shape{Daemons: 3})
-	digests := []string{c.version("one"), c.version("two"), c.version("three")}
+func raceOperators(t *testing.T, seed uint64) {
+	c := start(t, clusterConfig{Daemons: 3})
+	digests := []string{c.pushSignedBundle("one"), c.pushSignedBundle("two"), c.pushSignedBundle("three")}
 	stop := c.watchRevisions()
 	const operators, changes = 3, 4
 	told := make(chan operator.ChangeOutput, operators*changes)
@@ -52,7 +52,7 @@
 	for i := range operators {
 		person := c.ctl(fleet.Signer)
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
-		person.started = func(p *os.Process) { freeze(p, rng) }
+		person.onStart = func(p *os.Process) { pauseBriefly(p, rng) }
 		racing.Go(func() {
 			for range changes {
 				time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
@@ -60,7 +60,7 @@
 				if err := c.Platform.SetFaults(faults); err != nil {
 					t.Error(err)
 				}
-				raceOnce(t, person, rng, digests, told)
+				raceChange(t, person, rng, digests, told)
 			}
 		})
 	}
@@ -80,16 +80,16 @@
 		c.Expect(byOp[answer.Op]).To(Equal(answer.Revision), "told accepted")
 	}
 	c.Expect(audit.Rows).To(HaveLen(accepted), "every entry was told accepted to somebody")
-	c.inForceEverywhere(audit.Head)
+	c.waitInForceEverywhere(audit.Head)
 	for _, d := range c.Daemons {
 		c.Expect(must[string](c)(digestOf(c.ctx, d))).To(Equal(audit.Rows[len(audit.Rows)-1].InForce))
 	}
 	c.Expect(stop()).To(BeEmpty(), "VMs that went back")
 }
 
-// freeze stops a program at a random moment for a random time, as a virtual
+// pauseBriefly stops a program at a random moment for a random time, as a virtual
 // machine that is moved.
-func freeze(p *os.Process, rng *rand.Rand) {
+func pauseBriefly(p *os.Process, rng *rand.Rand) {
 	random := func() { time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) }
 	random()
 	_ = p.Signal(syscall.SIGSTOP)
@@ -102,7 +102,7 @@
 	return status.Digest, err
 }
 
-func raceOnce(t *testing.T, person *ctl, rng *rand.Rand, digests []string, told chan<- operator.ChangeOutput) {
+func raceChange(t *testing.T, person *ctl, rng *rand.Rand, digests []string, told chan<- operator.ChangeOutput) {
 	args := []string{"rollout", digests[rng.IntN(len(digests))], "--reason", "race"}
 	if rng.IntN(3) == 0 {
 		args = []string{"recall", "head", "--reason", "race"}
@@ -121,9 +121,9 @@
 // at a moment that moves from write to write. A user would see a rollout that
 // half happened. The next operator must be able to go on at once, and the trail
 // must be whole.
-func TestAKilledOperatorLeavesNothingByHalves(t *testing.T) {
-	c := start(t, shape{Daemons: 2})
-	digests := []string{c.version("one"), c.version("two")}
+func TestKilledOperatorLeavesNoPartialChange(t *testing.T) {
+	c := start(t, clusterConfig{Daemons: 2})
+	digests := []string{c.pushSignedBundle("one"), c.pushSignedBundle("two")}
 	person := c.ctl(fleet.Signer)
 	const slowMS = 20
 	c.ok(c.Platform.SetFaults(platformsim.Faults{SlowMS: slowMS}))
@@ -143,15 +143,15 @@
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
 	var audit operator.AuditOutput
 	person.must(&audit, "audit")
-	c.inForceEverywhere(audit.Head)
+	c.waitInForceEverywhere(audit.Head)
 }
 
 // At the moment of acceptance the platform is slow, its watches are silent, or
 // its open connections have gone silent. A user would see VMs go on with the
 // faulty bundle that was just recalled, without an end.
 func TestInForceEverywhereUnderPlatformFaults(t *testing.T) {
-	c := start(t, shape{Daemons: 3, ProxyPlatform: true})
-	digests := []string{c.version("one"), c.version("two"), c.version("three")}
+	c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true})
+	digests := []string{c.pushSignedBundle("one"), c.pushSignedBundle("two"), c.pushSignedBundle("three")}
 	faults := []func() error{
 		func() error { return c.Platform.SetFaults(platformsim.Faults{WatchesSilent: true}) },
 		func() error { return c.Platform.SetFaults(platformsim.Faults{SlowMS: 500}) },
@@ -167,7 +167,7 @@
 		c.ok(fault())
 		var answer operator.ChangeOutput
 		c.ctl(fleet.Signer).must(&answer, "rollout", digests[i], "--reason", "under a fault", "--wait", "30s")
-		c.inForceEverywhere(answer.Revision)
+		c.waitInForceEverywhere(answer.Revision)
 	}
 }
 
@@ -175,8 +175,8 @@
 // it from the others. Then all are cut off, and a rollout cannot be known: they
 // go on with what they have, and say that they lost the platform.
 func TestVMsCutOffFromThePlatform(t *testing.T) {
-	c := start(t, shape{Daemons: 3, ProxyPlatform: true})
-	first, second := c.version("one"), c.version("two")
+	c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true})
+	first, second := c.pushSignedBundle("one"), c.pushSignedBundle("two")
 	person := c.ctl(fleet.Signer)
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{Frozen: true}))
 	var answer operator.ChangeOutput
@@ -192,7 +192,7 @@
 		c.Eventually(func() bool {
 			status, err := d.Status(c.ctx)
 			return err == nil && !status.PlatformReachable
-		}, limit, "100ms").Should(BeTrue(), "says that the platform is lost")
+		}, waitTimeout, "100ms").Should(BeTrue(), "says that the platform is lost")
 		a, _, err := d.Search(c.ctx, findSearch, searchBody("well"))
 		c.ok(err)
 		c.Expect(a.Code).To(Equal(int(result.Complete)), "goes on serving")
@@ -202,15 +202,15 @@
 	}
 	var audit operator.AuditOutput
 	person.must(&audit, "audit")
-	c.inForceEverywhere(audit.Head)
+	c.waitInForceEverywhere(audit.Head)
 }
 
 // The platform is down: nothing can be accepted, and the operator is told that
 // nothing was changed. A VM that is replaced meanwhile learns the bundle from
 // its peers and gets ready; without that, an outage would eat the fleet.
 func TestAVMIsReplacedDuringAnOutage(t *testing.T) {
-	c := start(t, shape{Daemons: 2})
-	digest := c.version("one")
+	c := start(t, clusterConfig{Daemons: 2})
+	digest := c.pushSignedBundle("one")
 	person := c.ctl(fleet.Signer)
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
 	person.env = []string{"BRAMLEY_PATIENCE=500ms"}
@@ -220,7 +220,7 @@
 	c.Expect(f.Next).NotTo(BeEmpty())
 
 	c.Daemons[1].Kill()
-	fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: "vm-9", Zone: zone, Change: withSeeds(c.Daemons[0].Peers)})
+	fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: "vm-9", Zone: zone, EditSettings: withSeeds(c.Daemons[0].Peers)})
 	c.ok(err)
 	c.waitInForce(fresh, 1)
 	c.Expect(must[string](c)(digestOf(c.ctx, fresh))).To(Equal(must[string](c)(digestOf(c.ctx, c.Daemons[0]))))
@@ -230,8 +230,8 @@
 // it was, with old reads and watches still under way. It must end up at the
 // recall's revision and never put one of those in between over a later one.
 func TestAFrozenVMCatchesUp(t *testing.T) {
-	c := start(t, shape{Daemons: 3})
-	first, second := c.version("one"), c.version("two")
+	c := start(t, clusterConfig{Daemons: 3})
+	first, second := c.pushSignedBundle("one"), c.pushSignedBundle("two")
 	stop := c.watchRevisions()
 	person := c.ctl(fleet.Signer)
 	c.ok(c.Daemons[0].Pause())
@@ -244,7 +244,7 @@
 	c.Expect(f.Code).To(Equal(result.Lagging))
 	c.Expect(f.Detail).To(ContainSubstring("vm-0 (no answer)"))
 	c.ok(c.Daemons[0].Resume())
-	c.inForceEverywhere(5)
+	c.waitInForceEverywhere(5)
 	c.Expect(must[string](c)(digestOf(c.ctx, c.Daemons[0]))).To(Equal(first))
 	c.Expect(stop()).To(BeEmpty(), "VMs that went back")
 }
@@ -252,9 +252,9 @@
 // Somebody with access to the platform, but no operator's key, writes a head of
 // his own, changes a bundle, or stores what is no head at all. A user would see
 // the fleet serve an unsigned bundle or stop. The old one must stay in force.
-func TestWhatIsNotSignedNeverComesIntoForce(t *testing.T) {
-	c := start(t, shape{Daemons: 2})
-	digest := c.version("one")
+func TestUnsignedHeadNeverComesIntoForce(t *testing.T) {
+	c := start(t, clusterConfig{Daemons: 2})
+	digest := c.pushSignedBundle("one")
 	off := bundle.SignOff{Deployment: deployment, Digest: digest, Person: fleet.Signer, After: 1}
 	signed := rollout.Entry{
 		Deployment: deployment, Revision: 2, Action: rollout.ActionRollout, Digest: digest,
@@ -271,7 +271,7 @@
 		"forged": forged.Bytes(), "without a sign-off": unsigned.Bytes(), "no head": []byte(`{"a":1}`),
 	} {
 		version = must[uint64](c)(store.Put(c.ctx, rollout.KindHead, deployment, version, raw))
-		c.headWasRead()
+		c.waitHeadRead()
 		c.expectRevision(1, name)
 	}
 	must[uint64](c)(store.Put(c.ctx, rollout.KindHead, deployment, version, before.Value))
@@ -279,8 +279,8 @@
 	c.ctl(fleet.Signer).must(&answer, "rollout", digest, "--reason", "rightly signed", "--wait", "30s")
 }
 
-// headWasRead waits until every daemon has read the head as it is now.
-func (c *cluster) headWasRead() {
+// waitHeadRead waits until every daemon has read the head as it is now.
+func (c *cluster) waitHeadRead() {
 	c.t.Helper()
 	// Contact is noted when a read ends, and one that ends a second later has
 	// begun after this moment.
@@ -289,7 +289,7 @@
 		c.Eventually(func() bool {
 			status, err := d.Status(c.ctx)
 			return err == nil && status.PlatformContact.After(written.Add(time.Second))
-		}, limit, "50ms").Should(BeTrue(), d.Name)
+		}, waitTimeout, "50ms").Should(BeTrue(), d.Name)
 	}
 }
 
@@ -307,9 +307,9 @@
 // go back to the bundle before, or rollouts that are accepted and never come
 // into force. VMs must keep what they have, operators must be told, and
 // restore-head must bring the platform up to date.
-func TestTheStoreIsSetBack(t *testing.T) {
-	c := start(t, shape{Daemons: 2})
-	digest := c.version("one")
+func TestStoreRestoredFromOldCopy(t *testing.T) {
+	c := start(t, clusterConfig{Daemons: 2})
+	digest := c.pushSignedBundle("one")
 	person := c.ctl(fleet.Signer)
 	store := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{})
 	before := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
@@ -317,7 +317,7 @@
 	person.must(&answer, "rollout", digest, "--reason", "before the copy", "--wait", "30s")
 	now := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
 	must[uint64](c)(store.Put(c.ctx, rollout.KindHead, deployment, now.Version, before.Value))
-	c.headWasRead()
+	c.waitHeadRead()
 	c.expectRevision(2, "the store was set back")
 
 	f := person.run(&answer, "rollout", digest, "--reason", "on the old copy")
--- a/integration/split_test.go
+++ b/integration/split_test.go
@@ -28,12 +28,12 @@
 				apart = append(apart, group...)
 			}
 		}
-		c.ok(c.PeerProxies[i].SetFaults(faultproxy.Faults{Apart: apart}))
+		c.ok(c.PeerProxies[i].SetFaults(faultproxy.Faults{Partitioned: apart}))
 	}
 }
 
-// join ends a split.
-func (c *cluster) join() {
+// endSplit ends a split.
+func (c *cluster) endSplit() {
 	c.t.Helper()
 	for _, p := range c.PeerProxies {
 		c.ok(p.SetFaults(faultproxy.Faults{}))
@@ -51,7 +51,7 @@
 	}
 }
 
-func names(daemons []*fleet.Daemon) (list []string) {
+func daemonNames(daemons []*fleet.Daemon) (list []string) {
 	for _, d := range daemons {
 		list = append(list, d.Name)
 	}
@@ -68,50 +68,50 @@
 func (c *cluster) waitMetric(daemons []*fleet.Daemon, line string) {
 	c.t.Helper()
 	for _, d := range daemons {
-		c.Eventually(func() string { return c.metrics(d) }, limit, "50ms").Should(gomega.ContainSubstring(line), d.Name)
+		c.Eventually(func() string { return c.metrics(d) }, waitTimeout, "50ms").Should(gomega.ContainSubstring(line), d.Name)
 	}
 }
 
-// waitAnswered waits for so many more whole answers.
-func (l *load) waitAnswered(n int) {
+// waitCompleteAnswers waits for so many more whole answers.
+func (l *load) waitCompleteAnswers(n int) {
 	l.c.t.Helper()
 	before := l.answered(result.Complete)
-	l.c.Eventually(func() int { return l.answered(result.Complete) }, limit, "10ms").
+	l.c.Eventually(func() int { return l.answered(result.Complete) }, waitTimeout, "10ms").
 		Should(gomega.BeNumerically(">=", before+n), "whole answers")
 }
 
-// expectWhole expects that so many more answers are whole and none falls short.
-func (l *load) expectWhole(n int) {
+// expectComplete expects that so many more answers are whole and none falls short.
+func (l *load) expectComplete(n int) {
 	l.c.t.Helper()
-	short := l.short()
-	l.waitAnswered(n)
-	l.c.Expect(l.short()).To(gomega.Equal(short), "answers that fell short; the last:\n%s", l.lastLacking())
+	short := l.incompleteCount()
+	l.waitCompleteAnswers(n)
+	l.c.Expect(l.incompleteCount()).To(gomega.Equal(short), "answers that fell short; the last:\n%s", l.lastIncomplete())
 }
 
-// lastLacking tells what the last answers that fell short were lacking.
-func (l *load) lastLacking() string {
+// lastIncomplete tells what the last answers that fell short were lacking.
+func (l *load) lastIncomplete() string {
 	const shown = 8
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Join(l.lacking[max(len(l.lacking)-shown, 0):], "\n")
+	return strings.Join(l.incomplete[max(len(l.incomplete)-shown, 0):], "\n")
 }
 
-// waitWhole waits until so many answers in a row are whole, and expects it to
+// waitCompleteInRow waits until so many answers in a row are whole, and expects it to
 // stay so for as many again.
-func (l *load) waitWhole(n int) {
+func (l *load) waitCompleteInRow(n int) {
 	l.c.t.Helper()
 	l.c.Eventually(func() bool {
-		short := l.short()
-		l.waitAnswered(n)
-		return l.short() == short
-	}, limit, "10ms").Should(gomega.BeTrue(), func() string {
-		return fmt.Sprintf("%d whole answers in a row; what fell short last:\n%s", n, l.lastLacking())
+		short := l.incompleteCount()
+		l.waitCompleteAnswers(n)
+		return l.incompleteCount() == short
+	}, waitTimeout, "10ms").Should(gomega.BeTrue(), func() string {
+		return fmt.Sprintf("%d whole answers in a row; what fell short last:\n%s", n, l.lastIncomplete())
 	})
-	l.expectWhole(n)
+	l.expectComplete(n)
 }
 
-// short counts the answers that were not whole so far.
-func (l *load) short() int {
+// incompleteCount counts the answers that were not whole so far.
+func (l *load) incompleteCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -135,9 +135,9 @@
 	s := fewConnections(daemons, daemons, connections)
 	s.ProxyPeers, s.ProxyPlatform = true, true
 	c := start(t, s)
-	c.Eventually(c.places, limit, "50ms").Should(gomega.HaveLen(daemons))
+	c.Eventually(c.placeHolders, waitTimeout, "50ms").Should(gomega.HaveLen(daemons))
 	with, without := c.Daemons[:daemons/2], c.Daemons[daemons/2:]
-	next := c.version("next")
+	next := c.pushSignedBundle("next")
 	stop := c.watchRevisions()
 
 	loads := []*load{
@@ -146,13 +146,13 @@
 	}
 	c.waitLive(c.Daemons, daemons)
 	const outsider = "member" // of cluster.member
-	c.split(append(names(with), outsider), names(without))
+	c.split(append(daemonNames(with), outsider), daemonNames(without))
 	c.cutOffPlatform(without, true)
 	began := time.Now()
 	c.waitLive(c.Daemons, daemons/2)
-	t.Logf("%v until each half counted the other out; %d and %d answers fell short", time.Since(began), loads[0].short(), loads[1].short())
+	t.Logf("%v until each half counted the other out; %d and %d answers fell short", time.Since(began), loads[0].incompleteCount(), loads[1].incompleteCount())
 	for _, l := range loads {
-		l.waitWhole(200)
+		l.waitCompleteInRow(200)
 		c.Expect(l.stop()).To(gomega.BeEmpty())
 	}
 
@@ -163,7 +163,7 @@
 	}
 	leaving := c.Targets[0]
 	drain := peer.Drain{Target: leaving.Name, Incarnation: must[targetsim.Counters](c)(leaving.Counters()).Incarnation}
-	member := c.member()
+	member := c.joinExchange()
 	member.LearnDrain(drain)
 	c.waitMetric(with, "bramley_peer_drains 1\n")
 	for _, d := range without {
@@ -175,7 +175,7 @@
 
 	c.ok(member.Stop(c.ctx))
 
-	c.join()
+	c.endSplit()
 	began = time.Now()
 	for _, d := range without {
 		c.waitInForce(d, answer.Revision)
@@ -183,19 +183,19 @@
 	c.waitMetric(without, "bramley_peer_drains 1\n")
 	t.Logf("%v from the join until the cut off half had the bundle and the drain, without the platform", time.Since(began))
 	c.waitLive(c.Daemons, daemons)
-	time.Sleep(toApply)
-	before := c.offered(leaving)
-	c.searchAt(without)
-	c.Expect(c.offered(leaving)).To(gomega.Equal(before), "work for a target that left")
+	time.Sleep(drainApplyTime)
+	before := c.requestsReceived(leaving)
+	c.searchVia(without)
+	c.Expect(c.requestsReceived(leaving)).To(gomega.Equal(before), "work for a target that left")
 	c.cutOffPlatform(without, false)
-	c.searchAt(c.Daemons)
+	c.searchVia(c.Daemons)
 	c.Expect(stop()).To(gomega.BeEmpty(), "VMs that went back")
 	c.expectWithinLimit(connections)
 }
 
-// searchAt sends some searches to each of the daemons, each of which must be
+// searchVia sends some searches to each of the daemons, each of which must be
 // answered whole.
-func (c *cluster) searchAt(daemons []*fleet.Daemon) {
+func (c *cluster) searchVia(daemons []*fleet.Daemon) {
 	c.t.Helper()
 	for _, d := range daemons {
 		for range 5 {
--- a/integration/stopped_operator_test.go
+++ b/integration/stopped_operator_test.go
@@ -22,8 +22,8 @@
 func TestOperatorStoppedAtEachWrite(t *testing.T) {
 	t.Parallel()                 // it waits for most of its time
 	const slowMS, writes = 50, 2 // the entry before the head, and the head
-	c := start(t, shape{Daemons: 2})
-	first, second := c.version("one"), c.version("two")
+	c := start(t, clusterConfig{Daemons: 2})
+	first, second := c.pushSignedBundle("one"), c.pushSignedBundle("two")
 	c.ok(c.Platform.SetFaults(platformsim.Faults{SlowMS: slowMS}))
 	stop := c.watchRevisions()
 	for write := 1; write <= writes; write++ {
@@ -31,8 +31,8 @@
 		puts := func() int { return must[platformsim.Counters](c)(c.Platform.Counters()).Put }
 		before := puts()
 		var between operator.ChangeOutput
-		stopped.started = func(p *os.Process) {
-			c.Eventually(puts, limit, "1ms").Should(gomega.Equal(before + write))
+		stopped.onStart = func(p *os.Process) {
+			c.Eventually(puts, waitTimeout, "1ms").Should(gomega.Equal(before + write))
 			_ = p.Signal(syscall.SIGSTOP)
 			other.must(&between, "rollout", second, "--reason", "meanwhile")
 			_ = p.Signal(syscall.SIGCONT)
@@ -55,6 +55,6 @@
 	var audit operator.AuditOutput
 	c.ctl(fleet.Signer).must(&audit, "audit")
 	c.Expect(audit.Rows).To(gomega.HaveLen(int(audit.Head)), "a gap in the trail")
-	c.inForceEverywhere(audit.Head)
+	c.waitInForceEverywhere(audit.Head)
 	c.Expect(stop()).To(gomega.BeEmpty(), "VMs that went back")
 }
--- a/integration/target_test.go
+++ b/integration/target_test.go
@@ -17,12 +17,12 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// soonAgain is within how long answers must be whole again after a fault that
+// recoveryTimeout is within how long answers must be whole again after a fault that
 // leaves the targets themselves unharmed. It is far above what is measured.
-const soonAgain = 10 * time.Second
+const recoveryTimeout = 10 * time.Second
 
-// becomesWhole waits until answers of the daemon are whole, n in a row.
-func (c *cluster) becomesWhole(d *fleet.Daemon, n int) {
+// waitCompleteInRow waits until answers of the daemon are whole, n in a row.
+func (c *cluster) waitCompleteInRow(d *fleet.Daemon, n int) {
 	c.t.Helper()
 	body := gateway.SearchBody{Query: "well", TimeLimitMS: 500}
 	row := 0
@@ -34,13 +34,13 @@
 			row = 0
 		}
 		return row
-	}, soonAgain, "10ms").Should(gomega.Equal(n), d.Name)
+	}, recoveryTimeout, "10ms").Should(gomega.Equal(n), d.Name)
 	a, _, err := d.Search(c.ctx, findSearch, searchBody("well"))
 	c.ok(err)
 	c.expectTruth(a, c.Index, target.KindSearch, searchBody("well"))
 }
 
-func (c *cluster) healTargets() {
+func (c *cluster) clearTargetFaults() {
 	c.t.Helper()
 	for _, tg := range c.Targets {
 		c.ok(tg.SetFaults(targetsim.Faults{}))
@@ -52,13 +52,13 @@
 // sent on them is lost, without FIN or RST, while new connections work. Each
 // shard has one replica here, so that no hedge can hide a silent target.
 func TestSilentConnectionsToTargets(t *testing.T) {
-	c := start(t, shape{Targets: 2, Replicas: 1, ProxyTargets: true})
+	c := start(t, clusterConfig{Targets: 2, Replicas: 1, ProxyTargets: true})
 	for range 2 {
 		for _, p := range c.TargetProxies {
 			c.ok(p.Silence())
 		}
 		for _, d := range c.Daemons {
-			c.becomesWhole(d, 10)
+			c.waitCompleteInRow(d, 10)
 		}
 	}
 }
@@ -68,9 +68,9 @@
 // callers ask for different things. Each must get its own answer, whole, or be
 // told that it is not.
 func TestCrossedLateAndDuplicateAnswers(t *testing.T) {
-	c := start(t, shape{Targets: 3, Replicas: 2, Shards: 6})
+	c := start(t, clusterConfig{Targets: 3, Replicas: 2, Shards: 6})
 	for i, faults := range []targetsim.Faults{
-		{CrossedAnswers: 60},
+		{MismatchedAnswers: 60},
 		{DuplicateAnswers: 60},
 		{LateAnswers: 60, LateMS: 400},
 	} {
@@ -111,10 +111,10 @@
 	for err := range failed {
 		c.Expect(err).NotTo(gomega.HaveOccurred())
 	}
-	c.healTargets()
+	c.clearTargetFaults()
 	for _, d := range c.Daemons {
 		c.Expect(d.Log()).To(gomega.ContainSubstring("another request's answer"))
-		c.becomesWhole(d, 10)
+		c.waitCompleteInRow(d, 10)
 	}
 }
 
@@ -124,9 +124,9 @@
 // a VM's share, and the target counts whatever comes beyond it.
 func TestConnectionLimitOfTargets(t *testing.T) {
 	const perTarget = 6
-	c := start(t, shape{
+	c := start(t, clusterConfig{
 		Daemons: 2,
-		Target:  func(_ int, o *targetsim.Options) { o.Connections = perTarget },
+		Target:  func(_ int, o *targetsim.Options) { o.MaxConnections = perTarget },
 		Bundle: func(b *bundle.Bundle) {
 			b.Fleet.MaxVMs = 2
 			for i := range b.Services[0].Targets {
@@ -134,7 +134,7 @@
 			}
 		},
 	})
-	crossed := targetsim.Faults{CrossedAnswers: 200}
+	crossed := targetsim.Faults{MismatchedAnswers: 200}
 	for _, tg := range c.Targets {
 		c.ok(tg.SetFaults(crossed))
 	}
@@ -153,9 +153,9 @@
 	c.startDaemon(1)
 	c.Daemons = []*fleet.Daemon{c.Daemons[0], c.Daemons[2]}
 	c.listVMs()
-	c.healTargets()
+	c.clearTargetFaults()
 	for _, d := range c.Daemons {
-		c.becomesWhole(d, 3)
+		c.waitCompleteInRow(d, 3)
 	}
 	for _, tg := range c.Targets {
 		counts := must[targetsim.Counters](c)(tg.Counters()).Connections
--- a/integration/zone_test.go
+++ b/integration/zone_test.go
@@ -34,7 +34,7 @@
 		o.IdleMS = 1000 // the target's end of a silent connection counts against its limit
 	}
 	c := start(t, s)
-	c.Eventually(c.places, limit, "50ms").Should(gomega.HaveLen(zoneDaemons))
+	c.Eventually(c.placeHolders, waitTimeout, "50ms").Should(gomega.HaveLen(zoneDaemons))
 	c.waitLive(c.Daemons, zoneDaemons)
 	return c
 }
@@ -42,7 +42,7 @@
 // inZone returns the daemons of a zone, and the others.
 func (c *cluster) inZone(zone int) (in, out []*fleet.Daemon) {
 	for _, d := range c.Daemons {
-		if d.Zone == zoneOf(zone) {
+		if d.Zone == zoneName(zone) {
 			in = append(in, d)
 		} else {
 			out = append(out, d)
@@ -83,7 +83,7 @@
 		c.Targets[i] = must[*fleet.Target](c)(c.StartTarget(o))
 	}
 	for i, d := range c.Daemons {
-		if d.Zone == zoneOf(zone) {
+		if d.Zone == zoneName(zone) {
 			c.Daemons[i] = must[*fleet.Daemon](c)(c.RestartDaemon(d))
 		}
 	}
@@ -95,9 +95,9 @@
 	c.t.Helper()
 	in, out := c.inZone(zone)
 	if cut {
-		c.split(names(in), names(out))
+		c.split(daemonNames(in), daemonNames(out))
 	} else {
-		c.join()
+		c.endSplit()
 	}
 	c.cutOffPlatform(in, cut)
 	for i := zone; i < len(c.Targets); i += zones {
@@ -123,21 +123,21 @@
 	c.t.Helper()
 	in, out := c.inZone(zone)
 	l := c.startLoadOn(out, 1, 0, truthOf(c.Index).check)
-	l.waitAnswered(50)
+	l.waitCompleteAnswers(50)
 	began := time.Now()
 	o.lose(c, zone)
 	c.waitLive(out, len(out))
-	c.t.Logf("%s: %v until the lost VMs were counted out, %d answers fell short", o.name, time.Since(began), l.short())
+	c.t.Logf("%s: %v until the lost VMs were counted out, %d answers fell short", o.name, time.Since(began), l.incompleteCount())
 
-	l.waitWhole(200)
+	l.waitCompleteInRow(200)
 	o.restore(c, zone)
 	for _, d := range c.Daemons {
 		c.waitInForce(d, 1)
-		c.waitWhole(d)
+		c.waitComplete(d)
 	}
 	c.waitLive(c.Daemons, len(in)+len(out))
 	c.expectWorkFor(zone)
-	l.waitWhole(200)
+	l.waitCompleteInRow(200)
 	faults := l.stop()
 	c.Expect(faults).To(gomega.BeEmpty())
 }
@@ -149,7 +149,7 @@
 		target := c.Targets[i]
 		searches := func() int { return must[targetsim.Counters](c)(target.Counters()).Searches }
 		before := searches()
-		c.Eventually(searches, limit, "50ms").Should(gomega.BeNumerically(">", before), target.Name)
+		c.Eventually(searches, waitTimeout, "50ms").Should(gomega.BeNumerically(">", before), target.Name)
 	}
 }
 
@@ -172,7 +172,7 @@
 	c.t.Helper()
 	o, zone := outages[rng.IntN(len(outages))], rng.IntN(zones)
 	platformFirst := rng.IntN(2) == 0
-	c.t.Logf("%s: %s, platform first: %v", o.name, zoneOf(zone), platformFirst)
+	c.t.Logf("%s: %s, platform first: %v", o.name, zoneName(zone), platformFirst)
 	down := func() { c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true})) }
 	both := o
 	both.lose = func(c *cluster, zone int) {
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -19,22 +19,22 @@
 // callers send requests and check what they get. They keep using open connections until
 // the process at the other end is gone.
 type callers struct {
-	site *site
+	deployment *deployment
 
-	mu      sync.Mutex // guards the fields below
-	faults  []string   // promises that were broken
-	reports map[string]int
-	served  int
+	mu         sync.Mutex // guards the fields below
+	violations []string   // promises that were broken
+	reports    map[string]int
+	served     int
 }
 
 // Requests of a caller's reports that must run once, by the status they were answered:
 // 0 for none.
 const noAnswer = 0
 
-func (c *callers) broken(format string, args ...any) {
+func (c *callers) addViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.faults = append(c.faults, fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 // run sends requests until ctx ends.
@@ -43,7 +43,7 @@
 	client := newClient()
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%02d-%012d", number, n)
-		v := c.site.vms[rng.IntN(len(c.site.vms))]
+		v := c.deployment.vms[rng.IntN(len(c.deployment.vms))]
 		c.send(client, v, id, rng.IntN(3))
 		time.Sleep(time.Duration(5+rng.IntN(20)) * time.Millisecond)
 	}
@@ -58,7 +58,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+v.set.Listen.Callers+path, strings.NewReader("report"))
 	if err != nil {
-		c.broken("%s: %v", id, err)
+		c.addViolation("%s: %v", id, err)
 		return
 	}
 	req.GetBody = nil // the client must not send a report again by itself
@@ -100,9 +100,9 @@
 
 func (c *callers) checkSingle(id string, header http.Header, body []byte) {
 	receipt := header.Get("Bramleybarrow-Response-Stamp")
-	l := c.site.leafs[strings.TrimSuffix(receipt, "."+id)]
+	l := c.deployment.leafs[strings.TrimSuffix(receipt, "."+id)]
 	if l == nil || !bytes.Equal(body, l.Answer(id)) {
-		c.broken("%s: an answer that is no leaf's: receipt %q, %d bytes", id, receipt, len(body))
+		c.addViolation("%s: an answer that is no leaf's: receipt %q, %d bytes", id, receipt, len(body))
 	}
 }
 
@@ -112,20 +112,20 @@
 	seen := make(map[string]bool)
 	var records [][]byte
 	for _, receipt := range strings.Split(header.Get("Bramleybarrow-Part-Stamps"), ", ") {
-		l := c.site.leafs[strings.TrimSuffix(receipt, "."+id)]
+		l := c.deployment.leafs[strings.TrimSuffix(receipt, "."+id)]
 		if l == nil || seen[l.Service] {
-			c.broken("%s: receipt %q is of no leaf, or of a shard that is in already", id, receipt)
+			c.addViolation("%s: receipt %q is of no leaf, or of a shard that is in already", id, receipt)
 			return
 		}
 		seen[l.Service] = true
 		records = append(records, recordsOf(l, id)...)
 	}
 	if missing := header.Get("Bramleybarrow-Missing-Parts"); missing != fmt.Sprint(shardCount-len(seen)) {
-		c.broken("%s: %s parts are said to be missing, %d are in", id, missing, len(seen))
+		c.addViolation("%s: %s parts are said to be missing, %d are in", id, missing, len(seen))
 	}
 	sort.Slice(records, func(i, j int) bool { return bytes.Compare(records[i], records[j]) > 0 })
 	if !bytes.Equal(body, bytes.Join(records[:min(5, len(records))], nil)) {
-		c.broken("%s: the records are not the greatest of the parts named", id)
+		c.addViolation("%s: the records are not the greatest of the parts named", id)
 	}
 }
 
@@ -142,15 +142,15 @@
 func (c *callers) checkReports() {
 	for id, status := range c.reports {
 		runs := 0
-		for _, l := range c.site.leafs {
+		for _, l := range c.deployment.leafs {
 			_, n := l.Counts(id)
 			runs += n
 		}
 		if runs > 1 {
-			c.broken("%s: a report ran %d times", id, runs)
+			c.addViolation("%s: a report ran %d times", id, runs)
 		}
 		if runs > 0 && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
-			c.broken("%s: a report ran, and its caller was told %d", id, status)
+			c.addViolation("%s: a report ran, and its caller was told %d", id, status)
 		}
 	}
 }
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -25,8 +25,8 @@
 
 var zones = []string{"a", "b"}
 
-// site is a store, leafs and VMs, the VMs as processes of their own.
-type site struct {
+// deployment is a store, leafs and VMs, the VMs as processes of their own.
+type deployment struct {
 	t      *testing.T
 	binary string
 	dir    string
@@ -39,15 +39,15 @@
 type vm struct {
 	set  *edge.Settings
 	file string
-	door *edgesim.Door
+	door *edgesim.StoreProxy
 
 	mu      sync.Mutex // guards process
 	process *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{}
 }
 
-func newSite(t *testing.T, binary string) *site {
-	s := &site{t: t, binary: binary, dir: t.TempDir(), store: edgesim.NewStore(20), leafs: make(map[string]*edgesim.Leaf)}
+func newDeployment(t *testing.T, binary string) *deployment {
+	s := &deployment{t: t, binary: binary, dir: t.TempDir(), store: edgesim.NewStore(20), leafs: make(map[string]*edgesim.Leaf)}
 	t.Cleanup(s.close)
 	var shards []string
 	for i := range shardCount {
@@ -69,7 +69,7 @@
 	return s
 }
 
-func (s *site) close() {
+func (s *deployment) close() {
 	for _, v := range s.vms {
 		v.kill()
 		v.door.Close()
@@ -80,13 +80,13 @@
 	s.store.Close()
 }
 
-func (s *site) leaf(id, service, zone string) {
+func (s *deployment) leaf(id, service, zone string) {
 	l := (&edgesim.Leaf{ID: id, Service: service, Zone: zone, Born: time.Now().UnixMilli()}).Start()
 	s.leafs[id] = l
-	s.store.Put("servers", id, l.Entry("ready"))
+	s.store.Put("servers", id, l.RegistryEntry("ready"))
 }
 
-func (s *site) manifest(version int, shards []string) {
+func (s *deployment) manifest(version int, shards []string) {
 	s.store.Put("config", "main", fmt.Sprintf(`{"version":%d,"routes":[
 	{"name":"all","host":"h.example","path-prefix":"/all/","kind":"idempotent","timeout-ms":800,"target-latency-ms":200,"priority":1,"gather":["%s"],"max-attempts":2,"top-k":5,"min-share":0.5},
 	{"name":"one","host":"h.example","path-prefix":"/one/","kind":"idempotent","timeout-ms":800,"target-latency-ms":200,"priority":1,"service":"ledger","max-attempts":2},
@@ -94,8 +94,8 @@
 	"services":[{"name":"ledger","max-connections":100}],"limits":{"max-body-bytes":262144}}`, version, strings.Join(shards, `","`)))
 }
 
-func (s *site) addVM(name, zone string) {
-	door := edgesim.NewDoor(s.store.Address())
+func (s *deployment) addVM(name, zone string) {
+	door := edgesim.NewStoreProxy(s.store.Address())
 	v := &vm{door: door, file: filepath.Join(s.dir, name+".json"), set: &edge.Settings{
 		Name: name, Zone: zone, Store: door.Address(), GraceS: 1, Power: 1, MemoryMB: 256, LogLevel: "warn",
 		Listen: edge.ListenSettings{Callers: s.address(), Ready: s.address(), VMs: s.address(), Metrics: s.address()},
@@ -113,7 +113,7 @@
 	v.start(s)
 }
 
-func (s *site) address() string {
+func (s *deployment) address() string {
 	address, err := edgesim.FreeAddress()
 	if err != nil {
 		s.t.Fatal(err)
@@ -122,7 +122,7 @@
 }
 
 // start runs a process of the VM.
-func (v *vm) start(s *site) {
+func (v *vm) start(s *deployment) {
 	cmd := exec.Command(s.binary, "edge", v.file)
 	out, err := os.OpenFile(v.file+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -142,7 +142,7 @@
 		close(ended)
 	}()
 	v.mu.Lock()
-	v.process, v.ended = cmd, ended
+	v.process, v.exited = cmd, ended
 	v.mu.Unlock()
 }
 
@@ -154,10 +154,10 @@
 	_ = v.process.Process.Signal(sig)
 }
 
-// awaitEnd waits for the process to end, and kills it after the time given.
-func (v *vm) awaitEnd(within time.Duration) {
+// waitExit waits for the process to end, and kills it after the time given.
+func (v *vm) waitExit(within time.Duration) {
 	v.mu.Lock()
-	ended := v.ended
+	ended := v.exited
 	v.mu.Unlock()
 	select {
 	case <-ended:
@@ -169,11 +169,11 @@
 
 func (v *vm) kill() {
 	v.signal(syscall.SIGKILL)
-	v.awaitEnd(time.Second)
+	v.waitExit(time.Second)
 }
 
-// lastWords returns the end of what the VM's processes wrote.
-func (v *vm) lastWords() string {
+// logTail returns the end of what the VM's processes wrote.
+func (v *vm) logTail() string {
 	const size = 2000
 	data, err := os.ReadFile(v.file + ".log")
 	if err != nil {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -21,10 +21,10 @@
 
 // Lengths of a run.
 const (
-	faultTime   = 6 * time.Second
-	recoverTime = 20 * time.Second // until all VMs are ready and serve again, on a busy machine too
-	callerCount = 6
-	faultLines  = 3 // series of faults that overlap
+	faultDuration   = 6 * time.Second
+	recoveryTimeout = 20 * time.Second // until all VMs are ready and serve again, on a busy machine too
+	callerCount     = 6
+	faultSeries     = 3 // series of faults that overlap
 )
 
 func seeds(t *testing.T) []uint64 {
@@ -59,45 +59,45 @@
 }
 
 func soak(t *testing.T, binary string, seed uint64) {
-	s := newSite(t, binary)
-	s.awaitServing(t)
-	c := &callers{site: s, reports: make(map[string]int)}
-	ctx, stop := context.WithTimeout(context.Background(), faultTime)
+	s := newDeployment(t, binary)
+	s.waitServing(t)
+	c := &callers{deployment: s, reports: make(map[string]int)}
+	ctx, stop := context.WithTimeout(context.Background(), faultDuration)
 	defer stop()
 	var all sync.WaitGroup
 	for number := range callerCount {
 		all.Go(func() { c.run(ctx, number, seed) })
 	}
 	// Each VM and each leaf belongs to one series, so that two never undo each other.
-	for line := range faultLines {
-		all.Go(func() { s.harm(ctx, line, rand.New(rand.NewPCG(seed, uint64(100+line)))) })
+	for line := range faultSeries {
+		all.Go(func() { s.injectFaults(ctx, line, rand.New(rand.NewPCG(seed, uint64(100+line)))) })
 	}
 	all.Wait()
-	s.heal()
-	s.awaitServing(t)
+	s.clearFaults()
+	s.waitServing(t)
 	c.checkReports()
-	for _, fault := range c.faults {
+	for _, fault := range c.violations {
 		t.Error(fault)
 	}
 	t.Logf("%d answers, %d reports", c.served, len(c.reports))
 }
 
-// harm plays one series of faults: at VMs, at leafs, or at the store.
-func (s *site) harm(ctx context.Context, line int, rng *rand.Rand) {
+// injectFaults plays one series of faults: at VMs, at leafs, or at the store.
+func (s *deployment) injectFaults(ctx context.Context, line int, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(50+rng.IntN(300)) * time.Millisecond)
 		switch line {
 		case 0:
-			s.harmVM(s.vms[rng.IntN(len(s.vms))], rng)
+			s.injectVMFault(s.vms[rng.IntN(len(s.vms))], rng)
 		case 1:
-			s.harmLeaf(rng)
+			s.injectLeafFault(rng)
 		default:
-			s.harmStore(rng)
+			s.injectStoreFault(rng)
 		}
 	}
 }
 
-func (s *site) harmVM(v *vm, rng *rand.Rand) {
+func (s *deployment) injectVMFault(v *vm, rng *rand.Rand) {
 	pause := time.Duration(100+rng.IntN(900)) * time.Millisecond
 	switch rng.IntN(4) {
 	case 0:
@@ -110,19 +110,19 @@
 	case 2:
 		v.signal(syscall.SIGTERM)
 		v.signal(syscall.SIGHUP)
-		v.awaitEnd(2 * time.Second)
+		v.waitExit(2 * time.Second)
 		v.start(s)
 	default:
-		v.door.Shut(503)
+		v.door.Reject(503)
 		time.Sleep(pause)
-		v.door.Shut(0)
+		v.door.Reject(0)
 	}
 }
 
-func (s *site) harmLeaf(rng *rand.Rand) {
+func (s *deployment) injectLeafFault(rng *rand.Rand) {
 	faults := []edgesim.LeafFaults{
-		{Delay: 150 * time.Millisecond}, {Refuse: true}, {Fail: true}, {Lose: true}, {Cut: true},
-		{NoLength: true}, {Extra: true}, {NoReceipt: true}, {Silent: true},
+		{Delay: 150 * time.Millisecond}, {Refuse: true}, {Fail: true}, {LoseAnswers: true}, {TruncateBody: true},
+		{NoContentLength: true}, {ExtraAnswer: true}, {NoReceipt: true}, {Silent: true},
 	}
 	id := "ledger-" + zones[rng.IntN(len(zones))]
 	if rng.IntN(2) == 0 {
@@ -131,17 +131,17 @@
 	l := s.leafs[id]
 	l.SetFaults(faults[rng.IntN(len(faults))])
 	if rng.IntN(3) == 0 {
-		s.store.Put("servers", id, l.Entry("draining"))
+		s.store.Put("servers", id, l.RegistryEntry("draining"))
 	}
 	time.Sleep(time.Duration(200+rng.IntN(600)) * time.Millisecond)
 	l.SetFaults(edgesim.LeafFaults{})
-	s.store.Put("servers", id, l.Entry("ready"))
+	s.store.Put("servers", id, l.RegistryEntry("ready"))
 }
 
-func (s *site) harmStore(rng *rand.Rand) {
+func (s *deployment) injectStoreFault(rng *rand.Rand) {
 	faults := []edgesim.StoreFaults{
 		{Status: 503}, {Status: 429}, {Silent: true}, {SilentWatches: true},
-		{Delay: 200 * time.Millisecond}, {LoseAnswers: true}, {OldListings: true},
+		{Delay: 200 * time.Millisecond}, {LoseAnswers: true}, {StaleListings: true},
 	}
 	s.store.SetFaults(faults[rng.IntN(len(faults))])
 	time.Sleep(time.Duration(200+rng.IntN(800)) * time.Millisecond)
@@ -151,34 +151,34 @@
 	}
 }
 
-// heal ends whatever may still be wrong.
-func (s *site) heal() {
+// clearFaults ends whatever may still be wrong.
+func (s *deployment) clearFaults() {
 	s.store.SetFaults(edgesim.StoreFaults{})
 	for id, l := range s.leafs {
 		l.SetFaults(edgesim.LeafFaults{})
-		s.store.Put("servers", id, l.Entry("ready"))
+		s.store.Put("servers", id, l.RegistryEntry("ready"))
 	}
 	for _, v := range s.vms {
-		v.door.Shut(0)
+		v.door.Reject(0)
 		v.signal(syscall.SIGCONT)
 	}
 }
 
-// awaitServing waits until each VM is ready and serves each kind of request.
-func (s *site) awaitServing(t *testing.T) {
-	deadline := time.Now().Add(recoverTime)
+// waitServing waits until each VM is ready and serves each kind of request.
+func (s *deployment) waitServing(t *testing.T) {
+	deadline := time.Now().Add(recoveryTimeout)
 	for _, v := range s.vms {
 		for n := 0; !v.ready() || !s.serves(v, n); n++ {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s does not serve; it wrote last:\n%s", v.set.Name, v.lastWords())
+				t.Fatalf("%s does not serve; it wrote last:\n%s", v.set.Name, v.logTail())
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 }
 
-func (s *site) serves(v *vm, n int) bool {
-	probe := &callers{site: s, reports: make(map[string]int)}
+func (s *deployment) serves(v *vm, n int) bool {
+	probe := &callers{deployment: s, reports: make(map[string]int)}
 	for kind := range 3 {
 		client := newClient()
 		probe.send(client, v, "probe-"+v.set.Name+"-"+strconv.Itoa(n)+"-"+strconv.Itoa(kind), kind)
