--- a/internal/lab/bench/deployment.go
+++ b/internal/lab/bench/deployment.go
@@ -16,10 +16,11 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// readyTimeout bounds the wait until all daemons read every shard.
+// readyTimeout bounds the wait until all daemons return complete answers.
 const readyTimeout = 60 * time.Second
 
-// deployment is a running Shape.
+// deployment is a running Shape: the platform, the targets, the fault proxies and
+// the daemons.
 type deployment struct {
 	shape    Shape
 	fleet    *fleet.Fleet
@@ -28,16 +29,17 @@
 	expected *expectedAnswers
 }
 
-// serviceTargets is the targets of one service.
+// serviceTargets holds the targets of one service and the index that they serve.
 type serviceTargets struct {
 	Service
 	index           targetsim.Index
 	targets         []*fleet.Target
-	proxies         []*fleet.Proxy                // nil where there is none
-	stoppedCounters map[string]targetsim.Counters // of ended processes, by incarnation
+	proxies         []*fleet.Proxy                // by target; nil for a target without a proxy
+	stoppedCounters map[string]targetsim.Counters // final counters of stopped processes, by incarnation
 }
 
-// startDeployment starts all processes and waits until they serve.
+// startDeployment starts all processes, rolls out a bundle and waits until every
+// daemon returns complete answers. On an error all processes are stopped.
 func startDeployment(ctx context.Context, shape Shape, opts fleet.Options) (*deployment, error) {
 	f, err := fleet.New(opts)
 	if err != nil {
@@ -133,7 +135,7 @@
 	return errors.Trace(d.fleet.Platform().SetVMs(vms, 0))
 }
 
-// callerAddresses returns the addresses that serve callerAddresses.
+// callerAddresses returns the daemons' addresses for callers.
 func (d *deployment) callerAddresses() []string {
 	var out []string
 	for _, daemon := range d.daemons {
@@ -142,8 +144,8 @@
 	return out
 }
 
-// waitComplete waits until each daemon reads every shard of every service twice in
-// a row.
+// waitComplete waits until each daemon has returned two complete answers in a row
+// for every service, for readyTimeout at most.
 func (d *deployment) waitComplete(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -159,7 +161,7 @@
 				}
 				consecutive = 0
 				if ctx.Err() != nil {
-					return errors.Errorf("%s does not read all of %s: codes %v", daemon.Name, g.Name, sample.Codes)
+					return errors.Errorf("%s returns no complete answer for service %s: result codes %v", daemon.Name, g.Name, sample.Codes)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -168,13 +170,15 @@
 	return nil
 }
 
+// probe sends one query to a daemon under the adaptive policy.
 func (d *deployment) probe(ctx context.Context, l *loader, daemon string, svc Service) *Sample {
 	s := stream{service: svc, sample: newSample()}
 	l.sendQuery(ctx, s, adaptivePolicy, daemon, 0, time.Now())
 	return s.sample
 }
 
-// restartTarget starts an ended target again at its address.
+// restartTarget starts a stopped target again at its old address with its part of
+// the current index. It is cold for coldMS.
 func (d *deployment) restartTarget(g *serviceTargets, i int, coldMS int) error {
 	opts := g.targets[i].Options
 	opts.Listen = g.targets[i].Address
@@ -190,15 +194,15 @@
 	return nil
 }
 
-// usage is what the targets of one service have spent so far.
+// usage adds up the counters of one service's targets since their start.
 type usage struct {
-	searches           int
-	connections        int
-	refusedConnections int // connections that targets closed at once
-	peakConnections    int // connections at one target
+	searches           int // leaf calls started
+	connections        int // connections accepted
+	refusedConnections int // connections closed at once because of the target's limit
+	peakConnections    int // the most open connections at one target
 }
 
-// minus returns what was spent since before; peaks stay.
+// minus returns the usage since before. The peak is that of the whole run.
 func (u usage) minus(before usage) usage {
 	return usage{
 		searches: u.searches - before.searches, connections: u.connections - before.connections,
@@ -213,15 +217,16 @@
 	}
 }
 
-// usage adds up counters. Those of a target about to be killed are kept by
-// remember, so that the sum never falls.
+// usage adds up the counters of all processes that the service's targets have had.
+// saveCounters keeps those of a target before it stops, so that the sum never
+// decreases.
 func (g *serviceTargets) usage() usage {
 	var u usage
 	for _, c := range g.stoppedCounters {
 		u.addCounters(c)
 	}
 	for _, t := range g.targets {
-		if c, err := t.Counters(); err == nil { // if it is down, remember kept what it had
+		if c, err := t.Counters(); err == nil { // a stopped target's counters are in stoppedCounters
 			u.addCounters(c)
 		}
 	}
@@ -235,14 +240,14 @@
 	u.peakConnections = max(u.peakConnections, c.Connections.Peak)
 }
 
-// saveCounters keeps the counters of a target that is about to end.
+// saveCounters keeps the counters of a target that is about to stop.
 func (g *serviceTargets) saveCounters(t *fleet.Target) {
 	if c, err := t.Counters(); err == nil {
 		g.stoppedCounters[c.Incarnation] = c
 	}
 }
 
-// daemonCPU is the processor time that the daemons have used.
+// daemonCPU returns the processor time that all daemons together have used.
 func (d *deployment) daemonCPU() (time.Duration, error) {
 	var sum time.Duration
 	for _, daemon := range d.daemons {
@@ -255,8 +260,8 @@
 	return sum, nil
 }
 
-// loadAverage returns the machine's load of the last minute. Other work on the
-// machine shows in every latency.
+// loadAverage returns the machine's load average of the last minute, or "unknown".
+// It is reported because other work on the machine raises every latency.
 func loadAverage() string {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -266,7 +271,7 @@
 	return first
 }
 
-// cpuTime reads the processor time that a process has used.
+// cpuTime returns the user and system time that a process has used.
 func cpuTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -274,7 +279,7 @@
 	}
 	const (
 		afterName  = ") "
-		userField  = 11 // counted after the name
+		userField  = 11 // index of the user time among the fields after the name
 		ticksASec  = 100
 		fieldCount = 13
 	)
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -20,32 +20,32 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Bounds of the load.
+// Bounds of the generated load.
 const (
-	maxInFlight     = 6000 // requests that wait for an answer; beyond, one is dropped and counted
-	distinctQueries = 40   // different query texts
-	itemLimit       = 10   // items asked for
+	maxInFlight     = 6000 // requests without an answer yet; a request beyond these is dropped and counted
+	distinctQueries = 40   // number of different query texts
+	itemLimit       = 10   // items requested per query
 	callTimeout     = 20 * time.Second
 )
 
-// Sample is what a window of load came to. Latencies count from the time at
-// which each request was meant to be sent.
+// Sample holds the results of one or several windows of load on one service.
+// Latencies are measured from the time at which the schedule was to send a
+// request, so they include the delay of a request that was sent late.
 type Sample struct {
-	Sent         int
-	Dropped      int // not sent, since too many were in flight
-	Refused      int // at admission, nothing handed to a target
-	Complete     int
-	InTime       int // whole and within the time limit, as the caller's clock says
-	Wrong        int // complete by its own account, but not what the stand-ins hold
-	Failed       int // no answer at all
-	MinLeafCalls int // leaf calls, one for each shard of each query not refused
-	Coverage     float64
+	Sent         int                     // scheduled requests, including the dropped ones
+	Dropped      int                     // not sent, because maxInFlight requests were in flight
+	Refused      int                     // refused at admission, before any call to a target
+	Complete     int                     // answered with result code Complete
+	InTime       int                     // complete and within the time limit by the caller's clock
+	Wrong        int                     // result code Complete, but not the content of the targets' index
+	Failed       int                     // no answer, or one that could not be decoded
+	MinLeafCalls int                     // one leaf call for each shard of each query not refused
+	Coverage     float64                 // sum of the answers' coverage ratios
 	Latency      *hdrhistogram.Histogram // microseconds, of requests not refused
-	Codes        map[int]int
-	Seconds      float64
+	Codes        map[int]int             // answers by result code
+	Seconds      float64                 // length of the windows
 }
 
-// newSample returns an empty sample.
 func newSample() *Sample {
 	const (
 		longest = int64(60 * time.Second / time.Microsecond)
@@ -71,21 +71,21 @@
 	}
 }
 
-// stream is the load on one service.
+// stream is the load on one service and its results.
 type stream struct {
 	service Service
-	rate    float64 // queries a second
+	rate    float64 // queries per second
 	sample  *Sample
 }
 
-// loader sends queries to the daemons.
+// loader sends queries to the daemons and records the answers.
 type loader struct {
 	client    *http.Client
-	daemons   []string // callers' addresses
+	daemons   []string // addresses for callers
 	timeLimit time.Duration
 	expected  *expectedAnswers
 
-	mu sync.Mutex // guards the samples during a window
+	mu sync.Mutex // guards the streams' samples while queries are in flight
 }
 
 func newLoader(daemons []string, timeLimit time.Duration, expected *expectedAnswers) *loader {
@@ -99,8 +99,9 @@
 	}
 }
 
-// run sends each stream for the time of a window at times drawn from a Poisson
-// process under the seed, and waits for the answers.
+// run sends the queries of all streams for one window and waits for the answers.
+// The arrivals of each stream are a Poisson process drawn with the seed. The load
+// is open-loop: an arrival does not wait for earlier answers.
 func (l *loader) run(ctx context.Context, streams []stream, policy string, window time.Duration, seed uint64) {
 	inFlight := make(chan struct{}, maxInFlight)
 	begin := time.Now()
@@ -113,6 +114,7 @@
 	wg.Wait()
 }
 
+// runStream sends the queries of one stream, each from its own goroutine in wg.
 func (l *loader) runStream(ctx context.Context, s stream, policy string, begin time.Time, window time.Duration,
 	rng *rand.Rand, inFlight chan struct{}, wg *sync.WaitGroup) {
 	sendAt := begin
@@ -136,6 +138,8 @@
 	}
 }
 
+// sendQuery sends one query and adds its result to the stream's sample. The
+// latency counts from the intended time of sending.
 func (l *loader) sendQuery(ctx context.Context, s stream, policy, daemon string, query int, intended time.Time) {
 	svc := s.service
 	text := queryText(query)
@@ -170,18 +174,20 @@
 	})
 }
 
+// update calls f on the sample under the lock.
 func (l *loader) update(s *Sample, f func(*Sample)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(s)
 }
 
-// refused reports whether the daemon turned the query away before any leaf.
+// refused reports whether the daemon refused the query before it called a leaf.
 func refused(answer gateway.Answer) bool {
 	return answer.Code == int(result.Overloaded) || answer.Code == int(result.CannotMeetLimit)
 }
 
-// minLeafCalls is how many leaf calls the query needed at least.
+// minLeafCalls returns the least number of leaf calls that the query needs: one for
+// each shard.
 func minLeafCalls(svc Service, answer gateway.Answer) int {
 	if answer.Coverage != nil {
 		return answer.Coverage.Shards
@@ -214,11 +220,12 @@
 
 func queryText(i int) string { return fmt.Sprintf("well %d", i) }
 
-// expectedAnswers knows what a complete answer holds.
+// expectedAnswers computes the content of complete answers from the targets'
+// indexes. It is safe for concurrent use.
 type expectedAnswers struct {
-	mu      sync.Mutex // guards both maps
-	indexes map[answerKey]targetsim.Index
-	items   map[answerKey][]target.Item
+	mu      sync.Mutex                    // guards both maps
+	indexes map[answerKey]targetsim.Index // with an empty query in the key
+	items   map[answerKey][]target.Item   // cached results of Index.Truth
 }
 
 type answerKey struct{ service, snapshot, query string }
@@ -227,15 +234,15 @@
 	return &expectedAnswers{indexes: map[answerKey]targetsim.Index{}, items: map[answerKey][]target.Item{}}
 }
 
-// addIndex adds a snapshot.
+// addIndex adds the index of one snapshot of a service.
 func (e *expectedAnswers) addIndex(index targetsim.Index) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.indexes[answerKey{index.Service, index.Snapshot, ""}] = index
 }
 
-// matches reports whether a complete answer holds what the stand-ins hold of the
-// snapshot that it names.
+// matches reports whether a complete answer equals the expected answer from the
+// snapshot that it names: number of shards and records, item keys and fields.
 func (e *expectedAnswers) matches(service, query string, answer gateway.Answer) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/bench/load_test.go
+++ b/internal/lab/bench/load_test.go
@@ -10,8 +10,9 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// The bench must not take a wrong answer for a whole one: each change below is
-// something that a faulty daemon could do.
+// A benchmark that counts a wrong answer as complete would hide a fault of the
+// daemon. Each change below is one that a faulty daemon could make to a complete
+// answer, and each must be detected.
 func TestWrongAnswersAreDetected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	svc := Service{Name: "desk"}
@@ -44,6 +45,7 @@
 	}
 }
 
+// One window with an outlier must not decide the median, and no windows give 0.
 func TestMedianOfWindows(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(median([]float64{30, 900, 20})).To(gomega.Equal(30.0))
--- a/internal/lab/bench/phases.go
+++ b/internal/lab/bench/phases.go
@@ -11,24 +11,26 @@
 	"github.com/juju/errors"
 )
 
-// phaseNames are the phases of a query that daemons measure, in order.
+// phaseNames are the phases of a query that daemons measure, in their order.
 var phaseNames = []string{"admission", "held", "attempt"}
 
-// phases is where the time of one service's queries went, as all daemons
-// together measured it under the adaptive policy.
+// phases holds the time that the queries of one service spent in each phase, by the
+// phase's name. It adds up the metrics of all daemons, which measure the phases
+// under the adaptive policy.
 type phases map[string]phaseHistogram
 
-// phaseHistogram is the time of one phase over some queries.
+// phaseHistogram is the distribution of the time that queries spent in one phase.
 type phaseHistogram struct {
 	seconds, count float64
-	buckets        map[float64]float64 // queries that took at most so many seconds
+	buckets        map[float64]float64 // cumulative number of queries by upper bound in seconds
 }
 
-const millisecondsPerSecond = 1e3 // in a second
+const millisecondsPerSecond = 1e3
 
 func (p phaseHistogram) meanMS() float64 { return p.seconds / max(p.count, 1) * millisecondsPerSecond }
 
-// quantileBoundMS returns the upper bound of the bucket with the q-quantile.
+// quantileBoundMS returns the upper bound, in milliseconds, of the bucket that holds
+// the q-quantile, or infinity if no bucket does.
 func (p phaseHistogram) quantileBoundMS(q float64) float64 {
 	for _, bound := range slices.Sorted(maps.Keys(p.buckets)) {
 		if p.buckets[bound] >= q*p.count {
@@ -38,7 +40,7 @@
 	return math.Inf(1)
 }
 
-// plusScaled adds o, times a sign.
+// plusScaled returns the sum of p and other times factor; a factor of -1 subtracts.
 func (p phaseHistogram) plusScaled(other phaseHistogram, factor float64) phaseHistogram {
 	sum := phaseHistogram{
 		seconds: p.seconds + factor*other.seconds, count: p.count + factor*other.count, buckets: map[float64]float64{},
@@ -54,7 +56,8 @@
 	return sum
 }
 
-// readPhases reads what the daemons measured so far.
+// readPhases adds up the phase histograms of a service over all daemons, since
+// their start.
 func (d *deployment) readPhases(service string) (phases, error) {
 	sums := phases{}
 	for _, daemon := range d.daemons {
@@ -69,7 +72,7 @@
 	return sums, nil
 }
 
-// readPhase finds the histogram of one phase among a daemon's metrics.
+// readPhase returns the histogram of one phase from a daemon's metrics.
 func readPhase(values map[string]float64, service, name string) phaseHistogram {
 	const metric = "bramley_query_phase_seconds"
 	labels := fmt.Sprintf("{service=%q,phase=%q", service, name)
@@ -90,7 +93,7 @@
 	return sum
 }
 
-// addDelta counts what was spent between two readings.
+// addDelta adds the difference of two readings.
 func (p phases) addDelta(before, after phases) {
 	for _, name := range phaseNames {
 		p[name] = p[name].plusScaled(after[name], 1).plusScaled(before[name], -1)
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -13,42 +13,43 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/fleet"
 )
 
-// Options of a run.
+// Options configure a run of the benchmark.
 type Options struct {
-	Daemon    string   // path of bramleyd
-	Lab       string   // path of bramley-lab
-	Shapes    []string // names; all if empty
-	Scenarios []string // names; all if empty
-	Window    time.Duration
-	Rounds    int
-	Seed      uint64
-	Slowdown  int // of service times and time limits
-	Out       io.Writer
+	Daemon    string        // path of bramleyd
+	Lab       string        // path of bramley-lab
+	Shapes    []string      // names; all if empty
+	Scenarios []string      // names; all if empty
+	Window    time.Duration // length of one measurement
+	Rounds    int           // windows for each scenario and policy
+	Seed      uint64        // of arrivals and queries
+	Slowdown  int           // factor on service times and time limits; 1 if less
+	Out       io.Writer     // for the tables
 	Progress  io.Writer
 }
 
-// windowPause is the pause after a window, for what it started to end.
+// windowPause is the pause after a window, in which requests that the window
+// started, such as late leaf calls, can complete.
 const windowPause = 1500 * time.Millisecond
 
-// Result is what one policy came to in one scenario.
+// Result holds the results of one policy in one scenario.
 type Result struct {
 	Scenario  string
 	Policy    string
-	Rows      []*Row // by service
-	DaemonCPU time.Duration
-	LoadAvg   string // of the machine, over the last minute, after the last window
+	Rows      []*Row        // by service, in the order of the shape
+	DaemonCPU time.Duration // processor time of all daemons in the windows
+	LoadAvg   string        // load average of the machine over the last minute, after the last window
 }
 
-// Row is one line of the table.
+// Row holds the results of one service in a Result; it is one line of the table.
 type Row struct {
 	Service Service
 	Sample  *Sample
-	P99s    []float64 // of each window, in milliseconds
+	P99s    []float64 // 99th percentile of each window, in milliseconds
 	usage   usage
 	phases  phases
 }
 
-// Run measures each shape and prints its table.
+// Run measures the selected shapes one after another and prints a table for each.
 func Run(ctx context.Context, o Options) error {
 	fmt.Fprintf(o.Out, "%d processors, %s; windows of %v, %d rounds for each policy in turn, seed %d, service time %d ms\n",
 		runtime.NumCPU(), runtime.Version(), o.Window, o.Rounds, o.Seed, baseServiceMS*max(o.Slowdown, 1))
@@ -88,7 +89,7 @@
 	defer d.close()
 	l := newLoader(d.callerAddresses(), time.Duration(shape.TimeLimitMS)*time.Millisecond, d.expected)
 	defer l.client.CloseIdleConnections()
-	for _, policy := range []string{adaptivePolicy, plainPolicy} { // warm up, not counted
+	for _, policy := range []string{adaptivePolicy, plainPolicy} { // warm-up, not counted
 		l.run(ctx, d.streams(Scenarios[0]), policy, o.Window, o.Seed)
 	}
 	var results []*Result
@@ -106,8 +107,8 @@
 	return results, nil
 }
 
-// comparePolicies runs the policies in turn, each with the same arrivals; who is first
-// changes with each round.
+// comparePolicies runs the policies in turn, each with the same arrivals. The policy
+// that runs first alternates between rounds. The adaptive policy's result is first.
 func comparePolicies(ctx context.Context, o Options, d *deployment, l *loader, s Scenario) ([]*Result, error) {
 	results := []*Result{d.newResult(s.Name, adaptivePolicy), d.newResult(s.Name, plainPolicy)}
 	for round := range o.Rounds {
@@ -129,7 +130,8 @@
 	return r
 }
 
-// measureWindow measures one policy for one measureWindow and adds to its result.
+// measureWindow measures one policy for one window in a scenario and adds to its
+// result. It returns once all daemons return complete answers again.
 func measureWindow(ctx context.Context, o Options, d *deployment, l *loader, s Scenario, r *Result, round int) error {
 	if s.Begin != nil {
 		if err := s.Begin(d); err != nil {
@@ -167,7 +169,7 @@
 	return nil
 }
 
-// runLoad drives the load for one window while the scenario acts.
+// runLoad generates the load of one window while the scenario's During runs.
 func runLoad(ctx context.Context, o Options, d *deployment, l *loader, s Scenario, streams []stream, policy string, round int) error {
 	duringErr := make(chan error, 1)
 	go func() {
@@ -181,7 +183,8 @@
 	return errors.Trace(<-duringErr)
 }
 
-// totals is what has been spent so far, by service in the order of the shape.
+// totals are the counters of the targets and daemons since their start. The slices
+// have one entry per service, in the order of the shape.
 type totals struct {
 	usage     []usage
 	phases    []phases
@@ -214,6 +217,7 @@
 	r.LoadAvg = loadAverage()
 }
 
+// streams returns one stream per service with the scenario's load.
 func (d *deployment) streams(s Scenario) []stream {
 	var out []stream
 	for _, g := range d.groups {
--- a/internal/lab/bench/scenario.go
+++ b/internal/lab/bench/scenario.go
@@ -9,37 +9,40 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/targetsim"
 )
 
-// Scenario is a state of the deployment under which the policies are compared.
+// Scenario is a state of the deployment in which the policies are compared. Its
+// functions may be nil.
 type Scenario struct {
 	Name string
-	// Load is the rate of queries as a part of the capacity.
+	// Load is the rate of queries as a fraction of the capacity.
 	Load float64
-	// ServiceTimeMS is the mean service time if not baseMS.
+	// ServiceTimeMS is the mean service time of a leaf in milliseconds; 0 means
+	// baseServiceMS.
 	ServiceTimeMS float64
-	// Warmup is how long the usual load runs in the state before each window,
-	// uncounted: in life, too, targets are seen at ease before they are overrun.
+	// Warmup is how long the normal load runs in the scenario's state before each
+	// window, without being counted. In production, too, daemons have measured
+	// targets under normal load before an overload begins.
 	Warmup time.Duration
-	// Begin brings the state about before a window.
+	// Begin sets up the state before a window.
 	Begin func(d *deployment) error
-	// During acts while the load runs, and ends within the window.
+	// During runs in parallel to the load and returns within the window.
 	During func(ctx context.Context, d *deployment, window time.Duration, round int) error
-	// End undoes it all after a window.
+	// End restores the healthy state after a window.
 	End func(d *deployment) error
 }
 
-// Stragglers: one leaf call in a hundred takes twenty times as long.
+// Parameters of the scenarios.
 const (
-	stragglerProb     = 0.01
+	stragglerProb     = 0.01 // fraction of leaf calls that take stragglerFactor times as long
 	stragglerFactor   = 20
-	overloadServiceMS = 16 // service time at and above the capacity, which bounds the calls a second
-	busyLoad          = 0.7
-	reportedLoad      = 20 // reported by every other target, which runs far less
+	overloadServiceMS = 16  // service time at and above the capacity; it bounds the calls per second
+	busyLoad          = 0.7 // fraction of the capacity
+	reportedLoad      = 20  // load that every other target reports instead of its much lower one
 	overloadWarmup    = 5 * time.Second
-	restartDivisor    = 4 // one target in so many is restarted in a window
-	extraShards       = 5 // shards more, in every other index switch
+	restartDivisor    = 4 // one in 4 targets is restarted in a window
+	extraShards       = 5 // additional shards of the new index in two of every four switches
 )
 
-// Scenarios lists them in the order of the table.
+// Scenarios are all scenarios in the order of the table.
 var Scenarios = []Scenario{
 	{Name: "healthy", Load: normalLoad},
 	{
@@ -88,13 +91,14 @@
 	return nil
 }
 
+// slowTargets sets the service time of all targets to overloadServiceMS.
 func slowTargets(d *deployment) error {
 	t := d.shape.healthyTiming()
 	t.BaseMS *= overloadServiceMS / baseServiceMS
 	return d.setTiming(t)
 }
 
-// misreportLoad makes every other target show a heavy load and the others none.
+// misreportLoad makes every other target report a heavy load and the others none.
 func misreportLoad(d *deployment) error {
 	for _, g := range d.groups {
 		for i, target := range g.targets {
@@ -120,7 +124,7 @@
 
 func restoreTiming(d *deployment) error { return d.setTiming(d.shape.healthyTiming()) }
 
-// killReplica kills one target a tenth into the window.
+// killReplica kills one target after a tenth of the window.
 func killReplica(ctx context.Context, d *deployment, window time.Duration, _ int) error {
 	sleep(ctx, window/10)
 	g := d.groups[0]
@@ -132,9 +136,9 @@
 
 func restoreReplica(d *deployment) error { return d.restartTarget(d.groups[0], 1, 0) }
 
-// rollingRestart asks a part of the targets, one after another, to leave, and
-// starts each again, cold, when it has ended. It goes through the targets of
-// one availability zone, so that another replica of each shard stays.
+// rollingRestart sends SIGTERM to some of the targets of the first service, one
+// after another, and restarts each one cold once it has exited. All of them are in
+// one availability zone, so that another replica of each shard stays available.
 func rollingRestart(ctx context.Context, d *deployment, window time.Duration, round int) error {
 	g := d.groups[0]
 	deadline := time.Now().Add(window)
@@ -157,8 +161,8 @@
 	return nil
 }
 
-// silenceConnections makes the open connections of the targets behind proxies silent, a
-// tenth into the window.
+// silenceConnections makes the open connections of the targets behind proxies silent
+// after a tenth of the window.
 func silenceConnections(ctx context.Context, d *deployment, window time.Duration, _ int) error {
 	sleep(ctx, window/10)
 	for _, g := range d.groups {
@@ -174,14 +178,14 @@
 	return nil
 }
 
-// switchIndex gives the targets of the first service a new snapshot, one after
-// another, and then takes the old one away in the same way. Every other time
-// the new one has another number of shards.
+// switchIndex adds a new snapshot to the targets of the first service, one target
+// after another, and then removes the old snapshot in the same way. In two of every
+// four switches the new snapshot has another number of shards.
 func switchIndex(ctx context.Context, d *deployment, window time.Duration, _ int) error {
 	g := d.groups[0]
 	seq := int(g.index.Seq) + 1
 	shards := g.Shards
-	if seq%4 >= 2 { // both policies meet each kind of switch
+	if seq%4 >= 2 { // so that both policies are measured under each kind of switch
 		shards += extraShards
 	}
 	next := g.Service.index(seq, shards)
@@ -206,6 +210,7 @@
 	return nil
 }
 
+// sleep returns after d or when ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/bench/shapes.go
+++ b/internal/lab/bench/shapes.go
@@ -1,6 +1,6 @@
-// Package bench measures the query path with real processes in the shapes of
-// the two deployments, under an open-loop load, for the adaptive policy and the
-// plain one in turn.
+// Package bench measures the query path with real processes in the shapes of the
+// two deployments. It generates an open-loop load and compares the adaptive policy
+// with the plain one, which run in turn.
 package bench
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/targetsim"
 )
 
-// Shape is a deployment to measure.
+// Shape describes a deployment to measure.
 type Shape struct {
 	Name        string
 	Zones       []string
@@ -18,12 +18,12 @@
 	TimeLimitMS int
 	Services    []Service
 
-	slowdown int // of service times and time limits, from the options
+	slowdown int // factor on service times and time limits, from the options
 }
 
-// slowed returns the shape with service times and time limits that many times
-// as long. The load falls with it, and with it what a busy machine's own delays
-// add; pauses and intervals of the daemons stay as they are.
+// slowed returns the shape with service times and time limits multiplied by factor.
+// The rate of queries falls in the same proportion, which reduces the share of the
+// delays that a busy machine adds. Pauses and intervals of the daemons stay the same.
 func (s Shape) slowed(factor int) Shape {
 	s.slowdown = factor
 	s.TimeLimitMS *= factor
@@ -35,33 +35,33 @@
 	return targetsim.Timing{BaseMS: baseServiceMS * float64(s.slowdown), ColdFactor: coldFactor}
 }
 
-// Service is one service of a Shape, in the sizes of today.
+// Service is one service of a Shape, in its current size.
 type Service struct {
 	Name          string
 	Targets       int
-	Leaves        int
-	Slots         int
-	Connections   int
-	ConnectCostMS float64
+	Leaves        int     // per target
+	Slots         int     // requests that one leaf runs at once
+	Connections   int     // limit per target
+	ConnectCostMS float64 // of each new connection
 	Shards        int
-	Replicas      int
+	Replicas      int // of each shard
 }
 
-// Fixed choices of the bench.
+// Fixed parameters of the benchmark.
 const (
-	recordsPerIndex = 4000 // of each index
+	recordsPerIndex = 4000
 	baseServiceMS   = 8    // mean service time of a leaf
-	queueLength     = 8    // of a leaf
-	proxyEvery      = 4    // one target in so many is reached through a fault proxy
-	normalLoad      = 0.35 // of the capacity
-	drainMS         = 1000 // a target serves on after SIGTERM
-	coldMS          = 500  // a target is slow after its start
-	idleMS          = 5000 // a target closes an unused connection
+	queueLength     = 8    // requests that wait for a slot of one leaf
+	proxyEvery      = 4    // one in 4 targets is behind a fault proxy
+	normalLoad      = 0.35 // fraction of the capacity
+	drainMS         = 1000 // time for which a target continues to serve after SIGTERM
+	coldMS          = 500  // time for which a restarted target is slow
+	idleMS          = 5000 // time after which a target closes an unused connection
 )
 
-// Shapes are the deployments that can be measured. Of each, the larger of the
-// services with many instances and one of the small ones are run; the others
-// have the same shape.
+// Shapes are the deployments that can be measured. Each one runs the larger of the
+// deployment's services with many instances and one of its small services; the
+// other services have the same shape.
 var Shapes = []Shape{
 	{
 		Name: "vatnsleit", Daemons: 7, TimeLimitMS: 200,
@@ -81,20 +81,22 @@
 	},
 }
 
-// capacity is how many queries a second the service's slots can run.
+// capacity returns the number of queries per second that the service's slots can
+// run with a mean service time of serviceMS.
 func (s Service) capacity(serviceMS float64) float64 {
 	slots := float64(s.Targets * s.Leaves * s.Slots)
 	const second = 1000
 	return slots * second / serviceMS / float64(s.Shards)
 }
 
-// index returns a version of the service's index.
+// index returns the service's index with the given sequence number and shards.
 func (s Service) index(seq, shards int) targetsim.Index {
 	return targetsim.Index{
 		Service: s.Name, Snapshot: fmt.Sprintf("s%d", seq), Seq: int64(seq), Shards: shards, Records: recordsPerIndex,
 	}
 }
 
+// targetOptions returns the options of the service's target i, counted from 0.
 func (s Service) targetOptions(i int, timing targetsim.Timing, holder targetsim.Holder) targetsim.Options {
 	return targetsim.Options{
 		Name: fmt.Sprintf("%s-%02d", s.Name, i+1), Service: s.Name,
@@ -110,9 +112,10 @@
 	plainPolicy    = string(bundle.PolicyPlain)
 )
 
-// searchName is the search of a service under a policy.
+// searchName returns the name of the search of a service under a policy.
 func searchName(service, policy string) string { return service + "-" + policy }
 
+// searches returns the service's searches for the bundle, one per policy.
 func (s Service) searches(timeLimitMS int) []bundle.Search {
 	var out []bundle.Search
 	for _, policy := range []string{adaptivePolicy, plainPolicy} {
--- a/internal/lab/bench/table.go
+++ b/internal/lab/bench/table.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// printTable prints the results, two for each scenario, as Markdown.
+// printTable prints the results as Markdown. Results come in pairs for each
+// scenario: the adaptive policy, then the plain one.
 func printTable(w io.Writer, shape Shape, results []*Result) {
 	fmt.Fprintf(w, "\n### %s: %d daemons, time limit %d ms\n\n", shape.Name, shape.Daemons, shape.TimeLimitMS)
 	for _, s := range shape.Services {
-		fmt.Fprintf(w, "- %s: %d targets with %d leaves of %d slots, %d connections, %g ms for each new one; %d shards with %d replicas\n",
+		fmt.Fprintf(w, "- %s: %d targets with %d leaves of %d slots, %d connections, %g ms for each new connection; %d shards with %d replicas\n",
 			s.Name, s.Targets, s.Leaves, s.Slots, s.Connections, s.ConnectCostMS, s.Shards, s.Replicas)
 	}
-	fmt.Fprint(w, "\n| service | scenario | policy | sent | p50 ms | p99 ms | p99.9 ms | median p99 of windows | its ratio to plain | whole % | mean coverage | leaf calls to minimum | refused % | whole in time/s | connections opened | most, % of limit | over limit |\n")
+	fmt.Fprint(w, "\n| service | scenario | policy | sent | p50 ms | p99 ms | p99.9 ms | median p99 of windows | ratio of median p99 to plain | complete % | mean coverage | leaf calls to minimum | refused % | complete in time/s | connections opened | peak connections, % of limit | connections refused |\n")
 	fmt.Fprint(w, "|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for i := range shape.Services {
 		for k := 0; k+1 < len(results); k += 2 {
@@ -26,7 +27,8 @@
 	printNotes(w, results)
 }
 
-// print prints the row of r, with its ratio to the baseline unless that is nil.
+// print prints the row of r, with the ratio of its median p99 to the baseline's
+// unless baseline is nil.
 func (row *Row) print(w io.Writer, r *Result, baseline *Row) {
 	s := row.Sample
 	ratio := ""
@@ -45,8 +47,9 @@
 		percent*float64(row.usage.peakConnections)/float64(row.Service.Connections), row.usage.refusedConnections)
 }
 
-// median of the windows keeps one in which the machine stalled from deciding
-// the comparison.
+// median returns the median of the windows' values, or 0 without values. It is used
+// so that a single window in which the machine stalled does not decide the
+// comparison.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	if len(sorted) == 0 {
@@ -55,13 +58,14 @@
 	return sorted[len(sorted)/2]
 }
 
+// quantileMS returns the latency at a quantile, given in percent, in milliseconds.
 func (s *Sample) quantileMS(quantile float64) float64 {
 	return float64(s.Latency.ValueAtQuantile(quantile)) / float64(time.Millisecond/time.Microsecond)
 }
 
-// printNotes tells what the table has no column for.
+// printNotes prints the results that have no column in the table.
 func printNotes(w io.Writer, results []*Result) {
-	fmt.Fprintln(w, "\nPercentiles are of requests not refused; whole and refused are of all sent. The most connections at a target are of the whole run so far. Result codes, and where the time of whole answers went in the mean: waiting for admission, held until the last answer's attempt was sent, and in that attempt:")
+	fmt.Fprintln(w, "\nPercentiles are of requests that were not refused; complete and refused are shares of all requests sent. Peak connections are the most at one target in the run so far. Result codes, and the mean time of complete answers by phase: waiting for admission, held until the attempt of the last answer was sent, and in that attempt:")
 	fmt.Fprintln(w)
 	for _, r := range results {
 		searches := 0
