--- a/internal/lab/bench/deployment.go
+++ b/internal/lab/bench/deployment.go
@@ -283,8 +283,8 @@
 		ticksASec  = 100
 		fieldCount = 13
 	)
-	_, rest, _ := strings.Cut(string(data), afterName)
-	fields := strings.Fields(rest)
+	_, afterComm, _ := strings.Cut(string(data), afterName)
+	fields := strings.Fields(afterComm)
 	if len(fields) < fieldCount {
 		return 0, errors.Errorf("/proc/%d/stat has %d fields", pid, len(fields))
 	}
