--- a/cmd/bramley-lab/demo.go
+++ b/cmd/bramley-lab/demo.go
@@ -17,7 +17,7 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// Sizes of the demonstration.
+// Sizes and limits of the demo.
 const (
 	demoTargets  = 4
 	demoLeaves   = 2
@@ -25,17 +25,17 @@
 	demoReplicas = 2
 	demoRecords  = 400
 	demoVMs      = 2
-	demoTimeout  = time.Minute // bounds the start and the answers
-	demoPort     = 8001        // of the first VM's callers; docs/API.md names it
+	demoTimeout  = time.Minute // bounds the start and all requests together
+	demoPort     = 8001        // for callers of the first VM, the next ones follow; docs/API.md refers to it
 )
 
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "start a small deployment as processes, ask it and print its answers",
+		Usage: "start a small deployment as processes, send it requests and print its answers",
 		Flags: []cli.Flag{
 			daemonFlag(),
-			&cli.DurationFlag{Name: "stay", Usage: "keep the deployment for so long after the answers"},
+			&cli.DurationFlag{Name: "stay", Usage: "keep the deployment running for this time after the requests"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			daemon, lab, err := programPaths(cmd)
@@ -47,6 +47,8 @@
 	}
 }
 
+// runDemo starts the deployment, sends the requests, keeps it running for stay and
+// stops it.
 func runDemo(ctx context.Context, daemon, lab string, stay time.Duration) error {
 	dir, err := os.MkdirTemp("", "bramley-demo")
 	if err != nil {
@@ -58,13 +60,13 @@
 		return errors.Trace(err)
 	}
 	defer f.Close()
-	short, cancel := context.WithTimeout(ctx, demoTimeout)
+	demoCtx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
-	daemons, err := startDemo(short, f)
+	daemons, err := startDemo(demoCtx, f)
 	if err != nil {
 		return errors.Annotate(err, f.Logs(5))
 	}
-	if err := queryDemo(short, daemons); err != nil {
+	if err := queryDemo(demoCtx, daemons); err != nil {
 		return errors.Trace(err)
 	}
 	if stay > 0 {
@@ -77,10 +79,10 @@
 	return nil
 }
 
-// startDemo starts the platform, the targets and the daemons, rolls out a
-// bundle and waits until every daemon is ready.
+// startDemo starts the platform, the targets and the daemons, rolls out a bundle and
+// waits until every daemon returns complete answers.
 func startDemo(ctx context.Context, f *fleet.Fleet) ([]*fleet.Daemon, error) {
-	p, err := f.StartPlatform(time.Second)
+	platform, err := f.StartPlatform(time.Second)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -102,7 +104,7 @@
 		daemons = append(daemons, d)
 		vms = append(vms, d.VM())
 	}
-	if err := p.SetVMs(vms, 0); err != nil {
+	if err := platform.SetVMs(vms, 0); err != nil {
 		return nil, errors.Trace(err)
 	}
 	entry, err := f.RollOut(ctx, demoBundle(targets))
@@ -162,7 +164,7 @@
 	}
 }
 
-// waitReady waits until every daemon reads all shards.
+// waitReady waits until every daemon returns an answer from all shards.
 func waitReady(ctx context.Context, daemons []*fleet.Daemon) error {
 	for _, d := range daemons {
 		for {
@@ -180,38 +182,38 @@
 	return nil
 }
 
-// queryDemo sends each kind of request and prints what came back. The same
-// non-idempotent request goes to both daemons; it runs once.
+// queryDemo sends each kind of request to every daemon and prints the answers. The
+// non-idempotent request has the same key for all daemons and runs only once.
 func queryDemo(ctx context.Context, daemons []*fleet.Daemon) error {
 	key := fmt.Sprintf("%d-demo-report", time.Now().Unix())
 	for _, d := range daemons {
-		a, _, err := d.Search(ctx, "licences", gateway.SearchBody{Query: "well", Limit: 3})
+		answer, _, err := d.Search(ctx, "licences", gateway.SearchBody{Query: "well", Limit: 3})
 		if err != nil {
 			return errors.Trace(err)
 		}
-		printAnswer(d, "search licences", &a)
-		if a, _, err = d.Browse(ctx, "register", gateway.SearchBody{Limit: 3}); err != nil {
+		printAnswer(d, "search licences", &answer)
+		if answer, _, err = d.Browse(ctx, "register", gateway.SearchBody{Limit: 3}); err != nil {
 			return errors.Trace(err)
 		}
-		printAnswer(d, "browse register", &a)
-		if a, _, err = d.Submit(ctx, "withdrawal-report", key, map[string]int{"m3": 12}); err != nil {
+		printAnswer(d, "browse register", &answer)
+		if answer, _, err = d.Submit(ctx, "withdrawal-report", key, map[string]int{"m3": 12}); err != nil {
 			return errors.Trace(err)
 		}
-		printAnswer(d, "submit withdrawal-report", &a)
+		printAnswer(d, "submit withdrawal-report", &answer)
 	}
 	return nil
 }
 
-func printAnswer(d *fleet.Daemon, what string, a *gateway.Answer) {
-	fmt.Printf("\n%s: %s -> %d %s in %.1f ms\n", d.Name, what, a.Code, a.Name, a.TookMS)
-	if c := a.Coverage; c != nil {
+func printAnswer(d *fleet.Daemon, what string, answer *gateway.Answer) {
+	fmt.Printf("\n%s: %s -> %d %s in %.1f ms\n", d.Name, what, answer.Code, answer.Name, answer.TookMS)
+	if c := answer.Coverage; c != nil {
 		fmt.Printf("  snapshot %s, revision %d, %d of %d shards, %d records read, %d missing\n",
-			a.Snapshot, a.Revision, c.ShardsAnswered, c.Shards, c.Records, c.Missing)
+			answer.Snapshot, answer.Revision, c.ShardsAnswered, c.Shards, c.Records, c.Missing)
 	}
-	for _, item := range a.Items {
+	for _, item := range answer.Items {
 		fmt.Printf("  %-14s score %.3f\n", item.Key, item.Score)
 	}
-	if a.Result != nil {
-		fmt.Printf("  result %s\n", a.Result)
+	if answer.Result != nil {
+		fmt.Printf("  result %s\n", answer.Result)
 	}
 }
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -20,32 +20,32 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Bounds of the load.
+// Bounds of the generated load.
 const (
-	maxInFlight     = 6000 // requests that wait for an answer; beyond, one is dropped and counted
-	distinctQueries = 40   // different query texts
-	itemLimit       = 10   // items asked for
+	maxInFlight     = 6000 // requests without an answer yet; a request beyond these is dropped and counted
+	distinctQueries = 40   // number of different query texts
+	itemLimit       = 10   // items requested per query
 	callTimeout     = 20 * time.Second
 )
 
-// Sample is what a window of load came to. Latencies count from the time at
-// which each request was meant to be sent.
+// Sample holds the results of one or several windows of load on one service.
+// Latencies are measured from the time at which the schedule was to send a
+// request, so they include the delay of a request that was sent late.
 type Sample struct {
-	Sent         int
-	Dropped      int // not sent, since too many were in flight
-	Refused      int // at admission, nothing handed to a target
-	Complete     int
-	InTime       int // whole and within the time limit, as the caller's clock says
-	Wrong        int // complete by its own account, but not what the stand-ins hold
-	Failed       int // no answer at all
-	MinLeafCalls int // leaf calls, one for each shard of each query not refused
-	Coverage     float64
+	Sent         int                     // scheduled requests, including the dropped ones
+	Dropped      int                     // not sent, because maxInFlight requests were in flight
+	Refused      int                     // refused at admission, before any call to a target
+	Complete     int                     // answered with result code Complete
+	InTime       int                     // complete and within the time limit by the caller's clock
+	Wrong        int                     // result code Complete, but not the content of the targets' index
+	Failed       int                     // no answer, or one that could not be decoded
+	MinLeafCalls int                     // one leaf call for each shard of each query not refused
+	Coverage     float64                 // sum of the answers' coverage ratios
 	Latency      *hdrhistogram.Histogram // microseconds, of requests not refused
-	Codes        map[int]int
-	Seconds      float64
+	Codes        map[int]int             // answers by result code; 0 counts requests without an answer
+	Seconds      float64                 // length of the windows
 }
 
-// newSample returns an empty sample.
 func newSample() *Sample {
 	const (
 		longest = int64(60 * time.Second / time.Microsecond)
@@ -54,111 +54,115 @@
 	return &Sample{Latency: hdrhistogram.New(1, longest, digits), Codes: map[int]int{}}
 }
 
-func (s *Sample) add(o *Sample) {
-	s.Sent += o.Sent
-	s.Dropped += o.Dropped
-	s.Refused += o.Refused
-	s.Complete += o.Complete
-	s.InTime += o.InTime
-	s.Wrong += o.Wrong
-	s.Failed += o.Failed
-	s.MinLeafCalls += o.MinLeafCalls
-	s.Coverage += o.Coverage
-	s.Seconds += o.Seconds
-	s.Latency.Merge(o.Latency)
-	for code, n := range o.Codes {
+func (s *Sample) add(other *Sample) {
+	s.Sent += other.Sent
+	s.Dropped += other.Dropped
+	s.Refused += other.Refused
+	s.Complete += other.Complete
+	s.InTime += other.InTime
+	s.Wrong += other.Wrong
+	s.Failed += other.Failed
+	s.MinLeafCalls += other.MinLeafCalls
+	s.Coverage += other.Coverage
+	s.Seconds += other.Seconds
+	s.Latency.Merge(other.Latency)
+	for code, n := range other.Codes {
 		s.Codes[code] += n
 	}
 }
 
-// stream is the load on one service.
+// stream is the load on one service and its results.
 type stream struct {
 	service Service
-	rate    float64 // queries a second
+	rate    float64 // queries per second
 	sample  *Sample
 }
 
-// loader sends queries to the daemons.
+// loader sends queries to the daemons and records the answers.
 type loader struct {
 	client    *http.Client
-	daemons   []string // callers' addresses
+	daemons   []string // addresses for callers
 	timeLimit time.Duration
 	expected  *expectedAnswers
 
-	mu sync.Mutex // guards the samples during a window
+	mu sync.Mutex // guards the streams' samples while queries are in flight
 }
 
-func newLoader(daemons []string, timeLimit time.Duration, truths *expectedAnswers) *loader {
+func newLoader(daemons []string, timeLimit time.Duration, expected *expectedAnswers) *loader {
 	dialer := &net.Dialer{Timeout: callTimeout}
 	return &loader{
 		client: &http.Client{
 			Timeout:   callTimeout,
 			Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxInFlight},
 		},
-		daemons: daemons, timeLimit: timeLimit, expected: truths,
+		daemons: daemons, timeLimit: timeLimit, expected: expected,
 	}
 }
 
-// run sends each stream for the time of a window at times drawn from a Poisson
-// process under the seed, and waits for the answers.
+// run sends the queries of all streams for one window and waits for the answers.
+// The arrivals of each stream are a Poisson process drawn with the seed. The load
+// is open-loop: an arrival does not wait for earlier answers.
 func (l *loader) run(ctx context.Context, streams []stream, policy string, window time.Duration, seed uint64) {
-	room := make(chan struct{}, maxInFlight)
+	inFlight := make(chan struct{}, maxInFlight)
 	begin := time.Now()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, s := range streams {
 		s.sample.Seconds = window.Seconds()
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
-		all.Go(func() { l.runStream(ctx, s, policy, begin, window, rng, room, &all) })
+		wg.Go(func() { l.runStream(ctx, s, policy, begin, window, rng, inFlight, &wg) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
+// runStream sends the queries of one stream, each from its own goroutine in wg.
 func (l *loader) runStream(ctx context.Context, s stream, policy string, begin time.Time, window time.Duration,
-	rng *rand.Rand, room chan struct{}, all *sync.WaitGroup) {
-	at := begin
+	rng *rand.Rand, inFlight chan struct{}, wg *sync.WaitGroup) {
+	sendAt := begin
 	for {
-		at = at.Add(time.Duration(rng.ExpFloat64() / s.rate * float64(time.Second)))
-		if at.Sub(begin) >= window || ctx.Err() != nil {
+		sendAt = sendAt.Add(time.Duration(rng.ExpFloat64() / s.rate * float64(time.Second)))
+		if sendAt.Sub(begin) >= window || ctx.Err() != nil {
 			return
 		}
-		time.Sleep(time.Until(at))
+		time.Sleep(time.Until(sendAt))
 		daemon, query := l.daemons[rng.IntN(len(l.daemons))], rng.IntN(distinctQueries)
 		select {
-		case room <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
 			l.update(s.sample, func(sample *Sample) { sample.Sent++; sample.Dropped++ })
 			continue
 		}
-		all.Go(func() {
-			defer func() { <-room }()
-			l.sendQuery(ctx, s, policy, daemon, query, at)
+		wg.Go(func() {
+			defer func() { <-inFlight }()
+			l.sendQuery(ctx, s, policy, daemon, query, sendAt)
 		})
 	}
 }
 
+// sendQuery sends one query and adds its result to the stream's sample. The
+// latency counts from the intended time of sending.
 func (l *loader) sendQuery(ctx context.Context, s stream, policy, daemon string, query int, intended time.Time) {
 	svc := s.service
 	text := queryText(query)
-	a, err := l.post(ctx, daemon, searchName(svc.Name, policy), gateway.SearchBody{Query: text, Limit: itemLimit})
+	answer, err := l.post(ctx, daemon, searchName(svc.Name, policy), gateway.SearchBody{Query: text, Limit: itemLimit})
 	took := time.Since(intended)
-	wrong := err == nil && a.Code == int(result.Complete) && !l.expected.matches(svc.Name, text, a)
+	wrong := err == nil && answer.Code == int(result.Complete) && !l.expected.matches(svc.Name, text, answer)
 	l.update(s.sample, func(sample *Sample) {
 		sample.Sent++
-		sample.Codes[a.Code]++
-		if err == nil && refused(a) {
+		sample.Codes[answer.Code]++
+		if err == nil && refused(answer) {
 			sample.Refused++
 			return
 		}
 		sample.Latency.RecordValue(took.Microseconds())
-		sample.MinLeafCalls += minLeafCalls(svc, a)
+		sample.MinLeafCalls += minLeafCalls(svc, answer)
 		if err != nil {
 			sample.Failed++
 			return
 		}
-		if a.Coverage != nil {
-			sample.Coverage += a.Coverage.Ratio
+		if answer.Coverage != nil {
+			sample.Coverage += answer.Coverage.Ratio
 		}
-		if a.Code == int(result.Complete) {
+		if answer.Code == int(result.Complete) {
 			sample.Complete++
 			if took <= l.timeLimit {
 				sample.InTime++
@@ -170,55 +174,58 @@
 	})
 }
 
+// update calls f on the sample under the lock.
 func (l *loader) update(s *Sample, f func(*Sample)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(s)
 }
 
-// refused reports whether the daemon turned the query away before any leaf.
-func refused(a gateway.Answer) bool {
-	return a.Code == int(result.Overloaded) || a.Code == int(result.CannotMeetLimit)
+// refused reports whether the daemon refused the query before it called a leaf.
+func refused(answer gateway.Answer) bool {
+	return answer.Code == int(result.Overloaded) || answer.Code == int(result.CannotMeetLimit)
 }
 
-// minLeafCalls is how many leaf calls the query needed at least.
-func minLeafCalls(svc Service, a gateway.Answer) int {
-	if a.Coverage != nil {
-		return a.Coverage.Shards
+// minLeafCalls returns the least number of leaf calls that the query needs: one for
+// each shard.
+func minLeafCalls(svc Service, answer gateway.Answer) int {
+	if answer.Coverage != nil {
+		return answer.Coverage.Shards
 	}
 	return svc.Shards
 }
 
 func (l *loader) post(ctx context.Context, daemon, search string, body gateway.SearchBody) (gateway.Answer, error) {
-	var a gateway.Answer
+	var answer gateway.Answer
 	data, err := json.Marshal(body)
 	if err != nil {
-		return a, err
+		return answer, err
 	}
 	url := fmt.Sprintf("http://%s/v1/search/%s", daemon, search)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(data))
 	if err != nil {
-		return a, err
+		return answer, err
 	}
 	resp, err := l.client.Do(req)
 	if err != nil {
-		return a, err
+		return answer, err
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return a, err
+		return answer, err
 	}
-	return a, json.Unmarshal(raw, &a)
+	return answer, json.Unmarshal(raw, &answer)
 }
 
 func queryText(i int) string { return fmt.Sprintf("well %d", i) }
 
-// expectedAnswers knows what a complete answer holds.
+// expectedAnswers computes the content of complete answers from the targets'
+// indexes. It is safe for concurrent use.
 type expectedAnswers struct {
-	mu      sync.Mutex // guards both maps
-	indexes map[answerKey]targetsim.Index
-	items   map[answerKey][]target.Item
+	mu      sync.Mutex                    // guards both maps
+	indexes map[answerKey]targetsim.Index // with an empty query in the key
+	items   map[answerKey][]target.Item   // cached results of Index.Truth
 }
 
 type answerKey struct{ service, snapshot, query string }
@@ -227,33 +234,33 @@
 	return &expectedAnswers{indexes: map[answerKey]targetsim.Index{}, items: map[answerKey][]target.Item{}}
 }
 
-// addIndex adds a snapshot.
-func (t *expectedAnswers) addIndex(x targetsim.Index) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.indexes[answerKey{x.Service, x.Snapshot, ""}] = x
+// addIndex adds the index of one snapshot of a service.
+func (e *expectedAnswers) addIndex(index targetsim.Index) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.indexes[answerKey{index.Service, index.Snapshot, ""}] = index
 }
 
-// matches reports whether a complete answer holds what the stand-ins hold of the
-// snapshot that it names.
-func (t *expectedAnswers) matches(service, query string, a gateway.Answer) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	x, ok := t.indexes[answerKey{service, a.Snapshot, ""}]
-	if !ok || a.Coverage == nil || a.Coverage.Shards != x.Shards || a.Coverage.Records != int64(x.Records) {
+// matches reports whether a complete answer equals the expected answer from the
+// snapshot that it names: number of shards and records, item keys and fields.
+func (e *expectedAnswers) matches(service, query string, answer gateway.Answer) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	index, ok := e.indexes[answerKey{service, answer.Snapshot, ""}]
+	if !ok || answer.Coverage == nil || answer.Coverage.Shards != index.Shards || answer.Coverage.Records != int64(index.Records) {
 		return false
 	}
-	key := answerKey{service, a.Snapshot, query}
-	want, ok := t.items[key]
+	key := answerKey{service, answer.Snapshot, query}
+	want, ok := e.items[key]
 	if !ok {
-		want, _, _ = x.ExpectedAnswer(target.KindSearch, query, "", itemLimit)
-		t.items[key] = want
+		want, _, _ = index.ExpectedAnswer(target.KindSearch, query, "", itemLimit)
+		e.items[key] = want
 	}
-	if len(want) != len(a.Items) {
+	if len(want) != len(answer.Items) {
 		return false
 	}
 	for i := range want {
-		if want[i].Key != a.Items[i].Key || !bytes.Equal(want[i].Fields, a.Items[i].Fields) {
+		if want[i].Key != answer.Items[i].Key || !bytes.Equal(want[i].Fields, answer.Items[i].Fields) {
 			return false
 		}
 	}
