--- a/integration/committer_test.go
+++ b/integration/committer_test.go
@@ -27,19 +27,19 @@
 // claims carried out by the third.
 func startRelayingCluster(t *testing.T) *cluster {
 	c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true})
-	for asker := range committer {
-		c.waitRelaying(asker)
+	for requester := range committer {
+		c.waitRelaying(requester)
 	}
 	return c
 }
 
 // waitRelaying waits until a daemon has its claims carried out by the committer.
-func (c *cluster) waitRelaying(asker int) {
+func (c *cluster) waitRelaying(requester int) {
 	c.t.Helper()
 	c.Eventually(func() bool {
-		before := c.metric(c.Daemons[asker], "bramley_once_relayed_total")
-		c.send(c.Daemons[asker], c.committerKey("warm"))
-		return c.metric(c.Daemons[asker], "bramley_once_relayed_total") > before
+		before := c.metric(c.Daemons[requester], "bramley_once_relayed_total")
+		c.send(c.Daemons[requester], c.committerKey("warm"))
+		return c.metric(c.Daemons[requester], "bramley_once_relayed_total") > before
 	}, waitTimeout, "50ms").Should(gomega.BeTrue())
 }
 
@@ -56,14 +56,14 @@
 // all live.
 func (c *cluster) keysCommittedBy(d *fleet.Daemon, name string, n int) (keys []string) {
 	var vms []objstore.VM
-	for _, live := range c.Daemons {
-		vms = append(vms, live.VM())
+	for _, other := range c.Daemons {
+		vms = append(vms, other.VM())
 	}
-	for made := time.Now().Unix(); len(keys) < n; made-- {
-		segment := fmt.Sprintf("%s.%010d", deployment, made)
+	for second := time.Now().Unix(); len(keys) < n; second-- {
+		segment := fmt.Sprintf("%s.%010d", deployment, second)
 		vm, _ := relay.Choose(segment, vms, func(string) bool { return false })
 		if vm.Name == d.Name {
-			keys = append(keys, fmt.Sprintf("%d-%s-%d", made, name, time.Now().UnixNano()))
+			keys = append(keys, fmt.Sprintf("%d-%s-%d", second, name, time.Now().UnixNano()))
 		}
 	}
 	return keys
@@ -75,17 +75,17 @@
 	c.t.Helper()
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{DelayMS: 100}))
 	c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 1, LoseKind: once.Kind}))
-	told := c.sendAside(c.Daemons[0], key)
+	answer := c.sendAside(c.Daemons[0], key)
 	c.waitClaim(key)
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
-	return told
+	return answer
 }
 
 // expectAccepted expects that the report ran once, and that all VMs say so.
-func (c *cluster) expectAccepted(key string, a gateway.Answer, asked ...int) {
+func (c *cluster) expectAccepted(key string, a gateway.Answer, daemons ...int) {
 	c.t.Helper()
 	c.Expect(result.Code(a.Code)).To(gomega.Equal(result.Accepted), a.Detail)
-	for _, d := range asked {
+	for _, d := range daemons {
 		c.Expect(c.finalCode(c.Daemons[d], key)).To(gomega.Equal(result.Accepted))
 	}
 	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
@@ -98,9 +98,9 @@
 func TestCommitterKilledBetweenClaimAndAnswer(t *testing.T) {
 	c := startRelayingCluster(t)
 	key := c.committerKey("killed")
-	told := c.claimWithoutAnswer(key)
+	answer := c.claimWithoutAnswer(key)
 	c.Daemons[committer].Kill()
-	c.expectAccepted(key, <-told, 0, 1)
+	c.expectAccepted(key, <-answer, 0, 1)
 }
 
 // A report runs twice. The VM that commits is cut off from the platform after
@@ -111,7 +111,7 @@
 	c := startRelayingCluster(t)
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
 	key := c.committerKey("cut")
-	told := c.claimWithoutAnswer(key)
+	answer := c.claimWithoutAnswer(key)
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{Frozen: true}))
 	c.waitRun(key)
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{}))
@@ -119,7 +119,7 @@
 	c.flushCommitter(key)
 	c.Expect(result.Code(c.send(c.Daemons[1], key).Code)).To(gomega.Equal(result.InProgress))
 	c.setTargetFaults(targetsim.Faults{})
-	c.expectAccepted(key, <-told, 0, 1, committer)
+	c.expectAccepted(key, <-answer, 0, 1, committer)
 }
 
 // flushCommitter has the committer claim another key of the same second, which comes
@@ -142,9 +142,9 @@
 func TestCommitterFrozenBetweenClaimAndAnswer(t *testing.T) {
 	c := startRelayingCluster(t)
 	key := c.committerKey("frozen")
-	told := c.claimWithoutAnswer(key)
+	answer := c.claimWithoutAnswer(key)
 	c.ok(c.Daemons[committer].Pause())
-	c.expectAccepted(key, <-told, 0, 1)
+	c.expectAccepted(key, <-answer, 0, 1)
 	c.waitCommitterLost()
 	c.ok(c.Daemons[committer].Resume())
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{}))
@@ -162,11 +162,11 @@
 	c.ok(c.Daemons[committer].Pause())
 	c.setTargetFaults(targetsim.Faults{ShedShare: 1})
 	keys := c.committerKeys("thawed", 8)
-	var told []<-chan gateway.Answer
+	var pending []<-chan gateway.Answer
 	for _, key := range keys {
-		told = append(told, c.sendAside(c.Daemons[0], key))
+		pending = append(pending, c.sendAside(c.Daemons[0], key))
 	}
-	for _, answer := range told {
+	for _, answer := range pending {
 		a := <-answer
 		c.Expect(result.Code(a.Code).Info().Ran).To(gomega.Equal(result.RanNo), a.Detail)
 	}
@@ -200,11 +200,11 @@
 			c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 2, LoseKind: once.Kind}))
 		}
 		key := c.committerKey(fmt.Sprint("both", i))
-		told := []<-chan gateway.Answer{
+		pending := []<-chan gateway.Answer{
 			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
 			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
 		}
-		for _, answer := range told {
+		for _, answer := range pending {
 			a := <-answer
 			c.Expect(result.Code(a.Code)).To(gomega.BeElementOf(result.Accepted, result.InProgress), a.Detail)
 		}
--- a/integration/ctl_test.go
+++ b/integration/ctl_test.go
@@ -70,9 +70,9 @@
 // run runs a command and decodes its answer. The exit status of a failure has
 // to be the class of its code.
 func (x *ctl) run(into any, args ...string) failure {
-	var out, notes bytes.Buffer
+	var out, stderr bytes.Buffer
 	cmd := x.command(x.c.ctx, args...)
-	cmd.Stdout, cmd.Stderr = &out, &notes
+	cmd.Stdout, cmd.Stderr = &out, &stderr
 	if err := cmd.Start(); err != nil {
 		return failure{Code: result.Internal, Detail: err.Error()}
 	}
@@ -91,7 +91,7 @@
 	var f failure
 	for dec.More() {
 		if e := dec.Decode(&f); e != nil {
-			return failure{Code: result.Internal, Detail: e.Error() + ": " + notes.String()}
+			return failure{Code: result.Internal, Detail: e.Error() + ": " + stderr.String()}
 		}
 	}
 	if cmd.ProcessState.ExitCode() != int(f.Code.Class()) {
@@ -134,7 +134,7 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	var wait sync.WaitGroup
 	var mu sync.Mutex // guards back
-	var back []string
+	var regressed []string
 	for _, d := range daemons {
 		wait.Go(func() {
 			var highest uint64
@@ -142,7 +142,7 @@
 				status, err := d.Status(ctx)
 				if err == nil && status.Revision < highest {
 					mu.Lock()
-					back = append(back, d.Name)
+					regressed = append(regressed, d.Name)
 					mu.Unlock()
 				}
 				if err == nil {
@@ -155,7 +155,7 @@
 	return func() []string {
 		cancel()
 		wait.Wait()
-		return back
+		return regressed
 	}
 }
 
--- a/integration/health_test.go
+++ b/integration/health_test.go
@@ -29,7 +29,7 @@
 	s := fewConnections(daemons, daemons, connections)
 	s.Replicas = 1
 	c := start(t, s)
-	c.Eventually(c.placeHolders, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
+	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
 	for _, d := range c.Daemons {
 		c.Eventually(func() float64 { return c.metric(d, "bramley_peer_health_targets") }, waitTimeout, "50ms").
 			Should(gomega.BeNumerically("==", len(c.Targets)), d.Name)
@@ -51,22 +51,22 @@
 
 // removeMainReporter lets all targets take a further index, and takes the daemon that told of
 // most of them out of the list.
-func (c *cluster) removeMainReporter(next targetsim.Index) *fleet.Daemon {
+func (c *cluster) removeMainReporter(further targetsim.Index) *fleet.Daemon {
 	c.t.Helper()
-	const stated = "bramley_health_told_total"
+	const reportsMetric = "bramley_health_told_total"
 	before := map[string]float64{}
 	for _, d := range c.Daemons {
-		before[d.Name] = c.metric(d, stated)
+		before[d.Name] = c.metric(d, reportsMetric)
 	}
-	c.setAllIndexes(c.Index, next)
-	c.waitSnapshotChosen(next.Snapshot)
-	most, most0 := 0, 0.0
+	c.setAllIndexes(c.Index, further)
+	c.waitSnapshotChosen(further.Snapshot)
+	most, highest := 0, 0.0
 	for i, d := range c.Daemons {
-		if n := c.metric(d, stated) - before[d.Name]; n > most0 {
-			most, most0 = i, n
+		if n := c.metric(d, reportsMetric) - before[d.Name]; n > highest {
+			most, highest = i, n
 		}
 	}
-	c.Expect(most0).To(gomega.BeNumerically(">", 0))
+	c.Expect(highest).To(gomega.BeNumerically(">", 0))
 	d := c.Daemons[most]
 	c.Daemons = append(append([]*fleet.Daemon{}, c.Daemons[:most]...), c.Daemons[most+1:]...)
 	return d
@@ -133,15 +133,15 @@
 func TestReporterKilled(t *testing.T) {
 	c := startWithReporters(t)
 	second, third := c.nextIndex("s2", 2, 6), c.nextIndex("s3", 3, 5)
-	speaker := c.removeMainReporter(second)
-	balancer := &searchRotation{}
-	balancer.setVMs(c.Daemons...)
-	stop := c.startSearches(balancer)
-	speaker.Kill()
+	reporter := c.removeMainReporter(second)
+	rotation := &searchRotation{}
+	rotation.setVMs(c.Daemons...)
+	stop := c.startSearches(rotation)
+	reporter.Kill()
 	c.setAllIndexes(c.Index, second, third)
 	c.waitSnapshotChosen("s3")
-	_, faults := stop()
-	c.Expect(faults).To(gomega.BeEmpty())
+	_, failures := stop()
+	c.Expect(failures).To(gomega.BeEmpty())
 }
 
 // The VM that speaks for targets is frozen, so that it still counts as live, and
@@ -151,12 +151,12 @@
 	c := startWithReporters(t)
 	all := c.Daemons
 	second, third := c.nextIndex("s2", 2, 6), c.nextIndex("s3", 3, 5)
-	speaker := c.removeMainReporter(second)
-	c.ok(speaker.Pause())
+	reporter := c.removeMainReporter(second)
+	c.ok(reporter.Pause())
 	c.setAllIndexes(second, third)
 	c.waitSnapshotChosen("s3")
 	c.setAllIndexes(third)
-	c.ok(speaker.Resume())
+	c.ok(reporter.Resume())
 	c.Daemons = all
 	l := c.startLoad(minCoverage, 0, truthOf(c.Index, second, third).check)
 	c.waitAnswersFrom("s3")
@@ -170,8 +170,8 @@
 // process takes its place, that it is there again.
 func TestLostTargetIsReportedToVMsWithoutConnections(t *testing.T) {
 	c := startWithReporters(t)
-	dead := c.Targets[0]
-	dead.Kill()
+	lost := c.Targets[0]
+	lost.Kill()
 	body := gateway.SearchBody{Query: "well", Explain: true, Coverage: minCoverage}
 	end := time.Now().Add(beforeReread)
 	for _, d := range c.Daemons {
@@ -188,8 +188,8 @@
 			return nil
 		}, time.Until(end), "50ms").Should(gomega.Succeed(), d.Name)
 	}
-	o := dead.Options
-	o.Listen = dead.Address
+	o := lost.Options
+	o.Listen = lost.Address
 	c.Targets[0] = must[*fleet.Target](c)(c.StartTarget(o))
 	c.waitAnswersFrom("s1")
 }
--- a/integration/hop_test.go
+++ b/integration/hop_test.go
@@ -16,8 +16,8 @@
 
 // daemonsWithoutPlace returns the daemons that have no connection of their own to a target.
 func (c *cluster) daemonsWithoutPlace() (list []*fleet.Daemon) {
-	c.Eventually(c.placeHolders, waitTimeout, "100ms").ShouldNot(gomega.BeEmpty())
-	holders := c.placeHolders()
+	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").ShouldNot(gomega.BeEmpty())
+	holders := c.vmsWithPlace()
 	for _, d := range c.Daemons {
 		if !slices.Contains(holders, d.Name) {
 			list = append(list, d)
@@ -34,9 +34,9 @@
 	const daemons, places, connections, bursts, searches = 5, 3, 2, 2, 4
 	s := fewConnections(daemons, places, connections)
 	s.Targets, s.Replicas = 1, 1
-	plain := s.Bundle
+	editBundle := s.Bundle
 	s.Bundle = func(b *bundle.Bundle) {
-		plain(b)
+		editBundle(b)
 		// Reads of status go through owners too, and would keep connections in use.
 		b.Services[0].Drain.HealthIntervalMS = 15_000
 	}
@@ -91,46 +91,46 @@
 func TestNearOwnerFrozenAndKilledInMidQuery(t *testing.T) {
 	const inZone, connections, owners = 3, 5, 4 // one connection is left free for a frozen owner
 	s := fewConnections(inZone, 2*inZone, connections)
-	plain := s.Bundle
+	editBundle := s.Bundle
 	s.Bundle = func(b *bundle.Bundle) {
-		plain(b)
+		editBundle(b)
 		b.Zones = append(b.Zones, bundle.Zone{Name: otherZone, Region: "region"})
 	}
 	c := start(t, s)
 	c.addSecondZone()
-	c.Eventually(c.placeHolders, waitTimeout, "100ms").Should(gomega.HaveLen(2 * inZone))
+	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(2 * inZone))
 	c.waitOwners(owners)
 	all := slices.Clone(c.Daemons)
 	for _, fault := range []struct {
 		victim *fleet.Daemon
-		strike func() error
+		inject func() error
 	}{
 		{all[0], all[0].Pause},
 		{all[inZone], func() error { all[inZone].Kill(); return nil }},
 	} {
 		c.Daemons = slices.DeleteFunc(c.Daemons, func(d *fleet.Daemon) bool { return d == fault.victim })
-		balancer := &searchRotation{}
-		balancer.setVMs(c.Daemons...)
-		stop := c.startSearches(balancer)
-		c.Eventually(balancer.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", 100))
-		c.ok(fault.strike())
-		before := balancer.answered()
-		c.Eventually(balancer.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+200))
-		_, faults := stop()
-		c.Expect(faults).To(gomega.BeEmpty(), fault.victim.Name)
+		rotation := &searchRotation{}
+		rotation.setVMs(c.Daemons...)
+		stop := c.startSearches(rotation)
+		c.Eventually(rotation.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", 100))
+		c.ok(fault.inject())
+		before := rotation.answered()
+		c.Eventually(rotation.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+200))
+		_, failures := stop()
+		c.Expect(failures).To(gomega.BeEmpty(), fault.victim.Name)
 	}
 	c.Expect(c.ownerCallsWithin("zone")).To(gomega.BeNumerically(">", c.ownerCallsWithin("region")))
 	c.expectWithinLimit(connections)
 }
 
 // ownerCallsWithin counts the calls to owners that are that near, by all VMs.
-func (c *cluster) ownerCallsWithin(what string) (sum int) {
-	line := regexp.MustCompile(`bramley_route_owner_calls_total\{within="` + what + `"\} (\d+)`)
+func (c *cluster) ownerCallsWithin(distance string) (sum int) {
+	line := regexp.MustCompile(`bramley_route_owner_calls_total\{within="` + distance + `"\} (\d+)`)
 	for _, d := range c.Daemons {
 		match := line.FindStringSubmatch(c.metrics(d))
 		c.Expect(match).To(gomega.HaveLen(2), d.Name)
 		sum += must[int](c)(strconv.Atoi(match[1]))
 	}
-	c.t.Logf("%d calls to owners within the %s", sum, what)
+	c.t.Logf("%d calls to owners within the %s", sum, distance)
 	return sum
 }
--- a/integration/leaving_test.go
+++ b/integration/leaving_test.go
@@ -105,7 +105,7 @@
 
 	leaving := c.Daemons[0]
 	var stopping, served atomic.Int64
-	faults := make(chan string, 1000)
+	failed := make(chan string, 1000)
 	var wg sync.WaitGroup
 	const callers = 8
 	for i := range callers {
@@ -125,7 +125,7 @@
 					a, err = k.post(c.ctx, d, "submit", fileSearch, newKey(fmt.Sprintf("stop%d-%d", i, turn)), 1)
 				}
 				if err != nil || result.Code(a.Code) != want {
-					faults <- fmt.Sprintf("%s: %v %s %v", d.Name, result.Code(a.Code), a.Detail, err)
+					failed <- fmt.Sprintf("%s: %v %s %v", d.Name, result.Code(a.Code), a.Detail, err)
 				} else if late {
 					served.Add(1)
 				}
@@ -138,12 +138,12 @@
 	c.Eventually(leaving.Done(), waitTimeout).Should(gomega.BeClosed())
 	cancel()
 	wg.Wait()
-	close(faults)
-	var told []string
-	for f := range faults {
-		told = append(told, f)
+	close(failed)
+	var failures []string
+	for f := range failed {
+		failures = append(failures, f)
 	}
-	c.Expect(told).To(gomega.BeEmpty())
+	c.Expect(failures).To(gomega.BeEmpty())
 	c.Expect(leaving.ExitCode()).To(gomega.BeZero())
 	c.Expect(served.Load()).To(gomega.BeNumerically(">", 0), "the lagging balancer sent nothing to the leaving VM")
 }
--- a/integration/load_test.go
+++ b/integration/load_test.go
@@ -32,28 +32,28 @@
 
 // startLoad begins to ask all daemons. need is the coverage that every other caller states;
 // the rest need everything.
-func (c *cluster) startLoad(need float64, limitMS int, check func(gateway.Answer, gateway.SearchBody) error) *load {
-	return c.startLoadOn(c.Daemons, need, limitMS, check)
+func (c *cluster) startLoad(required float64, limitMS int, check func(gateway.Answer, gateway.SearchBody) error) *load {
+	return c.startLoadOn(c.Daemons, required, limitMS, check)
 }
 
 // startLoadOn does so with some daemons.
-func (c *cluster) startLoadOn(daemons []*fleet.Daemon, need float64, limitMS int, check func(gateway.Answer, gateway.SearchBody) error) *load {
+func (c *cluster) startLoadOn(daemons []*fleet.Daemon, required float64, limitMS int, check func(gateway.Answer, gateway.SearchBody) error) *load {
 	ctx, cancel := context.WithCancel(c.ctx)
 	l := &load{c: c, daemons: daemons, check: check, cancel: cancel, codes: map[result.Code]int{}}
 	for caller := range loadCallers {
 		coverage := 1.0
 		if caller%2 == 0 {
-			coverage = need
+			coverage = required
 		}
 		l.wg.Go(func() { l.run(ctx, caller, coverage, limitMS) })
 	}
 	return l
 }
 
-func (l *load) run(ctx context.Context, caller int, need float64, limitMS int) {
+func (l *load) run(ctx context.Context, caller int, required float64, limitMS int) {
 	for i := caller; ctx.Err() == nil; i++ {
 		d := l.daemons[i%len(l.daemons)]
-		body := gateway.SearchBody{Query: fmt.Sprintf("q%d", i%7), Explain: true, Coverage: need, TimeLimitMS: limitMS}
+		body := gateway.SearchBody{Query: fmt.Sprintf("q%d", i%7), Explain: true, Coverage: required, TimeLimitMS: limitMS}
 		a, _, err := d.Search(l.c.ctx, findSearch, body)
 		if err == nil {
 			err = l.check(a, body)
--- a/integration/lone_replica_test.go
+++ b/integration/lone_replica_test.go
@@ -16,9 +16,9 @@
 	const daemons, connections = 5, 3 // two owners of each target
 	s := fewConnections(daemons, daemons, connections)
 	s.Replicas = 1
-	limits := s.Bundle
+	editBundle := s.Bundle
 	s.Bundle = func(b *bundle.Bundle) {
-		limits(b)
+		editBundle(b)
 		b.Searches[0].Retry.Budget = 1 // all shards of a target lose their attempts at once
 	}
 	c := start(t, s)
--- a/integration/once_test.go
+++ b/integration/once_test.go
@@ -108,11 +108,11 @@
 			c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 2, LoseKind: once.Kind}))
 		}
 		key := newKey(fmt.Sprint("both", i))
-		told := []<-chan gateway.Answer{
+		pending := []<-chan gateway.Answer{
 			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
 			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
 		}
-		for _, answer := range told {
+		for _, answer := range pending {
 			a := <-answer
 			c.Expect(result.Code(a.Code)).To(gomega.BeElementOf(result.Accepted, result.InProgress), a.Detail)
 		}
@@ -189,9 +189,9 @@
 	c.setTargetFaults(targetsim.Faults{})
 	c.Expect(result.Code(c.send(c.Daemons[1], key).Code)).To(gomega.BeElementOf(result.InProgress, result.OutcomeUnknown))
 	c.ok(c.Daemons[0].Resume())
-	own := <-first
-	c.Expect(result.Code(own.Code)).To(gomega.BeElementOf(result.Accepted, result.OutcomeUnknown))
-	c.Eventually(func() int { return c.send(c.Daemons[1], key).Code }, waitTimeout, "100ms").Should(gomega.Equal(own.Code))
+	firstAnswer := <-first
+	c.Expect(result.Code(firstAnswer.Code)).To(gomega.BeElementOf(result.Accepted, result.OutcomeUnknown))
+	c.Eventually(func() int { return c.send(c.Daemons[1], key).Code }, waitTimeout, "100ms").Should(gomega.Equal(firstAnswer.Code))
 	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
@@ -206,12 +206,12 @@
 	for _, key := range c.keysCommittedBy(c.Daemons[0], "unheard", tries) {
 		c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 1000, LoseKind: once.Kind}))
 		c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 400}))
-		told := c.sendAside(c.Daemons[0], key)
+		answer := c.sendAside(c.Daemons[0], key)
 		c.waitClaim(key)
 		// The VM is about to read whether its claim landed.
 		c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{LoseDown: true}))
 		c.ok(c.Platform.SetFaults(platformsim.Faults{}))
-		a := <-told
+		a := <-answer
 		if result.Code(a.Code) == result.ClaimsDown {
 			c.Expect(a.RetryAfterMS).To(gomega.BeNumerically(">", 0))
 			c.expectReleased(key)
@@ -264,18 +264,18 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true, ProxyTargets: true})
 			const senders, keys, tries = 4, 6, 5
-			told := make([]map[string][]result.Code, senders)
+			received := make([]map[string][]result.Code, senders)
 			var wg sync.WaitGroup
 			for s := range senders {
 				rng := rand.New(rand.NewPCG(seed, uint64(s)))
-				told[s] = map[string][]result.Code{}
+				received[s] = map[string][]result.Code{}
 				wg.Go(func() {
 					for i := range keys {
 						key := newKey(fmt.Sprintf("random%d-%d", s, i))
 						for range tries {
 							one, other := c.sendAside(c.Daemons[rng.IntN(3)], key), c.sendAside(c.Daemons[rng.IntN(3)], key)
 							codes := []result.Code{result.Code((<-one).Code), result.Code((<-other).Code)}
-							told[s][key] = append(told[s][key], codes...)
+							received[s][key] = append(received[s][key], codes...)
 						}
 					}
 				})
@@ -284,7 +284,7 @@
 			go func() { wg.Wait(); close(done) }()
 			c.randomFaults(rand.New(rand.NewPCG(seed, 99)), done)
 			runs := c.submitRuns()
-			for _, keys := range told {
+			for _, keys := range received {
 				for key, codes := range keys {
 					c.expectOnce(key, codes, runs[key])
 				}
--- a/integration/owner_test.go
+++ b/integration/owner_test.go
@@ -48,13 +48,13 @@
 func TestVMsWithoutConnectionsReachTargetsThroughOwners(t *testing.T) {
 	const daemons, connections = 5, 3
 	c := start(t, fewConnections(daemons, daemons+1, connections))
-	balancer := &searchRotation{}
-	balancer.setVMs(c.Daemons...)
-	stop := c.startSearches(balancer)
-	c.replaceVMs(balancer, 0)
-	good, faults := stop()
-	c.Expect(faults).To(gomega.BeEmpty())
-	c.Expect(good).To(gomega.BeNumerically(">", 0))
+	rotation := &searchRotation{}
+	rotation.setVMs(c.Daemons...)
+	stop := c.startSearches(rotation)
+	c.replaceVMs(rotation, 0)
+	complete, failures := stop()
+	c.Expect(failures).To(gomega.BeEmpty())
+	c.Expect(complete).To(gomega.BeNumerically(">", 0))
 	c.expectWithinLimit(connections)
 }
 
@@ -74,19 +74,19 @@
 	c.t.Helper()
 	const owners = 2 // of each target, with a connection each; one is left free for a frozen owner
 	c.waitOwners(owners)
-	balancer := &searchRotation{}
+	rotation := &searchRotation{}
 	for i := range 3 {
 		victim := c.Daemons[0]
 		c.Daemons = c.Daemons[1:]
-		balancer.setVMs(c.Daemons...)
-		before := balancer.answered()
-		stop := c.startSearches(balancer)
-		c.Eventually(balancer.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+50))
+		rotation.setVMs(c.Daemons...)
+		before := rotation.answered()
+		stop := c.startSearches(rotation)
+		c.Eventually(rotation.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+50))
 		victim.Kill()
-		before = balancer.answered()
-		c.Eventually(balancer.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+50))
-		_, faults := stop()
-		c.Expect(faults).To(gomega.BeEmpty())
+		before = rotation.answered()
+		c.Eventually(rotation.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+50))
+		_, failures := stop()
+		c.Expect(failures).To(gomega.BeEmpty())
 
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: fmt.Sprint("new-", i), Zone: zone, LameDuck: time.Second})
 		c.ok(err)
@@ -111,10 +111,10 @@
 	}
 }
 
-func (b *searchRotation) answered() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.complete
+func (r *searchRotation) answered() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.complete
 }
 
 // An owner is frozen for longer than any timeout. There are more VMs than places,
@@ -125,23 +125,23 @@
 	const daemons, places, connections = 3, 4, 3
 	const owned = 2 // one connection's share is left free for a frozen owner
 	c := start(t, fewConnections(daemons, places, connections))
-	frozen, rest := c.Daemons[0], c.Daemons[1:]
-	c.Eventually(c.placeHolders, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
+	frozen, others := c.Daemons[0], c.Daemons[1:]
+	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
 	c.ok(frozen.Pause())
 	for i := range 2 {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: fmt.Sprint("new-", i), Zone: zone})
 		c.ok(err)
 		c.waitInForce(fresh, 1)
-		rest = append(rest, fresh)
+		others = append(others, fresh)
 	}
-	c.Eventually(c.placeHolders, waitTimeout, "100ms").Should(gomega.And(
+	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.And(
 		gomega.HaveLen(places), gomega.Not(gomega.ContainElement(frozen.Name))))
 	c.ok(frozen.Resume())
 	c.waitInForce(frozen, 1)
-	for _, d := range append(rest, frozen) {
+	for _, d := range append(others, frozen) {
 		c.waitComplete(d)
 	}
-	c.Expect(c.placeHolders()).NotTo(gomega.ContainElement(frozen.Name))
+	c.Expect(c.vmsWithPlace()).NotTo(gomega.ContainElement(frozen.Name))
 	for _, target := range c.Targets {
 		c.Eventually(func() (int, error) {
 			counters, err := target.Counters()
@@ -151,8 +151,8 @@
 	c.expectWithinLimit(connections)
 }
 
-// placeHolders returns the VMs that have claimed a place.
-func (c *cluster) placeHolders() (holders []string) {
+// vmsWithPlace returns the VMs that have claimed a place.
+func (c *cluster) vmsWithPlace() (holders []string) {
 	page, err := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{}).List(c.ctx, place.Kind, "", 100)
 	c.ok(err)
 	for _, object := range page.Objects {
--- a/integration/peer_test.go
+++ b/integration/peer_test.go
@@ -28,22 +28,22 @@
 	complete int
 }
 
-func (b *searchRotation) setVMs(vms ...*fleet.Daemon) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.vms = vms
+func (r *searchRotation) setVMs(vms ...*fleet.Daemon) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.vms = vms
 }
 
-func (b *searchRotation) choose() *fleet.Daemon {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.next++
-	return b.vms[b.next%len(b.vms)]
+func (r *searchRotation) choose() *fleet.Daemon {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.next++
+	return r.vms[r.next%len(r.vms)]
 }
 
 // startSearches sends searches from some callers until stop is called, which returns how
 // many were answered whole and what went wrong.
-func (c *cluster) startSearches(b *searchRotation) (stop func() (good int, faults []string)) {
+func (c *cluster) startSearches(r *searchRotation) (stop func() (complete int, failures []string)) {
 	const callers = 4
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -54,7 +54,7 @@
 				case <-done:
 					return
 				default:
-					b.search(c)
+					r.search(c)
 				}
 			}
 		})
@@ -62,22 +62,22 @@
 	return func() (int, []string) {
 		close(done)
 		wg.Wait()
-		return b.complete, b.failures
+		return r.complete, r.failures
 	}
 }
 
-func (b *searchRotation) search(c *cluster) {
-	d := b.choose()
+func (r *searchRotation) search(c *cluster) {
+	d := r.choose()
 	a, status, err := d.Search(c.ctx, findSearch, searchBody("well"))
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
 	case err != nil:
-		b.failures = append(b.failures, fmt.Sprintf("%s: %v", d.Name, err))
+		r.failures = append(r.failures, fmt.Sprintf("%s: %v", d.Name, err))
 	case result.Code(a.Code) == result.Complete:
-		b.complete++
+		r.complete++
 	default:
-		b.failures = append(b.failures, fmt.Sprintf("%s: status %d, code %d", d.Name, status, a.Code))
+		r.failures = append(r.failures, fmt.Sprintf("%s: status %d, code %d", d.Name, status, a.Code))
 	}
 }
 
@@ -97,13 +97,13 @@
 			}
 		},
 	})
-	balancer := &searchRotation{}
-	balancer.setVMs(c.Daemons...)
-	stop := c.startSearches(balancer)
-	c.replaceVMs(balancer, listLag)
-	good, faults := stop()
-	c.Expect(faults).To(gomega.BeEmpty())
-	c.Expect(good).To(gomega.BeNumerically(">", 0))
+	rotation := &searchRotation{}
+	rotation.setVMs(c.Daemons...)
+	stop := c.startSearches(rotation)
+	c.replaceVMs(rotation, listLag)
+	complete, failures := stop()
+	c.Expect(failures).To(gomega.BeEmpty())
+	c.Expect(complete).To(gomega.BeNumerically(">", 0))
 	for _, target := range c.Targets {
 		seen := must[struct{ Peak, Refused int }](c)(connectionCounts(target))
 		t.Logf("%s: peak of %d connections, limit %d, %d refused", target.Name, seen.Peak, connections, seen.Refused)
@@ -194,14 +194,14 @@
 func TestFleetStartsWithPlatformDown(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 1})
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
-	known := c.Daemons[0]
+	seed := c.Daemons[0]
 	for i := range 4 {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{
-			Name: fmt.Sprint("fresh-", i), Zone: zone, Change: withSeeds(known.Peers),
+			Name: fmt.Sprint("fresh-", i), Zone: zone, Change: withSeeds(seed.Peers),
 		})
 		c.ok(err)
 		c.Daemons = append(c.Daemons, fresh)
-		known = fresh
+		seed = fresh
 	}
 	for _, d := range c.Daemons {
 		c.waitInForce(d, 1)
@@ -217,7 +217,7 @@
 
 // replaceVMs replaces every VM, one after another. Callers are sent to the new
 // VM once it reads every shard; the platform's list follows after lag.
-func (c *cluster) replaceVMs(callers *searchRotation, lag time.Duration) {
+func (c *cluster) replaceVMs(rotation *searchRotation, lag time.Duration) {
 	c.t.Helper()
 	for i := range c.Daemons {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: fmt.Sprint("new-", i), Zone: zone, LameDuck: time.Second})
@@ -227,7 +227,7 @@
 		old := c.Daemons[0]
 		c.Daemons = append(c.Daemons[1:], fresh)
 		c.ok(old.Terminate())
-		callers.setVMs(c.Daemons...)
+		rotation.setVMs(c.Daemons...)
 		c.listVMsAfter(lag)
 		c.Eventually(old.Done(), waitTimeout).Should(gomega.BeClosed())
 	}
--- a/integration/region_test.go
+++ b/integration/region_test.go
@@ -43,7 +43,7 @@
 	var answer operator.ChangeOutput
 	person.must(&answer, "rollout", good, "--reason", "good", "--wait", "30s")
 	person.must(&answer, "rollout", faulty, "--reason", "faulty", "--wait", "30s")
-	spread := answer.Revision
+	faultyRevision := answer.Revision
 	stop := c.watchRevisions()
 
 	c.cutOffPlatform(far, true)
@@ -51,9 +51,9 @@
 	c.waitLive(c.Daemons, daemons/2)
 	person.must(&answer, "recall", "head", "--reason", "faulty")
 	c.Expect(answer.InForce).To(gomega.Equal(good))
-	recalled := answer.Revision
+	recallRevision := answer.Revision
 	for _, d := range near {
-		c.waitInForce(d, recalled)
+		c.waitInForce(d, recallRevision)
 	}
 
 	far[1].Kill()
@@ -61,7 +61,7 @@
 	fresh := c.Daemons[daemons]
 	c.split(daemonNames(near), append(daemonNames(far), replacement))
 	stopFresh := c.watchRevisionsOf(fresh)
-	c.waitInForce(fresh, spread)
+	c.waitInForce(fresh, faultyRevision)
 	for _, d := range []*fleet.Daemon{far[0], fresh} {
 		c.Expect(must[string](c)(digestOf(c.ctx, d))).To(gomega.Equal(faulty), d.Name)
 		c.waitComplete(d)
@@ -72,9 +72,9 @@
 	c.ok(far[0].Pause())
 
 	c.endSplit()
-	c.waitInForce(fresh, recalled)
+	c.waitInForce(fresh, recallRevision)
 	c.ok(far[0].Resume())
-	c.waitInForce(far[0], recalled)
+	c.waitInForce(far[0], recallRevision)
 	for _, d := range append(near, far[0], fresh) {
 		c.Expect(must[string](c)(digestOf(c.ctx, d))).To(gomega.Equal(good), d.Name)
 		c.waitComplete(d)
--- a/integration/rollout_test.go
+++ b/integration/rollout_test.go
@@ -47,7 +47,7 @@
 	digests := []string{c.pushSignedBundle("one"), c.pushSignedBundle("two"), c.pushSignedBundle("three")}
 	stop := c.watchRevisions()
 	const operators, changes = 3, 4
-	told := make(chan operator.ChangeOutput, operators*changes)
+	answers := make(chan operator.ChangeOutput, operators*changes)
 	var racing sync.WaitGroup
 	for i := range operators {
 		person := c.ctl(fleet.Signer)
@@ -60,12 +60,12 @@
 				if err := c.Platform.SetFaults(faults); err != nil {
 					t.Error(err)
 				}
-				raceChange(t, person, rng, digests, told)
+				raceChange(t, person, rng, digests, answers)
 			}
 		})
 	}
 	racing.Wait()
-	close(told)
+	close(answers)
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
 
 	var audit operator.AuditOutput
@@ -75,7 +75,7 @@
 		byOp[row.Op] = row.Revision
 	}
 	accepted := 1 // the one that started the cluster
-	for answer := range told {
+	for answer := range answers {
 		accepted++
 		c.Expect(byOp[answer.Op]).To(Equal(answer.Revision), "told accepted")
 	}
@@ -102,7 +102,7 @@
 	return status.Digest, err
 }
 
-func raceChange(t *testing.T, person *ctl, rng *rand.Rand, digests []string, told chan<- operator.ChangeOutput) {
+func raceChange(t *testing.T, person *ctl, rng *rand.Rand, digests []string, answers chan<- operator.ChangeOutput) {
 	args := []string{"rollout", digests[rng.IntN(len(digests))], "--reason", "race"}
 	if rng.IntN(3) == 0 {
 		args = []string{"recall", "head", "--reason", "race"}
@@ -110,7 +110,7 @@
 	var answer operator.ChangeOutput
 	switch f := person.run(&answer, args...); f.Code {
 	case 0:
-		told <- answer
+		answers <- answer
 	case result.Conflict, result.Recalled, result.NothingBefore:
 	default:
 		t.Errorf("%v: %+v", args, f)
@@ -255,10 +255,10 @@
 func TestUnsignedHeadNeverComesIntoForce(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 2})
 	digest := c.pushSignedBundle("one")
-	off := bundle.SignOff{Deployment: deployment, Digest: digest, Person: fleet.Signer, After: 1}
+	signOff := bundle.SignOff{Deployment: deployment, Digest: digest, Person: fleet.Signer, After: 1}
 	signed := rollout.Entry{
 		Deployment: deployment, Revision: 2, Action: rollout.ActionRollout, Digest: digest,
-		Person: fleet.Signer, SignOff: off.Sign(c.Key(fleet.Signer)),
+		Person: fleet.Signer, SignOff: signOff.Sign(c.Key(fleet.Signer)),
 	}
 	stranger := must[*bundle.PrivateKey](c)(bundle.NewPrivateKey("signer-1", fleet.Signer))
 	forged := bundle.Sign(bundle.PurposeEntry, must[[]byte](c)(json.Marshal(signed)), stranger)
--- a/integration/split_test.go
+++ b/integration/split_test.go
@@ -22,13 +22,13 @@
 func (c *cluster) split(groups ...[]string) {
 	c.t.Helper()
 	for i, d := range c.Daemons {
-		var apart []string
+		var blocked []string
 		for _, group := range groups {
 			if !slices.Contains(group, d.Name) {
-				apart = append(apart, group...)
+				blocked = append(blocked, group...)
 			}
 		}
-		c.ok(c.PeerProxies[i].SetFaults(faultproxy.Faults{Apart: apart}))
+		c.ok(c.PeerProxies[i].SetFaults(faultproxy.Faults{Apart: blocked}))
 	}
 }
 
@@ -135,19 +135,19 @@
 	s := fewConnections(daemons, daemons, connections)
 	s.ProxyPeers, s.ProxyPlatform = true, true
 	c := start(t, s)
-	c.Eventually(c.placeHolders, waitTimeout, "50ms").Should(gomega.HaveLen(daemons))
-	with, without := c.Daemons[:daemons/2], c.Daemons[daemons/2:]
+	c.Eventually(c.vmsWithPlace, waitTimeout, "50ms").Should(gomega.HaveLen(daemons))
+	connected, isolated := c.Daemons[:daemons/2], c.Daemons[daemons/2:]
 	next := c.pushSignedBundle("next")
 	stop := c.watchRevisions()
 
 	loads := []*load{
-		c.startLoadOn(with, 1, 0, truthOf(c.Index).check),
-		c.startLoadOn(without, 1, 0, truthOf(c.Index).check),
+		c.startLoadOn(connected, 1, 0, truthOf(c.Index).check),
+		c.startLoadOn(isolated, 1, 0, truthOf(c.Index).check),
 	}
 	c.waitLive(c.Daemons, daemons)
 	const outsider = "member" // of cluster.member
-	c.split(append(daemonNames(with), outsider), daemonNames(without))
-	c.cutOffPlatform(without, true)
+	c.split(append(daemonNames(connected), outsider), daemonNames(isolated))
+	c.cutOffPlatform(isolated, true)
 	began := time.Now()
 	c.waitLive(c.Daemons, daemons/2)
 	t.Logf("%v until each half counted the other out; %d and %d answers fell short", time.Since(began), loads[0].incompleteCount(), loads[1].incompleteCount())
@@ -158,15 +158,15 @@
 
 	var answer operator.ChangeOutput
 	c.ctl(fleet.Signer).must(&answer, "rollout", next, "--reason", "on one side")
-	for _, d := range with {
+	for _, d := range connected {
 		c.waitInForce(d, answer.Revision)
 	}
 	leaving := c.Targets[0]
 	drain := peer.Drain{Target: leaving.Name, Incarnation: must[targetsim.Counters](c)(leaving.Counters()).Incarnation}
 	member := c.joinExchange()
 	member.LearnDrain(drain)
-	c.waitMetric(with, "bramley_peer_drains 1\n")
-	for _, d := range without {
+	c.waitMetric(connected, "bramley_peer_drains 1\n")
+	for _, d := range isolated {
 		status, err := d.Status(c.ctx)
 		c.ok(err)
 		c.Expect(status.Revision).To(gomega.Equal(answer.Revision-1), d.Name)
@@ -177,17 +177,17 @@
 
 	c.endSplit()
 	began = time.Now()
-	for _, d := range without {
+	for _, d := range isolated {
 		c.waitInForce(d, answer.Revision)
 	}
-	c.waitMetric(without, "bramley_peer_drains 1\n")
+	c.waitMetric(isolated, "bramley_peer_drains 1\n")
 	t.Logf("%v from the join until the cut off half had the bundle and the drain, without the platform", time.Since(began))
 	c.waitLive(c.Daemons, daemons)
 	time.Sleep(drainApplyTime)
 	before := c.requestsReceived(leaving)
-	c.searchVia(without)
+	c.searchVia(isolated)
 	c.Expect(c.requestsReceived(leaving)).To(gomega.Equal(before), "work for a target that left")
-	c.cutOffPlatform(without, false)
+	c.cutOffPlatform(isolated, false)
 	c.searchVia(c.Daemons)
 	c.Expect(stop()).To(gomega.BeEmpty(), "VMs that went back")
 	c.expectWithinLimit(connections)
--- a/integration/stopped_operator_test.go
+++ b/integration/stopped_operator_test.go
@@ -30,25 +30,25 @@
 		stopped, other := c.ctl(fleet.Signer), c.ctl(fleet.Signer)
 		puts := func() int { return must[platformsim.Counters](c)(c.Platform.Counters()).Put }
 		before := puts()
-		var between operator.ChangeOutput
+		var otherAnswer operator.ChangeOutput
 		stopped.onStart = func(p *os.Process) {
 			c.Eventually(puts, waitTimeout, "1ms").Should(gomega.Equal(before + write))
 			_ = p.Signal(syscall.SIGSTOP)
-			other.must(&between, "rollout", second, "--reason", "meanwhile")
+			other.must(&otherAnswer, "rollout", second, "--reason", "meanwhile")
 			_ = p.Signal(syscall.SIGCONT)
 		}
 		var answer operator.ChangeOutput
 		f := stopped.run(&answer, "rollout", first, "--reason", fmt.Sprint("stopped at write ", write))
 		var audit operator.AuditOutput
 		other.must(&audit, "audit")
-		t.Logf("write %d: told %d, revision %d; the other %d", write, f.Code, answer.Revision, between.Revision)
+		t.Logf("write %d: told %d, revision %d; the other %d", write, f.Code, answer.Revision, otherAnswer.Revision)
 		if f.Code != 0 {
 			c.Expect(f.Code).To(gomega.Equal(result.Conflict), f.Detail)
-			c.Expect(audit.Head).To(gomega.Equal(between.Revision))
+			c.Expect(audit.Head).To(gomega.Equal(otherAnswer.Revision))
 			continue
 		}
-		c.Expect(answer.Revision).NotTo(gomega.Equal(between.Revision))
-		c.Expect(audit.Head).To(gomega.Equal(max(answer.Revision, between.Revision)))
+		c.Expect(answer.Revision).NotTo(gomega.Equal(otherAnswer.Revision))
+		c.Expect(audit.Head).To(gomega.Equal(max(answer.Revision, otherAnswer.Revision)))
 		c.Expect(audit.Rows[answer.Revision-1].Op).To(gomega.Equal(answer.Op))
 	}
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
--- a/integration/target_test.go
+++ b/integration/target_test.go
@@ -25,15 +25,15 @@
 func (c *cluster) waitCompleteInRow(d *fleet.Daemon, n int) {
 	c.t.Helper()
 	body := gateway.SearchBody{Query: "well", TimeLimitMS: 500}
-	row := 0
+	inRow := 0
 	c.Eventually(func() int {
 		a, _, err := d.Search(c.ctx, findSearch, body)
 		c.ok(err)
-		row++
+		inRow++
 		if a.Code != int(result.Complete) {
-			row = 0
+			inRow = 0
 		}
-		return row
+		return inRow
 	}, recoveryTimeout, "10ms").Should(gomega.Equal(n), d.Name)
 	a, _, err := d.Search(c.ctx, findSearch, searchBody("well"))
 	c.ok(err)
--- a/integration/zone_test.go
+++ b/integration/zone_test.go
@@ -28,13 +28,13 @@
 	s := fewConnections(zoneDaemons, zoneDaemons, zoneLimit)
 	s.Zones, s.Targets, s.Replicas = zones, zoneTargets, zoneReplicas
 	s.ProxyPeers, s.ProxyPlatform, s.ProxyTargets = true, true, true
-	options := s.Target
+	editTarget := s.Target
 	s.Target = func(i int, o *targetsim.Options) {
-		options(i, o)
+		editTarget(i, o)
 		o.IdleMS = 1000 // the target's end of a silent connection counts against its limit
 	}
 	c := start(t, s)
-	c.Eventually(c.placeHolders, waitTimeout, "50ms").Should(gomega.HaveLen(zoneDaemons))
+	c.Eventually(c.vmsWithPlace, waitTimeout, "50ms").Should(gomega.HaveLen(zoneDaemons))
 	c.waitLive(c.Daemons, zoneDaemons)
 	return c
 }
@@ -138,8 +138,8 @@
 	c.waitLive(c.Daemons, len(in)+len(out))
 	c.expectWorkFor(zone)
 	l.waitCompleteInRow(200)
-	faults := l.stop()
-	c.Expect(faults).To(gomega.BeEmpty())
+	failures := l.stop()
+	c.Expect(failures).To(gomega.BeEmpty())
 }
 
 // expectWorkFor waits until each target of a zone gets searches.
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -43,8 +43,8 @@
 	client := newClient()
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%02d-%012d", number, n)
-		v := c.deployment.vms[rng.IntN(len(c.deployment.vms))]
-		c.send(client, v, id, rng.IntN(3))
+		vm := c.deployment.vms[rng.IntN(len(c.deployment.vms))]
+		c.send(client, vm, id, rng.IntN(3))
 		time.Sleep(time.Duration(5+rng.IntN(20)) * time.Millisecond)
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -61,32 +61,32 @@
 func soak(t *testing.T, binary string, seed uint64) {
 	s := newDeployment(t, binary)
 	s.waitServing(t)
-	c := &callers{deployment: s, reports: make(map[string]int)}
+	load := &callers{deployment: s, reports: make(map[string]int)}
 	ctx, stop := context.WithTimeout(context.Background(), faultDuration)
 	defer stop()
 	var all sync.WaitGroup
 	for number := range callerCount {
-		all.Go(func() { c.run(ctx, number, seed) })
+		all.Go(func() { load.run(ctx, number, seed) })
 	}
 	// Each VM and each leaf belongs to one series, so that two never undo each other.
-	for line := range faultSeries {
-		all.Go(func() { s.injectFaults(ctx, line, rand.New(rand.NewPCG(seed, uint64(100+line)))) })
+	for series := range faultSeries {
+		all.Go(func() { s.injectFaults(ctx, series, rand.New(rand.NewPCG(seed, uint64(100+series)))) })
 	}
 	all.Wait()
 	s.clearFaults()
 	s.waitServing(t)
-	c.checkReports()
-	for _, fault := range c.violations {
-		t.Error(fault)
+	load.checkReports()
+	for _, violation := range load.violations {
+		t.Error(violation)
 	}
-	t.Logf("%d answers, %d reports", c.served, len(c.reports))
+	t.Logf("%d answers, %d reports", load.served, len(load.reports))
 }
 
 // injectFaults plays one series of faults: at VMs, at leafs, or at the store.
-func (s *deployment) injectFaults(ctx context.Context, line int, rng *rand.Rand) {
+func (s *deployment) injectFaults(ctx context.Context, series int, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(50+rng.IntN(300)) * time.Millisecond)
-		switch line {
+		switch series {
 		case 0:
 			s.injectVMFault(s.vms[rng.IntN(len(s.vms))], rng)
 		case 1:
