--- a/integration/committer_test.go
+++ b/integration/committer_test.go
@@ -19,12 +19,12 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// committer is the daemon that commits the claims of these tests; the others ask
-// it.
+// committer is the index of the daemon that commits the claims of these tests. The other
+// daemons send their claims to it.
 const committer = 2
 
-// startRelayingCluster starts three daemons and waits until the first two have had
-// claims carried out by the third.
+// startRelayingCluster starts three daemons and waits until the third has committed claims
+// for each of the first two.
 func startRelayingCluster(t *testing.T) *cluster {
 	c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true})
 	for requester := range committer {
@@ -33,7 +33,7 @@
 	return c
 }
 
-// waitRelaying waits until a daemon has its claims carried out by the committer.
+// waitRelaying waits until the committer has committed a claim for this daemon.
 func (c *cluster) waitRelaying(requester int) {
 	c.t.Helper()
 	c.Eventually(func() bool {
@@ -43,17 +43,17 @@
 	}, waitTimeout, "50ms").Should(gomega.BeTrue())
 }
 
-// committerKey returns a fresh key whose second the committer commits, if all
-// daemons live.
+// committerKey returns a new key whose claim the committer commits as long as all daemons
+// are alive.
 func (c *cluster) committerKey(name string) string { return c.committerKeys(name, 1)[0] }
 
-// committerKeys returns such keys of as many seconds.
+// committerKeys returns n such keys, each with another second as its time of creation.
 func (c *cluster) committerKeys(name string, n int) []string {
 	return c.keysCommittedBy(c.Daemons[committer], name, n)
 }
 
-// keysCommittedBy returns fresh keys of as many seconds that a daemon commits, if
-// all live.
+// keysCommittedBy returns n new keys, each with another second as its time of creation,
+// whose claims d commits as long as all daemons are alive.
 func (c *cluster) keysCommittedBy(d *fleet.Daemon, name string, n int) (keys []string) {
 	var vms []objstore.VM
 	for _, other := range c.Daemons {
@@ -69,8 +69,9 @@
 	return keys
 }
 
-// claimWithoutAnswer makes the first daemon's claim land by the committer's update
-// while the committer does not yet know.
+// claimWithoutAnswer submits the key to the first daemon and returns when the platform
+// holds its claim, which the committer wrote, while the committer does not know yet that
+// its write took effect.
 func (c *cluster) claimWithoutAnswer(key string) <-chan gateway.Answer {
 	c.t.Helper()
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{DelayMS: 100}))
@@ -81,7 +82,8 @@
 	return answer
 }
 
-// expectAccepted expects that the report ran once, and that all VMs say so.
+// expectAccepted expects that the answer says "accepted", that each of these daemons
+// answers "accepted" to the same key, and that the report ran once.
 func (c *cluster) expectAccepted(key string, a gateway.Answer, daemons ...int) {
 	c.t.Helper()
 	c.Expect(result.Code(a.Code)).To(gomega.Equal(result.Accepted), a.Detail)
@@ -91,10 +93,10 @@
 	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
-// A report is told "in progress" by its own claim and never runs. The VM that
-// commits for others is killed after the claim landed and before it could say
-// so. The VM that asked falls back to an update of its own and must know the
-// entry that it finds for its own.
+// A report must not be answered "in progress" because of its own claim and then never run.
+// The committer is killed after its write of the claim took effect and before it answers
+// the VM that requested it. That VM falls back to an update of its own, and must recognize
+// the entry that it finds as its own.
 func TestCommitterKilledBetweenClaimAndAnswer(t *testing.T) {
 	c := startRelayingCluster(t)
 	key := c.committerKey("killed")
@@ -103,10 +105,10 @@
 	c.expectAccepted(key, <-answer, 0, 1)
 }
 
-// A report runs twice. The VM that commits is cut off from the platform after
-// the claim landed, gives up on it, and clears it away when it is back. The VM
-// that asked has found the claim meanwhile and handed the report over, and a
-// second sending finds the key free.
+// A report must not run twice. The committer is cut off from the platform after its write
+// of the claim took effect, gives up on the claim, and would clear it once the platform is
+// reachable again. Meanwhile the VM that requested the claim has found it and sent the
+// report to a target. With the claim cleared, a second submit would find the key free.
 func TestCommitterCutOffBetweenClaimAndAnswer(t *testing.T) {
 	c := startRelayingCluster(t)
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
@@ -122,8 +124,8 @@
 	c.expectAccepted(key, <-answer, 0, 1, committer)
 }
 
-// flushCommitter has the committer claim another key of the same second, which comes
-// after all that it still had to do there.
+// flushCommitter makes the committer claim another key of the same second. When that claim
+// is visible, the committer has completed all that it still had to do for this second.
 func (c *cluster) flushCommitter(key string) {
 	c.t.Helper()
 	second, _, _ := strings.Cut(key, "-")
@@ -131,14 +133,14 @@
 	client := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{})
 	defer client.Close()
 	c.Eventually(func() (string, error) {
-		c.sendAside(c.Daemons[committer], after) // the platform may count as down for a moment
+		c.sendAside(c.Daemons[committer], after) // the committer may consider the platform down for a moment
 		object, err := client.Get(c.ctx, once.Kind, deployment+"."+second)
 		return string(object.Value), err
 	}, waitTimeout, "100ms").Should(gomega.ContainSubstring(after))
 }
 
-// The VM that commits is frozen between claim and answer for longer than any
-// time limit, and then goes on. What it does then must change nothing.
+// The committer is frozen between claim and answer for longer than any time limit, and
+// then resumes. What it does then must not change the outcome.
 func TestCommitterFrozenBetweenClaimAndAnswer(t *testing.T) {
 	c := startRelayingCluster(t)
 	key := c.committerKey("frozen")
@@ -153,10 +155,11 @@
 	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
-// A report that every target refused is told "not run", and then "in progress"
-// for ever. The VM that commits is frozen before it reads the claim; the VM that
-// asked claims by itself, is refused and gives the key free; the frozen VM goes
-// on and finds the claim of a sending that has ended in its socket.
+// A report that every target refused is answered "not run", and must not be answered "in
+// progress" forever afterwards. The committer is frozen before it reads the claim. The VM
+// that requested the claim writes one itself, is refused by the targets, and releases the
+// key. When the committer resumes, it finds in its socket the claim of a submit that has
+// already ended.
 func TestCommitterResumedAfterNotRunAnswers(t *testing.T) {
 	c := startRelayingCluster(t)
 	c.ok(c.Daemons[committer].Pause())
@@ -175,14 +178,14 @@
 	c.waitCommitterLost()
 	c.ok(c.Daemons[committer].Resume())
 	for _, key := range keys {
-		c.flushCommitter(key) // comes after what waits in its socket
+		c.flushCommitter(key) // completes after the claims that wait in its socket
 		c.Expect(c.submitRuns()).NotTo(gomega.HaveKey(key))
 		c.expectAccepted(key, c.send(c.Daemons[committer], key), 0, 1)
 	}
 }
 
-// waitCommitterLost waits until the other daemons count the committer as gone, which
-// takes longer than any time limit of a claim.
+// waitCommitterLost waits until the other daemons no longer count the committer as alive,
+// which takes longer than any time limit of a claim.
 func (c *cluster) waitCommitterLost() {
 	c.t.Helper()
 	for d := range committer {
@@ -191,8 +194,9 @@
 	}
 }
 
-// A bookmark sync fires twice, at two VMs at once, and both have their claims
-// carried out by a third, while the platform loses answers. One of them runs.
+// A client submits the same key to two VMs at the same time, twice each. A third VM
+// commits the claims of both, while the platform loses some of its answers. The report
+// must run exactly once.
 func TestSameKeyAtTwoVMsThroughACommitter(t *testing.T) {
 	c := startRelayingCluster(t)
 	for i := range 8 {
--- a/integration/ctl_test.go
+++ b/integration/ctl_test.go
@@ -20,21 +20,22 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// buildCtl builds the operators' command line once.
+// buildCtl builds bramleyctl once and returns the path of the program.
 var buildCtl = sync.OnceValues(func() (string, error) {
 	return gexec.Build("github.com/bramleybarrow/bramleybarrow/cmd/bramleyctl")
 })
 
-// ctl runs bramleyctl as a process for one person.
+// ctl runs bramleyctl as a process on behalf of one person.
 type ctl struct {
 	c       *cluster
 	program string
 	config  string
 	env     []string
-	onStart func(*os.Process) // called when a run has begun; may be nil
+	onStart func(*os.Process) // called once the process has started; may be nil
 }
 
-// ctl returns the command line of a person, with settings in a file.
+// ctl returns a ctl for a person, with its settings and the person's key in a temporary
+// directory.
 func (c *cluster) ctl(person string) *ctl {
 	c.t.Helper()
 	dir := c.t.TempDir()
@@ -53,22 +54,23 @@
 	c.ok(os.WriteFile(path, must[[]byte](c)(json.Marshal(value)), 0o600))
 }
 
-// command prepares a run with JSON output.
+// command prepares a run of bramleyctl with JSON output.
 func (x *ctl) command(ctx context.Context, args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(ctx, x.program, append([]string{"-c", x.config, "-o", "json"}, args...)...)
 	cmd.Env = append(os.Environ(), x.env...)
 	return cmd
 }
 
-// failure is what a failed command prints.
+// failure is what a command prints when it fails.
 type failure struct {
 	Code   result.Code `json:"code"`
 	Detail string      `json:"detail"`
 	Next   string      `json:"next"`
 }
 
-// run runs a command and decodes its answer. The exit status of a failure has
-// to be the class of its code.
+// run runs a command and decodes its output into the value that into points to. It returns
+// a failure with code 0 on success. The exit status of a failed command must be the class
+// of its result code.
 func (x *ctl) run(into any, args ...string) failure {
 	var out, stderr bytes.Buffer
 	cmd := x.command(x.c.ctx, args...)
@@ -86,7 +88,8 @@
 		}
 		return failure{}
 	}
-	// A change that was accepted prints its answer before it waits for VMs.
+	// An accepted change prints its answer before it waits for VMs, so a failure of
+	// the wait is a second JSON value.
 	dec := json.NewDecoder(&out)
 	var f failure
 	for dec.More() {
@@ -100,7 +103,7 @@
 	return f
 }
 
-// must runs a command that has to succeed.
+// must runs a command and fails the test if the command fails.
 func (x *ctl) must(into any, args ...string) {
 	x.c.t.Helper()
 	if f := x.run(into, args...); f.Code != 0 {
@@ -123,17 +126,17 @@
 	return pushed.Digest
 }
 
-// watchRevisions polls every daemon until stop is called, which reports those
-// that went back to a lower revision.
+// watchRevisions polls the revision in force at every daemon. stop ends the polling and
+// returns the names of the daemons whose revision decreased, once for each decrease.
 func (c *cluster) watchRevisions() (stop func() []string) {
 	return c.watchRevisionsOf(c.Daemons...)
 }
 
-// watchRevisionsOf does so with some daemons.
+// watchRevisionsOf is watchRevisions for some daemons.
 func (c *cluster) watchRevisionsOf(daemons ...*fleet.Daemon) (stop func() []string) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	var wait sync.WaitGroup
-	var mu sync.Mutex // guards back
+	var mu sync.Mutex // guards regressed
 	var regressed []string
 	for _, d := range daemons {
 		wait.Go(func() {
--- a/integration/harness_test.go
+++ b/integration/harness_test.go
@@ -1,16 +1,16 @@
-// Package integration tests the whole path with real processes: callers, the
-// daemon, targets and the platform, with fault proxies in between.
+// Package integration tests the system end to end with real processes: callers,
+// daemons, targets and the platform, with fault proxies between them.
 //
-// A test starts a cluster, which ends with the test:
+// A test starts a cluster, which is stopped when the test ends:
 //
 //	c := start(t, shape{Targets: 3, Daemons: 2})
 //	answer, status, err := c.Daemons[0].Search(c.ctx, findSearch, gateway.SearchBody{Query: "well"})
 //	c.expectTruth(answer, c.Index, target.KindSearch, searchBody("well"))
 //
-// See shape for what can be chosen and cluster for what a test may reach.
-// Faults are set on c.Platform, c.Targets[i], and, when the shape asks for
-// proxies, c.TargetProxies[i], c.PlatformProxies[i] and c.PeerProxies[i] (the
-// last two for each daemon; see cluster.split).
+// See clusterConfig for the options and cluster for what a test has access to.
+// Faults are set on c.Platform, c.Targets[i], and, if the config enables proxies,
+// c.TargetProxies[i], c.PlatformProxies[i] and c.PeerProxies[i] (the last two are
+// indexed by daemon; see cluster.split).
 package integration
 
 import (
@@ -30,12 +30,12 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// The searches of a test bundle.
+// The searches that the test bundle defines.
 const (
 	findSearch   = "find"       // kind search
 	browseSearch = "browse"     // kind browse
 	fileSearch   = "file"       // kind submit
-	plainSearch  = "find-plain" // kind search, with the plain policy
+	plainSearch  = "find-plain" // kind search, with bundle.PolicyPlain
 )
 
 const (
@@ -43,9 +43,9 @@
 	service    = "desk"
 	zone       = "zone-a"
 
-	// waitTimeout bounds each wait for something that is bound to happen.
+	// waitTimeout bounds each wait for a condition that must become true.
 	waitTimeout = 30 * time.Second
-	// testTimeout bounds a test's calls.
+	// testTimeout bounds all calls of one test together.
 	testTimeout = 3 * time.Minute
 )
 
@@ -67,34 +67,37 @@
 	return m.Run()
 }
 
-// clusterConfig describes a cluster. A zero field stands for its default.
+// clusterConfig describes a cluster. A zero field means its default, which stands last in
+// the field's comment.
 type clusterConfig struct {
 	Targets  int // 3
-	Leaves   int // of each target; 2
-	Slots    int // of each leaf; 2
+	Leaves   int // per target; 2
+	Slots    int // per leaf; 2
 	Shards   int // 4
-	Replicas int // of each shard; 2
-	Records  int // in all shards; 200
+	Replicas int // per shard; 2
+	Records  int // in all shards together; 200
 	Daemons  int // 2
 
-	ProxyTargets  bool // a fault proxy before each target
-	ProxyPlatform bool // a fault proxy between each daemon and the platform
-	ProxyPeers    bool // a fault proxy before each daemon's listener for peers
+	ProxyTargets  bool // start a fault proxy in front of each target
+	ProxyPlatform bool // start a fault proxy between each daemon and the platform
+	ProxyPeers    bool // start a fault proxy in front of each daemon's listener for peers
 
-	Zones int // availability zones, over which targets and daemons alternate; 1
+	Zones int // availability zones, assigned to targets and daemons in turn; 1
 
-	WatchWait time.Duration // of the platform; 2 s
-	LameDuck  time.Duration // of the daemons; none
+	WatchWait time.Duration // longest time that the platform holds a watch open; 2 s
+	LameDuck  time.Duration // lame-duck time of the daemons; 0
 
-	Target   func(i int, o *targetsim.Options) // last word on a target's options
-	Bundle   func(b *bundle.Bundle)            // last word on the bundle
-	Settings func(i int, s *settings.Settings) // last word on a daemon's settings
+	// These edit a target's options, the bundle, or a daemon's settings after all
+	// other fields were applied. i is the index of the target or daemon.
+	Target   func(i int, o *targetsim.Options)
+	Bundle   func(b *bundle.Bundle)
+	Settings func(i int, s *settings.Settings)
 
-	// NoRollout leaves the daemons without a bundle in force.
+	// NoRollout skips the rollout, so that the daemons have no bundle in force.
 	NoRollout bool
 }
 
-// zoneName returns the name of an availability zone; the first is zone.
+// zoneName returns the name of an availability zone; the one at index 0 is zone.
 func zoneName(i int) string { return "zone-" + string(rune('a'+i)) }
 
 func (s clusterConfig) withDefaults() clusterConfig {
@@ -121,7 +124,7 @@
 type cluster struct {
 	*fleet.Fleet
 	*gomega.WithT
-	ctx    context.Context // ends with the test or at its limit
+	ctx    context.Context // canceled when the test ends or after testTimeout
 	t      *testing.T
 	config clusterConfig
 
@@ -131,12 +134,13 @@
 	TargetProxies   []*fleet.Proxy
 	PlatformProxies []*fleet.Proxy
 	PeerProxies     []*fleet.Proxy
-	Bundle          *bundle.Bundle  // as rolled out, or as it would be
-	Index           targetsim.Index // that the targets hold at the start
+	Bundle          *bundle.Bundle  // rolled out unless NoRollout is set
+	Index           targetsim.Index // that the targets hold when the test begins
 }
 
-// start runs a cluster and waits until every daemon is ready and reads every
-// shard. It ends with the test; on failure the processes' logs are printed.
+// start starts a cluster and waits until every daemon is ready and answers a search from
+// all shards. The cluster is stopped when the test ends; if the test failed, the last
+// lines of the processes' logs are printed.
 func start(t *testing.T, s clusterConfig) *cluster {
 	t.Helper()
 	skipKnownRed(t)
@@ -176,7 +180,8 @@
 	}
 }
 
-// must returns the value, or fails the test.
+// must returns a function that returns its first argument, and fails the test if the error
+// is not nil.
 func must[T any](c *cluster) func(T, error) T {
 	return func(value T, err error) T {
 		c.t.Helper()
@@ -226,10 +231,10 @@
 	c.Daemons = append(c.Daemons, must[*fleet.Daemon](c)(c.StartDaemon(o)))
 }
 
-// listVMs makes the platform list the daemons.
+// listVMs makes the platform list the current daemons as VMs.
 func (c *cluster) listVMs() { c.listVMsAfter(0) }
 
-// listVMsAfter does so once lag has passed.
+// listVMsAfter makes the platform list the current daemons as VMs after lag.
 func (c *cluster) listVMsAfter(lag time.Duration) {
 	var vms []objstore.VM
 	for _, d := range c.Daemons {
@@ -238,7 +243,8 @@
 	c.ok(c.Platform.SetVMs(vms, lag))
 }
 
-// makeBundle describes the targets as the daemons reach them.
+// makeBundle returns a bundle with the test searches and with the targets at the addresses
+// that the daemons use: those of the proxies, if there are any.
 func (c *cluster) makeBundle() *bundle.Bundle {
 	svc := bundle.Service{
 		Name: service, Shards: c.config.Shards,
@@ -289,8 +295,8 @@
 	return b
 }
 
-// rollOut puts a bundle into force and waits until every daemon has it, is
-// ready, and reads every shard.
+// rollOut puts a bundle in force and waits until every daemon has it in force, is ready,
+// and answers a search from all shards.
 func (c *cluster) rollOut(b *bundle.Bundle) {
 	c.t.Helper()
 	entry, err := c.RollOut(c.ctx, b)
@@ -301,8 +307,8 @@
 	}
 }
 
-// waitInForce waits until the daemon says that it has at least that revision
-// in force and is ready.
+// waitInForce waits until the daemon reports that revision or a higher one as in force,
+// and is ready.
 func (c *cluster) waitInForce(d *fleet.Daemon, revision uint64) {
 	c.t.Helper()
 	c.Eventually(func() (uint64, error) {
@@ -312,7 +318,7 @@
 	c.Eventually(func() bool { return d.Ready(c.ctx) }, waitTimeout, "50ms").Should(gomega.BeTrue(), d.Name)
 }
 
-// waitComplete waits until a search by the daemon reads every shard.
+// waitComplete waits until the daemon answers a search from all shards.
 func (c *cluster) waitComplete(d *fleet.Daemon) {
 	c.t.Helper()
 	c.Eventually(func() (float64, error) {
@@ -324,12 +330,14 @@
 	}, waitTimeout, "50ms").Should(gomega.Equal(1.0), d.Name)
 }
 
-// newKey returns a fresh idempotency key.
+// newKey returns a new idempotency key, which begins with the current Unix time in
+// seconds.
 func newKey(name string) string {
 	return fmt.Sprintf("%d-%s-%d", time.Now().Unix(), name, time.Now().UnixNano())
 }
 
-// submitRuns returns how often each key was really run, over all targets.
+// submitRuns returns how many times each submit ran, by idempotency key, summed over all
+// targets' own records.
 func (c *cluster) submitRuns() map[string]int {
 	c.t.Helper()
 	runs := map[string]int{}
--- a/integration/health_test.go
+++ b/integration/health_test.go
@@ -16,13 +16,14 @@
 	"github.com/bramleybarrow/bramleybarrow/policy"
 )
 
-// beforeReread is shorter than the least time after which a VM reads a target
-// again that others tell of: what it knows by then, it was told.
+// beforeReread is less than the shortest time after which a VM reads the status of a
+// target again while other VMs report on that target. So what a VM knows within this time,
+// it learned from their reports.
 const beforeReread = 9 * time.Second
 
-// startWithReporters runs more VMs than a target takes connections, so that of each target
-// two VMs own some and three go through them, and waits until all are told of all
-// targets.
+// startWithReporters starts more VMs than a target accepts connections, so that each
+// target has two owners and three VMs that reach it through owners. It waits until every
+// VM has received the health of all targets.
 func startWithReporters(t *testing.T) *cluster {
 	t.Helper()
 	const daemons, connections = 5, 3
@@ -37,7 +38,8 @@
 	return c
 }
 
-// metric returns one of a daemon's metrics, 0 if it has none of that name.
+// metric returns the value of one of a daemon's metrics, or 0 if the daemon has no metric
+// of that name.
 func (c *cluster) metric(d *fleet.Daemon, name string) float64 {
 	for line := range strings.Lines(c.metrics(d)) {
 		if key, text, _ := strings.Cut(strings.TrimSpace(line), " "); key == name {
@@ -49,8 +51,8 @@
 	return 0
 }
 
-// removeMainReporter lets all targets take a further index, and takes the daemon that told of
-// most of them out of the list.
+// removeMainReporter makes all targets hold a further index, removes the daemon that sent
+// the most reports about them from c.Daemons, and returns it.
 func (c *cluster) removeMainReporter(further targetsim.Index) *fleet.Daemon {
 	c.t.Helper()
 	const reportsMetric = "bramley_health_told_total"
@@ -72,9 +74,10 @@
 	return d
 }
 
-// waitSnapshotChosen waits until all daemons choose a snapshot for their answers, whether these
-// come in time or not. If each shard has one replica they waitSnapshotChosen by then of every
-// target that it holds the snapshot.
+// waitSnapshotChosen waits until all daemons choose the snapshot for their answers,
+// whether or not these are within their time limit. If each shard has one replica, every
+// daemon then knows of every target that it holds the snapshot. It fails after
+// beforeReread.
 func (c *cluster) waitSnapshotChosen(snapshot string) {
 	c.t.Helper()
 	end := time.Now().Add(beforeReread)
@@ -87,7 +90,7 @@
 	}
 }
 
-// setAllIndexes makes all targets hold these indexes.
+// setAllIndexes makes all targets hold exactly these indexes.
 func (c *cluster) setAllIndexes(list ...targetsim.Index) {
 	c.t.Helper()
 	for i := range c.Targets {
@@ -95,7 +98,8 @@
 	}
 }
 
-// waitAnswersFrom waits until all daemons answer whole from a snapshot.
+// waitAnswersFrom waits until all daemons give complete answers from the snapshot. It
+// fails after beforeReread.
 func (c *cluster) waitAnswersFrom(snapshot string) {
 	c.t.Helper()
 	end := time.Now().Add(beforeReread)
@@ -110,10 +114,11 @@
 	}
 }
 
-// Targets take a new index while they still hold the old one, and the platform is
-// down. A VM without connections to them would go on answering from the old index,
-// without any call that fails, until it reads them again. It must be told by the
-// VMs that own connections; no answer mixes the two, then or when the old is gone.
+// Targets load a new index while they still hold the old one, and the platform is down. A
+// VM without connections to them would go on answering from the old index until it reads
+// their status again, because none of its calls fails. The VMs that own connections must
+// report the new index to it. No answer may mix the two indexes, neither then nor when the
+// targets drop the old one.
 func TestIndexSwitchIsReportedToVMsWithoutConnections(t *testing.T) {
 	c := startWithReporters(t)
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
@@ -127,9 +132,9 @@
 	c.waitAnswersFrom("s2")
 }
 
-// The VM that speaks for targets is killed, then they take a new index. Nobody
-// would tell the VMs without connections of it. The next owner must, and searches
-// must be answered whole all along.
+// The VM that reports the health of targets is killed, and then the targets load a new
+// index. Unless the next owner reports it, the VMs without connections do not learn of it.
+// All searches must be answered completely throughout.
 func TestReporterKilled(t *testing.T) {
 	c := startWithReporters(t)
 	second, third := c.nextIndex("s2", 2, 6), c.nextIndex("s3", 3, 5)
@@ -144,9 +149,9 @@
 	c.Expect(failures).To(gomega.BeEmpty())
 }
 
-// The VM that speaks for targets is frozen, so that it still counts as live, and
-// they take a new index. Nobody would tell the others of it. The next owner must.
-// When the frozen VM runs on, what it says must not bring the old index back.
+// The VM that reports the health of targets is frozen, so that it still counts as alive,
+// and the targets load a new index. Unless the next owner reports it, the other VMs do not
+// learn of it. When the frozen VM resumes, its reports must not bring the old index back.
 func TestReporterFrozen(t *testing.T) {
 	c := startWithReporters(t)
 	all := c.Daemons
@@ -164,10 +169,10 @@
 	c.Expect(l.stop()).To(gomega.BeEmpty())
 }
 
-// A target is killed. A VM without connections reads it seldom, so it would go on
-// sending calls there, each of which costs a query time before it is known to
-// fail. It must be told by the owners that the target is lost; and when another
-// process takes its place, that it is there again.
+// A target is killed. A VM without connections reads its status seldom, so it would go on
+// sending calls there, each of which costs a query time before it fails. The owners must
+// report that the target is lost, and report it as available again when another process
+// takes its place.
 func TestLostTargetIsReportedToVMsWithoutConnections(t *testing.T) {
 	c := startWithReporters(t)
 	lost := c.Targets[0]
--- a/integration/hop_test.go
+++ b/integration/hop_test.go
@@ -14,7 +14,8 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/fleet"
 )
 
-// daemonsWithoutPlace returns the daemons that have no connection of their own to a target.
+// daemonsWithoutPlace returns the daemons that hold no place and so have no connections of
+// their own to targets.
 func (c *cluster) daemonsWithoutPlace() (list []*fleet.Daemon) {
 	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").ShouldNot(gomega.BeEmpty())
 	holders := c.vmsWithPlace()
@@ -26,10 +27,10 @@
 	return list
 }
 
-// VMs without connections of their own are asked in bursts, with quiet times in
-// which their connections to owners are closed as idle. A user of the first search
-// after a quiet time must get the whole answer all the same, also while many begin
-// at once and each finds the connection gone.
+// VMs without connections to targets get searches in bursts. Between the bursts their
+// connections to owners are closed because they are idle. The first searches after such a
+// pause must be answered completely, even if many begin at the same time and each finds
+// its connection closed.
 func TestIdleConnectionsToOwnersAreClosedAndOpenedAgain(t *testing.T) {
 	const daemons, places, connections, bursts, searches = 5, 3, 2, 2, 4
 	s := fewConnections(daemons, places, connections)
@@ -37,7 +38,7 @@
 	editBundle := s.Bundle
 	s.Bundle = func(b *bundle.Bundle) {
 		editBundle(b)
-		// Reads of status go through owners too, and would keep connections in use.
+		// Status reads go through owners too and would keep the connections in use.
 		b.Services[0].Drain.HealthIntervalMS = 15_000
 	}
 	c := start(t, s)
@@ -67,8 +68,8 @@
 	c.expectWithinLimit(connections)
 }
 
-// addSecondZone adds as many VMs in another zone of the region as the cluster has, and
-// waits until all of them answer whole.
+// addSecondZone adds as many VMs in otherZone as the cluster has, and waits until all VMs
+// answer searches completely.
 func (c *cluster) addSecondZone() {
 	for i := range c.Daemons {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: fmt.Sprint("far-", i), Zone: otherZone})
@@ -84,12 +85,12 @@
 
 const otherZone = "zone-b"
 
-// VMs call the owners in their own zone. One of these is frozen in mid-query, and
-// one of the other zone killed. The users of their neighbours would each lose an
-// answer, or wait, until the exchange finds out; owners further away must take
-// over at once, and searches stay whole.
+// VMs call owners in their own zone. One of these owners is frozen in the middle of
+// queries, and one in the other zone is killed. Until the exchange detects this, each VM
+// in its zone could lose an answer or wait for it. Owners further away must take over at
+// once, and all searches must stay complete.
 func TestNearOwnerFrozenAndKilledInMidQuery(t *testing.T) {
-	const inZone, connections, owners = 3, 5, 4 // one connection is left free for a frozen owner
+	const inZone, connections, owners = 3, 5, 4 // one connection is reserved for a frozen owner
 	s := fewConnections(inZone, 2*inZone, connections)
 	editBundle := s.Bundle
 	s.Bundle = func(b *bundle.Bundle) {
@@ -123,7 +124,8 @@
 	c.expectWithinLimit(connections)
 }
 
-// ownerCallsWithin counts the calls to owners that are that near, by all VMs.
+// ownerCallsWithin returns how many calls all VMs made to owners at this distance: "zone"
+// or "region".
 func (c *cluster) ownerCallsWithin(distance string) (sum int) {
 	line := regexp.MustCompile(`bramley_route_owner_calls_total\{within="` + distance + `"\} (\d+)`)
 	for _, d := range c.Daemons {
--- a/integration/known_red_test.go
+++ b/integration/known_red_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// skipKnownRed skips a test that KNOWN-RED.txt names: it fails now and then for
-// a fault that is known and not mended yet.
+// skipKnownRed skips a test that KNOWN-RED.txt lists: it fails occasionally because of a
+// known fault that is not fixed yet.
 func skipKnownRed(t *testing.T) {
 	t.Helper()
 	list, err := os.ReadFile("../KNOWN-RED.txt")
 	if err != nil {
-		return // none is known
+		return // no such list: no test is known to fail
 	}
 	for line := range strings.Lines(string(list)) {
 		if name, _, _ := strings.Cut(line, ","); name == t.Name() {
--- a/integration/leaf_faults_test.go
+++ b/integration/leaf_faults_test.go
@@ -13,10 +13,10 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// A caller gets another caller's records, or some records twice: a target
-// answers with what belongs to another request, answers twice over, or so late
-// that a second attempt is already under way. Every caller must get its own
-// answer, whole, since another replica of each shard answers rightly.
+// A caller must not get another caller's records, or some records twice. A target returns
+// the answer to another request, returns its answer twice, or answers so late that a
+// second attempt is already in progress. Every caller must get its own, complete answer,
+// since another replica of each shard answers correctly.
 func TestCrossedLateAndDuplicateLeafAnswers(t *testing.T) {
 	const many = 1 << 30
 	tests := []struct {
@@ -43,13 +43,13 @@
 	}
 }
 
-// Searches run into their time limit until somebody restarts the daemons: what
-// lies between them and the targets has lost track of every open connection;
-// they say nothing any more, and new ones work. It happens twice. The daemons
-// have to find the silent connections and open new ones by themselves.
+// A network device between the daemons and the targets has lost its state of all open
+// connections: they carry no more data, while new connections work. This happens twice.
+// Searches must not run into their time limit until the daemons are restarted: the daemons
+// must detect the silent connections and open new ones.
 func TestSilentTargetConnectionsUnderLoad(t *testing.T) {
 	c := start(t, clusterConfig{ProxyTargets: true, Target: func(_ int, o *targetsim.Options) {
-		o.IdleMS = 1000 // the target's end of a silent connection counts against its limit
+		o.IdleMS = 1000 // the target's end of a silent connection counts toward its connection limit
 	}})
 	l := c.startLoad(1, 5000, truthOf(c.Index).check)
 	for range 2 {
@@ -65,10 +65,10 @@
 	c.Expect(l.stop()).To(gomega.BeEmpty())
 }
 
-// A target that is being replaced cuts searches off: it says that it is leaving,
-// and VMs go on sending it work. A few seconds after it began to leave it must
-// get no search from any VM, and no search may fall short meanwhile, since
-// other replicas hold its shards.
+// A target that is being replaced reports that it is draining. If VMs went on sending it
+// requests, these would be cut off. A few seconds after it began to drain no VM may send
+// it a search, and no search may be incomplete meanwhile, since other replicas hold its
+// shards.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 4})
 	l := c.startLoad(1, 0, truthOf(c.Index).check)
@@ -78,7 +78,7 @@
 		counters := must[targetsim.Counters](c)(leaving.Counters())
 		return counters.Searches + counters.Refused[target.ReasonDraining]
 	}
-	// The load goes on: 200 more answers without any attempt at that target.
+	// The load continues: 200 more answers without an attempt at that target.
 	c.Eventually(func() bool {
 		tried, answered := attempts(), l.answered(result.Complete)
 		c.Eventually(func() int { return l.answered(result.Complete) }, waitTimeout).Should(gomega.BeNumerically(">", answered+200))
@@ -88,9 +88,8 @@
 	c.Expect(l.answered(result.CoverageTooLow, result.TimedOut)).To(gomega.BeZero())
 }
 
-// A moderator takes a list for all there is, although matches were cut off by
-// the limit that was asked for. With one shard only the leaf knows that it cut
-// some; the answer has to pass that on.
+// A caller must be able to tell whether the limit that it asked for cut off matches. With
+// one shard only the leaf knows that it cut some, so the answer must pass this on.
 func TestMatchesCutByTheLimitAreStated(t *testing.T) {
 	c := start(t, clusterConfig{Shards: 1})
 	for _, limit := range []int{1, 3, 49, 1000} {
--- a/integration/leaving_test.go
+++ b/integration/leaving_test.go
@@ -24,22 +24,25 @@
 )
 
 const (
-	balancerLag    = time.Second
-	lameDuck       = 3 * balancerLag
-	drainApplyTime = 300 * time.Millisecond // from a drain being known to no choice under way that missed it
+	balancerLag = time.Second
+	lameDuck    = 3 * balancerLag
+
+	// drainApplyTime bounds the time from a VM's learning of a drain until no request is
+	// in progress that chose its target without knowing of the drain.
+	drainApplyTime = 300 * time.Millisecond
 )
 
-// balancer sends callers to the daemons that were ready some time ago, as the
-// platform's does.
+// balancer sends callers to the daemons that were ready balancerLag ago, like the load
+// balancer of the platform.
 type balancer struct {
 	c  *cluster
-	mu sync.Mutex // guards shown
-	// listed is what callers are sent to.
+	mu sync.Mutex // guards listed
+	// listed holds the daemons that callers are sent to.
 	listed []*fleet.Daemon
 }
 
-// run reads the readiness of all daemons until ctx ends. A change shows after
-// the lag.
+// run polls the readiness of all daemons until ctx ends. A change takes effect after
+// balancerLag.
 func (b *balancer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		var ready []*fleet.Daemon
@@ -63,8 +66,8 @@
 	return b.listed[i%len(b.listed)]
 }
 
-// caller keeps its connections open, and sends nothing twice by itself: its
-// bodies cannot be rewound.
+// caller keeps its connections open. Its HTTP client never repeats a request by itself,
+// because its request bodies cannot be rewound.
 type caller struct {
 	client http.Client
 }
@@ -92,10 +95,9 @@
 	return a, errors.Trace(json.NewDecoder(resp.Body).Decode(&a))
 }
 
-// An inspector's lookup is cut off while a VM is replaced. The VM gets SIGTERM
-// under load; the balancer goes on sending callers there for a while, on
-// connections that they keep open. Every request gets its answer, and the
-// process ends by itself.
+// A VM gets SIGTERM under load, while the balancer goes on sending callers there for a
+// while, on connections that the callers keep open. No request may be cut off: each gets
+// its answer, and the process exits by itself.
 func TestStoppingVMCutsOffNoRequest(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3, LameDuck: lameDuck})
 	ctx, cancel := context.WithCancel(c.ctx)
@@ -145,12 +147,12 @@
 	}
 	c.Expect(failures).To(gomega.BeEmpty())
 	c.Expect(leaving.ExitCode()).To(gomega.BeZero())
-	c.Expect(served.Load()).To(gomega.BeNumerically(">", 0), "the lagging balancer sent nothing to the leaving VM")
+	c.Expect(served.Load()).To(gomega.BeNumerically(">", 0), "the lagging balancer sent no request to the leaving VM")
 }
 
-// A waterworks' report takes longer than the VM's lame-duck time. The VM waits
-// for it, the caller gets the answer, and the outcome is kept: another VM tells
-// the same.
+// A submit takes longer than the VM's lame-duck time. The stopping VM must wait for it,
+// its caller must get the answer, and the outcome must be stored, so that another VM gives
+// the same answer.
 func TestStoppingVMWaitsForALongRequest(t *testing.T) {
 	c := start(t, clusterConfig{LameDuck: 100 * time.Millisecond})
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
@@ -173,7 +175,8 @@
 	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
-// requestsReceived counts the requests that a target was sent, refused ones included.
+// requestsReceived returns how many requests a target received, including those that it
+// refused.
 func (c *cluster) requestsReceived(t *fleet.Target) int {
 	counters := must[targetsim.Counters](c)(t.Counters())
 	n := counters.Searches + counters.Submits
@@ -183,9 +186,9 @@
 	return n
 }
 
-// A target is shut down for repair and half of the VMs go on sending it work.
-// Only one VM meets it after it began to leave; the others read its state once
-// in ten minutes. What that one learned must reach them within seconds.
+// A target drains, and VMs that do not know this go on sending it requests. Only one VM
+// sends it a request after the drain began; the others read its state only once in 10 min.
+// What the one VM learned must reach the others within seconds.
 func TestDrainLearnedByOneVMReachesAll(t *testing.T) {
 	const never = 600_000 // ms
 	c := start(t, clusterConfig{
@@ -198,9 +201,9 @@
 		_, _, err := c.Daemons[0].Search(c.ctx, findSearch, searchBody("well"))
 		c.ok(err)
 		return must[targetsim.Counters](c)(leaving.Counters()).Refused["draining"]
-	}, waitTimeout, "10ms").Should(gomega.BeNumerically(">", 0), "the first VM meets the target")
+	}, waitTimeout, "10ms").Should(gomega.BeNumerically(">", 0), "the first VM is refused by the target")
 
-	// The other VMs have sent nothing since, so that they can only be told.
+	// The other VMs have sent no request since, so they can learn it only from the first.
 	for _, d := range c.Daemons[1:] {
 		c.Eventually(func() string { return c.metrics(d) }, waitTimeout, "50ms").Should(gomega.ContainSubstring("bramley_peer_drains 1\n"))
 	}
@@ -210,7 +213,7 @@
 	c.Expect(c.requestsReceived(leaving)).To(gomega.Equal(before))
 }
 
-// metrics returns a daemon's metrics page.
+// metrics returns a daemon's metrics page, or the text of the error if it can't be read.
 func (c *cluster) metrics(d *fleet.Daemon) string {
 	resp, err := http.Get("http://" + d.Ops + ops.PathMetrics)
 	if err != nil {
@@ -222,8 +225,8 @@
 	return string(page)
 }
 
-// A target comes back from its repair and stays idle, while its replicas carry
-// its load. The drain belongs to the incarnation that left.
+// A target restarts after a drain. It must get requests again, instead of staying idle
+// while its replicas carry its load: a drain holds only for the incarnation that drained.
 func TestTargetComesBackAfterDrain(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 4})
 	leaving := c.Targets[0]
@@ -242,10 +245,10 @@
 	c.Eventually(func() int {
 		c.searchOthers(5)
 		return c.requestsReceived(back)
-	}, waitTimeout, "200ms").Should(gomega.BeNumerically(">", 0), "the drain sticks to the old incarnation only")
+	}, waitTimeout, "200ms").Should(gomega.BeNumerically(">", 0), "a drain holds only for the incarnation that drained")
 }
 
-// searchOthers lets the daemons other than the first search n times each.
+// searchOthers sends n searches to each daemon except the first.
 func (c *cluster) searchOthers(n int) {
 	c.t.Helper()
 	for _, d := range c.Daemons[1:] {
--- a/integration/load_test.go
+++ b/integration/load_test.go
@@ -11,8 +11,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// load asks some daemons in turn from several callers until stop is called, and
-// checks each answer.
+// load sends searches to some daemons in turn from loadCallers concurrent callers until
+// stop is called, and checks each answer.
 type load struct {
 	c       *cluster
 	daemons []*fleet.Daemon
@@ -21,22 +21,22 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	codes      map[result.Code]int
-	notRun     []string // requests whose answer says "not run"
-	failures   []string
-	incomplete []string // what was lacking of answers that were not whole, for the log
+	notRun     []string // IDs of requests whose answer says "not run"
+	failures   []string // errors, and answers that check rejected
+	incomplete []string // a description of each answer whose code is not Complete
 }
 
 const loadCallers = 4
 
-// startLoad begins to ask all daemons. need is the coverage that every other caller states;
-// the rest need everything.
+// startLoad starts a load on all daemons. Every other caller requires this coverage; the
+// other callers require full coverage. check gets each answer with its request body.
 func (c *cluster) startLoad(required float64, limitMS int, check func(gateway.Answer, gateway.SearchBody) error) *load {
 	return c.startLoadOn(c.Daemons, required, limitMS, check)
 }
 
-// startLoadOn does so with some daemons.
+// startLoadOn is startLoad on some daemons.
 func (c *cluster) startLoadOn(daemons []*fleet.Daemon, required float64, limitMS int, check func(gateway.Answer, gateway.SearchBody) error) *load {
 	ctx, cancel := context.WithCancel(c.ctx)
 	l := &load{c: c, daemons: daemons, check: check, cancel: cancel, codes: map[result.Code]int{}}
@@ -83,7 +83,7 @@
 	l.failures = append(l.failures, text)
 }
 
-// answered returns how many answers with one of the codes came so far.
+// answered returns how many answers with one of the codes were received so far.
 func (l *load) answered(codes ...result.Code) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,15 +94,15 @@
 	return n
 }
 
-// stop ends the load and returns the faults found in answers. All targets must
-// be alive, since what was told to be not run is held against their records.
+// stop ends the load and returns all failures. All targets must be running: each answer
+// that says "not run" is compared with the targets' records of what they started.
 func (l *load) stop() []string {
 	l.cancel()
 	l.wg.Wait()
 	ran := l.c.searchAttempts()
 	for _, id := range l.notRun {
 		if n := ran[id]; n > 0 {
-			l.failures = append(l.failures, fmt.Sprintf("request %s was told to be not run, targets started %d attempts", id, n))
+			l.failures = append(l.failures, fmt.Sprintf("request %s was answered \"not run\", but targets started %d attempts", id, n))
 		}
 	}
 	return l.failures
--- a/integration/once_test.go
+++ b/integration/once_test.go
@@ -20,12 +20,12 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-const sendLimit = 20 * time.Second
+const sendTimeout = 20 * time.Second
 
-// send sends a report under the key. The code of an answer that did not come is
-// 0.
+// send submits a report under the key. If no answer is received, the answer that it
+// returns has code 0 and the error as its detail.
 func (c *cluster) send(d *fleet.Daemon, key string) gateway.Answer {
-	ctx, cancel := context.WithTimeout(c.ctx, sendLimit)
+	ctx, cancel := context.WithTimeout(c.ctx, sendTimeout)
 	defer cancel()
 	a, _, err := d.Submit(ctx, fileSearch, key, map[string]string{"report": key})
 	if err != nil {
@@ -34,22 +34,22 @@
 	return a
 }
 
-// sendAside sends a report and returns at once.
+// sendAside calls send in a goroutine and returns a channel that gets the answer.
 func (c *cluster) sendAside(d *fleet.Daemon, key string) <-chan gateway.Answer {
 	answer := make(chan gateway.Answer, 1)
 	go func() { answer <- c.send(d, key) }()
 	return answer
 }
 
-// finalCode sends the key until it is told something else than "in progress"
-// or "not run".
+// finalCode submits the key until the answer is something else than "in progress" or "not
+// run", and returns its code.
 func (c *cluster) finalCode(d *fleet.Daemon, key string) result.Code {
 	c.t.Helper()
 	var code result.Code
 	c.Eventually(func() bool {
 		code = result.Code(c.send(d, key).Code)
 		return code != 0 && code != result.InProgress && code.Info().Ran != result.RanNo
-	}, waitTimeout, "100ms").Should(gomega.BeTrue(), "last told %v", &code)
+	}, waitTimeout, "100ms").Should(gomega.BeTrue(), "last code %v", &code)
 	return code
 }
 
@@ -79,9 +79,9 @@
 	c.Eventually(func() int { return c.submitRuns()[key] }, waitTimeout, "20ms").Should(gomega.Equal(1))
 }
 
-// A farm's withdrawal report is filed twice. The target runs it and the
-// connection breaks before the answer; the connection was a reused one, so that
-// net/http would send a request that looks idempotent again by itself.
+// A report must not run twice. The target runs it and the connection breaks before the
+// answer. The connection was a reused one, on which net/http would by itself repeat a
+// request that looks idempotent.
 func TestConnectionCutAfterWriteRunsOnce(t *testing.T) {
 	c := start(t, clusterConfig{})
 	const keys = 8
@@ -99,8 +99,9 @@
 	}
 }
 
-// A bookmark sync fires twice. Its sender sends the key to two VMs at once, and
-// the platform takes some of their claims while the answers are lost.
+// A client submits the same key to two VMs at the same time, twice each, while the
+// platform applies some of their claims and loses the answers. The report must run exactly
+// once.
 func TestSameKeyAtTwoVMsRunsOnce(t *testing.T) {
 	c := start(t, clusterConfig{})
 	for i := range 12 {
@@ -122,9 +123,9 @@
 	}
 }
 
-// An inspector's report runs at the target and its VM is lost before the
-// answer. The inspector tries another VM, which must not run it again, and
-// can't say how it went.
+// A report runs at the target and its VM is killed before the answer. The client tries
+// another VM, which must not run the report again, and must answer that the outcome is
+// unknown.
 func TestVMKilledBeforeTheAnswer(t *testing.T) {
 	c := start(t, clusterConfig{})
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
@@ -137,11 +138,12 @@
 	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
-// The same, but the VM is lost after the platform took its claim and before it
-// knew: nothing ran. Nobody can tell this from a run, so nobody runs it.
+// The VM is killed after the platform applied its claim and before the VM knew of it, so
+// nothing ran. The other VM can't distinguish this from a run, so it must not run the
+// report.
 func TestVMKilledBeforeTheHandOver(t *testing.T) {
 	c := start(t, clusterConfig{ProxyPlatform: true})
-	c.setTargetFaults(targetsim.Faults{HoldSubmits: true}) // no outcome, should the answer come before the kill
+	c.setTargetFaults(targetsim.Faults{HoldSubmits: true}) // no outcome is stored if the claim's answer arrives before the kill
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 300}))
 	key := newKey("claimed")
 	c.sendAside(c.Daemons[0], key)
@@ -152,12 +154,12 @@
 	c.Expect(c.submitRuns()[key]).To(gomega.BeNumerically("<=", 1))
 }
 
-// A VM is frozen right after its claim, for longer than its time limit, while
-// the sender asks another VM; then it goes on with the claim it still believes
-// to hold. Whoever runs the report in the end, it runs once.
+// A VM is frozen right after its claim, for longer than its time limit, while the client
+// tries another VM. Then it resumes and still considers the claim its own. Whichever VM
+// runs the report, it must run at most once.
 func TestVMFrozenBeforeTheHandOver(t *testing.T) {
 	c := start(t, clusterConfig{ProxyPlatform: true})
-	c.setTargetFaults(targetsim.Faults{HoldSubmits: true}) // no outcome, should the answer come before the pause
+	c.setTargetFaults(targetsim.Faults{HoldSubmits: true}) // no outcome is stored if the claim's answer arrives before the pause
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 300}))
 	key := newKey("frozen")
 	first := c.sendAside(c.Daemons[0], key)
@@ -177,8 +179,9 @@
 	}
 }
 
-// A VM is frozen after the hand-over. While it is, the other VM must not run
-// the report; once it is back, both tell what the target answered.
+// A VM is frozen after it sent a report to the target. Meanwhile the other VM must not run
+// the report. Once the first VM has resumed, both must give the outcome that the target
+// answered.
 func TestVMFrozenBeforeTheAnswer(t *testing.T) {
 	c := start(t, clusterConfig{})
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
@@ -195,20 +198,20 @@
 	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
-// A VM's claim lands and it hears nothing more from the platform. It says "not
-// run", which the target's record confirms. The other VM meets the claim. When
-// the first one hears from the platform again it must remove the claim, or the
-// report could never be sent under its key.
+// A VM's claim takes effect, but the VM receives nothing more from the platform. It
+// answers "not run", which the target's record confirms. The other VM finds the claim.
+// When the first VM can reach the platform again it must remove the claim, or the report
+// could never be submitted under its key.
 func TestClaimAnswerLostForLong(t *testing.T) {
 	c := start(t, clusterConfig{ProxyPlatform: true})
-	const tries = 20 // one whose answer came through before the fault is repeated
-	// Of keys that the other VM commits, this one would hear from there.
+	const tries = 20 // a try is repeated if the answer arrived before the fault was set
+	// For a key that the other VM commits, the first VM would get the answer from it.
 	for _, key := range c.keysCommittedBy(c.Daemons[0], "unheard", tries) {
 		c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 1000, LoseKind: once.Kind}))
 		c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 400}))
 		answer := c.sendAside(c.Daemons[0], key)
 		c.waitClaim(key)
-		// The VM is about to read whether its claim landed.
+		// The VM is about to read whether its claim took effect.
 		c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{LoseDown: true}))
 		c.ok(c.Platform.SetFaults(platformsim.Faults{}))
 		a := <-answer
@@ -233,8 +236,9 @@
 	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
-// The platform is down when reports come in. Each is told "not run" and when to
-// come back; when it is up again each runs once under its old key.
+// The platform is down when reports arrive. Each must be answered "not run", with a time
+// after which to retry. When the platform is up again, each must run once under its old
+// key.
 func TestPlatformDownRunsNothing(t *testing.T) {
 	c := start(t, clusterConfig{})
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
@@ -254,11 +258,11 @@
 	}
 }
 
-// Faults come together and twice: the platform loses writes and answers and
-// goes down, connections are cut and go silent, targets shed and cut, a VM
-// freezes. Senders send each key five times, to two VMs at once. By the targets' own record no
-// key ran twice, none ran that was only told "not run", and each that was told
-// "accepted" ran.
+// Faults overlap and repeat: the platform loses writes and answers and goes down,
+// connections are cut and become silent, targets refuse requests and cut connections, a VM
+// freezes. Each key is submitted five times, each time to two VMs at once. By the targets'
+// own records no key may run twice, none may run whose answers all say "not run", and each
+// that was answered "accepted" must have run.
 func TestOnceUnderRandomFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -295,16 +299,16 @@
 
 func (c *cluster) expectOnce(key string, codes []result.Code, runs int) {
 	c.t.Helper()
-	c.Expect(runs).To(gomega.BeNumerically("<=", 1), "%s ran twice, told %v", key, codes)
+	c.Expect(runs).To(gomega.BeNumerically("<=", 1), "%s ran twice, answered %v", key, codes)
 	notRun := true
 	for _, code := range codes {
 		if code == result.Accepted {
-			c.Expect(runs).To(gomega.Equal(1), "%s told %v", key, codes)
+			c.Expect(runs).To(gomega.Equal(1), "%s was answered %v", key, codes)
 		}
 		notRun = notRun && code != 0 && code.Info().Ran == result.RanNo
 	}
 	if notRun {
-		c.Expect(runs).To(gomega.BeZero(), "%s told %v", key, codes)
+		c.Expect(runs).To(gomega.BeZero(), "%s was answered %v", key, codes)
 	}
 }
 
--- a/integration/owner_test.go
+++ b/integration/owner_test.go
@@ -15,8 +15,9 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/place"
 )
 
-// fewConnections makes a fleet that is larger than what its targets accept: each
-// takes that many connections from some VMs more.
+// fewConnections configures a fleet in which not every VM can connect to every target:
+// each target accepts this number of connections, while the bundle allows places VMs,
+// which must be more.
 func fewConnections(daemons, places, connections int) clusterConfig {
 	return clusterConfig{
 		Daemons: daemons, Targets: 3, Replicas: 2, LameDuck: time.Second,
@@ -40,11 +41,11 @@
 	}
 }
 
-// A fleet has more VMs than its targets accept connections, and all VMs are
-// replaced one after another under load. A user of a VM without a connection
-// would get nothing, and a new VM that connects too early would be turned away.
-// Every search must be answered whole, through an owner where need be, and no
-// target see more connections than it accepts.
+// A fleet has more VMs than its targets accept connections, and all VMs are replaced one
+// after another under load. A VM without a connection could answer nothing by itself, and
+// a new VM that connects too early would be refused. Every search must be answered
+// completely, through an owner if necessary, and no target may see more connections than
+// it accepts.
 func TestVMsWithoutConnectionsReachTargetsThroughOwners(t *testing.T) {
 	const daemons, connections = 5, 3
 	c := start(t, fewConnections(daemons, daemons+1, connections))
@@ -58,9 +59,9 @@
 	c.expectWithinLimit(connections)
 }
 
-// Owners are killed one after another, and new VMs take their places, while
-// others are calling through them. A user would lose an answer with the owner;
-// each search must still be answered whole, within its time.
+// Owners are killed one after another while other VMs call targets through them, and new
+// VMs take their places. The answers must not be lost with the owner: every search must
+// still be answered completely within its time limit.
 func TestOwnersKilledInMidQuery(t *testing.T) {
 	const daemons, connections = 5, 3
 	c := start(t, fewConnections(daemons, daemons, connections))
@@ -68,11 +69,12 @@
 	c.expectWithinLimit(connections)
 }
 
-// killOwners kills VMs under load, one after another, and replaces them. Every
-// search of the others must be answered whole. Targets accept three connections.
+// killOwners kills three VMs under load, one after another, and replaces each. Every
+// search of the other VMs must be answered completely. Targets must accept three
+// connections.
 func (c *cluster) killOwners() {
 	c.t.Helper()
-	const owners = 2 // of each target, with a connection each; one is left free for a frozen owner
+	const owners = 2 // of each target, with one connection each; the third is reserved for a frozen owner
 	c.waitOwners(owners)
 	rotation := &searchRotation{}
 	for i := range 3 {
@@ -98,9 +100,9 @@
 	}
 }
 
-// waitOwners waits until each target has connections from that many owners again.
-// A place passes to a new VM only once its old holder counts as lost, and until
-// then the death of a further owner can leave a target without any.
+// waitOwners waits until each target has connections from that many owners. A place passes
+// to a new VM only once its old holder counts as lost, and until then the loss of a
+// further owner can leave a target without any.
 func (c *cluster) waitOwners(owners int) {
 	c.t.Helper()
 	for _, target := range c.Targets {
@@ -117,13 +119,13 @@
 	return r.complete
 }
 
-// An owner is frozen for longer than any timeout. There are more VMs than places,
-// so its place is given to one of the others; then it runs on. It still has its
-// connections, and would open more. It must find that the place is not its own
-// any more, and the target must never see more connections than it accepts.
+// An owner is frozen for longer than any timeout. There are more VMs than places, so its
+// place is given to another VM. Then it resumes, still has its connections, and would open
+// more. It must detect that it no longer holds the place, and the target must never see
+// more connections than it accepts.
 func TestFrozenOwnerComesBack(t *testing.T) {
 	const daemons, places, connections = 3, 4, 3
-	const owned = 2 // one connection's share is left free for a frozen owner
+	const owned = 2 // one of the connections is reserved for a frozen owner
 	c := start(t, fewConnections(daemons, places, connections))
 	frozen, others := c.Daemons[0], c.Daemons[1:]
 	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
@@ -151,7 +153,7 @@
 	c.expectWithinLimit(connections)
 }
 
-// vmsWithPlace returns the VMs that have claimed a place.
+// vmsWithPlace returns the names of the VMs that have claimed a place.
 func (c *cluster) vmsWithPlace() (holders []string) {
 	page, err := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{}).List(c.ctx, place.Kind, "", 100)
 	c.ok(err)
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -14,8 +14,8 @@
 
 func searchBody(query string) gateway.SearchBody { return gateway.SearchBody{Query: query} }
 
-// expectTruth checks an answer that claims to be complete against what the
-// stand-ins hold of the snapshot that the answer names.
+// expectTruth compares an answer that claims to be complete with what the simulated
+// targets hold of index x. The answer must be from x's snapshot.
 func (c *cluster) expectTruth(a gateway.Answer, x targetsim.Index, kind target.Kind, body gateway.SearchBody) {
 	c.t.Helper()
 	const most = 1000 // max_items of the test bundle
@@ -32,9 +32,10 @@
 	}))
 }
 
-// The whole path once: a caller asks either of two daemons, which fan out to
-// the leaves of three targets under a bundle that was rolled out through the
-// platform, and gets every matching record; a non-idempotent request runs once.
+// Covers the end-to-end path without faults: a caller queries each of two daemons, which
+// fan out to the leaves of three targets under a bundle that was rolled out through the
+// platform, and gets every matching record. A non-idempotent request that is sent to both
+// daemons runs once.
 func TestWholePath(t *testing.T) {
 	c := start(t, clusterConfig{})
 	for _, d := range c.Daemons {
--- a/integration/peer_test.go
+++ b/integration/peer_test.go
@@ -19,7 +19,8 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// searchRotation sends searches to the VMs that it lists, which lags behind.
+// searchRotation sends searches in turn to the VMs that it was last given, as a load
+// balancer does.
 type searchRotation struct {
 	mu       sync.Mutex // guards the fields below
 	vms      []*fleet.Daemon
@@ -41,8 +42,8 @@
 	return r.vms[r.next%len(r.vms)]
 }
 
-// startSearches sends searches from some callers until stop is called, which returns how
-// many were answered whole and what went wrong.
+// startSearches sends searches from some concurrent callers until stop is called, which
+// returns the number of complete answers and a description of every other result.
 func (c *cluster) startSearches(r *searchRotation) (stop func() (complete int, failures []string)) {
 	const callers = 4
 	done := make(chan struct{})
@@ -81,17 +82,18 @@
 	}
 }
 
-// All VMs are replaced one after another under load, each new one running beside
-// the old one for a while, and the platform's list of VMs lags. A user would see
-// searches fail because a target turns VMs away: the sum of all VMs' connections
-// must stay within each target's limit all the time, and no search be cut off.
+// All VMs are replaced one after another under load. Each new VM runs beside the old one
+// for a while, and the platform's list of VMs lags. If the VMs together opened more
+// connections than a target accepts, it would refuse some and searches would fail. The sum
+// of all VMs' connections must stay within each target's limit at all times, and no search
+// may be cut off.
 func TestAllVMsReplacedUnderLoad(t *testing.T) {
 	const daemons, connections, listLag = 4, 25, 3 * time.Second
 	c := start(t, clusterConfig{
 		Daemons:  daemons,
 		LameDuck: time.Second,
 		Bundle: func(b *bundle.Bundle) {
-			b.Fleet.MaxVMs = daemons + 1 // one more during a replacement
+			b.Fleet.MaxVMs = daemons + 1 // one VM more during a replacement
 			for i := range b.Services[0].Targets {
 				b.Services[0].Targets[i].Connections = connections
 			}
@@ -119,7 +121,7 @@
 	return seen, err
 }
 
-// joinExchange joins the daemons' exchange from this process.
+// joinExchange joins the daemons' exchange from this process, as a VM called "member".
 func (c *cluster) joinExchange() *peer.Exchange {
 	set := must[*settings.Settings](c)(settings.Load(c.Daemons[0].Settings))
 	key := must[[]byte](c)(base64.StdEncoding.DecodeString(set.FleetKeys[0]))
@@ -135,10 +137,10 @@
 	return x
 }
 
-// One VM alone learns that a target leaves; the target itself says nothing to
-// anybody. A user of another VM would wait for a target that is going away. No
-// VM may give it new work a few seconds later, the answers stay whole, and only
-// a new incarnation of the target gets work again.
+// Only one VM learns that a target drains; the target itself reports nothing. The other
+// VMs would go on sending requests to a target that is being stopped. A few seconds later
+// no VM may send it a new request, all answers must be complete, and only a new
+// incarnation of the target may get requests again.
 func TestDrainLearnedByOneVMOnly(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3, Targets: 3, Replicas: 3})
 	leaving := c.Targets[0]
@@ -150,7 +152,7 @@
 		c.ok(err)
 		return n.Searches
 	}
-	// An interval of searches by every VM without one more for the target.
+	// Wait for a round of searches by every VM of which none reaches the target.
 	c.Eventually(func() int {
 		before := started()
 		c.searchEverywhere()
@@ -159,7 +161,7 @@
 	for range 5 {
 		before := started()
 		c.searchEverywhere()
-		c.Expect(started()).To(gomega.Equal(before), "work for a target that leaves")
+		c.Expect(started()).To(gomega.Equal(before), "searches at a draining target")
 	}
 
 	leaving.Kill()
@@ -172,11 +174,10 @@
 		n, err := fresh.Counters()
 		c.ok(err)
 		return n.Searches
-	}, waitTimeout, "100ms").Should(gomega.BeNumerically(">", 0), "no work for the new incarnation")
+	}, waitTimeout, "100ms").Should(gomega.BeNumerically(">", 0), "no searches at the new incarnation")
 }
 
-// searchEverywhere sends some searches to every VM, each of which must be
-// answered whole.
+// searchEverywhere sends five searches to every VM and expects complete answers.
 func (c *cluster) searchEverywhere() {
 	c.t.Helper()
 	for _, d := range c.Daemons {
@@ -188,9 +189,9 @@
 	}
 }
 
-// A zone loses its power; when it returns, the platform is still down, and all
-// VMs but one start from nothing. A user would find no VM that serves. Each has
-// only one other VM's address, in a chain; all must get the bundle.
+// After a power loss all VMs but one start without any state while the platform is still
+// down. Each new VM has the address of only one other VM, in a chain. All must get the
+// bundle from their peers, or there would be too few VMs that serve.
 func TestFleetStartsWithPlatformDown(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 1})
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
@@ -206,7 +207,7 @@
 	for _, d := range c.Daemons {
 		c.waitInForce(d, 1)
 	}
-	// Each knows more VMs than the one that it was given.
+	// Each knows more VMs than the one in its settings.
 	for _, d := range c.Daemons {
 		c.Eventually(func() (int, error) {
 			status, err := d.Status(c.ctx)
@@ -215,8 +216,8 @@
 	}
 }
 
-// replaceVMs replaces every VM, one after another. Callers are sent to the new
-// VM once it reads every shard; the platform's list follows after lag.
+// replaceVMs replaces every VM, one after another. The rotation gets a new VM once this
+// answers from all shards; the platform's list follows after lag.
 func (c *cluster) replaceVMs(rotation *searchRotation, lag time.Duration) {
 	c.t.Helper()
 	for i := range c.Daemons {
--- a/integration/query_test.go
+++ b/integration/query_test.go
@@ -18,7 +18,8 @@
 
 const minCoverage = 0.01
 
-// setIndexes makes every target setIndexes the given indexes, each placed in the same way.
+// setIndexes makes target i hold exactly these indexes. The replicas of each are placed in
+// the same way.
 func (c *cluster) setIndexes(i int, list ...targetsim.Index) {
 	c.t.Helper()
 	s := c.config
@@ -35,13 +36,13 @@
 	return x
 }
 
-// A reader gets a page with records of two index versions, or one that counts
-// its coverage against the wrong number of shards: targets switch to a new
-// index, and repartition it, while queries run. The cause would be an attempt,
-// hedge or retry that reads another snapshot than the rest of its query.
+// An answer must not contain records of two snapshots, or compute its coverage from the
+// wrong number of shards. Targets switch to a new index, and change its number of shards,
+// while queries run. The failure would be caused by an attempt, hedge or retry that reads
+// another snapshot than the other attempts of its query.
 func TestIndexSwitchNeverMixesSnapshots(t *testing.T) {
 	c := start(t, clusterConfig{Target: func(_ int, o *targetsim.Options) { o.Timing.BaseMS = 15 }})
-	for _, target := range c.Targets { // so that there are retries
+	for _, target := range c.Targets { // to cause retries
 		c.ok(target.SetFaults(targetsim.Faults{ShedShare: 0.15}))
 	}
 	indexes := []targetsim.Index{c.Index}
@@ -50,7 +51,7 @@
 	}
 	l := c.startLoad(minCoverage, 0, truthOf(indexes...).check)
 	for n := 1; n < len(indexes); n++ {
-		if n%2 == 1 { // side by side for a while, else without any overlap
+		if n%2 == 1 { // hold both indexes for a while, otherwise switch without overlap
 			for i := range c.Targets {
 				c.setIndexes(i, indexes[n-1], indexes[n])
 			}
@@ -65,15 +66,15 @@
 	c.Expect(l.answered(result.Complete)).To(gomega.BeNumerically(">", 0))
 }
 
-// waitAnswers waits until n more queries were answered with some coverage.
+// waitAnswers waits until n more queries were answered with at least some coverage.
 func (l *load) waitAnswers(n int) {
 	before := l.answered(result.Complete, result.Partial)
 	l.c.Eventually(func() int { return l.answered(result.Complete, result.Partial) }, waitTimeout, "5ms").Should(gomega.BeNumerically(">", before+n))
 }
 
-// A reader turns a page and finds records twice or not at all: the index was
-// switched between the two pages. The cursor pins the snapshot; when it is gone
-// the reader is told so.
+// A reader must not see records twice, or miss some, if the index is switched between two
+// pages. The cursor pins the snapshot; once no target holds that snapshot, the answer must
+// say so.
 func TestBrowseCursorPinsTheSnapshot(t *testing.T) {
 	c := start(t, clusterConfig{})
 	d := c.Daemons[0]
@@ -101,8 +102,8 @@
 
 func answerOnly(a gateway.Answer, _ int, err error) (gateway.Answer, error) { return a, err }
 
-// A renewal check tells a farm that its permit has lapsed: all replicas of a
-// shard are lost and the answer does not say that records are missing.
+// All replicas of a shard are lost. The answer must say that records are missing, or its
+// reader would conclude that they don't exist.
 func TestLostShardIsStated(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 2, Leaves: 1, Shards: 4, Replicas: 1})
 	c.Targets[0].Kill()
@@ -115,15 +116,15 @@
 		return a.Code
 	}, waitTimeout, "20ms").Should(gomega.Equal(int(result.Partial)))
 	c.Expect(a.Coverage.ShardsAnswered).To(gomega.Equal(2))
-	c.Expect(a.Coverage.UnknownShards).To(gomega.Equal(0), "how much the lost shards held is known from before")
+	c.Expect(a.Coverage.UnknownShards).To(gomega.Equal(0), "the sizes of the lost shards are known from earlier answers")
 	body.Coverage = 1
 	a = must[gateway.Answer](c)(answerOnly(d.Search(c.ctx, findSearch, body)))
 	c.Expect(a.Code).To(gomega.Equal(int(result.CoverageTooLow)))
 	c.Expect(a.RetryAfterMS).To(gomega.BeNumerically(">", 0))
 }
 
-// A page misses records although it claims to be whole: a leaf could read only
-// a part of its shard and said so itself.
+// A leaf could read only a part of its shard, and its answer says so. The query's answer
+// must not claim to be complete.
 func TestIncompleteLeafIsReported(t *testing.T) {
 	c := start(t, clusterConfig{})
 	const missing = 3
@@ -137,8 +138,8 @@
 	c.Expect(a.Coverage.Missing).To(gomega.Equal(int64(missing * c.config.Shards)))
 }
 
-// A caller waits for its whole time limit although the query was lost at once:
-// no replica of a shard is left. Its final answer must not be held back.
+// No replica of a shard is left, so the query can't succeed. Its answer must be sent at
+// once, not at the end of the caller's time limit.
 func TestGivenUpQueryIsAnsweredAtOnce(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 2, Leaves: 1, Shards: 2, Replicas: 1})
 	c.Targets[0].Kill()
@@ -148,9 +149,8 @@
 	c.Expect(a.TookMS).To(gomega.BeNumerically("<", limitMS/2))
 }
 
-// Searches stop being whole for as long as one target is frozen: the process
-// is paused, its connections stay open and say nothing. Other replicas hold
-// every shard, so a hedge or a retry has to answer.
+// A target's process is frozen: its connections stay open and carry no data. Other
+// replicas hold every shard, so a hedge or a retry must complete each search.
 func TestFrozenTargetCostsNoAnswer(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 4, Replicas: 2})
 	l := c.startLoad(1, 5000, truthOf(c.Index).check)
@@ -163,9 +163,8 @@
 	c.Expect(l.answered(result.TimedOut, result.CoverageTooLow)).To(gomega.BeZero())
 }
 
-// A caller is told that its request was not run, and a target ran it: every
-// target sheds all of its requests, and the refusals are checked against the
-// targets' own records.
+// All targets refuse all requests. Each answer must say "not run", and the targets' own
+// records must confirm it.
 func TestShedIsNotRun(t *testing.T) {
 	c := start(t, clusterConfig{Shards: 1, Replicas: 3})
 	for _, target := range c.Targets {
@@ -178,7 +177,7 @@
 	}
 }
 
-// searchAttempts returns how many attempts of each request were started, by the
+// searchAttempts returns how many attempts of each request targets started, by the
 // targets' own records.
 func (c *cluster) searchAttempts() map[string]int {
 	runs := map[string]int{}
@@ -190,9 +189,9 @@
 	return runs
 }
 
-// More callers than the targets' slots can serve: some are refused at
-// admission. What is refused must not have run, and it must say when to come
-// back; what is admitted must be whole.
+// There are more callers than the targets' slots can serve, so some requests are refused
+// at admission. A refused request must not have run and must say when to retry; the answer
+// to an admitted one must be consistent with the index.
 func TestRefusedAtAdmissionIsNotRun(t *testing.T) {
 	c := start(t, clusterConfig{
 		Daemons: 1,
@@ -230,11 +229,11 @@
 		c.Expect(ran).NotTo(gomega.HaveKey(a.Request))
 		c.Expect(a.RetryAfterMS).To(gomega.BeNumerically(">", 0))
 	}
-	c.Expect(n).To(gomega.BeNumerically(">", 0), "the load was too small to be refused")
+	c.Expect(n).To(gomega.BeNumerically(">", 0), "the load was too small for a refusal")
 }
 
-// A cold target slows every query down or fails it right after its start: it
-// says that it is starting. It must get no work until it says that it serves.
+// A target that has just started would slow down or fail the queries sent to it, and
+// reports that it is starting. It must get no requests until it reports that it serves.
 func TestColdTargetGetsNoWork(t *testing.T) {
 	c := start(t, clusterConfig{
 		Targets: 3, Replicas: 2,
@@ -253,9 +252,10 @@
 	c.Expect(counters.Refused[target.ReasonCold]).To(gomega.BeZero())
 }
 
-// Faults come together and twice: targets freeze, die, shed, switch their
-// index and leave records out while connections are cut and fall silent. Every
-// answer that claims something must be true, whatever the order.
+// Faults overlap and repeat: targets freeze, refuse requests, return wrong, repeated or
+// late answers, leave records out and switch their index, while connections are cut and
+// become silent. Whatever the order, every answer must be consistent with the index that
+// it names.
 func TestAnswersStayTrueUnderRandomFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 5, 8} {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
@@ -266,7 +266,7 @@
 			l := c.startLoad(minCoverage, 500, truthOf(f.indexes...).check)
 			for range 25 {
 				f.injectNext()
-				time.Sleep(50 * time.Millisecond) // paces the faults; nothing is expected of it
+				time.Sleep(50 * time.Millisecond) // only paces the faults; no check depends on it
 			}
 			f.heal()
 			c.Eventually(func() float64 {
@@ -281,7 +281,7 @@
 	}
 }
 
-// faultInjector does one thing after another to the targets of a cluster.
+// faultInjector injects one fault after another into the targets of a cluster.
 type faultInjector struct {
 	c       *cluster
 	rng     *rand.Rand
@@ -318,7 +318,7 @@
 	delete(f.paused, i)
 }
 
-// heal ends all faults and lets every target hold the last index.
+// heal ends all faults and makes every target hold the last index.
 func (f *faultInjector) heal() {
 	for i, t := range f.c.Targets {
 		f.c.ok(t.Resume())
@@ -327,8 +327,9 @@
 	}
 }
 
-// Callers of a VM that has just started are told that no replica lives: it
-// counted as ready as soon as it had a bundle, before it had heard of any target.
+// A VM that has just started must not answer that no live replica exists. That happens if
+// it reports ready as soon as it has a bundle, before it has received the state of any
+// target.
 func TestReadyVMKnowsItsTargets(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 1, NoRollout: true})
 	must[rollout.Entry](c)(c.RollOut(c.ctx, c.Bundle))
--- a/integration/region_test.go
+++ b/integration/region_test.go
@@ -11,15 +11,17 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// Two regions lose each other, and one of them the platform, just after a faulty
-// bundle came into force everywhere. On the platform's side it is recalled. On
-// the other side a VM is replaced, learns the faulty bundle from its neighbour,
-// and a VM is frozen. The platform's list goes on naming the VM that was
-// replaced. A user would meet the faulty bundle again after the recall: once the
-// regions join, the side that kept it must take the recall over, by its peers
-// alone, and never give the faulty one back to the others.
+// Two regions lose contact with each other, and one of them with the platform, just after
+// a faulty bundle came into force everywhere. The bundle is recalled in the region that
+// reaches the platform. In the other region a VM is replaced and learns the faulty bundle
+// from its neighbor, and a VM is frozen. The platform's list still names the VM that was
+// replaced.
+//
+// Once the regions are connected again, the side with the faulty bundle must apply the
+// recall, through its peers alone, and must never spread the faulty bundle back to the
+// other side.
 func TestRecallWhileRegionsAreApart(t *testing.T) {
-	t.Parallel() // it waits for most of its time
+	t.Parallel() // it mostly waits
 	const daemons, replacement = 4, "vm-4"
 	var c *cluster
 	c = start(t, clusterConfig{
@@ -66,8 +68,8 @@
 		c.Expect(must[string](c)(digestOf(c.ctx, d))).To(gomega.Equal(faulty), d.Name)
 		c.waitComplete(d)
 	}
-	// Only its neighbour can tell the replacement of the other region's VMs. One
-	// that knows nobody else is on its own until the platform is back.
+	// The replacement can learn of the other region's VMs only from its neighbor. A VM
+	// that knows no other VM stays isolated until the platform is reachable again.
 	c.waitMetric([]*fleet.Daemon{fresh}, "bramley_peer_lost_vms 3\n")
 	c.ok(far[0].Pause())
 
@@ -79,6 +81,6 @@
 		c.Expect(must[string](c)(digestOf(c.ctx, d))).To(gomega.Equal(good), d.Name)
 		c.waitComplete(d)
 	}
-	c.Expect(stop()).To(gomega.BeEmpty(), "VMs that went back")
-	c.Expect(stopFresh()).To(gomega.BeEmpty(), "VMs that went back")
+	c.Expect(stop()).To(gomega.BeEmpty(), "VMs whose revision decreased")
+	c.Expect(stopFresh()).To(gomega.BeEmpty(), "VMs whose revision decreased")
 }
--- a/integration/rollout_test.go
+++ b/integration/rollout_test.go
@@ -31,11 +31,10 @@
 	}
 }
 
-// Three operators roll out and recall at once, while the platform loses the
-// answers to some of their writes and whole writes, and each operator's program is
-// frozen for a while at a random moment. A user would see a VM go
-// back to an older bundle, a gap in the audit trail, or an operator told that
-// his change was refused while it is in force.
+// Three operators roll out and recall concurrently, while the platform loses the answers
+// to some of their writes and some writes entirely, and each operator's program is frozen
+// for a random time at a random moment. No VM may return to an older bundle, the audit
+// trail must have no gap, and no program may report a change as refused which is in force.
 func TestOperatorsRaceOverALossyPlatform(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { raceOperators(t, seed) })
@@ -74,21 +73,21 @@
 	for _, row := range audit.Rows {
 		byOp[row.Op] = row.Revision
 	}
-	accepted := 1 // the one that started the cluster
+	accepted := 1 // the rollout by start
 	for answer := range answers {
 		accepted++
-		c.Expect(byOp[answer.Op]).To(Equal(answer.Revision), "told accepted")
+		c.Expect(byOp[answer.Op]).To(Equal(answer.Revision), "answered as accepted")
 	}
-	c.Expect(audit.Rows).To(HaveLen(accepted), "every entry was told accepted to somebody")
+	c.Expect(audit.Rows).To(HaveLen(accepted), "each entry of the trail was answered as accepted to its operator")
 	c.waitInForceEverywhere(audit.Head)
 	for _, d := range c.Daemons {
 		c.Expect(must[string](c)(digestOf(c.ctx, d))).To(Equal(audit.Rows[len(audit.Rows)-1].InForce))
 	}
-	c.Expect(stop()).To(BeEmpty(), "VMs that went back")
+	c.Expect(stop()).To(BeEmpty(), "VMs whose revision decreased")
 }
 
-// pauseBriefly stops a program at a random moment for a random time, as a virtual
-// machine that is moved.
+// pauseBriefly stops a program at a random moment for a random time, as happens when a
+// virtual machine is migrated.
 func pauseBriefly(p *os.Process, rng *rand.Rand) {
 	random := func() { time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) }
 	random()
@@ -117,10 +116,10 @@
 	}
 }
 
-// An operator's program is killed in the middle of a change on a slow platform,
-// at a moment that moves from write to write. A user would see a rollout that
-// half happened. The next operator must be able to go on at once, and the trail
-// must be whole.
+// An operator's program is killed in the middle of a change on a slow platform, later in
+// its sequence of writes each time. The change must take effect completely or not at all,
+// the next operator must be able to continue at once, and the audit trail must be
+// complete.
 func TestKilledOperatorLeavesNoPartialChange(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 2})
 	digests := []string{c.pushSignedBundle("one"), c.pushSignedBundle("two")}
@@ -146,9 +145,9 @@
 	c.waitInForceEverywhere(audit.Head)
 }
 
-// At the moment of acceptance the platform is slow, its watches are silent, or
-// its open connections have gone silent. A user would see VMs go on with the
-// faulty bundle that was just recalled, without an end.
+// When a change is accepted, the platform is slow, its watches are silent, or the open
+// connections to it have become silent. VMs must still learn of the change, or they would
+// keep a bundle that was recalled.
 func TestInForceEverywhereUnderPlatformFaults(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true})
 	digests := []string{c.pushSignedBundle("one"), c.pushSignedBundle("two"), c.pushSignedBundle("three")}
@@ -171,9 +170,10 @@
 	}
 }
 
-// One VM is cut off from the platform when a bundle is recalled, and hears of
-// it from the others. Then all are cut off, and a rollout cannot be known: they
-// go on with what they have, and say that they lost the platform.
+// One VM is cut off from the platform when a bundle is rolled out, and must learn of it
+// from the other VMs. Then all VMs are cut off and can't learn of a further rollout: they
+// must continue with the bundle that they have, and report that the platform is
+// unreachable.
 func TestVMsCutOffFromThePlatform(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true})
 	first, second := c.pushSignedBundle("one"), c.pushSignedBundle("two")
@@ -188,14 +188,14 @@
 	f := person.run(&answer, "rollout", second, "--reason", "all are cut off", "--wait", "1s")
 	c.Expect(f.Code).To(Equal(result.Lagging))
 	for _, d := range c.Daemons {
-		c.Expect(f.Detail).To(ContainSubstring(d.Name), "those that lag are named")
+		c.Expect(f.Detail).To(ContainSubstring(d.Name), "the detail names the VMs that lag")
 		c.Eventually(func() bool {
 			status, err := d.Status(c.ctx)
 			return err == nil && !status.PlatformReachable
-		}, waitTimeout, "100ms").Should(BeTrue(), "says that the platform is lost")
+		}, waitTimeout, "100ms").Should(BeTrue(), "reports that the platform is unreachable")
 		a, _, err := d.Search(c.ctx, findSearch, searchBody("well"))
 		c.ok(err)
-		c.Expect(a.Code).To(Equal(int(result.Complete)), "goes on serving")
+		c.Expect(a.Code).To(Equal(int(result.Complete)), "continues to serve")
 	}
 	for _, p := range c.PlatformProxies {
 		c.ok(p.SetFaults(faultproxy.Faults{}))
@@ -205,9 +205,10 @@
 	c.waitInForceEverywhere(audit.Head)
 }
 
-// The platform is down: nothing can be accepted, and the operator is told that
-// nothing was changed. A VM that is replaced meanwhile learns the bundle from
-// its peers and gets ready; without that, an outage would eat the fleet.
+// The platform is down: no change can be accepted, and the operator's program must report
+// that nothing was changed. A VM that is replaced meanwhile must learn the bundle from its
+// peers and become ready. Otherwise every VM that is replaced in an outage would be lost
+// to the fleet.
 func TestAVMIsReplacedDuringAnOutage(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 2})
 	digest := c.pushSignedBundle("one")
@@ -226,9 +227,9 @@
 	c.Expect(must[string](c)(digestOf(c.ctx, fresh))).To(Equal(must[string](c)(digestOf(c.ctx, c.Daemons[0]))))
 }
 
-// A VM is frozen while two rollouts and a recall pass it by, then goes on where
-// it was, with old reads and watches still under way. It must end up at the
-// recall's revision and never put one of those in between over a later one.
+// A VM is frozen during two rollouts and a recall, then resumes with old reads and watches
+// still in progress. It must end up at the latest revision, and must never replace a later
+// revision by one of those in between.
 func TestAFrozenVMCatchesUp(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3})
 	first, second := c.pushSignedBundle("one"), c.pushSignedBundle("two")
@@ -246,12 +247,12 @@
 	c.ok(c.Daemons[0].Resume())
 	c.waitInForceEverywhere(5)
 	c.Expect(must[string](c)(digestOf(c.ctx, c.Daemons[0]))).To(Equal(first))
-	c.Expect(stop()).To(BeEmpty(), "VMs that went back")
+	c.Expect(stop()).To(BeEmpty(), "VMs whose revision decreased")
 }
 
-// Somebody with access to the platform, but no operator's key, writes a head of
-// his own, changes a bundle, or stores what is no head at all. A user would see
-// the fleet serve an unsigned bundle or stop. The old one must stay in force.
+// Someone with access to the platform, but without an operator's key, writes a head of
+// their own, removes the sign-off from an entry, or stores bytes that are no head. The
+// fleet must neither use such a head nor stop serving: the old bundle must stay in force.
 func TestUnsignedHeadNeverComesIntoForce(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 2})
 	digest := c.pushSignedBundle("one")
@@ -279,11 +280,11 @@
 	c.ctl(fleet.Signer).must(&answer, "rollout", digest, "--reason", "rightly signed", "--wait", "30s")
 }
 
-// waitHeadRead waits until every daemon has read the head as it is now.
+// waitHeadRead waits until every daemon has read the current head.
 func (c *cluster) waitHeadRead() {
 	c.t.Helper()
-	// Contact is noted when a read ends, and one that ends a second later has
-	// begun after this moment.
+	// The time of contact is set when a read ends. A read that ends 1 s from now or later
+	// has begun after this moment.
 	written := time.Now()
 	for _, d := range c.Daemons {
 		c.Eventually(func() bool {
@@ -303,10 +304,9 @@
 	}
 }
 
-// The platform's store is restored from an older copy. A user would see all VMs
-// go back to the bundle before, or rollouts that are accepted and never come
-// into force. VMs must keep what they have, operators must be told, and
-// restore-head must bring the platform up to date.
+// The platform's store is restored from an older copy. VMs must neither return to the
+// previous bundle nor miss later rollouts: they must keep the revision that they have,
+// operators must get an error, and restore-head must bring the platform up to date.
 func TestStoreRestoredFromOldCopy(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 2})
 	digest := c.pushSignedBundle("one")
@@ -318,7 +318,7 @@
 	now := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
 	must[uint64](c)(store.Put(c.ctx, rollout.KindHead, deployment, now.Version, before.Value))
 	c.waitHeadRead()
-	c.expectRevision(2, "the store was set back")
+	c.expectRevision(2, "the store was restored from an old copy")
 
 	f := person.run(&answer, "rollout", digest, "--reason", "on the old copy")
 	c.Expect(f.Code).To(Equal(result.BrokenAudit))
--- a/integration/split_test.go
+++ b/integration/split_test.go
@@ -17,8 +17,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// split cuts the daemons of each group, by name, off from those of all others, without a
-// word: nothing passes, and nobody is told. It needs ProxyPeers.
+// split separates the daemons of each group, given by name, from those of all other
+// groups: no data passes between groups, and no connection is closed. It needs ProxyPeers.
 func (c *cluster) split(groups ...[]string) {
 	c.t.Helper()
 	for i, d := range c.Daemons {
@@ -32,7 +32,7 @@
 	}
 }
 
-// endSplit ends a split.
+// endSplit ends the separation that split set up.
 func (c *cluster) endSplit() {
 	c.t.Helper()
 	for _, p := range c.PeerProxies {
@@ -40,8 +40,8 @@
 	}
 }
 
-// cutOffPlatform lets nothing pass between some daemons and the platform, or
-// lets it pass again. It needs ProxyPlatform.
+// cutOffPlatform blocks all data between these daemons and the platform if cut is set, and
+// lets it pass again otherwise. It needs ProxyPlatform.
 func (c *cluster) cutOffPlatform(daemons []*fleet.Daemon, cut bool) {
 	c.t.Helper()
 	for i, d := range c.Daemons {
@@ -58,13 +58,13 @@
 	return list
 }
 
-// waitLive waits until each of the daemons counts so many as live.
+// waitLive waits until each of the daemons counts n VMs as alive.
 func (c *cluster) waitLive(daemons []*fleet.Daemon, n int) {
 	c.t.Helper()
 	c.waitMetric(daemons, fmt.Sprintf("bramley_peer_live_vms %d\n", n))
 }
 
-// waitMetric waits until the metrics page of each of the daemons has the line.
+// waitMetric waits until the metrics page of each of the daemons contains the line.
 func (c *cluster) waitMetric(daemons []*fleet.Daemon, line string) {
 	c.t.Helper()
 	for _, d := range daemons {
@@ -72,23 +72,24 @@
 	}
 }
 
-// waitCompleteAnswers waits for so many more whole answers.
+// waitCompleteAnswers waits for at least n more complete answers.
 func (l *load) waitCompleteAnswers(n int) {
 	l.c.t.Helper()
 	before := l.answered(result.Complete)
 	l.c.Eventually(func() int { return l.answered(result.Complete) }, waitTimeout, "10ms").
-		Should(gomega.BeNumerically(">=", before+n), "whole answers")
+		Should(gomega.BeNumerically(">=", before+n), "complete answers")
 }
 
-// expectComplete expects that so many more answers are whole and none falls short.
+// expectComplete waits for n more complete answers and expects no incomplete one
+// meanwhile.
 func (l *load) expectComplete(n int) {
 	l.c.t.Helper()
 	short := l.incompleteCount()
 	l.waitCompleteAnswers(n)
-	l.c.Expect(l.incompleteCount()).To(gomega.Equal(short), "answers that fell short; the last:\n%s", l.lastIncomplete())
+	l.c.Expect(l.incompleteCount()).To(gomega.Equal(short), "incomplete answers; the last:\n%s", l.lastIncomplete())
 }
 
-// lastIncomplete tells what the last answers that fell short were lacking.
+// lastIncomplete describes the last incomplete answers, up to eight of them.
 func (l *load) lastIncomplete() string {
 	const shown = 8
 	l.mu.Lock()
@@ -96,8 +97,8 @@
 	return strings.Join(l.incomplete[max(len(l.incomplete)-shown, 0):], "\n")
 }
 
-// waitCompleteInRow waits until so many answers in a row are whole, and expects it to
-// stay so for as many again.
+// waitCompleteInRow waits until n answers in a row are complete, and then expects the same
+// of n further ones.
 func (l *load) waitCompleteInRow(n int) {
 	l.c.t.Helper()
 	l.c.Eventually(func() bool {
@@ -105,12 +106,12 @@
 		l.waitCompleteAnswers(n)
 		return l.incompleteCount() == short
 	}, waitTimeout, "10ms").Should(gomega.BeTrue(), func() string {
-		return fmt.Sprintf("%d whole answers in a row; what fell short last:\n%s", n, l.lastIncomplete())
+		return fmt.Sprintf("%d complete answers in a row; the last incomplete ones:\n%s", n, l.lastIncomplete())
 	})
 	l.expectComplete(n)
 }
 
-// incompleteCount counts the answers that were not whole so far.
+// incompleteCount returns how many answers were not complete so far.
 func (l *load) incompleteCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,14 +124,15 @@
 	return n
 }
 
-// Two halves of a fleet lose each other, and one of them the platform too. On
-// the other side an operator rolls out a bundle and a target leaves. A user of
-// either side would get half an answer, through VMs that are out of reach; once
-// the halves join, a VM would stay with the old bundle, send work to the target
-// that left, or set the others back. Places change no hands, and each half has
-// owners of each target.
+// The two halves of a fleet lose contact with each other, and one of them with the
+// platform too. On the other side an operator rolls out a bundle and a target drains.
+//
+// In both halves searches must become complete again, not go on through VMs that are out
+// of reach. Once the halves are connected again, no VM may keep the old bundle, send
+// requests to the target that drained, or make others return to an older revision. No
+// place changes its holder meanwhile, and each half has owners of each target.
 func TestFleetSplitInHalves(t *testing.T) {
-	t.Parallel() // it waits for most of its time
+	t.Parallel() // it mostly waits
 	const daemons, connections = 6, 5
 	s := fewConnections(daemons, daemons, connections)
 	s.ProxyPeers, s.ProxyPlatform = true, true
@@ -145,12 +147,12 @@
 		c.startLoadOn(isolated, 1, 0, truthOf(c.Index).check),
 	}
 	c.waitLive(c.Daemons, daemons)
-	const outsider = "member" // of cluster.member
+	const outsider = "member" // the VM of cluster.joinExchange
 	c.split(append(daemonNames(connected), outsider), daemonNames(isolated))
 	c.cutOffPlatform(isolated, true)
 	began := time.Now()
 	c.waitLive(c.Daemons, daemons/2)
-	t.Logf("%v until each half counted the other out; %d and %d answers fell short", time.Since(began), loads[0].incompleteCount(), loads[1].incompleteCount())
+	t.Logf("%v until each half counted the other as lost; %d and %d incomplete answers", time.Since(began), loads[0].incompleteCount(), loads[1].incompleteCount())
 	for _, l := range loads {
 		l.waitCompleteInRow(200)
 		c.Expect(l.stop()).To(gomega.BeEmpty())
@@ -181,20 +183,19 @@
 		c.waitInForce(d, answer.Revision)
 	}
 	c.waitMetric(isolated, "bramley_peer_drains 1\n")
-	t.Logf("%v from the join until the cut off half had the bundle and the drain, without the platform", time.Since(began))
+	t.Logf("%v from the end of the split until the half without the platform had the bundle and the drain", time.Since(began))
 	c.waitLive(c.Daemons, daemons)
 	time.Sleep(drainApplyTime)
 	before := c.requestsReceived(leaving)
 	c.searchVia(isolated)
-	c.Expect(c.requestsReceived(leaving)).To(gomega.Equal(before), "work for a target that left")
+	c.Expect(c.requestsReceived(leaving)).To(gomega.Equal(before), "requests to a target that drains")
 	c.cutOffPlatform(isolated, false)
 	c.searchVia(c.Daemons)
-	c.Expect(stop()).To(gomega.BeEmpty(), "VMs that went back")
+	c.Expect(stop()).To(gomega.BeEmpty(), "VMs whose revision decreased")
 	c.expectWithinLimit(connections)
 }
 
-// searchVia sends some searches to each of the daemons, each of which must be
-// answered whole.
+// searchVia sends five searches to each of the daemons and expects complete answers.
 func (c *cluster) searchVia(daemons []*fleet.Daemon) {
 	c.t.Helper()
 	for _, d := range daemons {
--- a/integration/stopped_operator_test.go
+++ b/integration/stopped_operator_test.go
@@ -14,13 +14,12 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// An operator's program stands still just as one of its writes is under way, for
-// as long as another operator needs for a whole rollout, and then runs on. Users
-// would see his older choice take the place of the newer one, or he would be told
-// that a change which is in force was refused. He must be told the truth, and the
-// trail must be whole.
+// An operator's program is stopped while one of its writes is in progress, for as long as
+// another operator needs for a whole rollout, and then resumes. Its older change must not
+// replace the newer one, and it must not report a change as refused which is in force. The
+// audit trail must be complete.
 func TestOperatorStoppedAtEachWrite(t *testing.T) {
-	t.Parallel()                 // it waits for most of its time
+	t.Parallel()                 // it mostly waits
 	const slowMS, writes = 50, 2 // the entry before the head, and the head
 	c := start(t, clusterConfig{Daemons: 2})
 	first, second := c.pushSignedBundle("one"), c.pushSignedBundle("two")
@@ -41,7 +40,7 @@
 		f := stopped.run(&answer, "rollout", first, "--reason", fmt.Sprint("stopped at write ", write))
 		var audit operator.AuditOutput
 		other.must(&audit, "audit")
-		t.Logf("write %d: told %d, revision %d; the other %d", write, f.Code, answer.Revision, otherAnswer.Revision)
+		t.Logf("write %d: answered with code %d, revision %d; the other operator's revision: %d", write, f.Code, answer.Revision, otherAnswer.Revision)
 		if f.Code != 0 {
 			c.Expect(f.Code).To(gomega.Equal(result.Conflict), f.Detail)
 			c.Expect(audit.Head).To(gomega.Equal(otherAnswer.Revision))
@@ -54,7 +53,7 @@
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
 	var audit operator.AuditOutput
 	c.ctl(fleet.Signer).must(&audit, "audit")
-	c.Expect(audit.Rows).To(gomega.HaveLen(int(audit.Head)), "a gap in the trail")
+	c.Expect(audit.Rows).To(gomega.HaveLen(int(audit.Head)), "the audit trail has a gap")
 	c.waitInForceEverywhere(audit.Head)
-	c.Expect(stop()).To(gomega.BeEmpty(), "VMs that went back")
+	c.Expect(stop()).To(gomega.BeEmpty(), "VMs whose revision decreased")
 }
--- a/integration/target_test.go
+++ b/integration/target_test.go
@@ -17,11 +17,12 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// recoveryTimeout is within how long answers must be whole again after a fault that
-// leaves the targets themselves unharmed. It is far above what is measured.
+// recoveryTimeout is the time within which answers must be complete again after a fault
+// that leaves the targets themselves intact. Recovery normally takes far less.
 const recoveryTimeout = 10 * time.Second
 
-// waitCompleteInRow waits until answers of the daemon are whole, n in a row.
+// waitCompleteInRow waits until n answers of the daemon in a row are complete. It fails
+// after recoveryTimeout.
 func (c *cluster) waitCompleteInRow(d *fleet.Daemon, n int) {
 	c.t.Helper()
 	body := gateway.SearchBody{Query: "well", TimeLimitMS: 500}
@@ -47,10 +48,10 @@
 	}
 }
 
-// Every inspector's lookup comes back short, for good, though targets and VMs
-// are well. Something between them has forgotten the open connections: what is
-// sent on them is lost, without FIN or RST, while new connections work. Each
-// shard has one replica here, so that no hedge can hide a silent target.
+// A network device between VMs and targets has lost its state of the open connections:
+// what is sent on them is lost without FIN or RST, while new connections work. Answers
+// must not stay incomplete, since targets and VMs are healthy. Each shard has one replica
+// here, so that no hedge can compensate for a silent target.
 func TestSilentConnectionsToTargets(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 2, Replicas: 1, ProxyTargets: true})
 	for range 2 {
@@ -63,10 +64,9 @@
 	}
 }
 
-// An inspector reads another farm's permits, or half of his own. Leaves answer
-// crossed, twice over, or so late that the query has moved on, while many
-// callers ask for different things. Each must get its own answer, whole, or be
-// told that it is not.
+// Leaves return the answers of other requests, repeat answers, or answer after the query
+// has moved on, while many callers send different queries. Each caller must get its own
+// answer, which is complete or says that it is incomplete or was not run.
 func TestCrossedLateAndDuplicateAnswers(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 3, Replicas: 2, Shards: 6})
 	for i, faults := range []targetsim.Faults{
@@ -118,10 +118,10 @@
 	}
 }
 
-// A target refuses its other clients: two VMs together hold more connections
-// than it takes. Callers that give up, crossed answers and a VM that is killed
-// and replaced all make the VMs open new ones. The limit here is exactly twice
-// a VM's share, and the target counts whatever comes beyond it.
+// Two VMs together must not hold more connections than a target accepts, or it would
+// refuse its other clients. Callers that give up, crossed answers, and a VM that is killed
+// and replaced all make the VMs open new connections. The limit here is exactly twice a
+// VM's share, and the target counts all connections beyond it.
 func TestConnectionLimitOfTargets(t *testing.T) {
 	const perTarget = 6
 	c := start(t, clusterConfig{
@@ -143,7 +143,7 @@
 		callers.Go(func() {
 			for n := range 50 {
 				ctx, cancel := context.WithTimeout(c.ctx, time.Duration(1+n%10)*time.Millisecond)
-				_, _, _ = c.Daemons[caller%2].Search(ctx, findSearch, searchBody("well")) // many give up
+				_, _, _ = c.Daemons[caller%2].Search(ctx, findSearch, searchBody("well")) // many time out
 				cancel()
 			}
 		})
--- a/integration/truth_test.go
+++ b/integration/truth_test.go
@@ -11,7 +11,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// truth knows the snapshots that stand-ins may hold in a test, by name.
+// truth holds the indexes that the simulated targets may hold in a test, by snapshot name.
 type truth map[string]targetsim.Index
 
 func truthOf(list ...targetsim.Index) truth {
@@ -22,13 +22,14 @@
 	return t
 }
 
-// check holds an answer to a search for body, with Explain set, against what
-// the stand-ins hold: one snapshot only, coverage counted by its own partition
-// map, and every record accounted for as given, read or missing.
+// check compares an answer to a search for body, which must have Explain set, with what
+// the simulated targets hold: the answer is from one snapshot only, its coverage is
+// computed from the shards of that snapshot, and every record is returned, read or
+// missing.
 func (t truth) check(a gateway.Answer, body gateway.SearchBody) error {
 	if a.Code != int(result.Complete) && a.Code != int(result.Partial) {
 		if len(a.Items) > 0 {
-			return fmt.Errorf("%d %s comes with items", a.Code, a.Name)
+			return fmt.Errorf("code %d (%s) with items", a.Code, a.Name)
 		}
 		return nil
 	}
@@ -45,7 +46,7 @@
 func (t truth) checkCoverage(a gateway.Answer, x targetsim.Index) error {
 	c := a.Coverage
 	if c.Shards != x.Shards || c.ShardsAnswered+len(c.Gaps) != x.Shards {
-		return fmt.Errorf("coverage %+v does not fit %d shards", *c, x.Shards)
+		return fmt.Errorf("coverage %+v does not match %d shards", *c, x.Shards)
 	}
 	if (a.Code == int(result.Complete)) != (c.ShardsAnswered == x.Shards) {
 		return fmt.Errorf("%s with %d of %d shards", a.Name, c.ShardsAnswered, x.Shards)
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// checkItems expects all matches of the shards that answered in full, none of
-// the shards that did not answer, and some of those that were incomplete.
+// checkItems expects all matches of the shards that answered in full, none of the shards
+// that did not answer, and some of the shards that were incomplete.
 func (t truth) checkItems(a gateway.Answer, x targetsim.Index, body gateway.SearchBody) error {
 	lost := map[int]bool{}
 	partial := map[int]bool{}
--- a/integration/zone_test.go
+++ b/integration/zone_test.go
@@ -17,13 +17,13 @@
 	zones        = 3
 	zoneDaemons  = 2 * zones
 	zoneTargets  = 2 * zones
-	zoneLimit    = 5 // connections of each target, fewer than VMs
+	zoneLimit    = 5 // connections that each target accepts, fewer than there are VMs
 	zoneReplicas = 2 // of each shard, in two zones
 )
 
-// startZones runs three availability zones with two VMs and two targets each.
-// Each shard has a replica in another zone, and each target is reached by some
-// VMs through others, its owners, of which two at most are in one zone.
+// startZones starts three availability zones with two VMs and two targets each. Each shard
+// has a replica in another zone. Each target is reached by some VMs through others, its
+// owners, of which at most two are in one zone.
 func startZones(t *testing.T) *cluster {
 	s := fewConnections(zoneDaemons, zoneDaemons, zoneLimit)
 	s.Zones, s.Targets, s.Replicas = zones, zoneTargets, zoneReplicas
@@ -31,7 +31,7 @@
 	editTarget := s.Target
 	s.Target = func(i int, o *targetsim.Options) {
 		editTarget(i, o)
-		o.IdleMS = 1000 // the target's end of a silent connection counts against its limit
+		o.IdleMS = 1000 // the target's end of a silent connection counts toward its connection limit
 	}
 	c := start(t, s)
 	c.Eventually(c.vmsWithPlace, waitTimeout, "50ms").Should(gomega.HaveLen(zoneDaemons))
@@ -39,7 +39,7 @@
 	return c
 }
 
-// inZone returns the daemons of a zone, and the others.
+// inZone returns the daemons in a zone and those in all other zones.
 func (c *cluster) inZone(zone int) (in, out []*fleet.Daemon) {
 	for _, d := range c.Daemons {
 		if d.Zone == zoneName(zone) {
@@ -51,7 +51,7 @@
 	return in, out
 }
 
-// outage is the loss of a zone and its return.
+// outage is a way in which a zone is lost, and how it is restored.
 type outage struct {
 	name    string
 	lose    func(c *cluster, zone int)
@@ -63,7 +63,7 @@
 	{"cut off", func(c *cluster, zone int) { c.cutOffZone(zone, true) }, func(c *cluster, zone int) { c.cutOffZone(zone, false) }},
 }
 
-// killZone ends all processes of a zone at once.
+// killZone kills all daemons and targets of a zone.
 func (c *cluster) killZone(zone int) {
 	daemons, _ := c.inZone(zone)
 	for _, d := range daemons {
@@ -74,7 +74,7 @@
 	}
 }
 
-// restartZone starts them again at their addresses.
+// restartZone starts the daemons and targets of a zone again at their old addresses.
 func (c *cluster) restartZone(zone int) {
 	c.t.Helper()
 	for i := zone; i < len(c.Targets); i += zones {
@@ -89,8 +89,8 @@
 	}
 }
 
-// cutOffZone lets nothing pass between a zone and the rest, or lets it pass
-// again. Nobody is told.
+// cutOffZone blocks all data between a zone and everything outside it if cut is set, and
+// lets it pass again otherwise. No connection is closed.
 func (c *cluster) cutOffZone(zone int, cut bool) {
 	c.t.Helper()
 	in, out := c.inZone(zone)
@@ -105,12 +105,12 @@
 	}
 }
 
-// An availability zone goes at once, its targets and VMs together, by loss of
-// power or of the network. A user of a VM in another zone would get half an
-// answer though each shard has a replica in another zone, or wait for VMs that
-// are gone. Then the zone comes back and takes its part again.
+// An availability zone is lost at once, its targets and VMs together, because of a power
+// or network failure. VMs in the other zones must not give incomplete answers, since each
+// shard has a replica there, nor wait for VMs that are lost. Then the zone returns and
+// must serve again.
 func TestZoneLost(t *testing.T) {
-	t.Parallel() // it waits for most of its time
+	t.Parallel() // it mostly waits
 	c := startZones(t)
 	for i, o := range outages {
 		c.loseZone(o, zones-1-i)
@@ -118,7 +118,7 @@
 	c.expectWithinLimit(zoneLimit)
 }
 
-// loseZone lets a zone be lost and come back under load on the rest.
+// loseZone makes a zone be lost and return, under load on the other zones.
 func (c *cluster) loseZone(o outage, zone int) {
 	c.t.Helper()
 	in, out := c.inZone(zone)
@@ -127,7 +127,7 @@
 	began := time.Now()
 	o.lose(c, zone)
 	c.waitLive(out, len(out))
-	c.t.Logf("%s: %v until the lost VMs were counted out, %d answers fell short", o.name, time.Since(began), l.incompleteCount())
+	c.t.Logf("%s: %v until the other VMs counted these as lost, %d incomplete answers", o.name, time.Since(began), l.incompleteCount())
 
 	l.waitCompleteInRow(200)
 	o.restore(c, zone)
@@ -153,14 +153,14 @@
 	}
 }
 
-// A zone is lost while the platform is down, or the platform goes while a zone
-// is lost, and a second zone may follow the first once that is back. A user
-// would find that VMs wait for the platform with what they could do by
-// themselves. Fixed seeds.
+// A zone is lost while the platform is down, or the platform goes down while a zone is
+// lost. A second zone may follow once the first is back. VMs must not wait for the
+// platform with anything that they can do without it. The seeds are fixed.
 func TestZoneLostWhilePlatformDown(t *testing.T) {
-	t.Parallel() // it waits for most of its time
+	t.Parallel() // it mostly waits
 	c := startZones(t)
-	// A zone cut off and then the platform; the platform and then a zone killed.
+	// Seed 4 cuts off a zone and then the platform goes down. With seed 8 the platform
+	// goes down first, and then a zone is killed.
 	for _, seed := range []uint64{4, 8} {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		c.loseZoneAndPlatform(rng)
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -16,19 +16,19 @@
 	"github.com/bramleybarrow/bramleybarrow/topk"
 )
 
-// callers send requests and check what they get. They keep using open connections until
-// the process at the other end is gone.
+// callers send requests to the VMs and check the answers. They keep using their open
+// connections until the process at the other end has exited.
 type callers struct {
 	deployment *deployment
 
 	mu         sync.Mutex // guards the fields below
-	violations []string   // promises that were broken
+	violations []string   // answers or runs that broke a guarantee
 	reports    map[string]int
 	served     int
 }
 
-// Requests of a caller's reports that must run once, by the status they were answered:
-// 0 for none.
+// noAnswer (0) is the status of a request that got no complete answer. callers.reports has
+// the status of each report that must run once, by its ID.
 const noAnswer = 0
 
 func (c *callers) addViolation(format string, args ...any) {
@@ -37,7 +37,7 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// run sends requests until ctx ends.
+// run sends requests until ctx ends. number identifies the caller in request IDs.
 func (c *callers) run(ctx context.Context, number int, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(number)))
 	client := newClient()
@@ -61,7 +61,7 @@
 		c.addViolation("%s: %v", id, err)
 		return
 	}
-	req.GetBody = nil // the client must not send a report again by itself
+	req.GetBody = nil // without it the client can't repeat a report by itself
 	req.Host = "h.example"
 	req.Header.Set("Bramleybarrow-Attempt-Id", id)
 	req.Header.Set("Bramleybarrow-Deadline-Ms", "700")
@@ -84,7 +84,8 @@
 	}
 }
 
-// do returns what came, noAnswer if the answer was not whole.
+// do returns the status, header and body of the answer, or noAnswer if the answer was not
+// received completely.
 func do(client *http.Client, req *http.Request) (int, http.Header, []byte) {
 	resp, err := client.Do(req)
 	if err != nil {
@@ -102,30 +103,31 @@
 	receipt := header.Get("Bramleybarrow-Response-Stamp")
 	l := c.deployment.leafs[strings.TrimSuffix(receipt, "."+id)]
 	if l == nil || !bytes.Equal(body, l.Answer(id)) {
-		c.addViolation("%s: an answer that is no leaf's: receipt %q, %d bytes", id, receipt, len(body))
+		c.addViolation("%s: an answer that no leaf sent: receipt %q, %d bytes", id, receipt, len(body))
 	}
 }
 
-// checkGathered checks that each receipt is of another shard, that the count of missing
-// ones is true, and that the body is the greatest records of just these parts.
+// checkGathered checks that each receipt is of a different shard, that the count of
+// missing shards is right, and that the body consists of the greatest records of the
+// shards that the receipts name.
 func (c *callers) checkGathered(id string, header http.Header, body []byte) {
 	seen := make(map[string]bool)
 	var records [][]byte
 	for _, receipt := range strings.Split(header.Get("Bramleybarrow-Part-Stamps"), ", ") {
 		l := c.deployment.leafs[strings.TrimSuffix(receipt, "."+id)]
 		if l == nil || seen[l.Service] {
-			c.addViolation("%s: receipt %q is of no leaf, or of a shard that is in already", id, receipt)
+			c.addViolation("%s: receipt %q is of no leaf, or of a shard that is already included", id, receipt)
 			return
 		}
 		seen[l.Service] = true
 		records = append(records, recordsOf(l, id)...)
 	}
 	if missing := header.Get("Bramleybarrow-Missing-Parts"); missing != fmt.Sprint(shardCount-len(seen)) {
-		c.addViolation("%s: %s parts are said to be missing, %d are in", id, missing, len(seen))
+		c.addViolation("%s: the answer says that %s parts are missing, %d are included", id, missing, len(seen))
 	}
 	sort.Slice(records, func(i, j int) bool { return bytes.Compare(records[i], records[j]) > 0 })
 	if !bytes.Equal(body, bytes.Join(records[:min(5, len(records))], nil)) {
-		c.addViolation("%s: the records are not the greatest of the parts named", id)
+		c.addViolation("%s: the records are not the greatest of the shards that the receipts name", id)
 	}
 }
 
@@ -137,8 +139,8 @@
 	return records
 }
 
-// checkReports checks, when all is over, that each report ran once at most, and not at
-// all where its caller was told so.
+// checkReports checks, after all requests have ended, that each report ran at most once,
+// and did not run if its caller was answered 429 or 503.
 func (c *callers) checkReports() {
 	for id, status := range c.reports {
 		runs := 0
@@ -150,7 +152,7 @@
 			c.addViolation("%s: a report ran %d times", id, runs)
 		}
 		if runs > 0 && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
-			c.addViolation("%s: a report ran, and its caller was told %d", id, status)
+			c.addViolation("%s: a report ran, but its caller was answered %d", id, status)
 		}
 	}
 }
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -25,7 +25,7 @@
 
 var zones = []string{"a", "b"}
 
-// deployment is a store, leafs and VMs, the VMs as processes of their own.
+// deployment is a store, leafs and VMs. Each VM runs as a process of its own.
 type deployment struct {
 	t      *testing.T
 	binary string
@@ -35,7 +35,7 @@
 	vms    []*vm
 }
 
-// vm is one VM: its settings outlive its processes.
+// vm is one VM. Its settings and its door to the store outlive its processes.
 type vm struct {
 	set  *edge.Settings
 	file string
@@ -121,7 +121,7 @@
 	return address
 }
 
-// start runs a process of the VM.
+// start starts a process of the VM, whose output is appended to the VM's log file.
 func (v *vm) start(s *deployment) {
 	cmd := exec.Command(s.binary, "edge", v.file)
 	out, err := os.OpenFile(v.file+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -137,7 +137,7 @@
 	}
 	ended := make(chan struct{})
 	go func() {
-		// How it ended does not matter: it is killed in most runs.
+		// The exit status does not matter: the process is killed in most runs.
 		_ = cmd.Wait()
 		close(ended)
 	}()
@@ -146,15 +146,15 @@
 	v.mu.Unlock()
 }
 
-// signal sends a signal to the VM's process.
+// signal sends a signal to the VM's current process.
 func (v *vm) signal(sig syscall.Signal) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	// A process that has just ended can't be signalled, which is as good.
+	// The error for a process that has just exited is ignored: every caller can continue.
 	_ = v.process.Process.Signal(sig)
 }
 
-// waitExit waits for the process to end, and kills it after the time given.
+// waitExit waits for the process to exit, and kills it after the given time.
 func (v *vm) waitExit(within time.Duration) {
 	v.mu.Lock()
 	ended := v.exited
@@ -172,7 +172,7 @@
 	v.waitExit(time.Second)
 }
 
-// logTail returns the end of what the VM's processes wrote.
+// logTail returns the last 2000 bytes that the VM's processes wrote.
 func (v *vm) logTail() string {
 	const size = 2000
 	data, err := os.ReadFile(v.file + ".log")
@@ -182,7 +182,7 @@
 	return string(data[max(len(data)-size, 0):])
 }
 
-// ready reports whether the VM says that callers should come.
+// ready reports whether the VM's readiness endpoint answers that it is ready for callers.
 func (v *vm) ready() bool {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + v.set.Listen.Ready + "/bramleybarrow/readiness")
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -15,16 +15,16 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/edgesim"
 )
 
-// fixedSeeds are played by CI. 1019 failed once before its first fault: a VM did not
-// serve within 20 s of its start, the cause is not known.
+// fixedSeeds are the seeds that CI runs. 1019 failed once before its first fault: a VM did
+// not serve within 20 s of its start. The cause is not known.
 var fixedSeeds = []uint64{1, 2, 1019}
 
 // Lengths of a run.
 const (
-	faultDuration   = 6 * time.Second
-	recoveryTimeout = 20 * time.Second // until all VMs are ready and serve again, on a busy machine too
-	callerCount     = 6
-	faultSeries     = 3 // series of faults that overlap
+	faultDuration    = 6 * time.Second
+	recoveryTimeout  = 20 * time.Second // bounds the time until all VMs are ready and serve again, also on a busy machine
+	callerCount      = 6
+	faultSeriesCount = 3 // concurrent series of faults
 )
 
 func seeds(t *testing.T) []uint64 {
@@ -43,10 +43,11 @@
 	return list
 }
 
-// Callers file reports and read registers while VMs are stopped, frozen, killed and
+// Callers submit reports and read data while VMs are stopped, frozen, killed and
 // restarted, leafs lose, cut, repeat and refuse answers, and the store is down, silent,
-// forgetful or turns single VMs away. Whatever comes when, an answer is whole and true, a
-// report runs once, "not run" is so, and all is well soon after the last fault.
+// serves old listings, or refuses single VMs. Whatever the order, every answer must be
+// intact and correct, a report must run at most once, a report that was answered as not
+// run must not have run, and all VMs must serve again soon after the last fault.
 func TestSoak(t *testing.T) {
 	binary, err := gexec.Build("github.com/bramleybarrow/bramleybarrow/cmd/bramleyd")
 	if err != nil {
@@ -68,8 +69,9 @@
 	for number := range callerCount {
 		all.Go(func() { load.run(ctx, number, seed) })
 	}
-	// Each VM and each leaf belongs to one series, so that two never undo each other.
-	for series := range faultSeries {
+	// Each VM and each leaf belongs to one series, so that no series ends a fault of
+	// another.
+	for series := range faultSeriesCount {
 		all.Go(func() { s.injectFaults(ctx, series, rand.New(rand.NewPCG(seed, uint64(100+series)))) })
 	}
 	all.Wait()
@@ -82,7 +84,8 @@
 	t.Logf("%d answers, %d reports", load.served, len(load.reports))
 }
 
-// injectFaults plays one series of faults: at VMs, at leafs, or at the store.
+// injectFaults runs one series of faults until ctx ends: at VMs, at leafs, or at the
+// store.
 func (s *deployment) injectFaults(ctx context.Context, series int, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(50+rng.IntN(300)) * time.Millisecond)
@@ -151,7 +154,7 @@
 	}
 }
 
-// clearFaults ends whatever may still be wrong.
+// clearFaults ends all faults that may still be active.
 func (s *deployment) clearFaults() {
 	s.store.SetFaults(edgesim.StoreFaults{})
 	for id, l := range s.leafs {
@@ -164,13 +167,14 @@
 	}
 }
 
-// waitServing waits until each VM is ready and serves each kind of request.
+// waitServing waits until each VM is ready and serves each kind of request. It fails the
+// test after recoveryTimeout.
 func (s *deployment) waitServing(t *testing.T) {
 	deadline := time.Now().Add(recoveryTimeout)
 	for _, v := range s.vms {
 		for n := 0; !v.ready() || !s.serves(v, n); n++ {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s does not serve; it wrote last:\n%s", v.set.Name, v.logTail())
+				t.Fatalf("%s does not serve; end of its log:\n%s", v.set.Name, v.logTail())
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
