--- a/integration/leaf_faults_test.go
+++ b/integration/leaf_faults_test.go
@@ -66,7 +66,7 @@
 }
 
 // A target that is being replaced reports that it is draining. If VMs went on sending it
-// requests, these would be cut off. A few seconds after it began to drain no VM may send
+// searches, these would be cut off. A few seconds after it began to drain no VM may send
 // it a search, and no search may be incomplete meanwhile, since other replicas hold its
 // shards.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
--- a/integration/peer_test.go
+++ b/integration/peer_test.go
@@ -191,7 +191,7 @@
 
 // After a power loss all VMs but one start without any state while the platform is still
 // down. Each new VM has the address of only one other VM, in a chain. All must get the
-// bundle from their peers, or there would be too few VMs that serve.
+// bundle from their peers; otherwise users would find no VM that serves.
 func TestFleetStartsWithPlatformDown(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 1})
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
