--- a/internal/lab/targetsim/target.go
+++ b/internal/lab/targetsim/target.go
@@ -20,34 +20,34 @@
 	opts        Options
 	incarnation string
 	leaves      []*leaf
-	ledger      ledger
+	recorder    requestRecorder
 	listener    *limitListener
 	control     net.Listener
 	tomb        tomb.Tomb
 
-	mu       sync.Mutex // guards all below; never held while a leaf's or the ledger's is taken
-	faults   Faults
-	timing   Timing
-	holders  []Holder
-	coldTill time.Time
-	draining bool
-	held     chan struct{} // closed when submits are no longer held
-	shown    shownStatus
-	last     []*target.LeafAnswer // by leaf: the last answer to a search
+	mu          sync.Mutex // guards all below; never held while a leaf's or the ledger's is taken
+	faults      Faults
+	timing      Timing
+	placements  []SnapshotPlacement
+	coldUntil   time.Time
+	draining    bool
+	submitHold  chan struct{} // closed when submits are no longer held
+	reported    reportedStatus
+	lastAnswers []*target.LeafAnswer // by leaf: the last answer to a search
 }
 
-// shownStatus is what the status reports, which lags.
-type shownStatus struct {
-	state   target.State // before the last change of state
-	changed time.Time
-	loads   []float64
-	sampled time.Time
+// reportedStatus is what the status reports, which lags.
+type reportedStatus struct {
+	state        target.State // before the last change of state
+	stateChanged time.Time
+	loads        []float64
+	loadsSampled time.Time
 }
 
 // Start listens and serves until Close.
 func Start(opts Options) (*Target, error) {
 	opts = opts.withDefaults()
-	if err := checkHolders(opts.Snapshots, opts.Leaves); err != nil {
+	if err := validatePlacements(opts.Snapshots, opts.Leaves); err != nil {
 		return nil, errors.Trace(err)
 	}
 	listener, control, err := labhttp.Listen(opts.Listen, opts.Control)
@@ -58,16 +58,16 @@
 		opts:        opts,
 		incarnation: rand.Text(),
 		listener: &limitListener{
-			Listener: listener, limit: opts.Connections, cost: milliseconds(opts.ConnectCostMS),
+			Listener: listener, maxConns: opts.MaxConnections, acceptDelay: milliseconds(opts.ConnectCostMS),
 		},
-		control:  control,
-		timing:   opts.Timing,
-		holders:  opts.Snapshots,
-		coldTill: time.Now().Add(time.Duration(opts.ColdMS) * time.Millisecond),
-		last:     make([]*target.LeafAnswer, opts.Leaves),
+		control:     control,
+		timing:      opts.Timing,
+		placements:  opts.Snapshots,
+		coldUntil:   time.Now().Add(time.Duration(opts.ColdMS) * time.Millisecond),
+		lastAnswers: make([]*target.LeafAnswer, opts.Leaves),
 	}
 	for i := range opts.Leaves {
-		t.leaves = append(t.leaves, newLeaf(opts.Slots, opts.Queue, opts.Seed, i))
+		t.leaves = append(t.leaves, newLeaf(opts.Slots, opts.MaxQueued, opts.Seed, i))
 	}
 	t.tomb.Go(func() error {
 		t.serve(t.listener, t.handler())
@@ -92,8 +92,8 @@
 	return t.tomb.Wait()
 }
 
-// Leave drains for the time given in the options and then closes.
-func (t *Target) Leave() error {
+// DrainAndClose drains for the time given in the options and then closes.
+func (t *Target) DrainAndClose() error {
 	t.SetDraining(true)
 	time.Sleep(time.Duration(t.opts.DrainMS) * time.Millisecond)
 	return t.Close()
@@ -128,12 +128,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
-	if !f.HoldSubmits && t.held != nil {
-		close(t.held)
-		t.held = nil
+	if !f.HoldSubmits && t.submitHold != nil {
+		close(t.submitHold)
+		t.submitHold = nil
 	}
-	if f.HoldSubmits && t.held == nil {
-		t.held = make(chan struct{})
+	if f.HoldSubmits && t.submitHold == nil {
+		t.submitHold = make(chan struct{})
 	}
 }
 
@@ -145,18 +145,18 @@
 }
 
 // SetSnapshots replaces what the leaves hold.
-func (t *Target) SetSnapshots(holders []Holder) error {
+func (t *Target) SetSnapshots(holders []SnapshotPlacement) error {
 	for i := range holders {
 		if holders[i].Service == "" {
 			holders[i].Service = t.opts.Service
 		}
 	}
-	if err := checkHolders(holders, t.opts.Leaves); err != nil {
+	if err := validatePlacements(holders, t.opts.Leaves); err != nil {
 		return errors.Trace(err)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.holders = holders
+	t.placements = holders
 	return nil
 }
 
@@ -164,22 +164,22 @@
 func (t *Target) SetDraining(draining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.shown.state = t.stateNow(time.Now())
-	t.shown.changed = time.Now()
+	t.reported.state = t.currentState(time.Now())
+	t.reported.stateChanged = time.Now()
 	t.draining = draining
 }
 
 // Ran returns what was really started.
-func (t *Target) Ran() Ran { return t.ledger.list() }
+func (t *Target) Ran() StartedRequests { return t.recorder.startedRequests() }
 
 // Counters returns the counts since the start.
 func (t *Target) Counters() Counters {
-	c := t.ledger.counters()
+	c := t.recorder.counters()
 	c.Connections = t.listener.counts()
 	c.Incarnation = t.incarnation
 	for _, l := range t.leaves {
 		l.mu.Lock()
-		c.PeakRunning = max(c.PeakRunning, l.peak)
+		c.PeakRunning = max(c.PeakRunning, l.peakRunning)
 		l.mu.Unlock()
 	}
 	return c
@@ -195,31 +195,31 @@
 	defer t.mu.Unlock()
 	now := time.Now()
 	lag := time.Duration(t.faults.LoadLagMS) * time.Millisecond
-	if t.shown.loads == nil || now.Sub(t.shown.sampled) >= lag {
-		t.shown.loads, t.shown.sampled = loads, now
+	if t.reported.loads == nil || now.Sub(t.reported.loadsSampled) >= lag {
+		t.reported.loads, t.reported.loadsSampled = loads, now
 	}
-	status := target.Status{Target: t.opts.Name, Incarnation: t.incarnation, State: t.stateNow(now)}
-	if now.Sub(t.shown.changed) < time.Duration(t.faults.StateLagMS)*time.Millisecond {
-		status.State = t.shown.state
+	status := target.Status{Target: t.opts.Name, Incarnation: t.incarnation, State: t.currentState(now)}
+	if now.Sub(t.reported.stateChanged) < time.Duration(t.faults.StateLagMS)*time.Millisecond {
+		status.State = t.reported.state
 	}
 	for i := range t.leaves {
-		load := t.shown.loads[i]
-		if t.faults.LoadShown != nil {
-			load = *t.faults.LoadShown
+		load := t.reported.loads[i]
+		if t.faults.ReportedLoad != nil {
+			load = *t.faults.ReportedLoad
 		}
 		status.Leaves = append(status.Leaves, target.LeafStatus{
-			Leaf: i, Load: load, Holdings: holdings(t.holders, i),
+			Leaf: i, Load: load, Holdings: holdings(t.placements, i),
 		})
 	}
 	return status
 }
 
-// stateNow returns the true state. The caller must hold mu.
-func (t *Target) stateNow(now time.Time) target.State {
+// currentState returns the true state. The caller must hold mu.
+func (t *Target) currentState(now time.Time) target.State {
 	switch {
 	case t.draining:
 		return target.StateDraining
-	case now.Before(t.coldTill):
+	case now.Before(t.coldUntil):
 		return target.StateStarting
 	default:
 		return target.StateServing
--- a/internal/lab/targetsim/target_test.go
+++ b/internal/lab/targetsim/target_test.go
@@ -14,15 +14,15 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-const limit = 20 * time.Second
+const timeout = 20 * time.Second
 
 var testIndex = Index{Service: "desk", Snapshot: "s1", Seq: 1, Shards: 3, Records: 100}
 
-func start(t *testing.T, change func(*Options)) *Target {
+func startTarget(t *testing.T, change func(*Options)) *Target {
 	opts := Options{
-		Name: "t1", Service: "desk", Leaves: 2, Slots: 1, Queue: 1, Connections: 4,
+		Name: "t1", Service: "desk", Leaves: 2, Slots: 1, MaxQueued: 1, MaxConnections: 4,
 		Timing:    Timing{BaseMS: 1},
-		Snapshots: []Holder{{Index: testIndex, LeafShards: [][]int{{0, 1}, {2}}}},
+		Snapshots: []SnapshotPlacement{{Index: testIndex, LeafShards: [][]int{{0, 1}, {2}}}},
 	}
 	if change != nil {
 		change(&opts)
@@ -36,21 +36,21 @@
 }
 
 type reply struct {
-	status  int
-	header  http.Header
-	ans     target.LeafAnswer
-	refusal target.Refusal
-	extra   bool // something follows the first JSON value
+	status       int
+	header       http.Header
+	ans          target.LeafAnswer
+	refusal      target.Refusal
+	trailingData bool // something follows the first JSON value
 }
 
-func request(shard int) target.LeafRequest {
+func searchRequest(shard int) target.LeafRequest {
 	return target.LeafRequest{
 		Echo: target.Echo{Request: fmt.Sprintf("q%d", shard), Attempt: 1, Shard: shard, Snapshot: "s1"},
 		Kind: target.KindSearch, Query: "well", DeadlineMS: 20000,
 	}
 }
 
-func search1(ctx context.Context, client *http.Client, tg *Target, leaf int, req any, verb string) (reply, error) {
+func post(ctx context.Context, client *http.Client, tg *Target, leaf int, req any, verb string) (reply, error) {
 	body, _ := json.Marshal(req)
 	url := fmt.Sprintf("http://%s/leaves/%d/%s", tg.Address(), leaf, verb)
 	hreq, _ := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
@@ -66,7 +66,7 @@
 	} else {
 		err = dec.Decode(&out.refusal)
 	}
-	out.extra = dec.More()
+	out.trailingData = dec.More()
 	return out, err
 }
 
@@ -79,23 +79,23 @@
 	return &http.Client{Transport: tr}
 }
 
-func TestShardsTogetherHoldTheTruth(t *testing.T) {
+func TestShardAnswersAddUpToExpectedAnswer(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		g := gomega.NewWithT(t)
-		tg := start(t, nil)
+		tg := startTarget(t, nil)
 		client := newClient(t, http2)
 		var items []target.Item
 		var records int64
 		for shard, leaf := range []int{0, 0, 1} {
-			r, err := search1(t.Context(), client, tg, leaf, request(shard), "search")
+			r, err := post(t.Context(), client, tg, leaf, searchRequest(shard), "search")
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			g.Expect(r.ans.Echo).To(gomega.Equal(request(shard).Echo))
+			g.Expect(r.ans.Echo).To(gomega.Equal(searchRequest(shard).Echo))
 			g.Expect(r.header.Get(target.HeaderIncarnation)).To(gomega.Equal(tg.Incarnation()))
 			items = append(items, r.ans.Items...)
 			records += r.ans.Records
 		}
-		order(target.KindSearch, items)
-		want, _, total := testIndex.Truth(target.KindSearch, "well", "", 0)
+		sortItems(target.KindSearch, items)
+		want, _, total := testIndex.ExpectedAnswer(target.KindSearch, "well", "", 0)
 		g.Expect(items).To(gomega.Equal(want))
 		g.Expect(records).To(gomega.Equal(total))
 		g.Expect(total).To(gomega.Equal(int64(testIndex.Records)))
@@ -120,15 +120,15 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			tg := start(t, tt.change)
+			tg := startTarget(t, tt.change)
 			if tt.set != nil {
 				tt.set(tg)
 			}
-			req := request(0)
+			req := searchRequest(0)
 			if tt.req != nil {
 				tt.req(&req)
 			}
-			r, err := search1(t.Context(), newClient(t, false), tg, 0, req, "search")
+			r, err := post(t.Context(), newClient(t, false), tg, 0, req, "search")
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(r.status).To(gomega.Equal(http.StatusServiceUnavailable))
 			g.Expect(r.refusal.Reason).To(gomega.Equal(tt.want))
@@ -138,29 +138,29 @@
 	}
 }
 
-func TestSlotQueueShedAndCancel(t *testing.T) {
+func TestFullQueueShedsAndCancelFreesSlots(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tg := start(t, func(o *Options) { o.Timing.BaseMS = 60000 })
+	tg := startTarget(t, func(o *Options) { o.Timing.BaseMS = 60000 })
 	client := newClient(t, true)
 	ctx, cancel := context.WithCancel(t.Context())
 	for range 2 { // one takes the slot, the other waits
-		go search1(ctx, client, tg, 0, request(0), "search")
+		go post(ctx, client, tg, 0, searchRequest(0), "search")
 	}
-	g.Eventually(tg.leaves[0].load, limit).Should(gomega.Equal(2))
-	r, err := search1(t.Context(), client, tg, 0, request(0), "search")
+	g.Eventually(tg.leaves[0].load, timeout).Should(gomega.Equal(2))
+	r, err := post(t.Context(), client, tg, 0, searchRequest(0), "search")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(r.refusal.Reason).To(gomega.Equal(target.ReasonShed))
 	cancel()
-	g.Eventually(tg.leaves[0].load, limit).Should(gomega.BeZero())
+	g.Eventually(tg.leaves[0].load, timeout).Should(gomega.BeZero())
 	g.Expect(tg.Counters().PeakRunning).To(gomega.Equal(1))
 }
 
 func TestConnectionLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tg := start(t, func(o *Options) { o.Connections = 1 })
-	_, err := search1(t.Context(), newClient(t, false), tg, 0, request(0), "search")
+	tg := startTarget(t, func(o *Options) { o.MaxConnections = 1 })
+	_, err := post(t.Context(), newClient(t, false), tg, 0, searchRequest(0), "search")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	_, err = search1(t.Context(), newClient(t, false), tg, 0, request(0), "search")
+	_, err = post(t.Context(), newClient(t, false), tg, 0, searchRequest(0), "search")
 	g.Expect(err).To(gomega.HaveOccurred())
 	c := tg.Counters().Connections
 	g.Expect(c.Peak).To(gomega.Equal(1))
@@ -169,23 +169,23 @@
 
 func TestAnswerFaults(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tg := start(t, nil)
+	tg := startTarget(t, nil)
 	client := newClient(t, false)
-	tg.SetFaults(Faults{CrossedAnswers: 1, DuplicateAnswers: 1, IncompleteRecords: 5})
-	r, err := search1(t.Context(), client, tg, 0, request(0), "search")
+	tg.SetFaults(Faults{MismatchedAnswers: 1, DuplicateAnswers: 1, MissingRecords: 5})
+	r, err := post(t.Context(), client, tg, 0, searchRequest(0), "search")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(r.ans.Echo).NotTo(gomega.Equal(request(0).Echo))
-	g.Expect(r.extra).To(gomega.BeTrue())
+	g.Expect(r.ans.Echo).NotTo(gomega.Equal(searchRequest(0).Echo))
+	g.Expect(r.trailingData).To(gomega.BeTrue())
 	g.Expect(r.ans.Complete).To(gomega.BeFalse())
 	g.Expect(r.ans.Missing).To(gomega.Equal(int64(5)))
 }
 
-func TestSubmitRunsAlthoughTheConnectionIsCut(t *testing.T) {
+func TestSubmitRunsDespiteCutConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tg := start(t, nil)
+	tg := startTarget(t, nil)
 	tg.SetFaults(Faults{CutSubmits: 1})
 	req := target.SubmitRequest{Key: "k1", Payload: json.RawMessage(`{}`), DeadlineMS: 20000}
-	_, err := search1(t.Context(), newClient(t, false), tg, 0, req, "submit")
+	_, err := post(t.Context(), newClient(t, false), tg, 0, req, "submit")
 	g.Expect(err).To(gomega.HaveOccurred())
 	g.Expect(tg.Ran().Submits).To(gomega.HaveLen(1))
 }
--- a/node/run.go
+++ b/node/run.go
@@ -44,7 +44,7 @@
 	if n.callers, err = listen(n.settings.Listen.Callers, n.gateway.Server()); err != nil {
 		return errors.Trace(err)
 	}
-	n.ops, err = listen(n.settings.Listen.Ops, ops.NewServer(ops.Options{
+	n.ops, err = listen(n.settings.Listen.Ops, ops.NewHTTPServer(ops.Options{
 		Status:  n.Status,
 		Metrics: []func(io.Writer){n.metrics.WritePrometheus, n.peers.WriteMetrics, n.router.WriteMetrics},
 	}))
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -164,7 +164,7 @@
 func TestStatusReportsUnreachableVMs(t *testing.T) {
 	g := NewWithT(t)
 	d := newTestCLI(t)
-	page := httptest.NewServer(ops.NewServer(ops.Options{Status: func() ops.Status {
+	page := httptest.NewServer(ops.NewHTTPServer(ops.Options{Status: func() ops.Status {
 		return ops.Status{VM: "vm-1", Revision: 4, Digest: "abc", Ready: true, PlatformReachable: true}
 	}}).Handler)
 	t.Cleanup(page.Close)
@@ -200,7 +200,7 @@
 	digest := d.pushExample()
 	d.mustRun(&struct{}{}, "sign", digest, "--reason", "checked", "--key", d.path("jon.json"))
 	d.mustRun(&ChangeOutput{}, "rollout", digest, "--reason", "first")
-	page := httptest.NewServer(ops.NewServer(ops.Options{Status: func() ops.Status { return ops.Status{Revision: 4} }}).Handler)
+	page := httptest.NewServer(ops.NewHTTPServer(ops.Options{Status: func() ops.Status { return ops.Status{Revision: 4} }}).Handler)
 	t.Cleanup(page.Close)
 	var answer StatusOutput
 	d.mustRun(&answer, "status")
--- a/ops/server.go
+++ b/ops/server.go
@@ -21,8 +21,8 @@
 	Metrics []func(io.Writer) // in Prometheus text format
 }
 
-// NewServer returns the HTTP server of the operators' page.
-func NewServer(opt Options) *http.Server {
+// NewHTTPServer returns the HTTP server of the operators' page.
+func NewHTTPServer(opt Options) *http.Server {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(PathHealth), func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
--- a/peer/route/route_test.go
+++ b/peer/route/route_test.go
@@ -56,8 +56,8 @@
 	index := targetsim.Index{Service: "desk", Snapshot: "s1", Seq: 1, Shards: 2, Records: 10}
 	var err error
 	f.target, err = targetsim.Start(targetsim.Options{
-		Name: "target-0", Service: "desk", Leaves: 2, Slots: 2, Connections: connections,
-		Timing: targetsim.Timing{BaseMS: 1}, Snapshots: targetsim.Place(index, 1, 2, 1),
+		Name: "target-0", Service: "desk", Leaves: 2, Slots: 2, MaxConnections: connections,
+		Timing: targetsim.Timing{BaseMS: 1}, Snapshots: targetsim.PlaceReplicas(index, 1, 2, 1),
 	})
 	f.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { f.target.Close() })
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -39,7 +39,7 @@
 type vm struct {
 	set  *edge.Settings
 	file string
-	door *edgesim.Door
+	door *edgesim.StoreProxy
 
 	mu      sync.Mutex // guards process
 	process *exec.Cmd
@@ -83,7 +83,7 @@
 func (s *deployment) leaf(id, service, zone string) {
 	l := (&edgesim.Leaf{ID: id, Service: service, Zone: zone, Born: time.Now().UnixMilli()}).Start()
 	s.leafs[id] = l
-	s.store.Put("servers", id, l.Entry("ready"))
+	s.store.Put("servers", id, l.RegistryEntry("ready"))
 }
 
 func (s *deployment) manifest(version int, shards []string) {
@@ -95,7 +95,7 @@
 }
 
 func (s *deployment) addVM(name, zone string) {
-	door := edgesim.NewDoor(s.store.Address())
+	door := edgesim.NewStoreProxy(s.store.Address())
 	v := &vm{door: door, file: filepath.Join(s.dir, name+".json"), set: &edge.Settings{
 		Name: name, Zone: zone, Store: door.Address(), GraceS: 1, Power: 1, MemoryMB: 256, LogLevel: "warn",
 		Listen: edge.ListenSettings{Callers: s.address(), Ready: s.address(), VMs: s.address(), Metrics: s.address()},
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -116,16 +116,16 @@
 		v.waitExit(2 * time.Second)
 		v.start(s)
 	default:
-		v.door.Shut(503)
+		v.door.Reject(503)
 		time.Sleep(pause)
-		v.door.Shut(0)
+		v.door.Reject(0)
 	}
 }
 
 func (s *deployment) injectLeafFault(rng *rand.Rand) {
 	faults := []edgesim.LeafFaults{
-		{Delay: 150 * time.Millisecond}, {Refuse: true}, {Fail: true}, {Lose: true}, {Cut: true},
-		{NoLength: true}, {Extra: true}, {NoReceipt: true}, {Silent: true},
+		{Delay: 150 * time.Millisecond}, {Refuse: true}, {Fail: true}, {LoseAnswers: true}, {TruncateBody: true},
+		{NoContentLength: true}, {ExtraAnswer: true}, {NoReceipt: true}, {Silent: true},
 	}
 	id := "ledger-" + zones[rng.IntN(len(zones))]
 	if rng.IntN(2) == 0 {
@@ -134,17 +134,17 @@
 	l := s.leafs[id]
 	l.SetFaults(faults[rng.IntN(len(faults))])
 	if rng.IntN(3) == 0 {
-		s.store.Put("servers", id, l.Entry("draining"))
+		s.store.Put("servers", id, l.RegistryEntry("draining"))
 	}
 	time.Sleep(time.Duration(200+rng.IntN(600)) * time.Millisecond)
 	l.SetFaults(edgesim.LeafFaults{})
-	s.store.Put("servers", id, l.Entry("ready"))
+	s.store.Put("servers", id, l.RegistryEntry("ready"))
 }
 
 func (s *deployment) injectStoreFault(rng *rand.Rand) {
 	faults := []edgesim.StoreFaults{
 		{Status: 503}, {Status: 429}, {Silent: true}, {SilentWatches: true},
-		{Delay: 200 * time.Millisecond}, {LoseAnswers: true}, {OldListings: true},
+		{Delay: 200 * time.Millisecond}, {LoseAnswers: true}, {StaleListings: true},
 	}
 	s.store.SetFaults(faults[rng.IntN(len(faults))])
 	time.Sleep(time.Duration(200+rng.IntN(800)) * time.Millisecond)
@@ -159,10 +159,10 @@
 	s.store.SetFaults(edgesim.StoreFaults{})
 	for id, l := range s.leafs {
 		l.SetFaults(edgesim.LeafFaults{})
-		s.store.Put("servers", id, l.Entry("ready"))
+		s.store.Put("servers", id, l.RegistryEntry("ready"))
 	}
 	for _, v := range s.vms {
-		v.door.Shut(0)
+		v.door.Reject(0)
 		v.signal(syscall.SIGCONT)
 	}
 }
