--- a/integration/owner_test.go
+++ b/integration/owner_test.go
@@ -15,8 +15,9 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/place"
 )
 
-// fewConnections makes a fleet that is larger than what its targets accept: each
-// takes that many connections from some VMs more.
+// fewConnections configures a fleet in which not every VM can connect to every target:
+// each target accepts this number of connections, while the bundle allows places VMs,
+// which must be more.
 func fewConnections(daemons, places, connections int) clusterConfig {
 	return clusterConfig{
 		Daemons: daemons, Targets: 3, Replicas: 2, LameDuck: time.Second,
@@ -40,27 +41,27 @@
 	}
 }
 
-// A fleet has more VMs than its targets accept connections, and all VMs are
-// replaced one after another under load. A user of a VM without a connection
-// would get nothing, and a new VM that connects too early would be turned away.
-// Every search must be answered whole, through an owner where need be, and no
-// target see more connections than it accepts.
+// A fleet has more VMs than its targets accept connections, and all VMs are replaced one
+// after another under load. A VM without a connection could answer nothing by itself, and
+// a new VM that connects too early would be refused. Every search must be answered
+// completely, through an owner if necessary, and no target may see more connections than
+// it accepts.
 func TestVMsWithoutConnectionsReachTargetsThroughOwners(t *testing.T) {
 	const daemons, connections = 5, 3
 	c := start(t, fewConnections(daemons, daemons+1, connections))
-	balancer := &searchRotation{}
-	balancer.setVMs(c.Daemons...)
-	stop := c.startSearches(balancer)
-	c.replaceVMs(balancer, 0)
-	good, faults := stop()
-	c.Expect(faults).To(gomega.BeEmpty())
-	c.Expect(good).To(gomega.BeNumerically(">", 0))
+	rotation := &searchRotation{}
+	rotation.setVMs(c.Daemons...)
+	stop := c.startSearches(rotation)
+	c.replaceVMs(rotation, 0)
+	complete, failures := stop()
+	c.Expect(failures).To(gomega.BeEmpty())
+	c.Expect(complete).To(gomega.BeNumerically(">", 0))
 	c.expectWithinLimit(connections)
 }
 
-// Owners are killed one after another, and new VMs take their places, while
-// others are calling through them. A user would lose an answer with the owner;
-// each search must still be answered whole, within its time.
+// Owners are killed one after another while other VMs call targets through them, and new
+// VMs take their places. The answers must not be lost with the owner: every search must
+// still be answered completely within its time limit.
 func TestOwnersKilledInMidQuery(t *testing.T) {
 	const daemons, connections = 5, 3
 	c := start(t, fewConnections(daemons, daemons, connections))
@@ -68,25 +69,26 @@
 	c.expectWithinLimit(connections)
 }
 
-// killOwners kills VMs under load, one after another, and replaces them. Every
-// search of the others must be answered whole. Targets accept three connections.
+// killOwners kills three VMs under load, one after another, and replaces each. Every
+// search of the other VMs must be answered completely. Targets must accept three
+// connections.
 func (c *cluster) killOwners() {
 	c.t.Helper()
-	const owners = 2 // of each target, with a connection each; one is left free for a frozen owner
+	const owners = 2 // of each target, with one connection each; the third is reserved for a frozen owner
 	c.waitOwners(owners)
-	balancer := &searchRotation{}
+	rotation := &searchRotation{}
 	for i := range 3 {
 		victim := c.Daemons[0]
 		c.Daemons = c.Daemons[1:]
-		balancer.setVMs(c.Daemons...)
-		before := balancer.answered()
-		stop := c.startSearches(balancer)
-		c.Eventually(balancer.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+50))
+		rotation.setVMs(c.Daemons...)
+		before := rotation.answered()
+		stop := c.startSearches(rotation)
+		c.Eventually(rotation.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+50))
 		victim.Kill()
-		before = balancer.answered()
-		c.Eventually(balancer.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+50))
-		_, faults := stop()
-		c.Expect(faults).To(gomega.BeEmpty())
+		before = rotation.answered()
+		c.Eventually(rotation.answered, waitTimeout, "10ms").Should(gomega.BeNumerically(">", before+50))
+		_, failures := stop()
+		c.Expect(failures).To(gomega.BeEmpty())
 
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: fmt.Sprint("new-", i), Zone: zone, LameDuck: time.Second})
 		c.ok(err)
@@ -98,9 +100,9 @@
 	}
 }
 
-// waitOwners waits until each target has connections from that many owners again.
-// A place passes to a new VM only once its old holder counts as lost, and until
-// then the death of a further owner can leave a target without any.
+// waitOwners waits until each target has connections from that many owners. A place passes
+// to a new VM only once its old holder counts as lost, and until then the loss of a
+// further owner can leave a target without any.
 func (c *cluster) waitOwners(owners int) {
 	c.t.Helper()
 	for _, target := range c.Targets {
@@ -111,37 +113,37 @@
 	}
 }
 
-func (b *searchRotation) answered() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.complete
+func (r *searchRotation) answered() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.complete
 }
 
-// An owner is frozen for longer than any timeout. There are more VMs than places,
-// so its place is given to one of the others; then it runs on. It still has its
-// connections, and would open more. It must find that the place is not its own
-// any more, and the target must never see more connections than it accepts.
+// An owner is frozen for longer than any timeout. There are more VMs than places, so its
+// place is given to another VM. Then it resumes, still has its connections, and would open
+// more. It must detect that it no longer holds the place, and the target must never see
+// more connections than it accepts.
 func TestFrozenOwnerComesBack(t *testing.T) {
 	const daemons, places, connections = 3, 4, 3
-	const owned = 2 // one connection's share is left free for a frozen owner
+	const owned = 2 // one of the connections is reserved for a frozen owner
 	c := start(t, fewConnections(daemons, places, connections))
-	frozen, rest := c.Daemons[0], c.Daemons[1:]
-	c.Eventually(c.placeHolders, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
+	frozen, others := c.Daemons[0], c.Daemons[1:]
+	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
 	c.ok(frozen.Pause())
 	for i := range 2 {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: fmt.Sprint("new-", i), Zone: zone})
 		c.ok(err)
 		c.waitInForce(fresh, 1)
-		rest = append(rest, fresh)
+		others = append(others, fresh)
 	}
-	c.Eventually(c.placeHolders, waitTimeout, "100ms").Should(gomega.And(
+	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.And(
 		gomega.HaveLen(places), gomega.Not(gomega.ContainElement(frozen.Name))))
 	c.ok(frozen.Resume())
 	c.waitInForce(frozen, 1)
-	for _, d := range append(rest, frozen) {
+	for _, d := range append(others, frozen) {
 		c.waitComplete(d)
 	}
-	c.Expect(c.placeHolders()).NotTo(gomega.ContainElement(frozen.Name))
+	c.Expect(c.vmsWithPlace()).NotTo(gomega.ContainElement(frozen.Name))
 	for _, target := range c.Targets {
 		c.Eventually(func() (int, error) {
 			counters, err := target.Counters()
@@ -151,8 +153,8 @@
 	c.expectWithinLimit(connections)
 }
 
-// placeHolders returns the VMs that have claimed a place.
-func (c *cluster) placeHolders() (holders []string) {
+// vmsWithPlace returns the names of the VMs that have claimed a place.
+func (c *cluster) vmsWithPlace() (holders []string) {
 	page, err := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{}).List(c.ctx, place.Kind, "", 100)
 	c.ok(err)
 	for _, object := range page.Objects {
--- a/integration/peer_test.go
+++ b/integration/peer_test.go
@@ -19,7 +19,8 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// searchRotation sends searches to the VMs that it lists, which lags behind.
+// searchRotation sends searches in turn to the VMs that it was last given, as a load
+// balancer does.
 type searchRotation struct {
 	mu       sync.Mutex // guards the fields below
 	vms      []*fleet.Daemon
@@ -28,22 +29,22 @@
 	complete int
 }
 
-func (b *searchRotation) setVMs(vms ...*fleet.Daemon) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.vms = vms
+func (r *searchRotation) setVMs(vms ...*fleet.Daemon) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.vms = vms
 }
 
-func (b *searchRotation) choose() *fleet.Daemon {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.next++
-	return b.vms[b.next%len(b.vms)]
+func (r *searchRotation) choose() *fleet.Daemon {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.next++
+	return r.vms[r.next%len(r.vms)]
 }
 
-// startSearches sends searches from some callers until stop is called, which returns how
-// many were answered whole and what went wrong.
-func (c *cluster) startSearches(b *searchRotation) (stop func() (good int, faults []string)) {
+// startSearches sends searches from some concurrent callers until stop is called, which
+// returns the number of complete answers and a description of every other result.
+func (c *cluster) startSearches(r *searchRotation) (stop func() (complete int, failures []string)) {
 	const callers = 4
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -54,7 +55,7 @@
 				case <-done:
 					return
 				default:
-					b.search(c)
+					r.search(c)
 				}
 			}
 		})
@@ -62,48 +63,49 @@
 	return func() (int, []string) {
 		close(done)
 		wg.Wait()
-		return b.complete, b.failures
+		return r.complete, r.failures
 	}
 }
 
-func (b *searchRotation) search(c *cluster) {
-	d := b.choose()
+func (r *searchRotation) search(c *cluster) {
+	d := r.choose()
 	a, status, err := d.Search(c.ctx, findSearch, searchBody("well"))
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
 	case err != nil:
-		b.failures = append(b.failures, fmt.Sprintf("%s: %v", d.Name, err))
+		r.failures = append(r.failures, fmt.Sprintf("%s: %v", d.Name, err))
 	case result.Code(a.Code) == result.Complete:
-		b.complete++
+		r.complete++
 	default:
-		b.failures = append(b.failures, fmt.Sprintf("%s: status %d, code %d", d.Name, status, a.Code))
+		r.failures = append(r.failures, fmt.Sprintf("%s: status %d, code %d", d.Name, status, a.Code))
 	}
 }
 
-// All VMs are replaced one after another under load, each new one running beside
-// the old one for a while, and the platform's list of VMs lags. A user would see
-// searches fail because a target turns VMs away: the sum of all VMs' connections
-// must stay within each target's limit all the time, and no search be cut off.
+// All VMs are replaced one after another under load. Each new VM runs beside the old one
+// for a while, and the platform's list of VMs lags. If the VMs together opened more
+// connections than a target accepts, it would refuse some and searches would fail. The sum
+// of all VMs' connections must stay within each target's limit at all times, and no search
+// may be cut off.
 func TestAllVMsReplacedUnderLoad(t *testing.T) {
 	const daemons, connections, listLag = 4, 25, 3 * time.Second
 	c := start(t, clusterConfig{
 		Daemons:  daemons,
 		LameDuck: time.Second,
 		Bundle: func(b *bundle.Bundle) {
-			b.Fleet.MaxVMs = daemons + 1 // one more during a replacement
+			b.Fleet.MaxVMs = daemons + 1 // one VM more during a replacement
 			for i := range b.Services[0].Targets {
 				b.Services[0].Targets[i].Connections = connections
 			}
 		},
 	})
-	balancer := &searchRotation{}
-	balancer.setVMs(c.Daemons...)
-	stop := c.startSearches(balancer)
-	c.replaceVMs(balancer, listLag)
-	good, faults := stop()
-	c.Expect(faults).To(gomega.BeEmpty())
-	c.Expect(good).To(gomega.BeNumerically(">", 0))
+	rotation := &searchRotation{}
+	rotation.setVMs(c.Daemons...)
+	stop := c.startSearches(rotation)
+	c.replaceVMs(rotation, listLag)
+	complete, failures := stop()
+	c.Expect(failures).To(gomega.BeEmpty())
+	c.Expect(complete).To(gomega.BeNumerically(">", 0))
 	for _, target := range c.Targets {
 		seen := must[struct{ Peak, Refused int }](c)(connectionCounts(target))
 		t.Logf("%s: peak of %d connections, limit %d, %d refused", target.Name, seen.Peak, connections, seen.Refused)
@@ -119,7 +121,7 @@
 	return seen, err
 }
 
-// joinExchange joins the daemons' exchange from this process.
+// joinExchange joins the daemons' exchange from this process, as a VM called "member".
 func (c *cluster) joinExchange() *peer.Exchange {
 	set := must[*settings.Settings](c)(settings.Load(c.Daemons[0].SettingsPath))
 	key := must[[]byte](c)(base64.StdEncoding.DecodeString(set.FleetKeys[0]))
@@ -135,10 +137,10 @@
 	return x
 }
 
-// One VM alone learns that a target leaves; the target itself says nothing to
-// anybody. A user of another VM would wait for a target that is going away. No
-// VM may give it new work a few seconds later, the answers stay whole, and only
-// a new incarnation of the target gets work again.
+// Only one VM learns that a target drains; the target itself reports nothing. The other
+// VMs would go on sending requests to a target that is being stopped. A few seconds later
+// no VM may send it a new request, all answers must be complete, and only a new
+// incarnation of the target may get requests again.
 func TestDrainLearnedByOneVMOnly(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3, Targets: 3, Replicas: 3})
 	leaving := c.Targets[0]
@@ -150,7 +152,7 @@
 		c.ok(err)
 		return n.Searches
 	}
-	// An interval of searches by every VM without one more for the target.
+	// Wait for a round of searches by every VM of which none reaches the target.
 	c.Eventually(func() int {
 		before := started()
 		c.searchEverywhere()
@@ -159,7 +161,7 @@
 	for range 5 {
 		before := started()
 		c.searchEverywhere()
-		c.Expect(started()).To(gomega.Equal(before), "work for a target that leaves")
+		c.Expect(started()).To(gomega.Equal(before), "searches at a draining target")
 	}
 
 	leaving.Kill()
@@ -172,11 +174,10 @@
 		n, err := fresh.Counters()
 		c.ok(err)
 		return n.Searches
-	}, waitTimeout, "100ms").Should(gomega.BeNumerically(">", 0), "no work for the new incarnation")
+	}, waitTimeout, "100ms").Should(gomega.BeNumerically(">", 0), "no searches at the new incarnation")
 }
 
-// searchEverywhere sends some searches to every VM, each of which must be
-// answered whole.
+// searchEverywhere sends five searches to every VM and expects complete answers.
 func (c *cluster) searchEverywhere() {
 	c.t.Helper()
 	for _, d := range c.Daemons {
@@ -188,25 +189,25 @@
 	}
 }
 
-// A zone loses its power; when it returns, the platform is still down, and all
-// VMs but one start from nothing. A user would find no VM that serves. Each has
-// only one other VM's address, in a chain; all must get the bundle.
+// After a power loss all VMs but one start without any state while the platform is still
+// down. Each new VM has the address of only one other VM, in a chain. All must get the
+// bundle from their peers; otherwise users would find no VM that serves.
 func TestFleetStartsWithPlatformDown(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 1})
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
-	known := c.Daemons[0]
+	seed := c.Daemons[0]
 	for i := range 4 {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{
-			Name: fmt.Sprint("fresh-", i), Zone: zone, EditSettings: withSeeds(known.Peers),
+			Name: fmt.Sprint("fresh-", i), Zone: zone, EditSettings: withSeeds(seed.Peers),
 		})
 		c.ok(err)
 		c.Daemons = append(c.Daemons, fresh)
-		known = fresh
+		seed = fresh
 	}
 	for _, d := range c.Daemons {
 		c.waitInForce(d, 1)
 	}
-	// Each knows more VMs than the one that it was given.
+	// Each knows more VMs than the one in its settings.
 	for _, d := range c.Daemons {
 		c.Eventually(func() (int, error) {
 			status, err := d.Status(c.ctx)
@@ -215,9 +216,9 @@
 	}
 }
 
-// replaceVMs replaces every VM, one after another. Callers are sent to the new
-// VM once it reads every shard; the platform's list follows after lag.
-func (c *cluster) replaceVMs(callers *searchRotation, lag time.Duration) {
+// replaceVMs replaces every VM, one after another. The rotation gets a new VM once this
+// answers from all shards; the platform's list follows after lag.
+func (c *cluster) replaceVMs(rotation *searchRotation, lag time.Duration) {
 	c.t.Helper()
 	for i := range c.Daemons {
 		fresh, err := c.StartDaemon(fleet.DaemonOptions{Name: fmt.Sprint("new-", i), Zone: zone, LameDuck: time.Second})
@@ -227,7 +228,7 @@
 		old := c.Daemons[0]
 		c.Daemons = append(c.Daemons[1:], fresh)
 		c.ok(old.Terminate())
-		callers.setVMs(c.Daemons...)
+		rotation.setVMs(c.Daemons...)
 		c.listVMsAfter(lag)
 		c.Eventually(old.Done(), waitTimeout).Should(gomega.BeClosed())
 	}
