--- a/internal/lab/labhttp/labhttp.go
+++ b/internal/lab/labhttp/labhttp.go
@@ -1,5 +1,5 @@
-// Package labhttp holds what the stand-ins share of HTTP: JSON answers, control
-// endpoints and listeners.
+// Package labhttp holds the HTTP helpers that the simulators of the lab share: JSON
+// responses, control endpoints and listeners.
 package labhttp
 
 import (
@@ -8,10 +8,11 @@
 	"net/http"
 )
 
-// maxBodyBytes bounds the body of a control request.
+// maxBodyBytes bounds the body of a request that ReadJSON decodes.
 const maxBodyBytes = 4 << 20
 
-// WriteJSON answers with value as JSON.
+// WriteJSON writes a response with the status and value encoded as JSON. It writes status
+// 500 instead if value can't be encoded.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -23,12 +24,13 @@
 	w.Write(body)
 }
 
-// WriteError answers with err as text.
+// WriteError writes a response with the status and the text of err.
 func WriteError(w http.ResponseWriter, status int, err error) {
 	http.Error(w, err.Error(), status)
 }
 
-// ReadJSON decodes the body of r, without unknown fields, into a T.
+// ReadJSON decodes the JSON body of r into a T. It returns an error if the body has unknown
+// fields or is larger than 4 MiB.
 func ReadJSON[T any](w http.ResponseWriter, r *http.Request) (T, error) {
 	var value T
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -37,7 +39,8 @@
 	return value, err
 }
 
-// PutHandler returns a handler that passes the decoded body to set.
+// PutHandler returns a handler that decodes the JSON body, passes it to set and responds with
+// status 204, or with 400 if the body can't be decoded.
 func PutHandler[T any](set func(T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		value, err := ReadJSON[T](w, r)
@@ -50,7 +53,8 @@
 	}
 }
 
-// ListenAddress returns addr, or a free port on the loopback if addr is empty.
+// ListenAddress returns addr, or the loopback address with port 0, which makes the system
+// choose a free port, if addr is empty.
 func ListenAddress(addr string) string {
 	if addr == "" {
 		return "127.0.0.1:0"
@@ -58,14 +62,15 @@
 	return addr
 }
 
-// Ready is the line that a stand-in prints once it serves.
+// Ready is the line of JSON that a simulator's process prints once it serves.
 type Ready struct {
-	Role    string `json:"role"`
-	Listen  string `json:"listen"`
-	Control string `json:"control"`
+	Role    string `json:"role"`    // the subcommand of bramley-lab, e.g. "target"
+	Listen  string `json:"listen"`  // IP and port where it serves
+	Control string `json:"control"` // IP and port of its control endpoint
 }
 
-// Listen opens a stand-in's two listeners; see Address for what may be left out.
+// Listen opens a simulator's two TCP listeners. An empty address stands for a free port on
+// the loopback; see ListenAddress.
 func Listen(serve, control string) (serving, controlling net.Listener, err error) {
 	if serving, err = net.Listen("tcp", ListenAddress(serve)); err != nil {
 		return nil, nil, err
