--- a/internal/lab/faultproxy/name.go
+++ b/internal/lab/faultproxy/name.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// maxHelloBytes bounds what is read of a connection to find its client's name.
+	// maxHelloBytes bounds the bytes that are read from a connection to find its client's name.
 	maxHelloBytes = 4 << 10
-	// helloTimeout bounds the wait for it.
+	// helloTimeout bounds the wait for these bytes.
 	helloTimeout = 2 * time.Second
 )
 
-// helloVMPattern finds the VM that a hello of the inner protocol comes from.
+// helloVMPattern matches the name of the sending VM in a hello message of the protocol between
+// VMs.
 var helloVMPattern = regexp.MustCompile(`"vm":"([^"]*)"`)
 
-// readClientName reads from a client until its hello has named it, and returns the
-// name, empty if there is none, and all that was read.
+// readClientName reads from a client until its hello message names it. It returns the name,
+// which is empty if none was found, and all bytes that were read.
 func readClientName(client net.Conn) (name string, read []byte) {
 	_ = client.SetReadDeadline(time.Now().Add(helloTimeout))
 	defer client.SetReadDeadline(time.Time{})
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a TCP proxy whose faults tests set: connections that
-// are cut, refused, delayed, frozen, silent in one direction, or silent for
-// good while new ones work.
+// Package faultproxy implements a TCP proxy with fault injection for tests. It can close,
+// refuse, delay or freeze connections, drop the bytes of one direction, or silence the open
+// connections permanently while new ones work.
 package faultproxy
 
 import (
@@ -21,25 +21,26 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/labhttp"
 )
 
-// Faults are what is wrong with the network. The zero value is a healthy one.
+// Faults are the network faults that the proxy injects. The zero value is a healthy network.
 type Faults struct {
-	Refuse   bool `json:"refuse"`    // close new connections at once
-	Frozen   bool `json:"frozen"`    // nothing passes, either way, new connections included
-	LoseUp   bool `json:"lose_up"`   // bytes from the client are thrown away
-	LoseDown bool `json:"lose_down"` // bytes to the client are thrown away
-	DelayMS  int  `json:"delay_ms"`  // of each piece of bytes, each way
+	Refuse   bool `json:"refuse"`    // new connections are closed at once
+	Frozen   bool `json:"frozen"`    // no bytes pass in either direction, on new connections too
+	LoseUp   bool `json:"lose_up"`   // bytes from the client are dropped
+	LoseDown bool `json:"lose_down"` // bytes to the client are dropped
+	DelayMS  int  `json:"delay_ms"`  // delay of each chunk that is read, in each direction
 
-	// Partitioned names clients for which the network is Frozen; see Options.Peers.
+	// Partitioned names the clients for which the network is Frozen. It needs Options.ReadHello.
 	Partitioned []string `json:"apart,omitempty"`
 }
 
-// Counters count connections since the start.
+// Counters counts the connections that reached the server.
 type Counters struct {
 	Open  int `json:"open"`
-	Total int `json:"total"`
+	Total int `json:"total"` // since the start
 }
 
-// Proxy forwards TCP connections to one address. Create it with Start.
+// Proxy forwards TCP connections to one address. Create it with Start. Its methods are safe
+// for concurrent use.
 type Proxy struct {
 	target    string
 	readHello bool
@@ -47,7 +48,7 @@
 	control   net.Listener
 	tomb      tomb.Tomb
 
-	mu            sync.Mutex // guards all below
+	mu            sync.Mutex // guards the fields below
 	faults        Faults
 	faultsChanged chan struct{} // closed, and replaced, when the faults change
 	links         map[*link]struct{}
@@ -57,21 +58,21 @@
 // link is one connection through the proxy.
 type link struct {
 	client, server net.Conn
-	clientName     string // of the client; empty if not known
-	silent         bool   // for good; guarded by Proxy.mu
+	clientName     string // empty if not known
+	silent         bool   // permanently; guarded by Proxy.mu
 }
 
-// Options say where a proxy listens and what it forwards to.
+// Options configures a proxy.
 type Options struct {
-	Listen  string // empty means a free port on the loopback
-	Control string
-	Target  string
-	// ReadHello tells that the connections are those between VMs, so that each
-	// client's first message names it.
+	Listen  string // IP and port; empty for a free port on the loopback
+	Control string // the same for the control endpoint
+	Target  string // IP and port to forward to
+	// ReadHello says that the connections are those between VMs. The proxy then reads the
+	// client's name from the first message on each connection.
 	ReadHello bool
 }
 
-// Start listens and forwards until Close.
+// Start opens the listeners and returns a proxy that forwards connections until Close.
 func Start(opts Options) (*Proxy, error) {
 	listener, control, err := labhttp.Listen(opts.Listen, opts.Control)
 	if err != nil {
@@ -99,13 +100,13 @@
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the IP and port where the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// ControlAddress returns where the control endpoint serves.
+// ControlAddress returns the IP and port of the control endpoint.
 func (p *Proxy) ControlAddress() string { return p.control.Addr().String() }
 
-// Close cuts every connection and waits until all is done.
+// Close closes the listeners and every connection and waits for the proxy's goroutines.
 func (p *Proxy) Close() error {
 	p.tomb.Kill(nil)
 	return p.tomb.Wait()
@@ -129,8 +130,8 @@
 	}
 }
 
-// Silence makes every open connection silent for good: neither end hears of
-// the other again, and neither is told. New connections work.
+// Silence silences every open connection permanently: the proxy drops all bytes in both
+// directions and does not pass on when an end closes. New connections work.
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +140,7 @@
 	}
 }
 
-// Counters returns the counts of connections.
+// Counters returns the connection counts.
 func (p *Proxy) Counters() Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,11 +168,11 @@
 		client.Close()
 		return
 	}
-	name, first := "", []byte(nil)
+	clientName, received := "", []byte(nil)
 	if p.readHello {
-		name, first = readClientName(client)
+		clientName, received = readClientName(client)
 	}
-	first, ok := p.holdWhileFrozen(&link{client: client, clientName: name}, first)
+	received, ok := p.holdWhileFrozen(&link{client: client, clientName: clientName}, received)
 	if !ok {
 		client.Close()
 		return
@@ -181,51 +182,54 @@
 		client.Close()
 		return
 	}
-	l := &link{client: client, server: server, clientName: name}
+	l := &link{client: client, server: server, clientName: clientName}
 	if !p.addLink(l) {
 		l.close()
 		return
 	}
 	defer p.removeLink(l)
 	var wg sync.WaitGroup
-	wg.Go(func() { p.forward(l, io.MultiReader(bytes.NewReader(first), client), server, true) })
+	wg.Go(func() { p.forward(l, io.MultiReader(bytes.NewReader(received), client), server, true) })
 	wg.Go(func() { p.forward(l, server, client, false) })
 	wg.Wait()
 }
 
-// holdPollInterval is how often a client that is held back is read from.
+// holdPollInterval is the read timeout between two checks whether a new connection is still
+// frozen.
 const holdPollInterval = 20 * time.Millisecond
 
-// holdWhileFrozen keeps a new connection from the server while it is frozen, as packets that
-// are lost do, and returns what the client has sent by then. A client that gives
-// up meanwhile never reaches the server.
-func (p *Proxy) holdWhileFrozen(l *link, read []byte) (all []byte, ok bool) {
+// holdWhileFrozen delays a new connection as long as the network is frozen for it, as lost
+// packets would. It returns the bytes received, followed by those that the client sent
+// meanwhile. It returns false if the client closed the connection, which then never reaches
+// the server, or if the proxy is closing.
+func (p *Proxy) holdWhileFrozen(l *link, received []byte) (all []byte, ok bool) {
 	defer l.client.SetReadDeadline(time.Time{})
 	buf := make([]byte, 4<<10)
 	for {
 		f, _, _ := p.linkState(l)
 		if !f.Frozen {
-			return read, true
+			return received, true
 		}
 		if !p.tomb.Alive() {
 			return nil, false
 		}
 		_ = l.client.SetReadDeadline(time.Now().Add(holdPollInterval))
 		n, err := l.client.Read(buf)
-		read = append(read, buf[:n]...)
+		received = append(received, buf[:n]...)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, false
 		}
 	}
 }
 
-// forward passes bytes one way until either end closes.
-func (p *Proxy) forward(l *link, from io.Reader, to net.Conn, up bool) {
-	defer p.propagateClose(l, up)
+// forward copies bytes in one direction until either end closes. Upstream is the direction
+// from the client to the server.
+func (p *Proxy) forward(l *link, from io.Reader, to net.Conn, upstream bool) {
+	defer p.propagateClose(l, upstream)
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && p.waitToForward(l, up) {
+		if n > 0 && p.waitToForward(l, upstream) {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -236,12 +240,12 @@
 	}
 }
 
-// waitToForward holds a piece of bytes back as the faults say, and returns whether to
-// pass it on.
-func (p *Proxy) waitToForward(l *link, up bool) bool {
+// waitToForward delays a chunk of bytes as the faults require, and reports whether to forward
+// it or to drop it.
+func (p *Proxy) waitToForward(l *link, upstream bool) bool {
 	for {
 		f, changed, silent := p.linkState(l)
-		if silent || f.drops(up) {
+		if silent || f.drops(upstream) {
 			return false
 		}
 		if !f.Frozen {
@@ -256,13 +260,14 @@
 	}
 }
 
-// propagateClose closes both ends once a close may pass. The ends of a silent link
-// are never told that the other has closed; they are closed with the proxy.
-func (p *Proxy) propagateClose(l *link, up bool) {
+// propagateClose closes both ends of the link once the faults let a close pass in this
+// direction. An end of a silent link does not learn that the other end has closed: both are
+// closed with the proxy.
+func (p *Proxy) propagateClose(l *link, upstream bool) {
 	defer l.close()
 	for {
 		f, changed, silent := p.linkState(l)
-		if !silent && !f.Frozen && !f.drops(up) {
+		if !silent && !f.Frozen && !f.drops(upstream) {
 			return
 		}
 		select {
@@ -273,6 +278,8 @@
 	}
 }
 
+// linkState returns the faults that apply to the link, a channel that is closed when the faults
+// change, and whether the link is silent.
 func (p *Proxy) linkState(l *link) (Faults, <-chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -281,7 +288,7 @@
 	return f, p.faultsChanged, l.silent
 }
 
-func (f Faults) drops(up bool) bool { return up && f.LoseUp || !up && f.LoseDown }
+func (f Faults) drops(upstream bool) bool { return upstream && f.LoseUp || !upstream && f.LoseDown }
 
 func (l *link) close() {
 	l.client.Close()
@@ -294,6 +301,7 @@
 	return p.faults.Refuse
 }
 
+// addLink registers the link. It returns false if the proxy is closing.
 func (p *Proxy) addLink(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -311,7 +319,7 @@
 	delete(p.links, l)
 }
 
-// controlHandler serves the control endpoint:
+// controlHandler returns the handler of the control endpoint:
 //
 //	PUT  /control/faults    Faults
 //	POST /control/cut
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -14,15 +14,15 @@
 
 const timeout = 20 * time.Second
 
-// silenceTimeout is how long a test listens before it takes a connection for silent.
-// The proxy holds the bytes back by state, not by time, so the verdict does
-// not depend on it.
+// silenceTimeout is how long a test waits for bytes before it treats a connection as silent.
+// The proxy holds bytes back until its state changes, however long that takes, so the result
+// of a test does not depend on this value.
 const silenceTimeout = 50 * time.Millisecond
 
 func startProxy(t *testing.T) *Proxy { return startProxyWith(t, Options{}) }
 
-// startProxyWith forwards to a server that sends back what it gets.
-func startProxyWith(t *testing.T, o Options) *Proxy {
+// startProxyWith starts a proxy in front of an echo server.
+func startProxyWith(t *testing.T, opts Options) *Proxy {
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,8 +39,8 @@
 			}()
 		}
 	}()
-	o.Target = echo.Addr().String()
-	p, err := Start(o)
+	opts.Target = echo.Addr().String()
+	p, err := Start(opts)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	return conn
 }
 
-// roundTrip sends a byte and says whether it comes back within d.
+// roundTrip sends a byte and returns an error if it doesn't come back within d.
 func roundTrip(conn net.Conn, d time.Duration) error {
 	conn.SetDeadline(time.Now().Add(d))
 	if _, err := conn.Write([]byte("x")); err != nil {
@@ -89,7 +89,7 @@
 	p.SetFaults(Faults{Frozen: true})
 	g.Expect(roundTrip(old, silenceTimeout)).NotTo(gomega.Succeed())
 	g.Expect(roundTrip(dial(t, p), silenceTimeout)).NotTo(gomega.Succeed())
-	g.Expect(p.Counters().Open).To(gomega.Equal(1), "a new connection does not reach the server")
+	g.Expect(p.Counters().Open).To(gomega.Equal(1), "a new connection must not reach the server while frozen")
 	p.SetFaults(Faults{})
 	g.Expect(roundTrip(old, timeout)).To(gomega.Succeed())
 }
@@ -121,7 +121,7 @@
 	for _, name := range []string{"vm-0", "vm-1"} {
 		hello := `{"from":{"vm":"` + name + `"}}`
 		conns[name] = dial(t, p)
-		// In two pieces, as the inner protocol sends the length first.
+		// In two pieces, as the protocol between VMs sends the length first.
 		for _, piece := range []string{hello[:3], hello[3:]} {
 			_, err := io.WriteString(conns[name], piece)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
