--- a/internal/lab/targetsim/control.go
+++ b/internal/lab/targetsim/control.go
@@ -9,27 +9,27 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/labhttp"
 )
 
-// DrainingRequest is the body of PUT /control/draining.
+// DrainingRequest is the body of PUT /control/draining; see Target.SetDraining.
 type DrainingRequest struct {
 	Draining bool `json:"draining"`
 }
 
-// controlHandler serves the control endpoint:
+// controlHandler returns the handler of the control endpoint:
 //
 //	PUT /control/faults     Faults
 //	PUT /control/timing     Timing
-//	PUT /control/snapshots  []Holder
-//	PUT /control/draining   DrainControl
-//	GET /control/ran        Ran
+//	PUT /control/snapshots  []SnapshotPlacement
+//	PUT /control/draining   DrainingRequest
+//	GET /control/ran        StartedRequests
 //	GET /control/counters   Counters
 func (t *Target) controlHandler() http.Handler {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Put("/control/faults"), labhttp.PutHandler(t.SetFaults))
 	mux.HandleFunc(pat.Put("/control/timing"), labhttp.PutHandler(t.SetTiming))
 	mux.HandleFunc(pat.Put("/control/snapshots"), func(w http.ResponseWriter, r *http.Request) {
-		holders, err := labhttp.ReadJSON[[]SnapshotPlacement](w, r)
+		placements, err := labhttp.ReadJSON[[]SnapshotPlacement](w, r)
 		if err == nil {
-			err = t.SetSnapshots(holders)
+			err = t.SetSnapshots(placements)
 		}
 		if err != nil {
 			labhttp.WriteError(w, http.StatusBadRequest, err)
--- a/internal/lab/targetsim/faults.go
+++ b/internal/lab/targetsim/faults.go
@@ -6,28 +6,28 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Faults are what is wrong with a target. The zero value is a healthy one.
-// Counts go down as they are used up.
+// Faults are the faults that a target simulates. The zero value is a healthy target. A field
+// that counts the next searches or submits goes down with each one that the fault affects.
 type Faults struct {
-	ShedShare float64 `json:"shed_share"` // of requests refused although there is room
+	ShedShare float64 `json:"shed_share"` // fraction of requests, from 0 to 1, refused although a slot is free
 
-	MismatchedAnswers int `json:"crossed_answers"`   // the next searches get another request's answer
-	DuplicateAnswers  int `json:"duplicate_answers"` // the next searches get their answer twice over
-	LateAnswers       int `json:"late_answers"`      // the next searches answer after LateMS, slot freed
+	MismatchedAnswers int `json:"crossed_answers"`   // the next searches get an answer to another request
+	DuplicateAnswers  int `json:"duplicate_answers"` // the next searches get their answer twice in one body
+	LateAnswers       int `json:"late_answers"`      // the next searches are answered LateMS after their slot was freed
 	LateMS            int `json:"late_ms"`
-	// MissingRecords makes each search leave out that many of the shard's
-	// records, and say so.
+	// MissingRecords makes each search omit that many of the shard's records and report
+	// them as missing.
 	MissingRecords int `json:"incomplete_records"`
 
-	CutSubmits  int  `json:"cut_submits"`  // the next submits run, then their connection is cut
-	HoldSubmits bool `json:"hold_submits"` // submits run and their answers wait until this is unset
+	CutSubmits  int  `json:"cut_submits"`  // the next submits run, then their connection is closed without an answer
+	HoldSubmits bool `json:"hold_submits"` // submits run, and their answers are delayed until this is unset
 
-	LoadLagMS    int      `json:"load_lag_ms"` // age of the load reported
-	ReportedLoad *float64 `json:"load_shown"`  // reported in place of the true load
-	StateLagMS   int      `json:"state_lag_ms"`
+	LoadLagMS    int      `json:"load_lag_ms"`  // how old the reported load may be
+	ReportedLoad *float64 `json:"load_shown"`   // if set, reported in place of the true load
+	StateLagMS   int      `json:"state_lag_ms"` // for how long a change of draining is not reported
 }
 
-// answerFault is what befalls one answer to a search.
+// answerFault describes the faults of one answer to a search.
 type answerFault struct {
 	mismatched     bool
 	duplicate      bool
@@ -35,7 +35,8 @@
 	missingRecords int
 }
 
-// consumeAnswerFault uses up the counts. The caller must hold Target.mu.
+// consumeAnswerFault returns the faults of the next answer and decrements their counts. The
+// caller must hold Target.mu.
 func (f *Faults) consumeAnswerFault() answerFault {
 	var a answerFault
 	a.missingRecords = f.MissingRecords
@@ -51,6 +52,7 @@
 	return a
 }
 
+// consumeCount decrements the count and reports whether it was positive.
 func consumeCount(count *int) bool {
 	if *count <= 0 {
 		return false
@@ -59,8 +61,8 @@
 	return true
 }
 
-// omitRecords removes n records of the shard from an answer as if they could not
-// be read, the items among them first.
+// omitRecords marks n records of the shard as missing from an answer, as if they could not be
+// read. It removes up to n items, the first ones of the answer.
 func omitRecords(ans *target.LeafAnswer, n int) {
 	if n <= 0 {
 		return
--- a/internal/lab/targetsim/handler.go
+++ b/internal/lab/targetsim/handler.go
@@ -14,9 +14,10 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// retryAfterMS is when a refused caller is told to come back.
+// retryAfterMS is the delay after which a refusal asks the caller to retry, in milliseconds.
 const retryAfterMS = 50
 
+// handler returns the handler of the target's HTTP interface; see package target.
 func (t *Target) handler() http.Handler {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(target.PathStatus), func(w http.ResponseWriter, _ *http.Request) {
@@ -31,13 +32,13 @@
 	number, l := t.leafFromPath(r)
 	req, err := labhttp.ReadJSON[target.LeafRequest](w, r)
 	if l == nil || err != nil {
-		http.Error(w, "no such leaf, or malformed request", http.StatusBadRequest)
+		http.Error(w, "unknown leaf or malformed request", http.StatusBadRequest)
 		return
 	}
 	ctx, cancel := withDeadline(r.Context(), req.DeadlineMS)
 	defer cancel()
-	part, held := t.findShard(number, req.Echo)
-	if !held {
+	sh, found := t.findShard(number, req.Echo)
+	if !found {
 		t.writeRefusal(w, req.Echo, target.ReasonNoSnapshot, true)
 		return
 	}
@@ -53,31 +54,31 @@
 		t.writeRefusal(w, req.Echo, target.ReasonDeadline, false)
 		return
 	}
-	t.writeSearchAnswer(ctx, w, number, searchShard(part, req))
+	t.writeSearchAnswer(ctx, w, number, searchShard(sh, req))
 }
 
-// searchShard reads the shard for one request.
-func searchShard(part shard, req target.LeafRequest) target.LeafAnswer {
-	items := part.matchingItems(req.Kind, req.Query, req.After)
+// searchShard returns the answer to a search of the shard.
+func searchShard(sh shard, req target.LeafRequest) target.LeafAnswer {
+	items := sh.matchingItems(req.Kind, req.Query, req.After)
 	more := req.Limit > 0 && len(items) > req.Limit
 	if more {
 		items = items[:req.Limit]
 	}
 	return target.LeafAnswer{
-		Echo: req.Echo, Items: items, More: more, Records: int64(len(part.keys)), Complete: true,
+		Echo: req.Echo, Items: items, More: more, Records: int64(len(sh.keys)), Complete: true,
 	}
 }
 
-// writeSearchAnswer answers, with whatever fault is due.
+// writeSearchAnswer writes the answer, changed by the faults that apply to it.
 func (t *Target) writeSearchAnswer(ctx context.Context, w http.ResponseWriter, number int, ans target.LeafAnswer) {
 	t.mu.Lock()
 	fault := t.faults.consumeAnswerFault()
 	omitRecords(&ans, fault.missingRecords)
-	own := ans
+	correct := ans
 	if fault.mismatched {
-		ans = t.mismatchedAnswer(number, own)
+		ans = t.mismatchedAnswer(number, correct)
 	}
-	t.lastAnswers[number] = &own
+	t.lastAnswers[number] = &correct
 	t.mu.Unlock()
 	sleep(ctx, fault.delay)
 	t.writeAnswer(w, http.StatusOK, ans)
@@ -87,13 +88,13 @@
 	}
 }
 
-// mismatchedAnswer returns an answer that belongs to another request. The caller
-// must hold mu.
-func (t *Target) mismatchedAnswer(number int, own target.LeafAnswer) target.LeafAnswer {
-	if last := t.lastAnswers[number]; last != nil && last.Echo != own.Echo {
+// mismatchedAnswer returns an answer that belongs to another request: the leaf's last answer,
+// or else the correct one with another request id. The caller must hold mu.
+func (t *Target) mismatchedAnswer(number int, correct target.LeafAnswer) target.LeafAnswer {
+	if last := t.lastAnswers[number]; last != nil && last.Echo != correct.Echo {
 		return *last
 	}
-	other := own
+	other := correct
 	other.Request += "-other"
 	return other
 }
@@ -102,7 +103,7 @@
 	number, l := t.leafFromPath(r)
 	req, err := labhttp.ReadJSON[target.SubmitRequest](w, r)
 	if l == nil || err != nil || req.Key == "" {
-		http.Error(w, "no such leaf, malformed request or no key", http.StatusBadRequest)
+		http.Error(w, "unknown leaf, malformed request or missing key", http.StatusBadRequest)
 		return
 	}
 	ctx, cancel := withDeadline(r.Context(), req.DeadlineMS)
@@ -110,16 +111,16 @@
 	if !t.admit(ctx, w, l, req.Echo) {
 		return
 	}
-	// Once started, a submit runs to its end, whether anybody waits or not.
+	// A submit that has started runs to completion, even if its caller disconnects.
 	t.recorder.recordSubmit(StartedRequest{Echo: req.Echo, Leaf: number, Key: req.Key, Payload: req.Payload})
 	timing, cold := t.currentTiming()
 	time.Sleep(l.serviceTime(timing, cold))
 	l.release()
-	if cut, held := t.consumeSubmitFault(); cut {
+	if cut, hold := t.consumeSubmitFault(); cut {
 		panic(http.ErrAbortHandler)
-	} else if held != nil {
+	} else if hold != nil {
 		select {
-		case <-held:
+		case <-hold:
 		case <-t.tomb.Dying():
 		}
 	}
@@ -127,14 +128,16 @@
 	t.writeAnswer(w, http.StatusOK, target.SubmitAnswer{Echo: req.Echo, Key: req.Key, Result: result})
 }
 
-// consumeSubmitFault returns whether to cut the connection, or what to wait for.
+// consumeSubmitFault reports whether to close the connection without an answer. Otherwise the
+// answer has to wait until the channel is closed, unless that is nil.
 func (t *Target) consumeSubmitFault() (bool, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return consumeCount(&t.faults.CutSubmits), t.submitHold
 }
 
-// admit takes a slot, or refuses.
+// admit waits for a slot of the leaf, or writes a refusal and returns false. If it returns true,
+// the caller must release the slot.
 func (t *Target) admit(ctx context.Context, w http.ResponseWriter, l *leaf, echo target.Echo) bool {
 	t.mu.Lock()
 	state := t.currentState(time.Now())
@@ -163,30 +166,32 @@
 	return true
 }
 
-// currentTiming returns how long requests run just now, and whether the target is cold.
+// currentTiming returns the distribution of service times, and whether the target is cold.
 func (t *Target) currentTiming() (Timing, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.timing, t.currentState(time.Now()) == target.StateStarting
 }
 
-// findShard returns the shard that echo names if that leaf holds it.
+// findShard returns the shard that echo names, and whether the leaf holds it.
 func (t *Target) findShard(number int, echo target.Echo) (shard, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, h := range t.placements {
-		if h.Snapshot != echo.Snapshot || number >= len(h.LeafShards) {
+	for _, p := range t.placements {
+		if p.Snapshot != echo.Snapshot || number >= len(p.LeafShards) {
 			continue
 		}
-		for _, s := range h.LeafShards[number] {
+		for _, s := range p.LeafShards[number] {
 			if s == echo.Shard {
-				return h.buildShards()[s], true
+				return p.buildShards()[s], true
 			}
 		}
 	}
 	return shard{}, false
 }
 
+// leafFromPath returns the leaf that the request's path names and its number. The leaf is nil if
+// there is none.
 func (t *Target) leafFromPath(r *http.Request) (int, *leaf) {
 	n, err := strconv.Atoi(pat.Param(r, "leaf"))
 	if err != nil || n < 0 || n >= len(t.leaves) {
@@ -195,6 +200,7 @@
 	return n, t.leaves[n]
 }
 
+// writeRefusal counts a refusal and writes it.
 func (t *Target) writeRefusal(w http.ResponseWriter, echo target.Echo, reason target.Reason, notStarted bool) {
 	t.recorder.recordRefusal(reason)
 	t.writeAnswer(w, http.StatusServiceUnavailable, target.Refusal{
@@ -202,6 +208,7 @@
 	})
 }
 
+// writeAnswer writes value as JSON, with the headers that every answer of a target carries.
 func (t *Target) writeAnswer(w http.ResponseWriter, status int, value any) {
 	t.mu.Lock()
 	state := t.currentState(time.Now())
@@ -215,7 +222,7 @@
 	return context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond)
 }
 
-// sleep returns false if ctx ended first.
+// sleep waits for d, and returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/lab/targetsim/leaf.go
+++ b/internal/lab/targetsim/leaf.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// admission is how a request fared at the door of a leaf.
+// admission is the result of a request's attempt to get a slot.
 type admission int
 
 const (
 	admitted admission = iota
 	queueFull
-	waitCancelled // its deadline passed, or its caller left, while it waited
+	waitCancelled // its deadline passed, or its caller disconnected, while it waited
 )
 
-// leaf runs requests in its slots and lets some more wait, first come first
-// served.
+// leaf runs a request in each of its slots and lets a limited number of others wait, in order
+// of arrival.
 type leaf struct {
 	slots chan struct{} // holds one element for each running request
 
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	rng         *rand.Rand
-	maxWaiting  int // waiting requests, at most
-	waiting     int
-	peakRunning int // of running requests
+	maxWaiting  int // limit of waiting
+	waiting     int // requests that wait for a slot
+	peakRunning int // highest number of requests that ran at once
 }
 
 func newLeaf(slots, queue int, seed uint64, number int) *leaf {
@@ -36,7 +36,7 @@
 	}
 }
 
-// acquire waits for a slot until ctx ends. The caller must release it.
+// acquire waits for a slot until ctx ends. If it returns admitted, the caller must call release.
 func (l *leaf) acquire(ctx context.Context) admission {
 	select {
 	case l.slots <- struct{}{}:
@@ -59,14 +59,14 @@
 
 func (l *leaf) release() { <-l.slots }
 
-// load returns the number of requests that run or wait.
+// load returns the number of running and waiting requests.
 func (l *leaf) load() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.slots) + l.waiting
 }
 
-// serviceTime draws how long the next request runs.
+// serviceTime returns a random service time for the next request.
 func (l *leaf) serviceTime(t Timing, cold bool) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +81,7 @@
 	return milliseconds(ms)
 }
 
-// happens draws whether something with that probability happens.
+// happens returns true with the given probability.
 func (l *leaf) happens(probability float64) bool {
 	if probability <= 0 {
 		return false
@@ -91,6 +91,7 @@
 	return l.rng.Float64() < probability
 }
 
+// enqueue counts a waiting request. It returns false if the queue is full.
 func (l *leaf) enqueue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/targetsim/ledger.go
+++ b/internal/lab/targetsim/ledger.go
@@ -7,10 +7,11 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// maxRecordedSearches bounds the searches that are kept one by one.
+// maxRecordedSearches bounds the searches that are recorded individually. Further ones are only
+// counted.
 const maxRecordedSearches = 50000
 
-// StartedRequest is one request that a leaf really started.
+// StartedRequest is a request that a leaf started to run.
 type StartedRequest struct {
 	target.Echo
 	Leaf    int             `json:"leaf"`
@@ -18,16 +19,16 @@
 	Payload json.RawMessage `json:"payload,omitempty"`
 }
 
-// StartedRequests lists what was started, in order.
+// StartedRequests lists the requests that the leaves of a target started, in order.
 type StartedRequests struct {
 	Submits  []StartedRequest `json:"submits"`
 	Searches []StartedRequest `json:"searches"` // the first 50000
 }
 
-// Counters count what a target did since its start.
+// Counters are a target's counts since its start.
 type Counters struct {
 	Searches    int                   `json:"searches"`  // started
-	Cancelled   int                   `json:"cancelled"` // searches given up after their start
+	Cancelled   int                   `json:"cancelled"` // searches stopped after their start
 	Submits     int                   `json:"submits"`   // started
 	Refused     map[target.Reason]int `json:"refused"`
 	Connections ConnectionCounts      `json:"connections"`
@@ -35,62 +36,63 @@
 	Incarnation string                `json:"incarnation"`
 }
 
-// requestRecorder records what was run.
+// requestRecorder records the requests that were started, and counts cancelled searches and
+// refusals. It is safe for concurrent use.
 type requestRecorder struct {
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	started   StartedRequests
 	searches  int
 	cancelled int
 	refused   map[target.Reason]int
 }
 
-func (l *requestRecorder) recordSearch(r StartedRequest) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.searches++
-	if len(l.started.Searches) < maxRecordedSearches {
-		l.started.Searches = append(l.started.Searches, r)
+func (r *requestRecorder) recordSearch(req StartedRequest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.searches++
+	if len(r.started.Searches) < maxRecordedSearches {
+		r.started.Searches = append(r.started.Searches, req)
 	}
 }
 
-func (l *requestRecorder) recordSubmit(r StartedRequest) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.started.Submits = append(l.started.Submits, r)
+func (r *requestRecorder) recordSubmit(req StartedRequest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.started.Submits = append(r.started.Submits, req)
 }
 
-func (l *requestRecorder) recordCancel() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.cancelled++
+func (r *requestRecorder) recordCancel() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cancelled++
 }
 
-func (l *requestRecorder) recordRefusal(reason target.Reason) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.refused == nil {
-		l.refused = make(map[target.Reason]int)
+func (r *requestRecorder) recordRefusal(reason target.Reason) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.refused == nil {
+		r.refused = make(map[target.Reason]int)
 	}
-	l.refused[reason]++
+	r.refused[reason]++
 }
 
-func (l *requestRecorder) startedRequests() StartedRequests {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *requestRecorder) startedRequests() StartedRequests {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	return StartedRequests{
-		Submits:  append([]StartedRequest{}, l.started.Submits...),
-		Searches: append([]StartedRequest{}, l.started.Searches...),
+		Submits:  append([]StartedRequest{}, r.started.Submits...),
+		Searches: append([]StartedRequest{}, r.started.Searches...),
 	}
 }
 
-func (l *requestRecorder) counters() Counters {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	refused := make(map[target.Reason]int, len(l.refused))
-	for reason, n := range l.refused {
+func (r *requestRecorder) counters() Counters {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	refused := make(map[target.Reason]int, len(r.refused))
+	for reason, n := range r.refused {
 		refused[reason] = n
 	}
 	return Counters{
-		Searches: l.searches, Cancelled: l.cancelled, Submits: len(l.started.Submits), Refused: refused,
+		Searches: r.searches, Cancelled: r.cancelled, Submits: len(r.started.Submits), Refused: refused,
 	}
 }
--- a/internal/lab/targetsim/listener.go
+++ b/internal/lab/targetsim/listener.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// ConnectionCounts counts the connections of a target.
+// ConnectionCounts counts the connections to a target.
 type ConnectionCounts struct {
 	Current int `json:"current"`
 	Peak    int `json:"peak"`
 	Total   int `json:"total"`   // accepted since the start
-	Refused int `json:"refused"` // closed at once, over the limit
+	Refused int `json:"refused"` // closed at once because the limit was reached
 }
 
-// limitListener closes connections above a limit. Each new one costs the
-// single acceptor some time, so that a burst of them delays all of the burst.
+// limitListener closes connections above a limit. Accepting a connection takes some time, and
+// one goroutine accepts them all, so that a burst of new connections delays all of the burst.
 type limitListener struct {
 	net.Listener
 	maxConns    int
@@ -47,6 +47,7 @@
 	return l.count
 }
 
+// reserve counts a new connection. It returns false if the limit is reached.
 func (l *limitListener) reserve() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +67,7 @@
 	l.count.Current--
 }
 
-// countedConn leaves the count when it is closed.
+// countedConn decrements the listener's count of current connections when it is closed.
 type countedConn struct {
 	net.Conn
 	listener *limitListener
--- a/internal/lab/targetsim/options.go
+++ b/internal/lab/targetsim/options.go
@@ -1,6 +1,6 @@
-// Package targetsim is a stand-in for one target: a process with leaves that
-// have slots, a queue and shards of snapshots, behind a listener with a limit
-// of connections and a cost for each. Faults are set by tests.
+// Package targetsim simulates one target: a process whose leaves have slots, a queue and shards
+// of snapshots, behind a listener that limits the connections and takes some time to accept
+// each. Tests can inject faults.
 package targetsim
 
 import (
@@ -11,39 +11,39 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Options describe a target. They are the JSON file of "bramley-lab target".
+// Options configures a target. The command "bramley-lab target" reads it from a JSON file.
 type Options struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	Listen  string `json:"listen"`  // IP and port; empty means a free one
+	Listen  string `json:"listen"`  // IP and port; empty for a free port on the loopback
 	Control string `json:"control"` // the same for the control endpoint
 
 	Leaves         int     `json:"leaves"`
-	Slots          int     `json:"slots"` // requests that one leaf runs at once
-	MaxQueued      int     `json:"queue"` // requests that wait for a slot; beyond, the leaf sheds
-	MaxConnections int     `json:"connections"`
-	ConnectCostMS  float64 `json:"connect_cost_ms"` // of the target's one acceptor, per connection
-	IdleMS         int     `json:"idle_ms"`         // until an unused connection is closed; 0 means never
+	Slots          int     `json:"slots"`           // requests that each leaf runs at once
+	MaxQueued      int     `json:"queue"`           // requests that may wait for a slot of each leaf; it sheds further ones
+	MaxConnections int     `json:"connections"`     // at once; further ones are closed
+	ConnectCostMS  float64 `json:"connect_cost_ms"` // time that the target's single acceptor spends on each connection
+	IdleMS         int     `json:"idle_ms"`         // after which an idle connection is closed; 0 means never
 
-	Seed      uint64              `json:"seed"`
+	Seed      uint64              `json:"seed"` // of the random numbers for service times and ShedShare
 	Timing    Timing              `json:"timing"`
 	Snapshots []SnapshotPlacement `json:"snapshots"`
-	ColdMS    int                 `json:"cold_ms"`  // after the start; see Timing.ColdFactor
-	DrainMS   int                 `json:"drain_ms"` // served after SIGTERM, draining
+	ColdMS    int                 `json:"cold_ms"`  // how long the target is cold after its start; see Timing.ColdFactor
+	DrainMS   int                 `json:"drain_ms"` // how long the target drains after SIGTERM before it exits
 }
 
 // Timing is the distribution of service times.
 type Timing struct {
-	BaseMS          float64 `json:"base_ms"` // mean of a plain request, spread evenly by 30% either way
-	StragglerProb   float64 `json:"straggler_prob"`
-	StragglerFactor float64 `json:"straggler_factor"`
-	ColdFactor      float64 `json:"cold_factor"` // while cold; 0 means that a cold target refuses
+	BaseMS          float64 `json:"base_ms"`          // mean of a request that is no straggler, distributed uniformly within ±30 %
+	StragglerProb   float64 `json:"straggler_prob"`   // share of requests that are stragglers
+	StragglerFactor float64 `json:"straggler_factor"` // how many times longer a straggler runs
+	ColdFactor      float64 `json:"cold_factor"`      // how many times longer a request runs on a cold target; 0 means that it refuses
 }
 
-// SnapshotPlacement says which shards of a snapshot each leaf holds.
+// SnapshotPlacement describes which shards of a snapshot each leaf of a target holds.
 type SnapshotPlacement struct {
 	Index
-	LeafShards [][]int `json:"leaf_shards"` // by leaf
+	LeafShards [][]int `json:"leaf_shards"` // shard numbers, by leaf
 }
 
 // Defaults of Options.
@@ -79,18 +79,18 @@
 	return o
 }
 
-func validatePlacements(holders []SnapshotPlacement, leaves int) error {
-	for _, h := range holders {
-		if h.Snapshot == "" || h.Shards < 1 {
-			return errors.Errorf("snapshot %q with %d shards; want a name and at least 1", h.Snapshot, h.Shards)
+func validatePlacements(placements []SnapshotPlacement, leaves int) error {
+	for _, p := range placements {
+		if p.Snapshot == "" || p.Shards < 1 {
+			return errors.Errorf("snapshot %q with %d shards: needs a name and at least 1 shard", p.Snapshot, p.Shards)
 		}
-		if len(h.LeafShards) > leaves {
-			return errors.Errorf("snapshot %s: shards for %d leaves, there are %d", h.Snapshot, len(h.LeafShards), leaves)
+		if len(p.LeafShards) > leaves {
+			return errors.Errorf("snapshot %s: shards for %d leaves, but the target has %d", p.Snapshot, len(p.LeafShards), leaves)
 		}
-		for _, shards := range h.LeafShards {
+		for _, shards := range p.LeafShards {
 			for _, s := range shards {
-				if s < 0 || s >= h.Shards {
-					return errors.Errorf("snapshot %s: shard %d, want 0 to %d", h.Snapshot, s, h.Shards-1)
+				if s < 0 || s >= p.Shards {
+					return errors.Errorf("snapshot %s: shard %d is not in the range 0 to %d", p.Snapshot, s, p.Shards-1)
 				}
 			}
 		}
@@ -98,17 +98,17 @@
 	return nil
 }
 
-// holdings returns what the leaf's status lists.
-func holdings(holders []SnapshotPlacement, leaf int) []target.Holding {
+// holdings returns the shards that the leaf holds, as its status lists them.
+func holdings(placements []SnapshotPlacement, leaf int) []target.Holding {
 	out := []target.Holding{}
-	for _, h := range holders {
-		if leaf >= len(h.LeafShards) {
+	for _, p := range placements {
+		if leaf >= len(p.LeafShards) {
 			continue
 		}
-		shards := h.buildShards()
-		for _, s := range h.LeafShards[leaf] {
+		shards := p.buildShards()
+		for _, s := range p.LeafShards[leaf] {
 			out = append(out, target.Holding{
-				Snapshot: h.Snapshot, Seq: h.Seq, Shards: h.Shards, Shard: s, Records: int64(len(shards[s].keys)),
+				Snapshot: p.Snapshot, Seq: p.Seq, Shards: p.Shards, Shard: s, Records: int64(len(shards[s].keys)),
 			})
 		}
 	}
--- a/internal/lab/targetsim/place.go
+++ b/internal/lab/targetsim/place.go
@@ -1,21 +1,21 @@
 package targetsim
 
-// PlaceReplicas spreads replicas of each shard of an index over targets with the same
-// number of leaves, no two replicas of a shard on one target as long as there
-// are that many targets. It returns what each target holds.
-func PlaceReplicas(x Index, targets, leaves, replicas int) []SnapshotPlacement {
-	holders := make([]SnapshotPlacement, targets)
-	for i := range holders {
-		holders[i] = SnapshotPlacement{Index: x, LeafShards: make([][]int, leaves)}
+// PlaceReplicas distributes replicas of each shard of an index over targets that have the same
+// number of leaves. If there are at least as many targets as replicas, no target holds two
+// replicas of a shard. It returns the placement on each target.
+func PlaceReplicas(index Index, targets, leaves, replicas int) []SnapshotPlacement {
+	placements := make([]SnapshotPlacement, targets)
+	for i := range placements {
+		placements[i] = SnapshotPlacement{Index: index, LeafShards: make([][]int, leaves)}
 	}
-	place := 0
-	for shard := range x.Shards {
+	position := 0
+	for shard := range index.Shards {
 		for range replicas {
-			h := &holders[place%targets]
-			leaf := place / targets % leaves
-			h.LeafShards[leaf] = append(h.LeafShards[leaf], shard)
-			place++
+			placement := &placements[position%targets]
+			leaf := position / targets % leaves
+			placement.LeafShards[leaf] = append(placement.LeafShards[leaf], shard)
+			position++
 		}
 	}
-	return holders
+	return placements
 }
--- a/internal/lab/targetsim/records.go
+++ b/internal/lab/targetsim/records.go
@@ -12,37 +12,37 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// matchOneIn is the share of records, one in so many, that a query matches.
+// matchOneIn is the inverse of the share of records that a query matches on average.
 const matchOneIn = 4
 
-// Index describes one snapshot of a service's index. Its records are a pure
-// function of its fields, so that a test can work out the true answer.
+// Index describes one snapshot of a service's index. Its records are a pure function of its
+// fields, so that a test can compute the expected answer.
 type Index struct {
 	Service  string `json:"service"`
 	Snapshot string `json:"snapshot"`
-	Seq      int64  `json:"seq"`
+	Seq      int64  `json:"seq"` // orders snapshots, newest last
 	Shards   int    `json:"shards"`
-	Records  int    `json:"records"` // in all shards
+	Records  int    `json:"records"` // in all shards together
 }
 
-// RecordFields are the fields of every record. They name the snapshot that the
-// record was read from, so that a mix of snapshots shows.
+// RecordFields are the fields of every record. They name the snapshot that the record was read
+// from, so that a test detects an answer that mixes snapshots.
 type RecordFields struct {
 	Snapshot string `json:"snapshot"`
 }
 
-// RecordKey returns the key of record i. Keys are ordered as their numbers.
+// RecordKey returns the key of record i. Keys sort in the order of their numbers.
 func RecordKey(i int) string { return fmt.Sprintf("r%08d", i) }
 
-// ShardOf returns the shard that holds the record of that key.
-func (x Index) ShardOf(key string) int {
-	return int(xxhash.Sum64String(x.Service+"/"+key) % uint64(x.Shards))
+// ShardOf returns the number of the shard that holds the record with that key.
+func (index Index) ShardOf(key string) int {
+	return int(xxhash.Sum64String(index.Service+"/"+key) % uint64(index.Shards))
 }
 
-// ExpectedAnswer returns what a complete answer to the request holds: the items, whether
-// more match, and the number of records that all shards hold together.
-func (x Index) ExpectedAnswer(kind target.Kind, query, after string, limit int) (items []target.Item, more bool, records int64) {
-	shards := x.buildShards()
+// ExpectedAnswer returns the contents of a complete answer to a request: the items, whether
+// further ones match, and the number of records in all shards. A limit of 0 means no limit.
+func (index Index) ExpectedAnswer(kind target.Kind, query, after string, limit int) (items []target.Item, more bool, records int64) {
+	shards := index.buildShards()
 	var all []target.Item
 	for _, s := range shards {
 		all = append(all, s.matchingItems(kind, query, after)...)
@@ -55,42 +55,43 @@
 	return all, false, records
 }
 
-// shard is the part of an index that one leaf reads.
+// shard holds the records of one shard of an index.
 type shard struct {
-	keys   []string
-	fields json.RawMessage
+	keys   []string        // in order
+	fields json.RawMessage // of every record
 }
 
 var (
-	shardCacheMu sync.Mutex // guards built
+	shardCacheMu sync.Mutex // guards shardCache
 	shardCache   = map[Index][]shard{}
 )
 
-// buildShards returns the shards of x, kept for the next use.
-func (x Index) buildShards() []shard {
+// buildShards returns the shards of the index. It computes them once and caches them.
+func (index Index) buildShards() []shard {
 	shardCacheMu.Lock()
 	defer shardCacheMu.Unlock()
-	if shards, ok := shardCache[x]; ok {
+	if shards, ok := shardCache[index]; ok {
 		return shards
 	}
-	fields, err := json.Marshal(RecordFields{Snapshot: x.Snapshot})
+	fields, err := json.Marshal(RecordFields{Snapshot: index.Snapshot})
 	if err != nil {
-		panic(err) // a string always encodes
+		panic(err) // a struct of one string can always be encoded
 	}
-	shards := make([]shard, x.Shards)
+	shards := make([]shard, index.Shards)
 	for i := range shards {
 		shards[i].fields = fields
 	}
-	for i := range x.Records {
+	for i := range index.Records {
 		key := RecordKey(i)
-		s := &shards[x.ShardOf(key)]
+		s := &shards[index.ShardOf(key)]
 		s.keys = append(s.keys, key)
 	}
-	shardCache[x] = shards
+	shardCache[index] = shards
 	return shards
 }
 
-// matchingItems returns the items of the shard that match, in the order of the kind.
+// matchingItems returns the items of the shard that match the query, in the order of the kind.
+// An empty query matches every record. A browse returns only keys greater than after.
 func (s shard) matchingItems(kind target.Kind, query, after string) []target.Item {
 	items := []target.Item{}
 	for _, key := range s.keys {
@@ -107,14 +108,15 @@
 	return items
 }
 
-// scoreFromHash turns a hash into a number from 0 to 1 with few digits, which JSON
-// carries without loss.
+// scoreFromHash maps a hash to a number from 0 to 1 with 6 decimal places, which JSON represents
+// without loss.
 func scoreFromHash(hash uint64) float64 {
 	const steps = 1 << 20
 	v, _ := strconv.ParseFloat(strconv.FormatFloat(float64(hash>>44)/steps, 'f', 6, 64), 64)
 	return v
 }
 
+// sortItems sorts items by score, best first, for a search, and by key otherwise.
 func sortItems(kind target.Kind, items []target.Item) {
 	sort.Slice(items, func(i, j int) bool {
 		a, b := items[i], items[j]
--- a/internal/lab/targetsim/target.go
+++ b/internal/lab/targetsim/target.go
@@ -15,7 +15,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Target is a running stand-in. Create it with Start.
+// Target is a running simulated target. Create it with Start. Its methods are safe for concurrent
+// use.
 type Target struct {
 	opts        Options
 	incarnation string
@@ -25,26 +26,26 @@
 	control     net.Listener
 	tomb        tomb.Tomb
 
-	mu          sync.Mutex // guards all below; never held while a leaf's or the ledger's is taken
+	mu          sync.Mutex // guards the fields below; never held while a leaf's or the recorder's mutex is locked
 	faults      Faults
 	timing      Timing
 	placements  []SnapshotPlacement
 	coldUntil   time.Time
 	draining    bool
-	submitHold  chan struct{} // closed when submits are no longer held
+	submitHold  chan struct{} // closed when submits are no longer held; nil while they aren't
 	reported    reportedStatus
-	lastAnswers []*target.LeafAnswer // by leaf: the last answer to a search
+	lastAnswers []*target.LeafAnswer // by leaf: the last answer to a search, before it was mismatched
 }
 
-// reportedStatus is what the status reports, which lags.
+// reportedStatus is what Status reports instead of the current state and load while they lag.
 type reportedStatus struct {
-	state        target.State // before the last change of state
-	stateChanged time.Time
-	loads        []float64
-	loadsSampled time.Time
+	state        target.State // before the last call of SetDraining
+	stateChanged time.Time    // when SetDraining was last called
+	loads        []float64    // by leaf
+	loadsSampled time.Time    // when loads was read
 }
 
-// Start listens and serves until Close.
+// Start opens the listeners and returns a target that serves until Close.
 func Start(opts Options) (*Target, error) {
 	opts = opts.withDefaults()
 	if err := validatePlacements(opts.Snapshots, opts.Leaves); err != nil {
@@ -77,29 +78,29 @@
 	return t, nil
 }
 
-// Address returns where the target serves, as IP and port.
+// Address returns the IP and port where the target serves.
 func (t *Target) Address() string { return t.listener.Addr().String() }
 
-// ControlAddress returns where the control endpoint serves.
+// ControlAddress returns the IP and port of the control endpoint.
 func (t *Target) ControlAddress() string { return t.control.Addr().String() }
 
-// Incarnation returns the name of this life of the target.
+// Incarnation returns a random name that is new at each start of the target.
 func (t *Target) Incarnation() string { return t.incarnation }
 
-// Close cuts every connection and waits for the servers to end.
+// Close closes every connection and waits for the servers to stop.
 func (t *Target) Close() error {
 	t.tomb.Kill(nil)
 	return t.tomb.Wait()
 }
 
-// DrainAndClose drains for the time given in the options and then closes.
+// DrainAndClose drains for Options.DrainMS and then calls Close.
 func (t *Target) DrainAndClose() error {
 	t.SetDraining(true)
 	time.Sleep(time.Duration(t.opts.DrainMS) * time.Millisecond)
 	return t.Close()
 }
 
-// serve serves HTTP/1.1 and HTTP/2 without TLS until the tomb dies.
+// serve starts an HTTP/1.1 and HTTP/2 server without TLS that runs until Close.
 func (t *Target) serve(l net.Listener, h http.Handler) {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -123,7 +124,7 @@
 	})
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults. Without HoldSubmits it releases the answers that are held.
 func (t *Target) SetFaults(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -144,23 +145,24 @@
 	t.timing = timing
 }
 
-// SetSnapshots replaces what the leaves hold.
-func (t *Target) SetSnapshots(holders []SnapshotPlacement) error {
-	for i := range holders {
-		if holders[i].Service == "" {
-			holders[i].Service = t.opts.Service
+// SetSnapshots replaces the shards that the leaves hold. It returns an error if a placement is
+// invalid, and fills in an empty Service of placements from Options.Service.
+func (t *Target) SetSnapshots(placements []SnapshotPlacement) error {
+	for i := range placements {
+		if placements[i].Service == "" {
+			placements[i].Service = t.opts.Service
 		}
 	}
-	if err := validatePlacements(holders, t.opts.Leaves); err != nil {
+	if err := validatePlacements(placements, t.opts.Leaves); err != nil {
 		return errors.Trace(err)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.placements = holders
+	t.placements = placements
 	return nil
 }
 
-// SetDraining makes the target leave, or stay.
+// SetDraining makes the target drain, so that it refuses new requests, or serve again.
 func (t *Target) SetDraining(draining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,10 +171,10 @@
 	t.draining = draining
 }
 
-// Ran returns what was really started.
+// Ran returns the requests that were started.
 func (t *Target) Ran() StartedRequests { return t.recorder.startedRequests() }
 
-// Counters returns the counts since the start.
+// Counters returns the counts since the start of the target.
 func (t *Target) Counters() Counters {
 	c := t.recorder.counters()
 	c.Connections = t.listener.counts()
@@ -185,7 +187,8 @@
 	return c
 }
 
-// Status returns what the target says of itself, lag and falsehood included.
+// Status returns the status that the target reports, with the lags and the wrong load that the
+// faults ask for.
 func (t *Target) Status() target.Status {
 	loads := make([]float64, len(t.leaves))
 	for i, l := range t.leaves {
@@ -214,7 +217,7 @@
 	return status
 }
 
-// currentState returns the true state. The caller must hold mu.
+// currentState returns the state without any lag. The caller must hold mu.
 func (t *Target) currentState(now time.Time) target.State {
 	switch {
 	case t.draining:
--- a/internal/lab/targetsim/target_test.go
+++ b/internal/lab/targetsim/target_test.go
@@ -18,14 +18,14 @@
 
 var testIndex = Index{Service: "desk", Snapshot: "s1", Seq: 1, Shards: 3, Records: 100}
 
-func startTarget(t *testing.T, change func(*Options)) *Target {
+func startTarget(t *testing.T, configure func(*Options)) *Target {
 	opts := Options{
 		Name: "t1", Service: "desk", Leaves: 2, Slots: 1, MaxQueued: 1, MaxConnections: 4,
 		Timing:    Timing{BaseMS: 1},
 		Snapshots: []SnapshotPlacement{{Index: testIndex, LeafShards: [][]int{{0, 1}, {2}}}},
 	}
-	if change != nil {
-		change(&opts)
+	if configure != nil {
+		configure(&opts)
 	}
 	tg, err := Start(opts)
 	if err != nil {
@@ -40,7 +40,7 @@
 	header       http.Header
 	ans          target.LeafAnswer
 	refusal      target.Refusal
-	trailingData bool // something follows the first JSON value
+	trailingData bool // there is data after the first JSON value of the body
 }
 
 func searchRequest(shard int) target.LeafRequest {
@@ -50,9 +50,9 @@
 	}
 }
 
-func post(ctx context.Context, client *http.Client, tg *Target, leaf int, req any, verb string) (reply, error) {
+func post(ctx context.Context, client *http.Client, tg *Target, leaf int, req any, operation string) (reply, error) {
 	body, _ := json.Marshal(req)
-	url := fmt.Sprintf("http://%s/leaves/%d/%s", tg.Address(), leaf, verb)
+	url := fmt.Sprintf("http://%s/leaves/%d/%s", tg.Address(), leaf, operation)
 	hreq, _ := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	resp, err := client.Do(hreq)
 	if err != nil {
@@ -143,7 +143,7 @@
 	tg := startTarget(t, func(o *Options) { o.Timing.BaseMS = 60000 })
 	client := newClient(t, true)
 	ctx, cancel := context.WithCancel(t.Context())
-	for range 2 { // one takes the slot, the other waits
+	for range 2 { // one gets the slot, the other waits in the queue
 		go post(ctx, client, tg, 0, searchRequest(0), "search")
 	}
 	g.Eventually(tg.leaves[0].load, timeout).Should(gomega.Equal(2))
