--- a/internal/lab/platformsim/faults.go
+++ b/internal/lab/platformsim/faults.go
@@ -10,35 +10,37 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// Errors of a faulty platform. Both leave the effect of a write unknown to
-// whoever made it.
+// Errors of a faulty platform. After either of them a caller doesn't know whether its write
+// took effect.
 var (
-	errOutage     = errors.New("platformsim: outage")
-	errAnswerLost = errors.New("platformsim: answer lost")
+	errOutage     = errors.New("platformsim: simulated outage")
+	errAnswerLost = errors.New("platformsim: simulated loss of the answer")
 )
 
-// Faults are what is wrong with the platform. The zero value is a healthy one.
+// Faults are the faults that the platform simulates. The zero value is a healthy platform. A
+// field that counts the next writes goes down with each one that the fault affects.
 type Faults struct {
 	Outage        bool `json:"outage"`         // every call fails
 	SlowMS        int  `json:"slow_ms"`        // delay of each call
-	WatchesSilent bool `json:"watches_silent"` // watches never answer
-	// LoseAnswers makes the next writes take effect while their answer is
-	// lost. LoseWrites makes the next ones fail alike without taking effect.
+	WatchesSilent bool `json:"watches_silent"` // watches wait without an answer
+	// LoseAnswers makes the next writes take effect and loses their answers. LoseWrites
+	// makes the next writes fail with the same error without taking effect.
 	LoseAnswers int `json:"lose_answers"`
 	LoseWrites  int `json:"lose_writes"`
-	// LateWrites makes the next writes fail like LoseWrites, and yet take effect
-	// LateMS later if their condition still holds then.
+	// LateWrites makes the next writes fail like LoseWrites. They take effect LateMS later
+	// if their condition holds then.
 	LateWrites int `json:"late_writes"`
 	LateMS     int `json:"late_ms"`
-	// LoseKind limits these to objects of one kind; empty means all.
+	// LoseKind limits the lost and late writes above to objects of one kind; empty means
+	// all kinds.
 	LoseKind string `json:"lose_kind"`
-	// Calls a second above these are refused; 0 means no limit. A watch is a
-	// read.
+	// WritesPerSecond and ReadsPerSecond limit the rates of calls; calls above them are
+	// refused, and 0 means no limit. A watch counts as a read.
 	WritesPerSecond float64 `json:"writes_per_second"`
 	ReadsPerSecond  float64 `json:"reads_per_second"`
 }
 
-// Counters count the calls since the start, refused and failed ones included.
+// Counters counts the calls since the start, refused and failed ones included.
 type Counters struct {
 	Get     int `json:"get"`
 	List    int `json:"list"`
@@ -46,9 +48,10 @@
 	Delete  int `json:"delete"`
 	Watch   int `json:"watch"`
 	VMs     int `json:"vms"`
-	Refused int `json:"refused"` // by rate, also counted by type
+	Refused int `json:"refused"` // above the rate limits; also counted by type above
 }
 
+// call is a type of call.
 type call int
 
 const (
@@ -62,16 +65,16 @@
 
 func (c call) isWrite() bool { return c == callPut || c == callDelete }
 
-// writeOutcome is what happens to a call that is carried out.
+// writeOutcome says how a call that is carried out takes effect and is answered.
 type writeOutcome int
 
 const (
-	outcomeAnswered writeOutcome = iota
-	outcomeAnswerLost
-	outcomeDelayed
+	outcomeAnswered   writeOutcome = iota
+	outcomeAnswerLost              // takes effect; its answer is lost
+	outcomeDelayed                 // takes effect later; its answer is lost
 )
 
-// faultState is guarded by Store.mu.
+// faultState holds a store's faults and counts. It is guarded by Store.mu.
 type faultState struct {
 	Faults
 	counters     Counters
@@ -79,7 +82,8 @@
 	readLimiter  *rate.Limiter
 }
 
-// SetFaults replaces the faults. Waiting watches notice at their next change.
+// SetFaults replaces the faults. They apply to a waiting watch from the next change of its kind
+// on.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,21 +92,22 @@
 	s.faults.readLimiter = newLimiter(f.ReadsPerSecond)
 }
 
-// Faults returns the faults as they are now; the counts of answers and writes
-// still to be lost go down as they are lost.
+// Faults returns the current faults, with the numbers of writes and answers that are still to be
+// affected.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.Faults
 }
 
-// Counters returns the counts of calls.
+// Counters returns the call counts.
 func (s *Store) Counters() Counters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.counters
 }
 
+// newLimiter returns a limiter whose burst is one second's calls, at least 1, or nil for no limit.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -110,15 +115,16 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// beginCall counts a call and lets the faults act on it before it is carried out.
+// beginCall counts a call and applies the faults that act before it is carried out: it delays the
+// call, returns an error, or returns the outcome that the call is to have.
 func (s *Store) beginCall(ctx context.Context, c call, kind string) (writeOutcome, error) {
-	slow, err := s.admit(c)
+	delay, err := s.admit(c)
 	if err != nil {
 		return outcomeAnswered, err
 	}
-	if slow > 0 {
+	if delay > 0 {
 		select {
-		case <-time.After(slow):
+		case <-time.After(delay):
 		case <-ctx.Done():
 		}
 	}
@@ -131,7 +137,9 @@
 	return s.consumeWriteFault(kind)
 }
 
-func (s *Store) admit(c call) (slow time.Duration, err error) {
+// admit counts a call and returns the delay before it is carried out, or an error if it is
+// refused.
+func (s *Store) admit(c call) (delay time.Duration, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := &s.faults
@@ -150,6 +158,8 @@
 	return time.Duration(f.SlowMS) * time.Millisecond, nil
 }
 
+// consumeWriteFault returns the outcome or error of the next write of that kind and decrements
+// the count of its fault.
 func (s *Store) consumeWriteFault(kind string) (writeOutcome, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/platformsim/handler.go
+++ b/internal/lab/platformsim/handler.go
@@ -16,13 +16,13 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// VMsRequest is the body of PUT /control/vms.
+// VMsRequest is the body of PUT /control/vms; see Store.SetVMs.
 type VMsRequest struct {
 	VMs   []objstore.VM `json:"vms"`
 	LagMS int           `json:"lag_ms"`
 }
 
-// Handler serves the platform's HTTP interface.
+// Handler returns a handler of the platform's HTTP interface.
 func (s *Store) Handler() http.Handler {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(objstore.PathVMs), s.serveVMs)
@@ -31,11 +31,11 @@
 	return mux
 }
 
-// ControlHandler serves the faults:
+// ControlHandler returns the handler of the control endpoint:
 //
 //	GET, PUT /control/faults    Faults
 //	GET      /control/counters  Counters
-//	PUT      /control/vms       VMsControl
+//	PUT      /control/vms       VMsRequest
 func (s *Store) ControlHandler() http.Handler {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/control/faults"), func(w http.ResponseWriter, _ *http.Request) {
@@ -51,11 +51,11 @@
 	return mux
 }
 
-// serveObjects splits the escaped path itself, since a name may hold an
-// escaped slash.
+// serveObjects dispatches the calls for objects. It splits the escaped path, because a name may
+// contain an escaped slash.
 func (s *Store) serveObjects(w http.ResponseWriter, r *http.Request) {
-	rest := strings.TrimPrefix(r.URL.EscapedPath(), objstore.PathObjects)
-	kindText, nameText, hasName := strings.Cut(rest, "/")
+	path := strings.TrimPrefix(r.URL.EscapedPath(), objstore.PathObjects)
+	kindText, nameText, hasName := strings.Cut(path, "/")
 	kind, err := url.PathUnescape(kindText)
 	if err != nil {
 		labhttp.WriteError(w, http.StatusBadRequest, err)
@@ -144,13 +144,13 @@
 		labhttp.WriteError(w, http.StatusBadRequest, err)
 		return
 	}
-	change, err := s.Watch(r.Context(), pat.Param(r, "kind"), since)
+	result, err := s.Watch(r.Context(), pat.Param(r, "kind"), since)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	ans := objstore.WatchResultJSON{Events: []objstore.EventJSON{}, Revision: change.Revision}
-	for _, e := range change.Events {
+	ans := objstore.WatchResultJSON{Events: []objstore.EventJSON{}, Revision: result.Revision}
+	for _, e := range result.Events {
 		ans.Events = append(ans.Events, objstore.EventJSON{
 			Name: e.Name, Version: e.Version, Revision: e.Revision, Deleted: e.Deleted,
 		})
@@ -167,7 +167,8 @@
 	labhttp.WriteJSON(w, http.StatusOK, objstore.VMsJSON{VMs: vms})
 }
 
-// expectedVersion reads the condition of a write: the version, or 0 to create.
+// expectedVersion returns the version that a write expects according to its headers, or 0 if it
+// creates the object.
 func expectedVersion(h http.Header) (uint64, error) {
 	if h.Get("If-None-Match") == "*" {
 		return 0, nil
@@ -176,8 +177,8 @@
 	return version, errors.Annotate(err, "If-Match")
 }
 
-// writeError answers with the status of err. A lost answer ends the connection
-// without any.
+// writeError writes a response with the status that stands for err. For a lost answer it closes
+// the connection without a response.
 func writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, errAnswerLost):
--- a/internal/lab/platformsim/store.go
+++ b/internal/lab/platformsim/store.go
@@ -1,7 +1,7 @@
-// Package platformsim is a small stand-in for the platform: an object store in
-// memory with versions, conditional updates, watches and a lagging list of VMs,
-// with faults that tests set. Store can be used directly as a objstore.Store,
-// or served over the platform's HTTP interface by Handler.
+// Package platformsim simulates the platform: an object store in memory with versions,
+// conditional updates, watches and a list of VMs that lags. Tests can inject faults. A Store can
+// be used directly as an objstore.Store, or be served over the platform's HTTP interface by its
+// Handler.
 package platformsim
 
 import (
@@ -17,20 +17,19 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// Bounds of a listing and of the platform's own wait.
 const (
-	maxPage          = 1000
-	maxPageBytes     = 8 * objstore.MaxValue
-	defaultWatchWait = 10 * time.Second
+	maxPage          = 1000                  // objects in a page of a listing
+	maxPageBytes     = 8 * objstore.MaxValue // of the values in a page that has more than one object
+	defaultWatchWait = 10 * time.Second      // until a watch without a change is answered
 )
 
-// ErrInvalidValue means that a value is not JSON.
+// ErrInvalidValue is the error of a Put whose value is not valid JSON.
 var ErrInvalidValue = errors.New("platformsim: value is not JSON")
 
-// Store is the platform in memory. Create it with NewStore. All its methods
-// are safe for concurrent use.
+// Store simulates the platform in memory. Create it with NewStore. Its methods are safe for
+// concurrent use.
 type Store struct {
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	revision  uint64
 	kinds     map[string]*kindObjects
 	watchWait time.Duration
@@ -38,13 +37,14 @@
 	faults    faultState
 }
 
-// kindObjects are those of one kind, removed ones included, so that a watch can
-// tell of a removal.
+// kindObjects holds the objects of one kind. It includes the deleted ones, so that a watch can
+// report deletions.
 type kindObjects struct {
 	byName  map[string]*entry
 	changed chan struct{} // closed, and replaced, at each change
 }
 
+// entry is one object, or the record of a deleted one.
 type entry struct {
 	version uint64 // the store's revision at the last change
 	deleted bool
@@ -58,8 +58,7 @@
 	return &Store{kinds: make(map[string]*kindObjects), watchWait: defaultWatchWait}
 }
 
-// SetWatchWait sets how long a watch waits for a change before it answers that
-// there was none.
+// SetWatchWait sets how long a watch waits for a change before it returns without events.
 func (s *Store) SetWatchWait(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,8 +79,8 @@
 	return objstore.Object{Kind: kind, Name: name, Version: e.version, Value: bytes.Clone(e.value)}, nil
 }
 
-// List implements objstore.Store. Its values are compacted, as by the HTTP
-// interface: only Get returns a value byte by byte as it was written.
+// List implements objstore.Store. It returns the values as compact JSON, as the HTTP interface
+// does: only Get returns a value byte for byte as it was written.
 func (s *Store) List(ctx context.Context, kind, after string, limit int) (objstore.Page, error) {
 	if _, err := s.beginCall(ctx, callList, kind); err != nil {
 		return objstore.Page{}, err
@@ -117,21 +116,21 @@
 	if !json.Valid(value) {
 		return 0, errors.Annotatef(ErrInvalidValue, "put %s/%s", kind, name)
 	}
-	fate, err := s.beginCall(ctx, callPut, kind)
+	outcome, err := s.beginCall(ctx, callPut, kind)
 	if err != nil {
 		return 0, err
 	}
-	version, err := s.applyWrite(fate, kind, name, expect, &entry{value: bytes.Clone(value)})
+	version, err := s.applyWrite(outcome, kind, name, expect, &entry{value: bytes.Clone(value)})
 	return version, errors.Annotatef(err, "put %s/%s", kind, name)
 }
 
 // Delete implements objstore.Store.
 func (s *Store) Delete(ctx context.Context, kind, name string, expect uint64) error {
-	fate, err := s.beginCall(ctx, callDelete, kind)
+	outcome, err := s.beginCall(ctx, callDelete, kind)
 	if err != nil {
 		return err
 	}
-	_, err = s.applyWrite(fate, kind, name, expect, &entry{deleted: true})
+	_, err = s.applyWrite(outcome, kind, name, expect, &entry{deleted: true})
 	return errors.Annotatef(err, "delete %s/%s", kind, name)
 }
 
@@ -146,85 +145,86 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		change, changed, silent := s.changesSince(kind, since)
+		result, changed, silent := s.changesSince(kind, since)
 		if silent {
 			<-ctx.Done()
 			return objstore.WatchResult{}, errors.Trace(ctx.Err())
 		}
-		if len(change.Events) > 0 {
-			return change, nil
+		if len(result.Events) > 0 {
+			return result, nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return change, nil
+			return result, nil
 		case <-ctx.Done():
 			return objstore.WatchResult{}, errors.Trace(ctx.Err())
 		}
 	}
 }
 
-// changesSince returns the changes of the kind after that revision, and a channel
-// that is closed at the next one.
+// changesSince returns the changes of the kind after that revision, a channel that is closed at
+// the next change, and whether watches are to stay without an answer.
 func (s *Store) changesSince(kind string, since uint64) (objstore.WatchResult, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change := objstore.WatchResult{Revision: s.revision}
+	result := objstore.WatchResult{Revision: s.revision}
 	objs := s.objectsOf(kind)
 	for name, e := range objs.byName {
 		if e.version > since {
-			change.Events = append(change.Events, objstore.Event{
+			result.Events = append(result.Events, objstore.Event{
 				Kind: kind, Name: name, Version: e.version, Revision: e.version, Deleted: e.deleted,
 			})
 		}
 	}
-	sort.Slice(change.Events, func(i, j int) bool {
-		return change.Events[i].Revision < change.Events[j].Revision
+	sort.Slice(result.Events, func(i, j int) bool {
+		return result.Events[i].Revision < result.Events[j].Revision
 	})
-	return change, objs.changed, s.faults.WatchesSilent
+	return result, objs.changed, s.faults.WatchesSilent
 }
 
-// applyWrite makes a change as its fate will have it.
-func (s *Store) applyWrite(f writeOutcome, kind, name string, expect uint64, to *entry) (uint64, error) {
-	switch f {
+// applyWrite performs a write with the given outcome.
+func (s *Store) applyWrite(outcome writeOutcome, kind, name string, expect uint64, updated *entry) (uint64, error) {
+	switch outcome {
 	case outcomeDelayed:
 		s.mu.Lock()
 		delay := time.Duration(s.faults.LateMS) * time.Millisecond
 		s.mu.Unlock()
-		time.AfterFunc(delay, func() { s.compareAndSet(kind, name, expect, to) })
+		time.AfterFunc(delay, func() { s.compareAndSet(kind, name, expect, updated) })
 		return 0, errAnswerLost
 	case outcomeAnswerLost:
-		s.compareAndSet(kind, name, expect, to)
+		s.compareAndSet(kind, name, expect, updated)
 		return 0, errAnswerLost
 	default:
-		return s.compareAndSet(kind, name, expect, to)
+		return s.compareAndSet(kind, name, expect, updated)
 	}
 }
 
-// compareAndSet replaces an entry if its version is expect.
-func (s *Store) compareAndSet(kind, name string, expect uint64, to *entry) (uint64, error) {
+// compareAndSet replaces an entry if its version is expect, where 0 stands for an object that
+// doesn't exist. It returns the new version.
+func (s *Store) compareAndSet(kind, name string, expect uint64, updated *entry) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	have := uint64(0)
+	current := uint64(0)
 	if e := s.entry(kind, name); e != nil && !e.deleted {
-		have = e.version
+		current = e.version
 	}
-	if to.deleted && have == 0 {
+	if updated.deleted && current == 0 {
 		return 0, objstore.ErrNotFound
 	}
-	if have != expect {
+	if current != expect {
 		return 0, objstore.ErrConflict
 	}
 	s.revision++
-	to.version = s.revision
+	updated.version = s.revision
 	objs := s.objectsOf(kind)
-	objs.byName[name] = to
+	objs.byName[name] = updated
 	close(objs.changed)
 	objs.changed = make(chan struct{})
-	return to.version, nil
+	return updated.version, nil
 }
 
-// objectsOf returns the objects of that objectsOf. The caller must hold mu.
+// objectsOf returns the objects of the kind. The caller must hold mu.
 func (s *Store) objectsOf(kind string) *kindObjects {
 	objs := s.kinds[kind]
 	if objs == nil {
@@ -234,11 +234,11 @@
 	return objs
 }
 
-// entry returns the entry or nil. The caller must hold mu.
+// entry returns the entry, or nil if there is none. The caller must hold mu.
 func (s *Store) entry(kind, name string) *entry { return s.objectsOf(kind).byName[name] }
 
-// namesAfter returns the namesAfter of the kind after that one, in order. The caller
-// must hold mu.
+// namesAfter returns the names of the kind's objects that sort after the given name, in order.
+// The caller must hold mu.
 func (s *Store) namesAfter(kind, after string) []string {
 	var names []string
 	for name, e := range s.objectsOf(kind).byName {
--- a/internal/lab/platformsim/store_test.go
+++ b/internal/lab/platformsim/store_test.go
@@ -20,6 +20,7 @@
 	})
 }
 
+// startClient serves the store over HTTP and returns a client of it.
 func startClient(t *testing.T, s *Store, opts objstore.ClientOptions) *objstore.Client {
 	srv := httptest.NewServer(s.Handler())
 	t.Cleanup(srv.Close)
@@ -28,9 +29,9 @@
 	return client
 }
 
-// A claim's writer sees an error although its write took effect: the platform
-// carries the write out and its answer is lost on the way. A client that sent
-// the write again by itself would then report a conflict with its own write.
+// The platform carries a write out and its answer is lost, so that the writer of a claim gets an
+// error although the write took effect. A client that retried the write by itself would then
+// report a conflict with its own write.
 func TestLostAnswerIsNotRetried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewStore()
--- a/internal/lab/platformsim/vms.go
+++ b/internal/lab/platformsim/vms.go
@@ -7,14 +7,15 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// vmList is the list of VMs as it was, until a change has aged by the lag.
+// vmList is a list of VMs whose changes become visible after a lag.
 type vmList struct {
 	visible   []objstore.VM
-	pending   []objstore.VM
-	pendingAt time.Time // when next is to be shown
+	pending   []objstore.VM // replaces visible at pendingAt
+	pendingAt time.Time     // zero if there is no pending change
 }
 
-// SetVMs replaces the list of VMs, to be seen once lag has passed.
+// SetVMs replaces the list of VMs. VMs returns the new list after lag. A change that is pending
+// already is discarded.
 func (s *Store) SetVMs(vms []objstore.VM, lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,6 +35,7 @@
 	return append([]objstore.VM(nil), s.vms.visible...), nil
 }
 
+// applyPending makes the pending change visible if its time has come.
 func (l *vmList) applyPending(now time.Time) {
 	if !l.pendingAt.IsZero() && !now.Before(l.pendingAt) {
 		l.visible, l.pending, l.pendingAt = l.pending, nil, time.Time{}
