--- a/internal/lab/edgesim/address.go
+++ b/internal/lab/edgesim/address.go
@@ -7,25 +7,27 @@
 	"sync"
 )
 
-// Ports for processes that listen later. They lie below the range from which the kernel
-// takes the ports of outgoing connections: one of those takes a port that was free a
-// moment ago, and the process that was to listen there ends.
+// The range of ports for processes that will listen later. It lies below the range from which the
+// kernel chooses the local ports of outgoing connections. An outgoing connection could otherwise
+// take a port between the call of FreeAddress and the start of the process, which would then fail
+// to listen.
 const (
 	firstPort = 20000
 	portCount = 12000
 )
 
 var (
-	returnedPortsMu sync.Mutex // guards ports
+	returnedPortsMu sync.Mutex // guards returnedPorts
 	returnedPorts   = make(map[int]bool)
 )
 
-// FreeAddress returns a loopback IP and a port that nobody listens on and that it has
-// not returned before.
+// FreeAddress returns a loopback IP and a port that no process listens on and that it has not
+// returned before in this process. It returns an error if it finds none. It is safe for concurrent
+// use.
 func FreeAddress() (string, error) {
 	returnedPortsMu.Lock()
 	defer returnedPortsMu.Unlock()
-	var last error
+	var lastErr error
 	for range portCount {
 		port := firstPort + rand.IntN(portCount)
 		if returnedPorts[port] {
@@ -34,11 +36,11 @@
 		address := fmt.Sprintf("127.0.0.1:%d", port)
 		l, err := net.Listen("tcp", address)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		returnedPorts[port] = true
 		return address, l.Close()
 	}
-	return "", fmt.Errorf("edgesim: no free port: %w", last)
+	return "", fmt.Errorf("edgesim: no free port: %w", lastErr)
 }
--- a/internal/lab/edgesim/doc.go
+++ b/internal/lab/edgesim/doc.go
@@ -1,3 +1,3 @@
-// Package edgesim stands in for the users' platform in tests: its metadata store and
-// its leafs, with the faults that both may show. It speaks the platform's wire form.
+// Package edgesim simulates the users' platform for tests: its metadata store and its leafs, with
+// fault injection in both. They use the platform's wire format.
 package edgesim
--- a/internal/lab/edgesim/door.go
+++ b/internal/lab/edgesim/door.go
@@ -9,84 +9,85 @@
 	"sync/atomic"
 )
 
-// StoreProxy is one VM's way to a store, which may turn that VM away while it serves others.
-// It is safe for concurrent use.
+// StoreProxy is an HTTP proxy between one VM and a store. It can reject the calls of that VM while
+// the store serves other VMs. It is safe for concurrent use.
 type StoreProxy struct {
 	server       *httptest.Server
 	storeAddress string
 
 	watches atomic.Int64 // watches of leafs in progress
-	reads   atomic.Int64 // calls for leafs or the manifest so far
+	reads   atomic.Int64 // calls for leafs or the manifest so far, rejected ones included
 
-	mu           sync.Mutex // guards shut
-	rejectStatus int        // status answered to every call; 0 while it is open
+	mu           sync.Mutex // guards rejectStatus
+	rejectStatus int        // HTTP status of the response to every call; 0 while calls are forwarded
 }
 
-// NewStoreProxy opens a way to the store at an address.
-func NewStoreProxy(store string) *StoreProxy {
-	d := &StoreProxy{storeAddress: store}
-	d.server = httptest.NewServer(http.HandlerFunc(d.serve))
-	return d
+// NewStoreProxy starts a proxy to the store at that IP and port.
+func NewStoreProxy(storeAddress string) *StoreProxy {
+	p := &StoreProxy{storeAddress: storeAddress}
+	p.server = httptest.NewServer(http.HandlerFunc(p.serve))
+	return p
 }
 
-// Address returns where the VM finds the store.
-func (d *StoreProxy) Address() string { return strings.TrimPrefix(d.server.URL, "http://") }
+// Address returns the proxy's IP and port.
+func (p *StoreProxy) Address() string { return strings.TrimPrefix(p.server.URL, "http://") }
 
-// Close ends the way.
-func (d *StoreProxy) Close() {
-	d.server.CloseClientConnections()
-	d.server.Close()
+// Close closes all connections and stops the proxy.
+func (p *StoreProxy) Close() {
+	p.server.CloseClientConnections()
+	p.server.Close()
 }
 
-// Reject answers a status to every call from now on, and cuts those in progress.
-func (d *StoreProxy) Reject(status int) {
-	d.mu.Lock()
-	d.rejectStatus = status
-	d.mu.Unlock()
-	d.server.CloseClientConnections()
+// Reject makes the proxy respond to every further call with the HTTP status, and aborts the calls
+// in progress. With status 0 it forwards calls again.
+func (p *StoreProxy) Reject(status int) {
+	p.mu.Lock()
+	p.rejectStatus = status
+	p.mu.Unlock()
+	p.server.CloseClientConnections()
 }
 
-// DropConnections cuts the calls in progress.
-func (d *StoreProxy) DropConnections() { d.server.CloseClientConnections() }
+// DropConnections aborts the calls in progress.
+func (p *StoreProxy) DropConnections() { p.server.CloseClientConnections() }
 
-// Rejecting reports whether the VM is turned away.
-func (d *StoreProxy) Rejecting() bool { return d.rejectionStatus() != 0 }
+// Rejecting reports whether the proxy rejects the VM's calls.
+func (p *StoreProxy) Rejecting() bool { return p.rejectionStatus() != 0 }
 
-// Watching reports whether the VM watches the store's leafs just now.
-func (d *StoreProxy) Watching() bool { return d.watches.Load() > 0 }
+// Watching reports whether a watch of the store's leafs by the VM is in progress.
+func (p *StoreProxy) Watching() bool { return p.watches.Load() > 0 }
 
-// ReadCount returns how many times the VM called for leafs or the manifest.
-func (d *StoreProxy) ReadCount() int { return int(d.reads.Load()) }
+// ReadCount returns how many calls for leafs or the manifest the VM has sent.
+func (p *StoreProxy) ReadCount() int { return int(p.reads.Load()) }
 
-func (d *StoreProxy) rejectionStatus() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.rejectStatus
+func (p *StoreProxy) rejectionStatus() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.rejectStatus
 }
 
-func (d *StoreProxy) serve(w http.ResponseWriter, r *http.Request) {
+func (p *StoreProxy) serve(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "/servers") || strings.HasSuffix(r.URL.Path, "/config") {
-		d.reads.Add(1)
+		p.reads.Add(1)
 	}
-	if status := d.rejectionStatus(); status != 0 {
+	if status := p.rejectionStatus(); status != 0 {
 		w.WriteHeader(status)
 		return
 	}
 	if strings.HasSuffix(r.URL.Path, "/servers") && r.URL.Query().Has("watch") {
-		d.watches.Add(1)
-		defer d.watches.Add(-1)
+		p.watches.Add(1)
+		defer p.watches.Add(-1)
 	}
-	out, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+d.storeAddress+r.URL.RequestURI(), r.Body)
+	forwarded, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+p.storeAddress+r.URL.RequestURI(), r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
-	resp, err := http.DefaultClient.Do(out)
+	resp, err := http.DefaultClient.Do(forwarded)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer resp.Body.Close()
 	w.WriteHeader(resp.StatusCode)
-	// The VM is gone if this fails.
+	// The VM has disconnected if this fails.
 	_, _ = io.Copy(w, resp.Body)
 }
--- a/internal/lab/edgesim/leaf.go
+++ b/internal/lab/edgesim/leaf.go
@@ -14,40 +14,41 @@
 	"time"
 )
 
-// LeafFaults are what a leaf does wrong. The zero value is a healthy leaf.
+// LeafFaults are the faults that a leaf simulates. The zero value is a healthy leaf.
 type LeafFaults struct {
-	Delay           time.Duration // of its work
-	Hold            chan struct{} // its work ends when this is closed; nil for at once
-	Refuse          bool          // every request is answered 503, not run
-	Fail            bool          // every request is run and answered 500
-	LoseAnswers     bool          // every request is run, and its connection closed without an answer
-	TruncateBody    bool          // answers end in the middle of their body
-	NoContentLength bool          // answers end with their connection
+	Delay           time.Duration // how long a request runs
+	Hold            chan struct{} // if not nil, a request runs until this is closed, after Delay
+	Refuse          bool          // requests are answered with status 503 and not run
+	Fail            bool          // requests are run and answered with status 500
+	LoseAnswers     bool          // requests are run, and their connection is closed without an answer
+	TruncateBody    bool          // answers end after half of their body
+	NoContentLength bool          // answers have no Content-Length and end when the connection is closed
 	ExtraAnswer     bool          // a second answer follows each one
-	NoReceipt       bool          // answers lack the receipt
-	Silent          bool          // requests are run and never answered
+	NoReceipt       bool          // answers have no receipt
+	Silent          bool          // requests are counted as run and get no answer until the caller disconnects
 }
 
-// Leaf is one lifetime of one leaf. It is safe for concurrent use.
+// Leaf simulates one incarnation of a leaf. Set the exported fields before Start. Its methods are
+// safe for concurrent use after Start.
 type Leaf struct {
 	ID, Service, Zone string
-	Born              int64
-	Records           int // of an answer; 4 if 0
+	Born              int64 // start of this incarnation, in Unix milliseconds
+	Records           int   // number of records in an answer; 0 means 4
 
 	server *httptest.Server
 
 	mu         sync.Mutex // guards the fields below
 	faults     LeafFaults
 	arrivals   map[string]int // by request id
-	runs       map[string]int
-	conns      int // opened so far
-	lastHeader http.Header
+	runs       map[string]int // by request id
+	conns      int            // opened so far
+	lastHeader http.Header    // of the latest request, as are the next two
 	lastBody   []byte
 	lastURI    string
-	inFlight   int
+	inFlight   int // requests that are running
 }
 
-// Start starts the leaf.
+// Start starts the leaf on a free port of the loopback and returns it.
 func (l *Leaf) Start() *Leaf {
 	l.arrivals, l.runs = make(map[string]int), make(map[string]int)
 	l.server = httptest.NewUnstartedServer(http.HandlerFunc(l.serve))
@@ -62,33 +63,33 @@
 	return l
 }
 
-// Stop ends the leaf; its address refuses connections.
+// Stop closes all connections and stops the leaf. Its address refuses connections from then on.
 func (l *Leaf) Stop() {
 	l.server.CloseClientConnections()
 	l.server.Close()
 }
 
-// DropConnections closes all connections without a word.
+// DropConnections closes all connections, also those that wait for an answer.
 func (l *Leaf) DropConnections() { l.server.CloseClientConnections() }
 
 // Address returns the leaf's IP and port.
 func (l *Leaf) Address() string { return strings.TrimPrefix(l.server.URL, "http://") }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the faults. They apply to requests that arrive afterwards.
 func (l *Leaf) SetFaults(f LeafFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Counts returns how often a request arrived and how often it ran.
+// Counts returns how often the request with that id arrived and how often it ran.
 func (l *Leaf) Counts(id string) (arrivals, runs int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.arrivals[id], l.runs[id]
 }
 
-// Totals returns how many requests arrived, and how many connections were opened.
+// Totals returns the numbers of requests that arrived and of connections that were opened.
 func (l *Leaf) Totals() (arrivals, conns int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,13 +120,13 @@
 	return l.inFlight
 }
 
-func (l *Leaf) addInFlight(n int) {
+func (l *Leaf) addInFlight(delta int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.inFlight += n
+	l.inFlight += delta
 }
 
-// RegistryEntry returns what the leaf writes of itself into the store.
+// RegistryEntry returns the JSON spec that the leaf writes about itself into the store.
 func (l *Leaf) RegistryEntry(state string) string {
 	return fmt.Sprintf(`{"service":%q,"address":%q,"zone":%q,"version":"v1","slots":2,"state":%q,"cold-left-ms":0,"sequence":1,"born":%d}`,
 		l.Service, l.Address(), l.Zone, state, l.Born)
@@ -134,8 +135,8 @@
 // Receipt returns the receipt of the leaf's answer to a request.
 func (l *Leaf) Receipt(id string) string { return l.ID + "." + id }
 
-// Answer returns the body of the leaf's answer to a request: records that depend on
-// both.
+// Answer returns the body of the leaf's answer to a request: records of 16 bytes that depend on
+// the ids of the leaf and the request.
 func (l *Leaf) Answer(id string) []byte {
 	n := l.Records
 	if n == 0 {
@@ -156,7 +157,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	// A body that is cut short shows in what the test compares.
+	// The error can be ignored: tests compare the body, so that they detect a truncated one.
 	body, _ := io.ReadAll(r.Body)
 	l.mu.Lock()
 	f := l.faults
@@ -175,6 +176,7 @@
 	l.writeAnswer(w, id, f)
 }
 
+// doWork blocks for as long as the request is to run.
 func (l *Leaf) doWork(r *http.Request, f LeafFaults) {
 	l.addInFlight(1)
 	defer l.addInFlight(-1)
@@ -213,11 +215,11 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	// The caller is gone if this fails.
+	// The caller has disconnected if this fails.
 	_, _ = w.Write(body)
 }
 
-// writeRawAnswer writes an answer that net/http would not.
+// writeRawAnswer writes an answer that net/http's server can't produce.
 func (l *Leaf) writeRawAnswer(w http.ResponseWriter, id string, body []byte, f LeafFaults) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -232,13 +234,13 @@
 	case f.NoContentLength:
 		out = head + "Connection: close\r\n\r\n" + string(body)
 	case f.ExtraAnswer:
-		one := head + length + "\r\n" + string(body)
-		out = one + one
+		response := head + length + "\r\n" + string(body)
+		out = response + response
 	}
-	// The caller is gone if this fails.
+	// The caller has disconnected if this fails.
 	_, _ = io.WriteString(conn, out)
 	if f.ExtraAnswer {
-		time.Sleep(200 * time.Millisecond) // the connection looks open meanwhile
+		time.Sleep(200 * time.Millisecond) // the caller sees an open connection meanwhile
 	}
 	_ = conn.Close()
 }
--- a/internal/lab/edgesim/store.go
+++ b/internal/lab/edgesim/store.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// StoreFaults are what a store does wrong. The zero value is a healthy store.
+// StoreFaults are the faults that a store simulates. The zero value is a healthy store.
 type StoreFaults struct {
-	Status        int           // answered to every call, if set
-	Silent        bool          // calls get no answer while it is set
-	SilentWatches bool          // watches tell nothing and don't end
+	Status        int           // if not 0, the HTTP status of the response to every call
+	Silent        bool          // calls get no answer while this is set
+	SilentWatches bool          // watches get no answer, and wait until the caller disconnects
 	Delay         time.Duration // before each answer
-	LoseAnswers   bool          // writes are done and not answered
-	StaleListings bool          // listings that may be old bear a revision that is forgotten
+	LoseAnswers   bool          // writes take effect, and their connection is closed without an answer
+	StaleListings bool          // listings that may be stale have a revision before the last compaction
 }
 
-// Store is a metadata store. It is safe for concurrent use.
+// Store simulates a metadata store. Create it with NewStore. It is safe for concurrent use.
 type Store struct {
 	server   *httptest.Server
 	pageSize int
@@ -31,12 +31,13 @@
 	revision          int64
 	objects           map[string]map[string]*storedObject // by kind and name
 	history           []storedEvent
-	compactedRevision int64         // changes up to here are forgotten
-	changed           chan struct{} // closed at each change
+	compactedRevision int64         // the history up to this revision was discarded
+	changed           chan struct{} // closed, and replaced, at each change and by SetFaults
 	faults            StoreFaults
 	calls             map[string]int // by method and kind
 }
 
+// storedObject is one version of an object.
 type storedObject struct {
 	name            string
 	revision        int64
@@ -44,16 +45,17 @@
 	spec            json.RawMessage
 }
 
+// storedEvent is an entry of the history: an object that was written or removed.
 type storedEvent struct {
 	kind    string
 	object  storedObject
 	removed bool
 }
 
-// NewStore starts a store whose listings have pages of the size given.
-func NewStore(page int) *Store {
+// NewStore starts an empty store. A listing returns at most pageSize objects in a page.
+func NewStore(pageSize int) *Store {
 	s := &Store{
-		pageSize: page,
+		pageSize: pageSize,
 		revision: 1,
 		objects:  make(map[string]map[string]*storedObject),
 		changed:  make(chan struct{}),
@@ -73,7 +75,7 @@
 	s.server.Close()
 }
 
-// SetFaults changes what goes wrong from now on. Waiting watches are cut.
+// SetFaults replaces the faults and closes all connections, which aborts the calls in progress.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	s.faults = f
@@ -82,21 +84,23 @@
 	s.server.CloseClientConnections()
 }
 
-// Put writes an object as the operator or a leaf does. Spec is any JSON text.
+// Put writes an object as the operator or a leaf does. Spec is any JSON text. An existing object
+// keeps its created revision.
 func (s *Store) Put(kind, name, spec string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(kind, name, json.RawMessage(spec))
 }
 
-// Remove removes an object.
+// Remove removes an object if it exists.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(kind, name)
 }
 
-// Compact forgets all history and cuts the watches that wait.
+// Compact discards the history and closes all connections, which aborts the waiting watches. A
+// watch of an earlier revision then gets status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	s.history, s.compactedRevision = nil, s.revision
@@ -104,13 +108,14 @@
 	s.server.CloseClientConnections()
 }
 
-// Calls returns how many calls came, by method and kind.
+// Calls returns how many calls with that HTTP method were received for that kind.
 func (s *Store) Calls(method, kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[method+" "+kind]
 }
 
+// put writes an object. The caller must hold mu.
 func (s *Store) put(kind, name string, spec json.RawMessage) *storedObject {
 	byName := s.objects[kind]
 	if byName == nil {
@@ -119,8 +124,8 @@
 	}
 	s.revision++
 	o := &storedObject{name: name, revision: s.revision, createdRevision: s.revision, spec: spec}
-	if old := byName[name]; old != nil {
-		o.createdRevision = old.createdRevision
+	if previous := byName[name]; previous != nil {
+		o.createdRevision = previous.createdRevision
 	}
 	byName[name] = o
 	s.history = append(s.history, storedEvent{kind: kind, object: *o})
@@ -128,6 +133,7 @@
 	return o
 }
 
+// remove removes an object and reports whether it existed. The caller must hold mu.
 func (s *Store) remove(kind, name string) bool {
 	o := s.objects[kind][name]
 	if o == nil {
@@ -135,21 +141,22 @@
 	}
 	delete(s.objects[kind], name)
 	s.revision++
-	gone := *o
-	gone.revision = s.revision
-	s.history = append(s.history, storedEvent{kind: kind, object: gone, removed: true})
+	removed := *o
+	removed.revision = s.revision
+	s.history = append(s.history, storedEvent{kind: kind, object: removed, removed: true})
 	s.notifyWatches()
 	return true
 }
 
+// notifyWatches wakes the calls that wait for a change. The caller must hold mu.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *Store) serve(w http.ResponseWriter, r *http.Request) {
-	rest := strings.TrimPrefix(r.URL.Path, "/bramleybarrow/objects/")
-	kind, name, _ := strings.Cut(rest, "/")
+	path := strings.TrimPrefix(r.URL.Path, "/bramleybarrow/objects/")
+	kind, name, _ := strings.Cut(path, "/")
 	s.mu.Lock()
 	s.calls[r.Method+" "+kind]++
 	faults := s.faults
@@ -171,9 +178,10 @@
 	}
 }
 
-// holdSilently holds a call without an answer until the caller leaves or the store speaks
-// again; then its connection ends. A caller that leaves does not show while the body of
-// its request is unread, so the end of the silence has to be watched too.
+// holdSilently keeps a call without an answer until the caller disconnects or StoreFaults.Silent is
+// unset; then it closes the connection. As long as the request's body is unread, the server does
+// not detect that the caller has disconnected, so waiting for the request's context alone could
+// block forever.
 func (s *Store) holdSilently(r *http.Request) {
 	for {
 		s.mu.Lock()
@@ -198,7 +206,8 @@
 	}
 }
 
-// writeJSON writes v as JSON. An object whose bytes are no JSON goes out as it stands.
+// writeJSON writes a response with the status and v encoded as JSON. It panics if v can't be encoded,
+// for example because a spec is not JSON.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -206,7 +215,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller is gone if this fails.
+	// The caller has disconnected if this fails.
 	_, _ = w.Write(data)
 }
 
@@ -221,7 +230,7 @@
 	writeJSON(w, http.StatusOK, objectJSON(o))
 }
 
-func (s *Store) list(w http.ResponseWriter, kind, after string, old bool) {
+func (s *Store) list(w http.ResponseWriter, kind, after string, stale bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var names []string
@@ -236,11 +245,11 @@
 	for _, name := range names[:min(len(names), s.pageSize)] {
 		items = append(items, objectJSON(s.objects[kind][name]))
 	}
-	at := s.revision
-	if old {
-		at = s.compactedRevision - 1
+	revision := s.revision
+	if stale {
+		revision = s.compactedRevision - 1
 	}
-	writeJSON(w, http.StatusOK, map[string]any{"items": items, "has-more": more, "store-revision": at})
+	writeJSON(w, http.StatusOK, map[string]any{"items": items, "has-more": more, "store-revision": revision})
 }
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
@@ -252,9 +261,9 @@
 	for {
 		s.mu.Lock()
 		events := s.eventsAfter(kind, since)
-		at, changed, faults, gone := s.revision, s.changed, s.faults, since < s.compactedRevision
+		revision, changed, faults, compacted := s.revision, s.changed, s.faults, since < s.compactedRevision
 		s.mu.Unlock()
-		if gone {
+		if compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -263,7 +272,7 @@
 			return
 		}
 		if len(events) > 0 {
-			writeJSON(w, http.StatusOK, map[string]any{"events": events, "store-revision": at})
+			writeJSON(w, http.StatusOK, map[string]any{"events": events, "store-revision": revision})
 			return
 		}
 		select {
@@ -277,6 +286,7 @@
 	}
 }
 
+// eventsAfter returns the kind's events after that revision. The caller must hold mu.
 func (s *Store) eventsAfter(kind string, since int64) []any {
 	var events []any
 	for i := range s.history {
@@ -288,7 +298,7 @@
 	return events
 }
 
-func (s *Store) write(w http.ResponseWriter, r *http.Request, kind, name string, lose bool) {
+func (s *Store) write(w http.ResponseWriter, r *http.Request, kind, name string, loseAnswer bool) {
 	var body struct {
 		Meta struct {
 			Name string `json:"name"`
@@ -304,8 +314,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	status, o := s.apply(r.Method, kind, name, body.Meta.Name, body.Spec)
-	if lose {
-		panic(http.ErrAbortHandler) // the connection ends without an answer
+	if loseAnswer {
+		panic(http.ErrAbortHandler) // closes the connection without an answer
 	}
 	if o == nil {
 		w.WriteHeader(status)
@@ -314,11 +324,13 @@
 	writeJSON(w, status, objectJSON(o))
 }
 
+// apply performs a write. It returns the HTTP status of the response and the object in its body, or
+// nil for an empty body. The caller must hold mu.
 func (s *Store) apply(method, kind, name, newName string, spec json.RawMessage) (int, *storedObject) {
 	switch method {
 	case http.MethodPost:
-		if old := s.objects[kind][newName]; old != nil {
-			return http.StatusConflict, old
+		if existing := s.objects[kind][newName]; existing != nil {
+			return http.StatusConflict, existing
 		}
 		return http.StatusOK, s.put(kind, newName, spec)
 	case http.MethodPut:
--- a/internal/lab/edgesim/store_test.go
+++ b/internal/lab/edgesim/store_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A test hangs at its end: the stand-in waits for a silent call whose caller has left,
-// which does not show while the body of the call is unread.
+// Close must not wait forever for a silent call whose caller has disconnected. The server does not
+// detect the disconnection while the body of the call is unread.
 func TestSilentStoreCanBeClosed(t *testing.T) {
 	s := NewStore(10)
 	s.SetFaults(StoreFaults{Silent: true})
@@ -30,6 +30,6 @@
 	select {
 	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the store does not close")
+		t.Fatal("the store was not closed within 10 s")
 	}
 }
