--- a/cmd/bramleyd/edge.go
+++ b/cmd/bramleyd/edge.go
@@ -43,10 +43,10 @@
 	log, flush := logging.New(os.Stdout, logging.Options{Level: level, JSON: true})
 	defer flush()
 	return edge.NewNode(edge.Options{
-		Settings:  set,
-		Store:     platform.NewStore(set.Store),
-		Exchange:  platform.Exchange{},
-		ReadyPath: platform.ReadyPath,
-		Log:       log,
+		Settings:    set,
+		Store:       platform.NewStore(set.Store),
+		HeaderCodec: platform.HeaderCodec{},
+		ReadyPath:   platform.ReadyPath,
+		Log:         log,
 	}).Run()
 }
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -15,7 +15,7 @@
 
 // Engine serves callers' requests, and the calls of other VMs. It is safe for concurrent use.
 type Engine struct {
-	exchange         Exchange
+	headerCodec      HeaderCodec
 	pool             *leafhttp.Pool
 	inForce          routing.InForce
 	rotation         *routing.Splitter
@@ -35,20 +35,20 @@
 
 // EngineOptions configures an Engine. All fields are required.
 type EngineOptions struct {
-	Exchange Exchange
-	Self     string  // name of this VM
-	Zone     string  // availability zone of this VM
-	Power    float64 // processor capacity of this VM, in cores
-	Budget   scatter.BudgetConfig
-	Seed     uint64 // seed of random choices
-	Log      *slog.Logger
+	HeaderCodec HeaderCodec
+	Self        string  // name of this VM
+	Zone        string  // availability zone of this VM
+	Power       float64 // processor capacity of this VM, in cores
+	Budget      scatter.BudgetConfig
+	Seed        uint64 // seed of random choices
+	Log         *slog.Logger
 }
 
 // NewEngine returns an engine that knows no leafs and no manifest yet.
 func NewEngine(opt EngineOptions) *Engine {
 	rng := rand.New(rand.NewPCG(opt.Seed, opt.Seed>>1))
 	return &Engine{
-		exchange:         opt.Exchange,
+		headerCodec:      opt.HeaderCodec,
 		pool:             leafhttp.NewPool(),
 		rotation:         routing.NewSplitter(),
 		elapsed:          newElapsedTimes(),
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -112,7 +112,7 @@
 func (e *Engine) newRequest(r *http.Request, target string, body []byte, arrived time.Time, route *routing.Route) *Request {
 	timeout := route.Timeout
 	var shortfall time.Duration
-	if stated, ok := e.exchange.Wait(r.Header); ok {
+	if stated, ok := e.headerCodec.CallerTimeout(r.Header); ok {
 		shortfall = e.elapsed.observe(arrived, route.Name, stated)
 		if stated < timeout || timeout == 0 {
 			timeout = stated
@@ -121,7 +121,7 @@
 	path := callerPathOf(r.Context(), arrived)
 	start := arrived.Add(-path.elapsed(shortfall, route.Aim))
 	return &Request{
-		ID:       e.exchange.RequestID(r.Header),
+		ID:       e.headerCodec.RequestID(r.Header),
 		AnswerBy: path.answerBy(start, route.Aim),
 		Deadline: arrived.Add(timeout - answerMargin),
 		Top:      route.Top,
@@ -129,7 +129,7 @@
 			Method:  r.Method,
 			Target:  target,
 			Host:    r.Host,
-			Header:  forwardedHeaders(r.Header, e.exchange.Own()),
+			Header:  forwardedHeaders(r.Header, e.headerCodec.ReplacedHeaders()),
 			Body:    body,
 			HasBody: len(body) > 0 || r.ContentLength > 0 || r.Header.Get("Content-Length") != "",
 		},
--- a/edge/log.go
+++ b/edge/log.go
@@ -49,7 +49,7 @@
 func (e *Engine) logRefusal(r *http.Request, status int, why string, version int64) {
 	e.stats.count(`bramley_edge_refusals_total{why=%q}`, why)
 	e.log.Info("request refused",
-		"request", e.exchange.RequestID(r.Header),
+		"request", e.headerCodec.RequestID(r.Header),
 		"status", status,
 		"why", why,
 		"manifest", version,
--- a/edge/merge.go
+++ b/edge/merge.go
@@ -33,7 +33,7 @@
 	}
 	return &Result{
 		Status:  http.StatusOK,
-		Header:  r.e.exchange.Gathered(receipts, out.Missing),
+		Header:  r.e.headerCodec.GatheredHeaders(receipts, out.Missing),
 		Body:    topk.Merge(r.req.Top, bodies),
 		Outcome: out,
 	}
--- a/edge/node.go
+++ b/edge/node.go
@@ -44,11 +44,11 @@
 
 // Options configures a Node. All fields are required.
 type Options struct {
-	Settings  *Settings
-	Store     Store
-	Exchange  Exchange
-	ReadyPath string // path of the readiness check at the address Listen.Ready
-	Log       *slog.Logger
+	Settings    *Settings
+	Store       Store
+	HeaderCodec HeaderCodec
+	ReadyPath   string // path of the readiness check at the address Listen.Ready
+	Log         *slog.Logger
 }
 
 // Parameters of the Go runtime.
@@ -74,13 +74,13 @@
 			Power:   opt.Settings.Power,
 		},
 		engine: NewEngine(EngineOptions{
-			Exchange: opt.Exchange,
-			Self:     opt.Settings.Name,
-			Zone:     opt.Settings.Zone,
-			Power:    opt.Settings.Power,
-			Budget:   opt.Settings.Budget.config(),
-			Seed:     uint64(time.Now().UnixNano()),
-			Log:      opt.Log,
+			HeaderCodec: opt.HeaderCodec,
+			Self:        opt.Settings.Name,
+			Zone:        opt.Settings.Zone,
+			Power:       opt.Settings.Power,
+			Budget:      opt.Settings.Budget.config(),
+			Seed:        uint64(time.Now().UnixNano()),
+			Log:         opt.Log,
 		}),
 	}
 }
--- a/edge/run.go
+++ b/edge/run.go
@@ -224,10 +224,10 @@
 	// A leaf may send a late answer to an earlier request where the answer to the next one is
 	// expected.
 	matches := func(ans *leafhttp.Answer) bool {
-		metadata = r.e.exchange.FromLeaf(ans.Status, ans.Header)
+		metadata = r.e.headerCodec.ParseLeafHeaders(ans.Status, ans.Header)
 		return metadata.RequestID == "" || metadata.RequestID == r.req.ID
 	}
-	ans, err := r.e.pool.Do(ctx, peer, r.req.HTTP, r.e.exchange.ToLeaf(s.Leaf, time.Until(s.Until)), matches)
+	ans, err := r.e.pool.Do(ctx, peer, r.req.HTTP, r.e.headerCodec.AttemptHeaders(s.Leaf, time.Until(s.Until)), matches)
 	ev := event{attempt: s.Attempt}
 	if err == nil {
 		ev.reply, ev.end = r.classifyAnswer(s, ans, metadata)
--- a/edge/store.go
+++ b/edge/store.go
@@ -65,7 +65,7 @@
 	Withdraw(ctx context.Context, name string) error
 }
 
-// LeafMetadata is what the headers of a leaf's answer state.
+// LeafMetadata is what the status and the headers of a leaf's answer state.
 type LeafMetadata struct {
 	RequestID string // id of the request that is answered
 	Receipt   string // proof that the leaf ran the request and sent this answer
@@ -75,21 +75,22 @@
 	HasLoad   bool
 }
 
-// Exchange reads and writes the headers between callers, this system and leafs.
+// HeaderCodec reads and writes the headers between callers, this system and leafs.
 // Implementations are safe for concurrent use.
-type Exchange interface {
+type HeaderCodec interface {
 	// RequestID returns the id of a caller's request.
 	RequestID(h http.Header) string
-	// Wait returns the caller's remaining time, false if the caller does not state it.
-	Wait(h http.Header) (time.Duration, bool)
-	// ToLeaf returns the headers that differ between attempts. left is the time that remains
-	// for the attempt.
-	ToLeaf(leaf scatter.LeafID, left time.Duration) http.Header
-	// Own returns the names of those caller headers that ToLeaf replaces.
-	Own() []string
-	// FromLeaf parses the headers of a leaf's answer.
-	FromLeaf(status int, h http.Header) LeafMetadata
-	// Gathered returns the headers of the answer to a gathered request. missing is the number
-	// of shards without an answer.
-	Gathered(receipts []string, missing int) http.Header
+	// CallerTimeout returns the caller's remaining time, false if the caller does not state
+	// it.
+	CallerTimeout(h http.Header) (time.Duration, bool)
+	// AttemptHeaders returns the headers that differ between attempts. left is the time that
+	// remains for the attempt.
+	AttemptHeaders(leaf scatter.LeafID, left time.Duration) http.Header
+	// ReplacedHeaders returns the names of those caller headers that AttemptHeaders replaces.
+	ReplacedHeaders() []string
+	// ParseLeafHeaders parses the status and the headers of a leaf's answer.
+	ParseLeafHeaders(status int, h http.Header) LeafMetadata
+	// GatheredHeaders returns the headers of the answer to a gathered request. missing is the
+	// number of shards without an answer.
+	GatheredHeaders(receipts []string, missing int) http.Header
 }
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -311,8 +311,8 @@
 // platform's list, after either has changed. The caller must hold mu.
 func (x *Exchange) invalidateCaches() { x.liveCache, x.placeCache = nil, nil }
 
-// Gone reports whether a process is known to have ended or to have been replaced.
-func (x *Exchange) Gone(vm, incarnation string) bool {
+// Ended reports whether a process is known to have ended or to have been replaced.
+func (x *Exchange) Ended(vm, incarnation string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	m, known := x.table.Member(vm)
--- a/peer/health/doubt.go
+++ b/peer/health/doubt.go
@@ -45,7 +45,7 @@
 		return
 	}
 	r.contradictions.Inc()
-	r.monitor.Hurry(name)
+	r.monitor.ReadSoon(name)
 }
 
 // contradicts reports whether a failure can't happen if the known health of the
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -36,7 +36,7 @@
 // implements it.
 type Router interface {
 	target.StatusReader
-	Standing(target string) route.Ownership
+	Ownership(target string) route.Ownership
 }
 
 // Sink receives the health of targets. query.Engine implements it.
@@ -48,8 +48,8 @@
 
 // Monitor reads targets at intervals. target.Monitor implements it.
 type Monitor interface {
-	Relax(target string, every time.Duration)
-	Hurry(target string)
+	SetReadInterval(target string, interval time.Duration)
+	ReadSoon(target string)
 }
 
 // Options configures a Relay. All fields are required.
@@ -133,7 +133,7 @@
 				interval:     time.Duration(svc.Drain.HealthIntervalMS) * time.Millisecond,
 				suspectAfter: max(svc.Drain.SuspectAfter, 1),
 			}
-			if r.opts.Router.Standing(name).Shared {
+			if r.opts.Router.Ownership(name).Shared {
 				shared = append(shared, name)
 			}
 		}
@@ -195,7 +195,7 @@
 // apply passes a statement to the Sink, unless this VM reads the target over its own
 // connections or has read it since. An owner may answer the statement instead.
 func (r *Relay) apply(h facts.Health) {
-	pos := r.opts.Router.Standing(h.Target)
+	pos := r.opts.Router.Ownership(h.Target)
 	if !pos.Shared {
 		return
 	}
@@ -219,11 +219,11 @@
 // the long one, or the health interval if the statement is opaque and the target
 // isn't lost. The caller must hold mu.
 func (r *Relay) adjustReadInterval(h facts.Health) {
-	if h.Opaque && !lost(h, r.opts.Router.Standing(h.Target).LiveOwners) {
-		r.monitor.Relax(h.Target, 0)
+	if h.Opaque && !lost(h, r.opts.Router.Ownership(h.Target).LiveOwners) {
+		r.monitor.SetReadInterval(h.Target, 0)
 		return
 	}
-	r.monitor.Relax(h.Target, r.rereadInterval)
+	r.monitor.SetReadInterval(h.Target, r.rereadInterval)
 }
 
 // notifySink passes a statement to the Sink. The caller must hold mu.
@@ -248,7 +248,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, wasLost := range r.partlyUnreadable {
-		pos := r.opts.Router.Standing(name)
+		pos := r.opts.Router.Ownership(name)
 		if h, known := r.exchange.Health(name); known && !pos.Owner && lost(h, pos.LiveOwners) != wasLost {
 			r.notifySink(h, pos)
 		}
@@ -279,7 +279,7 @@
 	r.mu.Unlock()
 	r.reads.Inc()
 	status, err := r.opts.Router.Status(ctx, name)
-	if pos := r.opts.Router.Standing(name); pos.Owner && pos.Shared {
+	if pos := r.opts.Router.Ownership(name); pos.Owner && pos.Shared {
 		read := readResult{base: base, began: began}
 		if err == nil {
 			read.status = &status
@@ -336,7 +336,7 @@
 func (r *Relay) TargetFailed(name string, err error, at time.Time) {
 	if !r.readsDirectly(name) {
 		h, known := r.exchange.Health(name)
-		live := r.opts.Router.Standing(name).LiveOwners
+		live := r.opts.Router.Ownership(name).LiveOwners
 		if known && !h.Opaque && len(live) > 0 && !lost(h, live) {
 			return
 		}
@@ -351,6 +351,6 @@
 
 // readsDirectly reports whether this VM reads a target over its own connections.
 func (r *Relay) readsDirectly(name string) bool {
-	pos := r.opts.Router.Standing(name)
+	pos := r.opts.Router.Ownership(name)
 	return !pos.Shared || pos.Owner
 }
--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -21,7 +21,7 @@
 	known        facts.Health
 	changes      []facts.Health
 	publications int
-	standing     route.Ownership
+	ownership    route.Ownership
 	status       target.Status
 	err          error
 	read         func()
@@ -33,13 +33,13 @@
 	readSoon     int
 }
 
-func (f *fakes) SetTargets([]string)                 {}
-func (f *fakes) Health(string) (facts.Health, bool)  { return f.known, f.known.Target != "" }
-func (f *fakes) TakeHealthChanges() []facts.Health   { return f.changes }
-func (f *fakes) HealthChanged() <-chan struct{}      { return nil }
-func (f *fakes) Standing(string) route.Ownership     { return f.standing }
-func (f *fakes) Relax(_ string, every time.Duration) { f.readInterval = every }
-func (f *fakes) Hurry(string)                        { f.readSoon++ }
+func (f *fakes) SetTargets([]string)                              {}
+func (f *fakes) Health(string) (facts.Health, bool)               { return f.known, f.known.Target != "" }
+func (f *fakes) TakeHealthChanges() []facts.Health                { return f.changes }
+func (f *fakes) HealthChanged() <-chan struct{}                   { return nil }
+func (f *fakes) Ownership(string) route.Ownership                 { return f.ownership }
+func (f *fakes) SetReadInterval(_ string, interval time.Duration) { f.readInterval = interval }
+func (f *fakes) ReadSoon(string)                                  { f.readSoon++ }
 
 func (f *fakes) PublishHealth(next facts.Health, base facts.Stamp) bool {
 	if f.known.Stamp != base {
@@ -80,8 +80,8 @@
 // live owners.
 func newRelay() (*Relay, *fakes) {
 	f := &fakes{
-		standing: route.Ownership{Shared: true, Place: -1, LiveOwners: []int{3, 5}},
-		status:   target.Status{Target: testTarget, Incarnation: "read", State: target.StateServing},
+		ownership: route.Ownership{Shared: true, Place: -1, LiveOwners: []int{3, 5}},
+		status:    target.Status{Target: testTarget, Incarnation: "read", State: target.StateServing},
 	}
 	r := New(Options{Router: f, Sink: f, Log: logging.Discard(), Metrics: metrics.NewSet()})
 	r.exchange, r.monitor = f, f
@@ -117,7 +117,7 @@
 	r.apply(opaque)
 	g.Expect(f.statuses).To(HaveLen(1))
 	g.Expect(f.readInterval).To(BeZero(), "an opaque target must be read")
-	f.standing.Owner = true
+	f.ownership.Owner = true
 	r.apply(statement(3))
 	g.Expect(f.statuses).To(HaveLen(1), "an owner uses what it reads itself")
 }
@@ -156,7 +156,7 @@
 	f.known = statement(1, 3)
 	r.readOnce()
 	g.Expect(f.failed).To(Equal(1))
-	f.standing.LiveOwners = nil
+	f.ownership.LiveOwners = nil
 	r.readOnce()
 	g.Expect(f.failed).To(Equal(2))
 }
@@ -172,11 +172,11 @@
 	r.apply(f.known)
 	r.sweep()
 	g.Expect(f.lost).To(BeZero())
-	f.standing.LiveOwners = []int{3}
+	f.ownership.LiveOwners = []int{3}
 	r.sweep()
 	r.sweep()
 	g.Expect(f.lost).To(Equal(1))
-	f.standing.LiveOwners = []int{3, 4}
+	f.ownership.LiveOwners = []int{3, 4}
 	r.sweep()
 	g.Expect(f.statuses).To(HaveLen(2))
 }
@@ -199,7 +199,7 @@
 	g.Expect(call(&target.CallError{Kind: target.ErrorUnreachable})).To(Equal(2))
 	g.Expect(call(&target.CallError{Kind: target.ErrorRefused, Reason: target.ReasonShed})).To(BeZero())
 	g.Expect(call(&target.CallError{Kind: target.ErrorDeadline})).To(BeZero())
-	f.standing.Owner = true
+	f.ownership.Owner = true
 	g.Expect(call(&target.CallError{Kind: target.ErrorUnreachable})).To(BeZero())
 }
 
@@ -208,7 +208,7 @@
 func TestOwnerPublishesItsReads(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
-	f.standing.Owner, f.standing.Place = true, 3
+	f.ownership.Owner, f.ownership.Place = true, 3
 	r.readOnce()
 	r.readOnce()
 	g.Expect(f.publications).To(Equal(1))
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -33,9 +33,9 @@
 	Places() map[int]objstore.VM
 	// SetPlace publishes the place of this VM; a negative number means none.
 	SetPlace(place int)
-	// Gone reports whether an incarnation of a VM is known to have ended or to have been
+	// Ended reports whether an incarnation of a VM is known to have ended or to have been
 	// replaced.
-	Gone(vm, incarnation string) bool
+	Ended(vm, incarnation string) bool
 	// WireOptions returns the options for connections to other VMs.
 	WireOptions() wire.Options
 }
@@ -119,7 +119,7 @@
 // owners. It must be called once, before the first call to a target.
 func (r *Router) Start(fleet Fleet) {
 	r.fleet = fleet
-	r.opts.Place.Ended = fleet.Gone
+	r.opts.Place.Ended = fleet.Ended
 	r.tomb.Go(r.maintainPlace)
 	r.tomb.Go(r.closeIdle)
 }
--- a/peer/route/standing.go
+++ b/peer/route/standing.go
@@ -10,8 +10,8 @@
 	LiveOwners []int // places of the owners that are live and not leaving, in the order of preference
 }
 
-// Standing returns the ownership of a target of the bundle in force.
-func (r *Router) Standing(name string) Ownership {
+// Ownership returns the ownership of a target of the bundle in force.
+func (r *Router) Ownership(name string) Ownership {
 	r.mu.Lock()
 	rt := r.targets[name]
 	if rt == nil || rt.plan.Direct() {
--- a/peer/route/standing_test.go
+++ b/peer/route/standing_test.go
@@ -14,7 +14,7 @@
 	f.waitReachable(f.vms...)
 	f.Eventually(f.owners).WithTimeout(testLimit).Should(HaveLen(2))
 	live := func(vm *testVM) func() []int {
-		return func() []int { return vm.router.Standing("target-0").LiveOwners }
+		return func() []int { return vm.router.Ownership("target-0").LiveOwners }
 	}
 	for _, vm := range f.vms {
 		f.Eventually(live(vm)).WithTimeout(testLimit).Should(HaveLen(2))
@@ -24,6 +24,6 @@
 	for _, vm := range f.vms {
 		f.Eventually(live(vm)).WithTimeout(testLimit).Should(HaveLen(1), vm.name)
 	}
-	f.Expect(leaving.router.Standing("target-0").Owner).To(BeTrue())
-	f.Expect(leaving.router.Standing("unknown")).To(Equal(Ownership{}))
+	f.Expect(leaving.router.Ownership("target-0").Owner).To(BeTrue())
+	f.Expect(leaving.router.Ownership("unknown")).To(Equal(Ownership{}))
 }
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -36,7 +36,7 @@
 
 // Monitor reads the status of each endpoint at its interval and passes the results
 // to the Sink. A pool of workers does the reads; reads of one endpoint never overlap.
-// Apply, Relax and Hurry are safe for concurrent use.
+// Apply, SetReadInterval and ReadSoon are safe for concurrent use.
 type Monitor struct {
 	opts   MonitorOptions
 	tomb   tomb.Tomb
@@ -88,7 +88,7 @@
 // Apply puts the endpoints in force. New ones are read after a short random delay.
 // Endpoints without a share of connections are read too, because the Reader may
 // reach them through another VM. Their first reads come a little later, so that
-// reports from other VMs can make these reads unnecessary; see Relax.
+// reports from other VMs can make these reads unnecessary; see SetReadInterval.
 func (m *Monitor) Apply(endpoints []Endpoint) {
 	m.mu.Lock()
 	old := m.targets
@@ -129,10 +129,11 @@
 	return firstReadSpreadNoShare
 }
 
-// Relax sets a longer interval between reads of a target, because another VM has
-// just reported the target's state. An interval of 0 means the health interval
-// again. Relax has no effect on a target that this VM has connections to.
-func (m *Monitor) Relax(name string, interval time.Duration) {
+// SetReadInterval sets a longer interval between reads of a target, because another
+// VM has just reported the target's state. An interval of 0 means the health
+// interval again. SetReadInterval has no effect on a target that this VM has
+// connections to.
+func (m *Monitor) SetReadInterval(name string, interval time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.targets[name]
@@ -145,9 +146,10 @@
 	p.readInterval = interval
 }
 
-// Hurry moves the next read of a target forward, because something contradicts its
+// ReadSoon moves the next read of a target forward, because something contradicts its
 // known state. The target is still read no more often than at its health interval.
-func (m *Monitor) Hurry(name string) {
+// ReadSoon has no effect while a read of the target is in progress.
+func (m *Monitor) ReadSoon(name string) {
 	m.mu.Lock()
 	p := m.targets[name]
 	if p == nil || p.reading {
--- a/target/monitor_test.go
+++ b/target/monitor_test.go
@@ -29,7 +29,7 @@
 	m := NewMonitor(MonitorOptions{Reader: c, Sink: c})
 	e := Endpoint{Name: "t", HealthInterval: 10 * time.Millisecond}
 	m.Apply([]Endpoint{e})
-	m.Relax("t", time.Hour)
+	m.SetReadInterval("t", time.Hour)
 	m.Start()
 	defer m.Stop()
 	m.mu.Lock()
@@ -37,7 +37,7 @@
 	m.mu.Unlock()
 	g.Expect(wait).To(BeNumerically(">", time.Minute))
 
-	m.Hurry("t")
+	m.ReadSoon("t")
 	g.Eventually(c.reads).Should(Receive())
 	g.Eventually(func() time.Duration {
 		m.mu.Lock()
@@ -50,7 +50,7 @@
 	for range 3 {
 		g.Eventually(c.reads).Should(Receive())
 	}
-	m.Relax("t", time.Hour) // no effect: this VM has connections to the target
+	m.SetReadInterval("t", time.Hour) // no effect: this VM has connections to the target
 	for range 3 {
 		g.Eventually(c.reads).Should(Receive())
 	}
