--- a/query/admit.go
+++ b/query/admit.go
@@ -9,7 +9,7 @@
 )
 
 // admit waits until the query may run. It returns nil if the query is admitted, and
-// the final answer if it is refused. Searches with the plain policy skip admission.
+// the final answer if it is refused. Searches with bundle.PolicyPlain skip admission.
 func (e *Engine) admit(ctx context.Context, svc *service, req *Request) *Answer {
 	if req.plain() {
 		return nil
@@ -17,7 +17,9 @@
 	return e.admitUntil(ctx, svc, req.deadline())
 }
 
-// admitUntil is admit for a request that must be answered by deadline.
+// admitUntil waits until the service's admission policy admits a query that must be
+// answered by deadline. It returns nil if the query is admitted, and the final answer if
+// it is refused.
 func (e *Engine) admitUntil(ctx context.Context, svc *service, deadline time.Time) *Answer {
 	arrived := e.now()
 	svc.mu.Lock()
@@ -40,8 +42,9 @@
 	return &Answer{Code: result.Overloaded, Ran: result.RanNo, RetryAfter: verdict.RetryAfter}
 }
 
-// awaitAdmission returns the verdict on a waiting query. The policy decides only when
-// it is called; if no call decides in time, the query is refused at its deadline.
+// awaitAdmission waits for the verdict on a queued query, which finishQuery sends to
+// decided when another query ends. If there is no verdict by deadline, or ctx ends first,
+// the query leaves the queue and is refused.
 func (e *Engine) awaitAdmission(ctx context.Context, svc *service, id policy.TicketID, decided chan policy.Verdict, deadline time.Time) policy.Verdict {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
@@ -57,11 +60,12 @@
 		delete(svc.waiting, id)
 		return policy.Verdict{Ticket: id, Decision: policy.Refuse, RetryAfter: defaultRetryAfter}
 	}
-	return <-decided // was sent under svc.mu when the ticket left the queue
+	return <-decided // no longer queued: the verdict was sent under svc.mu when the ticket left the queue
 }
 
 // release records the end of a query in the metrics and the policy, and notifies the
-// waiting queries that are decided by it.
+// waiting queries that are decided by it. began is when the query was admitted. Plain
+// searches were never admitted, so release does nothing for them.
 func (e *Engine) release(svc *service, req *Request, began time.Time, out *policy.Outcome) {
 	if req.plain() {
 		return
@@ -78,7 +82,7 @@
 }
 
 // finishQuery records the end of an admitted query and sends the verdicts on waiting
-// queries that follow from it. The caller must hold mu.
+// queries that follow from it. The caller must hold s.mu.
 func (s *service) finishQuery(now time.Time, end policy.QueryEnd) {
 	for _, verdict := range s.admission.Done(now, end) {
 		if decided := s.waiting[verdict.Ticket]; decided != nil {
--- a/query/answer.go
+++ b/query/answer.go
@@ -33,9 +33,12 @@
 	return a
 }
 
+// resultCode returns the code of the answer to a query that ended with out. It is Complete
+// if all shards answered, Partial if the answers reach the coverage that the caller needs,
+// and otherwise the reason of the failure.
 func resultCode(req *Request, out *policy.Outcome) result.Code {
 	switch {
-	case out.End == policy.EndNoSnapshot && req.Snapshot != "":
+	case out.End == policy.EndNoSnapshot && req.Snapshot != "": // the one that a cursor names
 		return result.CursorGone
 	case out.End == policy.EndNoSnapshot:
 		return result.NoReplica
@@ -43,7 +46,7 @@
 		return result.Complete
 	case len(out.Answers) > 0 && out.Coverage.Ratio() >= req.MinCoverage:
 		return result.Partial
-	case out.Sent == 0:
+	case out.Sent == 0: // no attempt was sent to any leaf
 		return result.NoReplica
 	case out.NotRun():
 		return result.NotStarted
@@ -54,6 +57,8 @@
 	}
 }
 
+// ranState returns whether a target ran the query: RanYes if a leaf answered, RanNo if it is
+// certain that none ran it, and RanUnknown otherwise.
 func ranState(out *policy.Outcome) result.Ran {
 	switch {
 	case len(out.Answers) > 0:
@@ -65,9 +70,10 @@
 	}
 }
 
-// merge returns the first req.MaxItems items of all answers in the order of the
-// search's kind, and whether further matches exist. Each leaf returns up to
-// req.MaxItems items, so merge drops only items beyond the caller's own limit.
+// merge sorts the items of all answers, by key for a browse page and by score for a
+// search. It returns the first req.MaxItems of them, and whether further matches exist.
+// Each leaf returns up to req.MaxItems items, so merge drops only items beyond the
+// caller's own limit.
 func merge(req *Request, answers []*target.LeafAnswer) ([]target.Item, bool) {
 	var items []target.Item
 	more := false
@@ -87,8 +93,10 @@
 	return items, more
 }
 
+// byKey compares two items for sorting by ascending key.
 func byKey(a, b target.Item) int { return cmp.Compare(a.Key, b.Key) }
 
+// byScore compares two items for sorting: best score first, equal scores by ascending key.
 func byScore(a, b target.Item) int {
 	if c := cmp.Compare(b.Score, a.Score); c != 0 {
 		return c
--- a/query/engine.go
+++ b/query/engine.go
@@ -15,37 +15,44 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Leaves calls the leaves of targets. target.Client implements it.
+// Leaves sends requests to the leaves of targets. A target is a back end; a leaf is one of
+// its workers, known by its number. target.Client implements it. An error should be a
+// *target.CallError, which states whether the leaf may have run the request.
 type Leaves interface {
+	// Search sends one attempt of a search or browse request.
 	Search(ctx context.Context, target string, leaf int, req target.LeafRequest) (target.LeafAnswer, error)
+	// Submit sends a non-idempotent request.
 	Submit(ctx context.Context, target string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error)
 }
 
 // Options configure an Engine. Leaves is required.
 type Options struct {
 	Leaves  Leaves
-	Zone    string // of this VM
-	Workers int    // maximum number of leaf calls in flight; 512 if 0
-	Seed    uint64 // of random choices
-	Log     *slog.Logger
+	Zone    string           // availability zone of this VM
+	Workers int              // maximum number of leaf calls in flight; 512 if 0
+	Seed    uint64           // seed of the policy's random choices
+	Log     *slog.Logger     // discards all if nil
 	Metrics *metrics.Set     // a new set if nil
 	Clock   func() time.Time // time.Now if nil
-	// OnDrain, if not nil, is called for each new drain that an answer or a status
-	// states, without a lock held.
+	// OnDrain, if not nil, is called when an answer or a status of a target states for
+	// the first time that this incarnation (one process) of the target is draining, which
+	// means that it is about to leave. No lock is held during the call.
 	OnDrain func(target, incarnation string)
 }
 
+// defaultWorkers is the default of Options.Workers: the number of goroutines that call
+// leaves, each one call at a time.
 const defaultWorkers = 512
 
 // Engine runs queries. It is safe for concurrent use.
 type Engine struct {
 	opt  Options
-	pool *Pool
-	now  func() time.Time
+	pool *Pool            // runs the calls to leaves
+	now  func() time.Time // Options.Clock
 
 	mu       sync.RWMutex        // guards the two maps, not the services in them
 	services map[string]*service // by service name
-	byTarget map[string]*service // by target name
+	byTarget map[string]*service // by the name of a target of the service
 }
 
 // service is the state that all queries of one service share.
@@ -53,9 +60,9 @@
 	name    string
 	metrics *serviceMetrics
 
-	mu        sync.Mutex // guards the fields below
-	table     *policy.Table
-	admission *policy.Admission
+	mu        sync.Mutex                              // guards the fields below
+	table     *policy.Table                           // what is known of the service's targets, and its hedge and retry budgets
+	admission *policy.Admission                       // decides which queries run, wait or are refused
 	waiting   map[policy.TicketID]chan policy.Verdict // queries that wait for admission
 }
 
@@ -111,6 +118,9 @@
 	e.byTarget = byTarget
 }
 
+// newService returns a service without targets. The length of its name is the second half of
+// the random seed, so services with names of different lengths make different random
+// choices.
 func (e *Engine) newService(name string) *service {
 	rng := rand.New(rand.NewPCG(e.opt.Seed, uint64(len(name))))
 	return &service{
@@ -121,6 +131,8 @@
 	}
 }
 
+// apply sets the service's targets, its share of queries and its budgets to those of the
+// bundle b, in which spec describes the service.
 func (s *service) apply(b *bundle.Bundle, spec *bundle.Service) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +148,9 @@
 }
 
 // fairShare returns how many whole queries this VM may run at once so that all VMs
-// together just fill the slots of the service's targets.
+// together just fill the slots of the service's targets. A query takes one slot on each
+// shard, so slots divided by shards is the number for all VMs. Each VM gets an equal part
+// of it, as if the fleet had its maximum size.
 func fairShare(b *bundle.Bundle, spec *bundle.Service) float64 {
 	slots := 0
 	for i := range spec.Targets {
@@ -171,6 +185,7 @@
 	return len(e.services) > 0
 }
 
+// readable reports whether the service has a snapshot that can be read at now.
 func (s *service) readable(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,19 +193,22 @@
 	return ok
 }
 
+// service returns the service of this name, or nil if the bundle in force has none.
 func (e *Engine) service(name string) *service {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return e.services[name]
 }
 
+// serviceOf returns the service that a target belongs to, or nil if the target is unknown.
 func (e *Engine) serviceOf(target string) *service {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return e.byTarget[target]
 }
 
-// TargetStatus implements target.Sink.
+// TargetStatus records a status that was read from a target. It calls OnDrain if the status
+// is the first to state that this incarnation is draining. It implements target.Sink.
 func (e *Engine) TargetStatus(name string, st target.Status, at time.Time) {
 	svc := e.serviceOf(name)
 	if svc == nil {
@@ -205,7 +223,7 @@
 	}
 }
 
-// TargetFailed implements target.Sink.
+// TargetFailed records that a read of a target's status failed. It implements target.Sink.
 func (e *Engine) TargetFailed(name string, err error, _ time.Time) {
 	svc := e.serviceOf(name)
 	if svc == nil {
@@ -217,8 +235,8 @@
 	svc.mu.Unlock()
 }
 
-// TargetLost records a report of other VMs: no VM that has connections to the target
-// can read its status.
+// TargetLost records a report of other VMs: none of the VMs that have connections to the
+// target can read its status.
 func (e *Engine) TargetLost(name string) {
 	svc := e.serviceOf(name)
 	if svc == nil {
@@ -229,7 +247,9 @@
 	svc.mu.Unlock()
 }
 
-// TargetState implements target.Sink.
+// TargetState records that the headers of an answer state that a target is draining, and
+// calls OnDrain if that is new. It ignores all other states: they are learned from status
+// reads. It implements target.Sink.
 func (e *Engine) TargetState(name, incarnation string, state target.State, _ time.Time) {
 	if state != target.StateDraining {
 		return
@@ -246,8 +266,8 @@
 	}
 }
 
-// MarkDraining records a report of another VM: this incarnation of the target is
-// draining.
+// MarkDraining records a report of another VM: this incarnation (one process) of the
+// target is draining, which means that it is about to leave.
 func (e *Engine) MarkDraining(name, incarnation string) {
 	svc := e.serviceOf(name)
 	if svc == nil {
--- a/query/metrics.go
+++ b/query/metrics.go
@@ -26,12 +26,13 @@
 // serviceMetrics holds the metrics of one service's queries.
 type serviceMetrics struct {
 	phases   map[phase]*metrics.PrometheusHistogram
-	hedges   *metrics.Counter
-	retries  *metrics.Counter
-	refused  *metrics.Counter
-	admitted *metrics.Counter
+	hedges   *metrics.Counter // attempts sent as hedges
+	retries  *metrics.Counter // attempts sent as retries
+	refused  *metrics.Counter // queries and submissions that admission refused
+	admitted *metrics.Counter // queries and submissions that admission let run
 }
 
+// newServiceMetrics returns the metrics of a service and adds those to set that it lacks.
 func newServiceMetrics(set *metrics.Set, service string) *serviceMetrics {
 	name := func(metric string) string { return fmt.Sprintf("bramley_query_%s{service=%q}", metric, service) }
 	m := &serviceMetrics{
@@ -48,10 +49,12 @@
 	return m
 }
 
+// observePhase adds the duration of one query's phase to the phase's histogram.
 func (m *serviceMetrics) observePhase(p phase, d time.Duration) { m.phases[p].Update(d.Seconds()) }
 
-// recordEnd counts an admitted query. It records phases only for queries that every
-// shard answered: other queries did not end with an answer.
+// recordEnd counts the hedges and retries of an admitted query that ended. It records
+// phases only for queries that every shard answered, because only those end when the last
+// answer arrives.
 func (m *serviceMetrics) recordEnd(out *policy.Outcome) {
 	m.hedges.Add(out.Hedges)
 	m.retries.Add(out.Retries)
--- a/query/pool.go
+++ b/query/pool.go
@@ -6,11 +6,11 @@
 // they were queued. It bounds how many calls a VM has in flight. It is safe for
 // concurrent use.
 type Pool struct {
-	jobs chan func()
-	tomb tomb.Tomb
+	jobs chan func() // the queue
+	tomb tomb.Tomb   // runs the workers
 }
 
-// queuedJobsPerWorker bounds the queue: the number of waiting jobs per worker.
+// queuedJobsPerWorker is the capacity of the queue of waiting jobs, in jobs per worker.
 const queuedJobsPerWorker = 4
 
 // NewPool starts a pool of n workers.
@@ -22,6 +22,7 @@
 	return p
 }
 
+// work is one worker: it runs queued jobs one after another until Stop is called.
 func (p *Pool) work() error {
 	for {
 		select {
--- a/query/reason.go
+++ b/query/reason.go
@@ -5,8 +5,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// missingReason returns the reason that the coverage states for a shard whose call
-// failed with e.
+// missingReason returns the reason for which a shard is missing if its call failed with e.
+// The coverage in the caller's answer states this reason.
 func missingReason(e *target.CallError) policy.Reason {
 	switch e.Kind {
 	case target.ErrorUnknownTarget:
@@ -26,7 +26,8 @@
 	}
 }
 
-// refusalReason is missingReason for a call that the target refused.
+// refusalReason returns the same as missingReason for a call that the target refused with
+// reason r.
 func refusalReason(r target.Reason) policy.Reason {
 	switch r {
 	case target.ReasonNoSnapshot:
--- a/query/request.go
+++ b/query/request.go
@@ -12,48 +12,53 @@
 // Request is a search or one browse page. It must already be checked against the
 // bundle under which it runs.
 type Request struct {
-	ID          string
+	ID          string         // id of the caller's request
 	Search      *bundle.Search // from the bundle in force when the request arrived
 	Arrived     time.Time
 	TimeLimit   time.Duration // how long the caller waits, from Arrived
 	MinCoverage float64       // coverage that the caller needs, 0 to 1
-	Query       string
-	MaxItems    int    // maximum number of items to return
-	Snapshot    string // the one that a cursor names; empty if any may be read
-	After       string // browse only: return keys greater than this one
+	Query       string        // passed to the leaves unchanged
+	MaxItems    int           // maximum number of items to return
+	Snapshot    string        // name of the snapshot to read, from a cursor; empty if any may be read
+	After       string        // browse only: return keys greater than this one
 }
 
 // Answer is the outcome of a Request.
 type Answer struct {
 	Code       result.Code
-	Detail     string
-	RetryAfter time.Duration // for codes whose Retry is RetryLater
-	Ran        result.Ran
-	Snapshot   policy.Snapshot
-	Coverage   policy.Coverage
+	Detail     string          // more about Code, for the caller; may be empty
+	RetryAfter time.Duration   // when the caller may retry; for codes whose Retry is RetryLater
+	Ran        result.Ran      // whether a target ran the request
+	Snapshot   policy.Snapshot // the one that was read
+	Coverage   policy.Coverage // how much of the snapshot the answer is based on
 	Items      []target.Item
 	More       bool // further matches exist beyond Items
 	Sent       int  // attempts sent, hedges and retries included
-	Hedges     int
-	Retries    int
+	Hedges     int  // how many of the attempts sent were hedges
+	Retries    int  // how many of the attempts sent were retries
 }
 
 // The part of the time limit that is reserved for merging and sending the answer: one
 // part in reserveDivisor, within minReserve and maxReserve.
 const (
-	reserveDivisor = 20
-	minReserve     = 2 * time.Millisecond
-	maxReserve     = 20 * time.Millisecond
+	reserveDivisor = 20                    // the reserve is the time limit divided by this
+	minReserve     = 2 * time.Millisecond  // least reserve of a request
+	maxReserve     = 20 * time.Millisecond // largest reserve of a request
 )
 
-// deadline returns when the outcome must be decided for the answer to arrive in time.
+// deadline returns when the outcome must be decided for the answer to arrive in time: the
+// end of the time limit, less the time reserved for merging and sending the answer.
 func (r *Request) deadline() time.Time {
 	reserve := min(max(r.TimeLimit/reserveDivisor, minReserve), maxReserve)
 	return r.Arrived.Add(r.TimeLimit - reserve)
 }
 
+// plain reports whether the search has the policy bundle.PolicyPlain. Such requests skip
+// admission, and their end is not recorded in the admission policy and the metrics.
 func (r *Request) plain() bool { return r.Search.Policy == bundle.PolicyPlain }
 
+// spec returns the request's deadline, coverage, and rules for hedges and retries, in the form
+// that package policy takes. Plain states that the search uses bundle.PolicyPlain.
 func (r *Request) spec() policy.Spec {
 	s := r.Search
 	return policy.Spec{
--- a/query/run.go
+++ b/query/run.go
@@ -11,8 +11,9 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// defaultRetryAfter is the retry time that is stated with answers that failed for lack
-// of replicas. It is about the time in which changes of targets' health become known.
+// defaultRetryAfter is the retry time that an answer states if its failure has none of its
+// own, for example for lack of replicas. It is about the time in which changes of targets'
+// health become known.
 const defaultRetryAfter = time.Second
 
 // Search runs a query to its end. It returns as soon as the outcome is decided. It
@@ -56,19 +57,22 @@
 	engine  *Engine
 	svc     *service
 	req     *Request
-	ctx     context.Context
-	events  chan event
-	cancels map[policy.AttemptID]context.CancelFunc
-	query   *policy.Query
+	ctx     context.Context                         // ends when the query ends or the caller disconnects
+	events  chan event                              // ends of attempts, for loop
+	cancels map[policy.AttemptID]context.CancelFunc // cancel the calls of the attempts
+	query   *policy.Query                           // the policy's state of this query; guarded by svc.mu
 }
 
 // event is the end of an attempt; answer is nil if it failed.
 type event struct {
 	attempt policy.AttemptID
 	answer  *target.LeafAnswer
-	failure policy.Failure
+	failure policy.Failure // valid only if answer is nil
 }
 
+// loop runs the query until its outcome is decided. In each round it executes the policy's
+// actions, and then waits for the end of an attempt, for the time at which the policy wants
+// to be called (wake), or for the caller to disconnect.
 func (r *runner) loop() *policy.Outcome {
 	wake, acts := r.start()
 	timer := time.NewTimer(time.Until(wake))
@@ -89,6 +93,8 @@
 	}
 }
 
+// start begins the query. It returns the time at which the policy is to be called next, and
+// the actions to execute now.
 func (r *runner) start() (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -99,7 +105,7 @@
 }
 
 // handleEvents passes ev and all events that are queued by now to the policy, under one
-// lock.
+// lock. Its results are the same as those of start.
 func (r *runner) handleEvents(ev event) (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -115,7 +121,8 @@
 	}
 }
 
-// handleEvent passes an event to the policy. The caller must hold svc.mu.
+// handleEvent passes an event to the policy and returns the actions to execute. The caller
+// must hold svc.mu.
 func (r *runner) handleEvent(now time.Time, ev event) []policy.Action {
 	if ev.answer != nil {
 		return r.query.HandleAnswer(now, ev.attempt, ev.answer)
@@ -123,6 +130,8 @@
 	return r.query.HandleFailure(now, ev.attempt, ev.failure)
 }
 
+// tick calls the policy at the time that it asked for. Its results are the same as those of
+// start.
 func (r *runner) tick() (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -155,6 +164,7 @@
 	return nil
 }
 
+// cancelAttempt cancels the call of an attempt.
 func (r *runner) cancelAttempt(id policy.AttemptID) {
 	if cancel := r.cancels[id]; cancel != nil {
 		cancel()
@@ -162,6 +172,8 @@
 	}
 }
 
+// send passes an attempt to the workers, which call the leaf. If their queue is full, the
+// attempt ends as refused because this VM is busy.
 func (r *runner) send(s policy.Send) {
 	ctx, cancel := context.WithTimeout(r.ctx, s.Timeout)
 	r.cancels[s.Attempt] = cancel
@@ -171,6 +183,7 @@
 	}
 	if !r.engine.pool.TryEnqueue(job) {
 		cancel()
+		// In a goroutine, because post may wait for loop, which runs send.
 		go r.post(event{attempt: s.Attempt, failure: policy.Failure{Reason: policy.ReasonBusy, Refused: true}})
 	}
 }
@@ -183,6 +196,8 @@
 	}
 }
 
+// call sends an attempt to its leaf, waits for the answer and returns it, or the failure, as
+// an event. The request states the time that is left until ctx's deadline.
 func (r *runner) call(ctx context.Context, s policy.Send) event {
 	deadline, _ := ctx.Deadline()
 	answer, err := r.engine.opt.Leaves.Search(ctx, s.Replica.Target, s.Replica.Leaf, target.LeafRequest{
@@ -204,7 +219,10 @@
 	return event{attempt: s.Attempt, answer: &answer}
 }
 
-// failureOf translates an error of Leaves for the policy.
+// failureOf describes the error of a call to a leaf to the policy: the reason for which the
+// shard is missing, whether the target is certain not to have started the request, and
+// whether no connection was available. An error that is not a *target.CallError counts as
+// ReasonBroken.
 func failureOf(err error) policy.Failure {
 	var call *target.CallError
 	if !errors.As(err, &call) {
--- a/query/submit.go
+++ b/query/submit.go
@@ -14,22 +14,23 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Submission is a non-idempotent request. The caller must have claimed its key.
+// Submission is a non-idempotent request: no target may run it a second time. Before it is
+// submitted, its key must be claimed, so that no other VM submits the same request.
 type Submission struct {
-	ID       string
+	ID       string // id of the caller's request
 	Search   *bundle.Search
-	Key      string // idempotency key
-	Payload  json.RawMessage
+	Key      string          // idempotency key
+	Payload  json.RawMessage // passed to the target unchanged
 	Deadline time.Time
 }
 
-// SubmitResult is the outcome of a Submission. Code is Accepted, or a code whose
-// Ran is "not run", or OutcomeUnknown.
+// SubmitResult is the outcome of a Submission. Code is Accepted if a target ran it,
+// OutcomeUnknown if one may have run it, and otherwise a code whose Ran is "not run".
 type SubmitResult struct {
 	Code       result.Code
-	Result     json.RawMessage
-	Detail     string
-	RetryAfter time.Duration
+	Result     json.RawMessage // the target's result; only if Code is Accepted
+	Detail     string          // more about Code, for the caller; may be empty
+	RetryAfter time.Duration   // when the caller may retry; 0 if Code is Accepted or OutcomeUnknown
 }
 
 // Admit admits or refuses a non-idempotent request for a service, before its key is
@@ -68,12 +69,17 @@
 	return e.runSubmission(ctx, svc, req, sub)
 }
 
+// runSubmission sends the request to the leaves that sub chooses, one after another. It
+// returns when one has run the request or may have run it, or when no leaf can be tried
+// before the deadline.
 func (e *Engine) runSubmission(ctx context.Context, svc *service, req *Submission, sub *policy.Submission) SubmitResult {
 	for {
 		svc.mu.Lock()
 		send, retryAt, ok := sub.Next(e.now())
 		svc.mu.Unlock()
 		if !ok {
+			// No leaf can be tried now. Wait for retryAt, unless there is none (it is
+			// zero) or it is not before the deadline.
 			if retryAt.IsZero() || !retryAt.Before(req.Deadline) || !sleep(ctx, time.Until(retryAt)) {
 				return notStartedResult(sub)
 			}
@@ -103,6 +109,8 @@
 	}
 }
 
+// callTarget sends the request to the leaf that send names and waits for the answer until the
+// request's deadline.
 func (e *Engine) callTarget(ctx context.Context, req *Submission, send policy.Send) (target.SubmitAnswer, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
@@ -119,6 +127,9 @@
 	})
 }
 
+// endOfAttempt describes the end of a call to the policy. The end is answered if err is nil,
+// and refused if it is certain that the target did not start the request. Otherwise both
+// are false: the target may have run it.
 func endOfAttempt(err error) policy.AttemptEnd {
 	if err == nil {
 		return policy.AttemptEnd{Answered: true}
@@ -130,6 +141,8 @@
 	return policy.AttemptEnd{}
 }
 
+// notStartedResult returns the result of a request that no target started. Its code is
+// NoReplica if no leaf was tried, and NotStarted otherwise.
 func notStartedResult(sub *policy.Submission) SubmitResult {
 	if sub.Tried() == 0 {
 		return SubmitResult{Code: result.NoReplica, RetryAfter: defaultRetryAfter}
