--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -14,7 +14,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// readBody reads the request's body, which may have up to MaxBodyBytes.
+// readBody reads the request's body into req.body. The body may have up to MaxBodyBytes.
 func (req *request) readBody(w http.ResponseWriter) error {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.http.Body, MaxBodyBytes))
 	var tooBig *http.MaxBytesError
@@ -28,7 +28,8 @@
 	return nil
 }
 
-// newAnswer returns an answer with the fields that follow from its code.
+// newAnswer returns an answer with the given code, and with the name, text and ran state
+// that belong to the code.
 func newAnswer(code result.Code) *Answer {
 	info := code.Info()
 	return &Answer{
@@ -56,6 +57,8 @@
 	return int64(math.Ceil(float64(d) / float64(time.Millisecond)))
 }
 
+// newCoverage converts a query's coverage to its JSON form. If explain is true, the form lists
+// the gaps: the shards with missing records.
 func newCoverage(c *policy.Coverage, explain bool) *Coverage {
 	out := &Coverage{
 		Ratio:          c.Ratio(),
@@ -73,7 +76,8 @@
 
 const msPerSecond = int64(time.Second / time.Millisecond)
 
-// writeAnswer completes the answer, counts it and sends it.
+// writeAnswer sets the answer's request id, revision and duration, counts the answer in the
+// metrics and sends it.
 func (g *Gateway) writeAnswer(w http.ResponseWriter, req *request, a *Answer) {
 	a.Request = req.id
 	if req.inForce != nil {
@@ -95,6 +99,7 @@
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set(HeaderRequest, req.id)
 	if a.RetryAfterMS > 0 {
+		// In whole seconds, rounded up.
 		h.Set(HeaderRetryAfter, strconv.FormatInt((a.RetryAfterMS+msPerSecond-1)/msPerSecond, 10))
 	}
 	if g.leaving.Load() {
@@ -106,6 +111,8 @@
 	}
 }
 
+// updateMetrics counts an answer under the name of its code, its duration, and the calls to
+// leaves that were made for it.
 func (g *Gateway) updateMetrics(a *Answer, took time.Duration) {
 	g.opt.Metrics.GetOrCreateCounter(fmt.Sprintf(`bramley_requests_total{code="%s"}`, a.Name)).Inc()
 	g.opt.Metrics.GetOrCreateHistogram("bramley_request_seconds").Update(took.Seconds())
--- a/gateway/cursor.go
+++ b/gateway/cursor.go
@@ -10,11 +10,12 @@
 // cursor states where the next browse page begins. It names the snapshot, so that all
 // pages of one listing come from the same snapshot.
 type cursor struct {
-	Search   string `json:"search"`
-	Snapshot string `json:"snapshot"`
-	After    string `json:"after"` // key of the last item of the page before
+	Search   string `json:"search"`   // name of the search
+	Snapshot string `json:"snapshot"` // name of the snapshot
+	After    string `json:"after"`    // key of the last item of the page before
 }
 
+// encode returns the cursor as base64 of its JSON form, without padding.
 func (c cursor) encode() string {
 	raw, _ := json.Marshal(c) // a struct of strings can always be encoded
 	return base64.RawURLEncoding.EncodeToString(raw)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,29 +21,37 @@
 
 // Bounds on requests and connections of callers.
 const (
-	MaxBodyBytes   = 64 << 10 // bytes
-	MaxHeaderBytes = 16 << 10 // bytes
-	readTimeout    = 10 * time.Second
-	idleTimeout    = 2 * time.Minute
+	MaxBodyBytes   = 64 << 10         // size of a request's body, in bytes
+	MaxHeaderBytes = 16 << 10         // size of a request's header, in bytes
+	readTimeout    = 10 * time.Second // for reading one request; it also bounds its header alone
+	idleTimeout    = 2 * time.Minute  // after which an unused connection of a caller is closed
 	writeMargin    = 10 * time.Second // for writing the answer, beyond the longest time limit of a request
-	maxTimeLimit   = time.Minute
+	maxTimeLimit   = time.Minute      // longest time limit of a request
 )
 
-// Config returns the bundle in force, or nil before there is one. rollout.Follower
-// implements it.
+// Config gives access to the bundle in force: the configuration that this VM uses now.
+// rollout.Follower implements it.
 type Config interface {
+	// Current returns the bundle in force, or nil before there is one.
 	Current() *rollout.InForce
 }
 
 // Engine runs requests on targets. query.Engine implements it.
 type Engine interface {
+	// Search runs a search or a browse page to its end.
 	Search(ctx context.Context, req *query.Request) *query.Answer
+	// Admit admits or refuses a non-idempotent request; refused is nil if it is admitted.
+	// done must be called when an admitted request ends.
 	Admit(ctx context.Context, service string, deadline time.Time) (done func(), refused *query.Answer)
+	// Submit runs an admitted non-idempotent request whose key was claimed.
 	Submit(ctx context.Context, req *query.Submission) query.SubmitResult
 }
 
-// Claims runs a non-idempotent request at most once. once.Runner implements it.
+// Claims runs a non-idempotent request at most once for each idempotency key, on whichever
+// VM it arrives. once.Runner implements it.
 type Claims interface {
+	// Run claims the key of req and calls run, unless the key was claimed before. It
+	// returns the outcome for the caller.
 	Run(ctx context.Context, req once.Request, run func(ctx context.Context) once.Outcome) once.Outcome
 }
 
@@ -52,7 +60,7 @@
 	Config     Config
 	Engine     Engine
 	Claims     Claims
-	Deployment string
+	Deployment string       // name of the deployment that this VM belongs to
 	Log        *slog.Logger // discards all if nil
 	Metrics    *metrics.Set // a new set if nil
 }
@@ -60,7 +68,7 @@
 // Gateway serves callers' requests over HTTP. It is safe for concurrent use.
 type Gateway struct {
 	opt     Options
-	leaving atomic.Bool
+	leaving atomic.Bool // Leave was called
 }
 
 // New returns a gateway. It serves requests through Handler or Server.
@@ -91,7 +99,7 @@
 	}
 }
 
-// Handler returns the gateway's routes.
+// Handler returns the HTTP handler of all paths that callers use.
 func (g *Gateway) Handler() http.Handler {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Post("/v1/search/:search"), g.serve(g.search))
@@ -103,13 +111,14 @@
 
 // request is one caller's request while the gateway handles it.
 type request struct {
-	id      string
+	id      string // assigned by this VM; the answer repeats it
 	arrived time.Time
-	inForce *rollout.InForce // when the request arrived; used until its end
+	inForce *rollout.InForce // bundle in force when the request arrived; nil if there was none
 	http    *http.Request
-	body    []byte
+	body    []byte // set by readBody
 }
 
+// handler serves one kind of request and returns the answer to it.
 type handler func(req *request) *Answer
 
 // serve returns an HTTP handler that does what all requests have in common: it assigns
@@ -127,6 +136,8 @@
 	}
 }
 
+// handle reads the request's body, passes the request to h and returns the answer. While this
+// VM has no bundle in force, it refuses the request.
 func (g *Gateway) handle(w http.ResponseWriter, req *request, h handler) *Answer {
 	if req.inForce == nil {
 		return errorAnswer(result.Errorf(result.NoBundle, "").WithRetryAfter(noBundleRetryAfter))
@@ -140,6 +151,7 @@
 // noBundleRetryAfter is the retry time that a VM states while it has no bundle in force.
 const noBundleRetryAfter = time.Second
 
+// unknownPath answers a request whose path or method the gateway does not serve.
 func unknownPath(*request) *Answer {
 	return errorAnswer(result.Errorf(result.UnknownSearch,
 		"allowed are POST /v1/search/NAME, POST /v1/browse/NAME and POST /v1/submit/NAME"))
--- a/gateway/search.go
+++ b/gateway/search.go
@@ -34,6 +34,7 @@
 	return a
 }
 
+// nextCursor returns the cursor of the next browse page, or "" if there is none.
 func nextCursor(q *query.Request, out *query.Answer) string {
 	if q.Search.Kind != bundle.KindBrowse || !out.More || len(out.Items) == 0 {
 		return ""
@@ -53,6 +54,8 @@
 	return s, nil
 }
 
+// parseSearch returns the query that the request states, with the bundle's defaults applied,
+// and the decoded body.
 func (req *request) parseSearch() (*query.Request, *SearchBody, error) {
 	s, err := req.findSearch()
 	if err != nil {
@@ -109,7 +112,8 @@
 	return nil
 }
 
-// timeLimit returns the caller's time limit, and the search's default if ms is 0.
+// timeLimit returns the caller's time limit of ms milliseconds, or the search's default if
+// ms is 0. A limit that the search does not allow is an error.
 func timeLimit(s *bundle.Search, ms int) (time.Duration, error) {
 	if ms == 0 {
 		ms = s.TimeLimit.DefaultMS
@@ -121,6 +125,9 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
+// applyCursor sets the snapshot and the first key of a browse page to those that the caller's
+// cursor states. Without a cursor it does nothing. A cursor of another search, or with a
+// request that isn't a browse request, is an error.
 func applyCursor(q *query.Request, encoded string) error {
 	if encoded == "" {
 		return nil
--- a/gateway/submit.go
+++ b/gateway/submit.go
@@ -14,7 +14,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// submit serves a non-idempotent request.
+// submit serves a non-idempotent request: it checks the request, waits until it is
+// admitted, and runs it at most once.
 func (g *Gateway) submit(req *request) *Answer {
 	s, key, limit, err := req.parseSubmit()
 	if err != nil {
@@ -31,9 +32,9 @@
 	return g.runOnce(req, s, key, deadline)
 }
 
-// runOnce claims the key and runs the request. The request is not cancelled if the
-// caller disconnects: a request that was sent to a target is followed to its outcome,
-// up to its deadline.
+// runOnce claims the idempotency key and runs the request, unless the key was claimed
+// before. The request is not cancelled if the caller disconnects: once it was sent to a
+// target, this VM waits for the outcome, up to the deadline.
 func (g *Gateway) runOnce(req *request, s *bundle.Search, key once.Key, deadline time.Time) *Answer {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(req.http.Context()), deadline)
 	defer cancel()
@@ -61,7 +62,8 @@
 	return a
 }
 
-// parseSubmit returns the request's search, key and time limit.
+// parseSubmit returns the request's search, idempotency key and time limit, and checks that
+// the body is valid JSON.
 func (req *request) parseSubmit() (*bundle.Search, once.Key, time.Duration, error) {
 	s, err := req.findSearch()
 	if err != nil {
