--- a/node/claims.go
+++ b/node/claims.go
@@ -12,7 +12,8 @@
 )
 
 // buildClaims creates the runner of non-idempotent requests, and the links to the VMs
-// that commit claims for this VM.
+// that commit claims for this VM. A claim records that a request's idempotency key is in
+// use.
 func (n *Node) buildClaims() {
 	n.links = relay.NewLinks(relay.Options{
 		Self:  n.settings.Name,
@@ -31,7 +32,8 @@
 }
 
 // handlePeerCall serves the calls that other VMs make over connections opened for such
-// calls: relayed claims, and calls to leaves of targets that this VM owns.
+// calls: claims that this VM is to commit, and calls to leaves of targets that this VM
+// owns, which means that it holds connections to them.
 func (n *Node) handlePeerCall(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
 	if strings.HasPrefix(method, relay.Prefix) {
 		return relay.Handle(ctx, n.claims, method, params)
--- a/node/follow.go
+++ b/node/follow.go
@@ -8,8 +8,9 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// followRevisions applies each revision that comes into force. It also opens and closes
-// connections when this VM becomes an owner of targets or stops being one.
+// followRevisions applies each revision of the bundle that comes into force. It also opens
+// and closes connections to a target when this VM becomes one of the target's owners (the
+// VMs that hold connections to it) or stops being one.
 func (n *Node) followRevisions() error {
 	var applied *rollout.InForce
 	for {
@@ -18,7 +19,7 @@
 			n.applyRevision(inForce)
 			applied = inForce
 		}
-		shares := n.router.Changed()
+		shares := n.router.Changed() // signals that this VM's shares of connections changed
 		if applied != nil {
 			endpoints := n.endpoints(applied.Bundle)
 			n.client.Apply(endpoints)
@@ -47,7 +48,8 @@
 	n.log.Info("revision in force", "revision", inForce.Revision, "digest", inForce.Digest)
 }
 
-// followDrains applies the drains that other VMs report.
+// followDrains applies the drains that other VMs report. A drain states that one
+// incarnation of a target is about to leave.
 func (n *Node) followDrains() error {
 	for {
 		changed := n.peers.DrainsChanged()
@@ -60,6 +62,7 @@
 	}
 }
 
+// applyDrains passes all drains that are known from other VMs to the engine.
 func (n *Node) applyDrains() {
 	for _, d := range n.peers.Drains() {
 		n.engine.MarkDraining(d.Target, d.Incarnation)
@@ -70,8 +73,9 @@
 // watch the platform.
 const watchingCheckInterval = time.Second
 
-// updateWatching keeps the follower's choice between watching the platform and relying on
-// peers up to date.
+// updateWatching checks every watchingCheckInterval whether this VM is one of those that
+// watch the platform for changes, and passes the result to the follower. The other VMs rely
+// on their peers for changes.
 func (n *Node) updateWatching() error {
 	ticker := time.NewTicker(watchingCheckInterval)
 	defer ticker.Stop()
@@ -85,8 +89,8 @@
 	}
 }
 
-// endpoints returns the endpoints of a bundle's targets, each with this VM's share of
-// the target's connections.
+// endpoints returns the endpoints of a bundle's targets. Each states this VM's share: how
+// many connections to the target this VM may hold.
 func (n *Node) endpoints(b *bundle.Bundle) []target.Endpoint {
 	var list []target.Endpoint
 	for i := range b.Services {
--- a/node/node.go
+++ b/node/node.go
@@ -32,27 +32,27 @@
 type Node struct {
 	settings    *settings.Settings
 	log         *slog.Logger
-	incarnation string
-	started     time.Time
+	incarnation string    // random id of this process
+	started     time.Time // when this process created the Node
 	metrics     *metrics.Set
-	tomb        tomb.Tomb
-	leaving     atomic.Bool
+	tomb        tomb.Tomb   // runs the goroutines that Run starts
+	leaving     atomic.Bool // set when this VM begins to shut down
 	warmedUp    atomic.Bool // set when isWarmedUp first returned true
 
-	store    objstore.Store
-	follower *rollout.Follower
-	client   *target.Client
-	monitor  *target.Monitor
-	engine   *query.Engine
-	claims   *once.Runner
-	links    *relay.Links
-	peers    *peer.Exchange
-	router   *route.Router
-	health   *health.Relay
-	gateway  *gateway.Gateway
+	store    objstore.Store    // the platform's objects, for all parts but follower
+	follower *rollout.Follower // knows the bundle in force
+	client   *target.Client    // this VM's own connections to targets
+	monitor  *target.Monitor   // reads the status of targets
+	engine   *query.Engine     // runs queries and submissions
+	claims   *once.Runner      // runs non-idempotent requests at most once
+	links    *relay.Links      // to the VMs that commit claims for this VM
+	peers    *peer.Exchange    // exchange of state with the other VMs
+	router   *route.Router     // sends calls through client, or through a VM that owns the target
+	health   *health.Relay     // passes the health of targets to engine and between VMs
+	gateway  *gateway.Gateway  // HTTP interface for callers
 
-	callers *listener
-	ops     *listener
+	callers *listener // for callers; set by Run
+	ops     *listener // for operators; set by Run
 }
 
 // listener is an HTTP server with its socket.
@@ -61,6 +61,7 @@
 	socket net.Listener
 }
 
+// listen opens a TCP listener at address for server, which does not serve yet.
 func listen(address string, server *http.Server) (*listener, error) {
 	socket, err := net.Listen("tcp", address)
 	if err != nil {
@@ -111,6 +112,7 @@
 	return n, nil
 }
 
+// buildPeers creates the exchange with the other VMs.
 func (n *Node) buildPeers() error {
 	var err error
 	n.peers, err = peer.New(peer.Options{
@@ -133,10 +135,10 @@
 	return errors.Trace(err)
 }
 
-// buildTargets creates the client, the router, the engine and the monitor, which refer
-// to each other: the engine calls through the router, and the router through the
-// client. The client reports to the engine. The monitor reports to the health relay,
-// which reports to the engine.
+// buildTargets creates the client, the router, the health relay, the engine and the
+// monitor, which refer to each other. The engine calls leaves through the router, and the
+// router through the client. The client reports the states of targets to the engine. The
+// monitor reports them to the health relay, which reports to the engine.
 func (n *Node) buildTargets() {
 	clientSink := &deferredSink{}
 	n.client = target.NewClient(target.Options{
@@ -146,6 +148,8 @@
 	})
 	n.router = route.New(route.Options{
 		Local: n.client,
+		// A place is this VM's numbered position among the VMs that own the
+		// connections to targets.
 		Place: place.Options{
 			Store:       n.store,
 			Deployment:  n.settings.Deployment,
@@ -181,9 +185,10 @@
 	})
 }
 
-// deferredSink lets the client be created before the engine that it reports to. The
-// Sink must be set before the first call.
+// deferredSink is the Sink of the client, which is created before the engine that it
+// reports to. The embedded Sink is set to the engine later, before the client's first call.
 type deferredSink struct{ target.Sink }
 
-// deferredHealthSink is the same for the health relay.
+// deferredHealthSink is the Sink of the health relay, which is created before the engine
+// that it reports to. The embedded Sink is set to the engine later.
 type deferredHealthSink struct{ health.Sink }
--- a/node/run.go
+++ b/node/run.go
@@ -39,6 +39,7 @@
 	return errors.Trace(n.shutdown())
 }
 
+// openListeners opens the listeners for callers and for operators. They do not serve yet.
 func (n *Node) openListeners() error {
 	var err error
 	if n.callers, err = listen(n.settings.Listen.Callers, n.gateway.Server()); err != nil {
@@ -51,6 +52,7 @@
 	return errors.Trace(err)
 }
 
+// serve returns a function that serves HTTP requests on l until its server is shut down.
 func (n *Node) serve(l *listener) func() error {
 	return func() error {
 		err := l.server.Serve(l.socket)
@@ -72,10 +74,13 @@
 	time.Sleep(time.Duration(n.settings.LameDuckMS) * time.Millisecond)
 }
 
-// shutdownTimeout bounds the wait for requests in flight. No request may take longer
-// than 1 min.
+// shutdownTimeout bounds the wait for requests in flight and the other waits of a shutdown,
+// all together. No request may take longer than 1 min.
 const shutdownTimeout = 70 * time.Second
 
+// shutdown waits for the callers' requests in flight and then stops all parts of the daemon.
+// The operators' listener stays open until the other parts have stopped. It returns the first
+// error.
 func (n *Node) shutdown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -95,6 +100,7 @@
 	return firstError(err, n.tomb.Wait())
 }
 
+// firstError returns a, or b if a is nil.
 func firstError(a, b error) error {
 	if a != nil {
 		return a
--- a/node/status.go
+++ b/node/status.go
@@ -6,11 +6,11 @@
 	"github.com/bramleybarrow/bramleybarrow/ops"
 )
 
-// maxPlatformSilence is the time since the last successful read from which on this VM
-// reports the platform as unreachable.
+// maxPlatformSilence bounds the time since the last successful read from the platform. When
+// that read is this old, this VM reports the platform as unreachable.
 const maxPlatformSilence = 5 * time.Second
 
-// Status returns the state that the status page for operators shows.
+// Status returns the state of this VM for the operators' status page.
 func (n *Node) Status() ops.Status {
 	st := ops.Status{
 		VM:              n.settings.Name,
@@ -41,9 +41,10 @@
 const warmupTimeout = 3 * time.Second
 
 // isWarmedUp reports whether this VM has learned the state of its targets since it
-// started, or warmupTimeout has passed. A VM that accepted requests as soon as a bundle
-// is in force would answer that no replica is alive. Once true, the result stays true: a
-// rollout that adds a service must not make all VMs not ready at the same time.
+// started, or warmupTimeout has passed since inForceSince. A VM that accepted requests as
+// soon as a bundle is in force would answer that no replica is alive. Once true, the result
+// stays true: a rollout that adds a service must not make all VMs unavailable at the same
+// time.
 func (n *Node) isWarmedUp(inForceSince time.Time) bool {
 	if n.warmedUp.Load() {
 		return true
