--- a/settings/load.go
+++ b/settings/load.go
@@ -26,14 +26,15 @@
 	return s, LoadInto(path, s, s.validate)
 }
 
-// Parse is Load for the content of a settings file.
+// Parse does the same as Load with the content of a settings file.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{}
 	return s, ParseInto(data, s, s.validate)
 }
 
-// LoadInto decodes a settings file into the struct that into points at, and then calls
-// check, which returns what is invalid. Errors are as for Load.
+// LoadInto reads a settings file and decodes its JSON into a struct; into is the pointer to
+// it. Then it calls check, which returns a finding for each invalid field. Errors are the
+// same as those of Load.
 func LoadInto(path string, into any, check func() []strictjson.Finding) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return ParseInto(data, into, check)
 }
 
-// ParseInto is LoadInto for the content of a settings file.
+// ParseInto does the same as LoadInto with the content of a settings file.
 func ParseInto(data []byte, into any, check func() []strictjson.Finding) error {
 	findings := strictjson.Decode(data, into)
 	if len(findings) == 0 {
@@ -58,6 +59,7 @@
 	return result.Errorf(result.BadSettings, "%s", strings.Join(lines, "; "))
 }
 
+// validate returns a finding for each invalid field of the settings.
 func (s *Settings) validate() []strictjson.Finding {
 	var c validator
 	c.nonEmpty("$.name", s.Name)
@@ -97,24 +99,27 @@
 // validator collects the findings on a settings file.
 type validator struct{ findings []strictjson.Finding }
 
+// add adds a finding: the path of the field, what was found there and what is allowed.
 func (c *validator) add(path, found, allowed string) {
 	c.findings = append(c.findings, strictjson.Finding{Path: path, Found: found, Allowed: allowed})
 }
 
+// nonEmpty adds a finding if the field is empty.
 func (c *validator) nonEmpty(path, found string) {
 	if found == "" {
 		c.add(path, `""`, "a name")
 	}
 }
 
+// address adds a finding if the field is not an IP address with a port.
 func (c *validator) address(path, found string) {
 	if _, err := netip.ParseAddrPort(found); err != nil {
 		c.add(path, fmt.Sprintf("%q", found), "an IP address and port, such as 10.0.0.7:8001")
 	}
 }
 
-// base64Key checks the length of a base64 key, in decoded bytes. The finding does not
-// contain the key itself.
+// base64Key adds a finding if the field is not base64, or if the decoded key has fewer than
+// low or more than high bytes. The finding does not contain the key itself.
 func (c *validator) base64Key(path, found string, low, high int) {
 	raw, err := base64.StdEncoding.DecodeString(found)
 	if err != nil {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -10,37 +10,37 @@
 
 // Settings is the JSON settings file of bramleyd.
 type Settings struct {
-	Name       string   `json:"name"` // name of this VM in the platform's list
-	Deployment string   `json:"deployment"`
-	Zone       string   `json:"zone"`
+	Name       string   `json:"name"`       // name of this VM in the platform's list
+	Deployment string   `json:"deployment"` // name of the deployment that this VM belongs to
+	Zone       string   `json:"zone"`       // availability zone of this VM
 	Listen     Listen   `json:"listen"`
 	Platform   Platform `json:"platform"`
 	// OperatorKeys are the public keys whose signatures are accepted. One person may
 	// have two valid keys during a rotation.
 	OperatorKeys []bundle.PublicKey `json:"operator_keys"`
 	// FleetKeys are the base64 keys that the VMs of the deployment share, newest
-	// first. Each proves membership. A connection uses the first key of the dialling VM
-	// that both VMs hold.
+	// first. Holding one of them proves that a VM belongs to the deployment. A connection
+	// between two VMs uses the first key of the dialling VM that both hold.
 	FleetKeys []string `json:"fleet_keys"`
-	// Seeds are addresses of other VMs' peer listeners. They are used when neither the
-	// platform nor a peer names any VM, so that a fleet can start while the platform is
-	// down.
+	// Seeds are addresses (IP and port) at which other VMs listen for their peers. They
+	// are used when neither the platform nor a peer names any VM, so that a fleet can
+	// start while the platform is down.
 	Seeds      []string `json:"seeds,omitempty"`
 	Log        Log      `json:"log"`
-	LameDuckMS int      `json:"lame_duck_ms"` // time that requests are served after SIGTERM; should exceed the load balancer's lag
+	LameDuckMS int      `json:"lame_duck_ms"` // time in ms for which requests are still served after SIGTERM; should exceed the load balancer's lag
 }
 
 // Listen holds the IP addresses and ports that a daemon listens on.
 type Listen struct {
-	Callers string `json:"callers"`
-	Ops     string `json:"ops"`
-	Peers   string `json:"peers"`
+	Callers string `json:"callers"` // for callers' requests
+	Ops     string `json:"ops"`     // for the operators' page
+	Peers   string `json:"peers"`   // for other VMs
 	// PeersAt is the address at which other VMs reach Peers, if it differs from Peers:
 	// behind address translation, or if Peers is a wildcard address.
 	PeersAt string `json:"peers_at,omitempty"`
 }
 
-// PeersAddress returns the address that other VMs dial.
+// PeersAddress returns the address at which other VMs connect to this one.
 func (l Listen) PeersAddress() string {
 	if l.PeersAt != "" {
 		return l.PeersAt
@@ -56,7 +56,7 @@
 // Log configures the daemon's log.
 type Log struct {
 	Level string `json:"level"` // debug, info, warn or error
-	JSON  bool   `json:"json"`
+	JSON  bool   `json:"json"`  // write log lines as JSON
 }
 
 // FleetKeyBytes returns the decoded fleet keys. The settings must be validated: keys that
