--- a/wire/auth.go
+++ b/wire/auth.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	nonceBytes = 16 // length of a nonce before hex encoding
-	keyIDBytes = 8  // length of a key id before hex encoding
+	nonceBytes = 16 // length in bytes of a nonce, before hex encoding
+	keyIDBytes = 8  // length in bytes of a key id, before hex encoding
 )
 
 // Each proof covers the role of its sender, so that a proof cannot be sent back as the
 // proof of the other end.
 const (
-	roleDialer   = "dialer"
-	roleAcceptor = "acceptor"
+	roleDialer   = "dialer"   // the end that opened the connection
+	roleAcceptor = "acceptor" // the end that accepted it
 )
 
-// Hello is the first message of a connection.
+// Hello is the first message of a connection. The dialer sends it.
 type Hello struct {
-	Versions []int    `json:"versions"` // all that the sender speaks
-	From     Identity `json:"from"`
+	Versions []int    `json:"versions"`      // all protocol versions that the sender speaks
+	From     Identity `json:"from"`          // of the sender
 	Use      string   `json:"use,omitempty"` // Options.Use of the sender
-	Nonce    string   `json:"nonce"`         // hex
+	Nonce    string   `json:"nonce"`         // random bytes, in hex
 	KeyIDs   []string `json:"key_ids"`       // of all keys that the sender holds, the newest first
 }
 
 // HelloAnswer is the acceptor's answer to a Hello: what it chose, and its own nonce.
 type HelloAnswer struct {
-	Version int      `json:"version"` // chosen
-	From    Identity `json:"from"`
-	Nonce   string   `json:"nonce"`  // hex
-	KeyID   string   `json:"key_id"` // chosen
+	Version int      `json:"version"` // the protocol version that the acceptor chose
+	From    Identity `json:"from"`    // of the acceptor
+	Nonce   string   `json:"nonce"`   // random bytes, in hex
+	KeyID   string   `json:"key_id"`  // of the key that the acceptor chose
 }
 
 // Proof shows that its sender holds the chosen key.
@@ -44,17 +44,22 @@
 	Proof []byte `json:"proof"` // HMAC-SHA256; see computeProof
 }
 
+// newNonce returns a random nonce in hex. Each end contributes one to a hello, so that no two
+// hellos have the same proofs.
 func newNonce() string {
 	buf := make([]byte, nonceBytes)
 	rand.Read(buf) // never fails
 	return hex.EncodeToString(buf)
 }
 
+// keyID returns the public id of a key: a part of a hash, in hex, which does not reveal the
+// key.
 func keyID(key []byte) string {
 	sum := sha256.Sum256(append([]byte("bramleybarrow key id\n"), key...))
 	return hex.EncodeToString(sum[:keyIDBytes])
 }
 
+// keyIDs returns the ids of keys, in the same order.
 func keyIDs(keys [][]byte) []string {
 	ids := make([]string, len(keys))
 	for i, key := range keys {
@@ -63,6 +68,7 @@
 	return ids
 }
 
+// findKey returns the key with the given id, or nil if keys has none.
 func findKey(keys [][]byte, id string) []byte {
 	for _, key := range keys {
 		if keyID(key) == id {
@@ -83,7 +89,8 @@
 	return mac.Sum(nil)
 }
 
-// answerHello validates a hello and chooses the version and the key.
+// answerHello validates a dialer's hello. It chooses the newest version that both ends
+// speak, and the first key of the dialer that both hold. It returns the answer and that key.
 func answerHello(o *Options, hello *Hello) (*HelloAnswer, []byte, error) {
 	if hello.From.VM == "" || hello.From.Incarnation == "" || len(hello.Nonce) != 2*nonceBytes {
 		return nil, nil, result.Errorf(result.BadHello, "vm, incarnation and a nonce of %d hex digits are needed", 2*nonceBytes)
@@ -103,7 +110,8 @@
 	return nil, nil, result.Errorf(result.WrongKey, "no key in common")
 }
 
-// validateAnswer validates the acceptor's choice and returns the chosen key.
+// validateAnswer validates an acceptor's answer to this end's hello and returns the key that
+// the acceptor chose.
 func validateAnswer(o *Options, answer *HelloAnswer) ([]byte, error) {
 	if answer.From.Deployment != o.Self.Deployment {
 		return nil, result.Errorf(result.WrongFleet, "deployment %q found, want %q", answer.From.Deployment, o.Self.Deployment)
@@ -118,7 +126,7 @@
 	return key, nil
 }
 
-// supportedVersions returns all versions up to newest, the newest first.
+// supportedVersions returns all protocol versions from newest down to VersionJSON.
 func supportedVersions(newest int) (list []int) {
 	for v := newest; v >= VersionJSON; v-- {
 		list = append(list, v)
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -24,10 +24,10 @@
 // layers of JSON-RPC parse a message several times in each direction, and for a body of
 // leaf calls that costs more than all its other processing.
 type boundedCodec struct {
-	limit      *atomic.Int64 // bytes of one frame that is read
-	maxSend    int           // bytes of one frame that is written
-	bodies     *bodies
-	withBodies bool // this end speaks VersionCBOR
+	limit      *atomic.Int64 // largest frame that is read, in bytes; Conn raises it with the hello
+	maxSend    int           // largest frame that is written, in bytes
+	bodies     *bodies       // binary bodies of the current messages
+	withBodies bool          // this end speaks VersionCBOR, so a message that it reads may have a body
 }
 
 // bodies holds the bodies of the message that is being written and of the one that is
@@ -35,14 +35,16 @@
 // calls OnSend just before, and it passes a message to the handler before it reads the
 // next.
 type bodies struct {
-	out, in []byte
+	out, in []byte // of the message being written, and of the one being read; nil if it has no body
 }
 
-// bodyMarker is the first byte of a body's frame. JSON never begins with it.
+// bodyMarker is the first byte of a frame that holds a body. JSON never begins with it, so
+// it distinguishes bodies from messages.
 const bodyMarker = 0
 
-// bodyAttachment carries a body from a call to onSend, which runs just before the message
-// is written.
+// bodyAttachment is a binary body on its way through the JSON-RPC library, as the value of
+// an extra field of the message. onSend, which runs just before the message is written,
+// takes it out again.
 type bodyAttachment []byte
 
 // bodyField is the name of the extra field that holds a bodyAttachment. It is not sent.
@@ -68,6 +70,7 @@
 	if err != nil {
 		return err
 	}
+	// The message and its body are separate frames; the body's has bodyMarker in addition.
 	if size := max(len(data), len(c.bodies.out)+1); size > c.maxSend {
 		return result.Errorf(result.MessageTooBig, "%d bytes, at most %d", size, c.maxSend)
 	}
@@ -87,8 +90,9 @@
 	return err
 }
 
-// ReadObject implements jsonrpc2.ObjectCodec. Errors about the message itself have the
-// code MessageTooBig or BadMessage.
+// ReadObject implements jsonrpc2.ObjectCodec. It decodes a message into v, and puts the
+// message's body, if it has one, into c.bodies.in. Errors about the message itself have
+// the code MessageTooBig or BadMessage.
 func (c boundedCodec) ReadObject(stream *bufio.Reader, v any) error {
 	c.bodies.in = nil
 	data, err := c.readFrame(stream)
@@ -105,6 +109,8 @@
 	return nil
 }
 
+// readFrame reads one frame, a length and that many bytes, and returns the bytes. A frame
+// that exceeds c.limit fails before its bytes are read.
 func (c boundedCodec) readFrame(stream *bufio.Reader) ([]byte, error) {
 	size, err := binary.ReadUvarint(stream)
 	if err != nil {
@@ -123,7 +129,7 @@
 // buffer. Only a deadline on progress detects that.
 type timedConn struct {
 	net.Conn
-	silenceTimeout time.Duration
+	silenceTimeout time.Duration // for each read and each write
 	counters       *Counters
 }
 
@@ -151,13 +157,14 @@
 	return n, err
 }
 
+// nextDeadline returns the deadline of a read or write that begins now.
 func (c *timedConn) nextDeadline() time.Time {
 	return time.Now().Add(c.silenceTimeout)
 }
 
 // Counters counts the traffic of all connections of one end, hellos included.
 type Counters struct {
-	BytesIn, BytesOut, Writes atomic.Uint64
+	BytesIn, BytesOut, Writes atomic.Uint64 // bytes received, bytes sent, and writes to TCP connections
 	HellosRefused             atomic.Uint64 // accepted connections that were not authenticated, or exceeded Options.MaxConns
-	SilentClosed              atomic.Uint64 // reads that ended at their deadline
+	SilentClosed              atomic.Uint64 // reads that ended at their deadline, which closes the connection
 }
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -17,35 +17,39 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Conn is one connection. Dial returns it, and a Server passes it on, when it is
-// authenticated. It is safe for concurrent use.
+// Conn is one connection to another VM. Dial returns it, and a Server passes it to its
+// onConn function, when it is authenticated. It is safe for concurrent use.
 type Conn struct {
 	tomb      tomb.Tomb
-	rpc       *jsonrpc2.Conn
+	rpc       *jsonrpc2.Conn // the JSON-RPC library's connection
 	opts      *Options
-	dialed    bool
+	dialed    bool           // this end opened the connection
 	remote    string         // the other end's IP and port
-	limit     atomic.Int64   // bytes of one message
-	callSlots chan struct{}  // one token per running handler
-	bodies    bodies         // of the messages being written and read
-	handlers  sync.WaitGroup // the running ones
-	version   atomic.Int64   // agreed in the hello
+	limit     atomic.Int64   // largest message, or body, that is read, in bytes: maxHelloMessage, and Options.MaxMessage after the hello
+	callSlots chan struct{}  // one token for each running handler, except those of Options.InOrder; at most MaxCalls
+	bodies    bodies         // binary bodies of the message being written and of the one being read
+	handlers  sync.WaitGroup // the handlers that are running
+	version   atomic.Int64   // protocol version agreed in the hello
 	lastSent  atomic.Int64   // when Call or Notify was last called, in Unix nanoseconds
 
 	mu         sync.Mutex // guards the fields below
 	waitCalled bool       // Wait was called: no further handler may begin
-	hello      *Hello     // acceptor only, as the next two: from the hello until the proof
-	answer     *HelloAnswer
-	key        []byte
-	peer       Identity
-	use        string
-	proven     bool
-	ready      chan struct{} // closed when proven
+	// The acceptor keeps hello, answer and key from the dialer's hello until the
+	// connection is authenticated. They are nil otherwise, and always for the dialer.
+	hello  *Hello        // the dialer's hello
+	answer *HelloAnswer  // the acceptor's answer to it
+	key    []byte        // the key that the acceptor chose
+	peer   Identity      // of the other end; set when authenticated
+	use    string        // Options.Use of the end that dialled; set when authenticated
+	proven bool          // the connection is authenticated: the other end has proved that it holds the key
+	ready  chan struct{} // closed when proven is set
 
 	serveOnce sync.Once
 	serving   chan struct{} // closed by Serve
 }
 
+// newConn starts the JSON-RPC protocol on a TCP connection. dialed states whether this end
+// opened it. The returned connection is not authenticated yet, and reads small messages only.
 func newConn(raw net.Conn, o *Options, counters *Counters, dialed bool) *Conn {
 	c := &Conn{
 		opts:      o,
@@ -71,8 +75,8 @@
 // may call Handle, before it has returned the connection.
 type gatedStream struct {
 	jsonrpc2.ObjectStream
-	open      chan struct{}
-	onInvalid func(error)
+	open      chan struct{} // closed when reading may begin
+	onInvalid func(error)   // called with the error of a message that is too big or malformed
 }
 
 // ReadObject implements jsonrpc2.ObjectStream.
@@ -143,8 +147,9 @@
 	}
 }
 
-// Call calls a method of the peer and decodes the result into the value that into points
-// at. Its errors have the code that the peer sent, MessageTooBig if the message exceeds
+// Call calls a method of the peer, waits for the result and decodes it from JSON. into is
+// the pointer to the value that receives the result; nil drops the result. An error has one
+// of these codes: the code that the peer sent, MessageTooBig if the message exceeds
 // Options.MaxMessage, PeerSilent if ctx ended first, or ExchangeFailed if the connection
 // failed.
 func (c *Conn) Call(ctx context.Context, method string, params, into any) error {
@@ -172,8 +177,11 @@
 	return callError(method, c.rpc.Notify(context.Background(), method, nil, jsonrpc2.ExtraField(bodyField, bodyAttachment(body))))
 }
 
-// Handle implements jsonrpc2.Handler. The connection reads nothing more until it returns,
-// so it must not block.
+// Handle implements jsonrpc2.Handler. Until an accepted connection is authenticated, only
+// the two methods of the hello are served, and any other one closes the connection. Apart
+// from pings and notices of refused messages, all other messages go to Options.Handler. A
+// binary body takes the place of the parameters. The connection reads nothing more until
+// Handle returns, so Handle must not block.
 func (c *Conn) Handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	switch {
 	case req.Method == MethodHello && !c.dialed && !c.isProven():
@@ -201,14 +209,15 @@
 	}
 }
 
+// isProven reports whether the connection is authenticated.
 func (c *Conn) isProven() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.proven
 }
 
-// serve runs the handler in a goroutine of its own, so that reading goes on. It bounds how
-// many handlers run for this peer at once.
+// serve runs the handler of a message in a goroutine of its own, so that reading goes on.
+// It bounds how many handlers run on this connection at once.
 func (c *Conn) serve(ctx context.Context, req *jsonrpc2.Request) {
 	if !c.acquireCallSlot() {
 		c.replyError(ctx, req, result.Errorf(result.PeerBusy, "%d calls are already running", cap(c.callSlots)))
@@ -234,7 +243,8 @@
 	}()
 }
 
-// serveInOrder runs the handler in the reading goroutine, before the next message is read.
+// serveInOrder runs the handler of a message in the goroutine that reads the connection,
+// before the next message is read.
 func (c *Conn) serveInOrder(ctx context.Context, req *jsonrpc2.Request) {
 	if !c.addHandler() {
 		return
@@ -248,6 +258,8 @@
 	}, false)
 }
 
+// callHandler returns the result of Options.Handler, or an error with the code UnknownMethod if
+// there is no handler.
 func (c *Conn) callHandler(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	if c.opts.Handler == nil {
 		return nil, result.Errorf(result.UnknownMethod, "%q", method)
@@ -301,6 +313,7 @@
 	return !c.waitCalled
 }
 
+// replyFunc handles a message with the given parameters and returns the result for the peer.
 type replyFunc func(params json.RawMessage) (any, error)
 
 // reply runs f, sends its result or error, and reports whether f succeeded. If fatal is
@@ -321,6 +334,7 @@
 	if !req.Notif {
 		err = c.rpc.Reply(ctx, req.ID, answer)
 	}
+	// The result was too big to be sent; the peer gets the error in its place.
 	if result.CodeOf(err) == result.MessageTooBig {
 		c.replyError(ctx, req, err)
 	}
@@ -345,10 +359,11 @@
 
 // errorData is the data member of a JSON-RPC error.
 type errorData struct {
-	RetryAfterMS int64 `json:"retry_after_ms"`
+	RetryAfterMS int64 `json:"retry_after_ms"` // wait before a retry; 0 if none is stated
 }
 
-// callError translates an error of the JSON-RPC library for the caller; see Call.
+// callError translates an error of the JSON-RPC library, from a call of method, to an error
+// with the code that Call documents.
 func callError(method string, err error) error {
 	var rpcErr *jsonrpc2.Error
 	switch {
@@ -370,7 +385,9 @@
 	}
 }
 
-// setAuthenticated marks the connection as authenticated, so that all methods are served.
+// setAuthenticated marks the connection as authenticated, so that all methods are served
+// and messages may have their full size. peer and use describe the other end and the
+// connection's purpose; version is the protocol version that both ends agreed on.
 func (c *Conn) setAuthenticated(peer Identity, use string, version int) {
 	c.mu.Lock()
 	c.peer = peer
@@ -397,6 +414,8 @@
 		case <-ticker.C:
 		}
 		idle := time.Since(time.Unix(0, c.lastSent.Load()))
+		// Only the dialer pings, and only if it has sent no call or notification
+		// during the last half of the interval.
 		if !c.dialed || idle < c.opts.PingInterval/2 {
 			continue
 		}
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -26,6 +26,9 @@
 	return c, nil
 }
 
+// sendHello authenticates a connection from the dialer's end. It offers versions and keys,
+// sends the proof that this end holds the key that the acceptor chose, and checks the
+// acceptor's proof.
 func (c *Conn) sendHello(ctx context.Context) error {
 	hello := &Hello{
 		Versions: supportedVersions(c.opts.MaxVersion),
@@ -57,6 +60,8 @@
 	return nil
 }
 
+// handleHello serves MethodHello on the acceptor's end. It keeps the hello and the answer for
+// the check of the proof that follows.
 func (c *Conn) handleHello(params json.RawMessage) (any, error) {
 	var hello Hello
 	if err := json.Unmarshal(params, &hello); err != nil {
@@ -75,6 +80,8 @@
 	return answer, nil
 }
 
+// handleProve serves MethodProve on the acceptor's end. It checks the dialer's proof and
+// returns this end's own.
 func (c *Conn) handleProve(params json.RawMessage) (any, error) {
 	var peerProof Proof
 	if err := json.Unmarshal(params, &peerProof); err != nil {
--- a/wire/server.go
+++ b/wire/server.go
@@ -16,12 +16,12 @@
 	tomb     tomb.Tomb
 	opts     Options
 	counters *Counters
-	ln       net.Listener
-	onConn   func(*Conn)
+	ln       net.Listener // accepts the TCP connections
+	onConn   func(*Conn)  // called with each authenticated connection
 
-	mu     sync.Mutex // guards the fields below
-	hellos []*Conn    // not yet authenticated, the oldest first
-	conns  map[*Conn]struct{}
+	mu     sync.Mutex         // guards the fields below
+	hellos []*Conn            // accepted connections that are not yet authenticated, the oldest first
+	conns  map[*Conn]struct{} // authenticated connections that are open
 }
 
 // Listen starts to accept connections at address. Each connection is passed to onConn when
@@ -65,6 +65,7 @@
 	_ = s.tomb.Wait()
 }
 
+// accept accepts connections until the server stops, and serves each in a goroutine of its own.
 func (s *Server) accept() error {
 	for {
 		raw, err := s.ln.Accept()
@@ -136,9 +137,9 @@
 	return nil
 }
 
-// endHello removes c from the connections that are not yet authenticated. It adds c to
-// the authenticated ones and returns true, unless c is not proven or there are MaxConns
-// of them already.
+// endHello removes c from the connections that are not yet authenticated. If c is proven,
+// which means that its hello succeeded, and fewer than MaxConns connections are
+// authenticated, endHello adds c to those and returns true. Otherwise it returns false.
 func (s *Server) endHello(c *Conn, proven bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,6 +156,7 @@
 	return true
 }
 
+// removeConn removes a closed connection from the authenticated ones.
 func (s *Server) removeConn(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -29,14 +29,14 @@
 	VersionJSON = 1 // all bodies are JSON
 	VersionCBOR = 2 // leaf calls and their answers are binary bodies in CBOR
 
-	Version = VersionCBOR // the newest that this code speaks
+	Version = VersionCBOR // the newest version that this code speaks
 )
 
 // The methods that this package itself serves.
 const (
-	MethodHello = "hello"
-	MethodProve = "prove"
-	MethodPing  = "ping"
+	MethodHello = "hello" // first call of the dialer: offers versions and keys
+	MethodProve = "prove" // second call of the dialer: proves that it holds the chosen key
+	MethodPing  = "ping"  // keeps an idle connection open; does nothing else
 
 	methodRefused = "refused" // has Refused as parameters; the connection is closed next
 )
@@ -44,14 +44,14 @@
 // Refused is the last message that an end sends on a connection from which it read an
 // invalid message.
 type Refused struct {
-	Code result.Code `json:"code"`
+	Code result.Code `json:"code"` // why the message is invalid: MessageTooBig or BadMessage
 }
 
 // Identity identifies one incarnation of one VM.
 type Identity struct {
 	Deployment  string `json:"deployment"`
 	VM          string `json:"vm"`
-	Incarnation string `json:"incarnation"`
+	Incarnation string `json:"incarnation"` // names one process of the VM
 }
 
 // Handler serves one call or notification of an authenticated peer. params is the
@@ -60,9 +60,10 @@
 // Options.InOrder.
 type Handler func(ctx context.Context, conn *Conn, method string, params json.RawMessage) (any, error)
 
-// Options configures connections. Zero values are replaced by the defaults.
+// Options configures connections. A field that is zero gets the default that its comment
+// states.
 type Options struct {
-	Self Identity
+	Self Identity // of this VM
 	// Use states what dialled connections are for. This package passes it to the
 	// acceptor and gives it no meaning.
 	Use string
@@ -77,36 +78,38 @@
 	// in the order in which the peer sent them; nil means none are. Handlers of such
 	// methods must not wait for anything, since the connection reads nothing meanwhile.
 	InOrder func(method string) bool
-	Log     *slog.Logger
+	Log     *slog.Logger // discards all if nil
 	// DialContext opens TCP connections; the default is net.Dialer.DialContext.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
-	HelloTimeout time.Duration // for the whole hello; default 2 s
-	MaxHellos    int           // accepted connections that are not yet authenticated; default 32
-	MaxConns     int           // accepted connections that are authenticated; default 256
-	MaxMessage   int           // bytes of one message, or of one body; default 2 MiB
-	MaxCalls     int           // handlers that run for one connection at once; default 16
+	HelloTimeout time.Duration // time in which a new connection must be opened and authenticated; default 2 s
+	MaxHellos    int           // limit of accepted connections that are open but not yet authenticated; default 32
+	MaxConns     int           // limit of accepted connections that are open and authenticated; default 256
+	MaxMessage   int           // largest message, or largest body of one, in bytes; default 2 MiB
+	MaxCalls     int           // limit of handlers that run for one connection at once, except those of InOrder; default 16
 	// WaitForCallSlot makes a connection stop reading while MaxCalls handlers run,
 	// in place of refusing calls with PeerBusy. It is only for handlers that never
 	// wait: a handler that waited for the same peer would block both ends.
 	WaitForCallSlot bool
-	PingInterval    time.Duration // default 2 s
-	SilentAfter     time.Duration // without a byte from the peer until the connection is closed; default 3 ping intervals
+	PingInterval    time.Duration // between pings of the dialer on an idle connection; default 2 s
+	SilentAfter     time.Duration // time without a byte from the peer after which the connection is closed; default 3 ping intervals
 }
 
 // MinKeyBytes is the least length of a key, in bytes.
 const MinKeyBytes = 32
 
+// Limits of connections. A name that begins with default belongs to the default of a field
+// of Options.
 const (
-	maxHelloMessage = 4 << 10 // bytes of one message during the hello
+	maxHelloMessage = 4 << 10 // largest message that is read during the hello, in bytes
 
-	defaultHelloTimeout = 2 * time.Second
-	defaultMaxHellos    = 32
-	defaultMaxConns     = 256
-	defaultMaxMessage   = 2 << 20
-	defaultMaxCalls     = 16
-	defaultPingInterval = 2 * time.Second
-	silentAfterPings    = 3
+	defaultHelloTimeout = 2 * time.Second // time in which a new connection must be authenticated
+	defaultMaxHellos    = 32              // accepted connections, open at once, that are not yet authenticated
+	defaultMaxConns     = 256             // accepted connections, open at once, that are authenticated
+	defaultMaxMessage   = 2 << 20         // size of one message or of one body, in bytes
+	defaultMaxCalls     = 16              // handlers that run at once for one connection
+	defaultPingInterval = 2 * time.Second // between pings on an idle connection
+	silentAfterPings    = 3               // default of SilentAfter, in ping intervals without a byte from the peer
 )
 
 func (o Options) withDefaults() Options {
