--- a/target/api.go
+++ b/target/api.go
@@ -15,9 +15,9 @@
 // answer carries HeaderIncarnation and HeaderState. A target stops a search
 // when its connection or HTTP/2 stream is cancelled or when its deadline passes.
 const (
-	PathStatus        = "/status"
-	HeaderIncarnation = "Target-Incarnation"
-	HeaderState       = "Target-State"
+	PathStatus        = "/status"            // path of the status
+	HeaderIncarnation = "Target-Incarnation" // header of an answer: the value of Status.Incarnation
+	HeaderState       = "Target-State"       // header of an answer: the target's State
 )
 
 // State is a target's state as the target itself reports it. It may be out of
@@ -27,11 +27,12 @@
 // The states of a target.
 const (
 	StateStarting State = "starting" // cold: answers slowly or refuses requests
-	StateServing  State = "serving"
+	StateServing  State = "serving"  // accepts requests
 	StateDraining State = "draining" // leaving: accepts no new requests
 )
 
-// Kind determines the order in which a leaf returns and merges items.
+// Kind is the kind of an idempotent request. It determines the order in which a leaf
+// returns items.
 type Kind string
 
 // The kinds of idempotent requests.
@@ -43,27 +44,27 @@
 // Echo identifies one attempt. Each answer repeats it. An answer whose Echo
 // differs from its request's belongs to another request and must not be used.
 type Echo struct {
-	Request  string `json:"request"`
-	Attempt  int    `json:"attempt"`
-	Shard    int    `json:"shard"`
-	Snapshot string `json:"snapshot"`
+	Request  string `json:"request"`  // id of the caller's request
+	Attempt  int    `json:"attempt"`  // number of the attempt within the request
+	Shard    int    `json:"shard"`    // number of the shard that is read
+	Snapshot string `json:"snapshot"` // name of the snapshot that is read
 }
 
 // LeafRequest is a request to one leaf for items from its shard of one snapshot.
 type LeafRequest struct {
 	Echo
 	Kind       Kind   `json:"kind"`
-	Query      string `json:"query"`
+	Query      string `json:"query"`           // the caller's query, unchanged
 	After      string `json:"after,omitempty"` // browse: only keys greater than this
 	Limit      int    `json:"limit"`           // maximum number of items
-	DeadlineMS int64  `json:"deadline_ms"`     // time left, in milliseconds
+	DeadlineMS int64  `json:"deadline_ms"`     // time left for the answer, in milliseconds
 }
 
 // Item is one matching record.
 type Item struct {
-	Key    string          `json:"key"`
-	Score  float64         `json:"score"`
-	Fields json.RawMessage `json:"fields,omitempty"`
+	Key    string          `json:"key"`              // of the record
+	Score  float64         `json:"score"`            // of the match; higher is better
+	Fields json.RawMessage `json:"fields,omitempty"` // of the record; passed to the caller unchanged
 }
 
 // LeafAnswer is a leaf's answer from its shard.
@@ -77,19 +78,19 @@
 }
 
 // SubmitRequest is a non-idempotent request. A target runs every one that it
-// receives.
+// receives, also one that it has received before.
 type SubmitRequest struct {
 	Echo
-	Key        string          `json:"key"`
-	Payload    json.RawMessage `json:"payload"`
-	DeadlineMS int64           `json:"deadline_ms"`
+	Key        string          `json:"key"`         // the caller's idempotency key
+	Payload    json.RawMessage `json:"payload"`     // the caller's, unchanged
+	DeadlineMS int64           `json:"deadline_ms"` // time left for the answer, in milliseconds
 }
 
 // SubmitAnswer confirms that the request was run.
 type SubmitAnswer struct {
 	Echo
-	Key    string          `json:"key"`
-	Result json.RawMessage `json:"result"`
+	Key    string          `json:"key"`    // the same as in the request
+	Result json.RawMessage `json:"result"` // for the caller, passed on unchanged
 }
 
 // Reason is the reason for which a target refused a request.
@@ -111,29 +112,28 @@
 	Echo         *Echo  `json:"echo,omitempty"`
 	Reason       Reason `json:"reason"`
 	NotStarted   bool   `json:"not_started"`
-	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
+	RetryAfterMS int64  `json:"retry_after_ms,omitempty"` // wait before the next try; 0 if not known
 }
 
-// Holding is one shard of one snapshot that a leaf holds. Shards is the number
-// of shards in that snapshot's partition map. A newer snapshot has a higher Seq.
+// Holding is one shard of one snapshot that a leaf holds.
 type Holding struct {
-	Snapshot string `json:"snapshot"`
-	Seq      int64  `json:"seq"`
-	Shards   int    `json:"shards"`
-	Shard    int    `json:"shard"`
-	Records  int64  `json:"records"`
+	Snapshot string `json:"snapshot"` // name of the snapshot
+	Seq      int64  `json:"seq"`      // of the snapshot; a newer snapshot has a higher one
+	Shards   int    `json:"shards"`   // number of shards in the snapshot's partition map
+	Shard    int    `json:"shard"`    // number of the shard that the leaf holds
+	Records  int64  `json:"records"`  // number of records in that shard
 }
 
 // LeafStatus is one leaf's part of Status.
 type LeafStatus struct {
-	Leaf     int       `json:"leaf"`
+	Leaf     int       `json:"leaf"` // number of the leaf within its target
 	Load     float64   `json:"load"` // requests running and queued, as reported; may be out of date or wrong
 	Holdings []Holding `json:"holdings"`
 }
 
 // Status is a target's report of its own state and of its leaves.
 type Status struct {
-	Target      string       `json:"target"`
+	Target      string       `json:"target"`      // name of the target
 	Incarnation string       `json:"incarnation"` // new at each start of the target
 	State       State        `json:"state"`
 	Leaves      []LeafStatus `json:"leaves"`
--- a/target/body.go
+++ b/target/body.go
@@ -10,9 +10,9 @@
 
 // The states of a requestBody. It changes once, from unread to read or sealed.
 const (
-	bodyUnread int32 = iota
-	bodyRead         // the transport has read from it
-	bodySealed       // the call ended before the transport read from it
+	bodyUnread int32 = iota // the transport has not read from it, and the call has not ended
+	bodyRead                // the transport has read from it
+	bodySealed              // the call ended before the transport read from it; every later read fails
 )
 
 // requestBody is the body of one call. It can be read once and can't be
@@ -27,12 +27,15 @@
 	state atomic.Int32
 }
 
+// newRequestBody returns an unread body with the given content.
 func newRequestBody(data []byte) *requestBody {
 	return &requestBody{data: bytes.NewReader(data)}
 }
 
 // Read implements io.Reader.
 func (b *requestBody) Read(p []byte) (int, error) {
+	// The first read marks the body as read. A read fails only if the body was sealed
+	// before it.
 	if !b.state.CompareAndSwap(bodyUnread, bodyRead) && b.state.Load() == bodySealed {
 		return 0, errors.New("the call has ended")
 	}
@@ -42,9 +45,10 @@
 // Close implements io.Closer.
 func (b *requestBody) Close() error { return nil }
 
-// seal ends the call and reports whether the body was never read. If it reports
-// true, later reads fail, so the body is never sent.
+// seal must be called when the call ends. It reports whether the transport has never
+// read from the body. If so, the body is sealed: later reads fail, so it is never sent.
 func (b *requestBody) seal() bool {
+	// True if this call of seal sealed the body, or an earlier one did.
 	return b.state.CompareAndSwap(bodyUnread, bodySealed) || b.state.Load() == bodySealed
 }
 
--- a/target/call.go
+++ b/target/call.go
@@ -13,17 +13,18 @@
 
 // call is one request to a target, with the destination of its answer.
 type call struct {
-	target     string
+	target     string // name of the target
 	method     string
 	path       string
 	request    any          // nil if the call has no body
 	echo       Echo         // of request; the zero value if it has none
 	answer     any          // pointer that the answer is decoded into
-	probe      bool         // use the connection that received nothing for longest, to test it
-	deadlineMS *int64       // field of request that is set to the time left, in ms
+	probe      bool         // use the connection that has received nothing for longest, to test whether it is silent
+	deadlineMS *int64       // field of request that is set to the time left, in ms; nil if request is nil
 	validate   func() error // checks the decoded answer against the request
 }
 
+// statusCall returns the call that reads a target's status into status.
 func statusCall(target string, status *Status) *call {
 	return &call{
 		target:   target,
@@ -35,7 +36,8 @@
 	}
 }
 
-// do sends a call on a connection from the target's pool.
+// do sends a call on a connection from the target's pool, waits for the answer and decodes
+// it. It counts failed calls in the metrics. Any error is a *CallError.
 func (c *Client) do(ctx context.Context, k *call) error {
 	err := c.tryConnections(ctx, k)
 	if err == nil {
@@ -46,6 +48,8 @@
 	return err
 }
 
+// tryConnections tries a call on up to maxSendTries connections, one after another. It goes
+// on to the next one only if a connection broke before the target could start the call.
 func (c *Client) tryConnections(ctx context.Context, k *call) *CallError {
 	p := c.pool(k.target)
 	if p == nil {
@@ -53,6 +57,7 @@
 	}
 	for range maxSendTries - 1 {
 		err := c.tryOnce(ctx, p, k)
+		// Only a call that broke and surely was not started may be tried again.
 		if err == nil || err.Kind != ErrorBroken || !err.NotStarted {
 			return err
 		}
@@ -66,6 +71,9 @@
 // one, may be sent on another connection.
 const maxSendTries = 3
 
+// tryOnce sends a call on one connection of the pool. If the answer belongs to another
+// request, it retires the connection. If a probe times out, it checks whether the connection
+// is silent.
 func (c *Client) tryOnce(ctx context.Context, p *pool, k *call) *CallError {
 	cn, err := p.acquire(ctx, k.probe)
 	if err != nil {
@@ -151,7 +159,8 @@
 	return req.WithContext(ctx)
 }
 
-// transportError returns the error of a call that ended without an answer.
+// transportError returns the error of a call that ended without an answer. Its kind states
+// whether the call was cancelled, reached its deadline, or broke for another cause.
 func transportError(ctx context.Context, cause error, notStarted bool) *CallError {
 	kind := ErrorBroken
 	switch {
@@ -190,6 +199,8 @@
 	}
 }
 
+// decodeAnswer decodes the body of a successful response into k.answer and checks it against
+// the request.
 func decodeAnswer(k *call, data []byte) *CallError {
 	if err := json.Unmarshal(data, k.answer); err != nil {
 		return &CallError{Kind: ErrorMalformed, cause: errors.Trace(err)}
@@ -205,6 +216,7 @@
 	}
 }
 
+// decodeRefusal returns the error that the body of a refusal states. It never returns nil.
 func decodeRefusal(k *call, data []byte) *CallError {
 	var refusal Refusal
 	if err := json.Unmarshal(data, &refusal); err != nil {
--- a/target/check.go
+++ b/target/check.go
@@ -7,6 +7,7 @@
 	"github.com/juju/errors"
 )
 
+// leafPath returns the URL path of an operation ("search" or "submit") of a leaf.
 func leafPath(leaf int, operation string) string {
 	return "/leaves/" + strconv.Itoa(leaf) + "/" + operation
 }
@@ -26,6 +27,8 @@
 	return fmt.Errorf("%w: sent %+v, got %+v", errMismatched, want, got)
 }
 
+// checkAnswer checks that an answer belongs to req, has no more items than req allows, and
+// states record counts that can be true.
 func checkAnswer(req *LeafRequest, answer *LeafAnswer) error {
 	if err := checkEcho(req.Echo, answer.Echo); err != nil {
 		return err
@@ -39,6 +42,7 @@
 	return nil
 }
 
+// checkSubmitAnswer checks that an answer belongs to req and repeats its idempotency key.
 func checkSubmitAnswer(req *SubmitRequest, answer *SubmitAnswer) error {
 	if err := checkEcho(req.Echo, answer.Echo); err != nil {
 		return err
@@ -49,6 +53,7 @@
 	return nil
 }
 
+// checkStatus checks that a status is that of the target that was asked for it.
 func checkStatus(target string, status *Status) error {
 	if status.Target != target {
 		return fmt.Errorf("%w: sent to %q, got the status of %q", errMismatched, target, status.Target)
--- a/target/client.go
+++ b/target/client.go
@@ -11,8 +11,8 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Sink receives what a Client and a Monitor learn about the state of targets.
-// Its methods may be called concurrently and must not block.
+// Sink receives what a Client and a Monitor learn about the state of targets; at is
+// when they learned it. Its methods may be called concurrently and must not block.
 type Sink interface {
 	// TargetStatus is called after each successful status read.
 	TargetStatus(target string, status Status, at time.Time)
@@ -23,9 +23,9 @@
 	TargetState(target, incarnation string, state State, at time.Time)
 }
 
-// Client calls the leaves of targets. It keeps connections to each target, up
-// to this VM's share, and opens them before calls need them. It is safe for
-// concurrent use.
+// Client calls the leaves of targets. It keeps connections to each target and opens
+// them before calls need them. Their number never exceeds this VM's share: the number
+// of connections that this VM may hold to the target. It is safe for concurrent use.
 type Client struct {
 	opts      Options
 	transport *http.Transport
@@ -33,8 +33,8 @@
 	dialSlots chan struct{} // holds a token for each connection being opened
 	tomb      tomb.Tomb     // runs the maintainer of each pool
 
-	mu           sync.RWMutex // guards the fields below; a pool's mu may be acquired while it is held
-	pools        map[string]*pool
+	mu           sync.RWMutex        // guards the fields below; a pool's mu may be acquired while it is held
+	pools        map[string]*pool    // by target name; only targets of which this VM has a share
 	withoutShare map[string]struct{} // endpoints in force to which this VM may open no connections
 	retiredPools []*pool             // pools of removed endpoints, on whose connections calls may still run
 	closed       bool
@@ -57,9 +57,10 @@
 	return c
 }
 
-// Apply puts the endpoints in force. Connections to an endpoint that was removed,
-// whose address changed, or of which this VM no longer has a share, accept no
-// new calls and close once they are idle. After Close, Apply does nothing.
+// Apply puts the endpoints in force in place of the earlier ones. Some connections then
+// accept no new calls and close once they are idle: those to an endpoint that was removed,
+// whose address changed, or of which this VM no longer has a share. After Close, Apply
+// does nothing.
 func (c *Client) Apply(endpoints []Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,6 +117,7 @@
 	_ = c.tomb.Wait() // maintainers return no error
 }
 
+// pool returns the pool of connections to a target, or nil if it has none.
 func (c *Client) pool(target string) *pool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/target/conn.go
+++ b/target/conn.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// conn is one connection to a target. The mu of its pool guards the fields below
-// wire.
+// conn is one connection to a target.
 type conn struct {
-	http *http.ClientConn
-	wire *wireConn
+	http *http.ClientConn // sends requests on wire
+	wire *wireConn        // the TCP connection
+
+	// The mu of the connection's pool guards the fields below.
 
 	calls        int       // calls and probes in progress on this connection
-	retiring     bool      // accepts no new call and is closed once idle
-	probing      bool      // a probe is in progress
-	silent       bool      // found silent; is closed at once
+	retiring     bool      // accepts no new call and is closed once no call uses it
+	probing      bool      // a status read that tests whether the connection is silent is in progress
+	silent       bool      // found silent: a probe received nothing at all; is closed at once
 	closing      bool      // being closed; counts against the share until the target has closed its end
 	waitingSince time.Time // start of the first call since the last byte was received
 }
@@ -27,8 +28,8 @@
 // nothing at all was received. This is what happens if a device between the two
 // ends, such as a firewall, has lost the state of the connection: writes succeed,
 // and no FIN or RST ever arrives. A connection whose only call is slow looks the
-// same. Not using it until its next byte does no harm, and a probe distinguishes
-// the two cases.
+// same. A probe distinguishes the two cases, and it does no harm that other calls
+// avoid the connection until its next byte arrives.
 func (c *conn) isSuspect(now time.Time, suspectAfter time.Duration) bool {
 	return c.awaitsData() && now.Sub(c.waitingSince) > suspectAfter
 }
@@ -46,12 +47,14 @@
 	lastReadNanos atomic.Int64 // time of the last read that returned data, in ns since the Unix epoch
 }
 
+// newWireConn returns a wireConn that counts as having received data just now.
 func newWireConn(inner net.Conn) *wireConn {
 	w := &wireConn{Conn: inner}
 	w.lastReadNanos.Store(time.Now().UnixNano())
 	return w
 }
 
+// lastRead returns when data was last received, or when the connection was opened.
 func (w *wireConn) lastRead() time.Time { return time.Unix(0, w.lastReadNanos.Load()) }
 
 // Read implements net.Conn.
@@ -63,8 +66,8 @@
 	return n, err
 }
 
-// Close closes the sending side. Data from the other end can still be read, so
-// that its own close is seen; see conn.shutdown.
+// Close closes only the sending side. The other end can still be read from, so that
+// conn.shutdown sees when the other end closes too.
 func (w *wireConn) Close() error {
 	if tcp, ok := w.Conn.(*net.TCPConn); ok {
 		return tcp.CloseWrite()
--- a/target/keeper.go
+++ b/target/keeper.go
@@ -9,14 +9,14 @@
 	"github.com/juju/errors"
 )
 
-// idleInterval is how long a pool's maintainer, or a Monitor's scheduler, sleeps
-// when there is nothing to do.
+// idleInterval is the longest sleep of a pool's maintainer or of a Monitor's scheduler
+// when there is nothing to do. Each can be woken earlier.
 const idleInterval = time.Minute
 
-// maintain opens the connections of the pool up to the share, one at a time and
-// paced, replaces lost ones and closes retiring ones. Connections are opened and
-// closed only from here, so that the share is never exceeded. It returns when the
-// client is closed, or once a retired pool is empty.
+// maintain is the maintainer: the goroutine that opens the pool's connections up to the
+// share, one at a time and with pauses, replaces lost ones and closes retiring ones.
+// Connections are opened and closed only from here, so that the share is never exceeded.
+// It returns when the client is closed, or once a retired pool is empty.
 func (p *pool) maintain() error {
 	ctx := p.client.tomb.Context(context.Background())
 	for {
@@ -43,8 +43,9 @@
 	}
 }
 
-// plan returns the time until the maintainer has to act, and whether it is done
-// permanently. If due is 0 or less, a connection is to be opened.
+// plan returns the time until the maintainer has to act (due), and whether it can return
+// because the pool is retired and empty (done). If due is 0 or less, a connection is to be
+// opened.
 func (p *pool) plan(now time.Time) (due time.Duration, done bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,8 +60,9 @@
 	return due, false
 }
 
-// nextSuspectCheck returns the time until a connection may have become suspect.
-// p.mu must be held.
+// nextSuspectCheck returns the time until the connections have to be checked for suspect
+// ones: until the first that awaits data becomes suspect, and at most SuspectAfter. It
+// returns idleInterval if no check is needed. p.mu must be held.
 func (p *pool) nextSuspectCheck(now time.Time) time.Duration {
 	if !p.watching {
 		return idleInterval
@@ -75,10 +77,10 @@
 	return max(due, time.Millisecond)
 }
 
-// needsConn reports whether a connection is to be opened. Silent connections count
-// against the share for SilentHold, but one connection is always allowed: most
-// targets soon drop their side of a silent connection, and such a target must
-// not be left without calls. p.mu must be held.
+// needsConn reports whether a connection is to be opened. Each connection that was found
+// silent counts against the share for SilentHold, but one connection is always allowed:
+// most targets soon drop their side of a silent connection, and such a target must not be
+// left without calls. p.mu must be held.
 func (p *pool) needsConn(now time.Time) bool {
 	for len(p.silentTimes) > 0 && now.Sub(p.silentTimes[0]) > p.client.opts.SilentHold {
 		p.silentTimes = p.silentTimes[1:]
@@ -86,11 +88,13 @@
 	if len(p.conns) >= max(p.endpoint.Connections-len(p.silentTimes), 1) {
 		return false
 	}
+	// HTTP/1.1 connections carry one call each, so the whole share is opened. Over
+	// HTTP/2, MaxOpen connections that accept calls are enough.
 	return p.client.opts.Protocol == HTTP1 || p.countUsable() < p.client.opts.MaxOpen
 }
 
-// countUsable counts the connections that accept calls. Those that are retiring or
-// full are not counted and need a replacement. p.mu must be held.
+// countUsable returns the number of connections that accept calls. Those that are retiring
+// or full are not counted and need a replacement. p.mu must be held.
 func (p *pool) countUsable() int {
 	count := 0
 	for _, cn := range p.conns {
@@ -101,8 +105,8 @@
 	return count
 }
 
-// sweep starts to close the connections that failed, went silent or have finished
-// retiring, and assigns free connections to waiting calls.
+// sweep starts to close the connections that failed, went silent, or are retiring and have
+// no call left. It assigns free connections to waiting calls.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,7 +175,9 @@
 	}
 }
 
-// open opens one connection and adds it to the pool.
+// open opens one connection and adds it to the pool. It first waits until the client is
+// opening fewer than MaxDials connections. If the connection can't be opened and the pool
+// has no other, all waiting calls fail.
 func (p *pool) open(ctx context.Context) {
 	select {
 	case p.client.dialSlots <- struct{}{}:
--- a/target/metrics.go
+++ b/target/metrics.go
@@ -9,13 +9,13 @@
 // clientMetrics are the metrics of a Client.
 type clientMetrics struct {
 	set         *metrics.Set
-	calls       *metrics.Counter // sent on a connection, status reads included
-	opened      *metrics.Counter
-	closed      *metrics.Counter // opened minus closed is the number of open connections
-	dialErrors  *metrics.Counter
-	mismatched  *metrics.Counter
+	calls       *metrics.Counter // requests sent on a connection, status reads included
+	opened      *metrics.Counter // connections opened
+	closed      *metrics.Counter // connections closed; opened minus closed is the number of open connections
+	dialErrors  *metrics.Counter // connections that could not be opened or warmed up
+	mismatched  *metrics.Counter // answers that belonged to another request
 	silent      *metrics.Counter // connections found silent
-	statusReads *metrics.Counter
+	statusReads *metrics.Counter // calls of Client.Status
 }
 
 func newClientMetrics(set *metrics.Set) *clientMetrics {
@@ -31,6 +31,7 @@
 	}
 }
 
+// callFailed counts a call that failed with an error of the given kind.
 func (m *clientMetrics) callFailed(kind ErrorKind) {
 	name := fmt.Sprintf("bramley_target_call_errors_total{kind=%q}", kind)
 	m.set.GetOrCreateCounter(name).Inc()
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -20,41 +20,43 @@
 
 // MonitorOptions configure a Monitor. Reader and Sink are required.
 type MonitorOptions struct {
-	Log     *slog.Logger
+	Log     *slog.Logger // discards all if nil
 	Reader  StatusReader
 	Sink    Sink
-	Workers int // concurrent status reads; 0 means 16
+	Workers int // limit of concurrent status reads; 0 means 16
 }
 
+// defaultMonitorWorkers is the default of MonitorOptions.Workers, the number of concurrent
+// status reads.
 const defaultMonitorWorkers = 16
 
 // Defaults of the fields that an Endpoint leaves unset.
 const (
-	defaultHealthInterval = time.Second
-	defaultHealthTimeout  = 500 * time.Millisecond
+	defaultHealthInterval = time.Second            // between status reads of one endpoint
+	defaultHealthTimeout  = 500 * time.Millisecond // after which one status read fails
 )
 
-// Monitor reads the status of each endpoint at its interval and passes the results
-// to the Sink. A pool of workers does the reads; reads of one endpoint never overlap.
-// Apply, SetReadInterval and ReadSoon are safe for concurrent use.
+// Monitor regularly reads the status of each endpoint, at the interval that the Endpoint
+// states, and passes the results to the Sink. A pool of workers does the reads; reads of one
+// endpoint never overlap. Apply, SetReadInterval and ReadSoon are safe for concurrent use.
 type Monitor struct {
 	opts   MonitorOptions
 	tomb   tomb.Tomb
 	work   chan *polledEndpoint // endpoints that are due, for the workers
 	wakeup chan struct{}        // wakes the scheduler
 
-	mu      sync.Mutex // guards the fields below and those of each polledEndpoint
-	targets map[string]*polledEndpoint
+	mu      sync.Mutex                 // guards the fields below and those of each polledEndpoint
+	targets map[string]*polledEndpoint // the endpoints in force, by target name
 }
 
 // polledEndpoint is an endpoint whose status is read.
 type polledEndpoint struct {
 	endpoint     Endpoint
-	nextRead     time.Time
+	nextRead     time.Time     // when the next read is due
 	lastRead     time.Time     // end of the last read
-	readInterval time.Duration // lower bound of the interval while other VMs report the target; 0 if they don't
-	reading      bool
-	removed      bool // no longer in force; the result of a read in progress is dropped
+	readInterval time.Duration // least interval between reads while other VMs report the target; 0 if they don't
+	reading      bool          // a worker is reading it, or is about to
+	removed      bool          // no longer in force; the result of a read in progress is dropped
 }
 
 // NewMonitor returns a monitor without endpoints.
@@ -100,6 +102,7 @@
 			p = &polledEndpoint{nextRead: now.Add(jitter(firstReadDelay(e)))}
 		}
 		p.endpoint = withHealthDefaults(e)
+		// This VM has gained a share of connections and no longer relies on reports.
 		if e.Connections > 0 && p.readInterval > 0 {
 			p.readInterval = 0
 			p.nextRead = now.Add(jitter(firstReadSpread))
@@ -107,6 +110,7 @@
 		m.targets[e.Name] = p
 	}
 	for name, p := range old {
+		// True if the endpoint is no longer in force, or has a new address.
 		p.removed = m.targets[name] != p
 	}
 	m.mu.Unlock()
@@ -117,11 +121,12 @@
 	// firstReadSpread is the mean delay of a first read. The jitter around it keeps
 	// the first reads of all targets from starting at the same time.
 	firstReadSpread = 20 * time.Millisecond
-	// firstReadSpreadNoShare is used for endpoints without a share of connections. It
-	// leaves other VMs time to report these targets.
+	// firstReadSpreadNoShare is the mean delay of a first read of an endpoint without a
+	// share of connections. It leaves other VMs time to report the target's state.
 	firstReadSpreadNoShare = 400 * time.Millisecond
 )
 
+// firstReadDelay returns the mean delay of the first read of an endpoint.
 func firstReadDelay(e Endpoint) time.Duration {
 	if e.Connections > 0 {
 		return firstReadSpread
@@ -140,6 +145,7 @@
 	if p == nil || p.endpoint.Connections > 0 {
 		return
 	}
+	// Reports of other VMs have begun or ended, so the next read is planned anew.
 	if previous := p.readInterval; (previous == 0) != (interval == 0) {
 		p.nextRead = time.Now().Add(jitter(max(interval, p.endpoint.HealthInterval)))
 	}
@@ -163,12 +169,14 @@
 	m.wake()
 }
 
+// withHealthDefaults returns e with the defaults of its health interval and timeout, if unset.
 func withHealthDefaults(e Endpoint) Endpoint {
 	defaults.SetIfZero(&e.HealthInterval, defaultHealthInterval)
 	defaults.SetIfZero(&e.HealthTimeout, defaultHealthTimeout)
 	return e
 }
 
+// wake makes the scheduler look for due endpoints again. It never blocks.
 func (m *Monitor) wake() {
 	select {
 	case m.wakeup <- struct{}{}:
--- a/target/options.go
+++ b/target/options.go
@@ -13,9 +13,9 @@
 // Endpoint is a target with the settings that one VM uses for it.
 type Endpoint struct {
 	Name           string
-	Zone           string
+	Zone           string        // availability zone of the target
 	Address        string        // IP and port
-	Connections    int           // this VM's share; a hard limit, 0 means that all calls fail
+	Connections    int           // this VM's share: a hard limit of its open connections to the target; 0 means that all calls fail
 	ConnectCost    time.Duration // time that the target spends on a new connection
 	HealthInterval time.Duration // between status reads
 	HealthTimeout  time.Duration // after which a status read fails
@@ -27,40 +27,40 @@
 // The protocols. docs/design/target-transport.md explains why HTTP2 is the default.
 const (
 	HTTP2 Protocol = iota // without TLS, with prior knowledge
-	HTTP1
+	HTTP1                 // HTTP/1.1, without TLS
 )
 
 // Options configure a Client. The zero value of a field means its default, which
 // its comment gives.
 type Options struct {
-	Log      *slog.Logger
+	Log      *slog.Logger // discards all if nil
 	Sink     Sink         // receives the state in each answer's headers; may be nil
 	Metrics  *metrics.Set // the default set if nil
-	Protocol Protocol
+	Protocol Protocol     // HTTP2 by default
 
-	MaxAnswerBytes int64 // limit of an answer's body, in bytes; 4 MiB
+	MaxAnswerBytes int64 // limit of an answer's body, in bytes; default 4 MiB
 	// MaxOpen is the number of connections kept open to one target over HTTP/2
-	// (3), within the share. The remainder of the share is a reserve: a target
+	// (default 3), within the share. The remainder of the share is a reserve: a target
 	// still counts a connection that has gone silent, because it never sees the
 	// close, so a replacement must fit into the share beside it. A silent
-	// connection counts against the share for SilentHold (2 min).
+	// connection counts against the share for SilentHold (default 2 min).
 	MaxOpen    int
 	SilentHold time.Duration
 
-	MaxStreams int           // concurrent calls on one HTTP/2 connection; 100
-	MaxWaiters int           // calls that wait for a connection to one target; 64
-	MaxWait    time.Duration // wait of a call for a connection; 250 ms
-	MaxDials   int           // connections being opened concurrently, over all targets; 8
+	MaxStreams int           // limit of concurrent calls on one HTTP/2 connection; default 100
+	MaxWaiters int           // limit of calls that wait for a connection to one target; default 64
+	MaxWait    time.Duration // longest wait of a call for a connection; default 250 ms
+	MaxDials   int           // limit of connections being opened at once, over all targets; default 8
 
-	DialTimeout time.Duration // to open a connection and warm it up; 1 s
-	PaceFactor  float64       // pause between new connections to a target, as a multiple of ConnectCost; 2
-	MinPace     time.Duration // lower bound of that pause; 5 ms
-	MaxBackoff  time.Duration // upper bound of the pause after repeated failures to connect; 1 s
+	DialTimeout time.Duration // for opening one connection and warming it up; default 1 s
+	PaceFactor  float64       // pause between new connections to a target, as a multiple of ConnectCost; default 2
+	MinPace     time.Duration // lower bound of the pause between new connections; default 5 ms
+	MaxBackoff  time.Duration // upper bound of the pause after repeated failures to connect to a target; default 1 s
 
-	// A connection is suspect if a call has waited on it for SuspectAfter (100 ms)
+	// A connection is suspect if a call has waited on it for SuspectAfter (default 100 ms)
 	// while nothing at all was received. Other connections are preferred to it,
 	// and it is probed with a status read. If nothing is received within
-	// ProbeTimeout (500 ms) either, the connection is silent and is closed.
+	// ProbeTimeout (default 500 ms) either, the connection is silent and is closed.
 	SuspectAfter time.Duration
 	ProbeTimeout time.Duration
 
@@ -71,20 +71,21 @@
 	PingAfter time.Duration
 }
 
+// The defaults of the fields of Options with the same names.
 const (
-	defaultMaxAnswerBytes = 4 << 20
-	defaultMaxOpen        = 3
-	defaultSilentHold     = 2 * time.Minute
-	defaultMaxStreams     = 100
-	defaultMaxWaiters     = 64
-	defaultMaxWait        = 250 * time.Millisecond
-	defaultMaxDials       = 8
-	defaultDialTimeout    = time.Second
-	defaultPaceFactor     = 2
-	defaultMinPace        = 5 * time.Millisecond
-	defaultMaxBackoff     = time.Second
-	defaultSuspectAfter   = 100 * time.Millisecond
-	defaultProbeTimeout   = 500 * time.Millisecond
+	defaultMaxAnswerBytes = 4 << 20                // size of one answer's body, in bytes
+	defaultMaxOpen        = 3                      // connections kept open to one target over HTTP/2
+	defaultSilentHold     = 2 * time.Minute        // time for which a connection found silent counts against the share
+	defaultMaxStreams     = 100                    // concurrent calls on one HTTP/2 connection
+	defaultMaxWaiters     = 64                     // calls that wait for a connection to one target
+	defaultMaxWait        = 250 * time.Millisecond // longest wait of a call for a connection
+	defaultMaxDials       = 8                      // connections being opened at once, over all targets
+	defaultDialTimeout    = time.Second            // for opening one connection and warming it up
+	defaultPaceFactor     = 2                      // pause between new connections to a target, as a multiple of ConnectCost
+	defaultMinPace        = 5 * time.Millisecond   // lower bound of the pause between new connections to a target
+	defaultMaxBackoff     = time.Second            // upper bound of the pause after repeated failures to connect to a target
+	defaultSuspectAfter   = 100 * time.Millisecond // wait of a call without any data after which its connection is suspect
+	defaultProbeTimeout   = 500 * time.Millisecond // for a probe, after which a connection that received nothing is silent
 )
 
 func (o Options) withDefaults() Options {
--- a/target/pacer.go
+++ b/target/pacer.go
@@ -11,11 +11,13 @@
 // connections take a bounded part of the target's time.
 type pacer struct {
 	notBefore time.Time     // earliest time for the next connection
-	pause     time.Duration // after a connection that was opened or closed
-	maxPause  time.Duration // after repeated failures
-	failures  int           // consecutive
+	pause     time.Duration // mean wait after a connection was opened or closed
+	maxPause  time.Duration // upper bound of the mean wait after repeated failures
+	failures  int           // failures in a row to open a connection
 }
 
+// setLimits sets the pauses for a target that spends connectCost on a new connection: the
+// pause after each connection is PaceFactor times connectCost, but at least MinPace.
 func (p *pacer) setLimits(connectCost time.Duration, o *Options) {
 	pause := time.Duration(float64(connectCost) * o.PaceFactor)
 	p.pause = max(pause, o.MinPace)
@@ -37,7 +39,8 @@
 	}
 }
 
-// failed records that no connection could be opened at now.
+// failed records that no connection could be opened at now. The pause before the next try
+// doubles with each failure in a row, up to maxPause.
 func (p *pacer) failed(now time.Time) {
 	pause := p.pause
 	for i := 0; i < p.failures && pause < p.maxPause; i++ {
--- a/target/pool.go
+++ b/target/pool.go
@@ -13,22 +13,25 @@
 // closes them; calls only acquire and release them.
 type pool struct {
 	client     *Client
-	name       string
-	address    string
+	name       string        // of the target
+	address    string        // of the target, IP and port
 	wakeup     chan struct{} // wakes the maintainer
 	numWaiting atomic.Int32  // len(waiters), readable without mu
 
-	mu            sync.Mutex // guards the fields below and those of each conn below its wire
-	endpoint      Endpoint
-	conns         []*conn      // open connections, including retiring and closing ones
-	silentTimes   []time.Time  // when connections were found silent, oldest first, within SilentHold
-	suspicionTime time.Time    // latest time at which a connection was found silent, or since which a suspect one waits
+	mu          sync.Mutex  // guards the fields below, and the fields of each conn except http and wire
+	endpoint    Endpoint    // the settings in force
+	conns       []*conn     // open connections, including retiring and closing ones
+	silentTimes []time.Time // when connections were found silent, oldest first; those older than SilentHold are dropped
+	// suspicionTime is the latest time at which a connection was found silent, or from
+	// which a suspect connection has waited for data. Connections that have received
+	// nothing since then are probed.
+	suspicionTime time.Time
 	waiters       []chan *conn // waiting calls, oldest first; each receives a conn, or nil if it fails
 	retired       bool         // the endpoint is no longer in force
 	stopped       bool         // the maintainer has returned or is about to, and opens no more connections
 	watching      bool         // the maintainer checks for suspect connections every SuspectAfter
-	pacer         pacer
-	lastDialErr   error // of the last try to open a connection; nil if it succeeded
+	pacer         pacer        // determines when the next connection may be opened
+	lastDialErr   error        // error of the last try to open a connection; nil if it succeeded
 }
 
 func newPool(c *Client, e Endpoint) *pool {
@@ -64,16 +67,19 @@
 func (p *pool) reactivate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	// The pool stays retired only if its maintainer has stopped.
 	p.retired = p.stopped
 	return !p.stopped
 }
 
+// hasStopped reports whether the maintainer has returned or is about to.
 func (p *pool) hasStopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stopped
 }
 
+// wake makes the maintainer look for work again. It never blocks.
 func (p *pool) wake() {
 	select {
 	case p.wakeup <- struct{}{}:
@@ -81,10 +87,10 @@
 	}
 }
 
-// acquire returns a connection for one call, which must be released afterwards. It
-// waits up to MaxWait for one if one can be expected to become free, and fails at
-// once otherwise. If it fails, nothing was sent. A probe gets the connection that
-// was idle for longest.
+// acquire returns a connection for one call, which must be released afterwards. If none
+// is free, it waits up to MaxWait for one, or fails at once if none can be expected to
+// become free. If it fails, nothing was sent. A probe gets the connection that has
+// received nothing for longest.
 func (p *pool) acquire(ctx context.Context, probe bool) (*conn, *CallError) {
 	p.mu.Lock()
 	now := time.Now()
@@ -129,7 +135,8 @@
 	return &CallError{Kind: ErrorUnreachable, NotStarted: true, RetryAfter: max(retryAfter, 0), cause: p.lastDialErr}
 }
 
-// awaitTurn waits until waiter, which is in the queue, receives a connection.
+// awaitTurn waits until waiter, which is in the queue of waiting calls, receives a
+// connection. It fails after MaxWait, and when ctx ends or the client is closed.
 func (p *pool) awaitTurn(ctx context.Context, waiter chan *conn) (*conn, *CallError) {
 	limit := time.NewTimer(p.client.opts.MaxWait)
 	defer limit.Stop()
@@ -193,9 +200,10 @@
 	}
 }
 
-// pick returns the connection with the fewest calls, or nil if none accepts another
-// call. It prefers connections that are not suspect and have received data since
-// suspicionTime. p.mu must be held.
+// pick returns a connection for another call, or nil if none accepts one. It prefers
+// connections that are not suspect and have received data since suspicionTime, when a
+// connection of the pool was last suspect or silent. Among those it prefers the one with
+// the fewest calls. p.mu must be held.
 func (p *pool) pick(now time.Time) *conn {
 	var best *conn
 	var bestSuspect bool
@@ -204,6 +212,8 @@
 			continue
 		}
 		suspect := cn.isSuspect(now, p.client.opts.SuspectAfter) || cn.wire.lastRead().Before(p.suspicionTime)
+		// Replace best by a connection that is not suspect if best is, or by one with
+		// fewer calls if both or neither are suspect.
 		if best == nil || (bestSuspect && !suspect) || (bestSuspect == suspect && cn.calls < best.calls) {
 			best, bestSuspect = cn, suspect
 		}
@@ -211,10 +221,10 @@
 	return best
 }
 
-// pickIdlest returns the connection that has received nothing for longest, or nil
-// if none accepts another call. It avoids suspect connections: they get a probe of
-// their own, and if one is silent, the read would not return the target's state.
-// p.mu must be held.
+// pickIdlest returns the connection that has received nothing for longest, for a status
+// read, or nil if none accepts another call. It avoids suspect connections, because they
+// get a probe of their own. Besides, if such a connection is silent, the status read would
+// not return the target's state. p.mu must be held.
 func (p *pool) pickIdlest(now time.Time) *conn {
 	var idlest *conn
 	for _, cn := range p.conns {
@@ -239,6 +249,7 @@
 	if p.client.opts.Protocol == HTTP1 {
 		return cn.calls == 0
 	}
+	// Available is the number of calls that net/http can still start on the connection.
 	return cn.calls < p.client.opts.MaxStreams && cn.http.Available() > 0
 }
 
--- a/target/probe.go
+++ b/target/probe.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// probeSuspects starts a probe on each connection that may be silent. It ends the
-// checks for suspect connections when no call is in progress or waits for data.
-// An HTTP/1.1 connection can't carry a probe beside a call; it is closed when the
-// call is cancelled or times out.
+// probeSuspects starts a probe, a status read, on each connection that may be silent. It
+// sets watching to false, which ends the checks for suspect connections, if no connection
+// has a call in progress or awaits data. An HTTP/1.1 connection can't carry a probe beside
+// a call; it is closed when the call is cancelled or times out.
 func (p *pool) probeSuspects(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,10 +30,11 @@
 	}
 }
 
-// updateSuspicionTime sets suspicionTime for connections that have become suspect, so
-// that all connections of the pool are probed. Otherwise calls would find the silent
-// connections of a target one after another, each at the cost of SuspectAfter and
-// of all calls on it. p.mu must be held.
+// updateSuspicionTime moves suspicionTime forward if a connection has become suspect, to
+// when the suspect one began to wait for data. All connections of the pool that have
+// received nothing since then are probed. Otherwise calls would find the silent connections
+// of a target one after another, each at the cost of SuspectAfter and of all calls on it.
+// p.mu must be held.
 func (p *pool) updateSuspicionTime(now time.Time) {
 	for _, cn := range p.conns {
 		if cn.isSuspect(now, p.client.opts.SuspectAfter) && cn.waitingSince.After(p.suspicionTime) {
