--- a/objstore/api.go
+++ b/objstore/api.go
@@ -18,10 +18,10 @@
 // refused by rate limiting before it ran. After any other failure it is unknown
 // whether a write took effect.
 const (
-	HeaderVersion = "Object-Version"
-	PathObjects   = "/v1/objects/"
-	PathWatch     = "/v1/watch/"
-	PathVMs       = "/v1/vms"
+	HeaderVersion = "Object-Version" // header of an answer: the version of the object
+	PathObjects   = "/v1/objects/"   // start of the path of an object or a listing
+	PathWatch     = "/v1/watch/"     // start of the path of a watch
+	PathVMs       = "/v1/vms"        // path of the list of VMs
 )
 
 // ObjectJSON is the JSON form of an object in a listing.
@@ -34,15 +34,15 @@
 // PageJSON is the answer to a listing.
 type PageJSON struct {
 	Objects  []ObjectJSON `json:"objects"`
-	Revision uint64       `json:"revision"`
-	More     bool         `json:"more"`
+	Revision uint64       `json:"revision"` // of the store at the time of the read
+	More     bool         `json:"more"`     // more objects follow the last one
 }
 
 // EventJSON is one change of an object in the answer to a watch.
 type EventJSON struct {
 	Name     string `json:"name"`
-	Version  uint64 `json:"version"`
-	Revision uint64 `json:"revision"`
+	Version  uint64 `json:"version"`  // of the object
+	Revision uint64 `json:"revision"` // of the store; increases with each write to it
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
@@ -50,7 +50,7 @@
 // wait limit passed without a change.
 type WatchResultJSON struct {
 	Events   []EventJSON `json:"events"`
-	Revision uint64      `json:"revision"`
+	Revision uint64      `json:"revision"` // of the store; the next watch begins after it
 }
 
 // VMsJSON is the answer to a request for the list of VMs.
--- a/objstore/client.go
+++ b/objstore/client.go
@@ -17,13 +17,13 @@
 
 // Defaults of the fields of ClientOptions.
 const (
-	DefaultCallTimeout  = 2 * time.Second
-	DefaultWatchTimeout = 15 * time.Second
-	DefaultIdleTimeout  = 20 * time.Second
-	DefaultConnections  = 16
+	DefaultCallTimeout  = 2 * time.Second  // of one call other than a watch, with its whole answer
+	DefaultWatchTimeout = 15 * time.Second // of one watch
+	DefaultIdleTimeout  = 20 * time.Second // after which an unused connection is closed
+	DefaultConnections  = 16               // open connections to the platform
 )
 
-// maxListBytes bounds the size of an answer that isn't a single object.
+// maxListBytes is the largest size, in bytes, of an answer other than a single object.
 const maxListBytes = 16 * MaxValue
 
 // ClientOptions configure a Client. A field that is 0 or less means its default.
@@ -55,17 +55,18 @@
 //
 // It never sends a write twice. If a reused connection fails, net/http resends a
 // request by itself when its body can be rewound and the request looks idempotent.
-// A conditional write that is sent again fails with ErrConflict because of its own
-// first copy. So the body of a write can't be rewound.
+// A conditional write that is sent twice may fail with ErrConflict, because its
+// first copy has already changed the version. So the Client gives net/http bodies
+// that can't be rewound.
 //
 // A call on a connection that has gone silent times out. net/http then closes that
 // HTTP/1.1 connection, and the Client closes all idle ones too, because a device
 // that has lost the state of one connection has often lost that of all.
 type Client struct {
-	base      string
+	base      string // "http://" with the platform's IP and port
 	opts      ClientOptions
 	transport *http.Transport
-	http      *http.Client
+	http      *http.Client // sends the requests, over transport
 }
 
 var _ Store = (*Client)(nil)
@@ -206,7 +207,8 @@
 	return v, nil
 }
 
-// callJSON makes a call and decodes the answer into result, a pointer.
+// callJSON makes a call and decodes the JSON answer; result is a pointer to the value that
+// receives it.
 func (c *Client) callJSON(ctx context.Context, req request, result any) error {
 	ans, err := c.call(ctx, req)
 	if err != nil {
@@ -215,8 +217,8 @@
 	return errors.Annotate(json.Unmarshal(ans.body, result), "object store: malformed answer")
 }
 
-// call sends a request with its timeout. If the request times out, call closes all
-// idle connections; see Client.
+// call sends a request with its timeout and returns the answer. If the request times
+// out, call closes all idle connections, because they may be silent too.
 func (c *Client) call(ctx context.Context, req request) (answer, error) {
 	timeout := req.timeout
 	if timeout == 0 {
@@ -231,6 +233,8 @@
 	return ans, err
 }
 
+// send sends a request and reads the whole answer. An answer with an error status, or
+// above the request's limit, is returned as an error.
 func (c *Client) send(ctx context.Context, req request) (answer, error) {
 	hreq, err := req.httpRequest(ctx, c.base)
 	if err != nil {
@@ -258,6 +262,7 @@
 	return answer{header: resp.Header, body: body}, nil
 }
 
+// httpRequest returns the HTTP request for r. base is the part of the URL before the path.
 func (r request) httpRequest(ctx context.Context, base string) (*http.Request, error) {
 	hreq, err := http.NewRequestWithContext(ctx, r.method, base+r.path, nil)
 	if err != nil {
@@ -278,6 +283,9 @@
 	return hreq, nil
 }
 
+// statusError returns nil if the response's status is a success, and ErrNotFound,
+// ErrConflict, ErrTooLarge or ErrBusy for their statuses. For any other status it returns
+// an error with the status and the beginning of the body.
 func statusError(resp *http.Response, body []byte) error {
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
@@ -296,6 +304,7 @@
 	return errors.Errorf("object store: status %d: %s", resp.StatusCode, text)
 }
 
+// objectPath returns the escaped URL path of one object.
 func objectPath(kind, name string) string {
 	return PathObjects + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
--- a/objstore/objstore.go
+++ b/objstore/objstore.go
@@ -13,10 +13,10 @@
 
 // Object is one stored value.
 type Object struct {
-	Kind    string
-	Name    string
+	Kind    string // the collection that the object belongs to
+	Name    string // unique within the kind
 	Version uint64 // increases with each write of this object; 0 means that it does not exist
-	Value   []byte
+	Value   []byte // JSON
 }
 
 // Event reports that an object changed. It is a hint: events can be lost, repeated,
@@ -24,7 +24,7 @@
 type Event struct {
 	Kind     string
 	Name     string
-	Version  uint64
+	Version  uint64 // of the object
 	Revision uint64 // of the store; increases with each write to it
 	Deleted  bool
 }
@@ -72,8 +72,8 @@
 type Store interface {
 	// Get returns the object, or ErrNotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// List returns up to limit objects of the kind whose names sort after after,
-	// in name order.
+	// List returns, in name order, up to limit objects of the kind whose names
+	// are greater than after.
 	List(ctx context.Context, kind, after string, limit int) (Page, error)
 	// Put writes value if the object's version is expectedVersion, and returns
 	// the new version. An expectedVersion of 0 means that the object must not
@@ -81,9 +81,9 @@
 	Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error)
 	// Delete deletes the object if its version is expectedVersion.
 	Delete(ctx context.Context, kind, name string, expectedVersion uint64) error
-	// Watch waits until an object of the kind changes after the store's revision
-	// since, or until the platform's own wait limit has passed. It returns the
-	// changes, of which there may be none.
+	// Watch returns the changes of objects of the kind after since, which is a
+	// revision of the store. If there is none yet, Watch waits for one. It returns
+	// without changes when the platform's own wait limit has passed.
 	Watch(ctx context.Context, kind string, since uint64) (WatchResult, error)
 	// VMs returns the platform's list of VMs, which may be out of date.
 	VMs(ctx context.Context) ([]VM, error)
