--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -12,16 +12,22 @@
 // unreachable or stopped. Once there are more such shards than an answer may leave out, no
 // request is answered in time, although the slots would suffice for most requests. Each
 // request waits behind parts of others that are equally late, occupies slots of all other
-// shards, fails, and is retried.
+// shards, fails, and is retried. A part of a request is what it sends to one shard.
 //
 // Therefore, before anything is sent, the VM that queries the leafs forecasts when each shard
-// could answer. The forecast uses the load and slowdown that the leafs state, the VM's own
+// could answer. The forecast uses the load and slowdown that the leafs report, the VM's own
 // requests in flight, and the typical duration of that kind of request. Parts that would be
 // too late are not sent. A request that lacks too many parts is refused at once: it has not
 // run, and its caller is told when to retry.
 
-// admit decides whether to start the request, from the shards that this VM queries itself; a
-// VM that is called decides for its own shards. Shards that can't answer in time are closed.
+// admit decides whether to start the request, and returns false after refusing it. ownShards
+// are the indexes of the shards that this VM queries itself; a VM that is called decides for
+// its own shards.
+//
+// The wait at a shard is the time by which its answer is expected to take longer than is
+// typical. The slack is the time until AnswerBy beyond the typical duration. The request is
+// refused if a shard that it can't leave out needs more than maxWaitShare of the slack. If it
+// is admitted, shards that need more than the whole slack are closed.
 func (q *Query) admit(now time.Time, ownShards []int) bool {
 	q.omissionsLeft = q.omissionsAllowed(len(ownShards))
 	if !q.spec.Gathered || q.table.admitAll {
@@ -51,22 +57,28 @@
 	return true
 }
 
-// Parameters of holding back this VM's own shards.
+// A VM that calls other VMs for some shards of a request may first wait for their refusals
+// before it queries the remaining shards, its own ones, itself.
 const (
-	holdThreshold = 0.05 // share of refused calls above which they are held back
-	// holdTime is about as long as a call and its refusal take.
-	holdTime = 3 * time.Millisecond
+	// refusalRateForDelay is the share of calls refused by other VMs, from 0 to 1, above
+	// which the queries of this VM's own shards are delayed.
+	refusalRateForDelay = 0.05
+	// ownShardsDelay is how long these queries are delayed: about as long as a call to
+	// another VM and its refusal take.
+	ownShardsDelay = 3 * time.Millisecond
 )
 
-// holdsOwnShards reports whether the shards that this VM queries itself wait until called VMs
-// have had time to refuse. Where calls are refused occasionally, leafs would otherwise work on
-// the other shards without use, and the caller could not be told that its request has not run.
-func (q *Query) holdsOwnShards(now time.Time, calls []delegation) bool {
-	return len(calls) > 0 && q.table.callRefusalRate.current(now) > holdThreshold
+// delaysOwnShards reports whether the shards that this VM queries itself are sent only after
+// ownShardsDelay, when called VMs have had time to refuse. Where calls are refused
+// occasionally, leafs would otherwise work on these shards without use, and the caller could
+// not be told that its request has not run.
+func (q *Query) delaysOwnShards(now time.Time, calls []delegation) bool {
+	return len(calls) > 0 && q.table.callRefusalRate.current(now) > refusalRateForDelay
 }
 
-// omissionsAllowed returns how many shards an answer may leave out. For a delegated request
-// these are shards that this VM queries.
+// omissionsAllowed returns how many shards may be left out when the request starts. For a
+// request that another VM delegated to this one, only the ownShards shards that this VM
+// queries count; the other VM states how many of them it needs.
 func (q *Query) omissionsAllowed(ownShards int) int {
 	if !q.spec.Delegated {
 		return q.maxOmissions()
@@ -74,16 +86,19 @@
 	return ownShards - min(q.spec.Required, ownShards)
 }
 
-// maxOmissions returns how many shards an answer may leave out.
+// maxOmissions returns how many of all shards an answer may leave out, given the minimum share
+// MinShare. At least one shard has to be answered.
 func (q *Query) maxOmissions() int {
 	n := float64(len(q.shards))
 	return len(q.shards) - max(int(math.Ceil(q.spec.MinShare*n-roundingSlack)), 1)
 }
 
-// roundingSlack keeps a share that is a whole number of shards from being rounded up.
+// roundingSlack is subtracted from a number of shards before it is rounded up. A product that
+// is a whole number except for floating-point error is thus not rounded up to the next one.
 const roundingSlack = 1e-9
 
-// omitShard closes a shard that is not queried. The request still counts for its budget.
+// omitShard closes a shard that is not queried, since no leaf is expected to answer in time.
+// The request still counts as a request in the budget of the shard's service.
 func (q *Query) omitShard(now time.Time, s *shard) {
 	s.close(GapForecast)
 	if !s.budgetCounted {
@@ -92,22 +107,23 @@
 	}
 }
 
-// Bounds of the retry delay of a refused caller, as shares of the time that it has left. The
-// delay is random between them, so that callers that were refused together don't return
-// together. Most callers wait no longer than that, and the remaining time is enough for
-// another attempt.
+// Bounds of the delay after which a refused caller is told to retry. A random delay between
+// them keeps callers that were refused together from retrying together. Most callers wait no
+// longer than the upper bound, and the remaining time is enough for another attempt.
 const (
-	minReturnShare = 0.1
-	maxReturnShare = 0.33
+	minRetryDelayShare = 0.1  // shortest random delay, as a share of the time until the caller's deadline
+	maxRetryDelayShare = 0.33 // longest delay, as a share of the time until the caller's deadline
 )
 
 // Refusal is the forecast that led to refusing a request.
 type Refusal struct {
-	Wait  time.Duration // expected at the scarcest shard that the answer needs
+	Wait  time.Duration // longest expected wait at a shard that the answer can't leave out
 	Limit time.Duration // longest wait that would have been accepted
 }
 
-// refuse closes all shards and sets the retry delay.
+// refuse closes all shards and sets the delay after which the caller should retry: the time by
+// which the expected wait exceeds the limit, plus a random share of the time left, but never
+// more than maxRetryDelayShare of the time left.
 func (q *Query) refuse(now time.Time, refusal Refusal) {
 	q.refusal = &refusal
 	for i := range q.shards {
@@ -116,35 +132,38 @@
 		}
 	}
 	left := float64(q.spec.Deadline.Sub(now))
-	random := minReturnShare + (maxReturnShare-minReturnShare)*q.table.rng.Float64()
-	after := min(refusal.Wait-refusal.Limit+time.Duration(random*left), time.Duration(maxReturnShare*left))
+	random := minRetryDelayShare + (maxRetryDelayShare-minRetryDelayShare)*q.table.rng.Float64()
+	after := min(refusal.Wait-refusal.Limit+time.Duration(random*left), time.Duration(maxRetryDelayShare*left))
 	q.retryAfter = min(max(after, minRetryAfter), maxRetryAfter)
 }
 
 // Parameters of a forecast.
 const (
-	// maxWaitShare is the share of the slack that a request may have to wait at a shard
-	// that it needs. The slack is the time that it has beyond its typical duration. Other
-	// VMs start requests at the same time, some work takes longer than usual, and leafs
-	// pause.
+	// maxWaitShare limits the expected wait at a shard that a request can't leave out, as
+	// a share of the slack: the time until AnswerBy beyond the request's typical duration.
+	// The remainder of the slack is a reserve, since other VMs start requests at the same
+	// time, some work takes longer than usual, and leafs pause.
 	maxWaitShare = 0.4
-	// sendMargin is the tolerance for sending a part that is expected to be late: it is not
-	// sent if its expected duration exceeds the time left by more than this factor.
-	sendMargin = 2
-	// drainShare is the share of a leaf's capacity by which its queue is taken to have
-	// shrunk since the last report: other VMs keep sending.
-	drainShare = 0.5
+	// latenessTolerance is the factor by which the expected duration of a request to a leaf
+	// may exceed the time left until its answer is needed. Beyond it, the request is not
+	// sent.
+	latenessTolerance = 2
+	// queueDrainShare is the share of a leaf's capacity that is assumed to shorten its
+	// queue after the leaf reported its load. The remainder is assumed to serve requests
+	// that other VMs have sent since.
+	queueDrainShare = 0.5
 )
 
 // never is the forecast for a shard without a leaf that could be queried.
 const never = time.Hour
 
-// eta returns the time until a shard would answer, at the best of its leafs, behind the
-// requests that already wait for one of them.
+// eta returns the expected time from now until a shard answers: the time at the best of its
+// leafs, plus the time for this VM's queries that already wait for a leaf of the shard.
+// Suspect leafs don't count. The result is never if no other leaf may be used.
 func (q *Query) eta(now time.Time, s *shard) time.Duration {
 	typical, _ := q.table.typicalDuration(now, q.durationKey())
 	best := time.Duration(never)
-	slots := 0.0 // in leafs of usual speed
+	slots := 0.0 // of all leafs, where a slot of a leaf that is twice as slow counts half
 	var work time.Duration
 	for _, l := range q.candidates(s) {
 		if l.suspicion.raised {
@@ -161,7 +180,9 @@
 	return best + time.Duration(ahead/slots*float64(work))
 }
 
-// eta returns the time until the leaf would answer a request with the given typical duration.
+// eta returns the expected time from now until the leaf answers one more request, where
+// typical is the duration of such a request at a leaf of usual speed. It includes the queue,
+// the remaining cooldown, and a surcharge if the leaf is stalled.
 func (l *leaf) eta(now time.Time, typical time.Duration) time.Duration {
 	d := l.expected(now, typical) + l.backlog(now)
 	if l.cooldown.active(now) {
@@ -173,7 +194,7 @@
 	return d
 }
 
-// backlog returns the time until a slot of the leaf is free.
+// backlog returns the expected time until the leaf has a free slot for one more request.
 func (l *leaf) backlog(now time.Time) time.Duration {
 	ahead := float64(len(l.inFlight)) + l.queued(now) + 1 - float64(l.Slots)
 	if ahead <= 0 {
@@ -182,13 +203,15 @@
 	return time.Duration(ahead / float64(l.Slots) * float64(l.expected(now, l.typicalWork)))
 }
 
-// queued returns how many requests of other VMs the leaf has: those of the last report, less
-// those that it has completed since.
+// queued returns the estimated number of requests of other VMs at the leaf: those at its last
+// report, less those that it is assumed to have completed since. It is 0 if the report is too
+// old.
 func (l *leaf) queued(now time.Time) float64 {
 	age := now.Sub(l.reportedAt)
-	if age >= reportLifetime || l.othersReported == 0 {
+	if age >= reportedLoadLifetime || l.othersReported == 0 {
 		return 0
 	}
-	done := drainShare * float64(l.Slots) * float64(age) / float64(max(l.expected(now, l.typicalWork), time.Millisecond))
+	// Each slot completes one request in the expected time of a typical one, at least 1 ms.
+	done := queueDrainShare * float64(l.Slots) * float64(age) / float64(max(l.expected(now, l.typicalWork), time.Millisecond))
 	return max(l.othersReported-done, 0)
 }
--- a/scatter/allowed.go
+++ b/scatter/allowed.go
@@ -10,9 +10,9 @@
 
 // Two VMs may send requests to leafs of one shard: the called VM, and the calling VM once it
 // has waited too long. Neither knows in time what the other did. Both compute the same leafs
-// from the request's id, one fewer than the request allows. The calling VM uses only these;
-// the called VM may use one more of its own choice. Together they use no more leafs than the
-// request allows, even if one of them freezes between any two steps.
+// from the request's id, one fewer than the request allows (MaxAttempts). The calling VM uses
+// only these; the called VM may use one more of its own choice. Together they use no more
+// leafs than the request allows, even if one of them freezes between any two steps.
 //
 // A second VM, called because the first one is silent, uses the computed leafs only.
 //
@@ -25,8 +25,8 @@
 // carries the caller's list as a View, and the called VM declines shards for which its own
 // view differs.
 
-// View identifies the set of usable leafs of a service, as one VM knows it. VMs that know the
-// same leafs have the same view.
+// View is a hash of the set of leafs of a service, without draining ones, as one VM knows it.
+// VMs that know the same leafs have the same view.
 type View uint32
 
 // View returns this VM's view of a service, 0 for an unknown one.
@@ -47,6 +47,7 @@
 // other's shards. Otherwise they might together use one leaf more than a request allows.
 const viewVersion = 3
 
+// viewOf returns the hash of the leafs that don't drain.
 func viewOf(leafs []*leaf) View {
 	var sum uint64 = viewVersion
 	for _, l := range leafs {
@@ -58,9 +59,11 @@
 	return View(sum)
 }
 
-// commonLeafs returns the leafs of a shard that two VMs may use for a request that may run on
-// attempts leafs: one fewer than attempts, but at least one, starting with those in the given
-// zone. A leaf whose address was reused counts among them, since only this VM may know of that.
+// commonLeafs returns the leafs of a shard that both the calling and the called VM may use for
+// a request. attempts is the number of leafs that the request may run on. One fewer than that
+// are returned, but at least one if there is any. Leafs in the given zone come first; the
+// order is otherwise pseudorandom, by the request's id. A leaf whose address was reused counts
+// among them, since only this VM may know of that.
 func (t *Table) commonLeafs(service, zone, request string, attempts int) []LeafID {
 	s := t.services[service]
 	if s == nil {
@@ -86,7 +89,12 @@
 	return ids
 }
 
-// candidates returns the leafs that an attempt on a shard may go to.
+// candidates returns the leafs that an attempt on a shard may go to:
+//   - all usable ones, if no other VM may query the shard, or if this VM was called for it and
+//     has not yet used a leaf of its own choice;
+//   - the common leafs and its own choice, if this VM was called and has made that choice;
+//   - only the common leafs at the calling VM, at a VM that is called in place of a silent
+//     one, and where the request allows a single attempt.
 func (q *Query) candidates(s *shard) []*leaf {
 	switch {
 	case !s.shared:
@@ -99,21 +107,23 @@
 	return q.table.usableLeafs(s.service)
 }
 
-// recordChoice records that the called VM uses a leaf of its own choice.
+// recordChoice records that an attempt goes to a leaf. If another VM may query the shard too
+// and the leaf is not a common one, the leaf becomes this VM's only own choice.
 func (s *shard) recordChoice(id LeafID) {
 	if s.shared && !slices.Contains(s.commonLeafs, id) {
 		s.ownChoice = id
 	}
 }
 
-// clearChoice records that an attempt ran nothing, so that another leaf may be chosen.
+// clearChoice records that an attempt at a leaf ran nothing. If the leaf was this VM's own
+// choice, another one may be chosen.
 func (s *shard) clearChoice(id LeafID) {
 	if s.ownChoice == id {
 		s.ownChoice = LeafID{}
 	}
 }
 
-// usableAmong returns those of the given leafs that still take requests.
+// usableAmong returns those of the given leafs that are still known and take requests.
 func (t *Table) usableAmong(ids []LeafID) []*leaf {
 	var list []*leaf
 	for _, id := range ids {
@@ -136,8 +146,8 @@
 	}
 }
 
-// rank returns the position of a leaf in the order of a shard's leafs, which differs for each
-// request.
+// rank returns a hash by which the leafs of a shard are ordered for a request. The order is the
+// same at all VMs and differs from request to request. VMs are ordered in the same way.
 func rank(request, leaf string) uint64 {
 	return xxhash.Sum64String(request + "/" + leaf)
 }
--- a/scatter/budget.go
+++ b/scatter/budget.go
@@ -2,21 +2,24 @@
 
 import "time"
 
-// BudgetConfig bounds the extra arrivals at each service: hedges, retries, and everything else
-// that reaches a leaf beyond the first arrival of a request.
+// BudgetConfig bounds the extra arrivals at each service. An extra arrival is anything that
+// reaches a leaf after the first arrival of a request: a hedge, a retry, or a request sent
+// again by another VM.
 type BudgetConfig struct {
-	Ratio  float64       // extra arrivals per request
-	Floor  float64       // extra arrivals per window in addition to the ratio, of all VMs together
-	Window time.Duration // length of the sliding window
+	Ratio  float64       // extra arrivals allowed per request in the window
+	Floor  float64       // extra arrivals that all VMs together may cause per window, besides the ratio
+	Window time.Duration // length of the sliding window in which arrivals are counted
 }
 
-// usableRatio is the share of the ratio that a VM uses. The windows of several VMs, whose
-// clocks and wake-ups differ, don't end at the same moment.
+// usableRatio is the share of the configured ratio of extra arrivals to requests that a VM
+// uses, from 0 to 1. The remainder is a margin: the windows of several VMs, whose clocks and
+// wake-ups differ, don't end at the same moment.
 const usableRatio = 0.9
 
-// budgetSteps is the number of steps in which a window is counted. The step in progress counts
-// in full among extra arrivals and not at all among requests, so the bound holds for every
-// sliding window.
+// budgetSteps is the number of equal steps into which the budget's window is divided; arrivals
+// are counted per step. One more step than that is kept. Extra arrivals are summed over all
+// kept steps, but requests without the oldest step. So the bound holds for every sliding
+// window, wherever it begins within a step.
 const budgetSteps = 40
 
 // budget bounds the extra arrivals that this VM causes at one service. No VM knows what the
@@ -24,26 +27,29 @@
 // the total bound holds however requests are distributed.
 type budget struct {
 	config    BudgetConfig
-	floor     float64 // this VM's share of the configured floor
-	steps     [budgetSteps + 1]budgetStep
-	newest    int64 // number of the newest step
-	startedAt time.Time
+	floor     float64                     // this VM's share of the configured floor, in extra arrivals per window
+	steps     [budgetSteps + 1]budgetStep // ring: step n is at index n modulo its length
+	newest    int64                       // number of the newest step
+	startedAt time.Time                   // when step 0 began
 }
 
+// budgetStep counts the requests (by weight) and the extra arrivals of one step of the window.
 type budgetStep struct{ requests, extra float64 }
 
+// newBudget returns a budget whose steps are numbered from now.
 func newBudget(config BudgetConfig, now time.Time) *budget {
 	return &budget{config: config, startedAt: now}
 }
 
-// countRequest counts a request with the given weight: a request that one VM delegates to
-// another counts in part at each of them.
+// countRequest counts a request with the given weight, from 0 to 1. A request that one VM
+// delegates to another counts in part at each of them, so the weight may be below 1.
 func (b *budget) countRequest(now time.Time, weight float64) {
 	b.advance(now).requests += weight
 }
 
-// spend takes one extra arrival from the budget and reports whether it could. It leaves
-// reserve arrivals unspent, so that hedges don't use up what retries need.
+// spend takes one extra arrival from the budget and returns true, or returns false if that
+// would leave fewer than reserve arrivals in it. The reserve keeps hedges from using up what
+// retries need.
 func (b *budget) spend(now time.Time, reserve float64) bool {
 	step := b.advance(now)
 	var requests, extra float64
@@ -60,7 +66,8 @@
 	return true
 }
 
-// advance clears the steps that have left the window and returns the newest step.
+// advance makes the step of the current time the newest one, and returns it. It clears the
+// steps that have left the window.
 func (b *budget) advance(now time.Time) *budgetStep {
 	length := b.config.Window / budgetSteps
 	number := int64(now.Sub(b.startedAt) / max(length, time.Millisecond))
--- a/scatter/conclude.go
+++ b/scatter/conclude.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// conclude ends the query if its outcome is decided, and returns acts otherwise.
+// conclude returns acts, followed by the end of the query if its outcome is decided. It returns
+// nothing if the query has already ended.
 func (q *Query) conclude(now time.Time, acts []Action) []Action {
 	if q.done {
 		return nil
@@ -14,6 +15,8 @@
 	return append(acts, q.finish(out)...)
 }
 
+// finish ends the query with an outcome, which it completes with the gaps (shards without an
+// answer) and the counters of the query.
 func (q *Query) finish(out Outcome) []Action {
 	q.done = true
 	if q.spec.Gathered {
@@ -27,6 +30,7 @@
 	return []Action{Finish{Outcome: out}}
 }
 
+// decide returns the outcome of the query, and false while there is none yet.
 func (q *Query) decide(now time.Time) (Outcome, bool) {
 	if q.spec.Gathered {
 		return q.decideGathered(now)
@@ -34,6 +38,7 @@
 	return q.decideSingle()
 }
 
+// decideSingle is decide for a request to a single service, which has one shard.
 func (q *Query) decideSingle() (Outcome, bool) {
 	s := &q.shards[0]
 	switch {
@@ -46,8 +51,10 @@
 	}
 }
 
-// failureOutcome returns the outcome of a query without an answer. The caller is told that
-// nothing ran only if no attempt may have run; mayHaveRun is the verdict otherwise.
+// failureOutcome returns the outcome of a query without a sufficient answer. It is NotRun, which
+// tells the caller that nothing ran, only if no attempt may have run here or at another VM. It
+// is LeafFailed if a leaf answered a request to a single service with a failure, and mayHaveRun
+// otherwise.
 func (q *Query) failureOutcome(mayHaveRun Verdict) Outcome {
 	if q.failedAttempt != 0 && !q.spec.Gathered {
 		return Outcome{Verdict: LeafFailed, Attempt: q.failedAttempt}
@@ -60,13 +67,17 @@
 	return Outcome{Verdict: NotRun, RetryAfter: q.retryAfterOrDefault()}
 }
 
-// Bounds of the retry delay of a refused caller.
+// The delay after which a refused caller is told to retry.
 const (
-	retryAfterShare = 0.25 // of the latency objective; about the time in which a queue drains
-	minRetryAfter   = 10 * time.Millisecond
-	maxRetryAfter   = time.Second
+	// retryAfterShare is the delay if no VM stated one, as a share of the latency
+	// objective: about the time in which the queue of a leaf drains.
+	retryAfterShare = 0.25
+	minRetryAfter   = 10 * time.Millisecond // shortest delay
+	maxRetryAfter   = time.Second           // longest delay
 )
 
+// retryAfterOrDefault returns the delay after which the caller should retry: the one of the VM
+// that refused the request, or else the default.
 func (q *Query) retryAfterOrDefault() time.Duration {
 	if q.retryAfter > 0 {
 		return q.retryAfter
@@ -75,8 +86,11 @@
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
+// decideGathered is decide for a gathered request. It ends when all shards are answered, when
+// no unanswered shard can be answered any more, when too few shards can be, and from AnswerBy
+// on as soon as enough shards are answered.
 func (q *Query) decideGathered(now time.Time) (Outcome, bool) {
-	answered, possible := 0, 0
+	answered, possible := 0, 0 // possible: shards without an answer that may still get one
 	for i := range q.shards {
 		s := &q.shards[i]
 		switch {
@@ -120,6 +134,8 @@
 	return n > 0 && float64(n) >= q.spec.MinShare*float64(len(q.shards))
 }
 
+// gatheredOutcome returns the outcome of a gathered request that is answered with answered of
+// its shards: the answers of other VMs that are used, and those of leafs for all other shards.
 func (q *Query) gatheredOutcome(answered int) Outcome {
 	out := Outcome{Verdict: Answered, Missing: len(q.shards) - answered}
 	for i := range q.shards {
@@ -136,6 +152,8 @@
 	return out
 }
 
+// atDeadline returns the outcome of a query that reaches its deadline: an answer if enough
+// shards of a gathered request are answered, and a failure otherwise.
 func (q *Query) atDeadline() Outcome {
 	answered := q.answered()
 	if q.spec.Gathered && q.enough(answered) {
--- a/scatter/cooldown.go
+++ b/scatter/cooldown.go
@@ -2,27 +2,35 @@
 
 import "time"
 
-// cooldown keeps requests away from a leaf or a VM that does not answer.
+// cooldown keeps requests away from a leaf or a VM for a while after it failed, refused or did
+// not answer.
 type cooldown struct {
-	failures int // consecutive
-	until    time.Time
+	failures int       // consecutive failures, or more after one that starts a cooldown at once
+	until    time.Time // end of the latest cooldown, zero if there was none
 }
 
-// Lengths of a cooldown. The first failures say little: a leaf breaks off a few answers and
-// serves the next request. The longest cooldown stays below the 2 s within which a leaf that
-// was only disconnected should be found again.
+// Lengths of a cooldown. Each further consecutive failure doubles the length.
 const (
-	baseCooldown       = 60 * time.Millisecond
-	maxCooldown        = 1500 * time.Millisecond
-	maxDoublings       = 5
+	baseCooldown = 60 * time.Millisecond // length of the first cooldown
+	// maxCooldown is the longest cooldown. It stays below the 2 s within which a leaf that
+	// was only disconnected should be found again.
+	maxCooldown = 1500 * time.Millisecond
+	// maxDoublings is how often a length is doubled at most. It bounds the shift; pauses
+	// between probes use it too.
+	maxDoublings = 5
+	// failuresToCooldown is the number of consecutive failures that start a cooldown. The
+	// first failures say little: a leaf breaks off a few answers and serves the next
+	// request.
 	failuresToCooldown = 2
-	// silentDoublings is how often the first cooldown after a silence is doubled.
+	// silentDoublings is how often the length is doubled at once after a request that got
+	// no answer in its whole time.
 	silentDoublings = 2
 )
 
-// recordFailure counts a failure of a request that was sent at sentAt. Requests that were in
-// flight together count once: one pause ends many of them and is no more evidence than one
-// failure.
+// recordFailure counts a failure of a request that was sent at sentAt, and starts a cooldown if
+// there were several in a row. Failures of requests that were sent before the end of the latest
+// cooldown don't count: one pause ends many requests that were in flight together, and is no
+// more evidence than one failure.
 func (c *cooldown) recordFailure(sentAt, now time.Time) {
 	if sentAt.Before(c.until) {
 		return
@@ -34,8 +42,8 @@
 	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxDoublings), maxCooldown))
 }
 
-// recordUnreachable counts that no connection could be made. No process listens at the
-// address, so the cooldown begins at once.
+// recordUnreachable records that no connection could be made. No process listens at the
+// address, so a cooldown of twice the base length or more begins at once.
 func (c *cooldown) recordUnreachable(now time.Time) {
 	if now.Before(c.until) {
 		return
@@ -44,10 +52,10 @@
 	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown+1, maxDoublings), maxCooldown))
 }
 
-// recordSilence counts that nothing was received in the whole time of a request, which is many
-// times longer than any pause of a leaf. The leaf has stopped without notice, and the next
-// request would be lost as well. The cooldown begins at once, and is longer than after a
-// failure.
+// recordSilence records that nothing was received in the whole time of a request that was sent
+// at sentAt. This time is many times longer than any pause of a leaf. The leaf has stopped
+// without notice, and the next request would be lost as well. The cooldown begins at once, and
+// is longer than after a failure.
 func (c *cooldown) recordSilence(sentAt, now time.Time) {
 	if sentAt.Before(c.until) {
 		return
@@ -60,12 +68,15 @@
 // refuses is alive.
 func (c *cooldown) startAtLeast(now time.Time, d time.Duration) { c.extend(now, d) }
 
+// extend moves the end of the cooldown to d from now, unless it already ends later.
 func (c *cooldown) extend(now time.Time, d time.Duration) {
 	if until := now.Add(d); until.After(c.until) {
 		c.until = until
 	}
 }
 
+// recordAnswer ends the series of consecutive failures. A cooldown in progress goes on.
 func (c *cooldown) recordAnswer() { c.failures = 0 }
 
+// active reports whether a cooldown is in progress.
 func (c *cooldown) active(now time.Time) bool { return now.Before(c.until) }
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -23,50 +23,58 @@
 // Delegation costs two more hops within the region. Calls to a VM that is frozen, disconnected
 // or stopped fail over (see overtake.go).
 
-// Parameters of delegation.
+// Parameters of calls to other VMs. AnswerBy is the time by which this VM answers its caller.
 const (
-	// minDelegated is the number of shards from which a message to another VM is smaller
-	// than the answers that it saves.
-	minDelegated = 3
-	// interimShare is the share of the time until AnswerBy after which the other VM sends
-	// what it has. If it has sent nothing by then, the call fails over.
-	interimShare = 0.5
-	// answerShare is the minimum share of the time until AnswerBy that the other VM has.
-	// The remaining time, callSlack at the most, is for sending its answer and for
-	// answering the caller.
-	answerShare = 0.85
-	// callSlack is the time for the way to the other VM and back.
-	callSlack = 8 * time.Millisecond
-	// failoverQuantile and failoverFactor determine when a call to a silent VM fails over;
-	// failoverLatestShare is the latest time, as a share of the time until AnswerBy.
-	failoverQuantile    = 0.95
-	failoverFactor      = 1.2
+	// minDelegatedShards is the smallest number of shards for which a VM in another zone is
+	// called, or another VM after a failed call. For fewer, the message to the other VM is
+	// larger than the answers that it saves.
+	minDelegatedShards = 3
+	// interimAnswerShare is the share of the time until AnswerBy after which the called VM
+	// sends the answers that it has. If it has sent nothing by then, the call may fail
+	// over.
+	interimAnswerShare = 0.5
+	// minDelegateTimeShare is the minimum share of the time until AnswerBy that the called
+	// VM is given for its answer. The remaining time, callRoundTrip at the most, is for
+	// sending its answer and for answering the caller.
+	minDelegateTimeShare = 0.85
+	// callRoundTrip is the time that a message to the called VM and its answer take on the
+	// network.
+	callRoundTrip = 8 * time.Millisecond
+	// failoverDurationQuantile is the quantile of the times that recent calls took until
+	// their first answer. A call without an answer is overdue after failoverDurationFactor
+	// times that quantile, and then fails over.
+	failoverDurationQuantile = 0.95
+	failoverDurationFactor   = 1.2 // multiple of that quantile
+	// failoverLatestShare is the share of the time until AnswerBy after which a call
+	// without an answer fails over at the latest.
 	failoverLatestShare = 0.85
 )
 
-// zonePartition identifies a leaf partition of a zone. Its shards are queried through the VMs
-// that own it.
+// zonePartition identifies a leaf partition: one of the groups into which the leafs of a zone
+// are divided. Its shards are queried through the VMs that own it.
 type zonePartition struct {
 	zone      string
-	partition int
+	partition int // number of the partition in the zone, from 0
 }
 
-// delegation is a call to make: the VM, the partition, and the indexes of the shards.
+// delegation is a call to another VM that has to be made.
 type delegation struct {
-	vm        *vm
-	partition zonePartition
-	shards    []int
+	vm        *vm           // the VM to call
+	partition zonePartition // that the shards belong to and the VM owns
+	shards    []int         // indexes of the shards that the VM is to query
 }
 
-// delegations chooses VMs for the shards that this VM does not own: VMs in this zone for
-// shards with a leaf here, and VMs in as few other zones as possible for the others.
+// delegations returns the calls to make for shards that this VM does not query itself. Shards
+// with a leaf in this zone go to the VMs of this zone that own their partition. The others go
+// to VMs in few other zones: the zone with the most of these shards is chosen first, then the
+// one with the most of the remaining ones.
 func (q *Query) delegations(now time.Time) []delegation {
 	local, remote := q.splitByProximity(now)
 	byPartition := make(map[zonePartition][]int)
 	q.assignToPartitions(byPartition, q.table.zone, local)
 	for len(remote) > 0 {
 		zone, shards := q.zoneWithMostShards(remote)
-		if len(shards) < minDelegated {
+		if len(shards) < minDelegatedShards {
 			break
 		}
 		for _, i := range shards {
@@ -77,7 +85,7 @@
 	var calls []delegation
 	for _, p := range slices.SortedFunc(maps.Keys(byPartition), compareZonePartitions) {
 		shards := byPartition[p]
-		if len(shards) < minDelegated && p.zone != q.table.zone {
+		if len(shards) < minDelegatedShards && p.zone != q.table.zone {
 			continue
 		}
 		if v := q.table.pickVM(now, p, nil); v != nil {
@@ -87,12 +95,13 @@
 	return calls
 }
 
+// compareZonePartitions orders partitions by zone, then by number.
 func compareZonePartitions(a, b zonePartition) int {
 	return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.partition, b.partition))
 }
 
-// assignToPartitions groups shards of one zone by leaf partition, leaving out those in
-// partitions that this VM owns.
+// assignToPartitions adds the given shards, which have leafs in the zone, to byPartition under
+// their leaf partition. Shards in partitions that this VM owns are left out.
 func (q *Query) assignToPartitions(byPartition map[zonePartition][]int, zone string, shards []int) {
 	z := q.table.zones[zone]
 	if z == nil {
@@ -107,8 +116,9 @@
 	}
 }
 
-// splitByProximity returns the shards that have a leaf in this VM's zone, and for the other
-// shards the zones of their leafs. Leafs that are not available don't count.
+// splitByProximity returns the indexes of the shards that have a leaf in this VM's zone. For
+// each of the other shards it returns, by index, the zones of its leafs. Leafs that are not
+// available don't count, and shards without another leaf are left out.
 func (q *Query) splitByProximity(now time.Time) (local []int, remote map[int][]string) {
 	remote = make(map[int][]string)
 	for i := range q.shards {
@@ -131,8 +141,9 @@
 	return local, remote
 }
 
-// zoneWithMostShards returns the zone that has leafs of the most open shards, a random one of
-// several, and these shards.
+// zoneWithMostShards returns the zone that has leafs of the most shards, and these shards. If
+// several zones have as many, one of them is chosen at random. remote maps each shard to the
+// zones of its leafs.
 func (q *Query) zoneWithMostShards(remote map[int][]string) (string, []int) {
 	byZone := make(map[string][]int)
 	for i, zones := range remote {
@@ -150,7 +161,8 @@
 	return best, shards
 }
 
-// callVM makes a call; redelegated says that another VM was called for the same shards before.
+// callVM records a call to another VM and returns the action that makes it. redelegated says
+// that another VM was called for the same shards before and may have queried them.
 func (q *Query) callVM(now time.Time, d delegation, redelegated bool) Action {
 	id := CallID(len(q.calls) + 1)
 	v, shards := d.vm, d.shards
@@ -168,7 +180,7 @@
 		}
 	}
 	left := q.spec.AnswerBy.Sub(now)
-	interim := now.Add(time.Duration(interimShare * float64(left)))
+	interim := now.Add(time.Duration(interimAnswerShare * float64(left)))
 	due := q.failoverTime(now, interim)
 	q.calls[id] = &call{
 		vm: v.Name, partition: d.partition, redelegated: redelegated, shards: shards, sentAt: now,
@@ -183,47 +195,53 @@
 		Required:    max(len(shards)-q.omissionsLeft, 0),
 		Redelegated: redelegated,
 		InterimBy:   interim,
-		AnswerBy:    now.Add(max(time.Duration(answerShare*float64(left)), left-callSlack)),
+		AnswerBy:    now.Add(max(time.Duration(minDelegateTimeShare*float64(left)), left-callRoundTrip)),
 	}
 }
 
-// failoverTime returns when a call that has no answer yet fails over: once it takes longer
-// than most first answers do, but not before the VM could have sent an interim answer.
+// failoverTime returns when a call that has no answer yet fails over. That is once it takes
+// longer than most calls take until their first answer, but not before an interim answer, which
+// the VM sends at interim, can have been received. In any case it is no later than
+// failoverLatestShare of the time until AnswerBy. A call that is not acknowledged in time fails
+// over earlier (see call.ackDue).
 func (q *Query) failoverTime(now, interim time.Time) time.Time {
-	due := interim.Add(callSlack)
-	if d, known := q.table.durationsOf(q.callDurationKey()).Quantile(now, failoverQuantile); known {
-		due = later(due, now.Add(time.Duration(failoverFactor*float64(d))))
+	due := interim.Add(callRoundTrip)
+	if d, known := q.table.durationsOf(q.callDurationKey()).Quantile(now, failoverDurationQuantile); known {
+		due = later(due, now.Add(time.Duration(failoverDurationFactor*float64(d))))
 	}
 	last := now.Add(time.Duration(failoverLatestShare * float64(q.spec.AnswerBy.Sub(now))))
 	return earlier(due, last)
 }
 
-// delegatedWeight is the part of a delegated request that counts for the budget of the
-// delegating VM; the other VM counts the remainder (DelegateWeight). The other VM sends the
-// hedges; the delegating VM needs the budget only when the call fails over.
+// delegatedWeight is the part of a delegated request, from 0 to 1, that counts for the budget
+// of the delegating VM; the called VM counts the remainder (DelegateWeight). The called VM sends
+// the hedges; the delegating VM needs the budget only when the call fails over.
 const delegatedWeight = 0.15
 
-// DelegateWeight is the BudgetWeight of a request that another VM delegated.
+// DelegateWeight is the BudgetWeight of a request that another VM delegated to this one.
 const DelegateWeight = 1 - delegatedWeight
 
+// callDurationKey returns the key of the times that calls to other VMs take until their first
+// answer.
 func (q *Query) callDurationKey() durationKey {
-	return durationKey{objective: q.spec.LatencyObjective, byVM: true, shard: q.spec.Gathered}
+	return durationKey{objective: q.spec.LatencyObjective, byVM: true, gathered: q.spec.Gathered}
 }
 
 // CallAnswer is another VM's answer for the shards that it was called for. An empty one
 // acknowledges the call.
 type CallAnswer struct {
-	Included []int // shards that the answer includes
-	Declined []int // shards that it has not queried and never will
-	Last     bool  // no other answer follows
+	Included []int // indexes of the shards whose answers it includes
+	Declined []int // indexes of the shards that the VM has not queried for the call and never will
+	Last     bool  // no further answer to the call follows
 	// Refused says that no leaf has run any of the shards for that VM, and none will. It
 	// ends the call.
 	Refused    bool
 	RetryAfter time.Duration // if Refused: when the caller should retry
 }
 
-// CallReply handles an answer of another VM. Where a shard was meanwhile answered directly,
-// the call's answer counts: it can't be split, and either answer is as good.
+// CallReply handles an answer of another VM and returns the actions that follow from it. Where
+// a leaf has meanwhile answered a shard to this VM directly, the other VM's answer is used: it
+// can't be split by shard, and either answer is as good.
 func (q *Query) CallReply(now time.Time, id CallID, ans CallAnswer) []Action {
 	c := q.calls[id]
 	if c == nil || q.done {
@@ -257,8 +275,9 @@
 	return q.conclude(now, append(acts, q.sendDirectly(now, id)...))
 }
 
-// callRefused handles a reply that no leaf has run any shard of a call, nor will for that VM.
-// Shards that were not meanwhile sent directly are closed: the others can't make up for them.
+// callRefused handles a refusal: no leaf has run any shard of the call for that VM, and none
+// will. Shards of the call that this VM has not meanwhile sent to a leaf itself are closed: the
+// request's other shards can't make up for them.
 func (q *Query) callRefused(now time.Time, c *call, id CallID, retryAfter time.Duration) []Action {
 	c.finished, c.resolved = true, true
 	q.table.callRefusalRate.add(now, 1)
@@ -277,8 +296,9 @@
 	return q.conclude(now, nil)
 }
 
-// CallFail handles a call that ended without an answer. With neverSent the other VM did not
-// get the call, so its shards are this VM's alone again.
+// CallFail handles a call that ended without its last answer. neverSent says that the other VM
+// did not receive the call. Only this VM then queries its shards, unless yet another VM was
+// called for them.
 func (q *Query) CallFail(now time.Time, id CallID, neverSent bool) []Action {
 	c := q.calls[id]
 	if c == nil || q.done || c.finished {
@@ -300,9 +320,10 @@
 	return q.conclude(now, acts)
 }
 
-// reclaim sends shards that were delegated but that the other VM never queried. The first
-// attempt is the first arrival, and costs nothing of the budget. Shards that this VM or a
-// second VM may already have queried are left as they are.
+// reclaim sends to leafs the given shards of a call that the called VM never queried. The first
+// attempt on each is its first arrival, and so takes nothing from the budget of extra arrivals.
+// Shards that this VM or a second VM may already have queried, and answered ones, are left as
+// they are.
 func (q *Query) reclaim(now time.Time, id CallID, shards []int) []Action {
 	var acts []Action
 	for _, i := range shards {
--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -389,8 +389,8 @@
 	for _, left := range []time.Duration{40 * time.Millisecond, 200 * time.Millisecond} {
 		spec.AnswerBy = w.now.Add(left)
 		call := vmCalls(NewQuery(spec, w.table).Start(w.now))[0]
-		w.Expect(spec.AnswerBy.Sub(call.AnswerBy)).To(gomega.BeNumerically("<=", callSlack))
-		w.Expect(spec.AnswerBy.Sub(call.AnswerBy)).To(gomega.BeNumerically(">=", callSlack/2))
+		w.Expect(spec.AnswerBy.Sub(call.AnswerBy)).To(gomega.BeNumerically("<=", callRoundTrip))
+		w.Expect(spec.AnswerBy.Sub(call.AnswerBy)).To(gomega.BeNumerically(">=", callRoundTrip/2))
 	}
 }
 
--- a/scatter/doc.go
+++ b/scatter/doc.go
@@ -1,6 +1,6 @@
 // Package scatter makes the decisions for a request: which leaf of each service it is sent to,
 // directly or through another VM; when a second leaf is tried; when an answer is sufficient;
-// and when the request fails.
+// and when the request fails. A leaf is a worker that runs the requests to a service.
 //
 // The package does no I/O and reads no clock: callers pass in events and the current time, and
 // receive actions to carry out. Table holds what this VM knows of leafs and of other VMs.
--- a/scatter/faults.go
+++ b/scatter/faults.go
@@ -12,21 +12,25 @@
 //
 // It also tracks the share of calls that other VMs refuse.
 type failureRate struct {
-	rate      float64 // smoothed, as of updatedAt
-	updatedAt time.Time
+	rate      float64   // smoothed share of failed requests, from 0 to 1, at updatedAt
+	updatedAt time.Time // when the latest request ended
 }
 
 // Parameters of the failure rate.
 const (
-	failureWeight   = 0.15            // of the latest request
-	failureHalfLife = 4 * time.Second // in which half of the rate is forgotten, so that the leaf is tried again
-	// failureCost is the surcharge on a leaf that fails every request, as a share of the
-	// latency objective. A leaf in another zone takes its place after three consecutive
-	// failures (see crossZoneShare), not after one.
+	failureWeight = 0.15 // weight of the latest request in the smoothed rate, from 0 to 1
+	// failureHalfLife is the time without requests in which the rate falls to half, so that
+	// the leaf is tried again.
+	failureHalfLife = 4 * time.Second
+	// failureCost is the surcharge on the expected duration at a leaf that fails every
+	// request, as a share of the latency objective; with a lower failure rate it is
+	// proportionally lower. Requests go to the leaf with the lowest sum. A leaf in another
+	// zone takes the failing leaf's place after three consecutive failures (see
+	// crossZoneShare), not after one.
 	failureCost = 0.8
 )
 
-// current returns the share of requests that are expected to fail.
+// current returns the share of requests that are expected to fail now, from 0 to 1.
 func (f *failureRate) current(now time.Time) float64 {
 	if f.rate == 0 {
 		return 0
--- a/scatter/floor.go
+++ b/scatter/floor.go
@@ -2,35 +2,42 @@
 
 import "time"
 
-// Shares of the floor of the budget. All VMs together may spend the floor once per window, and
-// none knows what the others spend.
+// The floor of a budget is the number of extra arrivals, such as hedges and retries, that all
+// VMs together may cause at a service per window, besides a ratio of its requests. No VM knows
+// what the others spend, so each has a share of the floor.
 const (
-	// ownersFloorShare is the share of the floor that the owners of a shard divide among
-	// them. Most arrivals at a shard are theirs. Divided equally among all VMs, one VM's
-	// share of the floor is less than one arrival in a large fleet.
+	// ownersFloorShare is the fraction of the floor that only the owners of a service
+	// divide among themselves: the VMs that normally send requests to its leafs. Most
+	// arrivals at a gathered request's shard are theirs. All VMs divide the remainder
+	// equally. If they divided the whole floor equally, one VM's share of it would be less
+	// than one arrival in a large fleet.
 	ownersFloorShare = 0.5
-	// firstWindowShare is the fraction of its share that a VM spends in its first window:
-	// an earlier incarnation may have spent the whole share in the same window. Both
-	// together stay within the headroom as long as firstWindowShare <= vmHeadroom - 1.
+	// firstWindowShare is the fraction of its share of the floor that a VM may spend in the
+	// first window after its process started: an earlier incarnation may have spent the
+	// whole share in the same window. Both together stay within the headroom as long as
+	// firstWindowShare <= vmHeadroom - 1.
 	firstWindowShare = 0.25
 )
 
-// budget returns the budget of a service, with this VM's current share of the floor.
+// budget returns the budget of the named service, after setting this VM's current share of the
+// floor in it.
 func (t *Table) budget(now time.Time, name string) *budget {
 	s := t.service(now, name)
-	s.budget.floor = t.floorShare(now, name, s.shard)
+	s.budget.floor = t.floorShare(now, name, s.gatheredOnly)
 	return s.budget
 }
 
-// floorShare returns this VM's share of the floor for a service, in arrivals per window. A VM
-// that does not yet know how many others there are has none.
-func (t *Table) floorShare(now time.Time, name string, shard bool) float64 {
+// floorShare returns this VM's share of the budget's floor for the named service, in extra
+// arrivals per window. The floor is what all VMs together may cause besides the ratio.
+// gatheredOnly says that only gathered requests use the service; its owners then have a larger
+// share than other VMs. A VM that does not yet know how many others there are has none.
+func (t *Table) floorShare(now time.Time, name string, gatheredOnly bool) float64 {
 	if !t.vmsKnown {
 		return 0
 	}
 	vms := float64(len(t.members) + 1)
 	share := 1 / vms
-	if shard {
+	if gatheredOnly {
 		share = (1-ownersFloorShare)/vms + ownersFloorShare*t.ownerShare(name)
 	}
 	share /= vmHeadroom
@@ -40,8 +47,10 @@
 	return t.budgetConfig.Floor * share
 }
 
-// ownerShare returns this VM's part of the share that the owners of a service divide by power,
-// as calls are divided; 0 if it is not an owner.
+// ownerShare returns this VM's fraction, from 0 to 1, of what the owners of a service divide
+// among themselves. They divide it in proportion to their power, as calls are divided. The
+// owners are those of the service's leaf partition in each zone that has leafs of it, or in
+// every zone if no leaf is known. The fraction is 0 if this VM is not one of them.
 func (t *Table) ownerShare(name string) float64 {
 	if !t.ownsService(name) {
 		return 0
@@ -62,7 +71,8 @@
 	return max(t.power, minPower) / all
 }
 
-// leafZones returns the zones of a service's leafs, none if no leaf is known.
+// leafZones returns the set of zones that have leafs of a service; it is empty if no leaf is
+// known.
 func (t *Table) leafZones(name string) map[string]bool {
 	s := t.services[name]
 	if s == nil {
@@ -75,8 +85,8 @@
 	return zones
 }
 
-// ownsService reports whether this VM owns the leaf partition of its zone that a service's
-// leafs would belong to.
+// ownsService reports whether this VM is one of the owners of a service in its zone: of the
+// leaf partition that the service's leafs belong to, if the zone has any.
 func (t *Table) ownsService(name string) bool {
 	z := t.zones[t.zone]
 	return z.owns(z.partitionOf(name))
--- a/scatter/gap.go
+++ b/scatter/gap.go
@@ -2,26 +2,26 @@
 
 // Gap is a shard without an answer when its query ended.
 type Gap struct {
-	Shard int
+	Shard int // index of the shard in the query
 	Cause GapCause
 }
 
 // GapCause is the reason why a shard had no answer.
 type GapCause int
 
-// The causes, in the order in which they are written out.
+// The causes, in the order in which they are written out. An attempt is one request to a leaf.
 const (
-	GapSlow       GapCause = iota // a leaf got the request and had not answered
-	GapNoCapacity                 // its leafs were full, or got no requests after failures
-	GapBudget                     // the budget did not allow another attempt
-	GapLate                       // an attempt failed too late for another one
-	GapAttempts                   // all attempts ended without an answer
+	GapSlow       GapCause = iota // an attempt was still in flight
+	GapNoCapacity                 // its leafs were full, or were not used for a while after failures
+	GapBudget                     // the budget of extra arrivals did not allow another attempt
+	GapLate                       // it was too late for another attempt
+	GapAttempts                   // all allowed attempts ended without an answer
 	GapNoLeaf                     // no known leaf takes requests
-	GapForecast                   // no leaf could have answered in time
-	GapCall                       // the called VM had no answer for it
+	GapForecast                   // by the forecast, no leaf could have answered in time
+	GapCall                       // the called VM answered, but not for this shard
 	GapSilent                     // the called VM did not answer
-	GapDeclined                   // left to the calling VM
-	gapCauses
+	GapDeclined                   // a called VM left the shard to its caller, since their lists of leafs differ
+	gapCauses                     // number of causes
 )
 
 // String returns the word used in logs and metrics.
@@ -31,7 +31,7 @@
 	}[c]
 }
 
-// GapCauses returns all causes.
+// GapCauses returns all causes in their order.
 func GapCauses() []GapCause {
 	list := make([]GapCause, gapCauses)
 	for i := range list {
@@ -40,7 +40,7 @@
 	return list
 }
 
-// gaps returns the shards that have no answer.
+// gaps returns the shards that have no answer, each with the cause.
 func (q *Query) gaps() []Gap {
 	var list []Gap
 	for i := range q.shards {
@@ -51,6 +51,7 @@
 	return list
 }
 
+// cause returns why a shard has no answer.
 func (q *Query) cause(s *shard) GapCause {
 	switch {
 	case s.inFlight > 0:
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -2,54 +2,70 @@
 
 import "time"
 
-// hedgeReserve is the number of arrivals in the budget that hedges leave for retries: a hedge
-// saves time, a retry saves the answer.
+// hedgeReserve is the number of extra arrivals in the budget that hedges must leave for
+// retries: a hedge saves time, a retry saves the answer.
 const hedgeReserve = 1
 
-// Parameters of the time to hedge.
+// Parameters of the hedge delay: the time from an attempt at a leaf until a second attempt, the
+// hedge, is sent to another leaf.
 const (
-	hedgeQuantile     = 0.9  // of recent durations; pauses of leafs lie beyond it
-	hedgeFactor       = 1.3  // multiple of that quantile, so that ordinary variation causes few hedges
-	hedgeLatestShare  = 0.4  // of the latency objective: later, the second answer would be late as well
-	hedgeDefaultShare = 0.35 // of the latency objective, until durations are known
-	minHedgeDelay     = 4 * time.Millisecond
+	// hedgeDurationQuantile is the quantile of recent durations of requests to leafs from
+	// which the delay is computed. Pauses of leafs lie beyond it.
+	hedgeDurationQuantile = 0.9
+	// hedgeDurationFactor is the delay as a multiple of that quantile. It is high enough
+	// that ordinary variation causes few hedges.
+	hedgeDurationFactor = 1.3
+	// hedgeLatestShare is the longest delay for a request to a single service, as a share
+	// of the latency objective. After a longer one, the second answer would be late too.
+	hedgeLatestShare = 0.4
+	// hedgeDefaultShare is the delay while too few durations are known, as a share of the
+	// latency objective.
+	hedgeDefaultShare = 0.35
+	minHedgeDelay     = 4 * time.Millisecond // shortest delay computed from durations
 
-	// hedgeAnswerFactor is the time that a second answer is given, as a multiple of that
-	// quantile, and hedgeSlack is added for the network. A part of a gathered answer is
-	// useful until AnswerBy, and the answer to a hedge is traffic from another zone. So a
-	// hedge is sent as late as its answer may still be in time: many slow leafs have
-	// answered by then.
+	// hedgeAnswerFactor is the time that the answer to a hedge of a gathered request is
+	// given, as a multiple of the quantile. A part of a gathered answer is useful until
+	// AnswerBy, and the answer to a hedge is traffic from another zone. So a hedge is sent
+	// as late as its answer may still be in time: many slow leafs have answered by then.
 	hedgeAnswerFactor = 2.5
-	hedgeSlack        = 4 * time.Millisecond
+	// hedgeSlack is the time until AnswerBy that is kept for the network.
+	hedgeSlack = 4 * time.Millisecond
 )
 
-// hedgeDelay returns how long an attempt at a leaf may take before a second leaf is tried.
+// hedgeDelay returns how long an attempt at a leaf may take before a second leaf is tried. It
+// is a multiple of a high quantile of recent durations, and longer in proportion for a leaf that
+// reports that its machine is slow.
 //
-// A leaf that states that its machine is slow gets proportionally longer. It is still hedged
-// while a second answer that takes the quantile would be in time, or after half of the time if
-// none would be: where many leafs are slow, the quantile over all leafs may lie beyond
-// AnswerBy.
+// For a gathered request, the delay is extended to the time at which a hedge that takes
+// hedgeAnswerFactor times the quantile is just in time for AnswerBy. It is otherwise cut to the
+// time at which a hedge that takes the quantile is just in time. Where many leafs are slow, the
+// quantile may lie beyond AnswerBy, and no hedge would be in time. The cut is therefore never
+// below half of the time until AnswerBy.
 func (q *Query) hedgeDelay(now time.Time, l *leaf) time.Duration {
-	d, known := q.table.durationsOf(q.durationKey()).Quantile(now, hedgeQuantile)
+	d, known := q.table.durationsOf(q.durationKey()).Quantile(now, hedgeDurationQuantile)
 	if !known {
 		return time.Duration(hedgeDefaultShare * float64(q.spec.LatencyObjective))
 	}
-	pace := max(l.slowdown.statedFactor(now), 1)
-	delay := max(time.Duration(hedgeFactor*pace*float64(d)), minHedgeDelay)
+	pace := max(l.slowdown.reportedFactor(now), 1)
+	delay := max(time.Duration(hedgeDurationFactor*pace*float64(d)), minHedgeDelay)
 	if !q.spec.Gathered {
 		return min(delay, time.Duration(hedgeLatestShare*float64(q.spec.LatencyObjective)))
 	}
+	// window is the time from the start of the query in which an answer is in time. inTime
+	// and last are the latest delays after which a hedge is in time if it takes
+	// hedgeAnswerFactor times the quantile, and the quantile itself.
 	window := q.spec.AnswerBy.Sub(q.startedAt) - hedgeSlack
 	inTime := window - time.Duration(hedgeAnswerFactor*float64(d))
 	last := max(window-d, window/2)
 	return max(min(delay, last), inTime, minHedgeDelay)
 }
 
-// hedgeRetryPause is the time until a hedge that was due, but had no idle leaf or no budget,
-// is tried again.
+// hedgeRetryPause is the time until hedges are tried again after one was due but could not be
+// sent, since no leaf was idle or the budget was used up.
 const hedgeRetryPause = 6 * time.Millisecond
 
-// hedge sends a second attempt for each shard whose first attempt is slow.
+// hedge sends a second attempt for each shard whose only attempt in flight takes longer than
+// the hedge delay.
 func (q *Query) hedge(now time.Time) []Action {
 	if !q.hedgingAllowed() || now.Before(q.hedgeRetryAt) {
 		return nil
@@ -69,13 +85,17 @@
 	return acts
 }
 
+// hedgingAllowed reports whether the request may run on two leafs at the same time.
 func (q *Query) hedgingAllowed() bool { return q.spec.Idempotent && q.spec.MaxAttempts > 1 }
 
+// mayHedge reports whether a hedge may be sent for a shard once its hedge delay is over: exactly
+// one attempt is in flight, there was no hedge, and another leaf may run the request.
 func (q *Query) mayHedge(s *shard) bool {
 	return s.inFlight == 1 && !s.answered() && !s.hedged && s.possibleRuns < q.spec.MaxAttempts
 }
 
-// nextHedge returns when the first hedge is due, zero if none will be.
+// nextHedge returns when the next hedge of the query is due, or the zero time if no attempt in
+// flight may be hedged.
 func (q *Query) nextHedge() time.Time {
 	if !q.hedgingAllowed() {
 		return time.Time{}
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -7,18 +7,18 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// LeafID identifies one incarnation of a leaf. It is comparable.
+// LeafID identifies one incarnation of a leaf: one run of its process. It is comparable.
 type LeafID struct {
-	ID   string
-	Born int64 // Unix time of its start, in milliseconds
+	ID   string // the leaf's id, the same for all of its incarnations
+	Born int64  // Unix time at which the incarnation started, in milliseconds
 }
 
-// Load is the load that a leaf states with an answer.
+// Load is the load that a leaf reports with an answer.
 type Load struct {
-	Running  int
-	Waiting  int
-	Slots    int
-	Slowdown float64 // duration of work on the leaf's machine, as a multiple of the usual; 0 if not stated
+	Running  int     // requests that the leaf is running
+	Waiting  int     // requests in the leaf's queue
+	Slots    int     // requests that the leaf can run at the same time
+	Slowdown float64 // duration of work on the leaf's machine, as a multiple of the usual; 0 if not reported
 }
 
 // leaf is what this VM knows of one incarnation of a leaf.
@@ -26,43 +26,53 @@
 	registry.Leaf
 	id            LeafID
 	sameZone      bool // in this VM's availability zone
-	maxInFlight   int  // limit of this VM's requests in flight
+	maxInFlight   int  // limit on the requests that this VM may have in flight at the leaf
 	addressReused bool // another leaf answered at its address; this leaf will not be there again
 
-	inFlight  []pendingRequest // oldest first
+	inFlight  []pendingRequest // requests of this VM, oldest first
 	slowdown  slowdown
 	cooldown  cooldown
-	failures  failureRate
+	failures  failureRate // of requests that this VM sent
 	suspicion suspicion
 
-	othersReported float64 // requests of other VMs at the last report
-	reportedAt     time.Time
-	freeSlots      int           // at the last report
+	othersReported float64       // requests of other VMs at the leaf, by its latest load report
+	reportedAt     time.Time     // when that report was received
+	freeSlots      int           // slots without a request, by that report
 	halfOpen       bool          // its latest request expired: one request at a time until one is answered
-	typicalWork    time.Duration // smoothed typical duration of the requests that were sent here
+	typicalWork    time.Duration // smoothed: how long the requests sent here would take at a leaf of usual speed
 }
 
-// pendingRequest is a request in flight.
+// pendingRequest is a request of this VM to a leaf that has not ended.
 type pendingRequest struct {
 	sentAt  time.Time
-	typical time.Duration // duration of its kind at a leaf of usual speed
-	known   bool          // typical was measured, and is not the default
+	typical time.Duration // duration of such requests at a leaf of usual speed
+	known   bool          // typical was measured; otherwise it is a default
 }
 
-// Parameters of the time that a leaf is expected to take.
+// Parameters of the time that a leaf is expected to take for a request.
 const (
-	reportLifetime = time.Second           // age at which a reported load no longer counts
-	reportWeight   = 0.5                   // of a fresh report, which lags behind
-	stallFactor    = 3                     // multiple of the expected time after which a silent leaf counts as stalled
-	minStall       = 20 * time.Millisecond // lower bound of that time
-	workWeight     = 0.1                   // of a new request in typicalWork
-	stallCost      = 80 * time.Millisecond // expected delay at a stalled leaf; a pause takes about 100 ms
+	// reportedLoadLifetime is the age from which the load that a leaf reported is ignored.
+	reportedLoadLifetime = time.Second
+	// reportedLoadWeight is the share of other VMs' requests in a fresh load report that is
+	// counted, since even a fresh report lags behind. It decreases with the report's age.
+	reportedLoadWeight = 0.5
+	// stallFactor is the multiple of a request's expected duration after which a leaf that
+	// has not answered it counts as stalled, and minStallTime the lower bound of that time.
+	stallFactor  = 3
+	minStallTime = 20 * time.Millisecond
+	// typicalWorkWeight is the weight of a new request in the smoothed typical duration of
+	// the requests to a leaf (leaf.typicalWork), from 0 to 1.
+	typicalWorkWeight = 0.1
+	// stallCost is the delay that a request to a stalled leaf is expected to have. A pause
+	// of a leaf takes about 100 ms.
+	stallCost = 80 * time.Millisecond
 )
 
 // available reports whether requests may be sent to the leaf, as far as this VM knows.
 func (l *leaf) available(now time.Time) bool { return !l.suspicion.raised && !l.cooldown.active(now) }
 
-// preferredTo reports whether l is a better choice than other, where neither is available.
+// preferredTo reports whether l is a better choice than other, where neither is available: a
+// leaf that is not suspect is preferred, and then one whose cooldown ends earlier.
 func (l *leaf) preferredTo(other *leaf) bool {
 	if l.suspicion.raised != other.suspicion.raised {
 		return other.suspicion.raised
@@ -70,24 +80,27 @@
 	return l.cooldown.until.Before(other.cooldown.until)
 }
 
-// usable reports whether the leaf takes requests.
+// usable reports whether the leaf takes requests at all: it is not draining, and no other leaf
+// has its address.
 func (l *leaf) usable() bool { return !l.Draining && !l.addressReused }
 
-// crossZoneShare is the surcharge on the cost of a leaf in another zone, as a share of the
-// latency objective. Traffic between zones is expensive, and a leaf in this zone that is
-// slower by less than that still answers in time.
+// crossZoneShare is the surcharge on the expected duration at a leaf in another zone, as a share
+// of the latency objective. Requests go to the leaf with the lowest sum. Traffic between zones
+// is expensive, and a leaf in this zone that is slower by less than the surcharge still answers
+// in time.
 const crossZoneShare = 0.25
 
+// recordSent records a request that is sent to the leaf.
 func (l *leaf) recordSent(f pendingRequest) {
 	l.inFlight = append(l.inFlight, f)
 	if l.typicalWork == 0 {
 		l.typicalWork = f.typical
 	}
-	l.typicalWork += time.Duration(workWeight * float64(f.typical-l.typicalWork))
+	l.typicalWork += time.Duration(typicalWorkWeight * float64(f.typical-l.typicalWork))
 }
 
 // removeInFlight removes one request that was sent at sentAt from those in flight, and returns
-// it.
+// it. If there is none, it returns a request whose typical duration is not known.
 func (l *leaf) removeInFlight(sentAt time.Time) pendingRequest {
 	i := slices.IndexFunc(l.inFlight, func(f pendingRequest) bool { return f.sentAt.Equal(sentAt) })
 	if i < 0 {
@@ -98,6 +111,7 @@
 	return f
 }
 
+// recordAnswer records that the leaf answered request f now, with whatever result.
 func (l *leaf) recordAnswer(now time.Time, f pendingRequest) {
 	l.cooldown.recordAnswer()
 	l.halfOpen = false
@@ -106,20 +120,22 @@
 	}
 }
 
-// recordLoad records the load that the leaf stated, without this VM's own requests.
+// recordLoad records the load that the leaf reported with an answer. This VM's own requests in
+// flight are subtracted from it.
 func (l *leaf) recordLoad(now time.Time, load Load) {
 	others := load.Running + load.Waiting - len(l.inFlight)
 	l.othersReported = float64(max(others, 0))
 	l.reportedAt = now
 	l.freeSlots = load.Slots - load.Running
 	if load.Slowdown > 0 {
-		l.slowdown.recordStated(now, load.Slowdown)
+		l.slowdown.recordReported(now, load.Slowdown)
 	}
 }
 
-// recordRefusal records that the leaf did not run a request. A leaf that is full for a moment
-// gets no request for that moment. A leaf that states a free slot with its refusal refuses for
-// another reason, and is just as likely to refuse the next request.
+// recordRefusal records that the leaf refused to run a request. It starts a short cooldown: a
+// full leaf gets no request for a moment. A leaf that reports a free slot with its refusal
+// refuses for another reason, and is just as likely to refuse the next request. That counts as
+// a failure.
 func (l *leaf) recordRefusal(now time.Time) {
 	l.cooldown.startAtLeast(now, refusedCooldown)
 	if l.reportedAt.Equal(now) && l.freeSlots > 0 {
@@ -127,34 +143,36 @@
 	}
 }
 
-// othersEstimate returns the estimated number of requests of other VMs at the leaf: those of
-// the last report, with a weight that decreases with its age.
+// othersEstimate returns the estimated number of requests of other VMs at the leaf: those in
+// its last load report, with a weight that decreases with the report's age.
 func (l *leaf) othersEstimate(now time.Time) float64 {
 	age := now.Sub(l.reportedAt)
-	if age >= reportLifetime {
+	if age >= reportedLoadLifetime {
 		return 0
 	}
-	return l.othersReported * reportWeight * (1 - float64(age)/float64(reportLifetime))
+	return l.othersReported * reportedLoadWeight * (1 - float64(age)/float64(reportedLoadLifetime))
 }
 
-// stalled reports whether the oldest request in flight has had no answer for longer than
-// usual: the leaf has paused, or has stopped without notice.
+// stalled reports whether the oldest request in flight takes much longer than expected: the
+// leaf has paused, or has stopped without notice.
 func (l *leaf) stalled(now time.Time) bool {
 	if len(l.inFlight) == 0 {
 		return false
 	}
 	oldest := l.inFlight[0]
-	return now.Sub(oldest.sentAt) > max(stallFactor*l.expected(now, oldest.typical), minStall)
+	return now.Sub(oldest.sentAt) > max(stallFactor*l.expected(now, oldest.typical), minStallTime)
 }
 
-// expected returns the time that a kind of request takes at this leaf, where typical is its
+// expected returns the time that a request takes at this leaf once it runs, where typical is its
 // duration at a leaf of usual speed.
 func (l *leaf) expected(now time.Time, typical time.Duration) time.Duration {
 	return time.Duration(l.slowdown.factor(now) * float64(typical))
 }
 
-// cost returns the time that one more request is expected to take, plus surcharges for other
-// costs. typical is the usual duration of its kind.
+// cost returns the time that one more request is expected to take at the leaf, with the time in
+// the queue, plus surcharges for another zone, a stalled leaf and recent failures. Requests go
+// to the leaf with the lowest cost. typical is the duration of such a request at a leaf of usual
+// speed; objective is its latency objective, of which some surcharges are shares.
 func (l *leaf) cost(now time.Time, objective, typical time.Duration) time.Duration {
 	base := l.expected(now, typical)
 	ahead := float64(len(l.inFlight)) + l.othersEstimate(now) + 1 - float64(l.Slots)
@@ -173,9 +191,8 @@
 	return !l.stalled(now) && float64(len(l.inFlight))+l.othersEstimate(now) < float64(l.Slots)
 }
 
-// hasCapacity reports whether this VM may send one more request. A leaf that was too slow for
-// its latest request is tried with a single one, so that no more are lost if it is still too
-// slow.
+// hasCapacity reports whether this VM may send one more request to the leaf. A leaf whose latest
+// request expired is tried with a single one, so that no more are lost if it is still too slow.
 func (l *leaf) hasCapacity() bool {
 	if l.halfOpen {
 		return len(l.inFlight) == 0
--- a/scatter/overtake.go
+++ b/scatter/overtake.go
@@ -6,19 +6,22 @@
 	"time"
 )
 
-// Parameters of the time within which a VM has to acknowledge a call. A VM that is frozen,
-// disconnected or stopped does not, and the call fails over while there is time for another VM
-// to do all of the work.
+// Parameters of the time within which a VM has to acknowledge a call by any message. A VM that
+// is frozen, disconnected or stopped does not, and the call fails over while there is time for
+// another VM to do all of the work.
 const (
-	ackShare   = 0.2 // of the time until AnswerBy
-	minAckWait = 10 * time.Millisecond
-	// ackFactor is the accepted wait as a multiple of the longest recent acknowledgement.
-	ackFactor   = 1.5
-	ackHalfLife = 10 * time.Second // after which half of a long acknowledgement time is forgotten
+	ackWaitShare = 0.2                   // that time, as a share of the time until AnswerBy
+	minAckWait   = 10 * time.Millisecond // lower bound of that time
+	// ackWaitFactor is another lower bound, as a multiple of the longest time that a VM of
+	// the zone recently took to acknowledge a call.
+	ackWaitFactor = 1.5
+	// ackTimeHalfLife is the time in which the recorded longest time falls to half.
+	ackTimeHalfLife = 10 * time.Second
 )
 
-// CallSent records that a call was written to its connection. Before that, silence says
-// nothing about the other VM: a connection to it has to be made first.
+// CallSent records that a call was written to its connection. The time within which the other VM
+// has to acknowledge it starts now. Before that, silence says nothing about the other VM: a
+// connection to it has to be made first. CallSent returns no actions.
 func (q *Query) CallSent(now time.Time, id CallID) []Action {
 	c := q.calls[id]
 	if c == nil || q.done || c.acked {
@@ -29,15 +32,16 @@
 	return nil
 }
 
-// ackDue returns when a call to a VM in a zone fails over unless it is acknowledged.
+// ackDue returns the time at which a call that is written now, to a VM in the given zone, fails
+// over unless the VM has acknowledged it.
 func (q *Query) ackDue(now time.Time, zone string) time.Time {
-	wait := max(time.Duration(ackShare*float64(q.spec.AnswerBy.Sub(now))), minAckWait)
+	wait := max(time.Duration(ackWaitShare*float64(q.spec.AnswerBy.Sub(now))), minAckWait)
 	recent := q.table.ackTimes[zone].longest(now)
-	return now.Add(max(wait, time.Duration(ackFactor*float64(recent))))
+	return now.Add(max(wait, time.Duration(ackWaitFactor*float64(recent))))
 }
 
-// acknowledged records the first message of a VM on a call: the VM is alive, and this VM waits
-// for its answer.
+// acknowledged records that a message of the called VM on a call was received. The first one
+// shows that the VM is alive, so the call no longer fails over for lack of an acknowledgement.
 func (q *Query) acknowledged(now time.Time, c *call) {
 	if c.acked {
 		return
@@ -53,13 +57,13 @@
 
 // ackTime is the longest time that VMs of a zone recently took to acknowledge a call.
 type ackTime struct {
-	took time.Duration
-	at   time.Time
+	took time.Duration // the longest time, as of at
+	at   time.Time     // when the latest acknowledgement was received
 }
 
-// longest returns the recorded time, which decays with its age.
+// longest returns the longest time as of now: it decays since it was recorded.
 func (a ackTime) longest(now time.Time) time.Duration {
-	return time.Duration(float64(a.took) * math.Exp2(-float64(now.Sub(a.at))/float64(ackHalfLife)))
+	return time.Duration(float64(a.took) * math.Exp2(-float64(now.Sub(a.at))/float64(ackTimeHalfLife)))
 }
 
 // Failover of calls.
@@ -69,7 +73,9 @@
 // of a shard's leafs has no connections to them and almost none of the budget. Therefore the
 // shards of a VM that is silent or lost are queried through another owner.
 
-// failOverOverdueCalls fails over the calls to VMs that are silent.
+// failOverOverdueCalls handles the calls whose answer or acknowledgement is overdue. If the
+// called VM has sent no message, the call fails over to another VM. Otherwise this VM sends the
+// shards to leafs itself.
 func (q *Query) failOverOverdueCalls(now time.Time) []Action {
 	var acts []Action
 	for id := CallID(1); int(id) <= len(q.calls); id++ {
@@ -90,14 +96,19 @@
 }
 
 // failOver sends the unanswered shards of a call to another VM that owns their leafs, and so
-// has connections to them and most of the budget. If there is none, shards that the first VM
-// may have queried are sent directly.
+// has connections to them and most of the budget. mayHaveSent says that the first VM may have
+// received the call, and so may have sent the shards to leafs.
+//
+// If there is no other VM, or there are too few shards for a call, it depends on whether a VM
+// that was called may have sent the shards to leafs. If so, this VM sends them to leafs itself,
+// as extra arrivals that are taken from the budget. If not, failOver leaves them to CallFail,
+// which sends them as first arrivals and takes nothing from the budget.
 func (q *Query) failOver(now time.Time, id CallID, mayHaveSent bool) []Action {
 	c := q.calls[id]
 	redelegated := mayHaveSent || c.redelegated
 	open := q.unanswered(id)
 	var v *vm
-	if len(open) >= minDelegated {
+	if len(open) >= minDelegatedShards {
 		v = q.table.pickVM(now, c.partition, q.vmsCalledFor(c.partition))
 	}
 	switch {
@@ -109,7 +120,7 @@
 	return nil
 }
 
-// vmsCalledFor returns the VMs that were called for a leaf partition.
+// vmsCalledFor returns the names of the VMs that this query has called for a leaf partition.
 func (q *Query) vmsCalledFor(p zonePartition) []string {
 	var names []string
 	for _, c := range q.calls {
@@ -120,8 +131,9 @@
 	return names
 }
 
-// unanswered returns the open shards of a call: unanswered, not closed, neither in flight to a
-// leaf nor part of a later call.
+// unanswered returns the indexes of the shards of a call that still have to be queried: those
+// that are unanswered and not closed, are not in flight to a leaf of this VM's choice, and do
+// not belong to a later call.
 func (q *Query) unanswered(id CallID) []int {
 	var list []int
 	for _, i := range q.calls[id].shards {
@@ -133,8 +145,8 @@
 	return list
 }
 
-// sendDirectly sends the unanswered shards of a call to leafs. These may be second arrivals,
-// so each is paid for as a retry.
+// sendDirectly sends the unanswered shards of a call to leafs. The called VM may have sent them
+// to leafs already, so each is taken from the budget as a retry.
 func (q *Query) sendDirectly(now time.Time, id CallID) []Action {
 	var acts []Action
 	for _, i := range q.unanswered(id) {
@@ -143,13 +155,16 @@
 	return acts
 }
 
-// includeAnswer records the shards of an answer. Two VMs may have been called for one shard:
-// of overlapping answers, those with more shards in total are used.
+// includeAnswer records another VM's answer with the given shards, and decides whether it is
+// used in the result. Two VMs may have been called for one shard, and an answer can't be split.
+// The new answer therefore replaces the used ones that share a shard with it, but only if it
+// has more shards than they have in total.
 func (q *Query) includeAnswer(shards []int) {
 	q.callAnswers = append(q.callAnswers, callAnswer{shards: shards})
 	if len(shards) == 0 {
 		return
 	}
+	// dropped: shards that the result loses if the new answer replaces the overlapping ones
 	overlaps, dropped := q.overlapping(shards)
 	if dropped >= len(shards) {
 		return
@@ -160,8 +175,8 @@
 	q.setUsed(len(q.callAnswers)-1, true)
 }
 
-// overlapping returns the indexes of the used answers that share a shard with these, and their
-// total number of shards.
+// overlapping returns the indexes of the used answers of other VMs that have one of the given
+// shards, and the total number of shards of these answers.
 func (q *Query) overlapping(shards []int) (list []int, total int) {
 	for _, i := range shards {
 		n := q.shards[i].includedAnswer - 1
@@ -174,7 +189,8 @@
 	return list, total
 }
 
-// setUsed includes an answer in the result or leaves it out.
+// setUsed includes the other VMs' answer with index n in the result, or leaves it out. An
+// included answer ends the wait of its shards for a leaf.
 func (q *Query) setUsed(n int, used bool) {
 	q.callAnswers[n].used = used
 	for _, i := range q.callAnswers[n].shards {
--- a/scatter/owners_test.go
+++ b/scatter/owners_test.go
@@ -84,7 +84,7 @@
 	}
 	g := gomega.NewWithT(t)
 	g.Expect(kept).To(gomega.BeNumerically(">", 0))
-	g.Expect(float64(kept)).To(gomega.BeNumerically("<=", connectionShare*120))
+	g.Expect(float64(kept)).To(gomega.BeNumerically("<=", usableConnectionShare*120))
 }
 
 // Guards against more extra arrivals than allowed where the floor is divided by power among
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -4,34 +4,38 @@
 
 // Spec describes one request.
 type Spec struct {
-	Services   []string // one shard each; a request to a single service has one
-	Gathered   bool
-	Idempotent bool
-	// MaxAttempts is how many leafs may run the request, per shard.
+	Services   []string // names of the services: one shard each; a request to a single service has one
+	Gathered   bool     // the answer is put together from the answers of all shards
+	Idempotent bool     // the request may run on several leafs
+	// MaxAttempts is how many leafs of a shard may run the request.
 	MaxAttempts int
-	// MinShare is the minimum share of answered shards, from 0 to 1, for an answer to
-	// count.
+	// MinShare is the share of all shards, from 0 to 1, that have to be answered at least
+	// for a gathered request to be answered.
 	MinShare         float64
-	LatencyObjective time.Duration
-	// AnswerBy is when a gathered request is answered with the parts received so far.
+	LatencyObjective time.Duration // duration within which such requests should be answered
+	// AnswerBy is when a gathered request is answered with the parts received so far, if
+	// they are enough.
 	AnswerBy time.Time
-	Deadline time.Time
-	// MayDelegate allows calls to other VMs for shards without a leaf in this zone.
+	Deadline time.Time // when the query ends at the latest
+	// MayDelegate allows calls to other VMs, which then query some of the shards.
 	MayDelegate bool
 	// RequestID is the id of the caller's request, the same at all VMs that take part.
 	RequestID string
-	// Delegated says that another VM called this one for the request. Views holds that
-	// VM's view of each service; a shard is declined if this VM's view of it differs.
+	// Delegated says that another VM called this one for the request.
 	Delegated bool
-	Views     []View
-	// Required is how many of Services the whole answer can't do without, for a request
-	// that another VM delegates; 0 if not stated.
+	// Views holds, for a delegated request, the calling VM's view of each service: a hash
+	// of the leafs that it knows. A shard is declined if this VM's view of it differs.
+	Views []View
+	// Required is, for a delegated request, how many of Services the whole answer can't do
+	// without; 0 if the calling VM did not say.
 	Required int
 	// Redelegated says that another VM was called for the same shards before. Each arrival
-	// is then an extra one, and leafs are chosen as if that VM had used them too.
+	// at a leaf is then counted as an extra one, and only those leafs are used that each of
+	// these VMs may use.
 	Redelegated bool
-	// BudgetWeight is the part of the request that counts for this VM's budget, from 0 to
-	// 1. For a delegated request, the other VM counts the remainder.
+	// BudgetWeight is the part of the request, from 0 to 1, that counts as a request in this
+	// VM's budget of extra arrivals. For a delegated request, the calling VM counts the
+	// remainder.
 	BudgetWeight float64
 }
 
@@ -47,14 +51,14 @@
 // Send sends the request to a leaf.
 type Send struct {
 	Attempt AttemptID
-	Shard   int
-	Leaf    LeafID
-	Address string
+	Shard   int    // index of the shard in the query
+	Leaf    LeafID // the leaf to send it to
+	Address string // the leaf's address
 	SentAt  time.Time
 	// Until is when the leaf has to stop: a later answer is useless.
 	Until          time.Time
 	OtherZone      bool // the leaf is in another availability zone
-	KeepConnection bool // for later requests
+	KeepConnection bool // the connection stays open for later requests
 	Reason         AttemptReason
 }
 
@@ -63,32 +67,32 @@
 	Call        CallID
 	VM          VM
 	SentAt      time.Time
-	Shards      []int
-	Views       []View // one for each of Shards
+	Shards      []int  // indexes of the shards in the query
+	Views       []View // for each of Shards, a hash of the leafs that this VM knows
 	Required    int    // how many of Shards the answer can't do without
-	Redelegated bool   // another VM was called for the shards before and is silent
-	// InterimBy is when that VM answers with what it has, and AnswerBy when it stops
-	// waiting for the other shards.
+	Redelegated bool   // another VM was called for the shards before and may have queried them
+	// InterimBy is when the called VM sends a first answer with the shards answered so far.
 	InterimBy time.Time
-	AnswerBy  time.Time
+	// AnswerBy is when it stops waiting for the other shards and sends its last answer.
+	AnswerBy time.Time
 }
 
-// Finish ends the query. The code that drives the query decides whether requests in flight
-// complete or are cancelled.
+// Finish ends the query with an outcome. The code that drives the query decides whether requests
+// in flight complete or are cancelled.
 type Finish struct{ Outcome Outcome }
 
 func (Send) action()   {}
 func (CallVM) action() {}
 func (Finish) action() {}
 
-// AttemptReason is the reason for an attempt.
+// AttemptReason is the reason for an attempt, which is a request to a leaf.
 type AttemptReason int
 
 // The reasons for an attempt.
 const (
-	FirstAttempt AttemptReason = iota
-	Retry                      // after a failure
-	Hedge                      // in parallel to a slow attempt
+	FirstAttempt AttemptReason = iota // the first one on a shard
+	Retry                             // after a failure
+	Hedge                             // in parallel to a slow attempt
 )
 
 // String returns the word used in logs and metrics.
@@ -101,13 +105,13 @@
 
 // The verdicts.
 const (
-	Answered     Verdict = iota // by a leaf, or with enough shards
-	LeafFailed                  // a leaf ran it and failed; its answer is passed on
-	NotRun                      // no leaf ran it or ever will
-	Unknown                     // a leaf may have run it; there will be no answer
-	TimedOut                    // a leaf may have run it; the deadline passed
+	Answered     Verdict = iota // by a leaf, or, for a gathered request, by enough shards
+	LeafFailed                  // a leaf ran the request and failed; its answer is passed on
+	NotRun                      // no leaf ran the request or ever will
+	Unknown                     // a leaf may have run the request; there will be no answer
+	TimedOut                    // a leaf may have run the request; the deadline passed
 	Abandoned                   // the caller left
-	TooFewShards                // leafs ran it, but too few shards answered
+	TooFewShards                // leafs may have run the request, but too few shards answered
 )
 
 // String returns the word used in logs and metrics.
@@ -125,12 +129,12 @@
 	// CallAnswers are the included answers of other VMs, numbered from 0 in the order in
 	// which CallReply received them. Their shards are not among Parts.
 	CallAnswers []int
-	Missing     int           // number of shards that are left out
-	Gaps        []Gap         // the shards without an answer, also of a request that failed
+	Missing     int           // number of shards that the answer leaves out
+	Gaps        []Gap         // the shards without an answer, also of a gathered request that failed
 	RetryAfter  time.Duration // with NotRun: the delay after which the caller should retry
 	Refusal     *Refusal      // set if this VM's own forecast refused the request
 
-	Sent, Hedges, Retries int
+	Sent, Hedges, Retries int // numbers of attempts sent, and of hedges and retries among them
 	Called                int // number of calls to other VMs
 }
 
@@ -147,37 +151,37 @@
 	startedAt time.Time
 	done      bool
 
-	attempts      map[AttemptID]*attempt
-	calls         map[CallID]*call
-	callAnswers   []callAnswer // in the order of arrival
-	lastAttempt   AttemptID    // newest number
-	failedAttempt AttemptID    // the latest one with a leaf's own failure
-	hedgeRetryAt  time.Time    // no hedge before: one that was due found no idle leaf or no budget
+	attempts      map[AttemptID]*attempt // those in flight
+	calls         map[CallID]*call       // all, also those that have ended
+	callAnswers   []callAnswer           // answers of other VMs, in the order of arrival
+	lastAttempt   AttemptID              // the newest one; 0 for none
+	failedAttempt AttemptID              // the latest one that a leaf answered with a failure; 0 for none
+	hedgeRetryAt  time.Time              // no hedge is sent before: one that was due found no idle leaf or no budget
 
-	omissionsLeft int           // further shards that may be left out
+	omissionsLeft int           // number of shards that the answer may still leave out, besides omitted ones
 	refusal       *Refusal      // nil if this VM did not refuse
-	retryAfter    time.Duration // delay stated to a refused caller; 0 if no VM refused
+	retryAfter    time.Duration // delay after which a refused caller should retry; 0 if no VM refused
 
-	sent, hedges, retries int
+	sent, hedges, retries int // numbers of attempts, and of hedges and retries among them
 }
 
 // shard is the state of one service's part of a query.
 type shard struct {
 	service        string
-	tried          []LeafID
-	sends          int
-	inFlight       int  // attempts that have not ended
-	possibleRuns   int  // attempts that ran or may have run
-	arrived        bool // an attempt reached a leaf or may have
-	budgetCounted  bool // the budget counted it as a first arrival
-	hedged         bool
+	tried          []LeafID  // leafs that an attempt was sent to
+	sends          int       // attempts that were sent
+	inFlight       int       // attempts that have not ended
+	possibleRuns   int       // attempts that ran or may have run
+	arrived        bool      // an attempt reached a leaf or may have
+	budgetCounted  bool      // the service's budget has counted the request
+	hedged         bool      // a hedge was sent
 	hedgeAt        time.Time // when the latest attempt is slow enough for a hedge
 	pollAt         time.Time // when to look for a leaf again; zero if not waiting
 	waitingOn      *service  // service that counts the shard as waiting, nil for none
 	closed         bool      // no further attempt will be made
 	gap            GapCause  // why it was closed
 	declined       bool      // left to the calling VM
-	answer         AttemptID // 0 for none
+	answer         AttemptID // the attempt that answered it; 0 for none
 	call           CallID    // the latest call for the shard; 0 for none
 	redelegated    bool      // a second VM was called for it
 	shared         bool      // another VM may query it too
@@ -186,37 +190,42 @@
 	includedAnswer int       // number of the included call answer with the shard, from 1; 0 for none
 }
 
+// answered reports whether the shard has an answer, from a leaf or from another VM.
 func (s *shard) answered() bool { return s.answer != 0 || s.includedAnswer != 0 }
 
+// attempt is a request to a leaf for one shard.
 type attempt struct {
-	shard  int
+	shard  int // index of the shard in the query
 	leaf   LeafID
 	sentAt time.Time
 }
 
+// call is a call to another VM, which queries some shards for this one.
 type call struct {
-	vm          string
-	partition   zonePartition
-	redelegated bool // follows another call for the same shards
-	shards      []int
-	sentAt      time.Time
-	acked       bool      // the VM has sent any message
-	failoverAt  time.Time // when it fails over
-	// writtenAt is when the call was sent, zero before. ackDue is by when it has to be
-	// acknowledged, zero before it was sent and once it was acknowledged.
+	vm          string        // name of the called VM
+	partition   zonePartition // that the shards belong to
+	redelegated bool          // follows another call for the same shards
+	shards      []int         // indexes of the shards in the query
+	sentAt      time.Time     // when the query decided to make the call
+	acked       bool          // the VM has sent any message on the call
+	failoverAt  time.Time     // when the call fails over if it has no answer
+	// writtenAt is when the call was written to its connection, zero before. ackDue is by
+	// when the VM has to acknowledge it, zero before it was written and once it was
+	// acknowledged.
 	writtenAt, ackDue time.Time
 	answered          bool // the VM has answered, perhaps in part
 	finished          bool // no further answer will arrive
 	resolved          bool // no failover is pending: answered in full, failed over, or sent directly
 }
 
-// overdueTime returns when the call fails over unless its VM sends a message.
+// overdueTime returns when the call is overdue, and fails over: once its acknowledgement or its
+// answer has not come in time.
 func (c *call) overdueTime() time.Time { return earlier(c.failoverAt, c.ackDue) }
 
-// callAnswer is one answer of another VM. It can't be split.
+// callAnswer is one answer of another VM. It can't be split: all of its shards are used or none.
 type callAnswer struct {
-	shards []int
-	used   bool
+	shards []int // indexes of the shards that it includes
+	used   bool  // it is part of the result
 }
 
 // NewQuery returns a query that has not started.
@@ -234,7 +243,8 @@
 	return q
 }
 
-// Start sends the first attempts, or refuses the request if it can't be answered in time.
+// Start returns the calls and the first attempts, or refuses the request if it is not expected
+// to be answered in time.
 func (q *Query) Start(now time.Time) []Action {
 	q.startedAt = now
 	var calls []delegation
@@ -251,13 +261,13 @@
 	for _, d := range calls {
 		acts = append(acts, q.callVM(now, d, false))
 	}
-	hold := q.holdsOwnShards(now, calls)
+	delay := q.delaysOwnShards(now, calls)
 	for i := range q.shards {
 		s := &q.shards[i]
 		switch {
 		case s.call != 0 || s.closed:
-		case hold:
-			q.setPollAt(s, now.Add(holdTime))
+		case delay:
+			q.setPollAt(s, now.Add(ownShardsDelay))
 		default:
 			acts = append(acts, q.trySend(now, i, FirstAttempt)...)
 		}
@@ -265,7 +275,8 @@
 	return q.conclude(now, acts)
 }
 
-// decline leaves shards for which this VM's view differs to the calling VM.
+// decline closes the shards for which this VM knows other leafs than the calling VM does. The
+// calling VM queries them itself.
 func (q *Query) decline() {
 	for i := range q.shards {
 		s := &q.shards[i]
@@ -277,7 +288,8 @@
 	}
 }
 
-// ownShards returns the open shards that this VM queries itself.
+// ownShards returns the indexes of the shards that this VM queries itself: those that are
+// neither closed nor part of one of the given calls.
 func (q *Query) ownShards(calls []delegation) []int {
 	delegated := make(map[int]bool)
 	for _, d := range calls {
@@ -294,14 +306,15 @@
 	return list
 }
 
-// shareShard fixes the leafs that either VM may use for a shard that another VM may query too.
+// shareShard records that another VM may query the shard too, and computes the leafs that either
+// VM may use. Those in the given zone come first; it is that of the called VM.
 func (q *Query) shareShard(s *shard, zone string) {
 	s.shared = true
 	s.commonLeafs = q.table.commonLeafs(s.service, zone, q.spec.RequestID, q.spec.MaxAttempts)
 }
 
-// Declined returns the shards of a delegated query that this VM does not query, since its view
-// differs from that of the calling VM.
+// Declined returns the indexes of the shards of a delegated query that this VM does not query,
+// since it knows other leafs than the calling VM does.
 func (q *Query) Declined() []int {
 	var list []int
 	for i := range q.shards {
@@ -312,7 +325,8 @@
 	return list
 }
 
-// Reply handles a leaf's answer. failed says that the answer is the leaf's own failure.
+// Reply handles a leaf's answer and returns the actions that follow. failed says that the answer
+// reports a failure of the leaf, after which the shard may be retried.
 func (q *Query) Reply(now time.Time, id AttemptID, failed bool) []Action {
 	a := q.attempts[id]
 	if a == nil || q.done {
@@ -333,7 +347,8 @@
 	return q.conclude(now, nil)
 }
 
-// Fail handles an attempt that ended without an answer.
+// Fail handles an attempt that ended without an answer, in the way that end says, and returns
+// the actions that follow.
 func (q *Query) Fail(now time.Time, id AttemptID, end End) []Action {
 	a := q.attempts[id]
 	if a == nil || q.done {
@@ -352,7 +367,8 @@
 	return q.conclude(now, q.retryShard(now, a.shard))
 }
 
-// Tick handles the passing of time. It has to be called at the time that Wake returned.
+// Tick returns the actions that are due at the current time: hedges, retries, failovers, or the
+// end of the query. It has to be called at the time that Wake returned.
 func (q *Query) Tick(now time.Time) []Action {
 	if q.done {
 		return nil
@@ -397,10 +413,12 @@
 	return q.finish(Outcome{Verdict: Abandoned})
 }
 
+// durationKey returns the key under which the durations of this query's attempts are recorded.
 func (q *Query) durationKey() durationKey {
-	return durationKey{objective: q.spec.LatencyObjective, shard: q.spec.Gathered}
+	return durationKey{objective: q.spec.LatencyObjective, gathered: q.spec.Gathered}
 }
 
+// earlier returns the earlier of two times, where a zero time means never.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -425,6 +443,7 @@
 	return earlier(wake, q.nextHedge())
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/scatter/shed_test.go
+++ b/scatter/shed_test.go
@@ -41,7 +41,7 @@
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
-	w.playRefusals("ledger", local, 6, reportLifetime, Load{Running: 2, Waiting: 12, Slots: 2})
+	w.playRefusals("ledger", local, 6, reportedLoadLifetime, Load{Running: 2, Waiting: 12, Slots: 2})
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
 
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -8,62 +8,72 @@
 // slowdown estimates by which factor work takes longer than usual at a leaf. Usual is the
 // median of all leafs for one kind of request.
 //
-// A leaf states the slowdown of its machine. Its pauses, its queues and the network show only
-// in its answers. The two are kept apart, since a pause says nothing about the next request:
+// The factor is the product of two. A leaf reports the slowdown of its machine. Its pauses, its
+// queues and the network show only in the duration of its answers, as an excess over what the
+// report explains. The two are kept apart, since a pause says nothing about the next request:
 // with one smoothed latency, a leaf that paused once would get fewer requests for seconds.
 type slowdown struct {
-	stated   float64 // factor stated for the leaf's machine, smoothed: 1 as usual; 0 before the first statement
-	statedAt time.Time
-	excess   float64 // factor of answers beyond what is stated, smoothed; 0 before the first
-	excessAt time.Time
-	slowAt   time.Time // when the latest slow answer was received
+	reported   float64   // slowdown of the machine as reported by the leaf, smoothed: 1 as usual; 0 before the first report
+	reportedAt time.Time // when the latest report was received
+	excess     float64   // duration of answers as a multiple of that expected from reported, smoothed; 0 before the first answer
+	excessAt   time.Time // when excess last changed
+	slowAt     time.Time // when the latest slow answer was received
 }
 
-// Parameters of the slowdown.
+// Parameters of a leaf's slowdown. The reported slowdown is that of the leaf's machine, as the
+// leaf reports it. The excess is the duration of an answer as a multiple of the duration to be
+// expected from that report. Weights, from 0 to 1, are those of a new value in a smoothed one.
 const (
-	// statedWeight is the weight of a new statement: machines change many times a second
-	// around a mean that lasts for seconds.
-	statedWeight = 0.5
-	minStated    = 0.2 // lower bound of a stated factor
-	maxStated    = 50  // upper bound of a stated factor
-	excessWeight = 0.2 // of a new answer
-	// expiredFactor is the multiple of the time after which a request expired that it
-	// counts as having taken.
+	// reportedWeight is the weight of a newly reported slowdown. The speed of machines
+	// changes many times a second around a mean that lasts for seconds.
+	reportedWeight = 0.5
+	minReported    = 0.2 // lower bound of a reported slowdown
+	maxReported    = 50  // upper bound of a reported slowdown
+	excessWeight   = 0.2 // weight of the excess of a new answer
+	// expiredFactor is the factor by which the time of a request that expired at the leaf
+	// is multiplied, to estimate how long the request would have taken.
 	expiredFactor = 2
-	expiredWeight = 0.5 // of an expired request
-	maxExcessStep = 3   // a new answer counts as at most this multiple of the smoothed excess
-	slowThreshold = 2   // multiple of the expected time from which an answer is slow
-	// slowdownHalfLife is the time in which half of a leaf's deviation is forgotten, so that
-	// a leaf that was slow and gets no requests is tried again.
+	expiredWeight = 0.5 // weight of the excess of an expired request
+	maxExcessStep = 3   // upper bound of the excess of one answer, as a multiple of the smoothed excess
+	slowThreshold = 2   // excess above which an answer is slow
+	// slowdownHalfLife is the time without new values in which the deviation of a smoothed
+	// slowdown or excess from 1 falls to half, so that a leaf that was slow and gets no
+	// requests is tried again.
 	slowdownHalfLife = 2 * time.Second
 )
 
-// recordStated records the slowdown that a leaf states for its machine.
-func (s *slowdown) recordStated(now time.Time, factor float64) {
-	factor = min(max(factor, minStated), maxStated)
-	if s.stated == 0 {
-		s.stated = factor
+// recordReported records the slowdown that a leaf reports for its machine: the duration of work
+// as a multiple of the usual.
+func (s *slowdown) recordReported(now time.Time, factor float64) {
+	factor = min(max(factor, minReported), maxReported)
+	if s.reported == 0 {
+		s.reported = factor
 	}
-	s.stated += statedWeight * (factor - s.stated)
-	s.statedAt = now
+	s.reported += reportedWeight * (factor - s.reported)
+	s.reportedAt = now
 }
 
-// recordAnswer records an answer to a request that was sent at sentAt, where typical is the
-// usual duration of its kind. Slow answers to requests that were in flight together count
-// once, since one pause causes them all.
+// recordAnswer records that the answer to a request that was sent at sentAt is received now.
+// typical is the duration of such a request at a leaf of usual speed. Slow answers to requests
+// that were in flight together count once, since one pause causes them all.
 func (s *slowdown) recordAnswer(now, sentAt time.Time, typical time.Duration) {
 	s.add(now, sentAt, now.Sub(sentAt), typical, excessWeight)
 }
 
 // recordExpired records that the leaf was still at work when the time of a request was over.
-// How long the request would have taken is not known. Such a leaf is too slow for its
-// requests, and shows it much less often than other leafs answer.
+// How long the request would have taken is not known, so it is estimated as expiredFactor times
+// the time it was given. An expired request has a larger weight than an answer: such a leaf is
+// too slow for its requests, and shows it much less often than other leafs answer.
 func (s *slowdown) recordExpired(now, sentAt time.Time, typical time.Duration) {
 	s.add(now, sentAt, expiredFactor*now.Sub(sentAt), typical, expiredWeight)
 }
 
+// add updates the smoothed excess by a request that was sent at sentAt and took the given time.
+// typical is its duration at a leaf of usual speed, and weight that of the new value in the
+// smoothed one. A slow request is ignored if it was sent before the latest slow answer was
+// received.
 func (s *slowdown) add(now, sentAt time.Time, took, typical time.Duration, weight float64) {
-	ratio := float64(took) / (float64(typical) * s.statedFactor(now))
+	ratio := float64(took) / (float64(typical) * s.reportedFactor(now))
 	if ratio > slowThreshold {
 		if sentAt.Before(s.slowAt) {
 			return
@@ -75,15 +85,22 @@
 	s.excessAt = now
 }
 
-// factor returns the expected duration of the next request as a multiple of the usual
-// duration.
-func (s *slowdown) factor(now time.Time) float64 { return s.statedFactor(now) * s.excessFactor(now) }
+// factor returns the expected duration of the next request as a multiple of its duration at a
+// leaf of usual speed.
+func (s *slowdown) factor(now time.Time) float64 { return s.reportedFactor(now) * s.excessFactor(now) }
 
-func (s *slowdown) statedFactor(now time.Time) float64 { return decayed(s.stated, now.Sub(s.statedAt)) }
+// reportedFactor returns the part of factor that is due to the leaf's machine, as reported by
+// the leaf; 1 if it reported none.
+func (s *slowdown) reportedFactor(now time.Time) float64 {
+	return decayed(s.reported, now.Sub(s.reportedAt))
+}
 
+// excessFactor returns the part of factor that the report does not explain: pauses, queues and
+// the network; 1 if there was no answer.
 func (s *slowdown) excessFactor(now time.Time) float64 { return decayed(s.excess, now.Sub(s.excessAt)) }
 
-// decayed moves a factor towards 1 with its age; 0 stands for an unknown factor.
+// decayed returns a factor that was recorded age ago, moved towards 1: its deviation from 1
+// halves with each slowdownHalfLife. The result is 1 for an unknown factor, which is 0.
 func decayed(factor float64, age time.Duration) float64 {
 	if factor == 0 {
 		return 1
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -10,33 +10,36 @@
 // connection to it can be made. Each request sent to one that is frozen, disconnected or
 // without power loses half of its time. Requests to one leaf or VM are rarer than the longest
 // cooldown, so with a cooldown alone nearly every request would detect the failure again. A
-// probe costs a handshake.
+// probe, which makes a new connection, costs only a handshake.
 type suspicion struct {
-	raised    bool
+	raised    bool      // the leaf or VM is suspect: it gets no requests
 	probes    int       // consecutive failed probes
-	nextProbe time.Time // time of the next probe
+	nextProbe time.Time // when the next probe is due, if raised
 }
 
-// Pauses between two probes. A leaf or VM that has recovered is found within the longest
-// pause.
+// Pauses between two probes of a suspect leaf or VM. They double with each failed probe. A leaf
+// or VM that has recovered is found within the longest pause.
 const (
-	firstProbePause   = 250 * time.Millisecond
-	maxVMProbePause   = 2 * time.Second // longest pause, for a VM
-	maxLeafProbePause = time.Second     // longest pause, for a leaf: a disconnected one should be found within 2 s
+	firstProbePause   = 250 * time.Millisecond // pause before the first probe
+	maxVMProbePause   = 2 * time.Second        // longest pause, for a VM
+	maxLeafProbePause = time.Second            // longest pause, for a leaf: a disconnected one should be found within 2 s
 )
 
+// raise makes the leaf or VM suspect, unless it already is.
 func (s *suspicion) raise(now time.Time) {
 	if !s.raised {
 		*s = suspicion{raised: true, nextProbe: now.Add(firstProbePause)}
 	}
 }
 
+// probeFailed schedules the next probe after a failed one. longest is the longest pause.
 func (s *suspicion) probeFailed(now time.Time, longest time.Duration) {
 	s.probes++
 	s.nextProbe = now.Add(min(firstProbePause<<min(s.probes, maxDoublings), longest))
 }
 
-// due reports whether a probe is due now. If not, next is when one will be, zero for never.
+// due reports whether a probe is due now. If not, next is when one will be, zero if the leaf or
+// VM is not suspect.
 func (s *suspicion) due(now time.Time) (due bool, next time.Time) {
 	switch {
 	case !s.raised:
@@ -47,8 +50,9 @@
 	return true, time.Time{}
 }
 
-// SuspectVMs returns the VMs to which a connection has to be made now, to find out whether
-// they are alive, and when to check again for the others; zero if there are none.
+// SuspectVMs returns the suspect VMs that have to be probed now: a new connection to each shows
+// whether it is alive. next is when to call SuspectVMs again for the other suspect VMs, zero if
+// there are none.
 func (t *Table) SuspectVMs(now time.Time) (list []VM, next time.Time) {
 	for _, v := range t.vms {
 		due, later := v.suspicion.due(now)
@@ -79,17 +83,19 @@
 // VMs are lost together: a rack, a zone, a network. Each loss that is detected only by a call
 // costs a request the shards of that call, and a VM calls many others.
 type livenessRound struct {
-	requested bool
-	lastAt    time.Time // when the other VMs were checked
+	requested bool      // a check of all VMs has to be made
+	lastAt    time.Time // when the latest check was started
 }
 
-// livenessPause is the minimum time between two rounds of liveness checks: a round costs each
-// VM one message from each of the VMs that call it.
+// livenessPause is the minimum time between two rounds of liveness checks by this VM: a round
+// costs each VM one message from each of the VMs that call it.
 const livenessPause = time.Second
 
+// request requests a round, unless the latest one is too recent.
 func (r *livenessRound) request(now time.Time) { r.requested = now.Sub(r.lastAt) >= livenessPause }
 
-// DueForLivenessCheck returns the VMs whose liveness has to be checked now.
+// DueForLivenessCheck returns the VMs whose liveness has to be checked now: all that this one
+// calls if a round was requested, none otherwise. The request is then cleared.
 func (t *Table) DueForLivenessCheck(now time.Time) []VM {
 	if !t.liveness.requested {
 		return nil
@@ -98,15 +104,16 @@
 	return t.Delegates(now)
 }
 
-// LivenessCheckFailed records that a VM did not answer a liveness check.
+// LivenessCheckFailed records that a VM did not answer a liveness check: it becomes suspect.
 func (t *Table) LivenessCheckFailed(now time.Time, name string) {
 	if v := t.vms[name]; v != nil {
 		v.suspicion.raise(now)
 	}
 }
 
-// SuspectLeafs returns the leafs to which a connection has to be made now, and when to check
-// again for the others; zero if there are none.
+// SuspectLeafs returns the suspect leafs that have to be probed now: a new connection to each
+// shows whether it can be reached. next is when to call SuspectLeafs again for the other suspect
+// leafs, zero if there are none.
 func (t *Table) SuspectLeafs(now time.Time) (list []registry.Leaf, next time.Time) {
 	for _, l := range t.leafs {
 		due, later := l.suspicion.due(now)
@@ -118,8 +125,8 @@
 	return list, next
 }
 
-// RecordLeafProbe records whether a connection to a suspect leaf could be made. It reports
-// whether this cleared the suspicion.
+// RecordLeafProbe records the result of a probe of a suspect leaf: alive says that a connection
+// to it could be made. It reports whether the leaf was suspect and is no longer.
 func (t *Table) RecordLeafProbe(now time.Time, id LeafID, alive bool) (cleared bool) {
 	l := t.findLeaf(id)
 	if l == nil || !l.suspicion.raised {
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -12,25 +12,25 @@
 
 // Table is what this VM knows of leafs and of other VMs. It is not safe for concurrent use.
 type Table struct {
-	self          string // name of this VM
-	zone          string
+	self          string  // name of this VM
+	zone          string  // its availability zone
 	power         float64 // of this VM, in cores
 	rng           *rand.Rand
 	budgetConfig  BudgetConfig
-	leafs         map[string]*leaf // by id
-	services      map[string]*service
-	vms           map[string]*vm          // the other VMs
+	leafs         map[string]*leaf        // by id
+	services      map[string]*service     // by name
+	vms           map[string]*vm          // by name: the other VMs
 	members       map[string]memberInfo   // by name: the other VMs, including those that left recently
 	zones         map[string]*zoneMembers // by zone: members and this VM
-	leafOwners    int                     // VMs that send requests to one leaf, over all zones
-	maxShards     int                     // shards of the widest request
-	shardsPerZone int                     // of these, the shards that have a leaf in one zone
+	leafOwners    int                     // number of VMs that own a leaf partition, one partition of each zone taken together
+	maxShards     int                     // number of shards of the gathered request with the most
+	shardsPerZone int                     // how many of these shards have a leaf in one zone
 	vmsKnown      bool                    // SetVMs was called at least once
 	liveness      livenessRound
-	startedAt     time.Time // when this VM's process started
-	durations     map[durationKey]*latency.Recorder
+	startedAt     time.Time                         // when this VM's process started
+	durations     map[durationKey]*latency.Recorder // recent durations of requests and calls
 
-	ackTimes        map[string]ackTime // by zone
+	ackTimes        map[string]ackTime // by zone: how long VMs take to acknowledge a call
 	callRefusalRate failureRate        // share of calls that other VMs refuse
 	admitAll        bool               // for tests: the forecast refuses no request
 }
@@ -39,20 +39,20 @@
 type service struct {
 	name           string
 	leafs          []*leaf
-	budget         *budget
-	maxConnections int
-	waiting        int  // shards of queries in progress that wait for a leaf with capacity
-	shard          bool // used by gathered requests only, so mostly by the owners of its leafs
-	view           View
-	viewKnown      bool // false after a change of the leafs
+	budget         *budget // of extra arrivals
+	maxConnections int     // connections that a leaf accepts from all VMs together; 0 for no limit
+	waiting        int     // shards of this VM's queries that wait for a leaf of the service with capacity
+	gatheredOnly   bool    // used by gathered requests only, so mostly by the VMs that own its leafs
+	view           View    // hash of the leafs, if viewKnown
+	viewKnown      bool    // false after a change of the leafs
 }
 
-// durationKey identifies requests whose durations are comparable. Routes with the same latency
-// objective are taken to carry one kind of request.
+// durationKey identifies a kind of request: requests whose durations are comparable. Requests of
+// routes with the same latency objective are assumed to be of one kind.
 type durationKey struct {
-	objective time.Duration
-	byVM      bool // answers by another VM
-	shard     bool // answers for one shard of a gathered request
+	objective time.Duration // latency objective
+	byVM      bool          // answers by another VM
+	gathered  bool          // answers for one shard of a gathered request
 }
 
 // NewTable returns an empty table for the VM self, whose process started at startedAt.
@@ -77,19 +77,20 @@
 
 // ServiceConfig is the configuration in force for a service.
 type ServiceConfig struct {
-	MaxConnections int  // that a leaf accepts from all VMs together; 0 for no limit
+	MaxConnections int  // connections that a leaf accepts from all VMs together; 0 for no limit
 	Shard          bool // only gathered requests use the service
 }
 
-// SetServiceConfig sets the configuration in force for a service.
+// SetServiceConfig sets the configuration in force for the named service.
 func (t *Table) SetServiceConfig(now time.Time, name string, config ServiceConfig) {
 	s := t.service(now, name)
 	s.maxConnections = config.MaxConnections
-	s.shard = config.Shard
+	s.gatheredOnly = config.Shard
 	t.shareConnections(s)
 }
 
-// Apply applies a change of the list of leafs.
+// Apply applies a change of the list of leafs: one leaf was added, changed or removed. A leaf
+// with a new incarnation, service or address replaces the old one, of which nothing is kept.
 func (t *Table) Apply(now time.Time, change registry.Change) {
 	id := LeafID{ID: change.Leaf.ID, Born: change.Leaf.Born}
 	old := t.leafs[change.Leaf.ID]
@@ -113,6 +114,7 @@
 	t.shareConnections(s)
 }
 
+// removeLeaf removes a leaf from the table and from its service.
 func (t *Table) removeLeaf(l *leaf) {
 	delete(t.leafs, l.ID)
 	s := t.services[l.Service]
@@ -120,6 +122,7 @@
 	s.leafs = slices.DeleteFunc(s.leafs, func(o *leaf) bool { return o == l })
 }
 
+// service returns the named service, which it adds if it is unknown.
 func (t *Table) service(now time.Time, name string) *service {
 	s := t.services[name]
 	if s == nil {
@@ -129,48 +132,54 @@
 	return s
 }
 
-// Limits on what this VM uses of resources that VMs share. The list of VMs lags behind, and
-// VMs are added or replaced.
+// Limits on what this VM uses of resources that all VMs share: the connections and slots of
+// leafs, and the floor of budgets.
 const (
-	// connectionShare is the share of a leaf's connections that VMs use. A leaf accepts
+	// usableConnectionShare is the share, from 0 to 1, of the connections that a leaf
+	// accepts by its service's configuration that all VMs together use. A leaf accepts
 	// fewer while its queue is long, and resets the others.
-	connectionShare = 0.8
-	// vmHeadroom is the number of VMs to allow for per known VM.
+	usableConnectionShare = 0.8
+	// vmHeadroom is the number of VMs that are assumed to share a resource, per known VM:
+	// the list of VMs lags behind, and VMs are added or replaced.
 	vmHeadroom = 1.25
-	// queuePerSlot bounds the requests of this VM at a leaf, per slot of the leaf.
-	// Requests beyond it wait longer than a request to another leaf takes.
-	queuePerSlot = 2
+	// maxInFlightPerSlot bounds the requests that this VM has in flight at a leaf, per slot
+	// of the leaf. Requests beyond it wait longer than a request to another leaf takes.
+	maxInFlightPerSlot = 2
 )
 
-// shareConnections sets how many requests this VM may have in flight at each leaf: one for
-// each connection of its share.
+// shareConnections sets how many requests this VM may have in flight at each leaf of a service:
+// one for each connection of its share, but no more than maxInFlightPerSlot for each slot, and
+// at least one.
 func (t *Table) shareConnections(s *service) {
 	share := t.connectionsPerLeaf(s)
 	for _, l := range s.leafs {
-		l.maxInFlight = max(int(min(share, float64(l.Slots*queuePerSlot))), 1)
+		l.maxInFlight = max(int(min(share, float64(l.Slots*maxInFlightPerSlot))), 1)
 	}
 }
 
-// connectionsPerLeaf returns this VM's share of the connections that a leaf of the service
-// accepts. A share below one allows an occasional connection, but none that stays open unused.
+// connectionsPerLeaf returns how many of the connections that a leaf of the service accepts are
+// this VM's share; infinite if there is no limit. A share below one allows an occasional
+// connection, but none that stays open unused.
 func (t *Table) connectionsPerLeaf(s *service) float64 {
 	if s.maxConnections == 0 {
 		return math.Inf(1)
 	}
 	vms := len(t.members) + 1
-	if s.shard && t.ownsService(s.name) {
+	if s.gatheredOnly && t.ownsService(s.name) {
 		vms = t.leafOwners
 	}
-	return float64(s.maxConnections) * connectionShare / (float64(vms) * vmHeadroom)
+	return float64(s.maxConnections) * usableConnectionShare / (float64(vms) * vmHeadroom)
 }
 
-// KeepsConnection reports whether a connection to a leaf is kept open after a request. VMs
-// that use the leaf only occasionally would otherwise hold all connections that it accepts.
+// KeepsConnection reports whether a connection to a leaf is kept open after a request. It is not
+// if this VM's share of the leaf's connections is below one: VMs that use the leaf only
+// occasionally would otherwise hold all connections that it accepts.
 func (t *Table) KeepsConnection(id LeafID) bool {
 	l := t.findLeaf(id)
 	return l != nil && t.connectionsPerLeaf(t.services[l.Service]) >= 1
 }
 
+// findLeaf returns the given incarnation of a leaf, or nil if it is not known.
 func (t *Table) findLeaf(id LeafID) *leaf {
 	l := t.leafs[id.ID]
 	if l == nil || l.id != id {
@@ -179,7 +188,8 @@
 	return l
 }
 
-// usableLeafs returns the leafs of a service that take requests, including those in cooldown.
+// usableLeafs returns the leafs of the named service that take requests, including those in
+// cooldown and suspect ones.
 func (t *Table) usableLeafs(name string) []*leaf {
 	s := t.services[name]
 	if s == nil {
@@ -194,18 +204,19 @@
 	return list
 }
 
-// HasUsableLeaf reports whether a service has a leaf that takes requests.
+// HasUsableLeaf reports whether the named service has a leaf that takes requests.
 func (t *Table) HasUsableLeaf(name string) bool { return len(t.usableLeafs(name)) > 0 }
 
 // leafFilter restricts the leafs that may be picked for a request.
 type leafFilter struct {
-	exclude  []LeafID  // already tried
-	idleOnly bool      // only leafs that would start at once
-	answerBy time.Time // only leafs that are expected to answer by then; zero for all
+	exclude  []LeafID  // leafs that were already tried
+	idleOnly bool      // only leafs that would start the request at once
+	answerBy time.Time // only leafs that are expected to answer by then, or not much later; zero for all
 }
 
-// pickLeaf returns the leaf for a request: of the available leafs with capacity, the one that
-// is expected to answer first. It returns nil if there is none.
+// pickLeaf returns the leaf for a request: of the given leafs that pass the filter, are available
+// and have capacity, the one with the lowest cost, which is the expected duration plus
+// surcharges. It returns nil if there is none.
 func (t *Table) pickLeaf(now time.Time, kind durationKey, leafs []*leaf, filter leafFilter) *leaf {
 	var best *leaf
 	var bestCost time.Duration
@@ -217,7 +228,7 @@
 		if filter.idleOnly && !l.idle(now) {
 			continue
 		}
-		if !filter.answerBy.IsZero() && now.Add(l.eta(now, typical)/sendMargin).After(filter.answerBy) {
+		if !filter.answerBy.IsZero() && now.Add(l.eta(now, typical)/latenessTolerance).After(filter.answerBy) {
 			continue
 		}
 		cost := l.cost(now, kind.objective, typical)
@@ -231,11 +242,13 @@
 	return best
 }
 
-// costJitter is the difference in cost below which either of two leafs may be picked.
+// costJitter bounds the random time that is added to a leaf's cost when leafs are compared. If
+// the costs of two leafs differ by less, either may be picked.
 const costJitter = time.Millisecond
 
-// pickCoolingDown returns, for requests that have no other leaf, the unavailable leaf that
-// becomes available first. Suspect leafs come last. It returns nil if there is none.
+// pickCoolingDown returns a leaf for a request for which pickLeaf found none: of the given leafs
+// in cooldown or under suspicion, the one whose cooldown ends first. Suspect leafs come last.
+// Leafs in tried and those without capacity are left out. It returns nil if there is none.
 func (t *Table) pickCoolingDown(now time.Time, leafs []*leaf, tried []LeafID) *leaf {
 	var best *leaf
 	for _, l := range leafs {
@@ -259,26 +272,29 @@
 	return r
 }
 
-// recordDuration records how long an answer took, scaled to a leaf whose machine runs at its
-// usual speed: the duration expected of one leaf must not depend on how slow other leafs are.
+// recordDuration records how long the answer to an attempt took. The time is divided by the
+// slowdown that the leaf reports for its machine: the duration expected of one leaf must not
+// depend on how slow other leafs are.
 func (t *Table) recordDuration(now time.Time, kind durationKey, a *attempt) {
 	took := now.Sub(a.sentAt)
 	if l := t.findLeaf(a.leaf); l != nil {
-		took = time.Duration(float64(took) / l.slowdown.statedFactor(now))
+		took = time.Duration(float64(took) / l.slowdown.reportedFactor(now))
 	}
 	t.durationsOf(kind).Add(now, took)
 }
 
-// Parameters of the typical duration.
+// Parameters of the typical duration of one kind of request at a leaf.
 const (
-	typicalQuantile = 0.5 // the median: fewer than half of the answers come from paused or slow leafs
+	// typicalQuantile is the quantile of recent durations that counts as typical: the
+	// median, since fewer than half of the answers come from paused or slow leafs.
+	typicalQuantile = 0.5
 	// defaultTypicalShare is the typical duration while too few answers are known, as a
 	// share of the latency objective.
 	defaultTypicalShare = 0.1
 )
 
-// typicalDuration returns how long one kind of request typically takes at a leaf, and whether
-// that follows from enough answers.
+// typicalDuration returns how long one kind of request typically takes at a leaf of usual speed.
+// known says that this follows from enough answers; otherwise it is a default.
 func (t *Table) typicalDuration(now time.Time, kind durationKey) (d time.Duration, known bool) {
 	d, known = t.durationsOf(kind).Quantile(now, typicalQuantile)
 	if !known {
@@ -287,9 +303,9 @@
 	return d, known
 }
 
-// UnusedLeafs returns the leafs in this VM's zone and partition that have no request of this
-// VM in flight, so that connections to them can be opened before they are needed. Leafs that
-// drain or are suspect are left out.
+// UnusedLeafs returns the leafs of this VM's zone to which it normally sends requests, since it
+// owns their partition, and which have no request of this VM in flight. Connections to them can
+// be opened before they are needed. Leafs that drain or are suspect are left out.
 func (t *Table) UnusedLeafs() []registry.Leaf {
 	z := t.zones[t.zone]
 	var list []registry.Leaf
@@ -309,15 +325,15 @@
 	EndAnswered    End = iota // answered, with any status
 	EndUnreachable            // no connection: nothing reached the leaf
 	EndRefused                // the leaf says that it did not run the request
-	EndBroken                 // may have run: the connection was cut or reset, or the answer was corrupt
-	EndSilent                 // may have run: no answer while this VM waited for it
+	EndBroken                 // the request may have run: the connection was cut or reset, or the answer was corrupt
+	EndSilent                 // the request may have run: no answer while this VM waited for it
 	EndMoved                  // another leaf has the address; nothing ran
-	EndFailed                 // answered with the leaf's own failure
-	EndExpired                // the leaf stopped when the time given to it was over
+	EndFailed                 // answered with a failure of the leaf
+	EndExpired                // the leaf stopped work when the time given to it was over
 	EndNotStarted             // the time given to the leaf was over before it started
 )
 
-// showsAlive reports whether the end shows that the leaf is alive.
+// showsAlive reports whether the end shows that the leaf is alive: the leaf itself sent a reply.
 func (e End) showsAlive() bool {
 	switch e {
 	case EndAnswered, EndFailed, EndRefused, EndExpired, EndNotStarted:
@@ -335,11 +351,12 @@
 	return true
 }
 
-// refusedCooldown is how long a leaf that refused a request gets no other: about the time in
+// refusedCooldown is how long a leaf that refused a request gets no other one: about the time in
 // which one request ends and frees a slot.
 const refusedCooldown = 15 * time.Millisecond
 
-// AttemptEnded records how a request to a leaf ended. It may come long after the query ended.
+// AttemptEnded records how a request to a leaf, sent at sentAt, ended. It may be called long after
+// the query ended.
 func (t *Table) AttemptEnded(now time.Time, id LeafID, sentAt time.Time, end End) {
 	l := t.findLeaf(id)
 	if l == nil {
@@ -378,7 +395,7 @@
 	}
 }
 
-// RecordLoad records the load that a leaf stated with an answer. It has to be called before
+// RecordLoad records the load that a leaf reported with an answer. It has to be called before
 // AttemptEnded, with the same time.
 func (t *Table) RecordLoad(now time.Time, id LeafID, load Load) {
 	if l := t.findLeaf(id); l != nil {
--- a/scatter/vm.go
+++ b/scatter/vm.go
@@ -6,32 +6,35 @@
 	"time"
 )
 
-// VM is a VM that can query the leafs near it.
+// VM is one of the VMs that serve requests. Other VMs call it to query the leafs near it.
 type VM struct {
 	Name    string
-	Zone    string
+	Zone    string  // availability zone
 	Address string  // IP and port of its internal listener
-	Power   float64 // processor cores
-	Key     string  // that a caller of this VM must present; secret
+	Power   float64 // number of processor cores
+	Key     string  // secret that a caller of this VM must present
 }
 
+// vm is what this VM knows of another VM.
 type vm struct {
 	VM
 	cooldown  cooldown
-	inFlight  int
+	inFlight  int // calls of this VM to it that have not ended
 	suspicion suspicion
 }
 
 // available reports whether calls may be sent to the VM.
 func (v *vm) available(now time.Time) bool { return !v.suspicion.raised && !v.cooldown.active(now) }
 
-// memberRetention is how long a VM that left remains a member of its zone, among which leafs
-// are divided. Most VMs return within seconds under their old name. Without it, nearly every
-// VM would get another partition at each restart of one, and open connections to other leafs
-// while the zone is short of VMs anyway.
+// memberRetention is how long a VM that is no longer listed remains a member of its zone. The
+// leafs of a zone are divided into partitions among its members. Most VMs return within seconds
+// under their old name. Without the retention, nearly every VM would get another partition at
+// each restart of one, and open connections to other leafs while the zone is short of VMs
+// anyway.
 const memberRetention = 20 * time.Second
 
-// SetVMs sets the list of the other VMs. What is known of those that stay is kept.
+// SetVMs sets the list of the other VMs, and divides the leafs of each zone among its VMs. What
+// is known of VMs that stay unchanged is kept.
 func (t *Table) SetVMs(now time.Time, others []VM) {
 	next := make(map[string]*vm, len(others))
 	for _, v := range others {
@@ -50,23 +53,26 @@
 // memberInfo is what is known of a member of a zone, and when it was last listed.
 type memberInfo struct {
 	zone  string
-	power float64
-	seen  time.Time
+	power float64   // number of processor cores
+	seen  time.Time // when it was last listed
 }
 
-// Parameters of the VMs that are called for a partition.
+// Parameters of the choice of VMs that this one calls for a leaf partition, among the VMs that
+// own it.
 const (
-	// delegatesPerPartition is how many of the owners of a partition a VM calls, as long
-	// as they answer. Different VMs call different owners, so the number of connections
-	// between VMs grows with the number of partitions rather than of VMs.
+	// delegatesPerPartition is how many of the owners of a partition one VM calls, as long
+	// as they answer. Different VMs call different owners. A VM's number of connections to
+	// other VMs thus grows with the number of partitions rather than that of VMs.
 	delegatesPerPartition = 2
-	// minDelegatePower is the minimum power of a further delegate, as a share of the power
-	// of the strongest owner: a request waits for the slowest of its calls.
+	// minDelegatePower is the minimum power of an owner to be called, as a share of the
+	// power of the strongest owner that may be called. A request waits for the slowest of
+	// its calls.
 	minDelegatePower = 0.5
 )
 
-// delegates returns the VMs that this one calls for a leaf partition, leaving out those in
-// cooldown or under suspicion, and those named in except.
+// delegates returns the VMs that this one calls for a leaf partition: up to
+// delegatesPerPartition of its owners. Those in cooldown or under suspicion, those named in
+// except, and those with too little power are left out.
 func (t *Table) delegates(now time.Time, p zonePartition, except []string) []*vm {
 	z := t.zones[p.zone]
 	if z == nil {
@@ -87,9 +93,9 @@
 	return list[:min(len(list), delegatesPerPartition)]
 }
 
-// pickVM returns the VM to call for a leaf partition, leaving out those named in except: of
-// two random delegates, the one with fewer of this VM's calls relative to its power. It
-// returns nil if there is none.
+// pickVM returns the VM to call for a leaf partition, leaving out those named in except. Of two
+// randomly drawn delegates (see delegates), it is the one that has fewer of this VM's calls in
+// flight, relative to its power. The result is nil if there is none.
 func (t *Table) pickVM(now time.Time, p zonePartition, except []string) *vm {
 	list := t.delegates(now, p, except)
 	if len(list) == 0 {
@@ -102,8 +108,8 @@
 	return a
 }
 
-// Delegates returns all VMs that this one calls, so that connections to them can be opened
-// before they are needed.
+// Delegates returns all VMs that this one calls to have leafs queried, so that connections to
+// them can be opened before they are needed.
 func (t *Table) Delegates(now time.Time) []VM {
 	var list []VM
 	zones := t.shardZones()
@@ -123,18 +129,18 @@
 	return list
 }
 
-// shardZones returns the zones that have leafs of shards.
+// shardZones returns the set of zones that have leafs of services used by gathered requests only.
 func (t *Table) shardZones() map[string]bool {
 	zones := make(map[string]bool)
 	for _, l := range t.leafs {
-		if t.services[l.Service].shard {
+		if t.services[l.Service].gatheredOnly {
 			zones[l.Zone] = true
 		}
 	}
 	return zones
 }
 
-// drawByPower returns a random VM, with a probability in proportion to its power.
+// drawByPower returns a random VM of the list, with a probability in proportion to its power.
 func (t *Table) drawByPower(list []*vm) *vm {
 	total := 0.0
 	for _, v := range list {
@@ -149,7 +155,8 @@
 	return list[len(list)-1]
 }
 
-// CallEnded records how a call to another VM ended. It may come long after the query ended.
+// CallEnded records how a call to the named VM ended. It may be called long after the query
+// ended. A VM that could not be reached or did not answer becomes suspect.
 func (t *Table) CallEnded(now time.Time, name string, end End) {
 	v := t.vms[name]
 	if v == nil {
--- a/scatter/zone.go
+++ b/scatter/zone.go
@@ -9,36 +9,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ownersPerLeaf is how many VMs of a zone send requests to the same leafs, as long as the zone
-// has as many. Fewer would be too few when some are lost. With more, a leaf's connections
-// would not suffice for all of them, and each would be used too rarely to stay open.
+// ownersPerLeaf is the number of VMs of a zone that own a leaf: that normally send requests to
+// it. A zone with fewer than twice as many VMs is not divided, and all of its VMs own all
+// leafs. Fewer owners would be too few when some are lost. With more, a leaf's connections would
+// not suffice for all of them, and each would be used too rarely to stay open.
 const ownersPerLeaf = 4
 
-// callCost is the processor time that a call to another VM costs the calling VM, in multiples
-// of a request to a leaf.
+// callCost is the processor time that a call to another VM costs the calling VM, as a multiple of
+// that of a request to a leaf.
 const callCost = 3
 
 // zoneMembers holds the VMs of one zone, this one included, ordered by descending power and
 // then by name. All VMs that know the same list divide the leafs in the same way.
 //
 // The leafs of a zone are divided into partitions. The first VMs of the list own one partition
-// each, and so do the next ones, until each partition has ownersPerLeaf owners. A small zone
-// has one partition, which all of its VMs own.
+// each, and so do the next ones, until each partition has ownersPerLeaf owners. The VM with
+// index i of the list owns partition i modulo the number of partitions. A small zone has one
+// partition, which all of its VMs own.
 type zoneMembers struct {
-	ranked     []zoneMember
-	self       int // index of this VM, -1 in other zones
-	partitions int
-	owners     int // number of VMs that own a partition: the first ones of the list
+	ranked     []zoneMember // the list
+	self       int          // index of this VM in the list, -1 in other zones
+	partitions int          // number of leaf partitions
+	owners     int          // number of VMs that own a partition: the first ones of the list
 }
 
 // zoneMember is a VM of a zone.
 type zoneMember struct {
 	name  string
-	power float64
+	power float64 // number of processor cores
 }
 
-// arrange orders the VMs of a zone and divides its leafs into partitions, for requests to the
-// given number of its shards.
+// arrange orders the VMs of a zone and divides its leafs into partitions. self is the name of
+// this VM, and shards the number of shards that a request queries in the zone.
 func (z *zoneMembers) arrange(self string, shards int) {
 	slices.SortFunc(z.ranked, func(a, b zoneMember) int {
 		return cmp.Or(cmp.Compare(b.power, a.power), cmp.Compare(a.name, b.name))
@@ -51,15 +53,17 @@
 	}
 }
 
-// fastestPartitioning returns the number of partitions with which a request is answered
-// fastest. More partitions are queried in parallel, but each costs a call, and the partition
-// whose strongest owner has the least power takes longest. VMs differ in power, and so in the
-// processor time of one request to a leaf.
+// fastestPartitioning returns the number of leaf partitions with which a request to the given
+// number of shards is answered fastest. More partitions are queried in parallel, but each costs
+// a call, and the partition whose strongest owner has the least power takes longest. VMs differ
+// in power, and so in the processor time of one request to a leaf.
 func (z *zoneMembers) fastestPartitioning(shards int) int {
 	most := len(z.ranked) / ownersPerLeaf
 	if most <= 1 {
 		return 1
 	}
+	// With n partitions, a caller of median power makes n calls. The slowest one is to the
+	// strongest owner of the last partition, which sends a request for each of its shards.
 	caller := max(z.ranked[len(z.ranked)/2].power, minPower)
 	best, least := 1, math.Inf(1)
 	for n := 1; n <= most; n++ {
@@ -75,17 +79,19 @@
 // minPower is the power in cores assumed for a VM that states none.
 const minPower = 0.01
 
-// partitionOf returns the partition of the zone that a service's leafs belong to.
+// partitionOf returns the number, from 0, of the leaf partition of the zone that the leafs of the
+// named service belong to. It is computed from the name, also if the zone has no such leaf.
 func (z *zoneMembers) partitionOf(service string) int {
 	return int(xxhash.Sum64String(service) % uint64(z.partitions))
 }
 
-// owns reports whether this VM owns a partition.
+// owns reports whether this VM owns the leaf partition with the given number.
 func (z *zoneMembers) owns(partition int) bool {
 	return z.self >= 0 && z.self < z.owners && z.self%z.partitions == partition
 }
 
-// ownersOf returns the VMs that own a partition, in descending order of power.
+// ownersOf returns the VMs that own the leaf partition with the given number, in descending order
+// of power.
 func (z *zoneMembers) ownersOf(partition int) []zoneMember {
 	var list []zoneMember
 	for i := partition; i < z.owners; i += z.partitions {
@@ -94,14 +100,15 @@
 	return list
 }
 
-// SetMaxShards sets how many shards the widest request has.
+// SetMaxShards sets the number of shards of the gathered request that has the most.
 func (t *Table) SetMaxShards(now time.Time, n int) {
 	t.maxShards = n
 	t.Repartition(now)
 }
 
-// Repartition divides the leafs again if their number requires it. It has to be called after
-// each batch of changes of the list of leafs.
+// Repartition divides the leafs of all zones into partitions again if the number of shards that a
+// request queries in a zone has changed. It has to be called after each batch of changes of the
+// list of leafs.
 func (t *Table) Repartition(now time.Time) {
 	if n := t.countShardsPerZone(); n != t.shardsPerZone {
 		t.shardsPerZone = n
@@ -109,14 +116,15 @@
 	}
 }
 
-// countShardsPerZone returns how many shards of the widest request have a leaf in one zone,
-// assuming that leafs are spread evenly. Single leafs that are added or removed don't change
-// it.
+// countShardsPerZone returns how many shards of the gathered request with the most shards have a
+// leaf in one zone, assuming that leafs are spread evenly over the zones. It is computed from
+// the average number of leafs per shard, rounded, so that single leafs that are added or removed
+// don't change it.
 func (t *Table) countShardsPerZone() int {
 	zones := make(map[string]bool)
 	services, leafs := 0, 0
 	for _, s := range t.services {
-		if !s.shard || len(s.leafs) == 0 {
+		if !s.gatheredOnly || len(s.leafs) == 0 {
 			continue
 		}
 		services++
@@ -132,8 +140,8 @@
 	return int(math.Ceil(float64(t.maxShards) * min(replicas/float64(len(zones)), 1)))
 }
 
-// partitionZones orders the VMs of each zone, including those that left recently, and divides
-// the leafs.
+// partitionZones orders the VMs of each zone, including those that left recently, divides the
+// leafs of the zone into partitions that the VMs own, and sets this VM's shares of connections.
 func (t *Table) partitionZones(now time.Time) {
 	zones := map[string]*zoneMembers{t.zone: {ranked: []zoneMember{{name: t.self, power: t.power}}}}
 	for name, p := range t.members {
