--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -189,7 +189,7 @@
 		d += l.cooldown.until.Sub(now)
 	}
 	if l.stalled(now) {
-		d += stallCost
+		d += stalledLeafDelay
 	}
 	return d
 }
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// sendsPerAttempt bounds how often a shard may be sent, as a multiple of MaxAttempts. Sends
+// maxSendsPerAttempt bounds how often a shard may be sent, as a multiple of MaxAttempts. Sends
 // beyond MaxAttempts follow refusals or failed connections, neither of which runs anything.
-const sendsPerAttempt = 3
+const maxSendsPerAttempt = 3
 
 // Limits on waiting for a leaf with capacity.
 const (
-	// pollInterval is the time after which a shard is checked again if none of its leafs
+	// leafPollInterval is the time after which a shard is checked again if none of its leafs
 	// could take a request.
-	pollInterval = 8 * time.Millisecond
+	leafPollInterval = 8 * time.Millisecond
 	// leafWaitShare bounds how long a request to a single service waits for a leaf with
 	// capacity, as a share of the latency objective. A caller that is refused by then can
 	// still retry in time; one that waits longer mostly gets a late answer.
@@ -78,7 +78,7 @@
 	}
 	reserve := 0.0
 	if reason == Hedge {
-		reserve = hedgeReserve
+		reserve = hedgeBudgetReserve
 	}
 	return b.spend(now, reserve)
 }
@@ -163,7 +163,7 @@
 		s.close(GapNoLeaf)
 		return
 	}
-	q.setPollAt(s, now.Add(pollInterval))
+	q.setPollAt(s, now.Add(leafPollInterval))
 }
 
 // setPollAt sets when this query checks again for a leaf of a shard, zero for never. It keeps
@@ -204,7 +204,7 @@
 		s.close(GapLate)
 		return nil
 	}
-	if s.possibleRuns >= q.spec.MaxAttempts || s.sends >= q.spec.MaxAttempts*sendsPerAttempt {
+	if s.possibleRuns >= q.spec.MaxAttempts || s.sends >= q.spec.MaxAttempts*maxSendsPerAttempt {
 		s.close(GapAttempts)
 		return nil
 	}
--- a/scatter/conclude.go
+++ b/scatter/conclude.go
@@ -67,13 +67,13 @@
 	return Outcome{Verdict: NotRun, RetryAfter: q.retryAfterOrDefault()}
 }
 
-// The delay after which a refused caller is told to retry.
+// Bounds and default of the delay after which a refused caller is told to retry.
 const (
-	// retryAfterShare is the delay if no VM stated one, as a share of the latency
-	// objective: about the time in which the queue of a leaf drains.
-	retryAfterShare = 0.25
-	minRetryAfter   = 10 * time.Millisecond // shortest delay
-	maxRetryAfter   = time.Second           // longest delay
+	// defaultRetryAfterShare is that delay if no VM gave one with its refusal, as a share
+	// of the latency objective: about the time in which the queue of a leaf drains.
+	defaultRetryAfterShare = 0.25
+	minRetryAfter          = 10 * time.Millisecond // shortest delay that a refused caller is told
+	maxRetryAfter          = time.Second           // longest delay that a refused caller is told
 )
 
 // retryAfterOrDefault returns the delay after which the caller should retry: the one of the VM
@@ -82,7 +82,7 @@
 	if q.retryAfter > 0 {
 		return q.retryAfter
 	}
-	d := time.Duration(retryAfterShare * float64(q.spec.LatencyObjective))
+	d := time.Duration(defaultRetryAfterShare * float64(q.spec.LatencyObjective))
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
--- a/scatter/cooldown.go
+++ b/scatter/cooldown.go
@@ -9,22 +9,23 @@
 	until    time.Time // end of the latest cooldown, zero if there was none
 }
 
-// Lengths of a cooldown. Each further consecutive failure doubles the length.
+// Lengths of a cooldown: the time for which a leaf or VM gets no requests after failures. Each
+// further consecutive failure doubles the length.
 const (
-	baseCooldown = 60 * time.Millisecond // length of the first cooldown
-	// maxCooldown is the longest cooldown. It stays below the 2 s within which a leaf that
-	// was only disconnected should be found again.
+	baseCooldown = 60 * time.Millisecond // length of the first cooldown after failures
+	// maxCooldown is the length of the longest cooldown. It stays below the 2 s within
+	// which a leaf that was only disconnected should be found again.
 	maxCooldown = 1500 * time.Millisecond
-	// maxDoublings is how often a length is doubled at most. It bounds the shift; pauses
-	// between probes use it too.
-	maxDoublings = 5
+	// maxPauseDoublings is how often the length of a cooldown, or the pause between probes
+	// of a suspect leaf or VM, is doubled at most.
+	maxPauseDoublings = 5
 	// failuresToCooldown is the number of consecutive failures that start a cooldown. The
 	// first failures say little: a leaf breaks off a few answers and serves the next
 	// request.
 	failuresToCooldown = 2
-	// silentDoublings is how often the length is doubled at once after a request that got
-	// no answer in its whole time.
-	silentDoublings = 2
+	// silenceDoublings is how often the length of a cooldown is doubled at once after a
+	// request that got no answer in its whole time.
+	silenceDoublings = 2
 )
 
 // recordFailure counts a failure of a request that was sent at sentAt, and starts a cooldown if
@@ -39,7 +40,7 @@
 	if c.failures < failuresToCooldown {
 		return
 	}
-	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxDoublings), maxCooldown))
+	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxPauseDoublings), maxCooldown))
 }
 
 // recordUnreachable records that no connection could be made. No process listens at the
@@ -49,7 +50,7 @@
 		return
 	}
 	c.failures = max(c.failures+1, failuresToCooldown)
-	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown+1, maxDoublings), maxCooldown))
+	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown+1, maxPauseDoublings), maxCooldown))
 }
 
 // recordSilence records that nothing was received in the whole time of a request that was sent
@@ -60,8 +61,8 @@
 	if sentAt.Before(c.until) {
 		return
 	}
-	c.failures = max(c.failures+1, failuresToCooldown+silentDoublings)
-	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxDoublings), maxCooldown))
+	c.failures = max(c.failures+1, failuresToCooldown+silenceDoublings)
+	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxPauseDoublings), maxCooldown))
 }
 
 // startAtLeast starts a cooldown of at least d without counting a failure: a leaf that
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -23,7 +23,8 @@
 // Delegation costs two more hops within the region. Calls to a VM that is frozen, disconnected
 // or stopped fail over (see overtake.go).
 
-// Parameters of calls to other VMs. AnswerBy is the time by which this VM answers its caller.
+// Parameters of calls to other VMs. AnswerBy is the time by which this VM answers its caller. A
+// call fails over when its shards are sent to another VM, or to leafs directly, instead.
 const (
 	// minDelegatedShards is the smallest number of shards for which a VM in another zone is
 	// called, or another VM after a failed call. For fewer, the message to the other VM is
@@ -41,13 +42,15 @@
 	// network.
 	callRoundTrip = 8 * time.Millisecond
 	// failoverDurationQuantile is the quantile of the times that recent calls took until
-	// their first answer. A call without an answer is overdue after failoverDurationFactor
-	// times that quantile, and then fails over.
+	// their first answer, from which it is computed when a call without an answer fails
+	// over.
 	failoverDurationQuantile = 0.95
-	failoverDurationFactor   = 1.2 // multiple of that quantile
-	// failoverLatestShare is the share of the time until AnswerBy after which a call
+	// failoverDurationFactor is the time after which a call without an answer fails over,
+	// as a multiple of that quantile of the durations of recent calls.
+	failoverDurationFactor = 1.2
+	// latestFailoverShare is the share of the time until AnswerBy after which a call
 	// without an answer fails over at the latest.
-	failoverLatestShare = 0.85
+	latestFailoverShare = 0.85
 )
 
 // zonePartition identifies a leaf partition: one of the groups into which the leafs of a zone
@@ -202,14 +205,14 @@
 // failoverTime returns when a call that has no answer yet fails over. That is once it takes
 // longer than most calls take until their first answer, but not before an interim answer, which
 // the VM sends at interim, can have been received. In any case it is no later than
-// failoverLatestShare of the time until AnswerBy. A call that is not acknowledged in time fails
+// latestFailoverShare of the time until AnswerBy. A call that is not acknowledged in time fails
 // over earlier (see call.ackDue).
 func (q *Query) failoverTime(now, interim time.Time) time.Time {
 	due := interim.Add(callRoundTrip)
 	if d, known := q.table.durationsOf(q.callDurationKey()).Quantile(now, failoverDurationQuantile); known {
 		due = later(due, now.Add(time.Duration(failoverDurationFactor*float64(d))))
 	}
-	last := now.Add(time.Duration(failoverLatestShare * float64(q.spec.AnswerBy.Sub(now))))
+	last := now.Add(time.Duration(latestFailoverShare * float64(q.spec.AnswerBy.Sub(now))))
 	return earlier(due, last)
 }
 
--- a/scatter/faults.go
+++ b/scatter/faults.go
@@ -18,16 +18,16 @@
 
 // Parameters of the failure rate.
 const (
-	failureWeight = 0.15 // weight of the latest request in the smoothed rate, from 0 to 1
-	// failureHalfLife is the time without requests in which the rate falls to half, so that
-	// the leaf is tried again.
-	failureHalfLife = 4 * time.Second
-	// failureCost is the surcharge on the expected duration at a leaf that fails every
-	// request, as a share of the latency objective; with a lower failure rate it is
+	failureRateWeight = 0.15 // weight of the latest request in the smoothed failure rate, from 0 to 1
+	// failureRateHalfLife is the time without requests in which the failure rate falls to
+	// half, so that the leaf is tried again.
+	failureRateHalfLife = 4 * time.Second
+	// failureRateSurcharge is the surcharge on the expected duration at a leaf that fails
+	// every request, as a share of the latency objective; with a lower failure rate it is
 	// proportionally lower. Requests go to the leaf with the lowest sum. A leaf in another
 	// zone takes the failing leaf's place after three consecutive failures (see
-	// crossZoneShare), not after one.
-	failureCost = 0.8
+	// crossZoneSurcharge), not after one.
+	failureRateSurcharge = 0.8
 )
 
 // current returns the share of requests that are expected to fail now, from 0 to 1.
@@ -35,12 +35,12 @@
 	if f.rate == 0 {
 		return 0
 	}
-	return f.rate * math.Exp2(-float64(now.Sub(f.updatedAt))/float64(failureHalfLife))
+	return f.rate * math.Exp2(-float64(now.Sub(f.updatedAt))/float64(failureRateHalfLife))
 }
 
 // add records the end of a request: 1 for a failed one, 0 for any other.
 func (f *failureRate) add(now time.Time, failed float64) {
 	old := f.current(now)
-	f.rate = old + failureWeight*(failed-old)
+	f.rate = old + failureRateWeight*(failed-old)
 	f.updatedAt = now
 }
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// hedgeReserve is the number of extra arrivals in the budget that hedges must leave for
+// hedgeBudgetReserve is the number of extra arrivals in the budget that hedges must leave for
 // retries: a hedge saves time, a retry saves the answer.
-const hedgeReserve = 1
+const hedgeBudgetReserve = 1
 
 // Parameters of the hedge delay: the time from an attempt at a leaf until a second attempt, the
 // hedge, is sent to another leaf.
@@ -12,24 +12,27 @@
 	// hedgeDurationQuantile is the quantile of recent durations of requests to leafs from
 	// which the delay is computed. Pauses of leafs lie beyond it.
 	hedgeDurationQuantile = 0.9
-	// hedgeDurationFactor is the delay as a multiple of that quantile. It is high enough
-	// that ordinary variation causes few hedges.
+	// hedgeDurationFactor is the hedge delay as a multiple of that quantile of recent
+	// durations. It is high enough that ordinary variation causes few hedges.
 	hedgeDurationFactor = 1.3
-	// hedgeLatestShare is the longest delay for a request to a single service, as a share
-	// of the latency objective. After a longer one, the second answer would be late too.
-	hedgeLatestShare = 0.4
-	// hedgeDefaultShare is the delay while too few durations are known, as a share of the
-	// latency objective.
-	hedgeDefaultShare = 0.35
-	minHedgeDelay     = 4 * time.Millisecond // shortest delay computed from durations
+	// maxHedgeDelayShare is the longest hedge delay of a request to a single service, as a
+	// share of the latency objective. After a longer one, the answer to the hedge would be
+	// late too.
+	maxHedgeDelayShare = 0.4
+	// defaultHedgeDelayShare is the hedge delay while too few durations are known, as a
+	// share of the latency objective.
+	defaultHedgeDelayShare = 0.35
+	minHedgeDelay          = 4 * time.Millisecond // shortest hedge delay computed from durations
 
-	// hedgeAnswerFactor is the time that the answer to a hedge of a gathered request is
-	// given, as a multiple of the quantile. A part of a gathered answer is useful until
-	// AnswerBy, and the answer to a hedge is traffic from another zone. So a hedge is sent
-	// as late as its answer may still be in time: many slow leafs have answered by then.
-	hedgeAnswerFactor = 2.5
-	// hedgeSlack is the time until AnswerBy that is kept for the network.
-	hedgeSlack = 4 * time.Millisecond
+	// hedgeAnswerTimeFactor is the time that the answer to a hedge of a gathered request is
+	// given, as a multiple of the quantile of recent durations. A part of a gathered answer
+	// is useful until AnswerBy, and the answer to a hedge is traffic from another zone. So a
+	// hedge is sent as late as its answer may still be in time: many slow leafs have
+	// answered by then.
+	hedgeAnswerTimeFactor = 2.5
+	// hedgeNetworkTime is the part of the time until AnswerBy that is kept for the network,
+	// and not given to the leaf that gets the hedge.
+	hedgeNetworkTime = 4 * time.Millisecond
 )
 
 // hedgeDelay returns how long an attempt at a leaf may take before a second leaf is tried. It
@@ -37,25 +40,25 @@
 // reports that its machine is slow.
 //
 // For a gathered request, the delay is extended to the time at which a hedge that takes
-// hedgeAnswerFactor times the quantile is just in time for AnswerBy. It is otherwise cut to the
-// time at which a hedge that takes the quantile is just in time. Where many leafs are slow, the
-// quantile may lie beyond AnswerBy, and no hedge would be in time. The cut is therefore never
-// below half of the time until AnswerBy.
+// hedgeAnswerTimeFactor times the quantile is just in time for AnswerBy. A longer delay is cut to
+// the time at which a hedge that takes the quantile is just in time. Where many leafs are slow,
+// the quantile may lie beyond AnswerBy, and no hedge would be in time. Therefore the delay is
+// never cut below half of the time until AnswerBy.
 func (q *Query) hedgeDelay(now time.Time, l *leaf) time.Duration {
 	d, known := q.table.durationsOf(q.durationKey()).Quantile(now, hedgeDurationQuantile)
 	if !known {
-		return time.Duration(hedgeDefaultShare * float64(q.spec.LatencyObjective))
+		return time.Duration(defaultHedgeDelayShare * float64(q.spec.LatencyObjective))
 	}
 	pace := max(l.slowdown.reportedFactor(now), 1)
 	delay := max(time.Duration(hedgeDurationFactor*pace*float64(d)), minHedgeDelay)
 	if !q.spec.Gathered {
-		return min(delay, time.Duration(hedgeLatestShare*float64(q.spec.LatencyObjective)))
+		return min(delay, time.Duration(maxHedgeDelayShare*float64(q.spec.LatencyObjective)))
 	}
 	// window is the time from the start of the query in which an answer is in time. inTime
 	// and last are the latest delays after which a hedge is in time if it takes
-	// hedgeAnswerFactor times the quantile, and the quantile itself.
-	window := q.spec.AnswerBy.Sub(q.startedAt) - hedgeSlack
-	inTime := window - time.Duration(hedgeAnswerFactor*float64(d))
+	// hedgeAnswerTimeFactor times the quantile, and the quantile itself.
+	window := q.spec.AnswerBy.Sub(q.startedAt) - hedgeNetworkTime
+	inTime := window - time.Duration(hedgeAnswerTimeFactor*float64(d))
 	last := max(window-d, window/2)
 	return max(min(delay, last), inTime, minHedgeDelay)
 }
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -56,16 +56,18 @@
 	// reportedLoadWeight is the share of other VMs' requests in a fresh load report that is
 	// counted, since even a fresh report lags behind. It decreases with the report's age.
 	reportedLoadWeight = 0.5
-	// stallFactor is the multiple of a request's expected duration after which a leaf that
-	// has not answered it counts as stalled, and minStallTime the lower bound of that time.
-	stallFactor  = 3
-	minStallTime = 20 * time.Millisecond
+	// stalledDurationFactor is the multiple of a request's expected duration after which a
+	// leaf that has not answered it counts as stalled.
+	stalledDurationFactor = 3
+	// minStalledDuration is the time that a leaf has to leave a request without an answer
+	// at least before it counts as stalled.
+	minStalledDuration = 20 * time.Millisecond
 	// typicalWorkWeight is the weight of a new request in the smoothed typical duration of
 	// the requests to a leaf (leaf.typicalWork), from 0 to 1.
 	typicalWorkWeight = 0.1
-	// stallCost is the delay that a request to a stalled leaf is expected to have. A pause
-	// of a leaf takes about 100 ms.
-	stallCost = 80 * time.Millisecond
+	// stalledLeafDelay is the delay that a request to a stalled leaf is expected to have. A
+	// pause of a leaf takes about 100 ms.
+	stalledLeafDelay = 80 * time.Millisecond
 )
 
 // available reports whether requests may be sent to the leaf, as far as this VM knows.
@@ -84,11 +86,11 @@
 // has its address.
 func (l *leaf) usable() bool { return !l.Draining && !l.addressReused }
 
-// crossZoneShare is the surcharge on the expected duration at a leaf in another zone, as a share
-// of the latency objective. Requests go to the leaf with the lowest sum. Traffic between zones
-// is expensive, and a leaf in this zone that is slower by less than the surcharge still answers
-// in time.
-const crossZoneShare = 0.25
+// crossZoneSurcharge is the surcharge on the expected duration at a leaf in another zone, as a
+// share of the latency objective. Requests go to the leaf with the lowest sum. Traffic between
+// zones is expensive, and a leaf in this zone that is slower by less than the surcharge still
+// answers in time.
+const crossZoneSurcharge = 0.25
 
 // recordSent records a request that is sent to the leaf.
 func (l *leaf) recordSent(f pendingRequest) {
@@ -160,7 +162,7 @@
 		return false
 	}
 	oldest := l.inFlight[0]
-	return now.Sub(oldest.sentAt) > max(stallFactor*l.expected(now, oldest.typical), minStallTime)
+	return now.Sub(oldest.sentAt) > max(stalledDurationFactor*l.expected(now, oldest.typical), minStalledDuration)
 }
 
 // expected returns the time that a request takes at this leaf once it runs, where typical is its
@@ -178,12 +180,12 @@
 	ahead := float64(len(l.inFlight)) + l.othersEstimate(now) + 1 - float64(l.Slots)
 	cost := base + time.Duration(max(ahead, 0)/float64(l.Slots)*float64(base))
 	if !l.sameZone {
-		cost += time.Duration(crossZoneShare * float64(objective))
+		cost += time.Duration(crossZoneSurcharge * float64(objective))
 	}
 	if l.stalled(now) {
-		cost += stallCost
+		cost += stalledLeafDelay
 	}
-	return cost + time.Duration(failureCost*l.failures.current(now)*float64(objective))
+	return cost + time.Duration(failureRateSurcharge*l.failures.current(now)*float64(objective))
 }
 
 // idle reports whether a request would get a slot at once, as far as this VM knows.
--- a/scatter/overtake.go
+++ b/scatter/overtake.go
@@ -10,12 +10,17 @@
 // is frozen, disconnected or stopped does not, and the call fails over while there is time for
 // another VM to do all of the work.
 const (
-	ackWaitShare = 0.2                   // that time, as a share of the time until AnswerBy
-	minAckWait   = 10 * time.Millisecond // lower bound of that time
-	// ackWaitFactor is another lower bound, as a multiple of the longest time that a VM of
-	// the zone recently took to acknowledge a call.
+	// ackWaitShare is the time within which a call has to be acknowledged, as a share of
+	// the time until AnswerBy.
+	ackWaitShare = 0.2
+	// minAckWait is the shortest time within which a call has to be acknowledged.
+	minAckWait = 10 * time.Millisecond
+	// ackWaitFactor is a lower bound of the time within which a call has to be
+	// acknowledged, as a multiple of the longest time that a VM of the called VM's zone
+	// recently took for that.
 	ackWaitFactor = 1.5
-	// ackTimeHalfLife is the time in which the recorded longest time falls to half.
+	// ackTimeHalfLife is the time in which the recorded longest time that a VM took to
+	// acknowledge a call falls to half.
 	ackTimeHalfLife = 10 * time.Second
 )
 
--- a/scatter/query_test.go
+++ b/scatter/query_test.go
@@ -296,7 +296,7 @@
 		for _, zone := range []string{homeZone, "other"} {
 			l := w.table.leafs["shard-00@"+zone]
 			if zone == homeZone {
-				l.slowdown.recordReported(w.now, float64(c.near)/(defaultTypicalShare*float64(100*time.Millisecond)))
+				l.slowdown.recordReported(w.now, float64(c.near)/(defaultTypicalDurationShare*float64(100*time.Millisecond)))
 			}
 		}
 		first := sends(NewQuery(w.gathered(names), w.table).Start(w.now))
@@ -324,7 +324,7 @@
 			}
 		}
 		w.Expect(first().Leaf).NotTo(gomega.Equal(failing))
-		w.wait(4 * failureHalfLife)
+		w.wait(4 * failureRateHalfLife)
 		w.Expect(first().Leaf).To(gomega.Equal(failing))
 	}
 }
--- a/scatter/shed_test.go
+++ b/scatter/shed_test.go
@@ -32,7 +32,7 @@
 	first := func() LeafID { return sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf }
 	w.playRefusals("ledger", local, 5, 2*refusedCooldown, Load{Running: 0, Slots: 2})
 	w.Expect(first()).To(gomega.Equal(remote))
-	w.wait(3 * failureHalfLife)
+	w.wait(3 * failureRateHalfLife)
 	w.Expect(first()).To(gomega.Equal(local))
 }
 
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -24,18 +24,21 @@
 // leaf reports it. The excess is the duration of an answer as a multiple of the duration to be
 // expected from that report. Weights, from 0 to 1, are those of a new value in a smoothed one.
 const (
-	// reportedWeight is the weight of a newly reported slowdown. The speed of machines
-	// changes many times a second around a mean that lasts for seconds.
-	reportedWeight = 0.5
-	minReported    = 0.2 // lower bound of a reported slowdown
-	maxReported    = 50  // upper bound of a reported slowdown
-	excessWeight   = 0.2 // weight of the excess of a new answer
-	// expiredFactor is the factor by which the time of a request that expired at the leaf
-	// is multiplied, to estimate how long the request would have taken.
-	expiredFactor = 2
-	expiredWeight = 0.5 // weight of the excess of an expired request
-	maxExcessStep = 3   // upper bound of the excess of one answer, as a multiple of the smoothed excess
-	slowThreshold = 2   // excess above which an answer is slow
+	// reportedSlowdownWeight is the weight of a newly reported slowdown of a leaf's machine
+	// in the smoothed one. The speed of machines changes many times a second around a mean
+	// that lasts for seconds.
+	reportedSlowdownWeight = 0.5
+	minReportedSlowdown    = 0.2 // lower bound of the slowdown that a leaf may report for its machine
+	maxReportedSlowdown    = 50  // upper bound of the slowdown that a leaf may report for its machine
+	answerExcessWeight     = 0.2 // weight of the excess of a new answer in the smoothed excess
+	// expiredDurationFactor is the factor by which the time of a request that expired at
+	// the leaf is multiplied, to estimate how long the request would have taken.
+	expiredDurationFactor = 2
+	expiredExcessWeight   = 0.5 // weight of the excess of an expired request in the smoothed excess
+	// maxExcessStep bounds the excess of one answer, as a multiple of the smoothed excess.
+	maxExcessStep = 3
+	// slowAnswerThreshold is the excess above which an answer is slow.
+	slowAnswerThreshold = 2
 	// slowdownHalfLife is the time without new values in which the deviation of a smoothed
 	// slowdown or excess from 1 falls to half, so that a leaf that was slow and gets no
 	// requests is tried again.
@@ -45,11 +48,11 @@
 // recordReported records the slowdown that a leaf reports for its machine: the duration of work
 // as a multiple of the usual.
 func (s *slowdown) recordReported(now time.Time, factor float64) {
-	factor = min(max(factor, minReported), maxReported)
+	factor = min(max(factor, minReportedSlowdown), maxReportedSlowdown)
 	if s.reported == 0 {
 		s.reported = factor
 	}
-	s.reported += reportedWeight * (factor - s.reported)
+	s.reported += reportedSlowdownWeight * (factor - s.reported)
 	s.reportedAt = now
 }
 
@@ -57,15 +60,16 @@
 // typical is the duration of such a request at a leaf of usual speed. Slow answers to requests
 // that were in flight together count once, since one pause causes them all.
 func (s *slowdown) recordAnswer(now, sentAt time.Time, typical time.Duration) {
-	s.add(now, sentAt, now.Sub(sentAt), typical, excessWeight)
+	s.add(now, sentAt, now.Sub(sentAt), typical, answerExcessWeight)
 }
 
 // recordExpired records that the leaf was still at work when the time of a request was over.
-// How long the request would have taken is not known, so it is estimated as expiredFactor times
-// the time it was given. An expired request has a larger weight than an answer: such a leaf is
-// too slow for its requests, and shows it much less often than other leafs answer.
+// How long the request would have taken is not known, so it is estimated as
+// expiredDurationFactor times the time it was given. An expired request has a larger weight than
+// an answer: such a leaf is too slow for its requests, and shows it much less often than other
+// leafs answer.
 func (s *slowdown) recordExpired(now, sentAt time.Time, typical time.Duration) {
-	s.add(now, sentAt, expiredFactor*now.Sub(sentAt), typical, expiredWeight)
+	s.add(now, sentAt, expiredDurationFactor*now.Sub(sentAt), typical, expiredExcessWeight)
 }
 
 // add updates the smoothed excess by a request that was sent at sentAt and took the given time.
@@ -74,7 +78,7 @@
 // received.
 func (s *slowdown) add(now, sentAt time.Time, took, typical time.Duration, weight float64) {
 	ratio := float64(took) / (float64(typical) * s.reportedFactor(now))
-	if ratio > slowThreshold {
+	if ratio > slowAnswerThreshold {
 		if sentAt.Before(s.slowAt) {
 			return
 		}
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -35,7 +35,7 @@
 // probeFailed schedules the next probe after a failed one. longest is the longest pause.
 func (s *suspicion) probeFailed(now time.Time, longest time.Duration) {
 	s.probes++
-	s.nextProbe = now.Add(min(firstProbePause<<min(s.probes, maxDoublings), longest))
+	s.nextProbe = now.Add(min(firstProbePause<<min(s.probes, maxPauseDoublings), longest))
 }
 
 // due reports whether a probe is due now. If not, next is when one will be, zero if the leaf or
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -22,9 +22,9 @@
 	vms           map[string]*vm          // by name: the other VMs
 	members       map[string]memberInfo   // by name: the other VMs, including those that left recently
 	zones         map[string]*zoneMembers // by zone: members and this VM
-	leafOwners    int                     // number of VMs that own a leaf partition, one partition of each zone taken together
+	leafOwners    int                     // number of VMs that use one leaf: the owners of one partition of each zone
 	maxShards     int                     // number of shards of the gathered request with the most
-	shardsPerZone int                     // how many of these shards have a leaf in one zone
+	shardsPerZone int                     // how many of these shards have a leaf in one zone, on average
 	vmsKnown      bool                    // SetVMs was called at least once
 	liveness      livenessRound
 	startedAt     time.Time                         // when this VM's process started
@@ -135,9 +135,9 @@
 // Limits on what this VM uses of resources that all VMs share: the connections and slots of
 // leafs, and the floor of budgets.
 const (
-	// usableConnectionShare is the share, from 0 to 1, of the connections that a leaf
-	// accepts by its service's configuration that all VMs together use. A leaf accepts
-	// fewer while its queue is long, and resets the others.
+	// usableConnectionShare is how much of a leaf's connection limit all VMs together use,
+	// from 0 to 1. The limit is configured for the service. A leaf accepts fewer
+	// connections while its queue is long, and resets the others.
 	usableConnectionShare = 0.8
 	// vmHeadroom is the number of VMs that are assumed to share a resource, per known VM:
 	// the list of VMs lags behind, and VMs are added or replaced.
@@ -285,20 +285,20 @@
 
 // Parameters of the typical duration of one kind of request at a leaf.
 const (
-	// typicalQuantile is the quantile of recent durations that counts as typical: the
-	// median, since fewer than half of the answers come from paused or slow leafs.
-	typicalQuantile = 0.5
-	// defaultTypicalShare is the typical duration while too few answers are known, as a
-	// share of the latency objective.
-	defaultTypicalShare = 0.1
+	// typicalDurationQuantile is the quantile of recent durations that counts as typical:
+	// the median, since fewer than half of the answers come from paused or slow leafs.
+	typicalDurationQuantile = 0.5
+	// defaultTypicalDurationShare is the typical duration while too few answers are known,
+	// as a share of the latency objective.
+	defaultTypicalDurationShare = 0.1
 )
 
 // typicalDuration returns how long one kind of request typically takes at a leaf of usual speed.
 // known says that this follows from enough answers; otherwise it is a default.
 func (t *Table) typicalDuration(now time.Time, kind durationKey) (d time.Duration, known bool) {
-	d, known = t.durationsOf(kind).Quantile(now, typicalQuantile)
+	d, known = t.durationsOf(kind).Quantile(now, typicalDurationQuantile)
 	if !known {
-		d = time.Duration(defaultTypicalShare * float64(kind.objective))
+		d = time.Duration(defaultTypicalDurationShare * float64(kind.objective))
 	}
 	return d, known
 }
@@ -355,8 +355,8 @@
 // which one request ends and frees a slot.
 const refusedCooldown = 15 * time.Millisecond
 
-// AttemptEnded records how a request to a leaf, sent at sentAt, ended. It may be called long after
-// the query ended.
+// AttemptEnded records how a request that was sent to a leaf at sentAt ended. It may be called
+// long after the query ended.
 func (t *Table) AttemptEnded(now time.Time, id LeafID, sentAt time.Time, end End) {
 	l := t.findLeaf(id)
 	if l == nil {
--- a/scatter/vm.go
+++ b/scatter/vm.go
@@ -50,7 +50,8 @@
 	t.vmsKnown = true
 }
 
-// memberInfo is what is known of a member of a zone, and when it was last listed.
+// memberInfo is what is known of a VM that is a member of a zone: one that is listed, or was so a
+// short time ago.
 type memberInfo struct {
 	zone  string
 	power float64   // number of processor cores
