--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -30,7 +30,9 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// Heads holds this VM's head and bundles.
+// Heads holds this VM's head and bundles. The head is the signed record that names the
+// revision in force and the digest of its bundle. The bundle is the configuration of the
+// deployment.
 type Heads interface {
 	// Revision returns the revision in force, or 0 if there is none yet.
 	Revision() uint64
@@ -46,7 +48,8 @@
 	OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error
 }
 
-// Drain names one incarnation of a target that takes no new work.
+// Drain names one incarnation (one run of the process) of a target that takes no new
+// work.
 type Drain struct {
 	Target      string
 	Incarnation string
@@ -56,15 +59,15 @@
 // defaults.
 type Options struct {
 	VM          objstore.VM // this VM; an empty Address is taken from the listener
-	Incarnation string
-	Deployment  string
-	FleetKeys   [][]byte // newest first
-	Listen      string   // IP and port
+	Incarnation string      // of this VM's process; unique for each start
+	Deployment  string      // name of the deployment that all VMs of the exchange belong to
+	FleetKeys   [][]byte    // keys that authenticate connections between VMs, newest first
+	Listen      string      // IP and port on which other VMs connect
 	// Seeds are addresses of VMs to dial when neither the platform nor a peer
 	// provides any. They let a fleet start while the platform is down.
 	Seeds []string
-	Store objstore.Store // for the list of VMs
-	Heads Heads
+	Store objstore.Store // of the platform; only its list of VMs is read
+	Heads Heads          // the head and bundles that are exchanged with other VMs
 	Log   *slog.Logger
 	// CallHandler serves the connections that other VMs open for calls to leaves.
 	// It may be nil.
@@ -72,34 +75,36 @@
 	// DialContext opens TCP connections; the default is that of net.Dialer.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
-	Interval       time.Duration // between digest comparisons; default 1 s
-	Fanout         int           // connections that this VM dials; default 4
-	MaxInbound     int           // connections accepted from other VMs that it keeps; default 16
+	Interval       time.Duration // between comparisons of digests with one random peer; default 1 s
+	Fanout         int           // connections that this VM dials to other VMs for the exchange; default 4
+	MaxInbound     int           // connections accepted from other VMs for the exchange that it keeps; default 16
 	RotateInterval time.Duration // between replacements of one dialled connection; default 60 s
-	SuspectAfter   time.Duration // time that a suspected VM has to refute; default 3 s
-	ListInterval   time.Duration // mean time between reads of the VM list by watching VMs; default 5 s
+	SuspectAfter   time.Duration // time that a suspected VM has to refute the suspicion; default 3 s
+	ListInterval   time.Duration // mean time between reads of the platform's list of VMs by watching VMs; default 5 s
 	PingInterval   time.Duration // between pings on idle connections; default 2 s
 }
 
 const (
-	defaultInterval     = time.Second
-	defaultFanout       = 4
-	defaultMaxInbound   = 16
-	defaultRotate       = time.Minute
-	defaultSuspectAfter = 3 * time.Second
-	defaultListInterval = 5 * time.Second
-	defaultPingInterval = 2 * time.Second
-
-	// nonWatcherListFactor multiplies the time between reads of the platform's list
-	// on VMs that don't watch the platform.
+	defaultInterval       = time.Second     // Options.Interval: between comparisons of digests with a peer
+	defaultFanout         = 4               // Options.Fanout: connections that this VM dials to other VMs
+	defaultMaxInbound     = 16              // Options.MaxInbound: connections accepted from other VMs that it keeps
+	defaultRotateInterval = time.Minute     // Options.RotateInterval: between replacements of one dialled connection
+	defaultSuspectAfter   = 3 * time.Second // Options.SuspectAfter: time that a suspected VM has to refute the suspicion
+	defaultListInterval   = 5 * time.Second // Options.ListInterval: between a watching VM's reads of the platform's list of VMs
+	defaultPingInterval   = 2 * time.Second // Options.PingInterval: between pings on an idle connection
+
+	// nonWatcherListFactor multiplies the time between reads of the platform's list of
+	// VMs on the VMs that don't watch the platform.
 	nonWatcherListFactor = 12
 )
 
+// withDefaults returns o with the defaults in place of zero or negative durations and
+// counts, and with a logger that discards everything if there is none.
 func (o Options) withDefaults() Options {
 	defaults.SetIfNotPositive(&o.Interval, defaultInterval)
 	defaults.SetIfNotPositive(&o.Fanout, defaultFanout)
 	defaults.SetIfNotPositive(&o.MaxInbound, defaultMaxInbound)
-	defaults.SetIfNotPositive(&o.RotateInterval, defaultRotate)
+	defaults.SetIfNotPositive(&o.RotateInterval, defaultRotateInterval)
 	defaults.SetIfNotPositive(&o.SuspectAfter, defaultSuspectAfter)
 	defaults.SetIfNotPositive(&o.ListInterval, defaultListInterval)
 	defaults.SetIfNotPositive(&o.PingInterval, defaultPingInterval)
@@ -112,39 +117,39 @@
 // Exchange is this VM's participant in the gossip protocol. It is safe for
 // concurrent use.
 type Exchange struct {
-	tomb       tomb.Tomb
-	opts       Options
-	count      wire.Counters
-	server     *wire.Server
-	metrics    *metrics.Set
-	startTime  time.Time
-	startNanos int64         // startTime by the wall clock, in Unix nanoseconds; orders incarnations
-	pullWake   chan struct{} // wakes pullHeads
-
-	healthChanged chan struct{} // signals that changedTargets isn't empty
-
-	mu                sync.Mutex // guards everything below
-	table             *facts.Table
-	self              facts.Member
-	replaced          bool // a later process has this VM's name
-	listed            []objstore.VM
-	liveCache         []objstore.VM       // nil if it has to be recomputed
-	placeCache        map[int]objstore.VM // nil if it has to be recomputed
-	links             map[*link]struct{}
-	dialing           map[string]bool      // addresses
+	tomb         tomb.Tomb
+	opts         Options
+	wireCounters wire.Counters // traffic of the connections to other VMs
+	server       *wire.Server  // accepts connections from other VMs; nil until Start
+	metrics      *metrics.Set
+	startTime    time.Time     // when New was called; taken as the start of this process
+	startNanos   int64         // startTime by the wall clock, in Unix nanoseconds; orders incarnations
+	pullWake     chan struct{} // wakes pullHeads; buffers one signal
+
+	healthChanged chan struct{} // signals that changedTargets isn't empty; buffers one signal
+
+	mu                sync.Mutex           // guards everything below
+	table             *facts.Table         // all known facts: drains, states of VMs, health of targets
+	self              facts.Member         // this VM's statement about itself
+	replaced          bool                 // a later process has this VM's name
+	listedVMs         []objstore.VM        // the platform's list of VMs, as last read; nil before the first read
+	liveCache         []objstore.VM        // result of Live; nil if it has to be recomputed
+	placeCache        map[int]objstore.VM  // result of Places; nil if it has to be recomputed
+	links             map[*link]struct{}   // connections to other VMs for the exchange
+	dialing           map[string]bool      // addresses of VMs to which a dial is in progress
 	suspectedSince    map[string]time.Time // by VM name: when this VM learned of the suspicion
 	lastSuspected     map[string]time.Time // by VM name: when this VM itself last suspected it
-	lastRotation      time.Time
-	lastTick          time.Time
-	announcedRevision uint64 // last revision announced to peers
-	drainsChanged     chan struct{}
-	lastDrainLearned  time.Time           // when this VM last learned of a drain
-	changedTargets    map[string]struct{} // targets with changed health since TakeHealthChanges
-	lastHealthLearned time.Time           // when the health of a target last changed
+	lastRotation      time.Time            // when a dialled connection was last replaced
+	lastTick          time.Time            // start of the last call of tick
+	announcedRevision uint64               // last revision announced to peers
+	drainsChanged     chan struct{}        // closed and replaced when a drain is learned; see DrainsChanged
+	lastDrainLearned  time.Time            // when this VM last learned of a drain
+	changedTargets    map[string]struct{}  // targets with changed health since TakeHealthChanges
+	lastHealthLearned time.Time            // when the health of a target last changed
 }
 
 // New returns an Exchange that isn't started. It returns an error if the VM's
-// name, the incarnation or the deployment is missing.
+// name, the incarnation or the deployment isn't set.
 func New(o Options) (*Exchange, error) {
 	if o.VM.Name == "" || o.Incarnation == "" || o.Deployment == "" {
 		return nil, errors.NotValidf("exchange without VM name, incarnation or deployment")
@@ -169,7 +174,7 @@
 
 // Start listens for peers and starts the exchange.
 func (x *Exchange) Start() error {
-	server, err := wire.Listen(x.opts.Listen, x.wireOptions(), &x.count, x.handleAccepted)
+	server, err := wire.Listen(x.opts.Listen, x.wireOptions(), &x.wireCounters, x.handleAccepted)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -194,6 +199,8 @@
 	return nil
 }
 
+// run starts the goroutines of the exchange and calls tick at Options.Interval until
+// the exchange stops.
 func (x *Exchange) run() error {
 	x.tomb.Go(x.readList)
 	x.tomb.Go(x.announceRevisions)
@@ -285,8 +292,9 @@
 	x.publishSelf(x.self.Counter)
 }
 
-// SetPlace tells the other VMs which of the fleet's places this VM holds, counted
-// from 0. A negative number means none.
+// SetPlace announces to the other VMs which place this VM holds. Places are numbered
+// from 0; they decide which VMs own the connections to which targets. A negative number
+// means that this VM holds none. Member.Place, which is sent, is one higher.
 func (x *Exchange) SetPlace(place int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -296,7 +304,8 @@
 	}
 }
 
-// Places returns the VMs that hold places and aren't lost, by place. VMs that are
+// Places returns the VMs that hold places and aren't lost. The key is the place: a
+// number from 0 that decides to which targets its VM owns connections. VMs that are
 // leaving have Leaving set. The caller must not change the map.
 func (x *Exchange) Places() map[int]objstore.VM {
 	x.mu.Lock()
@@ -311,7 +320,8 @@
 // platform's list, after either has changed. The caller must hold mu.
 func (x *Exchange) invalidateCaches() { x.liveCache, x.placeCache = nil, nil }
 
-// Ended reports whether a process is known to have ended or to have been replaced.
+// Ended reports whether that incarnation of the named VM is known to have ended or to
+// have been replaced.
 func (x *Exchange) Ended(vm, incarnation string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -320,8 +330,8 @@
 }
 
 // Live returns the VMs that are believed to be alive and not leaving, sorted by
-// name. It includes this VM unless that is leaving. The platform's list lags, so
-// it is corrected by the known members.
+// name. It includes this VM unless this VM is leaving. The platform's list of VMs
+// lags, so what VMs have stated about themselves and each other corrects it.
 func (x *Exchange) Live() []objstore.VM {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -331,13 +341,14 @@
 // liveLocked is Live for callers that hold mu. The result must not be changed.
 func (x *Exchange) liveLocked() []objstore.VM {
 	if x.liveCache == nil {
-		x.liveCache = liveVMs(x.listed, x.table.Members())
+		x.liveCache = liveVMs(x.listedVMs, x.table.Members())
 	}
 	return x.liveCache
 }
 
-// Watching reports whether this VM is one of those that watch the platform and
-// pass on what they see. In a small fleet, or without any peer, it is.
+// Watching reports whether this VM is one of those that watch the platform for changes
+// and pass them on to the others. It returns true on every VM of a small fleet, and on
+// a VM without any connection to another one.
 func (x *Exchange) Watching() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -351,9 +362,10 @@
 	return len(x.links)
 }
 
-// readList reads the platform's list of VMs until the exchange stops: at
-// ListInterval on VMs that watch the platform or have no peer, and less often by
-// nonWatcherListFactor on the others.
+// readList reads the platform's list of VMs at intervals until the exchange stops. The
+// mean interval is ListInterval on VMs that watch the platform or have no peer, and
+// nonWatcherListFactor times as long on the others. Each wait is drawn at random
+// between half the mean interval and one and a half of it.
 func (x *Exchange) readList() error {
 	for {
 		ctx, cancel := context.WithTimeout(x.tomb.Context(context.Background()), x.opts.ListInterval)
@@ -361,7 +373,7 @@
 		cancel()
 		if err == nil {
 			x.mu.Lock()
-			x.listed = vms
+			x.listedVMs = vms
 			x.invalidateCaches()
 			x.mu.Unlock()
 		} else {
--- a/peer/heads.go
+++ b/peer/heads.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// pullTimeout bounds the transfer of one head and its bundle from one peer.
+	// pullTimeout bounds the transfer of one head, the signed record of a revision, and
+	// of its bundle from one peer.
 	pullTimeout = 5 * time.Second
-	// pullRetryDelay is the pause after a failed transfer.
+	// pullRetryDelay is the pause after a failed transfer of a head and its bundle.
 	pullRetryDelay = 100 * time.Millisecond
 )
 
@@ -26,6 +27,8 @@
 	}
 }
 
+// announceRevision has this VM's revision sent over all links if it is above the last
+// one that was announced.
 func (x *Exchange) announceRevision() {
 	revision := x.opts.Heads.Revision()
 	x.mu.Lock()
@@ -40,7 +43,8 @@
 	}
 }
 
-// pullHeads fetches newer heads from peers, one at a time.
+// pullHeads fetches newer heads from peers until the exchange stops. It fetches from
+// one peer at a time, the one with the highest revision first.
 func (x *Exchange) pullHeads() error {
 	for {
 		select {
@@ -69,6 +73,9 @@
 	return best
 }
 
+// pullFrom fetches the head of a peer, and its bundle if this VM doesn't have it. If
+// this VM's revision doesn't rise by that, pullFrom disregards the revision that the
+// peer announced and waits pullRetryDelay.
 func (x *Exchange) pullFrom(l *link) {
 	ctx, cancel := context.WithTimeout(x.tomb.Context(context.Background()), pullTimeout)
 	defer cancel()
@@ -90,6 +97,8 @@
 	}
 }
 
+// offerHeadOf fetches the head of a peer and offers it to Heads, which gets the bundle
+// from the same peer if it needs it.
 func (x *Exchange) offerHeadOf(ctx context.Context, l *link) error {
 	var answer headAnswer
 	if err := l.conn.Call(ctx, methodHead, nil, &answer); err != nil {
--- a/peer/health.go
+++ b/peer/health.go
@@ -6,8 +6,9 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/facts"
 )
 
-// SetTargets sets the names of the targets of the bundle in force. Only their
-// health is kept and forwarded.
+// SetTargets sets the names of the targets whose health is kept and forwarded: those
+// of the bundle in force that not every VM has connections to. If the health of some
+// of them isn't known, it is requested from one peer.
 func (x *Exchange) SetTargets(names []string) {
 	x.mu.Lock()
 	unknown := x.table.SetTargets(names)
@@ -28,10 +29,11 @@
 	return x.table.Health(target)
 }
 
-// PublishHealth publishes the statement next in place of the one with the stamp base,
-// which is the zero Stamp if there was none. It reports whether next was
-// published. It does nothing if the current statement isn't base any more, or if
-// this VM is leaving or was replaced.
+// PublishHealth publishes the statement next about the health of a target in place of
+// the statement whose stamp is base. base is the zero Stamp if there was no statement.
+// PublishHealth does nothing if the current statement has another stamp, or if this VM
+// is leaving or was replaced by a later process of its name. It reports whether next was
+// published.
 func (x *Exchange) PublishHealth(next facts.Health, base facts.Stamp) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -49,7 +51,7 @@
 }
 
 // TakeHealthChanges returns the current statements about the targets whose health has
-// changed since the last call.
+// changed since the last call, and clears the record of these changes.
 func (x *Exchange) TakeHealthChanges() []facts.Health {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/peer/link.go
+++ b/peer/link.go
@@ -13,26 +13,28 @@
 // it. Exchange.mu guards its fields.
 type link struct {
 	conn          *wire.Conn
-	name          string
-	openedAt      time.Time
-	pending       map[facts.Key]struct{}
-	wakeScheduled bool   // a delayed signal is scheduled for pending health
-	sendRevision  bool   // this VM's revision is to be sent
-	peerRevision  uint64 // highest revision that the peer announced; 0 after a failed pull
-	goodbye       bool   // one side closes it on purpose
-	wake          chan struct{}
+	name          string                 // of the other VM
+	openedAt      time.Time              // when the link was registered
+	pending       map[facts.Key]struct{} // keys of the facts that are still to be sent
+	wakeScheduled bool                   // a delayed signal is scheduled for pending health
+	sendRevision  bool                   // this VM's revision is to be sent
+	peerRevision  uint64                 // highest revision that the peer announced; 0 after a failed pull
+	goodbye       bool                   // one side closes the connection on purpose; the peer isn't suspected
+	wake          chan struct{}          // wakes runLink; buffers one signal
 }
 
 const (
-	// batchDelay is how long a sender waits for more facts for the same message.
+	// batchDelay is how long the sender of a link, once woken, waits for more facts for
+	// the same message.
 	batchDelay = 10 * time.Millisecond
-	// healthBatchDelay is the same for the health of targets, which is read at
-	// intervals of 1 s. An index switch causes thousands of statements. With more of
-	// them in one message, each takes fewer bytes, and more of them have already
-	// arrived from the peer and need not be sent to it.
+	// healthBatchDelay is how long a new fact about the health of a target waits before
+	// it wakes the sender of a link. Health is read at intervals of 1 s. An index switch
+	// causes thousands of statements. With more of them in one message, each takes fewer
+	// bytes. By then more of them have also arrived from the peer, and need not be sent
+	// to it.
 	healthBatchDelay = 100 * time.Millisecond
-	// maxFacts bounds the facts in one message.
-	maxFacts = 256
+	// maxFactsPerMessage bounds the facts in one tellMessage.
+	maxFactsPerMessage = 256
 )
 
 // maxConns bounds the connections accepted from other VMs, those for calls
@@ -43,6 +45,7 @@
 // other VMs that serve another use than the exchange.
 func (x *Exchange) WireOptions() wire.Options { return x.wireOptions() }
 
+// wireOptions returns the options of all connections between this VM and others.
 func (x *Exchange) wireOptions() wire.Options {
 	return wire.Options{
 		Self: wire.Identity{
@@ -59,10 +62,11 @@
 	}
 }
 
-// handleAccepted adds a connection from another VM. If there are too many for the
-// exchange, the oldest accepted one is closed: the VM that opened it knows more VMs by
-// then. This spreads the load of the VMs that all others know first. A connection for
-// another use is served and isn't counted.
+// handleAccepted adds a connection that another VM opened. If more than MaxInbound
+// accepted connections serve the exchange, the oldest of them is closed: the VM that
+// opened it knows more VMs by then. This spreads the load of the VMs that all others
+// know first. A connection for another use than the exchange is served and isn't
+// counted.
 func (x *Exchange) handleAccepted(conn *wire.Conn) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -153,7 +157,8 @@
 	}
 }
 
-// runLink sends pending facts and revisions until the connection ends.
+// runLink sends pending facts and revisions each time it is woken, until the connection
+// ends or the exchange stops.
 func (x *Exchange) runLink(l *link) error {
 	defer l.conn.Close()
 	for {
@@ -188,6 +193,7 @@
 	revision := x.opts.Heads.Revision()
 	msg := &tellMessage{}
 	x.mu.Lock()
+	// A revision that the peer has already announced itself isn't sent to it.
 	if l.sendRevision && revision > l.peerRevision {
 		msg.Revision = revision
 	}
@@ -195,7 +201,7 @@
 	l.wakeScheduled = false
 	var keys []facts.Key
 	for key := range l.pending {
-		if len(keys) == maxFacts {
+		if len(keys) == maxFactsPerMessage {
 			break
 		}
 		keys = append(keys, key)
@@ -226,8 +232,11 @@
 	}
 }
 
-// dial opens a connection in the background. If it fails, the VM of that name is
-// suspected. For a seed name is empty. The caller must hold mu.
+// dial opens a connection to another VM in the background. If the dial fails, the VM of
+// that name is suspected. The name is empty for a seed, an address from the settings
+// whose VM isn't known; then no VM is suspected. dial does nothing if the address is
+// being dialled or is this VM's own, or if the exchange has stopped. The caller must
+// hold mu.
 func (x *Exchange) dial(name, address string) {
 	if x.dialing[address] || address == x.opts.VM.Address || !x.tomb.Alive() {
 		return
@@ -235,7 +244,7 @@
 	x.dialing[address] = true
 	x.tomb.Go(func() error {
 		ctx, cancel := context.WithTimeout(x.tomb.Context(context.Background()), dialTimeout)
-		conn, err := wire.Dial(ctx, address, x.wireOptions(), &x.count)
+		conn, err := wire.Dial(ctx, address, x.wireOptions(), &x.wireCounters)
 		cancel()
 		x.handleDialed(name, address, conn, err)
 		return nil
@@ -245,6 +254,11 @@
 // dialTimeout bounds the dial of one peer.
 const dialTimeout = 2 * time.Second
 
+// handleDialed handles the end of a dial. It suspects the named VM if the dial failed or
+// another VM answered. It registers a new connection and compares digests with the VM
+// that answered. It closes the connection instead if that isn't needed: the exchange has
+// stopped, the peer is this VM itself or is already linked, or this VM has dialled more
+// than Fanout others.
 func (x *Exchange) handleDialed(name, address string, conn *wire.Conn, err error) {
 	x.mu.Lock()
 	delete(x.dialing, address)
@@ -306,8 +320,8 @@
 // so that a peer that doesn't respond can't delay it.
 const flushLimit = 500 * time.Millisecond
 
-// flush waits until all pending facts have been written, at most flushLimit and a
-// short pause.
+// flush waits until no facts are pending on any link, at most flushLimit. It then
+// waits 2*batchDelay, so that the last messages can be written.
 func (x *Exchange) flush() {
 	end := time.Now().Add(flushLimit)
 	for x.tomb.Alive() && time.Now().Before(end) && x.hasPending() {
@@ -316,6 +330,7 @@
 	time.Sleep(2 * batchDelay)
 }
 
+// hasPending reports whether facts are still to be sent on some link.
 func (x *Exchange) hasPending() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -327,6 +342,7 @@
 	return false
 }
 
+// decode decodes the JSON parameters of a message. Empty parameters leave into as it is.
 func decode(params json.RawMessage, into any) error {
 	if len(params) == 0 {
 		return nil
--- a/peer/live.go
+++ b/peer/live.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxAllWatchVMs is the number of VMs up to which every VM watches the platform.
-	// A watch counts as a call, and the platform's rate limits don't grow with the
-	// fleet.
+	// maxAllWatchVMs is the number of live VMs up to which every VM watches the platform
+	// for changes. In a larger fleet only some do: a watch counts as a call, and the
+	// platform's rate limits don't grow with the fleet.
 	maxAllWatchVMs = 16
 	// watchersPerZone is the number of VMs in each availability zone that watch the
 	// platform in a larger fleet, so that some are left after the loss of a zone or
@@ -21,8 +21,9 @@
 	watchersPerZone = 2
 )
 
-// liveVMs returns the VMs that are alive and not leaving, sorted by name: the
-// platform's list, corrected by the known members.
+// liveVMs returns the VMs that are alive and not leaving, sorted by name. For a VM that
+// has a statement in members, the statement decides. For any other VM, the platform's
+// list decides. A VM that the list marks as leaving is left out in either case.
 func liveVMs(listed []objstore.VM, members []facts.Member) []objstore.VM {
 	known := make(map[string]facts.Member, len(members))
 	for _, m := range members {
@@ -44,6 +45,7 @@
 	return live
 }
 
+// leavingNames returns the names of the VMs that the platform's list marks as leaving.
 func leavingNames(listed []objstore.VM) map[string]bool {
 	names := map[string]bool{}
 	for _, vm := range listed {
@@ -54,12 +56,16 @@
 	return names
 }
 
+// memberVM returns the VM that a statement is about, in the form of an entry of the
+// platform's list.
 func memberVM(m facts.Member) objstore.VM {
 	return objstore.VM{Name: m.Name, Address: m.Address, Ops: m.Ops, Zone: m.Zone, Leaving: m.State == facts.Leaving}
 }
 
-// isWatcher reports whether the named VM is one of those that watch the platform.
-// While the VMs' views of the fleet differ, a few more or fewer watch.
+// isWatcher reports whether the named VM is one of those that watch the platform: in a
+// small fleet every VM, otherwise the watchersPerZone VMs of each availability zone with
+// the highest watchRank. While VMs differ in which others they count as live, a few more
+// or fewer watch.
 func isWatcher(live []objstore.VM, name string) bool {
 	if len(live) <= maxAllWatchVMs {
 		return true
@@ -78,15 +84,17 @@
 	return ahead < watchersPerZone
 }
 
+// watchRank returns a hash of a VM's name. The VMs of a zone with the highest ranks watch
+// the platform.
 func watchRank(name string) uint64 {
 	return xxhash.Sum64String("watch\x00" + name)
 }
 
-// placeHolders returns the VMs that hold places, by place counted from 0. While a
-// place passes from one VM to another both may claim it. The one that isn't
-// leaving has it, or the one that started later. A VM that is leaving is marked as
-// such: it still serves the requests that it receives, but it should get new ones
-// only if no other VM can serve them.
+// placeHolders returns the VMs that hold places, by place. A place is a number from 0
+// that decides to which targets its VM owns connections. While a place passes from one
+// VM to another, both may claim it; winsPlace decides which of them has it. A VM that is
+// leaving is marked as such: it still serves the requests that it receives, but it
+// should get new ones only if no other VM can serve them.
 func placeHolders(members []facts.Member) map[int]objstore.VM {
 	holders := map[int]facts.Member{}
 	for _, m := range members {
@@ -104,7 +112,9 @@
 	return places
 }
 
-// winsPlace reports whether m is the holder of a place that other claims as well.
+// winsPlace reports whether m, and not other, holds a place that both claim. The holder
+// is the one that isn't leaving. If both or neither are leaving, it is the one that
+// started later.
 func winsPlace(m, other facts.Member) bool {
 	if leaves := m.State == facts.Leaving; leaves != (other.State == facts.Leaving) {
 		return !leaves
--- a/peer/members.go
+++ b/peer/members.go
@@ -7,27 +7,31 @@
 )
 
 const (
-	// suspectAgainAfter is the least time between two suspicions of one VM by this
-	// one. If only this VM can't reach it, the two would otherwise flood the fleet
-	// with suspicions and refutations. It also bounds how long an isolated VM counts
-	// as live if its refutation of the first suspicion was its last message that
-	// arrived.
+	// suspectAgainAfter is the least time between two suspicions of one VM that this VM
+	// publishes. If only this VM can't reach the other one, the two would otherwise flood
+	// the fleet with suspicions and refutations. suspectAgainAfter also bounds how long
+	// an isolated VM counts as live if its refutation of the first suspicion was its last
+	// message that arrived.
 	suspectAgainAfter = 10 * time.Second
-	// startupPeriod applies to a process that receives a statement of a later process
-	// of its name. Within this time after its start, the process assumes that its own
-	// clock is behind; afterwards, that it has been replaced.
+	// startupPeriod is how long a process counts as just started. A process that then
+	// receives a statement of a later process of its name assumes that its own clock is
+	// behind. Afterwards it assumes that it has been replaced. A process that has just
+	// started also doesn't forward the health of targets that it gets by comparisons.
 	startupPeriod = 15 * time.Second
 )
 
-// mergeAndForward merges a fact received from a peer, or found by this VM if from
-// is nil, and forwards it if it is new. The caller must hold mu.
+// mergeAndForward merges a fact into the table and forwards it to the other peers if it
+// is new. from is the link that it was received on, or nil if this VM found the fact
+// itself. The caller must hold mu.
 func (x *Exchange) mergeAndForward(f facts.Fact, from *link, now time.Time) {
 	if x.merge(f, from, now) {
 		x.forward(f, from)
 	}
 }
 
-// merge merges a fact and reports whether it is new. The caller must hold mu.
+// merge merges a fact into the table, handles its effects on this VM and reports whether
+// it is new. from is the link that it was received on, or nil if this VM found the fact
+// itself. The caller must hold mu.
 func (x *Exchange) merge(f facts.Fact, from *link, now time.Time) bool {
 	if !x.table.Merge(f, now.Unix()) {
 		if from != nil && x.table.Contains(f) {
@@ -48,8 +52,9 @@
 	return true
 }
 
-// handleMemberFact handles a new fact about a VM: it answers one about this VM, and
-// starts or ends the suspicion of another. The caller must hold mu.
+// handleMemberFact handles a new statement about a VM. It answers a statement about this
+// VM. For another VM, it records since when that VM is suspected, or that it isn't any
+// more. The caller must hold mu.
 func (x *Exchange) handleMemberFact(m facts.Member, now time.Time) {
 	if m.Name == x.self.Name {
 		x.handleSelfFact(m, now)
@@ -62,11 +67,12 @@
 	}
 }
 
-// handleSelfFact answers a statement about this VM that outranks its own. It
-// refutes a suspicion with a higher counter. A statement about a later process has
-// one of two causes. Within startupPeriod, this VM's clock is behind, and it states
-// a later start. After that, this process has been replaced, perhaps while it was
-// frozen, and must not publish anything more.
+// handleSelfFact answers a statement about this VM that outranks this VM's own. It
+// refutes a statement about this process, which is a suspicion, with a higher counter. A
+// statement about a later process of the same name has one of two causes. Within
+// startupPeriod after the start, this VM's clock is taken to be behind, and the VM
+// states a later start time. After that, this process has been replaced, perhaps while
+// it was frozen, and must not publish anything more. The caller must hold mu.
 func (x *Exchange) handleSelfFact(m facts.Member, now time.Time) {
 	switch {
 	case m.Incarnation == x.self.Incarnation:
@@ -80,8 +86,9 @@
 	}
 }
 
-// publishSelf publishes this VM's own state with a counter above the given one. It
-// does nothing if this process was replaced. The caller must hold mu.
+// publishSelf publishes this VM's statement about itself with a counter above the given
+// one, so that it outranks the statements with that counter. It does nothing if this
+// process was replaced. The caller must hold mu.
 func (x *Exchange) publishSelf(above uint64) {
 	if x.replaced {
 		return
@@ -94,7 +101,9 @@
 	x.forward(f, nil)
 }
 
-// suspect publishes that a VM could not be reached. The caller must hold mu.
+// suspect publishes that the named VM could not be reached. It does nothing for this VM
+// itself, for a VM that is already suspected or lost, and within suspectAgainAfter of the
+// last suspicion of that VM. The caller must hold mu.
 func (x *Exchange) suspect(name string, now time.Time) {
 	m, known := x.table.Member(name)
 	if name == x.self.Name || (known && m.State >= facts.Suspect) {
@@ -113,14 +122,14 @@
 	x.mergeAndForward(facts.Fact{Member: &m}, nil, now)
 }
 
-// listedMember returns the data of the platform's list on a VM that has not sent a
-// statement of its own yet. The address is sent with a suspicion: a VM that
-// receives the suspicion and doesn't have the list could otherwise never dial the
-// suspected VM. The start time is not known, so any statement of the VM itself
+// listedMember returns a statement about a VM that has not sent one of its own yet, made
+// from its entry in the platform's list of VMs. The address is sent with a suspicion: a
+// VM that receives the suspicion and doesn't have the list could otherwise never dial
+// the suspected VM. The start time is not known, so any statement of the VM itself
 // outranks this one. The caller must hold mu.
 func (x *Exchange) listedMember(name string) facts.Member {
 	m := facts.Member{Name: name}
-	for _, vm := range x.listed {
+	for _, vm := range x.listedVMs {
 		if vm.Name == name {
 			m.Address, m.Ops, m.Zone = vm.Address, vm.Ops, vm.Zone
 		}
@@ -128,9 +137,10 @@
 	return m
 }
 
-// expireSuspects marks suspected VMs as lost that didn't answer within
-// SuspectAfter. Every VM does so by its own timer from the same fact, so the
-// result isn't sent. The caller must hold mu.
+// expireSuspects marks VMs as lost that have been suspected for SuspectAfter and didn't
+// refute it. Every VM does so by its own timer from the same fact, so the result isn't
+// sent. expireSuspects also removes entries of lastSuspected that have no effect any
+// more. The caller must hold mu.
 func (x *Exchange) expireSuspects(now time.Time) {
 	for name, since := range x.suspectedSince {
 		if now.Sub(since) < x.opts.SuspectAfter {
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -17,59 +17,70 @@
 // The methods of the exchange. All except tell and goodbye have an answer.
 const (
 	methodTell    = "exchange.tell"    // tellMessage: new facts
-	methodSync    = "exchange.sync"    // syncRequest -> syncAnswer: compares digests
-	methodDiff    = "exchange.diff"    // diffRequest -> diffAnswer: facts of the differing buckets
-	methodHead    = "exchange.head"    // -> headAnswer
-	methodBundle  = "exchange.bundle"  // bundleRequest -> bundleAnswer
-	methodGoodbye = "exchange.goodbye" // this connection is closed on purpose
+	methodSync    = "exchange.sync"    // syncRequest -> syncAnswer: compares digests of two tables of facts
+	methodDiff    = "exchange.diff"    // diffRequest -> diffAnswer: exchanges facts of the buckets whose digests differ
+	methodHead    = "exchange.head"    // no parameters -> headAnswer: the signed head in force
+	methodBundle  = "exchange.bundle"  // bundleRequest -> bundleAnswer: a bundle by its digest
+	methodGoodbye = "exchange.goodbye" // no parameters: the sender closes this connection on purpose
 )
 
+// tellMessage carries new facts to a peer, and this VM's revision if that is to be
+// announced.
 type tellMessage struct {
-	Revision uint64 `json:"r,omitempty"`
+	Revision uint64 `json:"r,omitempty"` // of the sender's bundle in force; 0 if it isn't announced
 	factPayload
 }
 
+// syncRequest starts a comparison of two tables of facts. A root is one digest over all
+// facts of a section of the table.
 type syncRequest struct {
-	Revision uint64 `json:"r"`
-	Root     uint64 `json:"d"`
+	Revision uint64 `json:"r"` // of the sender's bundle in force
+	Root     uint64 `json:"d"` // the root of all facts except the health of targets
 	Targets  uint64 `json:"t"` // the root of the health of targets
 }
 
-// syncAnswer has the digests of the buckets only if the roots differ, and those
-// of targets only if both VMs have the same revision: only the health of targets
-// of the bundle in force is kept, so it can't be compared across revisions.
+// syncAnswer answers a syncRequest. Facts are divided into buckets by a hash of their
+// keys, and the answer has the digest of each bucket, eight bytes each. Digest is set
+// only if the roots differ. Targets is set only if the roots of the health of targets
+// differ and both VMs have the same revision: only the health of targets of the bundle
+// in force is kept, so it can't be compared across revisions.
 type syncAnswer struct {
-	Revision uint64 `json:"r"`
-	Digest   []byte `json:"b,omitempty"`
-	Targets  []byte `json:"t,omitempty"`
+	Revision uint64 `json:"r"`           // of the answering VM's bundle in force
+	Digest   []byte `json:"b,omitempty"` // the buckets of all facts except the health of targets
+	Targets  []byte `json:"t,omitempty"` // the buckets of the health of targets
 }
 
+// diffRequest asks for the facts that differ in some buckets of the tables of facts.
 type diffRequest struct {
-	Buckets []int         `json:"b"`
-	Entries []facts.Entry `json:"e"`
+	Buckets []int         `json:"b"` // indexes of the buckets whose digests differ
+	Entries []facts.Entry `json:"e"` // keys and hashes of all facts that the sender has in them
 }
 
+// diffAnswer carries the facts that the requesting VM doesn't have or has differently.
 type diffAnswer struct {
 	factPayload
-	Want []facts.Key `json:"w,omitempty"`
-	More bool        `json:"m,omitempty"` // the sender has more facts than fit
+	Want []facts.Key `json:"w,omitempty"` // keys of the facts that the answering VM wants from the requesting one
+	More bool        `json:"m,omitempty"` // the answering VM has more facts than fit
 }
 
+// headAnswer carries the signed head in force of the answering VM.
 type headAnswer struct {
-	Head []byte `json:"h"`
+	Head []byte `json:"h"` // empty if it has none
 }
 
+// bundleRequest requests the bundle with a digest.
 type bundleRequest struct {
 	Digest string `json:"d"`
 }
 
+// bundleAnswer carries a bundle with its sign-offs.
 type bundleAnswer struct {
-	Gzip []byte `json:"z"`
+	Gzip []byte `json:"z"` // compressed with gzip
 }
 
-// callTimeout bounds one comparison with a peer, with all its calls. The transfer of
-// a bundle is bounded by pullTimeout instead.
-const callTimeout = 2 * time.Second
+// syncTimeout bounds one comparison of facts with a peer, with all its calls. The
+// transfer of a bundle is bounded by pullTimeout instead.
+const syncTimeout = 2 * time.Second
 
 // handle serves requests and notifications from peers.
 func (x *Exchange) handle(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
@@ -95,7 +106,8 @@
 	}
 }
 
-// serve decodes the parameters and passes them to f.
+// serve decodes the JSON parameters of a request as an M and returns the result of f for
+// them. Parameters that can't be decoded are a result.BadMessage.
 func serve[M any](params json.RawMessage, f func(*M) (any, error)) (any, error) {
 	var m M
 	if err := decode(params, &m); err != nil {
@@ -104,8 +116,9 @@
 	return f(&m)
 }
 
+// handleTell merges and forwards the facts that a peer sent, and records its revision.
 func (x *Exchange) handleTell(conn *wire.Conn, m *tellMessage) error {
-	list, err := m.decode(maxFacts)
+	list, err := m.decode(maxFactsPerMessage)
 	if err != nil {
 		return err
 	}
@@ -120,8 +133,9 @@
 	return nil
 }
 
-// recordPeerRevision records a peer's revision if it is higher than the last, and
-// wakes pullHeads. The caller must hold mu.
+// recordPeerRevision records the revision that a peer announced, and wakes pullHeads, if
+// it is higher than the last one of that peer. l is nil if the connection isn't a
+// registered link; then nothing is recorded. The caller must hold mu.
 func (x *Exchange) recordPeerRevision(l *link, revision uint64) {
 	if l == nil || revision <= l.peerRevision {
 		return
@@ -133,6 +147,8 @@
 	}
 }
 
+// handleGoodbye closes a connection that the peer ends on purpose, without suspecting the
+// peer.
 func (x *Exchange) handleGoodbye(conn *wire.Conn) {
 	x.mu.Lock()
 	if l := x.linkOf(conn); l != nil {
@@ -143,6 +159,8 @@
 	conn.Close()
 }
 
+// handleSync answers a peer's syncRequest with the digests that differ, and records its
+// revision.
 func (x *Exchange) handleSync(conn *wire.Conn, m *syncRequest) syncAnswer {
 	answer := syncAnswer{Revision: x.opts.Heads.Revision()}
 	x.mu.Lock()
@@ -157,6 +175,8 @@
 	return answer
 }
 
+// handleDiff answers a peer's diffRequest with at most maxDiffFacts facts that the peer
+// lacks, and with the keys of those that this VM lacks.
 func (x *Exchange) handleDiff(conn *wire.Conn, m *diffRequest) diffAnswer {
 	x.mu.Lock()
 	give, want := x.table.Compare(m.Buckets, m.Entries)
@@ -178,8 +198,10 @@
 	}
 }
 
+// trySync compares digests with a peer and exchanges the facts that differ, in at most
+// maxDiffRounds calls of diff.
 func (x *Exchange) trySync(l *link) error {
-	ctx, cancel := context.WithTimeout(x.tomb.Context(context.Background()), callTimeout)
+	ctx, cancel := context.WithTimeout(x.tomb.Context(context.Background()), syncTimeout)
 	defer cancel()
 	request := syncRequest{Revision: x.opts.Heads.Revision()}
 	x.mu.Lock()
@@ -203,16 +225,16 @@
 }
 
 const (
-	// maxDiffFacts bounds the facts in one answer, which must fit in a message
+	// maxDiffFacts bounds the facts in one diffAnswer, which must fit in a message
 	// even if all of them are as large as facts.MaxHealthBytes.
 	maxDiffFacts = 400
-	// maxDiffRounds bounds the diff calls of one comparison. The next comparison
-	// transfers what is left.
+	// maxDiffRounds bounds the diff calls of one comparison of facts with a peer. The
+	// next comparison transfers what is left.
 	maxDiffRounds = 24
 )
 
-// diff exchanges the facts that differ in the buckets of an answer, and reports
-// whether the peer has more facts than it sent.
+// diff exchanges the facts in the buckets whose digests in the peer's answer differ from
+// this VM's. It reports whether the peer has more facts than it sent.
 func (x *Exchange) diff(ctx context.Context, l *link, answer *syncAnswer) (more bool, err error) {
 	x.mu.Lock()
 	buckets := x.table.Differing(facts.General, answer.Digest)
@@ -229,6 +251,7 @@
 	return differing.More, x.mergeDiff(l, &differing)
 }
 
+// mergeDiff merges the facts of a diffAnswer, and queues the facts that the peer wants.
 func (x *Exchange) mergeDiff(l *link, differing *diffAnswer) error {
 	given, err := differing.decode(maxDiffFacts)
 	if err != nil {
@@ -257,6 +280,8 @@
 	return nil
 }
 
+// handleBundle returns the bundle with the requested digest and its sign-offs,
+// compressed.
 func (x *Exchange) handleBundle(m *bundleRequest) (any, error) {
 	raw, ok := x.opts.Heads.RawBundle(m.Digest)
 	if !ok {
@@ -273,7 +298,8 @@
 	return bundleAnswer{Gzip: buf.Bytes()}, nil
 }
 
-// maxBundleBytes bounds a bundle with its sign-offs after decompression.
+// maxBundleBytes bounds the size in bytes of a bundle with its sign-offs after
+// decompression.
 const maxBundleBytes = 2 * objstore.MaxValue
 
 // fetchBundle gets a bundle with its sign-offs from a peer.
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -7,14 +7,16 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
+// newMetrics returns the metrics of the exchange. All are gauges that are computed when
+// they are read.
 func (x *Exchange) newMetrics() *metrics.Set {
 	set := metrics.NewSet()
 	gauge := func(name string, f func() float64) { set.NewGauge(name, f) }
-	gauge(`bramley_peer_bytes_total{direction="in"}`, func() float64 { return float64(x.count.BytesIn.Load()) })
-	gauge(`bramley_peer_bytes_total{direction="out"}`, func() float64 { return float64(x.count.BytesOut.Load()) })
-	gauge(`bramley_peer_messages_total`, func() float64 { return float64(x.count.Writes.Load()) })
-	gauge(`bramley_peer_hellos_refused_total`, func() float64 { return float64(x.count.HellosRefused.Load()) })
-	gauge(`bramley_peer_silent_total`, func() float64 { return float64(x.count.SilentClosed.Load()) })
+	gauge(`bramley_peer_bytes_total{direction="in"}`, func() float64 { return float64(x.wireCounters.BytesIn.Load()) })
+	gauge(`bramley_peer_bytes_total{direction="out"}`, func() float64 { return float64(x.wireCounters.BytesOut.Load()) })
+	gauge(`bramley_peer_messages_total`, func() float64 { return float64(x.wireCounters.Writes.Load()) })
+	gauge(`bramley_peer_hellos_refused_total`, func() float64 { return float64(x.wireCounters.HellosRefused.Load()) })
+	gauge(`bramley_peer_silent_total`, func() float64 { return float64(x.wireCounters.SilentClosed.Load()) })
 	gauge(`bramley_peer_connections`, func() float64 { return float64(x.Peers()) })
 	gauge(`bramley_peer_live_vms`, func() float64 { return float64(len(x.Live())) })
 	gauge(`bramley_peer_lost_vms`, func() float64 { return float64(x.lostCount()) })
@@ -40,7 +42,7 @@
 	return unixSeconds(x.lastHealthLearned)
 }
 
-// lostCount is the number of VMs that count as lostCount and are not forgotten yet.
+// lostCount returns the number of VMs that count as lost and are not forgotten yet.
 func (x *Exchange) lostCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -19,7 +19,8 @@
 const (
 	// minPackedFacts is the smallest number of facts for which packing saves bytes.
 	minPackedFacts = 4
-	// maxUnpackedBytes bounds packed facts after decompression.
+	// maxUnpackedBytes bounds the size in bytes of packed facts after decompression: it
+	// is enough for maxDiffFacts of the largest facts, with 64 bytes more for each.
 	maxUnpackedBytes = maxDiffFacts * (facts.MaxHealthBytes + 64)
 )
 
@@ -29,7 +30,8 @@
 	return w
 }}
 
-// factPayload holds facts in one of two encodings; the other field is empty.
+// factPayload holds facts in one of two encodings: as plain JSON in Facts or compressed
+// in Packed. The other field is empty.
 type factPayload struct {
 	Facts  []facts.Fact `json:"f,omitempty"`
 	Packed packedFacts  `json:"p,omitempty"`
@@ -44,7 +46,8 @@
 	return factPayload{Packed: packFacts(list)}
 }
 
-// decode returns the facts. More than limit are an error.
+// decode returns the facts, whichever way they are encoded. More than limit facts are an
+// error.
 func (s factPayload) decode(limit int) ([]facts.Fact, error) {
 	list := s.Facts
 	if len(s.Packed) > 0 {
@@ -59,6 +62,7 @@
 	return list, nil
 }
 
+// packFacts encodes facts as JSON and compresses them.
 func packFacts(list []facts.Fact) packedFacts {
 	var buf bytes.Buffer
 	w := flateWriters.Get().(*flate.Writer)
--- a/peer/pack_test.go
+++ b/peer/pack_test.go
@@ -17,17 +17,17 @@
 func TestPackedFactsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var list []facts.Fact
-	for i := range maxFacts {
+	for i := range maxFactsPerMessage {
 		list = append(list, facts.Fact{Drain: &facts.Drain{Target: fmt.Sprint(i), Incarnation: "i", Since: 1}})
 	}
 	sent := factPayload{Packed: packFacts(list)}
-	got, err := sent.decode(maxFacts)
+	got, err := sent.decode(maxFactsPerMessage)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(Equal(list))
-	_, err = sent.decode(maxFacts - 1)
+	_, err = sent.decode(maxFactsPerMessage - 1)
 	g.Expect(err).To(HaveOccurred())
 
-	_, err = factPayload{Packed: []byte("no facts")}.decode(maxFacts)
+	_, err = factPayload{Packed: []byte("no facts")}.decode(maxFactsPerMessage)
 	g.Expect(err).To(HaveOccurred())
 	var bomb bytes.Buffer
 	w, err := flate.NewWriter(&bomb, flate.BestSpeed)
@@ -35,6 +35,6 @@
 	_, err = w.Write(append([]byte("["), bytes.Repeat([]byte(" "), maxUnpackedBytes+1)...))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(w.Close()).To(Succeed())
-	_, err = factPayload{Packed: bomb.Bytes()}.decode(maxFacts)
+	_, err = factPayload{Packed: bomb.Bytes()}.decode(maxFactsPerMessage)
 	g.Expect(err).To(MatchError(ContainSubstring("more than")))
 }
--- a/peer/spread_bench_test.go
+++ b/peer/spread_bench_test.go
@@ -67,7 +67,7 @@
 func (f *testFleet) bytesOut() float64 {
 	sum := 0.0
 	for _, vm := range f.vms {
-		sum += float64(vm.count.BytesOut.Load())
+		sum += float64(vm.wireCounters.BytesOut.Load())
 	}
 	return sum
 }
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -8,9 +8,9 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/facts"
 )
 
-// pausedAfterTicks is the delay of a tick, in intervals, from which the process
-// counts as having been frozen. All its connections then look silent although the
-// peers are alive.
+// pausedAfterTicks is the number of intervals (Options.Interval) since the last tick
+// after which the process counts as having been frozen. All its connections then look
+// silent although the peers are alive.
 const pausedAfterTicks = 5
 
 // tick does the periodic work: it expires suspects and lost VMs, maintains the
@@ -42,10 +42,11 @@
 	}
 }
 
-// maintainLinks dials VMs up to the fanout, replaces one connection every
-// RotateInterval so that the connections stay random, and dials VMs that were lost.
-// The caller must hold mu.
+// maintainLinks dials random VMs until Fanout connections are dialled. It replaces one
+// dialled connection every RotateInterval, so that the connections stay random. It
+// sometimes dials a VM that counts as lost; see pickLost. The caller must hold mu.
 func (x *Exchange) maintainLinks(now time.Time) {
+	// Dials in progress count as connections.
 	if missing := x.opts.Fanout - x.outbound() - len(x.dialing); missing > 0 {
 		candidates := x.unlinkedVMs(x.liveLocked())
 		if len(candidates) == 0 {
@@ -72,8 +73,8 @@
 // would know each other only as lost, and neither would dial the other. The caller
 // must hold mu.
 func (x *Exchange) knownVMs() []objstore.VM {
-	if x.listed != nil {
-		return x.listed
+	if x.listedVMs != nil {
+		return x.listedVMs
 	}
 	var known []objstore.VM
 	for _, m := range x.table.Members() {
@@ -84,11 +85,11 @@
 	return known
 }
 
-// dialSeed dials a random one of the seeds that this VM isn't connected to. This
-// happens also if the VM has connections but knows no other VMs: VMs that start
-// together while the platform is down may connect to each other first. If their
-// connections kept them from dialling the seeds, they would stay isolated without a
-// bundle. The caller must hold mu.
+// dialSeed dials a random one of the seeds, the addresses of VMs in the settings, that
+// this VM isn't connected to. This happens also if the VM has connections but knows no
+// further VMs: VMs that start together while the platform is down may connect to each
+// other first. If their connections kept them from dialling the seeds, they would stay
+// isolated without a bundle. The caller must hold mu.
 func (x *Exchange) dialSeed() {
 	linked := map[string]bool{}
 	for l := range x.links {
@@ -107,8 +108,8 @@
 	}
 }
 
-// unlinkedVMs returns the VMs that have an address and to which this VM has no link.
-// The caller must hold mu.
+// unlinkedVMs returns those of the live VMs that have an address and to which this VM has
+// no link. This VM itself isn't among them. The caller must hold mu.
 func (x *Exchange) unlinkedVMs(live []objstore.VM) []objstore.VM {
 	excluded := map[string]bool{x.opts.VM.Name: true}
 	for l := range x.links {
@@ -165,8 +166,8 @@
 	return vms[:min(n, len(vms))]
 }
 
-// lostDialsPerSecond is how often per second the whole fleet dials a VM that the
-// platform lists but that counts as lost.
+// lostDialsPerSecond is how often per second all VMs of the fleet together dial each VM
+// that the platform lists but that counts as lost.
 const lostDialsPerSecond = 2
 
 // pickLost chooses a VM to dial that counts as lost although the platform lists it,
@@ -188,6 +189,8 @@
 		}
 	}
 	alive := max(len(listed)-len(list), 1)
+	// This VM dials with a probability of lostDialsPerSecond times the number of lost VMs,
+	// divided by the number of VMs that share the dials.
 	if len(list) == 0 || chance*float64(alive) > lostDialsPerSecond*float64(len(list)) {
 		return objstore.VM{}, false
 	}
