--- a/peer/facts/facts.go
+++ b/peer/facts/facts.go
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Drain states that one incarnation of a target is leaving. It is permanent: only a
-// new incarnation of the target takes work again.
+// Drain states that one incarnation (one run of the process) of a target is leaving. It
+// is permanent: only a new incarnation of the target takes work again.
 type Drain struct {
 	Target      string `json:"t"`
 	Incarnation string `json:"i"`
@@ -27,48 +27,53 @@
 // State is the state of a VM.
 type State int
 
-// The states of a VM. At an equal counter, each outranks the ones before it.
+// The states of a VM. Of two statements about one incarnation of a VM with the same
+// counter, the one with the later of these states replaces the other; see
+// Member.Outranks.
 const (
 	Alive   State = iota
 	Leaving       // stated by the VM itself; final for its incarnation
-	Suspect       // a VM could not reach it
-	Lost          // suspected, and didn't refute it in time
+	Suspect       // another VM could not reach it
+	Lost          // it was suspected and didn't refute the suspicion in time
 )
 
-// Member is a statement about one VM. Only the VM itself raises the counter. Others
-// may suspect it at the counter that they know, and the VM refutes that with a higher
-// one.
+// Member is a statement about one VM. Only the VM itself raises Counter. Another VM may
+// state that it suspects this one, with the counter that it knows. The suspected VM
+// refutes the suspicion with a higher counter.
 type Member struct {
 	Name        string `json:"n"`
-	Incarnation string `json:"i"`
-	Started     int64  `json:"b"` // of the process, in Unix nanoseconds; orders incarnations
-	Counter     uint64 `json:"c"`
+	Incarnation string `json:"i"` // of the VM's process
+	Started     int64  `json:"b"` // start time of the process in Unix nanoseconds; orders incarnations
+	Counter     uint64 `json:"c"` // orders the statements about one incarnation
 	State       State  `json:"s"`
-	At          int64  `json:"a,omitempty"` // Unix seconds of the suspicion
-	Address     string `json:"p"`
-	Ops         string `json:"o"`
-	Zone        string `json:"z"`
-	Place       int    `json:"l,omitempty"` // of the fleet's places, counted from 1; 0 means none
+	At          int64  `json:"a,omitempty"` // time of the suspicion in Unix seconds, if State is Suspect or Lost
+	Address     string `json:"p"`           // of the protocol between VMs, IP and port
+	Ops         string `json:"o"`           // of the operators' page, IP and port
+	Zone        string `json:"z"`           // availability zone
+	Place       int    `json:"l,omitempty"` // number, counted from 1, that decides to which targets the VM owns connections; 0 means none
 }
 
-// Fact is the form in which facts are sent. Exactly one field is set.
+// Fact is one of the facts that VMs send to each other: a drain, a statement about a VM,
+// or a statement about the health of a target. Exactly one field is set.
 type Fact struct {
 	Drain  *Drain  `json:"d,omitempty"`
 	Member *Member `json:"m,omitempty"`
 	Health *Health `json:"h,omitempty"`
 }
 
-// Key identifies the subject of a fact. Of two facts with one key a table keeps one.
+// Key identifies the subject of a fact: an incarnation of a target that drains, a VM, or
+// a target whose health is stated. Of two facts with one key a table keeps one.
 type Key string
 
 const (
-	drainPrefix  = "d/"
-	memberPrefix = "m/"
-	healthPrefix = "h/"
-	keySeparator = "\x00"
+	drainPrefix  = "d/"   // of the key of a Drain
+	memberPrefix = "m/"   // of the key of a Member
+	healthPrefix = "h/"   // of the key of a Health
+	keySeparator = "\x00" // between a target and its incarnation, and between the details of a Member
 )
 
-// Key returns the fact's key, or "" if it is malformed.
+// Key returns the fact's key. It returns "" if the fact is malformed: if not exactly one
+// field is set, or the name of the target or VM is empty.
 func (f Fact) Key() Key {
 	switch {
 	case f.Drain != nil && f.Member == nil && f.Health == nil && f.Drain.Target != "":
@@ -82,6 +87,7 @@
 	}
 }
 
+// healthKey returns the key of the fact about the health of a target.
 func healthKey(target string) Key { return Key(healthPrefix + target) }
 
 // health returns the target of a Health fact's key and reports whether k is one.
@@ -101,7 +107,8 @@
 	return strings.CutPrefix(string(k), memberPrefix)
 }
 
-// bucket returns the index of the key's bucket in Table.digest.
+// bucket returns the index of the key's bucket in Table.digest. The first Buckets indexes
+// are those of the section General, the next those of Targets.
 func (k Key) bucket() int {
 	bucket := int(xxhash.Sum64String(string(k)) % Buckets)
 	if _, ok := k.health(); ok {
@@ -110,7 +117,8 @@
 	return bucket
 }
 
-// hash covers the whole fact. Tables with the same hashes count as equal.
+// hash returns a hash over the whole fact. Tables whose facts have the same hashes count
+// as equal.
 func (f Fact) hash() uint64 {
 	data, _ := json.Marshal(f) // its types always marshal
 	return xxhash.Sum64(data)
@@ -135,12 +143,14 @@
 	}
 }
 
-// details returns the fields that don't rank otherwise, as the last tie-breaker.
+// details returns the fields of a statement that Outranks doesn't compare one by one,
+// joined to one string. Outranks compares them last.
 func (m Member) details() string {
 	return strings.Join([]string{m.Address, m.Ops, m.Zone, strconv.Itoa(m.Place)}, keySeparator)
 }
 
-// outranks reports whether d comes after other, another drain of the same target.
+// outranks reports whether d is newer than other, another drain of the same target. Of
+// two with the same Since, the one with the greater incarnation counts as newer.
 func (d Drain) outranks(other Drain) bool {
 	if d.Since != other.Since {
 		return d.Since > other.Since
--- a/peer/facts/health.go
+++ b/peer/facts/health.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Bounds of the health that is kept and sent.
+// Bounds of the health of targets that is kept and sent.
 const (
-	MaxHealthBytes   = 4 << 10 // of one encoded statement
-	MaxHealthTargets = 8192
+	MaxHealthBytes   = 4 << 10 // size in bytes of one encoded statement about a target
+	MaxHealthTargets = 8192    // number of targets with a statement in one Table
 )
 
 // HealthState is the state of a target.
@@ -16,25 +16,30 @@
 
 // The states of a target.
 const (
-	Serving HealthState = iota
-	Starting
-	Draining
+	Serving  HealthState = iota // takes requests
+	Starting                    // cold: answers slowly or refuses requests
+	Draining                    // accepts no new requests; final for its incarnation
 )
 
-// Health is a statement of the owners of a target about it. There is one statement
-// for each target, and a later one replaces it as a whole.
+// Health is a statement about the health of a target. It is made by the owners of the
+// target, the VMs that have connections to it. There is one statement for each target,
+// and a later one replaces it as a whole.
 type Health struct {
 	Target string `json:"t"`
 	Stamp
 	State HealthState `json:"s,omitempty"`
-	// Opaque is true if the target's status doesn't fit in a statement, or, in epoch
-	// 0, if no owner has read it yet. Each VM then has to read the target itself.
+	// Opaque is true if the statement doesn't describe what the target's leaves hold:
+	// because the status doesn't fit in a statement or, in epoch 0, because no owner has
+	// read it yet. Each VM then has to read the target itself.
 	Opaque bool `json:"o,omitempty"`
-	// UnreadableBy holds the places of the owners that can't read the target. Each
-	// owner adds and removes only itself. A target that no live owner can read is lost.
+	// UnreadableBy holds the places of the owners that can't read the target. A place is
+	// the number, counted from 0, of a VM among those that own connections to targets.
+	// Each owner adds only itself; it removes only itself and owners that are no longer
+	// live. The first statement about a new incarnation has none. A target that no live
+	// owner can read is lost.
 	UnreadableBy []int       `json:"u,omitempty"`
-	Maps         []Map       `json:"m,omitempty"`
-	Leaves       [][]Holding `json:"l,omitempty"` // indexed by the number of the leaf
+	Maps         []Map       `json:"m,omitempty"` // the partition maps of all holdings, each once
+	Leaves       [][]Holding `json:"l,omitempty"` // what each leaf holds, indexed by the number of the leaf
 }
 
 // Stamp orders the statements about one target. An owner bases a statement on a read
@@ -53,31 +58,32 @@
 //
 // Times are in Unix milliseconds, by the clock of the VM that first published them.
 type Stamp struct {
-	Epoch       uint64 `json:"e"`
-	FirstRead   int64  `json:"b"`
-	Incarnation string `json:"i"`
-	Drained     bool   `json:"d,omitempty"`
-	Seq         uint64 `json:"n,omitempty"`
-	At          int64  `json:"a"`
+	Epoch       uint64 `json:"e"`           // counts the incarnations of the target that its owners have found
+	FirstRead   int64  `json:"b"`           // when an owner first read this incarnation, in Unix milliseconds
+	Incarnation string `json:"i"`           // of the target's process; "" if no owner has read it yet
+	Drained     bool   `json:"d,omitempty"` // the incarnation takes no new work
+	Seq         uint64 `json:"n,omitempty"` // counts the statements about the incarnation
+	At          int64  `json:"a"`           // time of the read, in Unix milliseconds
 }
 
-// Map is the partition map of a snapshot that some leaf of the target holds.
+// Map is the partition map of a snapshot that some leaf of the target holds. It says into
+// how many shards the snapshot is divided.
 type Map struct {
 	Snapshot string `json:"n"`
-	Seq      int64  `json:"q"`
-	Shards   int    `json:"s"`
+	Seq      int64  `json:"q"` // a newer snapshot has a higher one
+	Shards   int    `json:"s"` // number of shards of the snapshot
 }
 
-// Holding is a run of neighbouring shards on a leaf: the index of their map in
-// Health.Maps, the number of the first shard, and the number of records of each shard
-// of the run.
+// Holding states which neighbouring shards of one snapshot a leaf holds. Its numbers are
+// the index of the snapshot's partition map in Health.Maps, the number of the first
+// shard, and then the number of records of each shard.
 type Holding []int64
 
-// The indexes of a Holding. HoldingRecords is that of the first shard's records.
+// The indexes of the numbers in a Holding.
 const (
-	HoldingMap = iota
-	HoldingFirstShard
-	HoldingRecords
+	HoldingMap        = iota // index of the partition map in Health.Maps
+	HoldingFirstShard        // number of the first shard
+	HoldingRecords           // number of records of the first shard; those of the others follow
 )
 
 // Outranks reports whether h replaces other, another statement about the same
@@ -104,13 +110,16 @@
 // Size returns the size of an encoded statement in bytes.
 func (h Health) Size() int { return len(h.encoded()) }
 
+// encoded returns the statement as JSON.
+
 func (h Health) encoded() string {
 	data, _ := json.Marshal(h) // its types always marshal
 	return string(data)
 }
 
-// SameContent reports whether two statements have the same incarnation, state,
-// opacity and holdings. They may differ in the owners that can't read the target.
+// SameContent reports whether two statements have the same incarnation, State and
+// Opaque, and list the same partition maps and holdings. They may differ in the owners
+// that can't read the target and in the rest of the stamp.
 func (h Health) SameContent(other Health) bool {
 	return h.Incarnation == other.Incarnation && h.State == other.State && h.Opaque == other.Opaque && slices.Equal(h.Maps, other.Maps) &&
 		slices.EqualFunc(h.Leaves, other.Leaves, func(a, b []Holding) bool {
@@ -118,11 +127,13 @@
 		})
 }
 
-// valid reports whether a statement can be merged: it names its target and, unless no
-// owner has read the target yet, its incarnation; it is within MaxHealthBytes; and its
-// holdings refer to its maps.
+// valid reports whether a statement can be merged: it names its target, it is within
+// MaxHealthBytes, its holdings refer to its maps, and Drained is set exactly if State is
+// Draining. It names an incarnation exactly if an owner has read the target.
 func (h Health) valid() bool {
 	neverRead := h.Epoch == 0 && h.Opaque
+	// Refused: no target; an incarnation although the target was never read, or none
+	// although it was; State and Drained that contradict each other.
 	if h.Target == "" || (h.Incarnation == "") != neverRead || (h.State == Draining) != h.Drained {
 		return false
 	}
@@ -136,17 +147,17 @@
 	return h.Size() <= MaxHealthBytes
 }
 
-// healthEntry holds a statement with its hash, which isn't recomputed because there
-// are thousands of statements.
+// healthEntry holds a statement about a target with the hash of its fact. The hash isn't
+// recomputed because there are thousands of statements.
 type healthEntry struct {
 	Health
 	hash uint64
 }
 
-// SetTargets sets the targets of the bundle in force and forgets the health of all
-// others. Statements about others aren't merged: a VM that still had the earlier
-// bundle could otherwise bring back what was forgotten. It reports whether there are
-// targets without a statement.
+// SetTargets sets the targets whose health is kept, which are targets of the bundle in
+// force, and forgets the health of all others. Statements about others aren't merged: a
+// VM that still had the earlier bundle could otherwise bring back what was forgotten.
+// unknown says that some of the named targets have no statement yet.
 func (t *Table) SetTargets(names []string) (unknown bool) {
 	named := make(map[string]struct{}, len(names))
 	for _, name := range names {
@@ -165,11 +176,14 @@
 	return unknown
 }
 
+// mergeHealth adds a statement about a target and reports whether it changed the table.
 func (t *Table) mergeHealth(h Health) bool {
 	if _, named := t.targets[h.Target]; !named {
 		return false
 	}
 	old, known := t.health[h.Target]
+	// Ignored: a statement that doesn't outrank the known one about the target; one about
+	// a further target if the table is full; a malformed one.
 	if known && !h.Outranks(old.Health) || !known && len(t.health) >= MaxHealthTargets || !h.valid() {
 		return false
 	}
@@ -182,16 +196,18 @@
 	return true
 }
 
-// toggleHealth adds a statement to its bucket's digest, or removes it.
+// toggleHealth adds a statement to the digest of its bucket. If the digest already
+// includes the statement, toggleHealth removes it: a digest is the XOR of hashes.
 func (t *Table) toggleHealth(e healthEntry) { t.digest[healthKey(e.Target).bucket()] ^= e.hash }
 
-// Health returns the statement about a target and reports whether there is one.
+// Health returns the statement about the health of a target and reports whether there is
+// one.
 func (t *Table) Health(target string) (Health, bool) {
 	e, known := t.health[target]
 	return e.Health, known
 }
 
-// HealthCount returns the number of targets with a statement.
+// HealthCount returns the number of targets with a statement about their health.
 func (t *Table) HealthCount() int { return len(t.health) }
 
 // Contains reports whether the table has exactly this fact.
--- a/peer/facts/table.go
+++ b/peer/facts/table.go
@@ -6,40 +6,45 @@
 	"time"
 )
 
-// Buckets is the number of buckets of each Section, whose digests are compared.
+// Buckets is the number of buckets of each Section of a Table. A fact belongs to the
+// bucket that a hash of its key selects. VMs compare the digests of buckets, and then
+// exchange only the facts of the buckets that differ.
 const Buckets = 64
 
-// Section is a part of a table whose digests are compared separately.
+// Section is one of the parts of a Table whose digests are compared separately.
 type Section int
 
 // The sections. The health of targets is kept only for targets of the bundle in force,
 // so two VMs can compare it only while they have the same bundle.
 const (
-	General Section = iota // VMs and drains
-	Targets                // health of targets
-	sectionCount
+	General      Section = iota // VMs and drains
+	Targets                     // health of targets
+	sectionCount                // number of sections
 )
 
 const (
-	// maxDrainsPerTarget bounds the drains that are kept of one target, the newest.
+	// maxDrainsPerTarget is the number of drains of one target that are kept. Older ones
+	// are dropped.
 	maxDrainsPerTarget = 4
-	// forgetAfter is how long a lost VM is kept. It is bounded so that the table
-	// doesn't grow with every VM that was ever replaced. It is far longer than the
-	// delay of a late message about that VM.
+	// forgetAfter is how long the statement about a lost VM is kept after the VM was
+	// suspected. It is bounded so that the table doesn't grow with every VM that was
+	// ever replaced. It is far longer than the delay of a late message about that VM.
 	forgetAfter = 10 * time.Minute
 )
 
-// Table holds facts. It is not safe for concurrent use.
+// Table holds the facts that a VM knows: drains, statements about VMs, and statements
+// about the health of targets. It is not safe for concurrent use.
 type Table struct {
-	drains  map[string][]Drain // by target, the newest first
-	members map[string]Member
-	health  map[string]healthEntry              // by target
-	targets map[string]struct{}                 // of the bundle in force
+	drains  map[string][]Drain                  // by target, the newest first
+	members map[string]Member                   // the statement about each VM, by its name
+	health  map[string]healthEntry              // the statement about each target, by its name
+	targets map[string]struct{}                 // names of the targets whose health is kept; see SetTargets
 	lost    int                                 // number of members in state Lost
 	digest  [Buckets * int(sectionCount)]uint64 // XOR of the hashes of the facts in each bucket
 }
 
-// Entry is the key and hash of one fact.
+// Entry is the key and hash of one fact. Two VMs compare entries to find the facts in
+// which they differ.
 type Entry struct {
 	Key  Key    `json:"k"`
 	Hash uint64 `json:"h"`
@@ -65,6 +70,8 @@
 	}
 }
 
+// mergeMember adds a statement about a VM and reports whether it changed the table. now
+// is in Unix seconds.
 func (t *Table) mergeMember(m Member, now int64) bool {
 	if forgotten(m, now) {
 		return false
@@ -84,12 +91,15 @@
 	return true
 }
 
+// mergeDrain adds a drain, of which it keeps the newest maxDrainsPerTarget of each
+// target. It reports whether that changed the table.
 func (t *Table) mergeDrain(d Drain) bool {
 	list := t.drains[d.Target]
 	at := slices.IndexFunc(list, func(o Drain) bool { return o.Incarnation == d.Incarnation })
 	if at >= 0 && !d.outranks(list[at]) {
 		return false
 	}
+	// The list is full, and the new drain isn't newer than the oldest one that it has.
 	if at < 0 && len(list) == maxDrainsPerTarget && !d.outranks(list[len(list)-1]) {
 		return false
 	}
@@ -129,6 +139,8 @@
 	return f, t.Merge(f, now)
 }
 
+// removeMember removes the statement about a VM, which must be the one that the table
+// holds.
 func (t *Table) removeMember(m Member) {
 	t.toggle(Fact{Member: &m})
 	delete(t.members, m.Name)
@@ -140,8 +152,8 @@
 // LostCount returns the number of VMs that are lost and not yet forgotten.
 func (t *Table) LostCount() int { return t.lost }
 
-// Expire removes VMs that were lost more than forgetAfter ago, and reports whether
-// there were any. now is in Unix seconds.
+// Expire removes the statements about lost VMs that were suspected more than forgetAfter
+// ago, and reports whether there were any. now is in Unix seconds.
 func (t *Table) Expire(now int64) bool {
 	if t.lost == 0 {
 		return false
@@ -155,12 +167,14 @@
 	return t.lost != before
 }
 
-// forgotten reports whether a VM was lost more than forgetAfter ago.
+// forgotten reports whether a VM is lost and was suspected more than forgetAfter ago.
+// now is in Unix seconds.
 func forgotten(m Member, now int64) bool {
 	return m.State == Lost && now-m.At > int64(forgetAfter.Seconds())
 }
 
-// toggle adds a fact to its bucket's digest, or removes it.
+// toggle adds a fact to the digest of its bucket. If the digest already includes the
+// fact, toggle removes it: a digest is the XOR of the hashes of its facts.
 func (t *Table) toggle(f Fact) {
 	t.digest[f.Key().bucket()] ^= f.hash()
 }
@@ -192,7 +206,8 @@
 	return list
 }
 
-// Root returns the digest of a whole section.
+// Root returns one digest over all buckets of a section. It depends on the order of the
+// buckets.
 func (t *Table) Root(section Section) uint64 {
 	var root uint64
 	for i, d := range t.buckets(section) {
@@ -201,6 +216,7 @@
 	return root
 }
 
+// buckets returns the digests of a section's buckets. The caller must not change them.
 func (t *Table) buckets(section Section) []uint64 {
 	first := int(section) * Buckets
 	return t.digest[first : first+Buckets]
@@ -215,8 +231,9 @@
 	return buf
 }
 
-// Differing returns the buckets of a section whose digests differ from those of
-// another table. It returns nil if digest doesn't have the right length.
+// Differing returns the indexes in Table.digest of those buckets of a section whose
+// digests differ from another table's. digest is the result of Digest for that table.
+// Differing returns nil if digest doesn't have the right length.
 func (t *Table) Differing(section Section, digest []byte) []int {
 	if len(digest) != 8*Buckets {
 		return nil
@@ -230,16 +247,16 @@
 	return list
 }
 
-// Entries returns the keys and hashes of the facts in the given buckets.
+// Entries returns the keys and hashes of the facts in the buckets with the given indexes.
 func (t *Table) Entries(buckets []int) []Entry {
 	var list []Entry
 	t.eachFact(buckets, func(f Fact, hash uint64) { list = append(list, Entry{f.Key(), hash}) })
 	return list
 }
 
-// Compare compares another table's entries of the given buckets with this table. It
-// returns the facts that are absent or different in the other table, and the keys of
-// those that are absent or different in this one.
+// Compare compares another table's entries of the given buckets with this table. give
+// holds this table's facts that are absent or different in the other table. want holds
+// the keys of the other table's facts that are absent or different in this one.
 func (t *Table) Compare(buckets []int, entries []Entry) (give []Fact, want []Key) {
 	theirs := make(map[Key]uint64, len(entries))
 	for _, e := range entries {
@@ -286,7 +303,8 @@
 	return list
 }
 
-// eachFact calls f with each fact in the given buckets and its hash.
+// eachFact calls f with each fact in the buckets with the given indexes, and with the
+// hash of the fact. Indexes that don't exist are ignored.
 func (t *Table) eachFact(buckets []int, f func(Fact, uint64)) {
 	var wanted [Buckets * int(sectionCount)]bool
 	for _, b := range buckets {
