--- a/peer/place/place.go
+++ b/peer/place/place.go
@@ -1,8 +1,8 @@
-// Package place gives each VM a place of its own in the fleet: a number from 0 to
-// bundle.Fleet.MaxVMs-1, claimed by a conditional write to the platform. Places
-// decide which VMs own connections to which targets (package share), so no two
-// processes may hold one at a time. A claim costs an incarnation of a VM one listing
-// and one write, and another write for the release. Claims aren't renewed.
+// Package place gives each VM a place of its own in the fleet. A place is a number from
+// 0 to bundle.Fleet.MaxVMs-1 that a VM claims by a conditional write of an object of the
+// platform. Places decide which VMs own connections to which targets (package share),
+// so no two processes may hold one at a time. A claim costs an incarnation of a VM one
+// listing and one write, and another write for the release. Claims aren't renewed.
 package place
 
 import (
@@ -19,53 +19,60 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// Kind is the kind of the platform's objects that hold claims. An object's name is
-// the name of the deployment, a dash and the place with four digits.
+// Kind is the kind of the platform's objects that hold the claims to places. There is one
+// object for each place that is claimed. Its name is the name of the deployment, a dash
+// and the number of the place with four digits.
 const Kind = "vm-places"
 
-// ErrNoneFree means that all places are held by VMs that aren't known to have ended.
+// ErrNoneFree means that no place could be claimed: each is claimed by a process that
+// isn't known to have ended, or was claimed by another VM at the same moment.
 var ErrNoneFree = errors.New("place: no place is free")
 
-// Claim is the JSON value of an object.
+// Claim is the JSON value of a platform's object of this Kind. It says which process
+// holds the place in the object's name.
 type Claim struct {
-	VM          string    `json:"vm"`
-	Incarnation string    `json:"incarnation"`
-	At          time.Time `json:"at"` // by the holder's clock; informational only
+	VM          string    `json:"vm"`          // name of the holder's VM
+	Incarnation string    `json:"incarnation"` // of the holder's process
+	At          time.Time `json:"at"`          // by the holder's clock; informational only
 }
 
 // Options configures Acquire. All fields are required.
 type Options struct {
-	Store       objstore.Store
-	Deployment  string
-	VM          string
-	Incarnation string
-	// Ended reports whether a process is known to have ended.
+	Store       objstore.Store // the platform, which holds the claims
+	Deployment  string         // only places of this deployment are claimed
+	VM          string         // name of this VM
+	Incarnation string         // of this VM's process
+	// Ended reports whether a process, given by its VM and incarnation, is known to have
+	// ended. Its place may then be claimed by another VM.
 	Ended func(vm, incarnation string) bool
 }
 
-// Held is a place that this process holds.
+// Held is a place that this process has claimed: a number that no other process holds
+// and that decides to which targets this VM owns connections.
 type Held struct {
-	Place   int
-	version uint64
+	Place   int    // number of the place, counted from 0
+	version uint64 // of the object that holds the claim; another version means that the claim was lost
 	opts    Options
 }
 
-// pageSize is the number of claims read at a time.
-const pageSize = 1000
+// claimsPerPage is the number of claims that one listing request to the platform reads.
+const claimsPerPage = 1000
 
-// Acquire claims one of the places from 0 to places-1. It returns ErrNoneFree if none
-// is available now.
-func Acquire(ctx context.Context, o Options, places int) (*Held, error) {
+// Acquire claims one of the places numbered 0 to placeCount-1 for this process, and
+// returns it. It takes a random place that no process has claimed, or whose holder is
+// known to have ended. If this process already holds a place, Acquire returns that one.
+// It returns ErrNoneFree if none is available now.
+func Acquire(ctx context.Context, o Options, placeCount int) (*Held, error) {
 	claims, err := listClaims(ctx, o)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	for place, c := range claims {
-		if c.VM == o.VM && c.Incarnation == o.Incarnation && place < places {
+		if c.VM == o.VM && c.Incarnation == o.Incarnation && place < placeCount {
 			return &Held{Place: place, version: c.version, opts: o}, nil // an earlier answer was lost
 		}
 	}
-	for _, place := range rand.Perm(places) {
+	for _, place := range rand.Perm(placeCount) {
 		claim, taken := claims[place]
 		if taken && !o.Ended(claim.VM, claim.Incarnation) {
 			continue
@@ -88,8 +95,9 @@
 	return errors.Trace(err)
 }
 
-// Lost reports whether this process doesn't hold the place any more. A VM that was
-// frozen for a long time has to check that before it opens connections again.
+// Lost reads the claim from the platform and reports whether this process doesn't hold
+// the place any more. A VM that was frozen for a long time has to check that before it
+// opens connections to targets again.
 func (h *Held) Lost(ctx context.Context) (bool, error) {
 	object, err := h.opts.Store.Get(ctx, Kind, h.opts.objectName(h.Place))
 	switch {
@@ -102,8 +110,12 @@
 	}
 }
 
+// objectName returns the name of the platform's object that holds the claim to a place.
 func (o Options) objectName(place int) string { return fmt.Sprintf("%s-%04d", o.Deployment, place) }
 
+// putClaim writes this process's claim to a place if the object that holds the claim has
+// the version expect; 0 means that there is no such object. Otherwise it returns
+// objstore.ErrConflict.
 func (o Options) putClaim(ctx context.Context, place int, expect uint64) (*Held, error) {
 	value, err := json.Marshal(Claim{VM: o.VM, Incarnation: o.Incarnation, At: time.Now().UTC()})
 	if err != nil {
@@ -116,16 +128,19 @@
 	return &Held{Place: place, version: version, opts: o}, nil
 }
 
+// storedClaim is a claim as read from the platform.
 type storedClaim struct {
 	Claim
-	version uint64
+	version uint64 // of the object that holds the claim
 }
 
+// listClaims reads all claims of this deployment from the platform. The key of the map is
+// the number of the place.
 func listClaims(ctx context.Context, o Options) (map[int]storedClaim, error) {
 	claims := map[int]storedClaim{}
 	prefix := o.Deployment + "-"
 	for after := prefix; ; {
-		page, err := o.Store.List(ctx, Kind, after, pageSize)
+		page, err := o.Store.List(ctx, Kind, after, claimsPerPage)
 		if err != nil {
 			return nil, err
 		}
--- a/peer/share/share.go
+++ b/peer/share/share.go
@@ -21,48 +21,56 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// wantedOwners is the number of owners of a target that doesn't accept enough
-// connections for every place. Some of them may be lost, and they are few enough that
-// each sees a large part of the target's load.
+// wantedOwners is the number of VMs that own connections to a target if it doesn't accept
+// enough connections for every place. Some of the owners may be lost, and they are few
+// enough that each sees a large part of the target's load.
 const wantedOwners = 8
 
-// spareShares is the number of shares of a target that are left free if not every
-// place owns one. A VM that is frozen or isolated keeps its connections to the target
-// open, while the VM that claims its place opens others.
+// spareShares is the number of shares of a target's connections that no VM owns, if not
+// every place owns one. They are left for this case: a VM that is frozen or isolated
+// keeps its connections to the target open, while the VM that claims its place opens
+// others.
 const spareShares = 1
 
-// Plan is the division of one target's connections.
+// Plan is the division of the connections that one target accepts. They are divided among
+// places, the numbers that VMs claim so that no two VMs hold the same one.
 type Plan struct {
 	Places   int // number of places of the fleet
 	Owners   int // number of places that own connections to the target
 	PerOwner int // connections that one owner may hold
 }
 
-// NewPlan returns the plan for a target that accepts the given number of connections
-// from the whole fleet, which has the given number of places.
-func NewPlan(connections, places int) Plan {
-	places = max(places, 1)
+// NewPlan returns the plan for a target that accepts the given number of connections from
+// the whole fleet. placeCount is the number of places of the fleet, so the greatest
+// number of VMs that can own connections. If there are enough connections, every place
+// owns some. Otherwise there are up to wantedOwners owners, and the connections are
+// divided into spareShares more shares than owners.
+func NewPlan(connections, placeCount int) Plan {
+	placeCount = max(placeCount, 1)
 	connections = max(connections, 0)
-	owners := places
-	if connections < places {
+	owners := placeCount
+	if connections < placeCount {
+		// At most wantedOwners, and one share is left free; but a target that accepts any
+		// connection has at least one owner.
 		owners = min(wantedOwners, max(connections-spareShares, 1), connections)
 	}
 	switch {
 	case owners == 0:
-		return Plan{Places: places}
-	case owners == places:
-		return Plan{Places: places, Owners: owners, PerOwner: connections / owners}
+		return Plan{Places: placeCount}
+	case owners == placeCount:
+		return Plan{Places: placeCount, Owners: owners, PerOwner: connections / owners}
 	default:
-		return Plan{Places: places, Owners: owners, PerOwner: max(connections/(owners+spareShares), 1)}
+		return Plan{Places: placeCount, Owners: owners, PerOwner: max(connections/(owners+spareShares), 1)}
 	}
 }
 
-// Direct reports whether every place owns connections.
+// Direct reports whether every place owns connections, so that every VM connects to the
+// target directly.
 func (p Plan) Direct() bool { return p.Owners == p.Places }
 
-// Connections returns how many connections to the target the VM at a place may
-// hold; 0 means that it reaches the target through an owner. Places are counted
-// from 0.
+// Connections returns how many connections to the target the VM that holds a place may
+// open. 0 means that it reaches the target through an owner. Places are counted from 0;
+// for a place out of range the result is 0.
 func (p Plan) Connections(target string, place int) int {
 	if place < 0 || place >= p.Places {
 		return 0
@@ -73,8 +81,8 @@
 	return 0
 }
 
-// OwnerPlaces returns the places that own connections to the target, in descending
-// order of their rendezvous weight.
+// OwnerPlaces returns the places whose VMs own connections to the target, in descending
+// order of their rendezvous weight. Places are counted from 0.
 func (p Plan) OwnerPlaces(target string) []int {
 	places := make([]int, p.Places)
 	for i := range places {
