--- a/peer/hop/caller.go
+++ b/peer/hop/caller.go
@@ -11,24 +11,26 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// batchDelay is how long the first call of a batch waits for further calls to the
-// same owner. A query sends all its calls in far less time, and the delay is small
-// compared with the time that a leaf takes.
+// batchDelay is how long the first call of a batch waits for further calls that go to
+// the same owner in the same message. A query sends all its calls in far less time, and
+// the delay is small compared with the time that a leaf takes.
 const batchDelay = 200 * time.Microsecond
 
-// Caller calls leaves through one owner. It is safe for concurrent use.
+// Caller calls leaves through one owner, a VM that has connections to their targets. It
+// holds the connection to that VM. It is safe for concurrent use.
 type Caller struct {
 	conn *wire.Conn
 	wake chan struct{} // signals sendLoop; buffers one signal
 
-	mu      sync.Mutex // guards the fields below
-	lastID  uint64
+	mu      sync.Mutex          // guards the fields below
+	lastID  uint64              // ID of the last call; IDs count up from 1
 	calls   map[uint64]*pending // by ID; neither answered nor cancelled
-	unsent  []*pending
-	cancels []uint64 // IDs of cancelled calls that the owner has to be notified of
-	ended   bool     // the connection has ended
+	unsent  []*pending          // calls that sendLoop has not sent yet, including cancelled ones
+	cancels []uint64            // IDs of cancelled calls that the owner has to be notified of
+	ended   bool                // the connection has ended
 }
 
+// pending is a call that waits for its answer.
 type pending struct {
 	call   Call
 	sent   bool        // the call may have reached the owner
@@ -36,7 +38,7 @@
 }
 
 // Dial connects to an owner at an address of the form host:port. It overrides the
-// Use, Handler and WaitForRoom of o: the connection serves only this package.
+// Use, Handler and WaitForCallSlot of o: the connection serves only this package.
 func Dial(ctx context.Context, address string, o wire.Options, counters *wire.Counters) (*Caller, error) {
 	c := &Caller{wake: make(chan struct{}, 1), calls: map[uint64]*pending{}}
 	o.Use = ConnUse
@@ -77,7 +79,7 @@
 }
 
 // Submit sends a non-idempotent request to one leaf through the owner, once. The
-// error is a *target.CallError; unless its NotStarted is set, the request may have
+// error is a *target.CallError. Unless its NotStarted is set, the request may have
 // been executed.
 func (c *Caller) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error) {
 	answer, err := c.do(ctx, Call{Target: name, Leaf: leaf, Submit: &req})
@@ -106,9 +108,10 @@
 	return *answer.Status, nil
 }
 
-// do sends one call and waits for its answer or the end of ctx.
+// do sends one call and waits for its answer or the end of ctx. The call's deadline is
+// set to the time that is left until the deadline of ctx, or to defaultCallTimeout.
 func (c *Caller) do(ctx context.Context, call Call) (Answer, error) {
-	timeout := defaultTimeout
+	timeout := defaultCallTimeout
 	if deadline, ok := ctx.Deadline(); ok {
 		timeout = time.Until(deadline)
 	}
@@ -131,7 +134,9 @@
 	}
 }
 
-// ContextError returns the error of a call whose context has ended.
+// ContextError returns the error of a call to the named target whose context has ended.
+// Its kind says whether the deadline passed or the call was cancelled. notStarted says
+// that the call is certain not to have been started.
 func ContextError(ctx context.Context, name string, notStarted bool) *target.CallError {
 	kind := target.ErrorCancelled
 	if ctx.Err() == context.DeadlineExceeded {
@@ -140,8 +145,8 @@
 	return &target.CallError{Kind: kind, Target: name, NotStarted: notStarted}
 }
 
-// defaultTimeout bounds a call whose context has no deadline.
-const defaultTimeout = time.Minute
+// defaultCallTimeout bounds a call whose context has no deadline.
+const defaultCallTimeout = time.Minute
 
 // enqueue queues a call for sendLoop. It returns false if the connection has ended.
 func (c *Caller) enqueue(p *pending) bool {
@@ -158,6 +163,7 @@
 	return true
 }
 
+// signal wakes sendLoop.
 func (c *Caller) signal() {
 	select {
 	case c.wake <- struct{}{}:
@@ -165,8 +171,8 @@
 	}
 }
 
-// cancelCall removes a call and notifies the owner that its answer is no longer
-// needed. It reports whether the call had been sent.
+// cancelCall removes a call whose answer is no longer needed. If the call had been sent,
+// cancelCall has the owner notified. It reports whether the call had been sent.
 func (c *Caller) cancelCall(p *pending) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -220,7 +226,8 @@
 }
 
 // sendBatch sends one batch and waits until the owner has accepted or refused it.
-// If the owner refuses the whole batch, it has started none of its calls.
+// If the owner refuses the whole batch because it is busy, it has started none of its
+// calls, and they fail. After any other error sendBatch closes the connection.
 func (c *Caller) sendBatch(calls []Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
@@ -240,6 +247,8 @@
 // calls and answers without waiting for any of them.
 const batchTimeout = 2 * time.Second
 
+// handle receives the answers that the owner sends. It is the wire.Handler of the
+// connection.
 func (c *Caller) handle(_ context.Context, _ *wire.Conn, method string, params json.RawMessage) (any, error) {
 	if method != MethodAnswers {
 		return nil, result.Errorf(result.UnknownMethod, "%q", method)
--- a/peer/hop/codec.go
+++ b/peer/hop/codec.go
@@ -12,7 +12,8 @@
 )
 
 // codec encodes, decodes and sends the messages of this package. marshal returns
-// the data that call and notify send.
+// the data that call and notify send. call waits for the peer's acceptance; notify
+// doesn't.
 type codec interface {
 	marshal(message any) ([]byte, error)
 	unmarshal(data []byte, message any) error
@@ -29,6 +30,8 @@
 	return jsonCodec{}
 }
 
+// call encodes a message for a connection, sends it and waits until the peer has
+// accepted or refused it.
 func call(ctx context.Context, conn *wire.Conn, method string, message any) error {
 	c := codecOf(conn)
 	data, err := c.marshal(message)
@@ -38,6 +41,7 @@
 	return c.call(ctx, conn, method, data)
 }
 
+// notify encodes a message for a connection and sends it without waiting for an answer.
 func notify(conn *wire.Conn, method string, message any) error {
 	c := codecOf(conn)
 	data, err := c.marshal(message)
@@ -47,6 +51,8 @@
 	return c.notify(conn, method, data)
 }
 
+// decode decodes the parameters of a message that was received on conn. Parameters that
+// can't be decoded are a result.BadMessage.
 func decode[M any](conn *wire.Conn, params []byte) (*M, error) {
 	m := new(M)
 	if err := codecOf(conn).unmarshal(params, m); err != nil {
@@ -120,9 +126,9 @@
 // present. Beyond these bounds, the size of a message limits the memory it takes;
 // see MaxMessage in wire.Options.
 const (
-	maxNesting       = 16      // levels; Answers with a status have 8
-	maxArrayElements = 1 << 16 // in one array
-	maxMapPairs      = 64      // in one map
+	maxNesting       = 16      // levels of arrays and maps in a message; Answers with a status have 8
+	maxArrayElements = 1 << 16 // elements of one array
+	maxMapPairs      = 64      // pairs of key and value in one map
 )
 
 var (
@@ -140,8 +146,8 @@
 	}.DecMode())
 )
 
-// must panics if err is set. It is only for constant options: an invalid one makes
-// every test of the package fail.
+// must returns mode, or panics if err is set. It is only for constant options: an invalid
+// one makes every test of the package fail.
 func must[M any](mode M, err error) M {
 	if err != nil {
 		panic(err)
--- a/peer/hop/hop.go
+++ b/peer/hop/hop.go
@@ -18,7 +18,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// ConnUse identifies connections of this package in the hello message.
+// ConnUse identifies connections of this package in the hello, the first message on a
+// connection between VMs.
 const ConnUse = "calls"
 
 // The methods of the protocol.
@@ -28,7 +29,8 @@
 	MethodAnswers = "calls.answers" // carries Answers; a notification without an answer
 )
 
-// Leaves calls the leaves of targets. target.Client implements it.
+// Leaves calls the leaves of targets and reads the status of targets. target.Client
+// implements it.
 type Leaves interface {
 	Search(ctx context.Context, target string, leaf int, req target.LeafRequest) (target.LeafAnswer, error)
 	Submit(ctx context.Context, target string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error)
@@ -41,7 +43,7 @@
 type Call struct {
 	ID     uint64                `json:"id"`
 	Target string                `json:"t"`
-	Leaf   int                   `json:"l"`
+	Leaf   int                   `json:"l"` // number of the leaf; not used for a status
 	Search *target.LeafRequest   `json:"s,omitempty"`
 	Submit *target.SubmitRequest `json:"u,omitempty"`
 	Status *StatusRequest        `json:"a,omitempty"`
@@ -78,8 +80,8 @@
 	IDs []uint64 `json:"i"`
 }
 
-// Answer is the outcome of the call with the same ID: one of Search, Submit,
-// Status and Failure is set.
+// Answer is the outcome of the call with the same ID: either its Failure, or the answer
+// that corresponds to its kind, one of Search, Submit and Status.
 type Answer struct {
 	ID      uint64               `json:"id"`
 	Search  *target.LeafAnswer   `json:"s,omitempty"`
@@ -96,13 +98,13 @@
 // Failure is the encoding of a target.CallError.
 type Failure struct {
 	Kind         target.ErrorKind `json:"k"`
-	Reason       target.Reason    `json:"r,omitempty"`
-	NotStarted   bool             `json:"n,omitempty"`
-	RetryAfterMS int64            `json:"a,omitempty"`
-	Incarnation  string           `json:"i,omitempty"`
+	Reason       target.Reason    `json:"r,omitempty"` // of a refusal
+	NotStarted   bool             `json:"n,omitempty"` // the call is certain not to have been started
+	RetryAfterMS int64            `json:"a,omitempty"` // time to wait before a retry, in milliseconds; 0 if not known
+	Incarnation  string           `json:"i,omitempty"` // of the target
 }
 
-// MaxBatchCalls bounds the calls in one Batch.
+// MaxBatchCalls bounds the number of calls in one Batch.
 const MaxBatchCalls = 1024
 
 // failureOf encodes err. An error that isn't a *target.CallError becomes
--- a/peer/hop/own.go
+++ b/peer/hop/own.go
@@ -8,15 +8,17 @@
 )
 
 // QueuedLeaves returns the Leaves for this VM's own calls to the targets that it
-// owns connections to. These calls wait in the same slot queues as the calls of
-// other VMs. If they bypassed the queues, both together would exceed the slots, and
-// the target would shed calls that could have waited. It is safe for concurrent use.
+// owns connections to. These calls wait in the same queues for the leaves' slots as the
+// calls of other VMs. If they bypassed the queues, both together would exceed the slots,
+// and the target would shed calls that could have waited. The result is safe for
+// concurrent use.
 func (o *Owner) QueuedLeaves() Leaves { return queuedLeaves{o} }
 
+// queuedLeaves implements Leaves for this VM's own calls; see QueuedLeaves.
 type queuedLeaves struct{ owner *Owner }
 
-// localPeer is the name of this VM in the slot queues, among the names of the VMs
-// that call through it.
+// localPeer stands for this VM in the slot queues, where the other VMs that call through
+// it have their names.
 const localPeer = ""
 
 // Search implements Leaves.
@@ -42,8 +44,9 @@
 	return l.owner.statuses.read(ctx, l.owner.opts.Leaves, name)
 }
 
-// withSlot makes a call once a slot of its leaf is free. If none becomes free in
-// time, the error is a *target.CallError with NotStarted set.
+// withSlot makes a call to a leaf of the named target once one of the leaf's slots is
+// free. If none becomes free in time, the error is a *target.CallError with NotStarted
+// set. If this VM doesn't own connections to the target, withSlot makes the call at once.
 func (o *Owner) withSlot(ctx context.Context, name string, leaf int, call func() error) error {
 	slots, owned := o.opts.Slots(name, leaf)
 	if !owned {
@@ -61,13 +64,14 @@
 	return err
 }
 
-// acquireSlot waits for a slot of a leaf. On success the caller has to release the
-// slot of the returned queue with releaseSlot.
+// acquireSlot waits until a slot of a leaf is free and takes it. slots is the leaf's
+// number of slots. On success the caller has to release the slot of the returned queue
+// with releaseSlot.
 func (o *Owner) acquireSlot(ctx context.Context, key leafKey, slots int) (*slotQueue, error) {
 	now := time.Now()
 	deadline, hasDeadline := ctx.Deadline()
 	if !hasDeadline {
-		deadline = now.Add(defaultTimeout)
+		deadline = now.Add(defaultCallTimeout)
 	}
 	granted := make(chan bool, 1) // receives false if the deadline passed before a slot was free
 	w := &waiter{peer: localPeer, deadline: deadline}
--- a/peer/hop/owner.go
+++ b/peer/hop/owner.go
@@ -14,17 +14,19 @@
 // OwnerOptions configure an Owner. All but MaxCalls are required.
 type OwnerOptions struct {
 	Leaves Leaves
-	// Slots returns the number of slots of a leaf and true if this VM owns
-	// connections to its target, and false otherwise. It must be safe for
-	// concurrent use.
+	// Slots returns the number of slots of a leaf, which is the number of calls that
+	// the leaf runs at once, and true if this VM owns connections to its target. It
+	// returns false otherwise. It must be safe for concurrent use.
 	Slots func(target string, leaf int) (int, bool)
-	// MaxCalls bounds the calls accepted from other VMs, including those that wait
-	// for a slot. It is separate from the bound on callers' requests, and a call
-	// accepted from another VM never waits for a third one, so that VMs can't
+	// MaxCalls bounds the number of calls accepted from other VMs, including those that
+	// wait for a slot; default 4096. It is separate from the bound on callers' requests,
+	// and a call accepted from another VM never waits for a third one. So VMs can't
 	// deadlock by waiting for each other.
-	MaxCalls int // default 4096
+	MaxCalls int
 }
 
+// defaultMaxCalls is the default of OwnerOptions.MaxCalls: the number of calls accepted
+// from other VMs at one time.
 const defaultMaxCalls = 4096
 
 // Owner serves calls of other VMs to the targets that this VM owns connections
@@ -33,16 +35,17 @@
 	opts     OwnerOptions
 	statuses statusCache
 
-	mu       sync.Mutex // guards the fields below; locked before a session's mu
-	queues   map[leafKey]*slotQueue
-	calls    int // calls of other VMs, waiting or in flight
-	sessions map[*wire.Conn]*session
-	draining bool // Drain was called
+	mu       sync.Mutex              // guards the fields below; locked before a session's mu
+	queues   map[leafKey]*slotQueue  // the calls that wait for a slot of each leaf
+	calls    int                     // number of calls of other VMs, waiting or in flight
+	sessions map[*wire.Conn]*session // of the connections of other VMs that call through this one
+	draining bool                    // Drain was called
 }
 
+// leafKey identifies a leaf.
 type leafKey struct {
-	target string
-	leaf   int
+	target string // name of the leaf's target
+	leaf   int    // number of the leaf
 }
 
 // session holds the state of one connection of another VM to this owner.
@@ -54,12 +57,12 @@
 	cancels map[uint64]func() // cancel functions of waiting and running calls, by ID; guarded by Owner.mu
 
 	mu      sync.Mutex // guards the fields below
-	answers []Answer   // queued for sendLoop
-	unsent  int        // answers that are queued or being written
+	answers []Answer   // answers that sendLoop has not taken yet
+	unsent  int        // number of answers that are queued or being written
 }
 
-// NewOwner returns an owner without connections. Pass its Handle method to the
-// wire server.
+// NewOwner returns an owner without connections of other VMs. Pass its Handle method to
+// the wire server.
 func NewOwner(o OwnerOptions) *Owner {
 	if o.MaxCalls <= 0 {
 		o.MaxCalls = defaultMaxCalls
@@ -70,10 +73,10 @@
 // drainPollInterval is the interval at which Drain checks for calls in flight.
 const drainPollInterval = 5 * time.Millisecond
 
-// Drain refuses further calls of other VMs. It waits until none of their calls is in
-// flight and all answers have been passed to their connections, or ctx ends. In the
-// latter case it returns the error of ctx. VMs that know no other owner keep sending
-// calls; if these were accepted, Drain might never return.
+// Drain refuses further calls of other VMs. It waits until none of their calls is waiting
+// or in flight and all answers have been passed to their connections, or until ctx ends.
+// In the latter case it returns the error of ctx. VMs that know no other owner keep
+// sending calls. If these were accepted, Drain might never return.
 func (o *Owner) Drain(ctx context.Context) error {
 	o.mu.Lock()
 	o.draining = true
@@ -95,7 +98,8 @@
 	return o.calls
 }
 
-// busy reports whether calls of other VMs are in flight or answers are unsent.
+// busy reports whether calls of other VMs are waiting or in flight, or answers to them
+// are unsent.
 func (o *Owner) busy() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -160,8 +164,8 @@
 	return s
 }
 
-// admit queues or starts one call, or returns the reason for its refusal. A refused
-// call has not been sent to the target.
+// admit queues or starts one call, or returns the reason for its refusal; nil means that
+// the call was admitted. A refused call has not been sent to the target.
 func (o *Owner) admit(s *session, call *Call, now time.Time) *Failure {
 	timeLeft := call.deadline()
 	slots, owned := o.opts.Slots(call.Target, call.Leaf)
@@ -182,6 +186,7 @@
 	}
 	q := o.queueFor(leafKey{call.Target, call.Leaf}, slots)
 	ctx, cancel := context.WithTimeout(s.ctx, timeout)
+	// slotQueue decides when the call runs or expires; these functions do it.
 	w := &waiter{peer: s.conn.Peer().VM, deadline: now.Add(timeout)}
 	w.run = func() { go o.runCall(ctx, s, q, call) }
 	w.expire = func() {
@@ -194,6 +199,7 @@
 		return &Failure{Kind: target.ErrorRefused, Reason: target.ReasonShed, NotStarted: true, RetryAfterMS: wait.Milliseconds()}
 	}
 	o.calls++
+	// Ends the call's context. A call that still waits is also removed, without an answer.
 	s.cancels[call.ID] = func() {
 		cancel()
 		if q.remove(w) {
@@ -206,8 +212,8 @@
 	return nil
 }
 
-// queueFor returns the slot queue of a leaf, creates it on first use, and sets its
-// number of slots. The caller must hold mu.
+// queueFor returns the queue of the calls that wait for a slot of a leaf. It creates the
+// queue on first use and sets its number of slots. The caller must hold mu.
 func (o *Owner) queueFor(key leafKey, slots int) *slotQueue {
 	q := o.queues[key]
 	if q == nil {
@@ -218,8 +224,9 @@
 	return q
 }
 
-// releaseSlot passes the slot of a call that took the given time to the next waiting
-// call, and expires those whose deadline has passed. The caller must hold mu.
+// releaseSlot passes the slot of a call that has ended to the next waiting call, and
+// fails waiting calls whose deadline has passed. took is the time that the ended call
+// took. The caller must hold mu.
 func (o *Owner) releaseSlot(q *slotQueue, took time.Duration, now time.Time) {
 	next, expired := q.release(took, now)
 	for _, w := range expired {
@@ -268,7 +275,8 @@
 	}
 }
 
-// runCall makes a call that holds a slot, queues its answer and releases the slot.
+// runCall makes a call that holds a slot of its leaf, queues the answer for the calling
+// VM and releases the slot.
 func (o *Owner) runCall(ctx context.Context, s *session, q *slotQueue, call *Call) {
 	start := time.Now()
 	answer := o.callLeaf(ctx, call)
@@ -304,6 +312,8 @@
 	return answer
 }
 
+// cancelCalls cancels the calls with the given IDs that were received on a connection.
+// IDs of calls that have ended are ignored.
 func (o *Owner) cancelCalls(conn *wire.Conn, ids []uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -318,7 +328,7 @@
 	}
 }
 
-// addAnswer queues an answer for sendLoop.
+// addAnswer queues an answer and wakes sendLoop.
 func (s *session) addAnswer(a Answer) {
 	s.mu.Lock()
 	s.answers = append(s.answers, a)
@@ -361,12 +371,13 @@
 	return s.unsent > 0
 }
 
+// sendAnswers sends answers to the calling VM in one message.
 func (s *session) sendAnswers(done []Answer) error {
 	return notify(s.conn, MethodAnswers, Answers{Answers: done})
 }
 
-// close cancels all calls of a connection that has ended, since their answers can't
-// be delivered.
+// close removes the session of a connection that has ended and cancels its calls, since
+// their answers can't be delivered. cancel ends the session's context.
 func (s *session) close(cancel func()) {
 	cancel()
 	o := s.owner
--- a/peer/hop/queue.go
+++ b/peer/hop/queue.go
@@ -4,31 +4,36 @@
 
 // waiter is a call that waits for a slot of a leaf.
 type waiter struct {
-	peer     string // VM that sent the call, or localPeer
-	deadline time.Time
-	run      func() // starts the call once it holds a slot
-	expire   func() // fails the call if the deadline passed while it waited
+	peer     string    // name of the VM that sent the call, or localPeer
+	deadline time.Time // when the call's time limit ends
+	run      func()    // starts the call once it holds a slot
+	expire   func()    // fails the call if the deadline passed while it waited
 }
 
-// slotQueue shares the slots of one leaf among the VMs that call through this
-// owner, in round-robin order. It has no side effects: its user runs or expires the
-// calls that it returns. It isn't safe for concurrent use. An owner handles nearly
-// the whole load of its leaf, so it can estimate how long a call will wait. It
-// refuses a call immediately if it can't be served in time, since queueing such
-// calls would make all calls late.
+// slotQueue shares the slots of one leaf among the VMs that call through this owner, in
+// round-robin order. A slot is one of the calls that the leaf runs at once. slotQueue
+// only keeps the order and has no side effects: Owner runs or expires the calls that its
+// methods return. It isn't safe for concurrent use.
+//
+// An owner handles nearly the whole load of its leaf, so it can estimate how long a call
+// will wait. It refuses a call immediately if the call can't be served in time, since
+// queueing such calls would make all calls late.
 type slotQueue struct {
-	slots       int                  // at least 1
-	running     int                  // slots in use
-	waiting     map[string][]*waiter // by VM, the oldest first
+	slots       int                  // number of slots of the leaf, at least 1
+	running     int                  // number of slots in use
+	waiting     map[string][]*waiter // calls that wait for a slot, by VM, the oldest first
 	turns       []string             // VMs that have waiting calls, the next to be served first
-	queued      int                  // waiting calls of all VMs
-	meanService time.Duration        // moving average of the service times
+	queued      int                  // number of waiting calls of all VMs
+	meanService time.Duration        // moving average of the times that calls held their slot
 }
 
-// meanWeight is the divisor of the moving average: each new service time changes the
-// average by its difference from it divided by meanWeight.
-const meanWeight = 8
+// meanServiceDivisor determines how fast the moving average of service times follows new
+// ones: a new service time changes the average by the difference between the two, divided
+// by meanServiceDivisor.
+const meanServiceDivisor = 8
 
+// newSlotQueue returns a queue without calls for a leaf with the given number of slots,
+// of which there is at least one.
 func newSlotQueue(slots int) *slotQueue {
 	return &slotQueue{slots: max(slots, 1), waiting: map[string][]*waiter{}}
 }
@@ -39,15 +44,19 @@
 	if q.running < q.slots {
 		return 0
 	}
+	// While all slots are in use, one is freed every meanService/slots on average. All
+	// queued calls and then this one take a slot each.
 	return time.Duration(q.queued+1) * q.meanService / time.Duration(q.slots)
 }
 
-// offer starts, queues or refuses a call. If run is set, the call holds a slot and
-// its user has to start it; if only accepted is set, it waits. If neither is set, it
-// can't be served in time, and wait says how long to wait before a retry.
+// offer gives a slot to a call, queues the call or refuses it. If run is set, the call
+// holds a slot, and the caller of offer has to start it. If only accepted is set, the
+// call waits for a slot. If neither is set, the call can't be served in time and is
+// refused, and wait says how long to wait before a retry.
 func (q *slotQueue) offer(w *waiter, now time.Time) (run, accepted bool, wait time.Duration) {
 	wait = q.expectedWait()
-	// An idle leaf accepts a call however long the last calls took. After a period
+	// A call is refused if it is expected to end after its deadline, unless the leaf is
+	// idle. An idle leaf accepts a call however long the last calls took. After a period
 	// without answers, the average suggests that no call can be served in time. If all
 	// calls were refused for that reason, none would ever show that the leaf has
 	// recovered.
@@ -66,11 +75,13 @@
 	return false, true, wait
 }
 
-// release frees the slot of a call that took the given time. It returns the waiting
-// call that takes over the slot, if any, and the calls whose deadline passed while
-// they waited.
+// release frees the slot of a call that has ended and that took the given time. next is
+// the waiting call that takes over the slot, or nil. expired holds the calls whose
+// deadline passed while they waited.
 func (q *slotQueue) release(took time.Duration, now time.Time) (next *waiter, expired []*waiter) {
-	q.meanService += (took - q.meanService) / meanWeight
+	q.meanService += (took - q.meanService) / meanServiceDivisor
+	// No call takes over the slot if the number of slots has shrunk below the number in
+	// use.
 	for len(q.turns) > 0 && q.running <= q.slots {
 		w := q.pop()
 		if w.deadline.After(now) {
@@ -82,7 +93,8 @@
 	return nil, expired
 }
 
-// pop removes and returns the oldest call of the VM that is next in turn.
+// pop removes and returns the oldest waiting call of the VM that is next in turn. If the
+// VM has further calls, it moves to the end of the turns.
 func (q *slotQueue) pop() *waiter {
 	peer := q.turns[0]
 	q.turns = q.turns[1:]
@@ -98,7 +110,8 @@
 	return w
 }
 
-// remove removes a cancelled call and reports whether it was waiting.
+// remove removes a cancelled call from the waiting ones. It reports whether the call was
+// among them.
 func (q *slotQueue) remove(w *waiter) bool {
 	list := q.waiting[w.peer]
 	for i := range list {
--- a/peer/hop/status.go
+++ b/peer/hop/status.go
@@ -8,18 +8,19 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// maxStatusAge bounds the age of a status that an owner returns from its cache. Many
-// VMs read a target's status through its few owners; with the cache, each owner
+// maxStatusAge bounds the age of a target's status that an owner returns from its cache.
+// Many VMs read a target's status through its few owners. With the cache, each owner
 // queries the target only a few times a second.
 const maxStatusAge = 200 * time.Millisecond
 
 // statusCache caches the status of each target for maxStatusAge. Concurrent reads of
 // one target share one query. It is safe for concurrent use.
 type statusCache struct {
-	mu      sync.Mutex // guards entries
-	entries map[string]*statusEntry
+	mu      sync.Mutex              // guards entries
+	entries map[string]*statusEntry // by name of the target
 }
 
+// statusEntry holds the last status that was read of one target.
 type statusEntry struct {
 	mu     sync.Mutex // held during a query, so that other reads wait for its result
 	at     time.Time  // when status was read
