--- a/peer/health/content.go
+++ b/peer/health/content.go
@@ -8,17 +8,19 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// maxLeafNumber bounds the numbers of leaves, which are indexes of a list.
+// maxLeafNumber bounds the numbers of a target's leaves in a statement about the health
+// of the target, where they are indexes of a list.
 const maxLeafNumber = 1024
 
-// maxContentBytes bounds an encoded statement whose stamp isn't complete yet. The 512
-// bytes that it leaves free are for the stamp and the owners that can't read the
-// target.
+// maxContentBytes bounds the size in bytes of an encoded statement about a target, before
+// its stamp is complete. The 512 bytes that it leaves free are for the stamp and for the
+// list of the owners that can't read the target.
 const maxContentBytes = facts.MaxHealthBytes - 512
 
-// encode returns the statement for a status, without the loads and with only the
-// incarnation and Drained of the stamp. If the status doesn't fit, the statement is
-// opaque, so that no VM continues to use an earlier one.
+// encode returns the statement that describes a target's status. It leaves out the loads
+// of the leaves, and of the stamp it sets only Incarnation and Drained. If the status
+// doesn't fit in a statement, the statement is opaque: it doesn't say what the leaves
+// hold, but it replaces an earlier one, which no VM then continues to use.
 func encode(st target.Status) facts.Health {
 	h := facts.Health{Target: st.Target}
 	h.Incarnation = st.Incarnation
@@ -50,8 +52,9 @@
 	return full
 }
 
-// partitionMaps returns the partition maps of all holdings in a fixed order, so that
-// two reads of one status give equal statements.
+// partitionMaps returns the partition maps of all holdings, each once. A partition map
+// says into how many shards a snapshot is divided. The order is fixed, so that two reads
+// of one status give equal statements.
 func partitionMaps(leaves []target.LeafStatus) []facts.Map {
 	var list []facts.Map
 	for _, leaf := range leaves {
@@ -67,15 +70,17 @@
 	return list
 }
 
+// partitionMap returns the partition map of the snapshot that a holding is part of.
 func partitionMap(h target.Holding) facts.Map {
 	return facts.Map{Snapshot: h.Snapshot, Seq: h.Seq, Shards: h.Shards}
 }
 
-// holdingRuns joins neighbouring shards of a map into runs, which saves the bytes of
-// their numbers.
+// holdingRuns returns the holdings of a leaf in the form of a statement. Neighbouring
+// shards of one partition map become one run, which saves the bytes of their numbers.
+// maps has the partition maps of all holdings.
 func holdingRuns(maps []facts.Map, holdings []target.Holding) []facts.Holding {
 	type indexed struct {
-		mapIndex int
+		mapIndex int // index in maps of the holding's partition map
 		target.Holding
 	}
 	sorted := make([]indexed, len(holdings))
@@ -119,7 +124,8 @@
 	return st
 }
 
-// expandRun returns the holdings of a run of shards.
+// expandRun returns the holdings that a run of neighbouring shards stands for, one for
+// each shard. It is the inverse of holdingRuns.
 func expandRun(maps []facts.Map, run facts.Holding) []target.Holding {
 	m := maps[run[facts.HoldingMap]]
 	var list []target.Holding
--- a/peer/health/doubt.go
+++ b/peer/health/doubt.go
@@ -8,18 +8,20 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Leaves sends calls to the leaves of targets. route.Router implements it.
+// Leaves sends searches and non-idempotent requests to the leaves of targets.
+// route.Router implements it.
 type Leaves interface {
 	Search(ctx context.Context, target string, leaf int, req target.LeafRequest) (target.LeafAnswer, error)
 	Submit(ctx context.Context, target string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error)
 }
 
-// CheckCalls wraps leaves: a failed call that contradicts the known health of its
-// target makes the Monitor read the target soon. A VM that has the health of a target
-// from others could otherwise continue to send calls to it by an outdated statement
-// until its next read.
+// CheckCalls returns a Leaves that makes the calls through leaves. A failed call that
+// contradicts the known health of its target makes the Monitor read the target soon. A VM
+// that has the health of a target from others could otherwise continue to send calls to
+// it by an outdated statement until its next read.
 func (r *Relay) CheckCalls(leaves Leaves) Leaves { return checkedLeaves{leaves, r} }
 
+// checkedLeaves is the result of Relay.CheckCalls.
 type checkedLeaves struct {
 	Leaves
 	relay *Relay
@@ -37,10 +39,13 @@
 	return answer, err
 }
 
-// checkCall has the target read soon if the error of a call contradicts the target's
-// known health and this VM doesn't read the target over its own connections.
+// checkCall has the named target read soon if the error of a call to it contradicts its
+// known health and this VM doesn't read it over its own connections. err is nil if the
+// call succeeded.
 func (r *Relay) checkCall(name string, err error) {
 	var failure *target.CallError
+	// Nothing to do: the call succeeded, its error doesn't contradict the known health, or
+	// this VM reads the target over its own connections.
 	if err == nil || !errors.As(err, &failure) || !contradicts(failure) || r.readsDirectly(name) {
 		return
 	}
@@ -48,8 +53,9 @@
 	r.monitor.ReadSoon(name)
 }
 
-// contradicts reports whether a failure can't happen if the known health of the
-// target is correct. Shedding and expired deadlines can happen.
+// contradicts reports whether a failure of a call can't happen if the known health of the
+// target is correct. Shedding (a refusal because of load) and expired deadlines can
+// happen then.
 func contradicts(e *target.CallError) bool {
 	switch e.Kind {
 	case target.ErrorUnreachable, target.ErrorUnknownTarget, target.ErrorMismatched:
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -23,12 +23,20 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Exchange sends facts to the other VMs. peer.Exchange implements it.
+// Exchange sends statements about the health of targets to the other VMs and receives
+// theirs. peer.Exchange implements it.
 type Exchange interface {
+	// SetTargets sets the targets about which statements are kept.
 	SetTargets(names []string)
+	// Health returns the current statement about a target and reports whether there is one.
 	Health(target string) (facts.Health, bool)
+	// PublishHealth publishes next if the current statement still has the stamp base, and
+	// reports whether it did.
 	PublishHealth(next facts.Health, base facts.Stamp) bool
+	// TakeHealthChanges returns the current statements about the targets whose health has
+	// changed since its last call.
 	TakeHealthChanges() []facts.Health
+	// HealthChanged receives a value when TakeHealthChanges has something to return.
 	HealthChanged() <-chan struct{}
 }
 
@@ -36,6 +44,7 @@
 // implements it.
 type Router interface {
 	target.StatusReader
+	// Ownership states which VMs own connections to a target.
 	Ownership(target string) route.Ownership
 }
 
@@ -48,16 +57,19 @@
 
 // Monitor reads targets at intervals. target.Monitor implements it.
 type Monitor interface {
+	// SetReadInterval sets the time between reads of a target to which this VM has no
+	// connections. 0 means the health interval of the target's service.
 	SetReadInterval(target string, interval time.Duration)
+	// ReadSoon moves the next read of a target forward.
 	ReadSoon(target string)
 }
 
 // Options configures a Relay. All fields are required.
 type Options struct {
-	Router  Router
-	Sink    Sink
+	Router  Router // reads targets and knows their owners
+	Sink    Sink   // receives what this VM reads and what other VMs state
 	Log     *slog.Logger
-	Metrics *metrics.Set
+	Metrics *metrics.Set // the counters of the Relay are added to it
 }
 
 // Relay connects the Monitor, the Exchange and the Sink. The Monitor reads targets
@@ -70,15 +82,18 @@
 	monitor  Monitor
 	tomb     tomb.Tomb
 
+	// Counters: reads of targets by this VM, directly or through an owner; statements that
+	// this VM published; statements that it applied to targets of which it isn't an owner;
+	// failed calls that contradicted the known health of their target.
 	reads, published, appliedCount, contradictions *metrics.Counter
 
-	mu               sync.Mutex // guards the fields below; held during calls of the Sink, the Exchange and the Monitor, which never call back
-	reporter         *reporter
+	mu               sync.Mutex             // guards the fields below; held during calls of the Sink, the Exchange and the Monitor, which never call back
+	reporter         *reporter              // decides what this VM, as an owner, publishes
 	timings          map[string]timing      // by target of the bundle in force
-	rereadInterval   time.Duration          // between reads of a target for which there are statements
-	readBase         map[string]facts.Stamp // stamp of the known statement when the current or last read began
-	appliedStamps    map[string]facts.Stamp // statement that the Sink last received, or that was known when it received a read
-	partlyUnreadable map[string]bool        // targets that some owner can't read; true if the Sink was notified that it is lost
+	rereadInterval   time.Duration          // between reads through an owner of a target about which an owner publishes statements
+	readBase         map[string]facts.Stamp // by target: stamp of the known statement when the current or last read began
+	appliedStamps    map[string]facts.Stamp // by target: stamp of the statement that the Sink last received, or that was known when the Sink received a read
+	partlyUnreadable map[string]bool        // by target that some owner can't read: whether the Sink was notified that the target is lost
 }
 
 // New returns a Relay that isn't started.
@@ -111,20 +126,21 @@
 }
 
 const (
-	// minRereadInterval is the least time between reads of a target for which there
-	// are statements.
+	// minRereadInterval is the least time between two reads of one target by a VM that
+	// already has its health from a statement of an owner.
 	minRereadInterval = 20 * time.Second
-	// maxRereadsPerSecond bounds these reads of all targets. An answer takes about
-	// 450 bytes, so with thousands of targets unbounded reads would cost more than
-	// everything else that a VM sends.
+	// maxRereadsPerSecond bounds how many such reads one VM makes per second, of all
+	// targets together. An answer takes about 450 bytes, so with thousands of targets
+	// unbounded reads would cost more than everything else that a VM sends.
 	maxRereadsPerSecond = 2
 )
 
-// Apply sets the targets to those of the bundle in force. It must be called before
-// the Monitor gets them.
+// Apply sets the targets to those of the bundle in force. It has the Exchange keep
+// statements about those of them that some VMs call through owners. It must be called
+// before the Monitor gets the targets.
 func (r *Relay) Apply(b *bundle.Bundle) {
 	known := map[string]timing{}
-	var shared []string
+	var shared []string // targets that some VMs call through owners
 	for i := range b.Services {
 		svc := &b.Services[i]
 		for j := range svc.Targets {
@@ -153,8 +169,8 @@
 }
 
 // Reapply applies all known statements again. It is called after the Monitor has got
-// new endpoints: a target that this VM has just ceased to own is no longer read over
-// its own connections.
+// new endpoints. If this VM has just ceased to own connections to a target, it no longer
+// reads the target over its own connections and needs the statement about it.
 func (r *Relay) Reapply() {
 	r.mu.Lock()
 	names := make([]string, 0, len(r.timings))
@@ -169,8 +185,8 @@
 	}
 }
 
-// sweepInterval is the time between checks of whether the owners that could still
-// read a target have been lost.
+// sweepInterval is the time between checks of the targets that some owner can't read:
+// whether the owners that could still read them have been lost.
 const sweepInterval = time.Second
 
 // follow applies statements as they arrive, and checks partlyUnreadable targets at
@@ -192,15 +208,18 @@
 	}
 }
 
-// apply passes a statement to the Sink, unless this VM reads the target over its own
-// connections or has read it since. An owner may answer the statement instead.
+// apply handles a statement about a target. It does nothing if every VM has connections
+// to the target. If this VM is one of the target's owners, it doesn't use the statement
+// but may answer it with one of its own; see answerStatement. Otherwise it passes the
+// statement to the Sink, unless the Sink already has it, or has the result of a read that
+// began when the statement was known.
 func (r *Relay) apply(h facts.Health) {
-	pos := r.opts.Router.Ownership(h.Target)
-	if !pos.Shared {
+	ownership := r.opts.Router.Ownership(h.Target)
+	if !ownership.Shared {
 		return
 	}
-	if pos.Owner {
-		r.answerStatement(h, pos)
+	if ownership.Owner {
+		r.answerStatement(h, ownership)
 		return
 	}
 	r.mu.Lock()
@@ -210,15 +229,17 @@
 	}
 	if r.appliedStamps[h.Target] != h.Stamp {
 		r.appliedCount.Inc()
-		r.notifySink(h, pos)
+		r.notifySink(h, ownership)
 	}
 	r.adjustReadInterval(h)
 }
 
-// adjustReadInterval sets the Monitor's read interval of a target with a statement:
-// the long one, or the health interval if the statement is opaque and the target
-// isn't lost. The caller must hold mu.
+// adjustReadInterval sets the interval at which the Monitor reads a target about which
+// there is a statement. That is rereadInterval, or the health interval of the target's
+// service if the statement is opaque and the target isn't lost. The caller must hold mu.
 func (r *Relay) adjustReadInterval(h facts.Health) {
+	// An opaque statement doesn't say what the leaves hold, so this VM reads the target
+	// often, unless no live owner can read it.
 	if h.Opaque && !lost(h, r.opts.Router.Ownership(h.Target).LiveOwners) {
 		r.monitor.SetReadInterval(h.Target, 0)
 		return
@@ -226,10 +247,12 @@
 	r.monitor.SetReadInterval(h.Target, r.rereadInterval)
 }
 
-// notifySink passes a statement to the Sink. The caller must hold mu.
-func (r *Relay) notifySink(h facts.Health, pos route.Ownership) {
+// notifySink passes a statement to the Sink: that the target is lost, or its status. It
+// passes nothing if the target isn't lost and the statement is opaque. The caller must
+// hold mu.
+func (r *Relay) notifySink(h facts.Health, ownership route.Ownership) {
 	r.appliedStamps[h.Target] = h.Stamp
-	isLost := lost(h, pos.LiveOwners)
+	isLost := lost(h, ownership.LiveOwners)
 	switch {
 	case isLost:
 		r.opts.Sink.TargetLost(h.Target)
@@ -242,35 +265,40 @@
 	}
 }
 
-// sweep notifies the Sink of targets that became lost because an owner was lost, or
-// that aren't lost any more because an owner was added.
+// sweep passes the statements about some targets to the Sink again: those that became
+// lost because an owner was lost, and those that aren't lost any more because an owner
+// was added.
 func (r *Relay) sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, wasLost := range r.partlyUnreadable {
-		pos := r.opts.Router.Ownership(name)
-		if h, known := r.exchange.Health(name); known && !pos.Owner && lost(h, pos.LiveOwners) != wasLost {
-			r.notifySink(h, pos)
+		ownership := r.opts.Router.Ownership(name)
+		// On a VM that isn't an owner: has the target become lost, or ceased to be lost,
+		// since the Sink was last notified?
+		if h, known := r.exchange.Health(name); known && !ownership.Owner && lost(h, ownership.LiveOwners) != wasLost {
+			r.notifySink(h, ownership)
 		}
 	}
 }
 
-// answerStatement lets this VM, as an owner, answer the statement of another one.
-func (r *Relay) answerStatement(h facts.Health, pos route.Ownership) {
+// answerStatement lets this VM, as an owner of the target, answer the statement of another
+// owner: it may publish that it can't read the target either.
+func (r *Relay) answerStatement(h facts.Health, ownership route.Ownership) {
 	r.mu.Lock()
-	next, publish := r.reporter.handleStatement(h, standingOf(pos), r.timings[h.Target], time.Now())
+	next, publish := r.reporter.handleStatement(h, ownerOrderOf(ownership), r.timings[h.Target], time.Now())
 	r.mu.Unlock()
 	if publish {
 		r.publish(next, h.Stamp)
 	}
 }
 
-func standingOf(pos route.Ownership) standing {
-	return standing{place: pos.Place, owners: pos.LiveOwners}
+// ownerOrderOf returns the order of a target's live owners, with this VM's own place.
+func ownerOrderOf(ownership route.Ownership) ownerOrder {
+	return ownerOrder{place: ownership.Place, owners: ownership.LiveOwners}
 }
 
-// Status reads a target for the Monitor, and publishes what has changed if this VM
-// is an owner.
+// Status reads a target's status for the Monitor. If this VM is one of the target's
+// owners, and other VMs depend on them, it publishes what has changed.
 func (r *Relay) Status(ctx context.Context, name string) (target.Status, error) {
 	base, _ := r.exchange.Health(name)
 	began := time.Now()
@@ -279,29 +307,29 @@
 	r.mu.Unlock()
 	r.reads.Inc()
 	status, err := r.opts.Router.Status(ctx, name)
-	if pos := r.opts.Router.Ownership(name); pos.Owner && pos.Shared {
+	if ownership := r.opts.Router.Ownership(name); ownership.Owner && ownership.Shared {
 		read := readResult{base: base, began: began}
 		if err == nil {
 			read.status = &status
 		}
-		r.handleOwnRead(name, read, pos)
+		r.handleOwnRead(name, read, ownership)
 	}
 	return status, err
 }
 
-// handleOwnRead lets this VM, as an owner, publish the result of its read if that is
-// due.
-func (r *Relay) handleOwnRead(name string, read readResult, pos route.Ownership) {
+// handleOwnRead lets this VM, as an owner of the named target, publish the result of its
+// read if the result is new and it is this owner's turn.
+func (r *Relay) handleOwnRead(name string, read readResult, ownership route.Ownership) {
 	r.mu.Lock()
-	next, publish := r.reporter.handleRead(name, read, standingOf(pos), r.timings[name], time.Now())
+	next, publish := r.reporter.handleRead(name, read, ownerOrderOf(ownership), r.timings[name], time.Now())
 	r.mu.Unlock()
 	if publish {
 		r.publish(next, read.base.Stamp)
 	}
 }
 
-// publish publishes the statement next, unless the one with the stamp base has been
-// replaced since.
+// publish publishes the statement next in place of the one with the stamp base, unless
+// that one has already been replaced.
 func (r *Relay) publish(next facts.Health, base facts.Stamp) {
 	if r.exchange.PublishHealth(next, base) {
 		r.published.Inc()
@@ -309,8 +337,9 @@
 	}
 }
 
-// TargetStatus implements target.Sink for the Monitor. A status that was read through
-// an owner is dropped if a newer statement arrived during the read.
+// TargetStatus implements target.Sink for the Monitor. It passes a status that was read
+// on to the Sink. A status that was read through an owner is dropped if a newer statement
+// arrived during the read.
 func (r *Relay) TargetStatus(name string, status target.Status, at time.Time) {
 	direct := r.readsDirectly(name)
 	r.mu.Lock()
@@ -330,9 +359,10 @@
 	}
 }
 
-// TargetFailed implements target.Sink for the Monitor. A failed read through an owner
-// is ignored as long as some live owner can read the target: the owner that was used
-// may be frozen, or the network path to it cut.
+// TargetFailed implements target.Sink for the Monitor. It passes a failed read on to the
+// Sink. A failed read through an owner is ignored as long as a statement describes the
+// target and some live owner can read it: the owner that was used may be frozen, or the
+// network path to it cut.
 func (r *Relay) TargetFailed(name string, err error, at time.Time) {
 	if !r.readsDirectly(name) {
 		h, known := r.exchange.Health(name)
@@ -344,13 +374,15 @@
 	r.opts.Sink.TargetFailed(name, err, at)
 }
 
-// TargetState implements target.Sink for the Monitor.
+// TargetState implements target.Sink for the Monitor. It passes the state in the headers
+// of an answer on to the Sink.
 func (r *Relay) TargetState(name, incarnation string, state target.State, at time.Time) {
 	r.opts.Sink.TargetState(name, incarnation, state, at)
 }
 
-// readsDirectly reports whether this VM reads a target over its own connections.
+// readsDirectly reports whether this VM reads a target over its own connections: every VM
+// has some, or this VM is one of the owners.
 func (r *Relay) readsDirectly(name string) bool {
-	pos := r.opts.Router.Ownership(name)
-	return !pos.Shared || pos.Owner
+	ownership := r.opts.Router.Ownership(name)
+	return !ownership.Shared || ownership.Owner
 }
--- a/peer/health/speaker.go
+++ b/peer/health/speaker.go
@@ -12,13 +12,15 @@
 type readResult struct {
 	base   facts.Health   // the known statement when the read began; zero if there was none
 	began  time.Time      // by this VM's clock
-	status *target.Status // nil if it failed
+	status *target.Status // the status that was read; nil if the read failed
 }
 
-// standing is an owner's position among the owners of a target.
-type standing struct {
-	place  int   // of this VM
-	owners []int // places of all live owners, in the order of their rank
+// ownerOrder is the order in which the owners of a target publish what they read, and
+// this VM's place in it. Owners are known by their places, numbers that VMs claim so that
+// no two VMs hold the same one.
+type ownerOrder struct {
+	place  int   // of this VM, which is an owner
+	owners []int // places of all live owners; the first one publishes at once
 }
 
 // reporter decides which statements one owner publishes about targets. It does no
@@ -29,7 +31,7 @@
 // others wait, each by its rank. So usually one owner publishes, and if it is frozen,
 // isolated or slow, the next one does so without having to detect that.
 type reporter struct {
-	targets map[string]*targetState
+	targets map[string]*targetState // by target
 }
 
 // targetState is what an owner keeps between two reads of a target.
@@ -39,37 +41,41 @@
 	differsSince time.Time // since when the reads differ from the known statement; zero if they don't
 }
 
-// timing holds the settings of a service.
+// timing holds the settings of a service that say when its targets are read and when a
+// failed read is published.
 type timing struct {
 	interval     time.Duration // between reads
 	suspectAfter int           // failed reads in a row until this owner counts as unable to read a target
 }
 
-// propagationTime is long enough for a statement to reach all VMs.
+// propagationTime is long enough for a statement to reach all VMs of the fleet.
 const propagationTime = 500 * time.Millisecond
 
-// rankDelay returns how long an owner waits for each owner before it: for that
-// owner's next read, which jitter may delay, and for its statement to arrive.
+// rankDelay returns how long an owner waits for each owner that comes before it in the
+// order. That is long enough for the other owner's next read, which jitter may delay, and
+// for its statement to arrive.
 func (t timing) rankDelay() time.Duration { return 2*t.interval + propagationTime }
 
 func newReporter() *reporter { return &reporter{targets: map[string]*targetState{}} }
 
-// handleRead returns the statement to publish after a read, and reports whether there
-// is one.
-func (rep *reporter) handleRead(name string, r readResult, pos standing, t timing, now time.Time) (facts.Health, bool) {
+// handleRead returns the statement that this owner has to publish after its read of the
+// named target, and reports whether there is one. order is that of the target's owners.
+func (rep *reporter) handleRead(name string, r readResult, order ownerOrder, t timing, now time.Time) (facts.Health, bool) {
 	ts := rep.targets[name]
 	if ts == nil {
 		ts = &targetState{}
 		rep.targets[name] = ts
 	}
 	if r.status == nil {
-		return ts.handleFailure(name, r, pos, t, now)
+		return ts.handleFailure(name, r, order, t, now)
 	}
 	ts.failures, ts.failingSince = 0, time.Time{}
-	return ts.handleStatus(name, r, pos, t, now)
+	return ts.handleStatus(name, r, order, t, now)
 }
 
-func (ts *targetState) handleFailure(name string, r readResult, pos standing, t timing, now time.Time) (facts.Health, bool) {
+// handleFailure is handleRead for a failed read. From the suspectAfter-th failure in a row
+// on, this owner counts as unable to read the target.
+func (ts *targetState) handleFailure(name string, r readResult, order ownerOrder, t timing, now time.Time) (facts.Health, bool) {
 	ts.differsSince = time.Time{}
 	ts.failures++
 	if ts.failures < t.suspectAfter {
@@ -84,43 +90,51 @@
 		// try to read a target that was down when the bundle came into force.
 		base = facts.Health{Target: name, Opaque: true}
 	}
-	return ts.reportUnreadable(base, pos, t, now)
+	return ts.reportUnreadable(base, order, t, now)
 }
 
-// handleStatement returns the statement to publish after a new one has arrived, and
-// reports whether there is one. If the owner before this one has just stated that it
-// can't read a target, and this one can't either, it need not wait for its next read.
-func (rep *reporter) handleStatement(h facts.Health, pos standing, t timing, now time.Time) (facts.Health, bool) {
+// handleStatement returns the statement that this owner has to publish after the
+// statement h of another owner has arrived, and reports whether there is one. If the
+// owner before this one has just stated that it can't read the target, and this one
+// can't either, this one need not wait for its next read.
+func (rep *reporter) handleStatement(h facts.Health, order ownerOrder, t timing, now time.Time) (facts.Health, bool) {
 	ts := rep.targets[h.Target]
 	if ts == nil || ts.failingSince.IsZero() {
 		return facts.Health{}, false
 	}
-	return ts.reportUnreadable(h, pos, t, now)
+	return ts.reportUnreadable(h, order, t, now)
 }
 
-// reportUnreadable returns the statement that this owner can't read a target, if it is
-// due. It never states that the target is lost, since this VM may be the cause. The
-// target counts as lost only when no live owner is left that can read it. The
-// statement isn't needed until the owners before this one have stated the same, or
-// have had rankDelay to do so: until then the target isn't lost, and most targets that
-// one owner can't reach can be reached by the others.
-func (ts *targetState) reportUnreadable(base facts.Health, pos standing, t timing, now time.Time) (facts.Health, bool) {
-	if slices.Contains(base.UnreadableBy, pos.place) || !due(ts.failingSince, rank(base, pos), t, now) {
+// reportUnreadable returns the statement that this owner can't read a target, and reports
+// whether it has to be published now. base is the known statement, which it replaces.
+//
+// The statement never says that the target is lost, since this VM may be the cause. The
+// target counts as lost only when no live owner is left that can read it. The statement
+// isn't needed until each owner before this one has stated the same, or has had rankDelay
+// to do so. Until then the target isn't lost, and most targets that one owner can't reach
+// can be reached by the others.
+func (ts *targetState) reportUnreadable(base facts.Health, order ownerOrder, t timing, now time.Time) (facts.Health, bool) {
+	// This owner has already stated it, or the owners before it still have time to.
+	if slices.Contains(base.UnreadableBy, order.place) || !due(ts.failingSince, rank(base, order), t, now) {
 		return facts.Health{}, false
 	}
-	next := nextStatement(base, pos, now)
-	next.UnreadableBy = append(next.UnreadableBy, pos.place)
+	next := nextStatement(base, order, now)
+	next.UnreadableBy = append(next.UnreadableBy, order.place)
 	slices.Sort(next.UnreadableBy)
 	return next, true
 }
 
-func (ts *targetState) handleStatus(name string, r readResult, pos standing, t timing, now time.Time) (facts.Health, bool) {
+// handleStatus is handleRead for a successful read. A statement is published if the
+// status differs from the known statement and it is this owner's turn, or if the known
+// statement says that this owner can't read the target.
+func (ts *targetState) handleStatus(name string, r readResult, order ownerOrder, t timing, now time.Time) (facts.Health, bool) {
 	content := encode(*r.status)
 	if r.base.Drained && r.base.Incarnation == content.Incarnation {
 		content.State, content.Drained = facts.Draining, true // a drain is final
 	}
-	known := r.base.Target != ""
-	unread := slices.Contains(r.base.UnreadableBy, pos.place)
+	known := r.base.Target != "" // there is a statement about the target
+	unread := slices.Contains(r.base.UnreadableBy, order.place)
+	// The known statement is correct, also about this owner.
 	if known && !unread && r.base.SameContent(content) {
 		ts.differsSince = time.Time{}
 		return facts.Health{}, false
@@ -129,14 +143,15 @@
 		ts.differsSince = now
 	}
 	// Only this owner can revoke its statement that it can't read the target.
-	if !unread && !due(ts.differsSince, rank(r.base, pos), t, now) {
+	if !unread && !due(ts.differsSince, rank(r.base, order), t, now) {
 		return facts.Health{}, false
 	}
 	ts.differsSince = time.Time{}
-	next := nextStatement(r.base, pos, r.began)
+	next := nextStatement(r.base, order, r.began)
 	next.State, next.Drained, next.Opaque = content.State, content.Drained, content.Opaque
 	next.Maps, next.Leaves = content.Maps, content.Leaves
-	next.UnreadableBy = slices.DeleteFunc(next.UnreadableBy, func(p int) bool { return p == pos.place })
+	next.UnreadableBy = slices.DeleteFunc(next.UnreadableBy, func(p int) bool { return p == order.place })
+	// The first statement about this incarnation has a new stamp.
 	if !known || r.base.Incarnation != content.Incarnation {
 		next.Target = name
 		next.UnreadableBy = nil
@@ -148,23 +163,25 @@
 	return next, true
 }
 
-// nextStatement returns a copy of base as the next statement about the same
-// incarnation. Of the owners that can't read the target it keeps only live ones, which
+// nextStatement returns a copy of the statement base with the stamp of the next statement
+// about the same incarnation. read is the time of the read that the new statement is
+// based on. Of the owners that can't read the target, only live ones are kept, which
 // bounds their number.
-func nextStatement(base facts.Health, pos standing, read time.Time) facts.Health {
+func nextStatement(base facts.Health, order ownerOrder, read time.Time) facts.Health {
 	next := base
 	next.Seq++
 	next.At = read.UnixMilli()
-	next.UnreadableBy = slices.DeleteFunc(slices.Clone(base.UnreadableBy), func(p int) bool { return !slices.Contains(pos.owners, p) })
+	next.UnreadableBy = slices.DeleteFunc(slices.Clone(base.UnreadableBy), func(p int) bool { return !slices.Contains(order.owners, p) })
 	return next
 }
 
-// rank returns the number of live owners that come before this one and that, as far
-// as h states, can read the target.
-func rank(h facts.Health, pos standing) int {
+// rank returns how many live owners this one has to wait for before it publishes: those
+// that come before it in the order and that, as far as the statement h says, can read the
+// target.
+func rank(h facts.Health, order ownerOrder) int {
 	n := 0
-	for _, place := range pos.owners {
-		if place == pos.place {
+	for _, place := range order.owners {
+		if place == order.place {
 			break
 		}
 		if !slices.Contains(h.UnreadableBy, place) {
@@ -174,14 +191,15 @@
 	return n
 }
 
-// due reports whether an owner of that rank has waited long enough to publish what it
-// has found since the given time.
+// due reports whether an owner may publish now what it has found since the given time. It
+// has to wait rankDelay for each owner before it, of which rank is the number.
 func due(since time.Time, rank int, t timing, now time.Time) bool {
 	return now.Sub(since) >= time.Duration(rank)*t.rankDelay()
 }
 
-// lost reports whether a target counts as lost: it has live owners, and none of them
-// can read it.
+// lost reports whether a target counts as lost: it has live owners, and the statement h
+// says of each that it can't read the target. owners holds their places, numbers that VMs
+// claim so that no two VMs hold the same one.
 func lost(h facts.Health, owners []int) bool {
 	for _, place := range owners {
 		if !slices.Contains(h.UnreadableBy, place) {
--- a/peer/health/speaker_test.go
+++ b/peer/health/speaker_test.go
@@ -63,8 +63,8 @@
 	}}}
 }
 
-func (w *world) standing(place int) standing {
-	s := standing{place: place}
+func (w *world) standing(place int) ownerOrder {
+	s := ownerOrder{place: place}
 	for _, o := range w.owners {
 		if !o.lost {
 			s.owners = append(s.owners, o.place)
