--- a/peer/route/hold.go
+++ b/peer/route/hold.go
@@ -10,26 +10,30 @@
 )
 
 const (
-	// placeTimeout bounds all requests to the platform in one check of the place.
+	// placeTimeout bounds the time of all requests to the platform, where places are
+	// claimed, in one call of updatePlace or releasePlace.
 	placeTimeout = 5 * time.Second
-	// placeInterval is the interval at which maintainPlace checks whether a place is
-	// needed and tries to acquire one.
-	placeInterval = time.Second
-	// frozenAfter is the time since the last check after which the process is assumed
-	// to have been frozen. Another VM may have acquired its place in the meantime.
+	// placeCheckInterval is the interval at which maintainPlace checks whether this VM
+	// needs a place, and tries to acquire one if it needs one and has none.
+	placeCheckInterval = time.Second
+	// frozenAfter is the time since the last such check after which the process is
+	// assumed to have been frozen. Another VM may have acquired its place in the meantime.
 	frozenAfter = 5 * time.Second
 )
 
-// heldPlace is the place that this process has claimed.
+// heldPlace is the place that this process has claimed: a number that no other VM holds
+// and that decides to which targets this VM owns connections.
 type heldPlace struct {
-	held       *place.Held // nil if none
-	unverified bool        // another VM may have acquired the place
+	held       *place.Held // the claim; nil if this process has no place
+	unverified bool        // another VM may have acquired the place; the platform has to be asked
 }
 
-// maintainPlace acquires a place as soon as some target doesn't accept connections of
-// all VMs, and releases it when the router stops.
+// maintainPlace acquires a place for this VM as soon as some target doesn't accept
+// connections of all VMs, and keeps checking it. It releases the place when the router
+// stops. A place is a number that no other VM holds; it decides to which targets this VM
+// owns connections.
 func (r *Router) maintainPlace() error {
-	ticker := time.NewTicker(placeInterval)
+	ticker := time.NewTicker(placeCheckInterval)
 	defer ticker.Stop()
 	var h heldPlace
 	last := time.Now()
@@ -49,13 +53,16 @@
 	}
 }
 
-// updatePlace verifies, releases or acquires the place as needed. It returns the new
-// state.
+// updatePlace does what is needed for this VM's place, and returns the new state. It asks
+// the platform whether an unverified place is still this VM's. It releases a place that
+// the bundle in force no longer has. It acquires a place if one is needed and there is
+// none.
 func (r *Router) updatePlace(h heldPlace) heldPlace {
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), placeTimeout)
 	defer cancel()
 	if h.held != nil && h.unverified {
-		// Connections to shared targets are closed until the platform has answered.
+		// Connections to targets that not every VM connects to are closed until the
+		// platform has answered.
 		r.setPlace(noPlace)
 		lost, err := h.held.Lost(ctx)
 		if err != nil {
@@ -66,15 +73,15 @@
 		}
 	}
 	r.mu.Lock()
-	places, needed := r.places, r.shared
+	placeCount, needed := r.placeCount, r.hasSharedTargets
 	r.mu.Unlock()
-	if h.held != nil && h.held.Place >= places {
+	if h.held != nil && h.held.Place >= placeCount {
 		r.setPlace(noPlace)
 		r.releasePlace(h.held)
 		h.held = nil
 	}
 	if h.held == nil && needed {
-		h.held = r.acquirePlace(ctx, places)
+		h.held = r.acquirePlace(ctx, placeCount)
 	}
 	if h.held != nil {
 		r.setPlace(h.held.Place)
@@ -82,9 +89,10 @@
 	return heldPlace{held: h.held}
 }
 
-// acquirePlace claims a place. It returns nil if none can be acquired now.
-func (r *Router) acquirePlace(ctx context.Context, places int) *place.Held {
-	held, err := place.Acquire(ctx, r.opts.Place, places)
+// acquirePlace claims one of the places 0 to placeCount-1. It returns nil if none can be
+// acquired now.
+func (r *Router) acquirePlace(ctx context.Context, placeCount int) *place.Held {
+	held, err := place.Acquire(ctx, r.opts.Place, placeCount)
 	if err != nil {
 		r.opts.Log.Debug("no place acquired", "error", errors.Cause(err))
 		return nil
@@ -93,20 +101,20 @@
 	return held
 }
 
-// setPlace publishes this VM's place and recomputes its connections. The place is
-// noPlace if it has none.
+// setPlace publishes this VM's place to the other VMs, and recomputes how many connections
+// this VM may hold to each target. newPlace is noPlace if it holds no place.
 func (r *Router) setPlace(newPlace int) {
 	r.fleet.SetPlace(newPlace)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.place != newPlace {
-		r.place = newPlace
+	if r.ownPlace != newPlace {
+		r.ownPlace = newPlace
 		r.assignConnections()
 	}
 }
 
-// releasePlace releases a place if held isn't nil. It doesn't use the context of the
-// tomb, which has ended when the router stops.
+// releasePlace releases the claim to a place on the platform, unless held is nil. It
+// doesn't use the context of the tomb, which has ended when the router stops.
 func (r *Router) releasePlace(held *place.Held) {
 	if held == nil {
 		return
--- a/peer/route/metrics.go
+++ b/peer/route/metrics.go
@@ -6,17 +6,18 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
+// newMetrics creates the router's metrics.
 func (r *Router) newMetrics() {
 	r.metrics = metrics.NewSet()
-	r.direct = r.metrics.NewCounter(`bramley_route_calls_total{path="direct"}`)
-	r.viaOwner = r.metrics.NewCounter(`bramley_route_calls_total{path="owner"}`)
+	r.directCalls = r.metrics.NewCounter(`bramley_route_calls_total{path="direct"}`)
+	r.ownerCalls = r.metrics.NewCounter(`bramley_route_calls_total{path="owner"}`)
 	for d, name := range []string{sameZone: "zone", sameRegion: "region", elsewhere: "elsewhere"} {
-		r.byDistance[d] = r.metrics.NewCounter(`bramley_route_owner_calls_total{within="` + name + `"}`)
+		r.ownerCallsByDistance[d] = r.metrics.NewCounter(`bramley_route_owner_calls_total{within="` + name + `"}`)
 	}
 	r.metrics.NewGauge(`bramley_route_place`, func() float64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return float64(r.place)
+		return float64(r.ownPlace)
 	})
 	r.metrics.NewGauge(`bramley_route_owner_connections`, func() float64 {
 		r.mu.Lock()
--- a/peer/route/order.go
+++ b/peer/route/order.go
@@ -13,18 +13,20 @@
 type distance int
 
 const (
-	sameZone distance = iota
-	sameRegion
-	elsewhere
+	sameZone   distance = iota // in this VM's availability zone
+	sameRegion                 // in another zone of this VM's region
+	elsewhere                  // in another region, or in a zone without a known region
 )
 
-// topology determines distances from one availability zone. A zone that the bundle
+// topology determines distances from this VM's availability zone. A zone that the bundle
 // doesn't list belongs to no region.
 type topology struct {
 	local   string            // the availability zone of this VM
-	regions map[string]string // by zone
+	regions map[string]string // the region of each availability zone of the bundle
 }
 
+// distance returns the distance from this VM to a VM in the given availability zone.
+
 func (z topology) distance(zone string) distance {
 	region := z.regions[z.local]
 	switch {
@@ -41,13 +43,14 @@
 type candidate struct {
 	vm         objstore.VM
 	distance   distance
-	inCooldown bool   // refused a call, was unreachable or didn't answer a short time ago
-	weight     uint64 // spreads VMs over owners that are otherwise equal
+	inCooldown bool   // other owners are tried first: it refused a call, could not be reached or didn't answer a short time ago
+	weight     uint64 // the greatest is tried first of otherwise equal owners; differs between the calling VMs, which spreads them over the owners
 }
 
-// rendezvousWeight returns the weight of an owner by rendezvous hashing. It gives each
-// VM its own order of the owners of each target. When an owner is lost, different VMs
-// replace it by different owners, so that its load is spread.
+// rendezvousWeight returns the weight of an owner of a target for the VM named self, by
+// rendezvous hashing. The weights give each VM its own order of the owners of each
+// target. When an owner is lost, different VMs replace it by different owners, so that
+// its load is spread.
 func rendezvousWeight(self, target, owner string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -59,8 +62,8 @@
 	return d.Sum64()
 }
 
-// compareLast compares two candidates of which only one should be tried last: the
-// first of the two if aLast is set, otherwise the second.
+// compareLast returns the result of a comparison of two candidates, a and b, of which one
+// has to be tried after the other. That is a if aLast is set, otherwise b.
 func compareLast(aLast bool) int {
 	if aLast {
 		return 1
--- a/peer/route/owner_conn.go
+++ b/peer/route/owner_conn.go
@@ -13,40 +13,49 @@
 )
 
 const (
+	// dialTimeout bounds one dial of an owner.
 	dialTimeout = time.Second
-	// redialDelay is the minimum time between a failed dial of an owner and the next.
+	// redialDelay is the minimum time between a failed dial of an owner and the next one
+	// of the same owner.
 	redialDelay = 500 * time.Millisecond
 
-	// slowDialAfter is the duration of a dial after which calls try other owners first.
+	// slowDialAfter is the time since the start of a dial of an owner after which calls
+	// try the other owners first, if the dial is still in progress.
 	slowDialAfter = 50 * time.Millisecond
 
+	// defaultIdleAfter is the default of Options.IdleAfter: how long a connection to an
+	// owner stays open without a call.
 	defaultIdleAfter = 5 * time.Second
-	// idleChecks is the number of checks for idle connections within IdleAfter.
+	// idleChecks is the number of checks for idle connections to owners within
+	// Options.IdleAfter.
 	idleChecks = 5
 )
 
+// errClosed is the error of a call through an owner after the connection to the owner was
+// closed, as when the router stops.
 var errClosed = errors.New("route: the router has stopped")
 
-// ownerConn is the connection to one owner. Its dial doesn't use the context of any
-// call: a call that is cancelled, like the slower one of two hedged calls, neither ends
-// a dial that other calls wait for nor marks the owner as unreachable.
+// ownerConn is the connection to one owner, a VM that has connections to targets which
+// this VM calls through it. Its dial doesn't use the context of any call. So a call that
+// is cancelled, like the slower one of two hedged calls, neither ends a dial that other
+// calls wait for nor marks the owner as unreachable.
 type ownerConn struct {
-	dial func(context.Context) (*hop.Caller, error)
+	dial func(context.Context) (*hop.Caller, error) // connects to the owner
 
-	mu          sync.Mutex // guards the fields below; locked after Router.mu
-	users       int        // calls that use the connection or wait for it
-	lastUsed    time.Time  // when a call last ended
-	health      ownerHealth
-	caller      *hop.Caller
+	mu          sync.Mutex    // guards the fields below; locked after Router.mu
+	users       int           // number of calls that use the connection or wait for it
+	lastUsed    time.Time     // when a call last ended
+	health      ownerHealth   // decides whether other owners are tried first
+	caller      *hop.Caller   // the result of the last dial; nil if it failed or none has ended
 	dialing     chan struct{} // closed when the current dial has ended; nil without a dial
 	dialStarted time.Time     // start of the last dial
 	dialFailed  time.Time     // end of the last dial that failed
-	dialErr     error         // of the last dial
-	closed      bool
+	dialErr     error         // of the last dial; nil if it succeeded
+	closed      bool          // close was called
 }
 
-// get returns the connection and dials the owner if there is none. It waits for a dial
-// until ctx ends.
+// get returns the connection to the owner. It dials the owner if there is none, and waits
+// for the dial until ctx ends.
 func (c *ownerConn) get(ctx context.Context) (*hop.Caller, error) {
 	for {
 		caller, dialing, err := c.callerOrDial()
@@ -63,9 +72,10 @@
 	}
 }
 
-// callerOrDial returns the connection, or a channel that is closed when the current
-// dial has ended, or an error. It starts a dial if there is none and none failed within
-// redialDelay.
+// callerOrDial returns the connection to the owner if it is open. Otherwise it starts a
+// dial unless one is in progress, and returns a channel that is closed when the dial has
+// ended. If the last dial failed less than redialDelay ago, it returns the error of that
+// dial in place of a new one.
 func (c *ownerConn) callerOrDial() (*hop.Caller, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +105,8 @@
 	}
 }
 
-// open dials the owner once, for all calls that wait.
+// open dials the owner once, for all calls that wait for the connection, and records the
+// result.
 func (c *ownerConn) open() {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -126,14 +137,14 @@
 	}
 }
 
-// acquire counts a call that uses the connection.
+// acquire counts one more call that uses the connection, so that it isn't closed as idle.
 func (c *ownerConn) acquire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.users++
 }
 
-// release ends the use of the connection by a call.
+// release counts one call less that uses the connection.
 func (c *ownerConn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +152,8 @@
 	c.lastUsed = time.Now()
 }
 
-// idle reports whether no call uses the connection or has used it within idleAfter.
+// idle reports whether the connection can be closed as idle: no call uses it or has used
+// it within idleAfter, and no dial is in progress.
 func (c *ownerConn) idle(now time.Time, idleAfter time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,10 +166,11 @@
 	conn *ownerConn
 }
 
+// release ends the use of the connection.
 func (l lease) release() { l.conn.release() }
 
-// call makes a call to the named target, records its outcome in the owner's health and
-// releases the lease.
+// call makes a call to the named target through the owner by calling f. It records the
+// outcome in the owner's health and releases the lease.
 func (l lease) call(ctx context.Context, name string, f func(hop.Leaves) error) error {
 	defer l.release()
 	start := time.Now()
@@ -168,14 +181,16 @@
 	return err
 }
 
+// updateHealth applies event to the owner's health while c.mu is held.
 func (c *ownerConn) updateHealth(event func(*ownerHealth)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	event(&c.health)
 }
 
-// inCooldown reports whether other owners of a target should be tried first. A dial
-// takes milliseconds, or up to dialTimeout if the owner doesn't answer.
+// inCooldown reports whether other owners of a target should be tried before this one:
+// the owner's health says so, or its dial is slow. A dial takes milliseconds, or up to
+// dialTimeout if the owner doesn't answer.
 func (c *ownerConn) inCooldown(target string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/peer/route/owner_health.go
+++ b/peer/route/owner_health.go
@@ -8,34 +8,40 @@
 )
 
 const (
-	// cooldownTime is how long other owners are tried before an owner that didn't answer
-	// or could not be reached. An owner that isn't called can't show that it has
-	// recovered, so the cooldown ends after a fixed time.
-	cooldownTime = 2 * time.Second
-	// An owner with calls in flight counts as silent if no answer has arrived for
-	// longer than minSilence and silenceFactor times the mean latency.
+	// unreachableCooldown is the length of the cooldown of an owner that could not be
+	// reached or didn't answer. During the cooldown of an owner, calls try the other owners
+	// first. An owner that isn't called can't show that it has recovered, so the cooldown
+	// ends after a fixed time.
+	unreachableCooldown = 2 * time.Second
+	// minSilence and silenceFactor say when an owner with calls in flight counts as silent:
+	// if no answer has arrived from it for longer than minSilence, and for longer than
+	// silenceFactor times the mean time until its answers.
 	minSilence    = 20 * time.Millisecond
 	silenceFactor = 4
-	// maxUnanswered is the number of consecutive calls without an answer that puts an
-	// owner into cooldown.
+	// maxUnanswered is the number of consecutive calls through an owner without an answer
+	// after which the owner's cooldown starts.
 	maxUnanswered = 3
-	// The bounds on a cooldown after a refusal.
+	// minRefusalCooldown and maxRefusalCooldown bound the cooldown of an owner for one
+	// target after it has refused a call to that target. Between them it is the time that
+	// the refusal asks to wait before a retry.
 	minRefusalCooldown = 100 * time.Millisecond
 	maxRefusalCooldown = time.Second
-	// meanWeight is the divisor of the moving average: each new latency changes the
-	// average by its difference from it divided by meanWeight.
-	meanWeight = 8
+	// meanLatencyDivisor determines how fast the moving average of an owner's latencies
+	// follows new ones: a new latency changes the average by the difference between the
+	// two, divided by meanLatencyDivisor.
+	meanLatencyDivisor = 8
 )
 
-// ownerHealth tracks the health of one owner from the calls that go through it. A frozen
-// owner counts as live for seconds, until the exchange detects it. Without ownerHealth,
-// each call to it in that time would be lost or cost a hedge. ownerHealth isn't safe for
-// concurrent use; it has no side effects and takes the time as a parameter.
+// ownerHealth tracks the health of one owner, a VM through which this one calls targets,
+// from the calls that go through it. A frozen owner counts as live for seconds, until the
+// exchange detects it. Without ownerHealth, each call to it in that time would be lost or
+// cost a hedge. ownerHealth isn't safe for concurrent use. It has no side effects and
+// takes the time as a parameter.
 type ownerHealth struct {
-	inFlight      int                  // calls in flight
+	inFlight      int                  // number of calls in flight
 	waitingSince  time.Time            // time of the last answer, or start of the first call after it
 	meanLatency   time.Duration        // moving average of the time until an answer
-	unanswered    int                  // calls that ended without an answer since the last answer
+	unanswered    int                  // number of calls that ended without an answer since the last answer or the start of the last cooldown
 	cooldownUntil time.Time            // end of the cooldown for all targets
 	refusedUntil  map[string]time.Time // end of the cooldown after a refusal, by target
 }
@@ -48,12 +54,13 @@
 	h.inFlight++
 }
 
-// answered records an answer of any kind, including a refusal by the target.
+// answered records an answer of any kind, including a refusal by the target. took is the
+// time from the start of the call to the answer.
 func (h *ownerHealth) answered(took time.Duration, now time.Time) {
 	h.inFlight--
 	h.waitingSince = now
 	h.unanswered = 0
-	h.meanLatency += (took - h.meanLatency) / meanWeight
+	h.meanLatency += (took - h.meanLatency) / meanLatencyDivisor
 }
 
 // abandoned records a call that was cancelled or timed out without an answer. It starts
@@ -67,8 +74,10 @@
 	}
 }
 
-// record records the outcome of a call to the named target, which took the given time.
-// connEnded says that the connection to the owner has ended.
+// record records the outcome of a call to the named target: err, after the time took. ctx
+// is the context of the call. connEnded says that the connection to the owner has ended.
+// An error counts as an answer of the owner only if neither ctx nor the connection has
+// ended.
 func (h *ownerHealth) record(ctx context.Context, name string, err error, connEnded bool, took time.Duration, now time.Time) {
 	call, _ := err.(*target.CallError)
 	switch {
@@ -83,6 +92,7 @@
 	if call == nil {
 		return
 	}
+	// The owner itself is at its limit, or no slot of the leaf was free in time.
 	if call.Kind == target.ErrorBusy || call.Kind == target.ErrorRefused && call.Reason == target.ReasonShed {
 		h.markRefused(name, call.RetryAfter, now)
 	}
@@ -91,14 +101,15 @@
 // connectionLost records a call whose connection ended before the answer.
 func (h *ownerHealth) connectionLost() { h.inFlight-- }
 
-// markUnreachable starts a cooldown for all targets.
+// markUnreachable starts a cooldown of the owner for all targets.
 func (h *ownerHealth) markUnreachable(now time.Time) {
-	h.cooldownUntil = now.Add(cooldownTime)
+	h.cooldownUntil = now.Add(unreachableCooldown)
 	h.unanswered = 0
 }
 
-// markRefused starts a cooldown for one target after a refusal because no slot was
-// free. Other targets of the owner may have free slots.
+// markRefused starts a cooldown of the owner for one target after it has refused a call
+// because no slot was free. Other targets of the owner may have free slots. retryAfter is
+// the time that the refusal asks to wait.
 func (h *ownerHealth) markRefused(name string, retryAfter time.Duration, now time.Time) {
 	if h.refusedUntil == nil {
 		h.refusedUntil = map[string]time.Time{}
@@ -106,7 +117,8 @@
 	h.refusedUntil[name] = now.Add(min(max(retryAfter, minRefusalCooldown), maxRefusalCooldown))
 }
 
-// silent reports whether calls have been waiting for an answer for unusually long.
+// silent reports whether calls are in flight and no answer has arrived from the owner for
+// unusually long.
 func (h *ownerHealth) silent(now time.Time) bool {
 	return h.inFlight > 0 && now.Sub(h.waitingSince) > max(minSilence, silenceFactor*h.meanLatency)
 }
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -1,7 +1,8 @@
 // Package route calls each target either over this VM's own connections or through
-// another VM that owns connections to it. Where the connection limits of the targets
-// allow every VM to own connections, all calls are direct and the package costs one map
-// lookup.
+// another VM that owns connections to it. Which VMs own connections to a target follows
+// from their places: a place is a number that a VM claims so that no other VM holds it.
+// Where the connection limits of the targets allow every VM to own connections, all
+// calls are direct and the package costs one map lookup.
 package route
 
 import (
@@ -29,9 +30,10 @@
 // concurrent use. peer.Exchange implements it.
 type Fleet interface {
 	// Places returns the live VMs, including leaving ones, by the places that they
-	// hold. The map must not be changed.
+	// hold. A place is a number from 0, held by at most one VM, that decides to which
+	// targets its VM owns connections. The map must not be changed.
 	Places() map[int]objstore.VM
-	// SetPlace publishes the place of this VM; a negative number means none.
+	// SetPlace publishes the place of this VM; a negative number means that it holds none.
 	SetPlace(place int)
 	// Ended reports whether an incarnation of a VM is known to have ended or to have been
 	// replaced.
@@ -43,7 +45,7 @@
 // Options configure a Router. All but Log and IdleAfter are required.
 type Options struct {
 	Local hop.Leaves    // calls targets over this VM's own connections
-	Place place.Options // Start sets Ended from the fleet
+	Place place.Options // how this VM claims a place; Start sets Ended from the fleet
 	Zone  string        // the VM's availability zone
 	Log   *slog.Logger
 	// IdleAfter is how long a connection to an owner stays open without a call;
@@ -51,46 +53,52 @@
 	IdleAfter time.Duration
 }
 
-// Router calls the leaves of targets. It is safe for concurrent use.
+// Router calls the leaves of targets, over this VM's own connections or through the VMs
+// that own connections to them. Which VMs these are follows from their places: a place
+// is a number that a VM claims so that no other VM holds it. Router is safe for
+// concurrent use.
 type Router struct {
 	opts  Options
-	owner *hop.Owner
-	fleet Fleet
+	owner *hop.Owner // serves calls of other VMs to the targets that this VM owns connections to
+	fleet Fleet      // set by Start
 	tomb  tomb.Tomb
 	wake  chan struct{} // signals maintainPlace that the bundle changed; buffers one signal
 
-	metrics          *metrics.Set
-	direct, viaOwner *metrics.Counter
-	byDistance       [elsewhere + 1]*metrics.Counter
+	metrics                 *metrics.Set
+	directCalls, ownerCalls *metrics.Counter                // calls over this VM's own connections, and through owners
+	ownerCallsByDistance    [elsewhere + 1]*metrics.Counter // attempts through owners, by the owner's distance
 
-	mu         sync.Mutex              // guards the fields below
-	targets    map[string]*targetRoute // by name
-	ownerCache map[ownerCacheKey][]int // owners' places, kept across bundles because hashing all places is slow
-	places     int                     // of the fleet, from the bundle
-	shared     bool                    // some target has fewer owners than the fleet has places
-	topology   topology
-	place      int                   // of this VM; noPlace if none
-	changed    chan struct{}         // see Changed
-	ownerConns map[string]*ownerConn // by address
+	mu               sync.Mutex              // guards the fields below
+	targets          map[string]*targetRoute // the targets of the bundle in force, by name
+	ownerCache       map[ownerCacheKey][]int // places of the owners of targets, kept across bundles because hashing all places is slow
+	placeCount       int                     // number of places of the fleet, from the bundle in force
+	hasSharedTargets bool                    // some target has fewer owners than the fleet has places, so this VM needs a place
+	topology         topology                // the distances of other VMs
+	ownPlace         int                     // the place that this VM holds; noPlace if it holds none
+	changed          chan struct{}           // closed and replaced when connections are reassigned; see Changed
+	ownerConns       map[string]*ownerConn   // the connections to owners, by address of the owner's VM
 }
 
+// noPlace stands for the place of a VM that holds none. Such a VM owns connections only to
+// the targets that accept connections of every VM.
 const noPlace = -1
 
-// targetRoute states how one target is called.
+// targetRoute states how this VM calls one target.
 type targetRoute struct {
-	plan        share.Plan
-	slots       int
-	leaves      int
-	owners      []int // places of the owners; nil if every VM is one
-	connections int   // that this VM may hold
+	plan        share.Plan // how the target's connections are divided among the VMs
+	slots       int        // calls that each leaf of the target runs at once
+	leaves      int        // number of leaves of the target
+	owners      []int      // places of the VMs that own connections to the target; nil if every VM does
+	connections int        // connections to the target that this VM may hold; 0 if it isn't an owner
 }
 
+// ownerCacheKey has all that the places of a target's owners depend on.
 type ownerCacheKey struct {
-	target         string
-	places, owners int
+	target                 string // name of the target
+	placeCount, ownerCount int    // numbers of places of the fleet and of owners of the target
 }
 
-// New returns a router without a bundle.
+// New returns a router without a bundle. Call Start before the first call to a target.
 func New(o Options) *Router {
 	if o.Log == nil {
 		o.Log = logging.Discard()
@@ -101,7 +109,7 @@
 		wake:       make(chan struct{}, 1),
 		targets:    map[string]*targetRoute{},
 		ownerCache: map[ownerCacheKey][]int{},
-		place:      noPlace,
+		ownPlace:   noPlace,
 		changed:    make(chan struct{}),
 		ownerConns: map[string]*ownerConn{},
 	}
@@ -110,13 +118,17 @@
 	return r
 }
 
-// Handle serves the calls of other VMs; it is a wire.Handler.
+// Handle serves the calls of other VMs to targets that this VM owns connections to. It is
+// a wire.Handler.
 func (r *Router) Handle(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
 	return r.owner.Handle(ctx, conn, method, params)
 }
 
-// Start acquires and maintains a place if one is needed, and closes idle connections to
-// owners. It must be called once, before the first call to a target.
+// Start starts the background work of the router. It acquires and maintains a place for
+// this VM if some target doesn't accept connections of all VMs. A place is a number that
+// no other VM holds; it decides to which of these targets this VM owns connections. Start
+// also has idle connections to owners closed. It must be called once, before the first
+// call to a target.
 func (r *Router) Start(fleet Fleet) {
 	r.fleet = fleet
 	r.opts.Place.Ended = fleet.Ended
@@ -124,12 +136,14 @@
 	r.tomb.Go(r.closeIdle)
 }
 
-// Drain refuses further calls of other VMs and waits until none of their calls through
-// this VM is in flight, or ctx ends. In the latter case it returns the error of ctx.
+// Drain refuses further calls of other VMs and waits until all their calls through this VM
+// have been answered, or until ctx ends. In the latter case it returns the error of ctx.
 func (r *Router) Drain(ctx context.Context) error { return r.owner.Drain(ctx) }
 
-// Stop releases the place and closes the connections to owners. The connections to
-// targets must already be closed: another VM may acquire the place immediately.
+// Stop stops the router. It releases this VM's place, the number by which this VM owns
+// connections to targets, and closes the connections to owners. This VM's connections to
+// targets must already be closed: another VM may acquire the place immediately and open
+// its own.
 func (r *Router) Stop() error {
 	r.tomb.Kill(nil)
 	err := r.tomb.Wait()
@@ -143,25 +157,27 @@
 	return err
 }
 
-// Apply puts the targets, zones and fleet size of a bundle in force.
+// Apply puts the targets, the availability zones and the number of places of a bundle in
+// force. A place is a number that decides to which targets the VM that holds it owns
+// connections.
 func (r *Router) Apply(b *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.places = b.Fleet.MaxVMs
+	r.placeCount = b.Fleet.MaxVMs
 	r.topology = topology{local: r.opts.Zone, regions: map[string]string{}}
 	for _, z := range b.Zones {
 		r.topology.regions[z.Name] = z.Region
 	}
-	r.shared = false
+	r.hasSharedTargets = false
 	r.targets = map[string]*targetRoute{}
 	kept := map[ownerCacheKey][]int{}
 	for i := range b.Services {
 		for j := range b.Services[i].Targets {
 			t := &b.Services[i].Targets[j]
-			plan := share.NewPlan(t.Connections, r.places)
+			plan := share.NewPlan(t.Connections, r.placeCount)
 			rt := &targetRoute{plan: plan, slots: t.Slots, leaves: t.Leaves}
 			if !plan.Direct() {
-				r.shared = true
+				r.hasSharedTargets = true
 				key := ownerCacheKey{t.Name, plan.Places, plan.Owners}
 				rt.owners = r.ownerPlaces(key, plan)
 				kept[key] = rt.owners
@@ -177,8 +193,9 @@
 	}
 }
 
-// ownerPlaces returns the places of a target's owners, from the cache if possible. The
-// caller must hold mu.
+// ownerPlaces returns the places of the VMs that own connections to a target, from the
+// cache if possible. plan is the division of the target's connections. The caller must
+// hold mu.
 func (r *Router) ownerPlaces(key ownerCacheKey, plan share.Plan) []int {
 	if places, known := r.ownerCache[key]; known {
 		return places
@@ -187,7 +204,9 @@
 }
 
 // assignConnections computes how many connections this VM may hold to each target, and
-// signals the change. The caller must hold mu.
+// signals the change to the receivers of Changed. This VM owns connections to a target if
+// every VM does, or if its place is among those of the target's owners. The caller must
+// hold mu.
 func (r *Router) assignConnections() {
 	for _, rt := range r.targets {
 		rt.connections = 0
@@ -196,7 +215,7 @@
 			continue
 		}
 		for _, owner := range rt.owners {
-			if owner == r.place {
+			if owner == r.ownPlace {
 				rt.connections = rt.plan.PerOwner
 			}
 		}
@@ -223,8 +242,9 @@
 	return r.changed
 }
 
-// slots returns the number of slots of a leaf if this VM owns connections to its target,
-// and false otherwise.
+// slots returns the number of slots of a leaf, the calls that it runs at once, and true if
+// this VM owns connections to the named target and the target has that leaf. It returns
+// false otherwise.
 func (r *Router) slots(name string, leaf int) (int, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -245,7 +265,7 @@
 }
 
 // Submit sends a non-idempotent request to one leaf, once. The error is a
-// *target.CallError; unless its NotStarted is set, the request may have been executed.
+// *target.CallError. Unless its NotStarted is set, the request may have been executed.
 func (r *Router) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (a target.SubmitAnswer, err error) {
 	err = r.callTarget(ctx, name, func(l hop.Leaves) (err error) {
 		a, err = l.Submit(ctx, name, leaf, req)
@@ -263,17 +283,18 @@
 	return s, err
 }
 
-// callTarget makes a call over this VM's own connections, or through the target's
-// owners, one after another. It tries another owner only if the call is certain not to
-// have been started and the failure concerns the owner and not the target. It doesn't
-// repeat a call that may have been started.
+// callTarget makes a call to the named target over this VM's own connections, or through
+// the target's owners. call makes the call with the Leaves that it is given. Owners are
+// tried one after another: after a failure, callTarget tries the next owner only if the
+// call is certain not to have been started and the failure concerns the owner and not the
+// target. It doesn't repeat a call that may have been started.
 func (r *Router) callTarget(ctx context.Context, name string, call func(hop.Leaves) error) error {
 	owners, local := r.resolve(name)
 	if local != nil {
-		r.direct.Inc()
+		r.directCalls.Inc()
 		return call(local)
 	}
-	r.viaOwner.Inc()
+	r.ownerCalls.Inc()
 	var lastErr error = &target.CallError{Kind: target.ErrorUnreachable, Target: name, NotStarted: true}
 	for _, c := range owners {
 		owner, err := r.acquireConn(ctx, c.vm)
@@ -284,7 +305,7 @@
 			r.opts.Log.Debug("connection to owner failed", "vm", c.vm.Name, "target", name, "error", err)
 			continue
 		}
-		r.byDistance[c.distance].Inc()
+		r.ownerCallsByDistance[c.distance].Inc()
 		lastErr = owner.call(ctx, name, call)
 		if !tryNextOwner(lastErr) {
 			return lastErr
@@ -293,17 +314,19 @@
 	return lastErr
 }
 
-// tryNextOwner reports whether a call that failed with err can be repeated through
-// another owner.
+// tryNextOwner reports whether a call through an owner that ended with err can be made
+// again through another owner. It can if it was not started and this owner could not be
+// reached, takes no calls to the target (any more), or lost its connection.
 func tryNextOwner(err error) bool {
 	call, ok := err.(*target.CallError)
 	return ok && call.NotStarted &&
 		(call.Kind == target.ErrorUnreachable || call.Kind == target.ErrorUnknownTarget || call.Kind == target.ErrorBroken)
 }
 
-// resolve returns the live owners of a target in the order in which this VM tries them,
-// or the Leaves that call it over this VM's own connections. A target that isn't in the
-// bundle is called directly.
+// resolve decides how the named target is called. If this VM has connections to it, or if
+// the bundle in force doesn't have the target, local is set: the Leaves that call it over
+// this VM's own connections. Otherwise owners has the live owners of the target in the
+// order in which this VM tries them.
 func (r *Router) resolve(name string) (owners []candidate, local hop.Leaves) {
 	r.mu.Lock()
 	rt := r.targets[name]
@@ -328,8 +351,8 @@
 	return owners, nil
 }
 
-// newCandidate returns an owner of the named target as a candidate. The caller must hold
-// mu.
+// newCandidate returns the VM vm, an owner of the named target, as a candidate for the
+// next call. The caller must hold mu.
 func (r *Router) newCandidate(name string, vm objstore.VM, now time.Time) candidate {
 	conn := r.ownerConns[vm.Address]
 	return candidate{
--- a/peer/route/standing.go
+++ b/peer/route/standing.go
@@ -1,16 +1,19 @@
 package route
 
-// Ownership states which VMs own connections to a target.
+// Ownership states which VMs own connections to a target. VMs are given by their places:
+// a place is a number that a VM claims so that no other VM holds it.
 type Ownership struct {
-	// Shared is true if some VMs call the target through owners. If it is false, every
-	// VM has its own connections and the other fields aren't set.
+	// Shared is true if only some VMs, the owners, have connections to the target, and the
+	// others call it through them. If it is false, every VM has its own connections and
+	// the other fields aren't set.
 	Shared     bool
-	Owner      bool  // this VM owns connections
-	Place      int   // of this VM, or -1 if it holds none
+	Owner      bool  // this VM is one of the owners
+	Place      int   // the place that this VM holds, or -1 if it holds none
 	LiveOwners []int // places of the owners that are live and not leaving, in the order of preference
 }
 
-// Ownership returns the ownership of a target of the bundle in force.
+// Ownership returns the ownership of a target of the bundle in force. For a target that
+// isn't in the bundle, Shared is false.
 func (r *Router) Ownership(name string) Ownership {
 	r.mu.Lock()
 	rt := r.targets[name]
@@ -18,7 +21,7 @@
 		r.mu.Unlock()
 		return Ownership{}
 	}
-	s := Ownership{Shared: true, Owner: rt.connections > 0, Place: r.place}
+	s := Ownership{Shared: true, Owner: rt.connections > 0, Place: r.ownPlace}
 	owners := rt.owners
 	r.mu.Unlock()
 	vmByPlace := r.fleet.Places()
