--- a/peer/link.go
+++ b/peer/link.go
@@ -227,6 +227,7 @@
 	if l.goodbye || !x.tomb.Alive() {
 		return
 	}
+	// The peer is alive or leaving, and still the process that the link was opened to.
 	if m, known := x.table.Member(l.name); known && m.State <= facts.Leaving && m.Incarnation == l.conn.Peer().Incarnation {
 		x.dial(l.name, m.Address)
 	}
--- a/peer/live.go
+++ b/peer/live.go
@@ -37,6 +37,7 @@
 	}
 	leaving := leavingNames(listed)
 	for _, m := range members {
+		// A suspected VM counts as alive until it is lost.
 		if (m.State == facts.Alive || m.State == facts.Suspect) && !leaving[m.Name] {
 			live = append(live, memberVM(m))
 		}
--- a/peer/members.go
+++ b/peer/members.go
@@ -106,6 +106,7 @@
 // last suspicion of that VM. The caller must hold mu.
 func (x *Exchange) suspect(name string, now time.Time) {
 	m, known := x.table.Member(name)
+	// It is this VM itself, or already suspected or lost.
 	if name == x.self.Name || (known && m.State >= facts.Suspect) {
 		return
 	}
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -27,8 +27,8 @@
 // tellMessage carries new facts to a peer, and this VM's revision if that is to be
 // announced.
 type tellMessage struct {
-	Revision uint64 `json:"r,omitempty"` // of the sender's bundle in force; 0 if it isn't announced
-	factPayload
+	Revision    uint64 `json:"r,omitempty"` // of the sender's bundle in force; 0 if it isn't announced
+	factPayload        // at most maxFactsPerMessage facts
 }
 
 // syncRequest starts a comparison of two tables of facts. A root is one digest over all
@@ -58,9 +58,9 @@
 
 // diffAnswer carries the facts that the requesting VM doesn't have or has differently.
 type diffAnswer struct {
-	factPayload
-	Want []facts.Key `json:"w,omitempty"` // keys of the facts that the answering VM wants from the requesting one
-	More bool        `json:"m,omitempty"` // the answering VM has more facts than fit
+	factPayload             // at most maxDiffFacts facts
+	Want        []facts.Key `json:"w,omitempty"` // keys of the facts that the answering VM wants from the requesting one
+	More        bool        `json:"m,omitempty"` // the answering VM has more facts than fit
 }
 
 // headAnswer carries the signed head in force of the answering VM.
@@ -70,7 +70,7 @@
 
 // bundleRequest requests the bundle with a digest.
 type bundleRequest struct {
-	Digest string `json:"d"`
+	Digest string `json:"d"` // of the bundle's bytes
 }
 
 // bundleAnswer carries a bundle with its sign-offs.
