--- a/peer/facts/health.go
+++ b/peer/facts/health.go
@@ -111,7 +111,6 @@
 func (h Health) Size() int { return len(h.encoded()) }
 
 // encoded returns the statement as JSON.
-
 func (h Health) encoded() string {
 	data, _ := json.Marshal(h) // its types always marshal
 	return string(data)
@@ -139,6 +138,7 @@
 	}
 	for _, leaf := range h.Leaves {
 		for _, run := range leaf {
+			// The run has no shard, or its partition map isn't in the statement.
 			if len(run) <= HoldingRecords || run[HoldingMap] < 0 || run[HoldingMap] >= int64(len(h.Maps)) {
 				return false
 			}
--- a/peer/facts/table.go
+++ b/peer/facts/table.go
@@ -211,6 +211,7 @@
 func (t *Table) Root(section Section) uint64 {
 	var root uint64
 	for i, d := range t.buckets(section) {
+		// Each bucket has a factor and a summand of its own, so that the order counts.
 		root ^= d*uint64(2*i+1) + uint64(i)
 	}
 	return root
