--- a/peer/health/content.go
+++ b/peer/health/content.go
@@ -93,6 +93,7 @@
 	var list []facts.Holding
 	next := -1 // the shard that would continue the last run
 	for i, h := range sorted {
+		// A new run starts unless the shard follows the previous one in the same map.
 		if i == 0 || h.mapIndex != sorted[i-1].mapIndex || h.Shard != next {
 			list = append(list, facts.Holding{int64(h.mapIndex), int64(h.Shard)})
 		}
--- a/peer/health/speaker.go
+++ b/peer/health/speaker.go
@@ -56,6 +56,7 @@
 // for its statement to arrive.
 func (t timing) rankDelay() time.Duration { return 2*t.interval + propagationTime }
 
+// newReporter returns a reporter that has recorded no reads yet.
 func newReporter() *reporter { return &reporter{targets: map[string]*targetState{}} }
 
 // handleRead returns the statement that this owner has to publish after its read of the
