--- a/peer/hop/codec.go
+++ b/peer/hop/codec.go
@@ -69,11 +69,12 @@
 // and when receiving, and a string costs far less to scan than nested objects.
 // docs/design/hop.md has the measurement.
 type envelope struct {
-	Data []byte `json:"d"`
+	Data []byte `json:"d"` // the JSON of the message
 }
 
 func (jsonCodec) marshal(message any) ([]byte, error) { return json.Marshal(message) }
 
+// unmarshal decodes a message that the peer sent in an envelope.
 func (jsonCodec) unmarshal(data []byte, message any) error {
 	var p envelope
 	if err := json.Unmarshal(data, &p); err != nil {
@@ -131,6 +132,7 @@
 	maxMapPairs      = 64      // pairs of key and value in one map
 )
 
+// The settings of the CBOR library for encoding and decoding messages.
 var (
 	cborEncMode = must(cbor.EncOptions{}.EncMode())
 	cborDecMode = must(cbor.DecOptions{
--- a/peer/hop/hop.go
+++ b/peer/hop/hop.go
@@ -77,7 +77,7 @@
 
 // Cancel lists the calls whose answers the calling VM no longer needs.
 type Cancel struct {
-	IDs []uint64 `json:"i"`
+	IDs []uint64 `json:"i"` // of calls that were sent on the same connection
 }
 
 // Answer is the outcome of the call with the same ID: either its Failure, or the answer
--- a/peer/hop/owner.go
+++ b/peer/hop/owner.go
@@ -13,7 +13,7 @@
 
 // OwnerOptions configure an Owner. All but MaxCalls are required.
 type OwnerOptions struct {
-	Leaves Leaves
+	Leaves Leaves // calls targets over this VM's own connections
 	// Slots returns the number of slots of a leaf, which is the number of calls that
 	// the leaf runs at once, and true if this VM owns connections to its target. It
 	// returns false otherwise. It must be safe for concurrent use.
@@ -33,7 +33,7 @@
 // to. It is safe for concurrent use.
 type Owner struct {
 	opts     OwnerOptions
-	statuses statusCache
+	statuses statusCache // the statuses of targets that were read a short time ago
 
 	mu       sync.Mutex              // guards the fields below; locked before a session's mu
 	queues   map[leafKey]*slotQueue  // the calls that wait for a slot of each leaf
@@ -169,6 +169,7 @@
 func (o *Owner) admit(s *session, call *Call, now time.Time) *Failure {
 	timeLeft := call.deadline()
 	slots, owned := o.opts.Slots(call.Target, call.Leaf)
+	// The call is malformed, or this VM doesn't own connections to the target.
 	if timeLeft == nil || !owned {
 		return &Failure{Kind: target.ErrorUnknownTarget, NotStarted: true}
 	}
