--- a/peer/route/order.go
+++ b/peer/route/order.go
@@ -26,7 +26,6 @@
 }
 
 // distance returns the distance from this VM to a VM in the given availability zone.
-
 func (z topology) distance(zone string) distance {
 	region := z.regions[z.local]
 	switch {
@@ -44,7 +43,7 @@
 	vm         objstore.VM
 	distance   distance
 	inCooldown bool   // other owners are tried first: it refused a call, could not be reached or didn't answer a short time ago
-	weight     uint64 // the greatest is tried first of otherwise equal owners; differs between the calling VMs, which spreads them over the owners
+	weight     uint64 // of otherwise equal owners, the one with the greatest weight is tried first; see rendezvousWeight
 }
 
 // rendezvousWeight returns the weight of an owner of a target for the VM named self, by
