--- a/once/cleaner.go
+++ b/once/cleaner.go
@@ -16,33 +16,40 @@
 // Limits of the cleaner. Pages are short because a listing contains the values.
 const (
 	maxCleaners        = 2                     // VMs that remove claims at the same time
-	cleanPageSize      = 4                     // segments
-	maxCleanedPerRound = 200                   // segments
-	cleanPagePause     = 20 * time.Millisecond // between pages
-	cleanerRotation    = time.Hour             // after which other VMs are chosen
+	cleanPageSize      = 4                     // segments in one page of the listing
+	maxCleanedPerRound = 200                   // removed segments after which a round ends
+	cleanPagePause     = 20 * time.Millisecond // pause between two pages of a round
+	cleanerRotation    = time.Hour             // time after which other VMs are chosen as cleaners
 )
 
-// cleaner removes segments whose keys are all older than KeyTTL + MaxClockSkew.
+// cleaner removes old claims from the platform. It removes whole segments (objects
+// that hold the claims of one second), once all keys of a segment are older than
+// KeyTTL + MaxClockSkew.
 type cleaner struct {
-	opts  Options
-	log   *slog.Logger
-	count counters
-	tomb  *tomb.Tomb
-	ctx   context.Context // canceled when the tomb is killed
+	opts     Options
+	log      *slog.Logger
+	counters counters
+	tomb     *tomb.Tomb      // stops the cleaner's goroutine
+	ctx      context.Context // canceled when the tomb is killed
 }
 
+// startCleaner starts the cleaner's goroutine, which stop ends.
 func startCleaner(opts Options) *cleaner {
 	t, ctx := tomb.WithContext(context.Background())
-	c := &cleaner{tomb: t, ctx: ctx, opts: opts, log: opts.Log, count: newCounters(opts.Metrics)}
+	c := &cleaner{tomb: t, ctx: ctx, opts: opts, log: opts.Log, counters: newCounters(opts.Metrics)}
 	c.tomb.Go(c.loop)
 	return c
 }
 
+// stop ends the cleaner's goroutine and waits for it.
 func (c *cleaner) stop() {
 	c.tomb.Kill(nil)
 	_ = c.tomb.Wait()
 }
 
+// loop runs a round of cleaning again and again until the cleaner is stopped. The
+// time between rounds is random, on average CleanInterval. If Deployment is empty,
+// loop removes nothing.
 func (c *cleaner) loop() error {
 	if c.opts.Deployment == "" {
 		<-c.tomb.Dying()
@@ -56,6 +63,7 @@
 	return nil
 }
 
+// sleep waits for d. It returns false if the cleaner is stopped first.
 func (c *cleaner) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -67,8 +75,9 @@
 	}
 }
 
-// cleanRound removes old segments, if this VM is one of the cleaners. It stops
-// after the page that reaches maxCleanedPerRound.
+// cleanRound removes old segments, if this VM is one of the maxCleaners VMs that
+// do so now. It stops after the page with which the number of removed segments
+// reaches maxCleanedPerRound.
 func (c *cleaner) cleanRound() error {
 	vms, err := c.listVMs(c.ctx)
 	if err != nil {
@@ -94,6 +103,7 @@
 	return nil
 }
 
+// listVMs returns the platform's list of VMs.
 func (c *cleaner) listVMs(ctx context.Context) ([]objstore.VM, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -101,8 +111,9 @@
 	return vms, errors.Trace(err)
 }
 
-// advanceRecord records that keys older than KeyTTL + MaxClockSkew are being
-// removed, and returns the recorded time.
+// advanceRecord records on the platform that claims of keys older than
+// KeyTTL + MaxClockSkew are being removed. It returns the recorded time: claims of
+// keys created before it may be removed.
 func (c *cleaner) advanceRecord(ctx context.Context) (time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -112,11 +123,12 @@
 
 // removePage lists one page of the oldest segments and removes those whose keys
 // were all created before the given time. Names sort by time, so it stops at the
-// first newer segment. more reports whether further old segments may exist.
+// first newer segment. It returns the number of removed segments; more reports
+// whether further old segments may exist.
 func (c *cleaner) removePage(ctx context.Context, before time.Time) (removed int, more bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
-	page, err := c.opts.Store.List(ctx, Kind, prefix(c.opts.Deployment), cleanPageSize)
+	page, err := c.opts.Store.List(ctx, Kind, deploymentPrefix(c.opts.Deployment), cleanPageSize)
 	if err != nil {
 		return 0, false, errors.Trace(err)
 	}
@@ -130,15 +142,16 @@
 			return removed, false, errors.Trace(err)
 		}
 		removed++
-		c.count.cleared.Inc()
+		c.counters.cleared.Inc()
 	}
 	return removed, page.More, nil
 }
 
-// isCleaner reports whether the VM is one of the maxCleaners VMs that remove claims
-// in the hour. They are the first by rendezvous hashing over the platform's list.
-// The list lags, so more or fewer VMs may be active; removal is conditional, so
-// that removing a segment twice is harmless.
+// isCleaner reports whether the VM self is one of the maxCleaners VMs that remove
+// claims in the hour that begins at the given time. They are the first by
+// rendezvous hashing over the platform's list. The list lags, so more or fewer VMs
+// may be active. Removal is conditional, so that removing a segment twice is
+// harmless.
 func isCleaner(vms []objstore.VM, self string, hour time.Time) bool {
 	rank := func(vm string) uint64 {
 		return xxhash.Sum64String(vm + hour.UTC().Format(time.RFC3339))
--- a/once/cleared.go
+++ b/once/cleared.go
@@ -12,16 +12,19 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// ClearedKind is the platform's kind of the record, one object per deployment, of
-// the time up to which claims have been removed.
+// ClearedKind is the kind of the platform's objects that record up to which time
+// claims have been removed. There is one object per deployment.
 const ClearedKind = "claims-cleared"
 
-// clearedRecord is the value of that object. Claims of keys created before the time
-// may have been removed. The time never decreases.
+// clearedRecord is the value of a deployment's object of kind ClearedKind. Claims
+// of keys created before the recorded time may have been removed. The recorded time
+// never decreases.
 type clearedRecord struct {
 	Before int64 `json:"before"` // Unix seconds
 }
 
+// readClearedRecord returns the deployment's record and the version of its object.
+// Both are zero if there is no record: no claims have been removed yet.
 func readClearedRecord(ctx context.Context, store objstore.Store, deployment string) (clearedRecord, uint64, error) {
 	object, err := store.Get(ctx, ClearedKind, deployment)
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -39,8 +42,9 @@
 	return c, object.Version, nil
 }
 
-// advanceClearedRecord raises the recorded time to at least before and returns the
-// recorded time. It must succeed before a claim older than that time is removed.
+// advanceClearedRecord raises the time in the deployment's record to at least
+// before, and returns the recorded time. It must succeed before claims of keys
+// older than that time are removed.
 func advanceClearedRecord(ctx context.Context, store objstore.Store, deployment string, before time.Time) (time.Time, error) {
 	record, version, err := readClearedRecord(ctx, store, deployment)
 	if err != nil {
@@ -65,6 +69,9 @@
 // claim made after the removal finds the record. A claim made before the removal
 // was the only one, however late it is used.
 //
+// It returns true if the request may run. Otherwise the Outcome is the answer to
+// the caller.
+//
 // Keys younger than half of KeyTTL are not checked, which avoids the read in most
 // requests. Therefore clocks may be wrong by up to half of KeyTTL.
 func (r *Runner) checkCleared(ctx context.Context, req Request) (Outcome, bool) {
--- a/once/committer.go
+++ b/once/committer.go
@@ -16,74 +16,79 @@
 const (
 	maxSegmentWriters = 16                     // segments whose last known state is kept in memory
 	downThreshold     = 3                      // failed store calls in a row that mean the platform is down
-	probeInterval     = 500 * time.Millisecond // between claims that are let through while the platform is down
-	minBackoff        = 20 * time.Millisecond
-	maxBackoff        = 500 * time.Millisecond
-	maxBackoffShift   = 7 // bounds the shift of minBackoff
+	probeInterval     = 500 * time.Millisecond // time between two claims that are let through while the platform is down
+	minBackoff        = 20 * time.Millisecond  // upper bound of the random wait after the first failed try to update a segment
+	maxBackoff        = 500 * time.Millisecond // upper bound of the random wait after any failed try
+	maxBackoffShift   = 7                      // largest number of times that minBackoff is doubled
 )
 
+// Reasons why the committer did not apply an operation.
 var (
-	errBusy         = errors.New("too many operations are waiting")
-	errClosed       = errors.New("this VM is stopping")
-	errDown         = errors.New("the platform does not answer")
-	errClaimTimeout = errors.New("the claim was not confirmed in time")
+	errBusy         = errors.New("too many operations are waiting")     // more than MaxPending or MaxPeerPending
+	errClosed       = errors.New("this VM is stopping")                 // close was called
+	errDown         = errors.New("the platform does not answer")        // downThreshold store calls in a row failed
+	errClaimTimeout = errors.New("the claim was not confirmed in time") // the claim may be stored all the same
 )
 
-// committer applies operations to segments by group commit: while one conditional
-// update of a segment is in flight or waits for credit, further operations queue up
-// and are sent together with the next update.
+// committer applies operations (claims, outcomes and releases of claims) to
+// segments, the stored objects that each hold the claims of one second. It uses
+// group commit: while one conditional update of a segment is in flight or waits for
+// credit, further operations queue up and are sent together with the next update.
 type committer struct {
-	opts   Options
-	log    *slog.Logger
-	credit *credit
-	count  counters
-	tomb   *tomb.Tomb
-	ctx    context.Context // canceled when the tomb is killed
+	opts     Options
+	log      *slog.Logger
+	credit   *credit // this VM's budget of writes to the platform
+	counters counters
+	tomb     *tomb.Tomb      // stops the goroutines of the segment writers
+	ctx      context.Context // canceled when the tomb is killed
 
 	// mu guards the fields below and the queue, running and lastUsed fields of all
 	// segment writers. No other lock is taken and no call is made while it is held.
 	mu          sync.Mutex
-	writers     map[string]*segmentWriter
-	waiting     int // operations that are queued and not yet delivered, or being relayed
-	peerWaiting int // operations in waiting that other VMs relayed to this one
-	closed      bool
-	idle        chan struct{} // closed once closed is set and waiting is 0
-	failures    int           // failed store calls in a row
-	lastProbe   time.Time     // when a claim was last let through while the platform was down
+	writers     map[string]*segmentWriter // by segment name
+	waiting     int                       // operations whose reply is outstanding: queued, being written or being relayed
+	peerWaiting int                       // those counted in waiting that other VMs relayed to this one
+	closed      bool                      // close was called; operations of callers and peers are rejected
+	idle        chan struct{}             // closed once closed is set and waiting is 0
+	failures    int                       // failed store calls in a row
+	lastProbe   time.Time                 // when a claim was last let through while the platform was down
 }
 
-// pending is an operation that is queued or being written.
+// pending is an operation on a segment that is queued or being written.
 type pending struct {
 	op       op
 	fromPeer bool         // relayed by another VM
-	state    atomic.Int32 // of the goroutine that waits; one of the constants below
+	state    atomic.Int32 // stateWaiting, stateDelivered or stateAbandoned
 	done     chan reply   // receives at most one reply
-	// attempted and expectedVersion are used by the segment writer only: whether a
-	// write with this operation was sent whose effect is unknown, and which version
-	// the last such write expected.
-	attempted       bool
+	// attempted says that a write with this operation was sent. The write may have
+	// taken effect, or may do so later. Used by the segment writer only.
+	attempted bool
+	// expectedVersion is the object version on which the last such write depended.
+	// Used by the segment writer only.
 	expectedVersion uint64
 }
 
-// The states of a waiter. stateWaiting is left by compare-and-swap only, so that a
-// claim is either delivered or abandoned, never both.
+// The states of a pending operation. stateWaiting is left by compare-and-swap only,
+// so that a claim is either delivered or abandoned, never both.
 const (
-	stateWaiting int32 = iota
-	stateDelivered
-	stateAbandoned
+	stateWaiting   int32 = iota // the operation has no reply yet and its caller may still wait
+	stateDelivered              // the reply was sent to the caller
+	stateAbandoned              // the caller stopped waiting before there was a reply
 )
 
+// newCommitter returns a committer. Its credit is that of a fleet of
+// defaultFleetSize VMs until SetFleetSize is called.
 func newCommitter(opts Options) *committer {
 	t, ctx := tomb.WithContext(context.Background())
 	c := &committer{
-		tomb:    t,
-		ctx:     ctx,
-		opts:    opts,
-		log:     opts.Log,
-		credit:  newCredit(opts.FleetWriteRate, opts.FleetWriteRate/defaultFleetSize, time.Now()),
-		count:   newCounters(opts.Metrics),
-		writers: make(map[string]*segmentWriter),
-		idle:    make(chan struct{}),
+		tomb:     t,
+		ctx:      ctx,
+		opts:     opts,
+		log:      opts.Log,
+		credit:   newCredit(opts.FleetWriteRate, opts.FleetWriteRate/defaultFleetSize, time.Now()),
+		counters: newCounters(opts.Metrics),
+		writers:  make(map[string]*segmentWriter),
+		idle:     make(chan struct{}),
 	}
 	// Keeps the tomb alive while no segment writer runs.
 	c.tomb.Go(func() error {
@@ -94,21 +99,21 @@
 }
 
 // abandon queues the removal of a claim that this VM no longer waits for and that
-// another VM may enter.
+// another VM may still add to the segment with the given name.
 func (c *committer) abandon(name string, o op) {
 	o.kind = opRelease
-	c.count.abandoned.Inc()
+	c.counters.abandoned.Inc()
 	c.commitInBackground(name, o)
 }
 
-// submit applies a claim and waits for the reply. After an error the claim is
-// abandoned: the caller must not hand anything over, and the committer removes the
-// claim if it was stored. The error is errClosed, errBusy, errDown or
-// errClaimTimeout.
+// submit applies a claim to the segment with the given name and waits for the
+// reply. After an error the claim is abandoned: the caller must not hand the
+// request to a target, and the committer removes the claim if it was stored. The
+// error is errClosed, errBusy, errDown or errClaimTimeout.
 func (c *committer) submit(ctx context.Context, name string, o op) (reply, error) {
 	p := &pending{op: o, done: make(chan reply, 1)}
 	if err := c.admit(name, p); err != nil {
-		if o.bar {
+		if o.barOnRelease {
 			c.abandon(name, o)
 		}
 		return reply{}, err
@@ -125,6 +130,8 @@
 	return <-p.done, nil
 }
 
+// admit queues a claim of one of this VM's own callers. It returns errClosed,
+// errBusy or errDown if the claim can't be accepted.
 func (c *committer) admit(name string, p *pending) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,8 +185,9 @@
 	return list, nil
 }
 
-// admitRelayed counts a claim that is being relayed; untrack removes it from the
-// count.
+// admitRelayed counts a claim that this VM is about to relay to another VM. untrack
+// removes it from the count. It returns errClosed or errBusy, without counting, if
+// the claim can't be accepted.
 func (c *committer) admitRelayed() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,8 +201,8 @@
 	return nil
 }
 
-// runTracked runs f in a goroutine. close waits for it as for an operation. It
-// returns false if the committer has stopped.
+// runTracked runs f in a goroutine, for which close waits as for an operation. It
+// returns false without running f if the committer has stopped.
 func (c *committer) runTracked(f func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,8 +220,8 @@
 	return true
 }
 
-// commitInBackground queues a completion or a release, which is retried until it
-// succeeds or the committer stops. The channel gets the reply.
+// commitInBackground queues a completion or a release of a claim. The operation is
+// retried until it succeeds or the committer stops. The channel gets the reply.
 func (c *committer) commitInBackground(name string, o op) <-chan reply {
 	p := &pending{op: o, done: make(chan reply, 1)}
 	c.mu.Lock()
@@ -251,9 +259,10 @@
 	}
 }
 
-// evict drops the state of the segment that was unused the longest and whose writer
-// does not run, if maxSegmentWriters states are held. While all writers run, it
-// drops none and the number may exceed the limit. It must be called with mu held.
+// evict makes space for one more segment writer. If maxSegmentWriters are held, it
+// drops the least recently used one of those that do not run, with the segment's
+// state. While all writers run, it drops none and the number may exceed the limit.
+// It must be called with mu held.
 func (c *committer) evict() {
 	if len(c.writers) < maxSegmentWriters {
 		return
@@ -269,8 +278,9 @@
 	}
 }
 
-// takeQueue removes and returns the operations that wait for the writer. With stop
-// set, an empty queue marks the writer as not running.
+// takeQueue removes and returns the operations that wait for the writer. If stop is
+// set and there are none, the writer is marked as not running, and its goroutine
+// has to end.
 func (c *committer) takeQueue(w *segmentWriter, stop bool) []*pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -282,20 +292,23 @@
 	return batch
 }
 
-// deliver completes an operation with its reply.
+// deliver completes an operation: it sends the reply to the caller, or releases the
+// claim if the caller no longer waits.
 func (c *committer) deliver(w *segmentWriter, p *pending, rep reply) {
 	abandoned := !p.state.CompareAndSwap(stateWaiting, stateDelivered)
 	if !abandoned {
 		p.done <- rep
-	} else if !p.fromPeer && (rep.verdict == verdictDone || p.op.bar) {
-		// The claim was won after its caller got the answer "not run", so it would
-		// block the key forever.
+	} else if !p.fromPeer && (rep.verdict == verdictDone || p.op.barOnRelease) {
+		// The caller got the answer "not run", but the claim was stored
+		// (verdictDone), or another VM may still store it (op.barOnRelease). The
+		// claim would block the key forever.
 		c.release(w, p)
 	}
 	c.untrack(p.fromPeer)
 }
 
-// untrack removes an operation from the counts.
+// untrack removes an operation from the counts of outstanding operations. peer says
+// that another VM relayed the operation to this one.
 func (c *committer) untrack(peer bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -306,8 +319,8 @@
 	c.checkIdle()
 }
 
-// checkIdle closes idle if no operations are left after close. It must be called
-// with mu held.
+// checkIdle closes the channel idle if close was called and no operations are left.
+// It must be called with mu held.
 func (c *committer) checkIdle() {
 	if !c.closed || c.waiting > 0 {
 		return
@@ -319,20 +332,23 @@
 	}
 }
 
-// release queues the removal of an abandoned claim of this VM's own. A claim that
-// another VM relayed must stay: that VM may have found it by a read of its own,
-// regarded it as won and handed the request over. If it were removed here, a later
-// request with the same key would win the key and run again.
+// release queues the removal of an abandoned claim of one of this VM's own callers.
+// A claim that another VM relayed must stay: that VM may have found the claim by a
+// read of its own, regarded it as won and handed the request to a target. If the
+// claim were removed here, a later request with the same key would win the key and
+// run again.
 func (c *committer) release(w *segmentWriter, p *pending) {
 	o := p.op
 	o.kind = opRelease
 	next := &pending{op: o, done: make(chan reply, 1), attempted: p.attempted, expectedVersion: p.expectedVersion}
-	c.count.abandoned.Inc()
+	c.counters.abandoned.Inc()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.enqueue(w.name, next)
 }
 
+// recordCall records the result of a store call. Failed calls in a row are counted,
+// to detect that the platform is down; see allowAttempt.
 func (c *committer) recordCall(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -341,7 +357,7 @@
 		return
 	}
 	c.failures++
-	c.count.failures.Inc()
+	c.counters.failures.Inc()
 }
 
 // isPlatformAnswer reports whether the error is one that a working platform
@@ -355,9 +371,10 @@
 	return false
 }
 
-// backoff waits a random time before the next try. It returns false if the
-// committer stops.
+// backoff waits a random time after the failed try with the given number, counted
+// from 0. It returns false if the committer stops.
 func (c *committer) backoff(try int) bool {
+	// The upper bound of the wait doubles with each try, up to maxBackoff.
 	ceiling := min(minBackoff<<min(try, maxBackoffShift), maxBackoff)
 	timer := time.NewTimer(time.Duration(rand.Int64N(int64(ceiling))) + time.Millisecond)
 	defer timer.Stop()
--- a/once/counters.go
+++ b/once/counters.go
@@ -4,18 +4,19 @@
 
 // counters are the package's metrics.
 type counters struct {
-	reads      *metrics.Counter
-	writes     *metrics.Counter // conditional updates sent
+	reads      *metrics.Counter // reads of segments sent to the platform
+	writes     *metrics.Counter // conditional updates of segments sent to the platform
 	operations *metrics.Counter // claims, outcomes and releases in these updates
 	bytes      *metrics.Counter // size of the values in these updates
-	conflicts  *metrics.Counter
+	conflicts  *metrics.Counter // updates refused because the segment had another version
 	failures   *metrics.Counter // store calls that failed without an answer of the platform
 	abandoned  *metrics.Counter // abandoned claims that may have been stored
-	cleared    *metrics.Counter // segments removed
+	cleared    *metrics.Counter // segments removed, because all their keys were too old
 	relayed    *metrics.Counter // operations applied by another VM
-	fallbacks  *metrics.Counter // operations that had another VM as committer and were applied here
+	fallbacks  *metrics.Counter // operations that another VM should have applied and this VM had to
 }
 
+// newCounters registers the metrics in set.
 func newCounters(set *metrics.Set) counters {
 	return counters{
 		reads:      set.GetOrCreateCounter("bramley_once_reads_total"),
--- a/once/course.go
+++ b/once/course.go
@@ -7,22 +7,25 @@
 // It has no clock and no lock: the caller passes in events and the time, and gets
 // the next step.
 //
-// It covers a committer that is killed, frozen, disconnected, leaving or slow while
-// it has the operation. The fallback uses the same operation id, so an entry that
-// the committer wrote is recognized as this operation's own. Whatever the committer
-// does later cannot claim the key a second time, because the entry exists. If the
-// entry is to be removed, op.bar leaves the operation's id in the segment.
+// The VM that commits the segment, called committer here, may be killed, frozen,
+// disconnected, leaving or slow while it has the operation. Then this VM updates
+// the segment itself. It uses the same operation id, so an entry that the committer
+// wrote is recognized as this operation's own. Whatever the committer does later
+// cannot claim the key a second time, because the entry exists. If the entry is to
+// be removed, op.barOnRelease makes the release leave the operation's id in the
+// segment, so that the committer cannot add the entry again.
 type relayState struct {
-	relayDeadline time.Time // nothing is relayed after it; the remaining time is for this VM's own update
+	relayDeadline time.Time // the operation is not relayed after it; the remaining time is for this VM's own update
 	// mayApplyElsewhere says that another VM may apply the operation, now or at any
-	// later time. It is never reset, because an operation that was sent cannot be
+	// later time. It stays set, because an operation that was sent cannot be
 	// withdrawn.
 	mayApplyElsewhere bool
 }
 
-// event is the result of relaying an operation.
+// event is the result of relaying an operation to the VM that commits its segment.
 type event int
 
+// The events. "The committer" is the VM that commits the segment.
 const (
 	eventDecided     event = iota // the committer's verdict is final
 	eventUndecided                // the committer is alive and waits for the platform
@@ -30,16 +33,18 @@
 	eventUnknown                  // no usable answer: the committer may apply the operation
 )
 
-// step is what to do next.
+// step is the next thing to do for an operation, as relayState decides.
 type step int
 
+// The steps.
 const (
-	stepRelay  step = iota // send the operation to the segment's committer
-	stepDirect             // update the segment from this VM
-	stepEnd                // the verdict is final
+	stepRelay  step = iota // send the operation to the VM that commits its segment
+	stepDirect             // apply the operation by this VM's own update of the segment
+	stepEnd                // nothing: the verdict on the operation is final
 )
 
-// start returns the first step. remote says whether the committer is another VM.
+// start returns the first step for an operation. remote says that another VM
+// commits the operation's segment.
 func (c *relayState) start(remote bool, now time.Time) step {
 	if remote && now.Before(c.relayDeadline) {
 		return stepRelay
@@ -47,10 +52,10 @@
 	return stepDirect
 }
 
-// next returns the step after an event. A committer that waits for the platform
-// gets the operation again: if each VM called a slow platform itself, the platform
-// would become slower for all. A committer that does not answer is not called
-// again.
+// next returns the step that follows an event. A committer that waits for the
+// platform gets the operation again: if each VM called a slow platform itself, the
+// platform would become slower for all. A committer that does not answer is not
+// called again.
 func (c *relayState) next(ev event, now time.Time) step {
 	switch ev {
 	case eventDecided:
@@ -64,6 +69,7 @@
 	return stepDirect
 }
 
-// mustBar reports whether a claim that ended without being won has to be barred, so
-// that no other VM enters it later.
+// mustBar reports whether the claim has to be barred, so that no other VM adds it
+// to the segment later. This is so for a claim that was not won, if another VM may
+// still have it.
 func (c *relayState) mustBar(won bool) bool { return c.mayApplyElsewhere && !won }
--- a/once/course_test.go
+++ b/once/course_test.go
@@ -78,9 +78,9 @@
 				c.withdraw(now) // the transfer is lost
 			}
 			each := fleet / float64(vms)
-			earned := float64(len(credits)) * (min(minBurst, each) + each*now.Sub(begin).Seconds())
+			earned := float64(len(credits)) * (min(minBurstWrites, each) + each*now.Sub(begin).Seconds())
 			g.Expect(written).To(BeNumerically("<=", earned+1e-6))
-			g.Expect(c.balance).To(BeNumerically("<=", max(minBurst, each, fleet/depositCapDivisor)))
+			g.Expect(c.balance).To(BeNumerically("<=", max(minBurstWrites, each, fleet/depositCapDivisor)))
 		}
 	})
 }
--- a/once/credit.go
+++ b/once/credit.go
@@ -6,41 +6,47 @@
 )
 
 const (
-	// minBurst is the number of writes that a VM may accumulate however small its
-	// share is: enough for a claim, an outcome and some writes for others.
-	minBurst = 4
-	// reserve is the number of writes that a VM does not transfer: one for this
-	// VM's own update, in case the VM that commits for it is lost.
-	reserve = 1
-	// depositCapDivisor limits the credit that transfers from others may build up
-	// on one VM, to the fleet's writes in one second divided by it.
+	// minBurstWrites is the number of unused writes to the platform that a VM may
+	// always save for later, however small its part of the fleet's write rate is. It
+	// is enough for a claim, an outcome and some writes for other VMs.
+	minBurstWrites = 4
+	// reservedWrites is the number of saved writes that a VM does not transfer to
+	// other VMs: one for this VM's own update of a segment, in case the VM that
+	// commits for it is lost.
+	reservedWrites = 1
+	// depositCapDivisor limits the writes that a VM holds by transfers from other
+	// VMs: a transfer raises its balance at most to the number of writes that the
+	// whole fleet may send in one second, divided by depositCapDivisor.
 	depositCapDivisor = 4
 )
 
-// credit is this VM's budget of writes to the platform. Each VM accrues the fleet's
-// rate divided by the number of VMs in the bundle, and may transfer what it has
-// accumulated to the VM that commits for it. The transferred amount is deducted
-// here, and is lost if the message is lost. So all VMs together never write more
-// than they accrued, whatever their lists of live VMs contain, and the VM that
-// commits for many has nearly all of it. It is safe for concurrent use.
+// credit is this VM's budget of writes (conditional updates) to the platform. The
+// unit is one write. Each VM earns writes at the fleet's rate divided by the number
+// of VMs in the bundle. It may transfer unused writes to the VM that commits for
+// it. The transferred amount is deducted here, and is lost if the message is lost.
+// So all VMs together never write more than they earned, whatever their lists of
+// live VMs contain, and the VM that commits for many has nearly all of it. It is
+// safe for concurrent use.
 type credit struct {
-	fleetRate float64 // writes per second of all VMs
+	fleetRate float64 // writes per second that all VMs together may send
 
 	mu      sync.Mutex // guards the fields below; no other lock is taken under it
-	rate    float64    // writes per second
-	balance float64    // writes that may be sent now
-	updated time.Time  // time up to which balance includes the accrued writes
+	rate    float64    // writes per second that this VM earns
+	balance float64    // writes that this VM may send now
+	updated time.Time  // time up to which balance includes the earned writes
 }
 
+// newCredit returns the budget of a VM that earns rate writes per second, in a
+// fleet that may send fleet writes per second.
 func newCredit(fleet, rate float64, now time.Time) *credit {
-	return &credit{fleetRate: fleet, rate: rate, updated: now, balance: min(minBurst, rate)}
+	return &credit{fleetRate: fleet, rate: rate, updated: now, balance: min(minBurstWrites, rate)}
 }
 
-// burst returns the limit up to which writes accrue: those of one second, and at
-// least minBurst.
-func (c *credit) burst() float64 { return max(minBurst, c.rate) }
+// burst returns the balance, in writes, up to which this VM earns further writes:
+// the writes of one second, and at least minBurstWrites.
+func (c *credit) burst() float64 { return max(minBurstWrites, c.rate) }
 
-// setRate sets the number of writes per second that this VM accrues.
+// setRate sets the number of writes per second that this VM earns.
 func (c *credit) setRate(rate float64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,21 +55,22 @@
 	c.balance = min(c.balance, c.burst())
 }
 
-// accrue adds the writes of the time since the last call. It must be called with mu
-// held.
+// accrue adds to the balance the writes that this VM earned since the last call, up
+// to burst. It must be called with mu held.
 func (c *credit) accrue(now time.Time) {
 	if now.Before(c.updated) {
 		return
 	}
 	earned := c.rate * now.Sub(c.updated).Seconds()
 	c.updated = now
+	// Transfers may have raised the balance above burst; it is not cut back here.
 	if c.balance < c.burst() {
 		c.balance = min(c.balance+earned, c.burst())
 	}
 }
 
-// take deducts one write. If the balance is too low, it returns false and the
-// longest time until one write has accrued.
+// take deducts one write. If the balance is below one write, it returns false and
+// the longest time until the balance reaches it: a transfer may come earlier.
 func (c *credit) take(now time.Time) (wait time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,13 +82,14 @@
 	return time.Duration((1 - c.balance) / c.rate * float64(time.Second)), false
 }
 
-// withdraw deducts and returns up to one write to transfer, without touching the
-// reserve.
+// withdraw deducts the amount to transfer to another VM, in writes, and returns it.
+// The amount is at most one write and leaves at least reservedWrites in the
+// balance.
 func (c *credit) withdraw(now time.Time) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.accrue(now)
-	amount := min(c.balance-reserve, 1)
+	amount := min(c.balance-reservedWrites, 1)
 	if amount <= 0 {
 		return 0
 	}
@@ -89,7 +97,9 @@
 	return amount
 }
 
-// deposit adds credit that another VM transferred, at most one write at a time.
+// deposit adds the amount that another VM transferred, in writes. An amount above
+// one write is ignored, and the balance is raised at most to the fleet's writes in
+// one second divided by depositCapDivisor.
 func (c *credit) deposit(amount float64, now time.Time) {
 	if !(amount > 0 && amount <= 1) { // also rejects NaN
 		return
--- a/once/fault_test.go
+++ b/once/fault_test.go
@@ -42,7 +42,7 @@
 			return nil
 		}
 		g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
-		c.advance(b.opts.KeyTTL + b.opts.MaxClockSkew + 2*window)
+		c.advance(b.opts.KeyTTL + b.opts.MaxClockSkew + 2*segmentWindow)
 		g.Expect(startedCleaner(b).cleanRound()).To(Succeed())
 		g.Expect(store.names("vatnsleit.")).To(BeEmpty())
 		return nil
@@ -69,7 +69,7 @@
 	a, b := startRunner(t, store, "a", right.set), startRunner(t, store, "b", slow.set)
 	req, w := request("d"), acceptedWork()
 	g.Expect(a.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
-	day := a.opts.KeyTTL + a.opts.MaxClockSkew + 2*window
+	day := a.opts.KeyTTL + a.opts.MaxClockSkew + 2*segmentWindow
 	right.advance(day)
 	slow.advance(day - time.Hour)
 	g.Expect(startedCleaner(a).cleanRound()).To(Succeed())
--- a/once/key.go
+++ b/once/key.go
@@ -11,12 +11,13 @@
 // Key is a caller's idempotency key. It contains the time at which the caller
 // created it, so that its age is known even after its claim has been removed.
 type Key struct {
-	text    string
-	created time.Time
+	text    string    // canonical form, as it is stored
+	created time.Time // by the caller's clock, in whole seconds
 }
 
-// keyPattern allows at most ten digits of seconds. This is enough until the year
-// 2286 and keeps the names of segments in order of time.
+// keyPattern matches a key: Unix seconds, '-' and a part that the caller chose. It
+// allows at most ten digits of seconds. This is enough until the year 2286 and
+// keeps the names of segments in order of time.
 var keyPattern = regexp.MustCompile(`^([0-9]{1,10})-([A-Za-z0-9_-]{8,64})$`)
 
 // ParseKey parses a key of the form "<unix seconds>-<8..64 of [A-Za-z0-9_-]>".
--- a/once/key_test.go
+++ b/once/key_test.go
@@ -68,7 +68,7 @@
 	a := startRunner(t, store, "a", c.set)
 	for i := range 2*cleanPageSize + 1 {
 		for _, deployment := range []string{"vatnsleit", "pletenica"} {
-			name := segmentName(deployment, time.Now().Add(-time.Duration(i)*window))
+			name := segmentName(deployment, time.Now().Add(-time.Duration(i)*segmentWindow))
 			_, err := store.Put(t.Context(), Kind, name, 0, []byte("{}"))
 			g.Expect(err).NotTo(HaveOccurred())
 		}
@@ -82,7 +82,7 @@
 	clean := startedCleaner(a)
 	g.Expect(clean.cleanRound()).To(Succeed())
 	g.Expect(store.names("vatnsleit.")).To(HaveLen(len(old) + 1))
-	c.advance(a.opts.KeyTTL + a.opts.MaxClockSkew + window)
+	c.advance(a.opts.KeyTTL + a.opts.MaxClockSkew + segmentWindow)
 	before, err := clean.advanceRecord(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
 	removed, more, err := clean.removePage(t.Context(), before)
--- a/once/lane.go
+++ b/once/lane.go
@@ -8,23 +8,26 @@
 	"github.com/juju/errors"
 )
 
-// segmentWriter applies operations to one segment for the committer. At most one
-// goroutine works on it at a time.
+// segmentWriter applies operations to one segment, a stored object that holds the
+// claims of one second, for the committer. At most one goroutine works on it at a
+// time.
 type segmentWriter struct {
-	name string
+	name string // of the segment's object
 
 	// Guarded by committer.mu.
-	queue    []*pending
-	running  bool
-	lastUsed time.Time
+	queue    []*pending // operations that are not yet part of a batch
+	running  bool       // a goroutine works on the queue
+	lastUsed time.Time  // when an operation was last queued
 
 	// Used by the writer's goroutine only. The state was read or written earlier
 	// and may be outdated; a conditional update detects that.
-	known   bool // version and state are set
-	version uint64
-	state   segment
+	known   bool    // version and state are set
+	version uint64  // object version in the store; 0 if there is no object
+	state   segment // content of the segment at that version
 }
 
+// runWriter applies the operations of the writer's queue until the queue is empty
+// or the committer stops.
 func (c *committer) runWriter(w *segmentWriter) {
 	for {
 		batch := c.takeQueue(w, true)
@@ -37,11 +40,11 @@
 	}
 }
 
-// commit applies the batch, together with operations that arrive in the meantime.
-// It returns false if the committer stops.
+// commit applies the batch, together with operations that arrive in the meantime,
+// and delivers the replies. It returns false if the committer stops.
 func (c *committer) commit(w *segmentWriter, batch []*pending) bool {
-	fresh := false // the state was read after the whole batch had arrived
-	paced := false
+	fresh := false       // the state was read after the whole batch had arrived
+	creditTaken := false // the credit for the next write was deducted
 	for try := 0; ; try++ {
 		if more := c.takeQueue(w, false); len(more) > 0 {
 			batch = append(batch, more...)
@@ -61,16 +64,20 @@
 			fresh = true
 		}
 		next, replies, changed := w.state.apply(opsOf(batch))
+		// A reply that a newer state could change is given only from a state that
+		// was read after the whole batch had arrived.
 		if !fresh && needsFresh(batch, replies) {
 			w.known = false
 			continue
 		}
+		// Without a change of the content, a write is needed only as a fence against
+		// an earlier write that may still take effect.
 		if !changed && !needsFence(w, batch) {
 			c.deliverAll(w, batch, replies)
 			return true
 		}
-		if !paced {
-			paced = true
+		if !creditTaken {
+			creditTaken = true
 			waited, ok := c.waitForCredit()
 			if !ok {
 				return false
@@ -89,15 +96,16 @@
 			c.deliverAll(w, batch, rejectAll(replies))
 			return true
 		}
-		paced = false
+		creditTaken = false
 		if !c.backoff(try) {
 			return false
 		}
 	}
 }
 
-// dropAbandoned removes claims whose caller no longer waits. A claim that was part
-// of a write may be stored, now or later, and is released.
+// dropAbandoned returns the batch without the claims whose caller no longer waits.
+// It releases those of this VM's own callers that may be stored, now or later: the
+// claim was part of a write of this VM, or another VM may still store it.
 func (c *committer) dropAbandoned(w *segmentWriter, batch []*pending) []*pending {
 	kept := batch[:0]
 	for _, p := range batch {
@@ -105,7 +113,7 @@
 			kept = append(kept, p)
 			continue
 		}
-		if !p.fromPeer && (p.attempted || p.op.bar) {
+		if !p.fromPeer && (p.attempted || p.op.barOnRelease) {
 			c.release(w, p)
 		}
 		c.untrack(p.fromPeer)
@@ -113,6 +121,7 @@
 	return kept
 }
 
+// deliverAll completes each operation of the batch with the reply at its index.
 func (c *committer) deliverAll(w *segmentWriter, batch []*pending, replies []reply) {
 	for i, p := range batch {
 		c.deliver(w, p, replies[i])
@@ -123,8 +132,9 @@
 // transferred the credit for its write.
 const creditPollInterval = 5 * time.Millisecond
 
-// waitForCredit waits until this VM has credit for one write and deducts it. ok is
-// false if the committer stops.
+// waitForCredit waits until this VM's budget of writes to the platform allows one
+// write, and deducts it. waited reports whether it had to wait. ok is false if the
+// committer stops.
 func (c *committer) waitForCredit() (waited, ok bool) {
 	for {
 		wait, paid := c.credit.take(time.Now())
@@ -142,10 +152,12 @@
 	}
 }
 
+// load reads the segment from the platform into the writer's version and state. An
+// object that does not exist is an empty segment of version 0.
 func (c *committer) load(w *segmentWriter) error {
 	ctx, cancel := context.WithTimeout(c.ctx, c.opts.CallTimeout)
 	defer cancel()
-	c.count.reads.Inc()
+	c.counters.reads.Inc()
 	object, err := c.opts.Store.Get(ctx, Kind, w.name)
 	c.recordCall(err)
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -164,6 +176,9 @@
 	return nil
 }
 
+// write replaces the segment by next, which includes the batch, on condition that
+// the object still has the version that the writer knows. After an error the write
+// may still have taken effect, unless the error is objstore.ErrBusy.
 func (c *committer) write(w *segmentWriter, next segment, batch []*pending) error {
 	value, err := next.encode()
 	if err != nil {
@@ -175,9 +190,9 @@
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, c.opts.CallTimeout)
 	defer cancel()
-	c.count.writes.Inc()
-	c.count.operations.Add(len(batch))
-	c.count.bytes.Add(len(value))
+	c.counters.writes.Inc()
+	c.counters.operations.Add(len(batch))
+	c.counters.bytes.Add(len(value))
 	version, err := c.opts.Store.Put(ctx, Kind, w.name, w.version, value)
 	c.recordCall(err)
 	if err == nil {
@@ -185,7 +200,7 @@
 		return nil
 	}
 	if errors.Is(err, objstore.ErrConflict) {
-		c.count.conflicts.Inc()
+		c.counters.conflicts.Inc()
 	}
 	if !errors.Is(err, objstore.ErrBusy) {
 		// The write may have taken effect, or may do so later. After a new read,
@@ -195,8 +210,10 @@
 	return errors.Trace(err)
 }
 
-// needsFresh reports whether any reply could be different with a newer state. Only
-// a stored outcome is final.
+// needsFresh reports whether any reply could be different with a newer state of the
+// segment. That is so for a key that is held without an outcome, a full segment, a
+// claim that is barred or no longer exists, and a release. A stored outcome is
+// final.
 func needsFresh(batch []*pending, replies []reply) bool {
 	for i, rep := range replies {
 		switch rep.verdict {
@@ -215,11 +232,12 @@
 	return false
 }
 
-// needsFence reports whether a write must change the segment's version although the
-// content stays the same. An abandoned claim that is absent may still be stored,
-// because the platform may apply a write long after its sender gave up. Its key
-// would then be reported as in progress forever. If a write moves the segment past
-// the version that the old write expects, the old write fails.
+// needsFence reports whether the segment has to be written although its content
+// stays the same, to give it a new version. An abandoned claim that is not in the
+// segment may still be stored, because the platform may apply a write long after
+// its sender gave up. The key would then be reported as in progress forever. If a
+// write moves the segment past the version that the old write expects, the old
+// write fails.
 func needsFence(w *segmentWriter, batch []*pending) bool {
 	for _, p := range batch {
 		if p.op.kind == opRelease && p.attempted && p.expectedVersion == w.version {
@@ -229,6 +247,7 @@
 	return false
 }
 
+// opsOf returns the operations of the batch, in order.
 func opsOf(batch []*pending) []op {
 	ops := make([]op, len(batch))
 	for i, p := range batch {
@@ -237,7 +256,8 @@
 	return ops
 }
 
-// rejectAll changes the replies to those of a write that cannot be made.
+// rejectAll sets all replies to verdictFull, because the segment's value is too
+// large to be written. It returns the changed replies.
 func rejectAll(replies []reply) []reply {
 	for i := range replies {
 		replies[i].verdict = verdictFull
--- a/once/name.go
+++ b/once/name.go
@@ -12,40 +12,47 @@
 // Kind is the platform's kind of the objects that hold claims.
 const Kind = "claims"
 
-// window is the time span of the keys in one segment. It is part of the stored
-// form: VMs with different values would claim one key in two objects.
-const window = time.Second
+// segmentWindow is the time span of the keys in one segment. It is part of the
+// stored form: VMs with different values would claim one key in two objects.
+const segmentWindow = time.Second
 
-// segmentName returns the name of the only object that may hold the claims of keys
-// created at that time, unless that segment is sealed; see overflowName. Names sort
-// by deployment and then by time, so the cleaner can list the oldest first.
+// segmentName returns the name of the object that holds the claims of keys created
+// at the time made. No other object may hold them, unless that segment is sealed:
+// was full once, and accepts no new keys; see overflowName. Names sort by
+// deployment and then by time, so the cleaner can list the oldest first.
 func segmentName(deployment string, made time.Time) string {
-	return fmt.Sprintf("%s%010d", prefix(deployment), made.Unix())
+	return fmt.Sprintf("%s%010d", deploymentPrefix(deployment), made.Unix())
 }
 
 // overflowSegments is the number of overflow segments that each second has in
-// addition to its segment. Like window, it is part of the stored form.
+// addition to its segment. Like segmentWindow, it is part of the stored form.
 const overflowSegments = 8
 
-// overflowName returns the name of the overflow segment that holds a key if the
-// segment of the key's second is sealed. It sorts after the name of that segment.
+// overflowName returns the name of the overflow segment that holds the claim with
+// that id if the segment of the key's second is sealed: was full once, and accepts
+// no new keys. The name sorts after the name of the sealed segment.
 func overflowName(segment, id string) string {
 	return fmt.Sprintf("%s%s%d", segment, overflowSeparator, xxhash.Sum64String(id)%overflowSegments)
 }
 
+// overflowSeparator stands between the name of a second's segment and the number of
+// its overflow segment.
 const overflowSeparator = "+"
 
+// isOverflow reports whether the name is that of an overflow segment.
 func isOverflow(name string) bool {
+	// Only the part after the deployment is searched.
 	return strings.Contains(name[strings.LastIndex(name, ".")+1:], overflowSeparator)
 }
 
-func prefix(deployment string) string { return deployment + "." }
+// deploymentPrefix returns the start of the names of all the deployment's segments.
+func deploymentPrefix(deployment string) string { return deployment + "." }
 
-// windowEnd returns the end of a segment's window, which is later than the time of
-// every key in the segment. It returns false if the name is not that of a segment
-// of the deployment.
+// windowEnd returns the end of the time span of the keys in a segment, which is
+// later than the creation of every key in it. It returns false if the name is not
+// that of a segment of the deployment.
 func windowEnd(deployment, name string) (time.Time, bool) {
-	start, ok := strings.CutPrefix(name, prefix(deployment))
+	start, ok := strings.CutPrefix(name, deploymentPrefix(deployment))
 	if !ok {
 		return time.Time{}, false
 	}
@@ -54,9 +61,9 @@
 	if err != nil {
 		return time.Time{}, false
 	}
-	return time.Unix(seconds, 0).Add(window), true
+	return time.Unix(seconds, 0).Add(segmentWindow), true
 }
 
-// claimID returns the name of a key within its segment. Equal keys of different
-// searches are different claims.
+// claimID returns the id under which the claim of a key is stored in its segment.
+// Equal keys of different searches are different claims.
 func claimID(search string, key Key) string { return search + "/" + key.String() }
--- a/once/options.go
+++ b/once/options.go
@@ -14,34 +14,34 @@
 
 // Defaults of Options.
 const (
-	defaultKeyTTL         = 24 * time.Hour
-	defaultMaxClockSkew   = 5 * time.Minute
-	defaultClaimWait      = 2 * time.Second
-	defaultOutcomeWait    = 500 * time.Millisecond
-	defaultCallTimeout    = time.Second
-	defaultRunTimeout     = 30 * time.Second
-	defaultFleetWriteRate = 280
-	defaultFleetSize      = 7
-	defaultMaxPending     = 10000
-	defaultMaxPeerPending = 10000
-	defaultMaxResultBytes = 16 << 10
-	defaultCleanInterval  = time.Minute
+	defaultKeyTTL         = 24 * time.Hour         // age up to which a key may be used
+	defaultMaxClockSkew   = 5 * time.Minute        // difference between the clocks of two VMs that is allowed for
+	defaultClaimWait      = 2 * time.Second        // limit for winning a claim
+	defaultOutcomeWait    = 500 * time.Millisecond // limit for storing an outcome before the caller is answered
+	defaultCallTimeout    = time.Second            // limit of one store call
+	defaultRunTimeout     = 30 * time.Second       // limit of a request whose context has no deadline
+	defaultFleetWriteRate = 280                    // writes per second that all VMs together may send to the platform
+	defaultFleetSize      = 7                      // VMs that share these writes until SetFleetSize is called
+	defaultMaxPending     = 10000                  // operations of this VM's callers that may wait for a write
+	defaultMaxPeerPending = 10000                  // operations of other VMs that may wait for a write of this VM
+	defaultMaxResultBytes = 16 << 10               // size of the largest result that is stored, in bytes
+	defaultCleanInterval  = time.Minute            // average time between two rounds that remove old claims
 )
 
 // Options configures a Runner. Only Store, VM and Incarnation are required.
 type Options struct {
-	Store       objstore.Store
-	VM          string // name of this VM in the platform's list
-	Incarnation string // different at each start of this process
-	Clock       func() time.Time
-	Log         *slog.Logger
-	Metrics     *metrics.Set
+	Store       objstore.Store   // the platform's store, which holds the claims
+	VM          string           // name of this VM in the platform's list
+	Incarnation string           // different at each start of this process
+	Clock       func() time.Time // compared with the times in keys; default time.Now
+	Log         *slog.Logger     // default: nothing is logged
+	Metrics     *metrics.Set     // default: a set of its own
 
 	// KeyTTL is how long after its creation a key may be used. It must be the same
 	// on all VMs.
 	KeyTTL time.Duration
-	// MaxClockSkew must be more than the clocks of any two VMs differ. Claims are
-	// removed KeyTTL + MaxClockSkew after their key was created.
+	// MaxClockSkew must be larger than the difference between the clocks of any two
+	// VMs. Claims are removed KeyTTL + MaxClockSkew after their key was created.
 	MaxClockSkew time.Duration
 
 	ClaimWait   time.Duration // limit for winning a claim
@@ -50,25 +50,32 @@
 	RunTimeout  time.Duration // limit of a request whose context has no deadline
 
 	// FleetWriteRate is how many conditional updates per second all VMs together
-	// may send. SetFleetSize divides it into equal shares, which VMs transfer to
-	// the VM that commits for them.
+	// may send to the platform. SetFleetSize sets by how many VMs it is divided
+	// equally. A VM transfers updates that it did not use to the VM that commits
+	// for it.
 	FleetWriteRate float64
-	MaxPending     int // limit of operations waiting for a write; requests above it are refused
-	// MaxPeerPending limits the operations of other VMs that wait for a write. They
-	// do not count towards MaxPending.
+	// MaxPending limits the operations of this VM's own callers that wait for a
+	// write. Claims above it are refused.
+	MaxPending int
+	// MaxPeerPending limits the operations of other VMs that wait for a write of
+	// this VM. They do not count towards MaxPending.
 	MaxPeerPending int
 	MaxResultBytes int // largest result that is stored, in bytes
 
-	// Peers sends operations to the VMs that commit for this one. If it is nil,
-	// this VM commits everything itself. *relay.Links implements it.
+	// Peers sends operations to the VMs that commit for this one: each segment is
+	// updated by one VM for all. If Peers is nil, this VM commits everything itself.
+	// *relay.Links implements it.
 	Peers Peers
 
 	// Deployment, if set, is the deployment whose expired claims this VM helps to
-	// remove, about every CleanInterval.
-	Deployment    string
+	// remove.
+	Deployment string
+	// CleanInterval is the average time between two rounds that remove expired
+	// claims.
 	CleanInterval time.Duration
 }
 
+// withDefaults returns the options with defaults for those that are not set.
 func (o Options) withDefaults() Options {
 	if o.Clock == nil {
 		o.Clock = time.Now
@@ -96,16 +103,16 @@
 // Request is one non-idempotent request.
 type Request struct {
 	Deployment string
-	Search     string
-	Key        Key
-	Digest     string // of the payload; a key identifies one payload only
+	Search     string // name of the search; equal keys of different searches are independent
+	Key        Key    // the caller's idempotency key
+	Digest     string // digest of the payload; a key identifies one payload only
 }
 
 // Outcome is the answer to a caller.
 type Outcome struct {
 	Code       result.Code
-	Result     json.RawMessage // the target's, if Code is Accepted
-	Detail     string
-	RetryAfter time.Duration // 0 if a retry makes no sense
-	Replayed   bool          // this is the stored outcome of an earlier request with the same key
+	Result     json.RawMessage // the target's result, if Code is Accepted
+	Detail     string          // explanation for the caller, may be empty
+	RetryAfter time.Duration   // time after which the caller may try again; 0 if a retry makes no sense
+	Replayed   bool            // this is the stored outcome of an earlier request with the same key
 }
--- a/once/peers.go
+++ b/once/peers.go
@@ -12,13 +12,15 @@
 
 var _ relay.Committer = (*Runner)(nil)
 
-// maxHold limits how long Commit works on a batch of another VM.
-const maxHold = time.Second
+// maxPeerBatchWait limits how long Commit waits for the verdicts on a batch of
+// another VM, whatever time that VM allows.
+const maxPeerBatchWait = time.Second
 
-// Commit applies the operations that another VM relays to this one. Operations
-// without a verdict after b.HoldMS are answered as relay.Undecided. It never calls
-// a third VM, even if this VM believes that another one is the committer. An error
-// means that no operation was accepted.
+// Commit applies the operations that another VM relays to this one. An operation
+// without a verdict after b.HoldMS, or after maxPeerBatchWait if that is shorter,
+// is answered as relay.Undecided. Commit never calls a third VM, even if this VM
+// believes that another one commits the segment. An error means that no operation
+// was accepted.
 func (r *Runner) Commit(ctx context.Context, b relay.Batch) ([]relay.Reply, error) {
 	ops, err := opsFromBatch(b)
 	if err != nil {
@@ -29,7 +31,7 @@
 		return nil, errors.Trace(err)
 	}
 	r.committer.credit.deposit(b.Credit, time.Now())
-	hold := min(time.Duration(b.HoldMS)*time.Millisecond, maxHold)
+	hold := min(time.Duration(b.HoldMS)*time.Millisecond, maxPeerBatchWait)
 	ctx, cancel := context.WithTimeout(ctx, hold)
 	defer cancel()
 	replies := make([]relay.Reply, len(list))
@@ -54,16 +56,22 @@
 	return toRelayReply(<-p.done)
 }
 
+// relayKinds gives the name that each kind of operation has in messages to other
+// VMs.
 var relayKinds = map[opKind]relay.Kind{opClaim: relay.Claim, opComplete: relay.Complete, opRelease: relay.Release}
 
+// relayVerdicts gives the name that each verdict has in messages to other VMs.
 var relayVerdicts = map[verdict]relay.Verdict{
 	verdictDone: relay.Done, verdictHeld: relay.Held, verdictFull: relay.Full, verdictMoved: relay.Moved, verdictGone: relay.Gone,
 }
 
+// toRelayOp converts an operation to its form in messages to other VMs. The form
+// leaves out barOnRelease, because a release that bars its claim is never relayed.
 func toRelayOp(o op) relay.Op {
 	return relay.Op{Kind: relayKinds[o.kind], ID: o.id, Entry: toRelayEntry(o.entry)}
 }
 
+// toRelayEntry converts an entry to its form in messages to other VMs.
 func toRelayEntry(e entry) relay.Entry {
 	wire := relay.Entry{Digest: e.Digest, Op: e.Op, Holder: e.Holder, UntilMS: e.UntilMS}
 	if k := e.Outcome; k != nil {
@@ -72,6 +80,7 @@
 	return wire
 }
 
+// fromRelayEntry converts an entry of a message of another VM.
 func fromRelayEntry(wire relay.Entry) entry {
 	e := entry{Digest: wire.Digest, Op: wire.Op, Holder: wire.Holder, UntilMS: wire.UntilMS}
 	if k := wire.Outcome; k != nil {
@@ -80,6 +89,8 @@
 	return e
 }
 
+// opsFromBatch converts the operations of a batch of another VM. It returns an
+// error if one of them is of an unknown kind or incomplete.
 func opsFromBatch(b relay.Batch) ([]op, error) {
 	ops := make([]op, len(b.Ops))
 	for i, wire := range b.Ops {
@@ -94,6 +105,8 @@
 		default:
 			return nil, errors.NotValidf("operation %q", wire.Kind)
 		}
+		// Each operation needs the claim's operation id and key, and a completion
+		// needs an outcome.
 		if ops[i].kind == opComplete && ops[i].entry.Outcome == nil || ops[i].entry.Op == "" || ops[i].id == "" {
 			return nil, errors.NotValidf("operation %q without its outcome, id or key", wire.Kind)
 		}
@@ -101,6 +114,7 @@
 	return ops, nil
 }
 
+// toRelayReply converts a reply to its form in messages to other VMs.
 func toRelayReply(rep reply) relay.Reply {
 	wire := relay.Reply{Verdict: relayVerdicts[rep.verdict]}
 	if rep.verdict == verdictHeld {
@@ -110,9 +124,10 @@
 	return wire
 }
 
-// fromRelayReply converts the result of relaying an operation. A reply with an
-// unknown verdict is an eventUnknown: it leaves open whether the operation was
-// applied.
+// fromRelayReply converts the result of relaying an operation: what the other VM
+// replied, and whether the operation reached it. The reply is set for eventDecided
+// only. A reply with an unknown verdict is an eventUnknown: it leaves open whether
+// the operation was applied.
 func fromRelayReply(got relay.Reply, delivery relay.Delivery) (reply, event) {
 	switch {
 	case delivery == relay.NotAccepted:
--- a/once/peers_test.go
+++ b/once/peers_test.go
@@ -252,7 +252,7 @@
 	g.Expect((<-outcome).Code).To(Equal(result.Accepted))
 	g.Expect(<-closed).To(Succeed())
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
-	g.Expect(a.committer.count.fallbacks.Get()).To(BeEquivalentTo(1), "the outcome must be stored by a's own update")
+	g.Expect(a.committer.counters.fallbacks.Get()).To(BeEquivalentTo(1), "the outcome must be stored by a's own update")
 }
 
 // Guards against a committer that refuses its own callers' requests because the VMs
--- a/once/race_test.go
+++ b/once/race_test.go
@@ -201,7 +201,7 @@
 			in.release = true
 			h.add(client, in, claimOutput{}, end, farFuture)
 		case rep.verdict == verdictHeld:
-			if claim.bar {
+			if claim.barOnRelease {
 				// Another VM may enter the claim until it is barred in the
 				// background.
 				h.add(client, in, claimOutput{}, call, farFuture)
--- a/once/runner.go
+++ b/once/runner.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	retryAfterInProgress = 200 * time.Millisecond // while the first request with the key is running
-	retryAfterDown       = time.Second            // when the platform is down or too many claims wait
-	opIDBytes            = 8
+	retryAfterInProgress = 200 * time.Millisecond // told to a caller while the first request with its key is running
+	retryAfterDown       = time.Second            // told to a caller when the platform is down or too many claims wait
+	opIDBytes            = 8                      // random bytes in an operation id
 
+	// detailNotStored is the detail of a stored outcome without its result.
 	detailNotStored = "the result was too large to be kept; the request was run once"
 )
 
-// Runner claims keys and runs the requests whose claim it won. It is safe for
-// concurrent use.
+// Runner runs non-idempotent requests at most once. It claims the key of each
+// request on the platform and runs the request only if it won the claim. It is safe
+// for concurrent use.
 type Runner struct {
 	opts       Options
-	holder     string // VM and incarnation, as in entry.Holder
-	committer  *committer
-	dispatcher *dispatcher
-	cleaner    *cleaner
+	holder     string      // VM and incarnation (start of this process), as in entry.Holder
+	committer  *committer  // applies operations to segments by this VM's own updates
+	dispatcher *dispatcher // relays operations to other VMs or passes them to committer
+	cleaner    *cleaner    // removes expired claims
 }
 
 // NewRunner starts a Runner. Call Close to stop it.
@@ -42,7 +44,8 @@
 	return r
 }
 
-// SetFleetSize sets how many VMs share the platform's writes, including this one.
+// SetFleetSize sets how many VMs, including this one, share the writes per second
+// that the fleet may send to the platform.
 func (r *Runner) SetFleetSize(vms int) {
 	r.committer.credit.setRate(r.opts.FleetWriteRate/float64(max(vms, 1)), time.Now())
 }
@@ -56,10 +59,11 @@
 	return errors.Trace(r.committer.close(ctx))
 }
 
-// Run claims the request's key and, if this call won it, calls run, which may hand
-// the request to one target. The outcome is stored for later requests with the same
-// key. If the code of run's outcome means "not run", the key is released. run is
-// called at most once.
+// Run claims the request's key and, if this call won the claim, calls run, which
+// may hand the request to one target. The outcome is stored for later requests with
+// the same key. If the code of run's outcome means "not run", the key is released.
+// Otherwise a later request with the same key never calls run. run is called at
+// most once.
 func (r *Runner) Run(ctx context.Context, req Request, run func(ctx context.Context) Outcome) Outcome {
 	if out, ok := r.checkAge(req.Key); !ok {
 		return out
@@ -74,7 +78,7 @@
 	case verdictHeld:
 		return r.answerHeld(req, rep.held)
 	case verdictFull:
-		return Outcome{Code: result.Overloaded, Detail: "no more keys of that second can be claimed; make a new key", RetryAfter: window}
+		return Outcome{Code: result.Overloaded, Detail: "no more keys of that second can be claimed; make a new key", RetryAfter: segmentWindow}
 	}
 	if out, ok := r.checkCleared(ctx, req); !ok {
 		r.finish(name, claim, opRelease, nil)
@@ -89,6 +93,9 @@
 	return out
 }
 
+// newClaim returns the operation that claims the request's key. The claim names the
+// time by which the request should be done: the deadline of ctx, or RunTimeout from
+// now.
 func (r *Runner) newClaim(ctx context.Context, req Request) op {
 	until := r.opts.Clock().Add(r.opts.RunTimeout)
 	if deadline, ok := ctx.Deadline(); ok {
@@ -106,10 +113,11 @@
 	}
 }
 
-// storeOutcome stores the outcome and waits for it up to OutcomeWait, so that later
-// requests with the same key get the same answer. The caller's answer does not
-// depend on it: until the outcome is stored, a later request gets the answer "in
-// progress" or "unknown" and never runs.
+// storeOutcome stores the outcome, so that later requests with the same key get the
+// same answer. If the request was not run, it releases the claim instead. It waits
+// until this is done, at most OutcomeWait or until ctx ends. The caller's answer
+// does not depend on it: until the outcome is stored, a later request gets the
+// answer "in progress" or "unknown" and never runs.
 func (r *Runner) storeOutcome(ctx context.Context, name string, claim op, out Outcome) {
 	var done <-chan reply
 	if out.Code.Info().Ran == result.RanNo {
@@ -126,9 +134,10 @@
 	}
 }
 
-// claim makes the claim, in the segment or, if that is sealed, in the key's
-// overflow segment, and returns the name of the segment that was used. It sets
-// claim.bar if another VM may still enter the claim there.
+// claim makes the claim, in the segment with the given name or, if that is sealed
+// (was full once), in the key's overflow segment. It returns the name of the
+// segment that was used and the reply. It sets claim.barOnRelease if another VM may
+// still add the claim to that segment.
 func (r *Runner) claim(ctx context.Context, name string, claim *op) (string, reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.ClaimWait)
 	defer cancel()
@@ -140,6 +149,8 @@
 	return name, rep, err
 }
 
+// storedOutcomeOf returns the outcome as it is stored. A detail that is too long is
+// cut, and a result above MaxResultBytes is left out.
 func (r *Runner) storedOutcomeOf(out Outcome) *storedOutcome {
 	k := &storedOutcome{Code: out.Code, Result: out.Result, Detail: out.Detail}
 	if len(k.Detail) > maxDetailBytes {
@@ -152,12 +163,17 @@
 	return k
 }
 
+// finish ends a claim in the background: it stores the outcome k (opComplete), or
+// removes the claim (opRelease; k is nil). The channel gets the reply.
 func (r *Runner) finish(name string, claim op, kind opKind, k *storedOutcome) <-chan reply {
 	claim.kind = kind
 	claim.entry.Outcome = k
 	return r.dispatcher.finish(name, claim)
 }
 
+// checkAge rejects a key that is older than KeyTTL, or whose time is further in the
+// future than MaxClockSkew. It returns true if the key may be used. Otherwise the
+// Outcome is the answer to the caller.
 func (r *Runner) checkAge(key Key) (Outcome, bool) {
 	age := r.opts.Clock().Sub(key.Created())
 	if age > r.opts.KeyTTL {
@@ -169,6 +185,9 @@
 	return Outcome{}, true
 }
 
+// answerHeld returns the answer to a request whose key was claimed by an earlier
+// request, whose entry is held: the stored outcome, or that the earlier request is
+// in progress or its outcome is unknown.
 func (r *Runner) answerHeld(req Request, held entry) Outcome {
 	if held.Digest != req.Digest {
 		return Outcome{Code: result.KeyReused}
@@ -182,9 +201,9 @@
 	return Outcome{Code: result.OutcomeUnknown, Detail: "the VM that claimed the key has not reported an outcome"}
 }
 
-// claimFailed returns an outcome that means "not run". This is true although the
-// claim may have been stored: only the call of Run that made the claim hands the
-// request over, and that call ends here.
+// claimFailed returns the answer to a caller whose claim failed with err. It means
+// "not run". This is true although the claim may have been stored: only the call of
+// Run that made the claim hands the request to a target, and that call ends here.
 func claimFailed(err error) Outcome {
 	if errors.Is(err, errBusy) {
 		return Outcome{Code: result.Overloaded, Detail: "too many requests are waiting for their claim", RetryAfter: retryAfterDown}
@@ -192,6 +211,8 @@
 	return Outcome{Code: result.ClaimsDown, Detail: err.Error(), RetryAfter: retryAfterDown}
 }
 
+// newOpID returns a random operation id in hex. The same id in a stored entry shows
+// that the operation's own claim was stored.
 func newOpID() string {
 	var b [opIDBytes]byte
 	_, _ = rand.Read(b[:]) // never fails
--- a/once/segment.go
+++ b/once/segment.go
@@ -10,50 +10,52 @@
 	"github.com/juju/errors"
 )
 
-// Limits of a segment, in bytes of its estimated JSON. The space between
-// maxSizeForClaims and maxSizeForResults is reserved for the outcomes of claims
-// that are already stored.
+// Limits of a segment and parts of its estimated size, in bytes of JSON. The space
+// between maxSizeForClaims and maxSizeForResults is reserved for the outcomes of
+// claims that are already stored.
 const (
-	maxSizeForClaims  = objstore.MaxValue / 2
-	maxSizeForResults = objstore.MaxValue * 3 / 4
-	entryOverhead     = 160 // field names, quotes and numbers of an entry
-	maxDetailBytes    = 256 // of a stored outcome's detail
-	barredOverhead    = 10  // quotes, value and comma of a barred id
-	maxJSONExpansion  = 6   // largest number of bytes that JSON needs for one byte of text
+	maxSizeForClaims  = objstore.MaxValue / 2     // size of a segment above which no further claim is stored
+	maxSizeForResults = objstore.MaxValue * 3 / 4 // size of a segment above which outcomes are stored without their results
+	entryOverhead     = 160                       // field names, quotes and numbers of an entry
+	maxDetailBytes    = 256                       // longest detail of a stored outcome
+	barredOverhead    = 10                        // quotes, value and comma of a barred id
+	maxJSONExpansion  = 6                         // largest number of bytes that JSON needs for one byte of text
 )
 
-// segment is the value of one claims object. It is immutable: apply returns a new
-// one.
+// segment is the value of one claims object, which holds the claims of keys that
+// callers created within one second. It is immutable: apply returns a new one.
 type segment struct {
 	Entries map[string]entry `json:"entries"` // by search and key
-	// Barred holds the operation ids of claims that must never be entered; see
-	// op.bar.
+	// Barred holds the operation ids of claims that must never be added to Entries;
+	// see op.barOnRelease.
 	Barred map[string]bool `json:"barred,omitempty"`
 	// Sealed says that the segment of a second has been full. It accepts no new
 	// keys, whatever is released later, because they are claimed in one of the
-	// overflow segments.
+	// overflow segments, further objects for the keys of the same second.
 	Sealed   bool `json:"sealed,omitempty"`
 	overflow bool // this is an overflow segment: when it is full, there is no other one
 	size     int  // estimated size of the JSON in bytes
 }
 
-// entry is one claimed key. While it has no outcome, the request may have been
-// handed to a target: no state is stored between the claim and the hand-over.
+// entry is one claimed key. While it has no outcome, the request may or may not have
+// been handed to a target: nothing is stored at the moment when it is handed over.
 type entry struct {
-	Digest  string         `json:"digest"`
-	Op      string         `json:"op"`       // id of the operation that won the claim
-	Holder  string         `json:"holder"`   // VM and incarnation
-	UntilMS int64          `json:"until_ms"` // Unix milliseconds; the time by which the holder should be done
-	Outcome *storedOutcome `json:"outcome,omitempty"`
+	Digest  string         `json:"digest"`            // digest of the request's payload
+	Op      string         `json:"op"`                // id of the operation that won the claim
+	Holder  string         `json:"holder"`            // VM that won the claim, with its incarnation (start of the process)
+	UntilMS int64          `json:"until_ms"`          // Unix milliseconds; the time by which the holder should be done
+	Outcome *storedOutcome `json:"outcome,omitempty"` // nil until the outcome is stored
 }
 
 // storedOutcome is the outcome that later requests with the same key get.
 type storedOutcome struct {
 	Code   result.Code     `json:"code"`
-	Result json.RawMessage `json:"result,omitempty"`
+	Result json.RawMessage `json:"result,omitempty"` // the target's result; empty if it was too large
 	Detail string          `json:"detail,omitempty"`
 }
 
+// size returns an estimate of the length of the outcome's JSON, in bytes. Result is
+// JSON already; characters of Detail may have to be escaped.
 func (o *storedOutcome) size() int {
 	if o == nil {
 		return 0
@@ -61,6 +63,8 @@
 	return len(o.Result) + maxJSONExpansion*len(o.Detail)
 }
 
+// size returns an estimate of the length of the entry's JSON under the given id, in
+// bytes.
 func (e entry) size(id string) int {
 	return entryOverhead + len(id) + len(e.Digest) + len(e.Op) + len(e.Holder) + e.Outcome.size()
 }
@@ -68,10 +72,11 @@
 // opKind is the kind of change that an operation makes to a segment.
 type opKind int
 
+// The kinds of operations.
 const (
 	opClaim    opKind = iota // add an entry for the key unless there is one
 	opComplete               // add the outcome to the operation's own claim
-	opRelease                // remove the operation's own claim: nothing was handed over
+	opRelease                // remove the operation's own claim: the request was not handed to a target
 )
 
 // op is one operation on one key. It is idempotent: applying it twice has the same
@@ -80,34 +85,36 @@
 	kind  opKind
 	id    string // search and key
 	entry entry  // entry.Op identifies the claim for all three kinds
-	// bar makes a release store the claim's id as barred. It is set when the claim
-	// was sent to another VM that has not given a final answer. That VM may be
-	// frozen with the claim in its queue and enter it after its caller has given
-	// up: the key would be reported as in progress forever, although its caller got
-	// the answer "not run". Changing the object's version does not stop a VM that
+	// barOnRelease makes a release of the claim store the claim's operation id as
+	// barred: the claim can't be added to the segment any more. It is set when the
+	// claim was sent to another VM that has not given a final answer. That VM may be
+	// frozen with the claim in its queue and add the claim after the caller has given
+	// up. The key would then be reported as in progress forever, although its caller
+	// got the answer "not run". Changing the object's version does not stop a VM that
 	// reads before it writes; the barred id does.
-	bar bool
+	barOnRelease bool
 }
 
 // verdict is the result of an op.
 type verdict int
 
+// The verdicts, with the kinds of operations that get them.
 const (
-	verdictDone  verdict = iota // the segment is in the state that the op requested
+	verdictDone  verdict = iota // any: the segment is in the state that the op requested
 	verdictHeld                 // claim: the key has an entry of another operation
 	verdictFull                 // claim: there is no space for the key
-	verdictMoved                // claim: the segment is sealed; the key belongs in its overflow segment
-	verdictGone                 // complete: the claim no longer exists; claim: it is barred
+	verdictMoved                // claim: the segment is sealed (was full once); the key belongs in its overflow segment
+	verdictGone                 // complete: the claim no longer exists; claim: its operation id is barred
 )
 
 // reply is a verdict, with the conflicting entry for verdictHeld.
 type reply struct {
 	verdict verdict
-	held    entry
+	held    entry // the key's entry of another operation, for verdictHeld only
 }
 
 // apply applies the batch in order. It returns the resulting segment, one reply per
-// op, and whether anything changed.
+// op, and whether the content of the segment changed.
 func (s segment) apply(batch []op) (segment, []reply, bool) {
 	next := segment{Entries: maps.Clone(s.Entries), Barred: maps.Clone(s.Barred), Sealed: s.Sealed, overflow: s.overflow, size: s.size}
 	if next.Entries == nil {
@@ -123,6 +130,7 @@
 	return next, replies, changed
 }
 
+// applyOne applies one operation to s itself. The bool reports whether s changed.
 func (s *segment) applyOne(o op) (reply, bool) {
 	existing, present := s.Entries[o.id]
 	sameOp := present && existing.Op == o.entry.Op
@@ -136,6 +144,8 @@
 	}
 }
 
+// claim applies a claim. existing is the key's entry, if present; sameOp says that
+// the entry is of this operation. The bool reports whether the segment changed.
 func (s *segment) claim(o op, existing entry, present, sameOp bool) (reply, bool) {
 	if sameOp {
 		// An earlier write of this claim took effect and its answer was lost.
@@ -157,10 +167,10 @@
 	return reply{verdict: verdictDone}, true
 }
 
-// rejectFull rejects a claim for lack of space, and seals the segment if it is not
-// an overflow segment. If space that is released later were given to new keys, a
-// key that has been claimed in its overflow segment could also be claimed here, and
-// run twice.
+// rejectFull rejects a claim for lack of space. It seals the segment for all later
+// claims, unless it is an overflow segment. If space that is released later were
+// given to new keys, a key that has been claimed in its overflow segment could also
+// be claimed here, and run twice. The bool reports whether the segment changed.
 func (s *segment) rejectFull() (reply, bool) {
 	if s.overflow {
 		return reply{verdict: verdictFull}, false
@@ -169,6 +179,10 @@
 	return reply{verdict: verdictMoved}, true
 }
 
+// complete adds the outcome to the operation's own claim. existing is the key's
+// entry; sameOp says that the entry is of this operation. If the segment has no
+// space for the result, the outcome is stored without the result. The bool reports
+// whether the segment changed.
 func (s *segment) complete(o op, existing entry, sameOp bool) (reply, bool) {
 	if !sameOp {
 		return reply{verdict: verdictGone}, false
@@ -184,9 +198,12 @@
 	return reply{verdict: verdictDone}, true
 }
 
+// release removes the operation's own claim, and bars its operation id if the
+// operation asks for it. existing is the key's entry; sameOp says that the entry is
+// of this operation. The bool reports whether the segment changed.
 func (s *segment) release(o op, existing entry, sameOp bool) (reply, bool) {
-	barred := o.bar && s.bar(o.entry.Op)
-	// A claim with an outcome was handed over and stays.
+	barred := o.barOnRelease && s.barOperation(o.entry.Op)
+	// The request of a claim with an outcome was handed to a target: the claim stays.
 	if !sameOp || existing.Outcome != nil {
 		return reply{verdict: verdictDone}, barred
 	}
@@ -195,8 +212,9 @@
 	return reply{verdict: verdictDone}, true
 }
 
-// bar marks a claim's id as barred and reports whether that is new.
-func (s *segment) bar(opID string) bool {
+// barOperation marks a claim's operation id as barred, so that the claim is never
+// added later. It reports whether the id was not barred before.
+func (s *segment) barOperation(opID string) bool {
 	if s.Barred[opID] {
 		return false
 	}
@@ -208,6 +226,7 @@
 	return true
 }
 
+// put adds or replaces the entry of a key and updates the estimated size.
 func (s *segment) put(id string, e entry) {
 	if old, ok := s.Entries[id]; ok {
 		s.size -= old.size(id)
@@ -216,8 +235,8 @@
 	s.size += e.size(id)
 }
 
-// encode returns the segment's JSON. It leaves results as the target wrote them,
-// without escaping '<' and '&'.
+// encode returns the segment's JSON. It leaves the results of targets as the target
+// wrote them, without escaping '<' and '&'.
 func (s segment) encode() ([]byte, error) {
 	var value bytes.Buffer
 	encoder := json.NewEncoder(&value)
@@ -226,9 +245,10 @@
 	return value.Bytes(), errors.Trace(err)
 }
 
-// decodeSegment returns an error for any value that it does not understand in full.
-// If it ignored a claim that another release stored in a different form, the claim
-// would be lost with the next update, and its request could run again.
+// decodeSegment decodes the value of the segment with the given name. It returns an
+// error for any value that it does not understand in full. If it ignored a claim
+// that another version of the software stored in a different form, the claim would
+// be lost with the next update, and its request could run again.
 func decodeSegment(name string, value []byte) (segment, error) {
 	s := segment{overflow: isOverflow(name)}
 	decoder := json.NewDecoder(bytes.NewReader(value))
--- a/once/segment_test.go
+++ b/once/segment_test.go
@@ -161,6 +161,6 @@
 	for _, part := range names {
 		end, ok := windowEnd(req.Deployment, part)
 		g.Expect(ok).To(BeTrue())
-		g.Expect(end).To(Equal(req.Key.Created().Add(window)))
+		g.Expect(end).To(Equal(req.Key.Created().Add(segmentWindow)))
 	}
 }
--- a/once/sender.go
+++ b/once/sender.go
@@ -13,7 +13,8 @@
 // Peers sends operations to other VMs, which apply them. It must be safe for
 // concurrent use.
 type Peers interface {
-	// Committer returns the VM that commits a segment. It returns false if that is
+	// Committer returns the VM that commits the segment with the given name, which
+	// means that it updates the segment for all VMs. It returns false if that is
 	// this VM.
 	Committer(segment string) (objstore.VM, bool)
 	// Commit sends an operation to a VM. It returns when the VM has answered or
@@ -21,27 +22,30 @@
 	Commit(ctx context.Context, vm objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery)
 }
 
-// relayWaitDivisor divides the time limit of a claim. After this fraction of the
-// time, this VM stops relaying and updates the segment itself. The remaining time
-// is enough for one call of the platform.
+// relayWaitDivisor divides the time limit of a claim. The result is the time after
+// which this VM stops relaying the claim to another VM and updates the segment
+// itself. The remaining time is enough for one call of the platform.
 const relayWaitDivisor = 2
 
-// dispatcher applies operations by relaying them or by this VM's own update, as
-// their relayState decides.
+// dispatcher applies operations by relaying them to other VMs or by this VM's own
+// update of the segment, as their relayState decides.
 type dispatcher struct {
-	committer *committer
-	peers     Peers
+	committer *committer    // makes this VM's own updates
+	peers     Peers         // the other VMs; nil if nothing is relayed
 	relayWait time.Duration // limit for relaying one operation
 }
 
+// newDispatcher returns a dispatcher that relays through o.Peers and makes this
+// VM's own updates through c.
 func newDispatcher(o Options, c *committer) *dispatcher {
 	return &dispatcher{committer: c, peers: o.Peers, relayWait: o.ClaimWait / relayWaitDivisor}
 }
 
-// claim applies a claim and waits for its reply. After an error, or a reply that
-// another operation holds the key, the caller must not hand anything over; a claim
-// that was stored, or may be, is removed in the background. It sets o.bar if
-// another VM may apply the claim later.
+// claim applies a claim to the segment with the given name and waits for its reply.
+// After an error, or any verdict but verdictDone, the claim is not won: the caller
+// must not hand the request to a target. If the claim was stored all the same, or
+// may be, it is removed in the background. claim sets o.barOnRelease if another VM
+// may apply the claim later.
 func (d *dispatcher) claim(ctx context.Context, name string, o *op) (reply, error) {
 	if err := d.committer.admitRelayed(); err != nil {
 		return reply{}, errors.Trace(err)
@@ -49,7 +53,7 @@
 	state := d.newRelayState(ctx)
 	rep, decided := d.relay(ctx, name, *o, state)
 	d.committer.untrack(false)
-	o.bar = state.mayApplyElsewhere
+	o.barOnRelease = state.mayApplyElsewhere
 	if !decided {
 		var err error
 		if rep, err = d.committer.submit(ctx, name, *o); err != nil {
@@ -62,6 +66,8 @@
 	return rep, nil
 }
 
+// newRelayState returns the state of an operation that is not sent yet. The time
+// for relaying it ends after relayWait, or earlier if ctx has an early deadline.
 func (d *dispatcher) newRelayState(ctx context.Context) *relayState {
 	now := time.Now()
 	wait := d.relayWait
@@ -71,8 +77,9 @@
 	return &relayState{relayDeadline: now.Add(wait)}
 }
 
-// relay sends the operation to the segment's committer, if that is another VM. It
-// returns false if this VM has to apply the operation.
+// relay sends the operation to the VM that commits the segment with the given name,
+// if that is another VM. It returns that VM's reply and true, or false if this VM
+// has to apply the operation itself.
 func (d *dispatcher) relay(ctx context.Context, name string, o op, state *relayState) (reply, bool) {
 	if d.peers == nil {
 		return reply{}, false
@@ -84,24 +91,26 @@
 		got, delivery := d.peers.Commit(ctx, vm, relay.OpRequest{Segment: name, Op: toRelayOp(o), Credit: d.withdrawCredit})
 		rep, ev := fromRelayReply(got, delivery)
 		if next = state.next(ev, time.Now()); next == stepEnd {
-			d.committer.count.relayed.Inc()
+			d.committer.counters.relayed.Inc()
 			return rep, true
 		}
 	}
 	if remote {
-		d.committer.count.fallbacks.Inc()
+		d.committer.counters.fallbacks.Inc()
 	}
 	return reply{}, false
 }
 
+// withdrawCredit takes the credit that a batch transfers to the VM that commits the
+// batch's segment: at most one write to the platform out of this VM's budget.
 func (d *dispatcher) withdrawCredit() float64 { return d.committer.credit.withdraw(time.Now()) }
 
 // finish starts a completion or a release, which is retried until it succeeds or
-// the committer stops; the channel gets the reply. Both may be applied twice and at
+// the committer stops. The channel gets the reply. Both may be applied twice and at
 // any later time. A release that has to bar its claim uses this VM's own update: it
-// is not relayed to the committer that may still apply the claim.
+// is not relayed to the other VM that may still apply the claim.
 func (d *dispatcher) finish(name string, o op) <-chan reply {
-	if d.peers == nil || o.bar && o.kind == opRelease {
+	if d.peers == nil || o.barOnRelease && o.kind == opRelease {
 		return d.committer.commitInBackground(name, o)
 	}
 	done := make(chan reply, 1)
