--- a/once/relay/choose.go
+++ b/once/relay/choose.go
@@ -6,8 +6,10 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// Choose returns the VM that commits a segment: the first by rendezvous hashing
-// among the VMs for which avoided returns false. It returns false if there is none.
+// Choose returns the VM that commits the segment with the given name, which means
+// that it updates the segment for all VMs. That is the first by rendezvous hashing
+// among the VMs for which avoided returns false. Choose returns false if there is
+// none.
 func Choose(segment string, vms []objstore.VM, avoided func(vm string) bool) (objstore.VM, bool) {
 	var first objstore.VM
 	var best uint64
@@ -17,6 +19,8 @@
 			continue
 		}
 		rank := xxhash.Sum64String(segment + "\x00" + vm.Name)
+		// The VM with the highest rank comes first. VMs of equal rank are ordered by
+		// name.
 		if !found || rank > best || rank == best && vm.Name < first.Name {
 			first, best, found = vm, rank, true
 		}
--- a/once/relay/link.go
+++ b/once/relay/link.go
@@ -12,28 +12,30 @@
 // link is the connection to one VM, with its queue. Its goroutine dials, sends
 // batches, and ends when nothing was sent for IdleTimeout or the connection breaks.
 type link struct {
-	parent    *Links
-	vm        objstore.VM
+	parent    *Links        // the table that holds this link
+	vm        objstore.VM   // the VM at the other end
 	wake      chan struct{} // signals that operations were queued
-	callSlots chan struct{} // one token per batch in flight
+	callSlots chan struct{} // one token per batch in flight; holds at most maxConcurrentBatches
 
-	queue []*pending // guarded by Links.mu
+	queue []*pending // operations that are not yet part of a batch; guarded by Links.mu
 }
 
-// pending is an operation that is queued or sent. sent and cancelled are guarded by
-// Links.mu.
+// pending is an operation that is queued for another VM or was sent to it. sent and
+// cancelled are guarded by Links.mu.
 type pending struct {
 	req       OpRequest
-	done      chan answer // buffers one
-	sent      bool        // it was put into a batch
-	cancelled bool        // its caller gave up before it was sent
+	done      chan answer // receives one answer, which it buffers
+	sent      bool        // the operation was put into a batch
+	cancelled bool        // the caller gave up before the operation was sent
 }
 
+// answer is the result of relaying one operation.
 type answer struct {
-	reply    Reply
+	reply    Reply // of the other VM; set only if delivery is Answered
 	delivery Delivery
 }
 
+// run is the link's goroutine. If it can't connect, the VM is avoided for a while.
 func (k *link) run() error {
 	conn, err := k.dial()
 	if err != nil {
@@ -67,6 +69,7 @@
 	}
 }
 
+// isClosed reports whether the connection has ended.
 func isClosed(conn *wire.Conn) bool {
 	select {
 	case <-conn.Done():
@@ -76,6 +79,7 @@
 	}
 }
 
+// dial connects to the VM and checks that the VM with the expected name answers.
 func (k *link) dial() (*wire.Conn, error) {
 	ctx, cancel := context.WithTimeout(k.parent.ctx, k.parent.opts.ResponseTimeout)
 	defer cancel()
@@ -95,8 +99,8 @@
 	return conn, nil
 }
 
-// remove removes the link from the table and answers its queued operations, which
-// were never sent.
+// remove removes the link from its parent's table. It answers the queued operations
+// with NotAccepted, because they were never sent.
 func (k *link) remove() {
 	k.parent.mu.Lock()
 	if k.parent.links[k.vm.Address] == k {
@@ -110,9 +114,9 @@
 	}
 }
 
-// takeQueue returns the queued operations and marks them as sent before they are: a
-// caller that gives up in between must not assume that the other VM will never
-// apply its operation.
+// takeQueue empties the queue and returns the operations whose callers still wait.
+// It marks them as sent before they are: a caller that gives up in between must not
+// assume that the other VM will never apply its operation.
 func (k *link) takeQueue() []*pending {
 	k.parent.mu.Lock()
 	defer k.parent.mu.Unlock()
@@ -127,7 +131,8 @@
 	return taken
 }
 
-// splitBatches divides operations into batches of one segment and at most MaxOps.
+// splitBatches divides operations into batches. The operations of a batch are all
+// on one segment, and at most MaxOps.
 func splitBatches(queue []*pending) [][]*pending {
 	var list [][]*pending
 	open := map[string]int{} // index of the batch that is not full, by segment
@@ -143,8 +148,9 @@
 	return list
 }
 
-// sendBatch starts a goroutine that sends a batch. It waits until fewer than
-// maxConcurrentBatches are in flight.
+// sendBatch starts a goroutine that sends a batch. Before that it waits until fewer
+// than maxConcurrentBatches are in flight to the VM. If the connection ends first,
+// it answers the operations with NotAccepted.
 func (k *link) sendBatch(conn *wire.Conn, batch []*pending) {
 	select {
 	case k.callSlots <- struct{}{}:
@@ -159,6 +165,8 @@
 	})
 }
 
+// commit sends a batch to the VM and delivers the answers to the callers. If the VM
+// does not answer with one reply per operation, it is avoided for a while.
 func (k *link) commit(conn *wire.Conn, batch []*pending) {
 	o := k.parent.opts
 	ctx, cancel := context.WithTimeout(k.parent.ctx, o.ResponseTimeout)
@@ -190,8 +198,8 @@
 	deliver(batch, nil, Unknown)
 }
 
-// isRefusal reports whether the error is the other VM's answer that it accepted
-// nothing.
+// isRefusal reports whether the error is the other VM's answer that it accepted no
+// operation of a batch.
 func isRefusal(err error) bool {
 	switch result.CodeOf(err) {
 	case result.PeerBusy, result.UnknownMethod, result.BadMessage:
@@ -200,6 +208,8 @@
 	return false
 }
 
+// deliver sends each caller of the batch the reply at the index of its operation.
+// replies is nil if the other VM gave none.
 func deliver(batch []*pending, replies []Reply, delivery Delivery) {
 	for i, p := range batch {
 		a := answer{delivery: delivery}
--- a/once/relay/links.go
+++ b/once/relay/links.go
@@ -15,12 +15,13 @@
 )
 
 const (
-	defaultHold            = 250 * time.Millisecond
-	defaultResponseTimeout = 500 * time.Millisecond
-	defaultAvoidFor        = 2 * time.Second
-	defaultIdleTimeout     = 10 * time.Second
+	defaultHold            = 250 * time.Millisecond // time within which the other VM answers a batch, even without verdicts
+	defaultResponseTimeout = 500 * time.Millisecond // time without an answer after which a VM counts as lost
+	defaultAvoidFor        = 2 * time.Second        // time for which a lost VM is not chosen
+	defaultIdleTimeout     = 10 * time.Second       // time after which an unused connection is closed
 
-	// liveListTTL is how long a list of live VMs is reused.
+	// liveListTTL is how long a list of live VMs is reused before Fleet is asked for
+	// a new one.
 	liveListTTL = 100 * time.Millisecond
 	// batchDelay is how long the first queued operation waits for others to the
 	// same VM. It is short compared with an update of a segment.
@@ -32,8 +33,8 @@
 
 // Fleet is the information about the other VMs. peer.Exchange implements it.
 type Fleet interface {
-	Live() []objstore.VM // the VMs that are alive, including this one
-	WireOptions() wire.Options
+	Live() []objstore.VM       // the VMs that are alive, including this one
+	WireOptions() wire.Options // the options of connections to other VMs
 }
 
 // Options configures Links. Self and Fleet are required.
@@ -42,15 +43,23 @@
 	Fleet Fleet
 	Log   *slog.Logger
 
-	Hold            time.Duration // after it the other VM answers even without verdicts; default 250 ms
-	ResponseTimeout time.Duration // without an answer for this time, the VM counts as lost; default 500 ms
-	AvoidFor        time.Duration // how long a lost VM is not chosen; default 2 s
-	IdleTimeout     time.Duration // an unused connection is closed after it; default 10 s
+	// Hold is the time after which the other VM answers a batch of operations even
+	// if some have no verdict yet; default 250 ms.
+	Hold time.Duration
+	// ResponseTimeout is the time without an answer after which the other VM counts
+	// as lost; default 500 ms.
+	ResponseTimeout time.Duration
+	// AvoidFor is how long a lost VM is not chosen to commit segments; default 2 s.
+	AvoidFor time.Duration
+	// IdleTimeout is the time after which an unused connection is closed; default
+	// 10 s.
+	IdleTimeout time.Duration
 }
 
 // Delivery says whether a relayed operation reached the other VM.
 type Delivery int
 
+// The values of Delivery.
 const (
 	// Answered means that the reply is that of the other VM.
 	Answered Delivery = iota
@@ -63,21 +72,24 @@
 
 // OpRequest is one operation to relay.
 type OpRequest struct {
-	Segment string
+	Segment string // name of the segment (the stored object of one second's claims) that Op changes
 	Op      Op
-	Credit  func() float64 // returns the credit to transfer; called once per batch
+	// Credit returns the number of writes to the platform, at most 1, that this VM
+	// transfers from its budget to the other VM. It is called once per batch, for
+	// the batch's first operation.
+	Credit func() float64
 }
 
-// Links holds this VM's connections to the VMs that commit for it. It is safe for
-// concurrent use.
+// Links holds this VM's connections to the VMs that commit for it, which means that
+// they update segments for all VMs. It is safe for concurrent use.
 type Links struct {
 	opts Options
-	tomb *tomb.Tomb
+	tomb *tomb.Tomb      // stops the goroutines of the links
 	ctx  context.Context // canceled when the tomb is killed
 
-	mu       sync.Mutex           // guards the fields below and those that name it
-	links    map[string]*link     // by address
-	avoided  map[string]time.Time // end of the avoidance, by VM
+	mu       sync.Mutex           // guards the fields below, and the fields of link and pending that say so
+	links    map[string]*link     // by address of the VM
+	avoided  map[string]time.Time // time until which a lost VM is not chosen, by name of the VM
 	live     []objstore.VM        // the last list of live VMs
 	listedAt time.Time            // when live was read
 }
@@ -107,8 +119,9 @@
 	_ = l.tomb.Wait()
 }
 
-// Committer returns the VM that commits the segment. It returns false if that is
-// this VM.
+// Committer returns the VM that commits the segment with the given name, which
+// means that it updates the segment for all VMs. It returns false if that is this
+// VM, or if all live VMs are avoided.
 func (l *Links) Committer(segment string) (objstore.VM, bool) {
 	now := time.Now()
 	l.mu.Lock()
@@ -120,8 +133,9 @@
 	return vm, ok && vm.Name != l.opts.Self
 }
 
-// Commit sends one operation to a VM. It returns when the VM has answered or counts
-// as lost, or when ctx ends.
+// Commit sends one operation to a VM, in a batch with others. It returns when the
+// VM has answered or counts as lost, or when ctx ends. The Reply is set only if the
+// Delivery is Answered.
 func (l *Links) Commit(ctx context.Context, vm objstore.VM, req OpRequest) (Reply, Delivery) {
 	p := &pending{req: req, done: make(chan answer, 1)}
 	if !l.enqueue(vm, p) {
@@ -159,8 +173,8 @@
 	return true
 }
 
-// cancel withdraws an operation. This is not possible once the operation is part of
-// a batch.
+// cancel withdraws an operation and returns NotAccepted. If the operation is part
+// of a batch already, this is not possible, and cancel returns Unknown.
 func (l *Links) cancel(p *pending) Delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,7 +185,8 @@
 	return NotAccepted
 }
 
-// avoid excludes a VM from being chosen for AvoidFor.
+// avoid excludes a VM for AvoidFor from being chosen to commit segments. cause is
+// logged.
 func (l *Links) avoid(vm objstore.VM, cause error) {
 	l.opts.Log.Debug("VM is not chosen as committer for a while", "vm", vm.Name, "error", cause)
 	l.mu.Lock()
--- a/once/relay/messages.go
+++ b/once/relay/messages.go
@@ -1,5 +1,6 @@
 // Package relay sends claims, outcomes and releases of non-idempotent requests to
-// the VM that commits the segment of their second, and returns its answers.
+// the VM that commits their segment, and returns its answers. A segment is the
+// stored object that holds the claims of one second.
 //
 // The VM is chosen by rendezvous hashing over the live VMs. So all VMs with the
 // same list choose the same VM, and only the segments of a lost VM move to others.
@@ -10,27 +11,29 @@
 
 import "github.com/bramleybarrow/bramleybarrow/result"
 
-// Use is the purpose that connections of this package state when they are opened.
+// Use is the purpose that a VM states when it opens a connection for this package.
 const Use = "claims"
 
 // Prefix is the prefix of all method names of this package.
 const Prefix = "claims."
 
-// MethodCommit takes a Batch and returns Replies.
+// MethodCommit is the method that applies a batch of operations. It takes a Batch
+// and returns Replies.
 const MethodCommit = Prefix + "commit"
 
 // MaxOps limits the operations in a batch, so that its answer, which may contain a
 // stored result for each operation, fits into one message.
 const MaxOps = 64
 
-// Batch is a list of operations on one segment.
+// Batch is a list of operations on one segment, the stored object that holds the
+// claims of one second.
 type Batch struct {
-	Segment string `json:"segment"`
-	HoldMS  int64  `json:"hold_ms"` // milliseconds until operations without a verdict become Undecided
-	// Credit is the fraction of a write, at most 1, that the sender had accumulated
-	// and transfers to the VM that commits.
+	Segment string `json:"segment"` // name of the segment
+	HoldMS  int64  `json:"hold_ms"` // milliseconds after which operations without a verdict are answered as Undecided
+	// Credit is the number of writes to the platform, at most 1, that the sender
+	// transfers from its own budget to the VM that commits the segment.
 	Credit float64 `json:"credit"`
-	Ops    []Op    `json:"ops"`
+	Ops    []Op    `json:"ops"` // 1 to MaxOps operations, applied in this order
 }
 
 // Kind is the kind of change that an operation makes to a segment.
@@ -38,29 +41,30 @@
 
 // Kinds of operations.
 const (
-	Claim    Kind = "claim"
-	Complete Kind = "settle"
-	Release  Kind = "release"
+	Claim    Kind = "claim"   // add an entry for the key unless there is one
+	Complete Kind = "settle"  // add the outcome to the operation's own claim
+	Release  Kind = "release" // remove the operation's own claim
 )
 
-// Op is one operation on one key. It may be applied more than once.
+// Op is one operation on one key. Applying it more than once does no harm.
 type Op struct {
 	Kind  Kind   `json:"kind"`
-	ID    string `json:"id"` // search and key
-	Entry Entry  `json:"entry"`
+	ID    string `json:"id"`    // search and key
+	Entry Entry  `json:"entry"` // its Op identifies the claim; Claim stores the whole entry, Complete its Outcome
 }
 
-// Entry is a key's entry in a segment.
+// Entry is a key's entry in a segment, the stored object that holds the claims of
+// one second.
 type Entry struct {
-	Digest  string   `json:"digest"`
-	Op      string   `json:"op"`       // id of the operation that made the claim
-	Holder  string   `json:"holder"`   // VM and incarnation
-	UntilMS int64    `json:"until_ms"` // Unix milliseconds; the time by which the holder should be done
-	Outcome *Outcome `json:"outcome,omitempty"`
+	Digest  string   `json:"digest"`            // digest of the request's payload
+	Op      string   `json:"op"`                // id of the operation that made the claim
+	Holder  string   `json:"holder"`            // VM that made the claim, with its incarnation (start of the process)
+	UntilMS int64    `json:"until_ms"`          // Unix milliseconds; the time by which the holder should be done
+	Outcome *Outcome `json:"outcome,omitempty"` // nil until the outcome is stored
 }
 
-// Outcome is the stored outcome of a key. Result contains the bytes that the target
-// sent: embedded as JSON they would be re-encoded in transit.
+// Outcome is the stored outcome of the request with a key. Result contains the
+// bytes that the target sent: embedded as JSON they would be re-encoded in transit.
 type Outcome struct {
 	Code   result.Code `json:"code"`
 	Result []byte      `json:"result,omitempty"`
@@ -78,16 +82,16 @@
 // Verdicts. All but Undecided are final: the VM that gives them will not apply the
 // operation after that.
 const (
-	Done      Verdict = "done"
+	Done      Verdict = "done"      // the segment is in the state that the operation requested
 	Held      Verdict = "held"      // the key has an entry of another operation
 	Full      Verdict = "full"      // there is no space for the key
-	Moved     Verdict = "moved"     // the segment is sealed; the key belongs in an overflow segment
-	Gone      Verdict = "gone"      // the claim to complete does not exist, or the claim is barred
+	Moved     Verdict = "moved"     // the segment is sealed (was full once); the key belongs in an overflow segment
+	Gone      Verdict = "gone"      // the claim to complete does not exist, or the claim's operation id is barred
 	Undecided Verdict = "undecided" // the operation may still be applied
 )
 
 // Reply is a verdict, with the conflicting entry for Held.
 type Reply struct {
 	Verdict Verdict `json:"verdict"`
-	Held    *Entry  `json:"held,omitempty"`
+	Held    *Entry  `json:"held,omitempty"` // the key's entry of another operation, for Held only
 }
--- a/once/relay/serve.go
+++ b/once/relay/serve.go
@@ -7,14 +7,16 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Committer applies the operations of other VMs. An error means that none of the
-// batch was or will be applied.
+// Committer applies operations that other VMs send. Commit returns one reply per
+// operation, in order. An error means that no operation of the batch was applied or
+// will be.
 type Committer interface {
 	Commit(ctx context.Context, b Batch) ([]Reply, error)
 }
 
-// Handle serves the methods of this package. It never calls another VM. An error of
-// c is returned with the code result.PeerBusy.
+// Handle answers a call that another VM made to a method of this package. It passes
+// the batch to c and never calls another VM. An error of c is returned with the
+// code result.PeerBusy.
 func Handle(ctx context.Context, c Committer, method string, params json.RawMessage) (any, error) {
 	if method != MethodCommit {
 		return nil, result.Errorf(result.UnknownMethod, "%q", method)
