--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -12,7 +12,7 @@
 
 // Request is an operator's request for a change.
 type Request struct {
-	Reason string
+	Reason string // why the operator makes the change; 1 to MaxReasonBytes bytes
 	// Op is empty for a new operation. To resume an operation with an unknown
 	// outcome, it is the id that the earlier run printed.
 	Op OpID
@@ -22,20 +22,24 @@
 	DryRun bool // build and check the entry, but write nothing
 }
 
-// MaxReasonBytes is the maximum length of a reason, in bytes.
+// MaxReasonBytes is the maximum length of the reason that an operator gives for a
+// change, in bytes.
 const MaxReasonBytes = 1000
 
-// intent is the action and the bundle that an operation is about.
+// intent is the change that an operator requests: the action and the bundle to roll
+// out or recall.
 type intent struct {
 	action Action
-	digest string
+	digest string // of the bundle
 }
 
-// entryBuilder builds the next entry on top of the head as read.
+// entryBuilder builds the entry that follows the given head, which is nil before
+// the first rollout. change holds what the operator contributes.
 type entryBuilder func(ctx context.Context, head *Head, change Change) (Entry, error)
 
-// makeChange makes one change. If req names an operation of an earlier run, it
-// resolves the outcome of that operation instead.
+// makeChange makes one change and returns its entry. If req names an operation of
+// an earlier run, makeChange resolves the outcome of that operation instead. After
+// an error, the entry may contain the id of the operation only.
 func (c *Client) makeChange(ctx context.Context, req Request, want intent, buildEntry entryBuilder) (Entry, error) {
 	if c.opts.Key == nil {
 		return Entry{}, result.Errorf(result.BadSettings, "a change needs your private key; pass --key or make one with keygen")
@@ -61,12 +65,12 @@
 	return c.commitChange(ctx, req, want, s, buildEntry)
 }
 
-// commitChange makes the change on top of the head as read. The integrity of the
-// audit chain depends on the order of writes: first the entry in the head is
-// archived under its own name, then the head is replaced on condition that it is
-// still the version that was read. An operator who stops in between leaves
-// nothing, an archived entry that is still the head's, or a complete change. The
-// next operator can continue from each of these states.
+// commitChange makes the change on top of the head as read, s. The integrity of the
+// audit chain depends on the order of writes. First the entry in the head is
+// archived under its own name. Then the head is replaced, on condition that it is
+// still the version that was read. An operator who stops in between leaves one of
+// three states: nothing, an archived entry that is still the head's, or a complete
+// change. The next operator can continue from each of them.
 func (c *Client) commitChange(ctx context.Context, req Request, want intent, s headState, buildEntry entryBuilder) (Entry, error) {
 	entry, err := buildEntry(ctx, s.head, Change{
 		Op: req.Op, Person: c.opts.Key.Person, Reason: req.Reason, At: c.opts.Now().UTC(),
@@ -88,10 +92,10 @@
 	return accepted.Entry, want.checkMatches(accepted)
 }
 
-// resumeChange resolves an operation whose outcome was unknown. If it was not
-// accepted and its revision is still the next one, the operation continues as if
-// it were new: the earlier write and the new one expect the same version, so only
-// one can take effect.
+// resumeChange finds the outcome of an operation of an earlier run. s and readErr
+// are the result of reading the head. If the operation was not accepted and its
+// revision is still the next one, it continues as if it were new: the earlier write
+// and the new one expect the same version, so only one can take effect.
 func (c *Client) resumeChange(ctx context.Context, req Request, want intent, s headState, readErr error, buildEntry entryBuilder) (Entry, error) {
 	revision, err := req.Op.Revision()
 	if err != nil {
@@ -140,7 +144,10 @@
 	return result.Errorf(result.KeyReused, "operation %s is revision %d: %s of %s; leave --op out for another change", e.Op, e.Revision, e.Action, e.Subject())
 }
 
-// resolve calls Resolve and reads the archived entry if that is needed.
+// resolve finds the outcome of the operation op, which was to become the given
+// revision. It calls Resolve and reads the archived entry of that revision if
+// needed. The returned Head is the entry that became the revision, unless the
+// outcome is OutcomeOpen.
 func (c *Client) resolve(ctx context.Context, op OpID, revision uint64, head *Head) (Outcome, *Head, error) {
 	outcome := Resolve(op, revision, head, nil)
 	if outcome != OutcomeNeedArchived {
@@ -156,8 +163,9 @@
 	return Resolve(op, revision, head, archived), archived, nil
 }
 
-// conflictError returns a Conflict that describes the change that was accepted
-// first. latest is the current head, or nil if it is unknown.
+// conflictError returns an error with code Conflict that describes winner, the
+// change that was accepted first. latest is the current head, or nil if it is
+// unknown.
 func conflictError(winner, latest *Head) error {
 	w := &winner.Entry
 	text := "revision %d came first: %s of %s by %s at %s, because %q"
@@ -169,8 +177,8 @@
 	return result.Errorf(result.Conflict, text+"; look at it with audit and decide again", args...)
 }
 
-// unexpectedRevision returns a Conflict: the revision in force is not the one that
-// the operator expects.
+// unexpectedRevision returns an error with code Conflict: the revision in force, as
+// read in s, is not the one that the operator expects.
 func unexpectedRevision(expect uint64, s headState) error {
 	if s.head == nil {
 		return result.Errorf(result.Conflict, "revision %d was expected, but nothing is in force", expect)
@@ -186,8 +194,8 @@
 	return e.Digest
 }
 
-// archiveEntry stores the head's entry under its own name. It does nothing if the
-// entry is archived already.
+// archiveEntry stores the head's entry under its own name in the audit chain. It
+// does nothing if the entry is archived already, or if h is nil.
 func (c *Client) archiveEntry(ctx context.Context, h *Head) error {
 	if h == nil {
 		return nil
@@ -198,6 +206,7 @@
 	})
 }
 
+// sameSigned reports whether raw is a signed object with the given hash.
 func sameSigned(raw []byte, hash string) bool {
 	s, err := bundle.ParseSigned(raw)
 	return err == nil && s.Hash() == hash
@@ -220,10 +229,10 @@
 	return result.Errorf(result.BrokenAudit, "the head is at revision %d, but revision %d is archived already; the store was reverted to an earlier state", s.revision(), archived.Entry.Revision)
 }
 
-// writeHead replaces the head and returns the accepted head. If the response to a
-// write is lost, or the write conflicts, possibly with an earlier try of the same
-// operation, writeHead reads the head and resolves the outcome by the operation id
-// in it.
+// writeHead replaces the head as read, base, by the entry e and returns the head
+// with the accepted entry. The response to a write may be lost, and a write may
+// conflict with an earlier try of the same operation. In both cases writeHead reads
+// the head and finds the outcome by the operation id in it.
 func (c *Client) writeHead(ctx context.Context, base headState, e Entry) (*Head, error) {
 	signed := signEntry(e, c.opts.Key)
 	maybeSent := false
@@ -249,8 +258,9 @@
 	}
 }
 
-// timeoutError returns the error of an operation that exceeded Patience:
-// WriteUnknown if a write may have reached the platform, else PlatformDown.
+// timeoutError returns the error of an operation that took longer than
+// ClientOptions.Patience. Its code is WriteUnknown if a write may have reached the
+// platform, else PlatformDown.
 func (c *Client) timeoutError(maybeSent bool, op OpID, err error) error {
 	if maybeSent {
 		return result.Errorf(result.WriteUnknown, "run the same command again with --op %s to learn the outcome", op)
@@ -258,10 +268,10 @@
 	return result.Wrap(result.PlatformDown, err, "nothing was changed")
 }
 
-// resolveWrite finds out whether e was accepted. It returns the accepted head, an
-// error with code Conflict or BrokenAudit, or nil and no error while the outcome
-// is open, also if the platform can't be read. The accepted entry may differ from
-// e in At, if an earlier run with the same operation id wrote it.
+// resolveWrite finds out whether the entry e was accepted. It returns the accepted
+// head, or an error with code Conflict or BrokenAudit. While the outcome is open,
+// or if the platform can't be read, it returns nil and no error. The accepted entry
+// may differ from e in At, if an earlier run with the same operation id wrote it.
 func (c *Client) resolveWrite(ctx context.Context, e Entry) (*Head, error) {
 	now, err := c.readState(ctx)
 	if err != nil {
--- a/rollout/audit.go
+++ b/rollout/audit.go
@@ -8,8 +8,9 @@
 
 // Audit is the verified chain of accepted changes, oldest first.
 type Audit struct {
-	Entries []Entry
-	// Head is the revision of the head object, whose entry is the last of Entries.
+	Entries []Entry // one for each revision from 1
+	// Head is the revision of the head object, whose entry is the last of Entries;
+	// 0 before the first rollout.
 	Head uint64
 }
 
@@ -46,7 +47,8 @@
 	return a, nil
 }
 
-// readChain reads the archived entries in order and verifies each by itself.
+// readChain reads the archived entries of the audit chain, oldest first, and
+// verifies each by itself. VerifyChain checks that they follow each other.
 func (c *Client) readChain(ctx context.Context) ([]*Head, error) {
 	objects, err := c.list(ctx, KindAudit, c.opts.Deployment+".")
 	if err != nil {
@@ -66,9 +68,10 @@
 	return archived, nil
 }
 
-// VerifyChain checks the archived entries, in order, against the head that was
-// read before them, and returns the chain up to the head. Entries beyond the head
-// were accepted after it was read; they have to continue the chain too.
+// VerifyChain checks the archived entries, oldest first, against the head that was
+// read before them, and returns the chain up to and including the head. Entries
+// beyond the head were accepted after it was read; they have to continue the chain
+// too.
 func VerifyChain(head *Head, archived []*Head) ([]*Head, error) {
 	if head == nil {
 		if len(archived) > 0 {
@@ -77,6 +80,7 @@
 		return nil, nil
 	}
 	all := archived
+	// The head's own entry may not be archived yet.
 	if uint64(len(archived)) == head.Entry.Revision-1 {
 		all = append(append([]*Head{}, archived...), head)
 	}
--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -43,8 +43,8 @@
 	return c.opts.Keys.OpenBundle(raw, digest)
 }
 
-// LoadBundleBytes verifies a bundle and returns its bytes as the author wrote
-// them.
+// LoadBundleBytes reads a bundle from the platform, verifies it and returns its
+// bytes as the author wrote them.
 func (c *Client) LoadBundleBytes(ctx context.Context, digest string) ([]byte, error) {
 	raw, err := c.readBundle(ctx, digest)
 	if err != nil {
@@ -57,6 +57,8 @@
 	return signed.Payload, err
 }
 
+// readBundle reads the signed bundle from the platform without verifying it. If it
+// does not exist, the error has code NotFound.
 func (c *Client) readBundle(ctx context.Context, digest string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
@@ -67,7 +69,8 @@
 	return obj.Value, err
 }
 
-// BundleInfo describes one bundle on the platform.
+// BundleInfo describes one bundle on the platform. Deployment, Name and Author are
+// those of the bundle's content, and empty if the bundle has a fault.
 type BundleInfo struct {
 	Digest     string `json:"digest"`
 	Deployment string `json:"deployment"`
@@ -99,8 +102,9 @@
 	return list, nil
 }
 
-// SignOff signs a bundle off. The signer has to be another person than the author.
-// The sign-off is valid until the bundle is recalled.
+// SignOff approves a bundle: it writes a signed sign-off to the platform. The
+// signer has to be another person than the bundle's author. The sign-off is valid
+// until the bundle is recalled.
 func (c *Client) SignOff(ctx context.Context, digest, reason string) (bundle.SignOff, error) {
 	if c.opts.Key == nil {
 		return bundle.SignOff{}, result.Errorf(result.BadSettings, "a sign-off needs your private key; pass --key or make one with keygen")
@@ -138,7 +142,8 @@
 	return signOff, err
 }
 
-// loadApproved reads the bundle and its newest valid sign-off.
+// loadApproved reads the bundle and its newest valid sign-off. If there is no valid
+// one, the error says that there is none at all, or why the last one was refused.
 func (c *Client) loadApproved(ctx context.Context, digest string) (Approved, error) {
 	b, err := c.LoadBundle(ctx, digest)
 	if err != nil {
@@ -210,9 +215,9 @@
 	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRecall, Digest: digest}, req)
 }
 
-// findFallback returns the bundle that replaces a recalled one: the latest earlier
-// one that VMs would accept, or nil. It skips a bundle whose sign-off is by a key
-// that was retired since.
+// findFallback returns the bundle that replaces the recalled bundle with the given
+// digest: the latest earlier one that VMs would accept, or nil if there is none. It
+// skips a bundle whose sign-off is by a key that was retired since.
 func (c *Client) findFallback(ctx context.Context, head *Head, digest string) (*Approved, error) {
 	for _, past := range Fallbacks(head, digest) {
 		archived, err := c.readArchived(ctx, past.Revision)
--- a/rollout/client.go
+++ b/rollout/client.go
@@ -17,13 +17,15 @@
 	Deployment string
 	Keys       *bundle.Keyring
 	Store      objstore.Store
-	Key        *bundle.PrivateKey // needed for changes only
-	// Patience bounds how long one operation retries calls to the platform;
-	// default 30 s.
-	Patience    time.Duration
-	CallTimeout time.Duration // of one call to the platform, default 5 s
-	// Backoff waits between two tries, which are counted from 0; the default
-	// sleeps with jitter. Tests replace it.
+	Key        *bundle.PrivateKey // the operator's key; needed for pushes, sign-offs and changes only
+	// Patience bounds the time of one operation of the Client, such as a rollout:
+	// until then it retries failed calls to the platform; default 30 s.
+	Patience time.Duration
+	// CallTimeout bounds one call to the platform; default 5 s.
+	CallTimeout time.Duration
+	// Backoff waits after the failed call to the platform with the number try,
+	// counted from 0. It returns early when ctx ends. The default sleeps with
+	// jitter. Tests replace it.
 	Backoff func(ctx context.Context, try int)
 	// Now is the operator's clock, default time.Now.
 	Now func() time.Time
@@ -31,14 +33,14 @@
 
 // The defaults of ClientOptions.
 const (
-	DefaultPatience    = 30 * time.Second
-	DefaultCallTimeout = 5 * time.Second
+	DefaultPatience    = 30 * time.Second // time for which one operation retries failed calls to the platform
+	DefaultCallTimeout = 5 * time.Second  // limit of one call to the platform
 )
 
-// Bounds of the delay between two tries, before jitter.
+// Bounds of the delay between two tries of a call to the platform, before jitter.
 const (
-	minRetryDelay = 20 * time.Millisecond
-	maxRetryDelay = time.Second
+	minRetryDelay = 20 * time.Millisecond // delay after the first failed try; it doubles with each further one
+	maxRetryDelay = time.Second           // upper bound of the doubled delay
 )
 
 // Client is the operators' interface: it pushes and signs bundles, rolls them out,
@@ -61,8 +63,11 @@
 	return &Client{opts: opts}
 }
 
+// backoffWithJitter is the default of ClientOptions.Backoff. It waits until the
+// delay after the given try has passed or ctx ends.
 func backoffWithJitter(ctx context.Context, try int) {
 	delay := min(minRetryDelay<<min(try, 10), maxRetryDelay)
+	// The jitter is up to half of the delay in both directions.
 	timer := time.NewTimer(time.Duration(float64(delay) * (0.5 + rand.Float64())))
 	defer timer.Stop()
 	select {
@@ -71,8 +76,8 @@
 	}
 }
 
-// get reads one object and retries until ctx ends. If the object is missing, it
-// returns objstore.ErrNotFound without retry.
+// get reads one object. It retries failed calls until ctx ends. If the object does
+// not exist, it returns objstore.ErrNotFound without retry.
 func (c *Client) get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	for try := 0; ; try++ {
 		call, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
@@ -94,8 +99,8 @@
 	return c.listFrom(ctx, kind, prefix, prefix)
 }
 
-// listFrom reads the objects whose names come after the given one and start with
-// prefix.
+// listFrom reads the objects of a kind whose names sort after the name after and
+// start with prefix, in order of their names.
 func (c *Client) listFrom(ctx context.Context, kind, prefix, after string) ([]objstore.Object, error) {
 	const pageSize = 100
 	var all []objstore.Object
@@ -117,10 +122,13 @@
 	}
 }
 
+// hasPrefix reports whether s starts with prefix.
 func hasPrefix(s, prefix string) bool {
 	return len(s) >= len(prefix) && s[:len(prefix)] == prefix
 }
 
+// listPage reads at most limit objects of a kind whose names sort after the name
+// after. It retries failed calls until ctx ends.
 func (c *Client) listPage(ctx context.Context, kind, after string, limit int) (objstore.Page, error) {
 	for try := 0; ; try++ {
 		call, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
@@ -137,9 +145,9 @@
 }
 
 // createOnce creates an object that is never overwritten. If the object exists
-// already, same reports whether its content is equivalent; if it is not, the error
-// is BrokenAudit. Repeating the write has no effect, so a lost response is handled
-// by a retry.
+// already, same has to report whether its content is equivalent; if it is not, the
+// error has code BrokenAudit. Repeating the write has no effect, so a lost response
+// is handled by a retry. createOnce retries until ctx ends.
 func (c *Client) createOnce(ctx context.Context, kind, name string, value []byte, same func(existing []byte) bool) error {
 	if len(value) > objstore.MaxValue {
 		return result.Errorf(result.BundleTooLarge, "%s/%s has %d bytes, allowed are %d; nothing was written", kind, name, len(value), objstore.MaxValue)
@@ -171,6 +179,8 @@
 	}
 }
 
+// put writes one object, in one call without retry, on condition that the object
+// has the version expect; 0 means that it must not exist.
 func (c *Client) put(ctx context.Context, kind, name string, expect uint64, value []byte) error {
 	call, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -178,12 +188,14 @@
 	return err
 }
 
-// headState is the head as read, with its object version in the store.
+// headState is the head of the deployment (its latest accepted change) as read from
+// the platform.
 type headState struct {
 	head    *Head  // nil before the first rollout
 	version uint64 // object version in the store; 0 if there is no head object
 }
 
+// revision returns the revision in force, or 0 before the first rollout.
 func (s headState) revision() uint64 {
 	if s.head == nil {
 		return 0
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -18,22 +18,23 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// The kinds of objects on the platform.
+// The kinds of objects on the platform, with the names of the objects.
 const (
-	KindHead    = "bramley-heads"    // name: the deployment
-	KindAudit   = "bramley-audit"    // name: AuditName
-	KindBundle  = "bramley-bundles"  // name: the digest; written once
-	KindSignOff = "bramley-signoffs" // name: digest, '.', key id, '.', revision
-	KindRefusal = "bramley-refusals" // name: deployment, '.', time, '.', start of the refusal's hash
+	KindHead    = "bramley-heads"    // latest accepted change; name: the deployment
+	KindAudit   = "bramley-audit"    // archived entry of the audit chain; name: AuditName
+	KindBundle  = "bramley-bundles"  // signed bundle, written once; name: the digest
+	KindSignOff = "bramley-signoffs" // approval of a bundle; name: digest, '.', key id, '.', revision
+	KindRefusal = "bramley-refusals" // record of a refused change; name: deployment, '.', time, '.', start of the refusal's hash
 )
 
 // Bounds of the lists in a head, which keep its size at a few kilobytes.
 const (
-	MaxHistory = 8  // bundles that a recall can fall back to
-	MaxRecalls = 32 // recalls that are listed; RecallFloor stands for older ones
+	MaxHistory = 8  // length of Entry.History: earlier bundles that a recall can fall back to
+	MaxRecalls = 32 // length of Entry.Recalls; Entry.RecallFloor stands for older recalls
 )
 
-// AuditName is the name of an archived entry. Names sort by revision.
+// AuditName returns the name of the archived entry with that revision. Names sort
+// by revision.
 func AuditName(deployment string, revision uint64) string {
 	return fmt.Sprintf("%s.%020d", deployment, revision)
 }
@@ -43,51 +44,57 @@
 
 // The kinds of changes.
 const (
-	ActionRollout Action = "rollout"
-	ActionRecall  Action = "recall"
+	ActionRollout Action = "rollout" // puts a bundle into force
+	ActionRecall  Action = "recall"  // invalidates a bundle's sign-offs, and replaces it if it is in force
 )
 
 // PastBundle is a bundle that was in force earlier and was not recalled since.
 type PastBundle struct {
 	Digest   string `json:"digest"`
-	Revision uint64 `json:"revision"` // of an entry that put it into force
+	Revision uint64 `json:"revision"` // revision of an entry that put the bundle into force
 }
 
-// Recall is a recalled bundle. Sign-offs made before that revision are invalid.
+// Recall is a recalled bundle. Sign-offs of the bundle that were made before the
+// recall's revision was in force are invalid.
 type Recall struct {
 	Digest   string `json:"digest"`
-	Revision uint64 `json:"revision"` // of the entry that recalled it
+	Revision uint64 `json:"revision"` // revision of the entry that recalled the bundle
 }
 
-// Entry is one accepted change and the state of the head after it.
+// Entry is one accepted change and the state of the deployment after it. The latest
+// entry is the head.
 type Entry struct {
 	Deployment string    `json:"deployment"`
-	Revision   uint64    `json:"revision"`
-	Op         OpID      `json:"op"`
-	Action     Action    `json:"action"`
-	Digest     string    `json:"digest"` // in force from this revision on
-	Name       string    `json:"name"`   // of that bundle
-	Before     string    `json:"before"` // digest in force before; empty for the first
-	Recalled   string    `json:"recalled,omitempty"`
-	Reason     string    `json:"reason"`
-	Person     string    `json:"person"`
-	At         time.Time `json:"at"`   // by the operator's clock
-	Prev       string    `json:"prev"` // hash of the entry before; empty for the first
+	Revision   uint64    `json:"revision"`           // number of the change, from 1
+	Op         OpID      `json:"op"`                 // operation that made the change
+	Action     Action    `json:"action"`             // kind of the change
+	Digest     string    `json:"digest"`             // digest of the bundle in force from this revision on
+	Name       string    `json:"name"`               // name of that bundle
+	Before     string    `json:"before"`             // digest of the bundle in force before; empty for the first
+	Recalled   string    `json:"recalled,omitempty"` // digest of the recalled bundle, for ActionRecall
+	Reason     string    `json:"reason"`             // given by the operator
+	Person     string    `json:"person"`             // operator who made the change
+	At         time.Time `json:"at"`                 // by the operator's clock
+	Prev       string    `json:"prev"`               // hash of the entry before; empty for the first
 
-	SignOff     bundle.Signed `json:"sign_off"`     // of the bundle in force
-	History     []PastBundle  `json:"history"`      // newest first, without the bundle in force
-	Recalls     []Recall      `json:"recalls"`      // newest first
-	RecallFloor uint64        `json:"recall_floor"` // highest revision of a recall that is no longer listed, or 0
+	SignOff bundle.Signed `json:"sign_off"` // approval of the bundle in force
+	History []PastBundle  `json:"history"`  // earlier bundles, newest first, without the bundle in force
+	Recalls []Recall      `json:"recalls"`  // newest first, at most MaxRecalls
+	// RecallFloor is the highest revision of a recall that is no longer listed in
+	// Recalls, or 0. A rollout needs a sign-off that is not older, because it is no
+	// longer known which bundles these recalls were about.
+	RecallFloor uint64 `json:"recall_floor"`
 }
 
-// Head is a verified entry with the signed object that it came in.
+// Head is a verified entry with the signed object that it came in: the latest entry
+// of a deployment, or an archived one.
 type Head struct {
 	Entry  Entry
 	Signed bundle.Signed
-	Hash   string
+	Hash   string // hash of Signed, which the next entry names in Prev
 }
 
-// signEntry returns e as a signed object.
+// signEntry returns the entry e as an object signed with the operator's key.
 func signEntry(e Entry, key *bundle.PrivateKey) bundle.Signed {
 	payload, err := json.Marshal(e)
 	if err != nil {
@@ -96,8 +103,9 @@
 	return bundle.Sign(bundle.PurposeEntry, payload, key)
 }
 
-// openHead verifies raw as an entry of the deployment. Signatures by retired keys
-// are accepted only if allowRetired is set.
+// openHead decodes raw and verifies that it is an entry of the deployment, signed
+// by the person that it names. Signatures by retired keys are accepted only if
+// allowRetired is set.
 func openHead(raw []byte, deployment string, keys *bundle.Keyring, allowRetired bool) (*Head, error) {
 	s, err := bundle.ParseSigned(raw)
 	if err != nil {
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -10,18 +10,21 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// maxConcurrentReads bounds the concurrent reads of the head. If the platform
-// takes longer than the interval between reads, reads still complete, with delay.
+// maxConcurrentReads bounds how many reads of the head one VM has in flight. If the
+// platform takes longer than the interval between reads, reads still complete, with
+// delay.
 const maxConcurrentReads = 4
 
-// Bounds of the delay between watches that failed.
+// Bounds of the delay after a watch of the head that failed.
 const (
-	minWatchRetryDelay = 200 * time.Millisecond
-	maxWatchRetryDelay = 2 * time.Second
+	minWatchRetryDelay = 200 * time.Millisecond // delay after the first failed watch; it doubles with each further one
+	maxWatchRetryDelay = 2 * time.Second        // upper bound of the doubled delay
 )
 
-// readLoop re-reads the head periodically, independent of watches: a watch that
-// loses or withholds an event looks the same as a platform where nothing changed.
+// readLoop reads the head periodically until the follower stops, independent of
+// watches: a watch that loses or withholds an event looks the same as a platform
+// where nothing changed. It reads at once when a watch reports a change of the
+// head, or when SetWatching changes the mode.
 func (f *Follower) readLoop() error {
 	f.startRead()
 	for {
@@ -39,8 +42,9 @@
 	}
 }
 
-// readDelay returns the delay until the next read: the interval, varied at random
-// by up to 10 % in both directions, so that the VMs' reads are spread.
+// readDelay returns the delay until the next read of the head: RereadInterval while
+// the VM watches the platform, else IdleInterval. It is varied at random by up to
+// 10 % in both directions, so that the VMs' reads are spread.
 func (f *Follower) readDelay() time.Duration {
 	interval := f.opts.IdleInterval
 	if f.watching.Load() {
@@ -49,6 +53,8 @@
 	return time.Duration(float64(interval) * (0.9 + 0.2*rand.Float64()))
 }
 
+// startRead starts a read of the head in the background. It skips the read if
+// maxConcurrentReads are in flight.
 func (f *Follower) startRead() {
 	select {
 	case f.readSlots <- struct{}{}:
@@ -63,6 +69,7 @@
 	})
 }
 
+// readHead reads the head from the platform and applies it.
 func (f *Follower) readHead() {
 	ctx := f.tomb.Context(context.Background())
 	obj, err := f.get(ctx, KindHead, f.opts.Deployment)
@@ -81,14 +88,17 @@
 	}
 }
 
-// get has a timeout for each call. On a platform that takes long for each call, a
-// common timeout for head and bundle would expire before every bundle is read.
+// get reads one object, within ReadTimeout. Each call has a timeout of its own: on
+// a platform that takes long for each call, a common timeout for head and bundle
+// would expire before every bundle is read.
 func (f *Follower) get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.opts.ReadTimeout)
 	defer cancel()
 	return f.opts.Store.Get(ctx, kind, name)
 }
 
+// fetchBundle reads the packaged bundle with that digest from the platform. It is a
+// FetchFunc.
 func (f *Follower) fetchBundle(ctx context.Context, digest string) ([]byte, error) {
 	obj, err := f.get(ctx, KindBundle, digest)
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -100,9 +110,10 @@
 	return obj.Value, nil
 }
 
-// watchLoop watches the platform and triggers a read when the head changed.
+// watchLoop watches the platform until the follower stops, and triggers a read when
+// the head changed. While watching is switched off, it only waits.
 func (f *Follower) watchLoop() error {
-	var since uint64
+	var since uint64 // revision of the store up to which changes were reported
 	delay := minWatchRetryDelay
 	for f.tomb.Alive() {
 		if !f.watching.Load() {
@@ -116,8 +127,8 @@
 		// After a failure the next watch starts from the beginning, in case the
 		// store was reverted to an earlier revision meanwhile.
 		since = change.Revision
-		// If watches return at once without events, the loop must not call the
-		// platform without delay.
+		// The delay applies after an error, and after a watch that returned at once
+		// without events: the loop must not call the platform without delay.
 		if err != nil || len(change.Events) == 0 && time.Since(start) < minWatchRetryDelay {
 			if !f.sleep(delay) {
 				return nil
@@ -133,6 +144,8 @@
 	return nil
 }
 
+// watch waits, at most WatchTimeout, until the platform reports changes of heads
+// after the store's revision since.
 func (f *Follower) watch(since uint64) (objstore.WatchResult, error) {
 	ctx, cancel := context.WithTimeout(f.tomb.Context(context.Background()), f.opts.WatchTimeout)
 	defer cancel()
@@ -140,6 +153,7 @@
 	return f.opts.Store.Watch(ctx, KindHead, since)
 }
 
+// affectsHead reports whether the changes include one of this deployment's head.
 func (f *Follower) affectsHead(change objstore.WatchResult) bool {
 	for _, e := range change.Events {
 		if e.Name == f.opts.Deployment {
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -20,13 +20,13 @@
 // InForce is the bundle in force on a VM. It is immutable; a query keeps the
 // pointer until it ends and so uses one revision throughout.
 type InForce struct {
-	Revision uint64
-	Digest   string
+	Revision uint64 // of the head, the latest change that this VM applied
+	Digest   string // of the bundle
 	Bundle   *bundle.Bundle
-	Since    time.Time // when it came into force on this VM
+	Since    time.Time // when Revision came into force on this VM
 
-	head *Head
-	raw  []byte // the bundle as packaged and signed, for peers
+	head *Head  // the latest change that this VM applied
+	raw  []byte // the bundle as packaged and signed, for other VMs
 }
 
 // Options configures a Follower. Zero values take the defaults.
@@ -36,24 +36,25 @@
 	Store      objstore.Store
 	Log        *slog.Logger
 	Metrics    *metrics.Set // may be nil
-	// Watch makes the VM watch the platform and re-read the head every
-	// RereadInterval. Without it, the VM re-reads the head every IdleInterval and
-	// relies on peers for earlier updates.
+	// Watch makes the VM watch the platform for changes of the head, the object
+	// that names the bundle in force. A VM that doesn't watch relies on other VMs
+	// to pass on a new head early. SetWatching changes it later.
 	Watch          bool
-	RereadInterval time.Duration // default 1 s
-	IdleInterval   time.Duration // default 30 s
-	ReadTimeout    time.Duration // of one read, default 5 s
-	WatchTimeout   time.Duration // of one watch, default 30 s
+	RereadInterval time.Duration // time between two reads of the head while the VM watches; default 1 s
+	IdleInterval   time.Duration // time between two reads of the head while the VM does not watch; default 30 s
+	ReadTimeout    time.Duration // limit of one read of the head or of a bundle; default 5 s
+	WatchTimeout   time.Duration // limit of one watch of the head; default 30 s
 }
 
 // The defaults of Options.
 const (
-	DefaultRereadInterval = time.Second
-	DefaultIdleInterval   = 30 * time.Second
-	DefaultReadTimeout    = 5 * time.Second
-	DefaultWatchTimeout   = 30 * time.Second
+	DefaultRereadInterval = time.Second      // time between two reads of the head while the VM watches the platform
+	DefaultIdleInterval   = 30 * time.Second // time between two reads of the head while the VM does not watch the platform
+	DefaultReadTimeout    = 5 * time.Second  // limit of one read of the head or of a bundle
+	DefaultWatchTimeout   = 30 * time.Second // limit of one watch of the head
 )
 
+// withDefaults returns the options with defaults for those that are not set.
 func (o Options) withDefaults() Options {
 	if o.Log == nil {
 		o.Log = logging.Discard()
@@ -65,33 +66,34 @@
 	return o
 }
 
-// Follower follows the head of a deployment on one VM and holds the bundle in
-// force. All methods but Start may be called concurrently.
+// Follower follows the head of a deployment on one VM: the object on the platform
+// that names the bundle in force. It fetches, verifies and holds that bundle. All
+// methods but Start may be called concurrently.
 type Follower struct {
 	opts    Options
 	metrics *followerMetrics
-	tomb    tomb.Tomb
+	tomb    tomb.Tomb // stops readLoop, watchLoop and the reads in flight
 
-	current     atomic.Pointer[InForce]
+	current     atomic.Pointer[InForce] // the bundle in force; nil before the first
 	previous    atomic.Pointer[InForce] // the bundle that current replaced; most recalls fall back to it
-	lastContact atomic.Int64            // Unix time in nanoseconds of the last read that the platform answered
-	watching    atomic.Bool
-	modeChanged chan struct{} // wakes readLoop when watching changes
-	headChanged chan struct{} // wakes readLoop when a watch reports a change
-	readSlots   chan struct{} // bounds the concurrent reads
+	lastContact atomic.Int64            // Unix time in nanoseconds of the last read that the platform answered, or 0
+	watching    atomic.Bool             // the VM watches the platform; else it relies on other VMs
+	modeChanged chan struct{}           // wakes readLoop when watching changes
+	headChanged chan struct{}           // wakes readLoop when a watch reports a change
+	readSlots   chan struct{}           // one token per read of the head in flight
 
 	// mu guards the fields below and orders changes of current. It is never held
 	// during I/O.
 	mu          sync.Mutex
-	changed     chan struct{}
-	lastRefused refusedHead
+	changed     chan struct{} // closed and replaced when another revision comes into force
+	lastRefused refusedHead   // zero if a head came into force since
 }
 
-// refusedHead is the last head that was refused. It is remembered so that a bad
-// head is logged once and not at each read.
+// refusedHead is the last head that this VM refused to put into force. It is
+// remembered so that a bad head is logged once and not at each read.
 type refusedHead struct {
-	hash string
-	err  error
+	hash string // of the refused head
+	err  error  // why it was refused
 }
 
 // NewFollower returns a Follower that has nothing in force yet.
@@ -108,7 +110,7 @@
 	return f
 }
 
-// Start starts the goroutines that follow the platform.
+// Start starts the goroutines that read and watch the head on the platform.
 func (f *Follower) Start() {
 	f.tomb.Go(func() error {
 		f.tomb.Go(f.readLoop)
@@ -128,7 +130,7 @@
 	}
 }
 
-// Current returns what is in force, or nil before the first bundle.
+// Current returns the bundle in force on this VM, or nil before the first bundle.
 func (f *Follower) Current() *InForce { return f.current.Load() }
 
 // Revision returns the revision in force, or 0 before the first bundle.
@@ -156,8 +158,8 @@
 	return time.Unix(0, ns)
 }
 
-// Head returns the signed head in force, for peers, or nil before the first
-// bundle.
+// Head returns the signed head in force, the latest change that this VM applied, to
+// be offered to other VMs. It returns nil before the first bundle.
 func (f *Follower) Head() []byte {
 	if cur := f.Current(); cur != nil {
 		return cur.head.Signed.Bytes()
@@ -165,8 +167,9 @@
 	return nil
 }
 
-// RawBundle returns the packaged bundle with that digest if it is in force here or
-// was just before. The receiver has to verify it.
+// RawBundle returns the packaged (signed and encoded) bundle with that digest, if
+// it is in force on this VM or was in force just before. The receiver has to verify
+// it.
 func (f *Follower) RawBundle(digest string) ([]byte, bool) {
 	for _, held := range []*InForce{f.current.Load(), f.previous.Load()} {
 		if held != nil && held.Digest == digest {
@@ -176,21 +179,23 @@
 	return nil, false
 }
 
-// LastRefusal returns the error of the last refused head, or nil if a head came
-// into force since.
+// LastRefusal returns why this VM refused the last head, or nil if a head came into
+// force since.
 func (f *Follower) LastRefusal() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastRefused.err
 }
 
-// SetWatching selects between watching the platform and relying on peers.
+// SetWatching selects between watching the platform (true) and relying on other
+// VMs, with rare reads of the platform (false).
 func (f *Follower) SetWatching(on bool) {
 	if f.watching.Swap(on) != on {
 		wake(f.modeChanged)
 	}
 }
 
+// wake sends a signal on c, which holds one, unless a signal is pending already.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -198,7 +203,8 @@
 	}
 }
 
-// FetchFunc returns the packaged bundle with the given digest.
+// FetchFunc returns the packaged (signed and encoded) bundle with the given digest,
+// from the platform or from another VM. The caller has to verify it.
 type FetchFunc func(ctx context.Context, digest string) ([]byte, error)
 
 // OfferHead applies a head received from a peer if its revision is higher than the
@@ -209,6 +215,10 @@
 	return f.applyHead(ctx, raw, fetch)
 }
 
+// applyHead verifies a head and puts it into force if its revision is higher than
+// the one in force. It returns nil if the same head is in force already. fetch
+// returns the head's bundle, if this VM does not hold it. A refused head is
+// recorded for LastRefusal, unless it just has a lower revision.
 func (f *Follower) applyHead(ctx context.Context, raw []byte, fetch FetchFunc) error {
 	h, err := openHead(raw, f.opts.Deployment, f.opts.Keys, false)
 	if err != nil {
@@ -235,6 +245,7 @@
 	return nil
 }
 
+// headOrNil returns the head in force; nil if f is nil, before the first bundle.
 func (f *InForce) headOrNil() *Head {
 	if f == nil {
 		return nil
@@ -242,7 +253,8 @@
 	return f.head
 }
 
-// loadInForce fetches and verifies the bundle that h puts into force.
+// loadInForce verifies the bundle that the head h puts into force. It fetches the
+// bundle if this VM does not hold it.
 func (f *Follower) loadInForce(ctx context.Context, h *Head, fetch FetchFunc) (*InForce, error) {
 	digest := h.Entry.Digest
 	raw, held := f.RawBundle(digest)
@@ -302,6 +314,8 @@
 	f.opts.Log.Info("bundle in force", "revision", next.Revision, "digest", next.Digest, "name", next.Bundle.Name)
 }
 
+// recordRefusal counts and remembers a refused head. It logs the refusal unless the
+// same head was refused with the same error just before.
 func (f *Follower) recordRefusal(hash string, err error) {
 	f.metrics.countRefused(result.CodeOf(err))
 	f.mu.Lock()
--- a/rollout/metrics.go
+++ b/rollout/metrics.go
@@ -12,15 +12,15 @@
 // Follower.
 type followerMetrics struct {
 	set          *metrics.Set
-	reads        *metrics.Counter // answered by the platform
-	readsFailed  *metrics.Counter
-	readsSkipped *metrics.Counter // not started, since maxConcurrentReads were running
-	watches      *metrics.Counter
-	changes      *metrics.Counter // of the revision in force
+	reads        *metrics.Counter // reads of the head that the platform answered
+	readsFailed  *metrics.Counter // reads of the head that failed
+	readsSkipped *metrics.Counter // reads of the head not started, since maxConcurrentReads were running
+	watches      *metrics.Counter // watches of the head started
+	changes      *metrics.Counter // changes of the revision in force
 }
 
 // newFollowerMetrics registers the metrics in set, or in a private set if set is
-// nil.
+// nil. revision returns the revision in force.
 func newFollowerMetrics(set *metrics.Set, revision func() float64) *followerMetrics {
 	if set == nil {
 		set = metrics.NewSet()
@@ -36,6 +36,7 @@
 	}
 }
 
+// countRefused counts a refused head by the result code of its refusal.
 func (m *followerMetrics) countRefused(code result.Code) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`bramley_heads_refused_total{code="%s"}`, code)).Inc()
 }
--- a/rollout/next.go
+++ b/rollout/next.go
@@ -12,16 +12,18 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// OpID identifies one operation. It consists of the revision that the operation is
-// to become, '-' and a random part. With the revision, a lost response is easy to
-// resolve: the entry of that revision shows whether the operation was accepted.
+// OpID identifies one operation: an operator's attempt to make a change. It
+// consists of the revision that the change is to get, '-' and a random part. With
+// the revision, the outcome of a write whose response was lost is easy to find: the
+// entry of that revision shows whether the operation was accepted.
 type OpID string
 
-// opRandomBytes is the length of the random part, which makes ids of different
-// operators distinct.
+// opRandomBytes is the length of the random part of an OpID, in bytes. The part is
+// written in hex, and makes ids of different operators distinct.
 const opRandomBytes = 8
 
-// NewOpID returns a new id for an operation that is to become revision.
+// NewOpID returns a new id for an operation whose change is to get the given
+// revision.
 func NewOpID(revision uint64) (OpID, error) {
 	var b [opRandomBytes]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -30,7 +32,8 @@
 	return OpID(fmt.Sprintf("%d-%s", revision, hex.EncodeToString(b[:]))), nil
 }
 
-// Revision returns the revision that the operation is to become.
+// Revision returns the revision that the operation's change is to get. The error
+// has code BadRequest.
 func (o OpID) Revision() (uint64, error) {
 	text, random, _ := strings.Cut(string(o), "-")
 	n, err := strconv.ParseUint(text, 10, 64)
@@ -67,24 +70,25 @@
 	}
 }
 
-// Change holds the operator's part of an entry.
+// Change holds what the operator contributes to an entry.
 type Change struct {
 	Op     OpID
-	Person string
+	Person string // the operator
 	Reason string
-	At     time.Time
+	At     time.Time // by the operator's clock
 }
 
 // Approved is a bundle with the sign-off that allows its rollout.
 type Approved struct {
-	Digest  string
-	Name    string
+	Digest  string // of the bundle
+	Name    string // of the bundle
 	SignOff bundle.Signed
-	After   uint64 // the revision in force when it was signed off
+	After   uint64 // revision that was in force when the bundle was signed off
 }
 
-// NextRollout returns the entry that puts the approved bundle into force on top of
-// head, which is nil before the first rollout.
+// NextRollout returns the entry that follows head and puts the approved bundle into
+// force. head is nil before the first rollout. The error has code Recalled if the
+// bundle needs a newer sign-off; see CheckRecalls.
 func NextRollout(deployment string, head *Head, c Change, approved Approved) (Entry, error) {
 	e := nextEntry(deployment, head, c)
 	e.Action = ActionRollout
@@ -93,13 +97,16 @@
 		previous := PastBundle{Digest: head.Entry.Digest, Revision: head.Entry.Revision}
 		e.History = append([]PastBundle{previous}, withoutDigest(e.History, previous.Digest)...)
 	}
-	e.History = withoutDigest(e.History, approved.Digest)
+	e.History = withoutDigest(e.History, approved.Digest) // the bundle in force is not in its own history
 	e.History = e.History[:min(len(e.History), MaxHistory)]
 	return e, CheckRecalls(&e, approved.After)
 }
 
-// NextRecall returns the entry that recalls the bundle. If that is the one in
-// force, fallback replaces it, which has to be one of Fallbacks.
+// NextRecall returns the entry that follows head and recalls the bundle with the
+// given digest. If that bundle is in force, fallback replaces it, which has to be
+// one of Fallbacks; without a fallback, the error has code NothingBefore. A recall
+// that no longer fits into Recalls is dropped. RecallFloor then keeps the highest
+// revision of the dropped recalls: a rollout needs a sign-off that is not older.
 func NextRecall(head *Head, c Change, digest string, fallback *Approved) (Entry, error) {
 	if head == nil {
 		return Entry{}, result.Errorf(result.NothingBefore, "no bundle was rolled out yet")
@@ -125,11 +132,14 @@
 	return e, nil
 }
 
-// Fallbacks returns the bundles that may replace a recalled digest, newest first.
+// Fallbacks returns the bundles that may replace the recalled bundle with the given
+// digest, newest first: those that were in force earlier and were not recalled.
 func Fallbacks(head *Head, digest string) []PastBundle {
 	return withoutDigest(head.Entry.History, digest)
 }
 
+// nextEntry returns an entry that follows head, with the head's lists and without
+// an action. head is nil before the first rollout.
 func nextEntry(deployment string, head *Head, c Change) Entry {
 	e := Entry{
 		Deployment: deployment, Revision: 1,
@@ -142,17 +152,20 @@
 	e.Revision = head.Entry.Revision + 1
 	e.Before = head.Entry.Digest
 	e.Prev = head.Hash
+	// No digest is empty: these two calls copy the whole lists.
 	e.History = withoutDigest(head.Entry.History, "")
 	e.Recalls = withoutRecall(head.Entry.Recalls, "")
 	e.RecallFloor = head.Entry.RecallFloor
 	return e
 }
 
-// CheckRecalls returns Recalled if the sign-off of the bundle in force was made
-// before the bundle's last recall. after is the revision in force at the time of
-// the sign-off. Recalls that e no longer lists count for every bundle, so that
-// dropping one from the list never lets a recalled bundle back in. Bundles that a
-// recall falls back to are exempt: they are known not to be recalled.
+// CheckRecalls returns an error with code Recalled if the sign-off of the bundle
+// that e puts into force was made before the bundle's last recall. after is the
+// revision that was in force at the time of the sign-off. Recalls that e no longer
+// lists count for every bundle: RecallFloor is the highest revision of such a
+// recall. So dropping one from the list never lets a recalled bundle back in.
+// Bundles that a recall falls back to are exempt: they are known not to be
+// recalled.
 func CheckRecalls(e *Entry, after uint64) error {
 	for _, r := range e.Recalls {
 		if r.Digest == e.Digest && after < r.Revision {
@@ -167,6 +180,7 @@
 	return nil
 }
 
+// withoutDigest returns a copy of the list without the bundle with that digest.
 func withoutDigest(list []PastBundle, digest string) []PastBundle {
 	kept := make([]PastBundle, 0, len(list)+1)
 	for _, p := range list {
@@ -177,6 +191,8 @@
 	return kept
 }
 
+// withoutRecall returns a copy of the list without the recalls of the bundle with
+// that digest.
 func withoutRecall(list []Recall, digest string) []Recall {
 	kept := make([]Recall, 0, len(list)+1)
 	for _, r := range list {
@@ -192,16 +208,16 @@
 
 // The outcomes.
 const (
-	OutcomeOpen         Outcome = iota // not accepted so far; a write in flight may still be
-	OutcomeAccepted                    // the operation is an entry of the chain
-	OutcomeConflict                    // another operation became that revision
-	OutcomeNeedArchived                // the head is past the revision; the archived entry decides
+	OutcomeOpen         Outcome = iota // not accepted so far; a write in flight may still be accepted
+	OutcomeAccepted                    // the operation's entry is part of the audit chain
+	OutcomeConflict                    // the entry of another operation got that revision
+	OutcomeNeedArchived                // the head has a higher revision; the archived entry, not read yet, decides
 )
 
-// Resolve returns the outcome of op. It looks at the head or, if the head is past
-// the operation's revision, at the archived entry of that revision, which may be
-// nil if it was not read yet. Only one entry can have become a revision, so its
-// operation id decides.
+// Resolve returns the outcome of the operation op, whose entry was to get the given
+// revision. It looks at the head or, if the head has a higher revision, at the
+// archived entry of the given revision. archived may be nil if it was not read yet.
+// Only one entry can have got a revision, so its operation id decides.
 func Resolve(op OpID, revision uint64, head, archived *Head) Outcome {
 	if head == nil || head.Entry.Revision < revision {
 		return OutcomeOpen
--- a/rollout/refusal.go
+++ b/rollout/refusal.go
@@ -10,26 +10,29 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Refusal records a change that was refused. Refusals are not part of the chain;
-// they are stored beside it on a best-effort basis.
+// Refusal records a change that was refused. Refusals are not part of the audit
+// chain; they are stored beside it on a best-effort basis.
 type Refusal struct {
 	Deployment string      `json:"deployment"`
-	Op         OpID        `json:"op,omitempty"`
+	Op         OpID        `json:"op,omitempty"` // empty if the change was refused before it had an operation id
 	Action     Action      `json:"action"`
-	Digest     string      `json:"digest"`
-	Reason     string      `json:"reason"`
-	Person     string      `json:"person"`
-	At         time.Time   `json:"at"`
-	Code       result.Code `json:"code"`
-	Detail     string      `json:"detail"`
+	Digest     string      `json:"digest"` // of the bundle to roll out or recall
+	Reason     string      `json:"reason"` // that the operator gave for the change
+	Person     string      `json:"person"` // the operator
+	At         time.Time   `json:"at"`     // by the operator's clock
+	Code       result.Code `json:"code"`   // why the change was refused
+	Detail     string      `json:"detail"` // text of the error
 }
 
-// refusalTimeout bounds how long an operator waits until a refusal is recorded.
+// refusalTimeout bounds how long an operator waits until the refusal of a change is
+// recorded.
 const refusalTimeout = 2 * time.Second
 
-// recordIfRefused records a refused change and returns its arguments e and err. It
-// records nothing if the outcome is unknown, for a dry run, which attempts no
-// change, and if the platform is down, since the record can't be written either.
+// recordIfRefused records a change that was refused with err, and returns its
+// arguments e and err. r holds the action and the digest. It records nothing if the
+// outcome is unknown, for a dry run, which attempts no change, without a key to
+// sign the record, and if the platform is down, since the record can't be written
+// either.
 func (c *Client) recordIfRefused(ctx context.Context, e Entry, err error, r Refusal, req Request) (Entry, error) {
 	if err == nil {
 		return e, nil
@@ -54,7 +57,8 @@
 	return e, err
 }
 
-// Refusals returns the recorded refusals of the deployment, oldest first.
+// Refusals returns the recorded refusals of the deployment, oldest first. It leaves
+// out records without a valid signature by a known key.
 func (c *Client) Refusals(ctx context.Context) ([]Refusal, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -34,14 +34,16 @@
 	if _, err := VerifyChain(last, archived); err != nil {
 		return Entry{}, err
 	}
+	// A head that is older than the archive has to be an earlier entry of the chain.
 	if s.head != nil && archived[s.revision()-1].Hash != s.head.Hash {
 		return Entry{}, result.Errorf(result.BrokenAudit, "revision %d as archived is not the head's", s.revision())
 	}
 	return last.Entry, c.replaceHead(ctx, s, last)
 }
 
-// readStateIfValid is like readState, but treats a head that is not a valid signed
-// entry as missing.
+// readStateIfValid reads the head of the deployment. It is like readState, but
+// treats a head that is not a valid signed entry as missing, and returns its object
+// version all the same.
 func (c *Client) readStateIfValid(ctx context.Context) (headState, error) {
 	obj, err := c.get(ctx, KindHead, c.opts.Deployment)
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -57,9 +59,10 @@
 	return s, nil
 }
 
-// replaceHead writes h to the head. A retry is safe: the write depends on the
-// version that was read, and after a conflict with an earlier try of its own the
-// head already equals h.
+// replaceHead writes h to the head object, on condition that it still has the
+// version in s. It retries until ctx ends. A retry is safe: the write depends on
+// the version that was read, and after a conflict with an earlier try of its own
+// the head already equals h.
 func (c *Client) replaceHead(ctx context.Context, s headState, h *Head) error {
 	for try := 0; ; try++ {
 		err := c.put(ctx, KindHead, c.opts.Deployment, s.version, h.Signed.Bytes())
