--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -4,16 +4,16 @@
 // bundles and sign-offs.
 package bundle
 
-// Format is the only version of the bundle format that this code reads.
+// Format is the version of the bundle format; this code reads no other.
 const Format = 1
 
 // Bundle is the whole configuration of a deployment. It is immutable once written,
 // and identified by the digest of its bytes.
 type Bundle struct {
-	Format     int       `json:"format"`
-	Deployment string    `json:"deployment"`
-	Name       string    `json:"name"`   // a label chosen by the operators
-	Author     string    `json:"author"` // the person who wrote it, who may not sign it off
+	Format     int       `json:"format"`     // version of the bundle format; must be Format
+	Deployment string    `json:"deployment"` // name of the deployment that the bundle is for
+	Name       string    `json:"name"`       // a label chosen by the operators
+	Author     string    `json:"author"`     // the person who wrote it, who may not sign it off
 	Zones      []Zone    `json:"zones"`
 	Fleet      Fleet     `json:"fleet"`
 	Services   []Service `json:"services"`
@@ -26,7 +26,7 @@
 	Region string `json:"region"`
 }
 
-// Fleet bounds the VMs of the deployment.
+// Fleet bounds the number of VMs of the deployment.
 type Fleet struct {
 	// MaxVMs is the largest number of VMs that run at once, including those that
 	// overlap during a replacement. Each VM's share of a target's connections
@@ -44,21 +44,21 @@
 
 // Drain holds the times and limits that apply when targets start, fail or leave.
 type Drain struct {
-	HealthIntervalMS int `json:"health_interval_ms"` // between reads of a target's status
-	HealthTimeoutMS  int `json:"health_timeout_ms"`  // a read that takes longer has failed
+	HealthIntervalMS int `json:"health_interval_ms"` // milliseconds between two reads of a target's status
+	HealthTimeoutMS  int `json:"health_timeout_ms"`  // milliseconds; a read of a target's status that takes longer has failed
 	SuspectAfter     int `json:"suspect_after"`      // number of failed reads after which a target counts as lost
-	WarmupMS         int `json:"warmup_ms"`          // a new target's share of the load increases over this time
+	WarmupMS         int `json:"warmup_ms"`          // milliseconds over which a new target's share of the load increases
 }
 
 // Target is one back end.
 type Target struct {
 	Name          string  `json:"name"`
-	Zone          string  `json:"zone"`
+	Zone          string  `json:"zone"`            // name of a zone of the bundle
 	Address       string  `json:"address"`         // IP and port
-	Leaves        int     `json:"leaves"`          // number of workers
+	Leaves        int     `json:"leaves"`          // number of leaves, the target's workers
 	Slots         int     `json:"slots"`           // requests that one leaf runs at once
-	Connections   int     `json:"connections"`     // that the target accepts from the whole fleet
-	ConnectCostMS float64 `json:"connect_cost_ms"` // time that the target needs to accept one connection
+	Connections   int     `json:"connections"`     // connections that the target accepts from all VMs together
+	ConnectCostMS float64 `json:"connect_cost_ms"` // milliseconds that the target needs to accept one connection
 }
 
 // SearchKind is the kind of a search: whether it is idempotent and how its results
@@ -76,52 +76,55 @@
 type Search struct {
 	Name      string     `json:"name"`
 	Kind      SearchKind `json:"kind"`
-	Service   string     `json:"service"`
-	Coverage  Coverage   `json:"coverage"`
-	TimeLimit TimeLimit  `json:"time_limit"`
-	Hedge     Hedge      `json:"hedge"`
-	Retry     Retry      `json:"retry"`
-	MaxItems  int        `json:"max_items"` // largest limit that a caller may request
-	Policy    Policy     `json:"policy,omitempty"`
+	Service   string     `json:"service"`          // name of the service that runs the search
+	Coverage  Coverage   `json:"coverage"`         // share of the service's shards that an answer needs
+	TimeLimit TimeLimit  `json:"time_limit"`       // how long callers may wait
+	Hedge     Hedge      `json:"hedge"`            // second attempts concurrent with the first
+	Retry     Retry      `json:"retry"`            // attempts after a failed one
+	MaxItems  int        `json:"max_items"`        // largest number of result items that a caller may request
+	Policy    Policy     `json:"policy,omitempty"` // how attempts are sent; empty means PolicyAdaptive
 }
 
-// Policy selects how attempts are sent. The empty value means PolicyAdaptive.
+// Policy selects how the attempts of a search are sent to targets. The empty value
+// means PolicyAdaptive.
 type Policy string
 
 // The policies. PolicyPlain is the baseline for comparisons: one attempt for each
 // shard to a random replica, without hedge, retry or admission control.
 const (
-	PolicyAdaptive Policy = "adaptive"
-	PolicyPlain    Policy = "plain"
+	PolicyAdaptive Policy = "adaptive" // with hedge, retry and admission control
+	PolicyPlain    Policy = "plain"    // one attempt per shard, for comparisons only
 )
 
-// Coverage is the share of shards, from 0 to 1, that a caller needs.
+// Coverage is the share of a service's shards, from 0 to 1, of which a caller needs
+// the results.
 type Coverage struct {
-	Default float64 `json:"default"`
-	Min     float64 `json:"min"` // the lowest coverage that a caller may request
+	Default float64 `json:"default"` // applies if a caller requests no coverage
+	Min     float64 `json:"min"`     // the lowest coverage that a caller may request
 	// GraceMS is how long a query continues to wait for missing shards once the
-	// needed coverage is reached.
+	// needed coverage is reached, in milliseconds.
 	GraceMS int `json:"grace_ms"`
 }
 
-// TimeLimit bounds how long callers may wait, in milliseconds.
+// TimeLimit bounds how long callers may wait for the answer to a request, in
+// milliseconds.
 type TimeLimit struct {
-	DefaultMS int `json:"default_ms"`
-	MinMS     int `json:"min_ms"`
-	MaxMS     int `json:"max_ms"`
+	DefaultMS int `json:"default_ms"` // applies if a caller requests no time limit
+	MinMS     int `json:"min_ms"`     // shortest time limit that a caller may request
+	MaxMS     int `json:"max_ms"`     // longest time limit that a caller may request
 }
 
 // Hedge configures second attempts that run concurrently with the first.
 type Hedge struct {
-	Quantile   float64 `json:"quantile"`     // quantile of observed latencies after which a hedge is sent
-	MinDelayMS int     `json:"min_delay_ms"` // lower bound of that delay
-	Budget     float64 `json:"budget"`       // maximum ratio of hedges to first attempts
+	Quantile   float64 `json:"quantile"`     // quantile, from 0 to 1, of the observed latencies after which a hedge is sent
+	MinDelayMS int     `json:"min_delay_ms"` // shortest delay after which a hedge is sent, in milliseconds
+	Budget     float64 `json:"budget"`       // maximum ratio of hedges to first attempts, from 0 to 1
 }
 
 // Retry configures attempts that follow a failed one.
 type Retry struct {
-	MaxAttempts int     `json:"max_attempts"` // maximum per shard, hedges included
-	Budget      float64 `json:"budget"`       // maximum ratio of retries to first attempts
+	MaxAttempts int     `json:"max_attempts"` // maximum number of attempts per shard, hedges included
+	Budget      float64 `json:"budget"`       // maximum ratio of retries to first attempts, from 0 to 1
 }
 
 // Search returns the search with that name.
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -9,28 +9,31 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/strictjson"
 )
 
-// Finding is one fault of a bundle, with its path, the value found and the values
-// allowed.
+// Finding is one fault of a bundle: the path of the value in the JSON, the value
+// found and the values allowed.
 type Finding = strictjson.Finding
 
+// namePattern matches the names, persons and key ids that are allowed. nameRule
+// describes it to users.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
+// nameRule describes namePattern in findings and error messages.
 const nameRule = "1 to 63 lower-case letters, digits, '.', '_' or '-', starting with a letter or digit"
 
 // Upper bounds of the numbers in a bundle. The number of zones, services and
 // searches is bounded by maxTargets too.
 const (
-	maxVMs           = 5000
-	maxShards        = 10000
-	maxTargets       = 10000
-	maxLeaves        = 1000
-	maxSlots         = 1000
-	maxConnections   = 100000
-	maxConnectCostMS = 60000
-	maxTimeMS        = 600000 // 10 minutes
-	maxSuspectAfter  = 100
-	maxAttempts      = 10
-	maxItems         = 10000
+	maxVMs           = 5000   // VMs of the deployment
+	maxShards        = 10000  // shards of a service
+	maxTargets       = 10000  // targets of a service; also zones, services and searches of a bundle
+	maxLeaves        = 1000   // leaves of a target
+	maxSlots         = 1000   // requests that one leaf runs at once
+	maxConnections   = 100000 // connections that a target accepts
+	maxConnectCostMS = 60000  // milliseconds that a target needs to accept one connection
+	maxTimeMS        = 600000 // milliseconds of any other time: 10 minutes
+	maxSuspectAfter  = 100    // failed reads of a target's status until the target counts as lost
+	maxAttempts      = 10     // attempts per shard
+	maxItems         = 10000  // result items that a caller may request
 )
 
 // Parse reads and checks a bundle and returns all findings at once.
@@ -57,39 +60,49 @@
 	return c.findings
 }
 
+// checker checks one bundle and collects the findings. The methods that take a path
+// add a finding with that path unless the found value is allowed.
 type checker struct {
 	bundle   *Bundle
 	findings []Finding
 }
 
+// add adds a finding.
 func (c *checker) add(path, found, allowed string) {
 	c.findings = append(c.findings, Finding{Path: path, Found: found, Allowed: allowed})
 }
 
+// equal adds a finding unless found is the only allowed value.
 func (c *checker) equal(path string, found, allowed int) {
 	if found != allowed {
 		c.add(path, strconv.Itoa(found), strconv.Itoa(allowed))
 	}
 }
 
+// intBetween adds a finding unless found is at least low and at most high.
 func (c *checker) intBetween(path string, found, low, high int) {
 	if found < low || found > high {
 		c.add(path, strconv.Itoa(found), fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
+// floatBetween adds a finding unless found is at least low and at most high. It
+// also rejects NaN.
 func (c *checker) floatBetween(path string, found, low, high float64) {
 	if !(found >= low && found <= high) {
 		c.add(path, strconv.FormatFloat(found, 'g', -1, 64), fmt.Sprintf("%g to %g", low, high))
 	}
 }
 
+// name adds a finding unless found is a valid name.
 func (c *checker) name(path, found string) {
 	if !namePattern.MatchString(found) {
 		c.add(path, strconv.Quote(found), nameRule)
 	}
 }
 
+// unique adds a finding if value was used before. seen maps each value to the path
+// of its first use; unique records the use of a new value there.
 func (c *checker) unique(seen map[string]string, path, value string) {
 	if first, duplicate := seen[value]; duplicate {
 		c.add(path, fmt.Sprintf("%q, which is already used at %s", value, first), "each name once")
@@ -98,12 +111,14 @@
 	seen[value] = path
 }
 
+// length adds a finding unless a list of found items has 1 to limit items.
 func (c *checker) length(path string, found, limit int) {
 	if found < 1 || found > limit {
 		c.add(path, fmt.Sprintf("%d items", found), fmt.Sprintf("1 to %d items", limit))
 	}
 }
 
+// zones checks all zones of the bundle.
 func (c *checker) zones() {
 	c.length("$.zones", len(c.bundle.Zones), maxTargets)
 	seen := map[string]string{}
@@ -115,6 +130,7 @@
 	}
 }
 
+// services checks all services of the bundle and their targets.
 func (c *checker) services() {
 	c.length("$.services", len(c.bundle.Services), maxTargets)
 	names, targets, addresses := map[string]string{}, map[string]string{}, map[string]string{}
@@ -141,6 +157,7 @@
 	}
 }
 
+// drain checks the Drain of the service whose path in the bundle is given.
 func (c *checker) drain(path string, d Drain) {
 	c.intBetween(path+".health_interval_ms", d.HealthIntervalMS, 10, maxTimeMS)
 	c.intBetween(path+".health_timeout_ms", d.HealthTimeoutMS, 1, maxTimeMS)
@@ -148,6 +165,7 @@
 	c.intBetween(path+".warmup_ms", d.WarmupMS, 0, maxTimeMS)
 }
 
+// target checks one target, except that its name and address are unique.
 func (c *checker) target(path string, t Target) {
 	c.name(path+".name", t.Name)
 	if !c.hasZone(t.Zone) {
@@ -162,6 +180,7 @@
 	c.floatBetween(path+".connect_cost_ms", t.ConnectCostMS, 0, maxConnectCostMS)
 }
 
+// hasZone reports whether the bundle has a zone with that name.
 func (c *checker) hasZone(name string) bool {
 	for _, z := range c.bundle.Zones {
 		if z.Name == name {
@@ -171,6 +190,7 @@
 	return false
 }
 
+// searches checks all searches of the bundle.
 func (c *checker) searches() {
 	c.length("$.searches", len(c.bundle.Searches), maxTargets)
 	seen := map[string]string{}
@@ -182,6 +202,7 @@
 	}
 }
 
+// search checks one search, except its name.
 func (c *checker) search(path string, s Search) {
 	switch s.Kind {
 	case KindSearch, KindBrowse, KindSubmit:
--- a/bundle/key.go
+++ b/bundle/key.go
@@ -13,17 +13,18 @@
 // a bundle or made an earlier change, but it can't sign a new change or sign-off.
 // A person may have several keys; two of them are active during a rotation.
 type PublicKey struct {
-	ID      string `json:"id"`
-	Person  string `json:"person"`
-	Public  string `json:"public"` // base64
-	Retired bool   `json:"retired,omitempty"`
+	ID      string `json:"id"`                // unique in a Keyring; signatures name it
+	Person  string `json:"person"`            // name of the key's owner
+	Public  string `json:"public"`            // the key's bytes in base64
+	Retired bool   `json:"retired,omitempty"` // no longer signs new changes and sign-offs
 }
 
-// PrivateKey signs for one person.
+// PrivateKey is a person's Ed25519 private key, which signs bundles, sign-offs and
+// changes.
 type PrivateKey struct {
-	ID     string `json:"id"`
-	Person string `json:"person"`
-	Seed   []byte `json:"seed"` // ed25519.SeedSize bytes
+	ID     string `json:"id"`     // as in the PublicKey
+	Person string `json:"person"` // name of the key's owner
+	Seed   []byte `json:"seed"`   // ed25519.SeedSize bytes, from which the key is derived
 }
 
 // NewPrivateKey generates a key from the system's random source.
@@ -35,7 +36,7 @@
 	return &PrivateKey{ID: id, Person: person, Seed: seed}, nil
 }
 
-// Public returns the public key in the form of a settings file.
+// Public returns the public key of k in the form that a settings file lists.
 func (k *PrivateKey) Public() PublicKey {
 	pub := ed25519.NewKeyFromSeed(k.Seed).Public().(ed25519.PublicKey)
 	return PublicKey{ID: k.ID, Person: k.Person, Public: base64.StdEncoding.EncodeToString(pub)}
@@ -43,12 +44,13 @@
 
 // Keyring holds the trusted public keys, active and retired. It is immutable.
 type Keyring struct {
-	keys map[string]ringKey
+	keys map[string]ringKey // by key id
 }
 
+// ringKey is a public key of a Keyring with its decoded bytes.
 type ringKey struct {
 	PublicKey
-	bytes ed25519.PublicKey
+	bytes ed25519.PublicKey // PublicKey.Public, decoded
 }
 
 // NewKeyring checks the keys and returns a keyring of them. Its errors have code
@@ -73,7 +75,7 @@
 	return ring, nil
 }
 
-// Keys returns the keys in the order of their IDs.
+// Keys returns the keys of the ring, active and retired, in the order of their IDs.
 func (r *Keyring) Keys() []PublicKey {
 	list := make([]PublicKey, 0, len(r.keys))
 	for _, k := range r.keys {
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -24,20 +24,20 @@
 	PurposeRefusal Purpose = "refusal"  // an operator's change was refused
 )
 
-// signatureDomain is the start of every signed message, so that a signature made
-// by the same key for another system is invalid here.
+// signatureDomain is the text at the start of every signed message, so that a
+// signature made by the same key for another system is invalid here.
 const signatureDomain = "bramleybarrow 1 "
 
 // Signed is a payload with its signature. The payload is encoded as base64, so
 // that no store or codec in between can reformat the signed bytes.
 type Signed struct {
 	Purpose   Purpose `json:"purpose"`
-	Key       string  `json:"key"` // id of the signing key
-	Payload   []byte  `json:"payload"`
+	Key       string  `json:"key"`     // id of the signing key
+	Payload   []byte  `json:"payload"` // the signed bytes: a bundle, or the JSON of a sign-off, entry or refusal
 	Signature []byte  `json:"signature"`
 }
 
-// Sign signs payload for one purpose.
+// Sign returns payload with a signature by key that is valid for one purpose.
 func Sign(purpose Purpose, payload []byte, key *PrivateKey) Signed {
 	private := ed25519.NewKeyFromSeed(key.Seed)
 	return Signed{
@@ -48,12 +48,15 @@
 	}
 }
 
+// signedMessage returns the bytes that a signature is over: signatureDomain and the
+// purpose in one line, then the payload.
 func signedMessage(purpose Purpose, payload []byte) []byte {
 	text := []byte(signatureDomain + string(purpose) + "\n")
 	return append(text, payload...)
 }
 
-// ParseSigned decodes the JSON form. It does not verify the signature.
+// ParseSigned decodes the JSON form of a signed object. It does not verify the
+// signature.
 func ParseSigned(raw []byte) (Signed, error) {
 	var s Signed
 	if len(raw) > objstore.MaxValue {
@@ -65,7 +68,7 @@
 	return s, nil
 }
 
-// Bytes returns the JSON form.
+// Bytes returns the JSON form of the signed object, as it is stored.
 func (s Signed) Bytes() []byte {
 	raw, err := json.Marshal(s)
 	if err != nil {
@@ -74,8 +77,8 @@
 	return raw
 }
 
-// Hash returns a hash of the signed object that does not depend on its JSON
-// formatting.
+// Hash returns the SHA-256 hash, in hex, of the signed message and the signature.
+// It does not depend on the JSON formatting.
 func (s Signed) Hash() string {
 	sum := sha256.New()
 	sum.Write(signedMessage(s.Purpose, s.Payload))
@@ -83,8 +86,9 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// Verify returns the key that signed s for the purpose. Its errors have code
-// NotSigned, or UnknownKey for a key that is retired or not in the ring.
+// Verify checks that s is signed for the purpose by an active key of the ring, and
+// returns that key. Its errors have code NotSigned, or UnknownKey for a key that is
+// retired or not in the ring.
 func (r *Keyring) Verify(s Signed, purpose Purpose) (PublicKey, error) {
 	key, err := r.VerifyWithRetired(s, purpose)
 	if err != nil {
@@ -122,14 +126,14 @@
 // bundle.
 type SignOff struct {
 	Deployment string    `json:"deployment"`
-	Digest     string    `json:"digest"`
-	Person     string    `json:"person"`
-	After      uint64    `json:"after"` // the revision in force when it was signed; a later recall voids it
-	At         time.Time `json:"at"`
-	Reason     string    `json:"reason"`
+	Digest     string    `json:"digest"` // of the approved bundle
+	Person     string    `json:"person"` // who approves the bundle
+	After      uint64    `json:"after"`  // revision in force when it was signed; a later recall of the bundle voids it
+	At         time.Time `json:"at"`     // by the person's clock
+	Reason     string    `json:"reason"` // why the person approves the bundle
 }
 
-// Sign returns the sign-off as a signed object.
+// Sign returns the sign-off as an object signed with the person's key.
 func (o SignOff) Sign(key *PrivateKey) Signed {
 	payload, err := json.Marshal(o)
 	if err != nil {
@@ -155,18 +159,19 @@
 	return o, nil
 }
 
-// maxEnvelopeBytes is reserved for the purpose, key and signature around a
-// payload.
+// maxEnvelopeBytes is the number of bytes that are reserved for the purpose, key
+// and signature in the JSON of a signed object, beside its payload.
 const maxEnvelopeBytes = 1 << 10
 
-// MaxBytes is the size of the largest bundle, in bytes as written. Signed and
-// encoded as base64, it still fits into one value of the platform.
+// MaxBytes is the size of the largest bundle, in bytes as the author wrote it.
+// Signed and encoded as base64, which makes 4 bytes of 3, it still fits into one
+// value of the platform.
 const MaxBytes = (objstore.MaxValue - maxEnvelopeBytes) / 4 * 3
 
-// Package signs a bundle's bytes as their author, for the platform and for peers.
-// It fails with BundleTooLarge for a bundle that would exceed the platform's
-// largest value, and with BadBundle for an invalid bundle or an author who does
-// not own the key.
+// Package signs a bundle's bytes with the author's key. The result is what the
+// platform stores and VMs pass on to each other. It fails with BundleTooLarge for a
+// bundle that would exceed the platform's largest value, and with BadBundle for an
+// invalid bundle or an author who does not own the key.
 func Package(data []byte, key *PrivateKey) (Signed, error) {
 	if len(data) > MaxBytes {
 		return Signed{}, result.Errorf(result.BundleTooLarge, "found %d bytes, allowed are %d", len(data), MaxBytes)
@@ -182,8 +187,9 @@
 	return s, nil
 }
 
-// OpenBundle verifies a packaged bundle: the digest, the author's signature and
-// all checks. It does not verify sign-offs.
+// OpenBundle verifies a packaged bundle and returns its content. It checks the
+// digest, the author's signature, for which the key may be retired, and the content
+// itself. It does not verify sign-offs.
 func (r *Keyring) OpenBundle(raw []byte, digest string) (*Bundle, error) {
 	s, err := ParseSigned(raw)
 	if err != nil {
@@ -206,9 +212,9 @@
 	return b, nil
 }
 
-// CheckSignOff returns an error unless o approves the bundle b with that digest:
-// NotSigned if it is for another bundle or deployment, SelfSigned if it is by the
-// author.
+// CheckSignOff returns an error unless the sign-off o approves the bundle b, which
+// has the given digest. The code is NotSigned if o is for another bundle or
+// deployment, and SelfSigned if o is by the bundle's author.
 func (b *Bundle) CheckSignOff(o SignOff, digest string) error {
 	if o.Digest != digest || o.Deployment != b.Deployment {
 		return result.Errorf(result.NotSigned, "the sign-off is for bundle %s of %s", o.Digest, o.Deployment)
--- a/bundle/warn.go
+++ b/bundle/warn.go
@@ -2,7 +2,9 @@
 
 import "fmt"
 
-// Warnings returns findings that are valid but may be mistakes.
+// Warnings returns findings about values that are valid but may be mistakes: a
+// service that no search uses, and a target that accepts fewer connections than the
+// fleet may have VMs.
 func (b *Bundle) Warnings() []Finding {
 	c := &checker{bundle: b}
 	for i, s := range b.Services {
@@ -22,6 +24,7 @@
 	return c.findings
 }
 
+// hasSearchFor reports whether a search uses the service with that name.
 func (b *Bundle) hasSearchFor(service string) bool {
 	for _, s := range b.Searches {
 		if s.Service == service {
