--- a/policy/action.go
+++ b/policy/action.go
@@ -5,9 +5,9 @@
 // Spec holds the requirements and limits of a query.
 type Spec struct {
 	Deadline       time.Time     // the query finishes at this time at the latest
-	MinCoverage    float64       // least coverage that the caller accepts, 0 to 1
+	MinCoverage    float64       // least share of the shards read that the caller accepts, 0 to 1
 	Grace          time.Duration // wait for the remaining shards once MinCoverage is reached
-	PinnedSnapshot string        // snapshot that a cursor names; empty: any snapshot
+	PinnedSnapshot string        // name of the snapshot to read, from the caller's cursor; empty: any snapshot
 	HedgeQuantile  float64       // latency quantile after which to hedge, 0 to 1; 0: never
 	MinHedgeDelay  time.Duration // lower bound of the hedge delay
 	MaxAttempts    int           // per shard, hedges included
@@ -20,21 +20,21 @@
 // Action is a step that the caller of a Query must carry out.
 type Action interface{ isAction() }
 
-// Send starts an attempt on a replica.
+// Send starts an attempt: a request to one replica for one shard.
 type Send struct {
 	Attempt  AttemptID
 	Replica  ReplicaID
 	Shard    int
-	Snapshot string
-	Hedge    bool
-	Timeout  time.Duration
+	Snapshot string        // name of the snapshot to read
+	Hedge    bool          // sent because an earlier attempt on the shard is slow
+	Timeout  time.Duration // of this attempt; 0 from a Submission
 }
 
 // Cancel cancels an attempt whose answer is no longer needed. An answer that
 // still arrives is ignored.
 type Cancel struct{ Attempt AttemptID }
 
-// Finish reports the outcome of the query. It is the last action.
+// Finish reports the outcome of the query. It is the last action of a Query.
 type Finish struct{ Outcome Outcome }
 
 func (Send) isAction()   {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,33 +6,35 @@
 // busy without overloading them: it limits the queries in flight, queues others in
 // order of arrival, and refuses at once those that could not be served in time.
 //
-// The limit adapts to the targets: it falls when attempts wait in the targets'
-// queues or are refused, and rises slowly while it is reached and neither happens.
+// The limit of queries in flight adapts to the targets. It falls when attempts wait in
+// the targets' queues or are refused. It rises slowly while as many queries run as it
+// allows and neither happens.
 //
-// Invariants: running <= ceiling rounded up; minLimit <= limit <= ceiling; without
-// refused attempts the limit stays at its floor or above; a query that was told to
+// Invariants: running <= ceiling rounded up; minQueryLimit <= limit <= ceiling;
+// without refused attempts the limit stays at its floor or above; a query that was told to
 // wait gets Admit or Refuse at the latest when its deadline passes.
 type Admission struct {
-	limit             float64 // queries that may run at once
-	share             float64 // as passed to SetShare
-	floor             float64 // slow attempts lower the limit no further
-	ceiling           float64 // upper bound of the limit
-	running           int     // queries that were admitted and have not ended
-	queue             []*ticket
-	nextID            TicketID
-	endInterval       time.Duration // smoothed time between the ends of two queries while others wait
+	limit             float64       // queries that may run at once
+	share             float64       // queries that this VM may run so that all VMs together fill the targets' slots
+	floor             float64       // lower bound of the limit while attempts are slow; refused attempts may lower it further
+	ceiling           float64       // upper bound of the limit
+	running           int           // queries that were admitted and have not ended
+	queue             []*ticket     // waiting queries in order of arrival
+	lastID            TicketID      // of the latest query that arrived
+	endInterval       time.Duration // smoothed time between the ends of two queries while others wait; 0 if none waits
 	meanDuration      time.Duration // smoothed duration of a query
 	durationDeviation time.Duration // smoothed absolute deviation from meanDuration
-	lastEnd           time.Time
-	reducedAt         time.Time // when the limit was last reduced
+	lastEnd           time.Time     // when the latest query ended
+	reducedAt         time.Time     // when the limit was last reduced
 }
 
 // TicketID numbers the queries of one Admission, starting at 1.
 type TicketID uint64
 
+// ticket is a query that waits for admission.
 type ticket struct {
 	id       TicketID
-	deadline time.Time
+	deadline time.Time // when the query must be answered
 }
 
 // Decision is the admission decision for a query.
@@ -41,7 +43,7 @@
 // The decisions.
 const (
 	Admit  Decision = iota // run it now
-	Wait                   // queued; a later verdict names its ticket
+	Wait                   // queued; a later Verdict with the same ticket decides
 	Refuse                 // final: the query cannot be served in time
 )
 
@@ -49,47 +51,51 @@
 type Verdict struct {
 	Ticket     TicketID
 	Decision   Decision
-	RetryAfter time.Duration // with Refuse: how long to wait before a retry
+	RetryAfter time.Duration // with Refuse: how long the caller should wait before a retry
 }
 
-// Parameters of the limit and the queue. A limit is a number of queries.
+// Parameters of an Admission. Its limit is the number of queries that may run at once on
+// this VM. The share is the number that SetShare sets.
 const (
-	minLimit          = 1.0
-	minCeiling        = 8.0
-	floorPerShare     = 4.5                    // times the share; enough that most of the time a request waits for each slot
-	ceilingPerShare   = 6.0                    // times the share; allows bursts while attempts are fast
-	maxWaitShare      = 0.6                    // longest wait for admission, as a share of a query's expected duration
-	limitDecrease     = 0.8                    // factor applied after a sign of overload
-	limitIncrease     = 0.2                    // added per query that ends without pressure, from the floor upwards
-	lowLimitIncrease  = 0.1                    // below the floor, added per as many such queries as the limit; a faster rise would outweigh the reductions by refusals
-	minReduceInterval = 100 * time.Millisecond // least time between two reductions
-	smoothingWeight   = 0.1                    // weight of a new sample in the smoothed durations
-	maxRetryAfter     = 5 * time.Second
-	minRetryAfter     = 50 * time.Millisecond
-	maxQueuePerLimit  = 20                    // upper bound of waiting queries per unit of the limit
-	maxDeviations     = 2                     // deviations from the mean duration within which nearly all queries end
-	defaultDuration   = 20 * time.Millisecond // assumed duration of a query before the first one ends
+	minQueryLimit           = 1.0 // lower bound of the limit, in queries
+	minLimitCeiling         = 8.0 // the limit may always rise to this number of queries, however small the share is
+	limitFloorPerShare      = 4.5 // floor of the limit per query of the share; enough that most of the time a request waits for each slot
+	limitCeilingPerShare    = 6.0 // ceiling of the limit per query of the share; allows bursts while attempts are fast
+	maxWaitPerQueryDuration = 0.6 // longest wait for admission, as a share of a query's expected duration
+	limitDecreaseFactor     = 0.8 // factor applied to the limit after a sign of overload
+	limitIncreasePerQuery   = 0.2 // queries added to the limit, from its floor upwards, when a query ends without a sign of overload while the limit is reached
+	// limitIncreaseBelowFloor replaces limitIncreasePerQuery while the limit is below its
+	// floor. It is divided by the limit: with a limit of n queries, the ends of n queries
+	// together add 0.1. A faster rise would outweigh the reductions by refusals.
+	limitIncreaseBelowFloor = 0.1
+	minLimitReduceInterval  = 100 * time.Millisecond // least time between two reductions of the limit
+	durationSampleWeight    = 0.1                    // weight of a new sample in the smoothed durations of queries
+	maxRetryAfter           = 5 * time.Second        // upper bound of the time after which a refused caller is told to retry
+	minRetryAfter           = 50 * time.Millisecond  // lower bound of the time after which a refused caller is told to retry
+	maxQueuedPerLimit       = 20                     // upper bound of waiting queries, as a multiple of the limit
+	maxDurationDeviations   = 2                      // number of deviations from the mean duration within which nearly all queries end
+	defaultQueryDuration    = 20 * time.Millisecond  // assumed duration of a query before the first one ends
 )
 
 // NewAdmission returns an Admission with the given share, see SetShare. Its limit
 // starts at the ceiling: callers arrive in bursts, and a limit near the mean would
 // make them wait for each other while slots are free.
 func NewAdmission(share float64) *Admission {
-	a := &Admission{meanDuration: defaultDuration}
+	a := &Admission{meanDuration: defaultQueryDuration}
 	a.SetShare(share)
 	a.limit = a.ceiling
 	return a
 }
 
-// SetShare sets how many whole queries this VM may run so that all VMs together
-// just fill the targets' slots. The limit's floor follows from it: the slots stay
-// busy if all VMs are at their floors, so slow attempts do not lower the limit below
-// it. Refusals do, since there may be more VMs, or fewer targets, than the share was
-// calculated for.
+// SetShare sets the share: how many whole queries this VM may run so that all VMs
+// together just fill the targets' slots. The floor and the ceiling of the limit follow
+// from the share. The slots stay busy if the limits of all VMs are at their floors, so
+// slow attempts do not lower the limit below its floor. Refusals do, since there may be
+// more VMs, or fewer targets, than the share was calculated for.
 func (a *Admission) SetShare(share float64) {
 	a.share = share
-	a.floor = max(share*floorPerShare, minLimit)
-	a.ceiling = max(share*ceilingPerShare, minCeiling, a.floor)
+	a.floor = max(share*limitFloorPerShare, minQueryLimit)
+	a.ceiling = max(share*limitCeilingPerShare, minLimitCeiling, a.floor)
 	a.limit = min(a.limit, a.ceiling)
 }
 
@@ -100,29 +106,35 @@
 // Arrive decides on a new query that must be answered by deadline. An admitted query
 // needs a call of Done when it ends.
 func (a *Admission) Arrive(now, deadline time.Time) Verdict {
-	a.nextID++
-	id := a.nextID
+	a.lastID++
+	id := a.lastID
 	if a.hasCapacity() && len(a.queue) == 0 {
 		a.running++
 		return Verdict{Ticket: id, Decision: Admit}
 	}
-	// Waiting queries keep the slots busy until the next query arrives. A longer queue
-	// uses no more of the slots: it only delays all callers.
+	// Refuse if the wait would be long compared with the query's duration, if the query
+	// would end after its deadline, or if the queue is full. Waiting queries keep the
+	// slots busy until the next query arrives. A longer queue uses no more of the slots:
+	// it only delays all callers.
 	wait := a.expectedWait(len(a.queue) + 1)
-	if float64(wait) > maxWaitShare*float64(a.expectedDuration()) || now.Add(wait+a.expectedDuration()).After(deadline) || float64(len(a.queue)) >= a.limit*maxQueuePerLimit {
+	if float64(wait) > maxWaitPerQueryDuration*float64(a.expectedDuration()) || now.Add(wait+a.expectedDuration()).After(deadline) || float64(len(a.queue)) >= a.limit*maxQueuedPerLimit {
 		return Verdict{Ticket: id, Decision: Refuse, RetryAfter: a.retryAfter(wait)}
 	}
 	a.queue = append(a.queue, &ticket{id: id, deadline: deadline})
 	return Verdict{Ticket: id, Decision: Wait}
 }
 
+// hasCapacity reports whether the limit allows one more query to run.
 func (a *Admission) hasCapacity() bool { return float64(a.running) < a.limit }
 
-// expectedWait returns the expected time until the n-th waiting query runs.
+// expectedWait returns the expected time until the n-th waiting query runs: n times the
+// interval at which queries end.
 func (a *Admission) expectedWait(n int) time.Duration {
 	per := a.endInterval
 	if per == 0 {
-		per = time.Duration(float64(a.meanDuration) / max(a.limit, minLimit))
+		// No query waited when the last one ended. While as many queries run as the limit
+		// allows, one of them ends in each meanDuration / limit.
+		per = time.Duration(float64(a.meanDuration) / max(a.limit, minQueryLimit))
 	}
 	return time.Duration(n) * per
 }
@@ -131,9 +143,11 @@
 // runs. With only the mean left before its deadline, every second query would be
 // late, and the slots that it used would be wasted.
 func (a *Admission) expectedDuration() time.Duration {
-	return a.meanDuration + maxDeviations*a.durationDeviation
+	return a.meanDuration + maxDurationDeviations*a.durationDeviation
 }
 
+// retryAfter returns how long a refused caller should wait before a retry: the expected
+// wait in the queue, within bounds.
 func (a *Admission) retryAfter(wait time.Duration) time.Duration {
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
@@ -152,6 +166,9 @@
 	return a.ProcessQueue(now)
 }
 
+// recordDuration updates the smoothed durations with a query that has ended. While
+// queries wait, it also updates the time between two ends, which tells how fast the
+// queue moves.
 func (a *Admission) recordDuration(now time.Time, end QueryEnd) {
 	a.durationDeviation = smooth(a.durationDeviation, (end.Took - a.meanDuration).Abs())
 	a.meanDuration = smooth(a.meanDuration, end.Took)
@@ -165,13 +182,18 @@
 	a.lastEnd = now
 }
 
+// smooth returns the moving average old after a new sample. The first sample is taken
+// as it is.
 func smooth(old, sample time.Duration) time.Duration {
 	if old == 0 {
 		return sample
 	}
-	return old + time.Duration(smoothingWeight*float64(sample-old))
+	return old + time.Duration(durationSampleWeight*float64(sample-old))
 }
 
+// adjustLimit lowers the limit if the end of a query shows overload, and raises it if
+// not and the limit is reached. The query that has ended is no longer in running, but it
+// counts as running here.
 func (a *Admission) adjustLimit(now time.Time, end QueryEnd) {
 	switch end.Pressure {
 	case TargetsQueueing:
@@ -179,25 +201,25 @@
 		return
 	case TargetsRefusing:
 		a.limit = min(a.limit, a.floor) // at once: work sent above the floor is wasted
-		a.reduceLimit(now, minLimit)
+		a.reduceLimit(now, minQueryLimit)
 		return
 	}
 	if float64(a.running+1) >= a.limit {
-		gain := limitIncrease
+		gain := limitIncreasePerQuery
 		if a.limit < a.floor {
-			gain = lowLimitIncrease / a.limit
+			gain = limitIncreaseBelowFloor / a.limit
 		}
 		a.limit = min(a.limit+gain, a.ceiling)
 	}
 }
 
 // reduceLimit lowers the limit by one step, but not below bound, unless the last
-// reduction was less than minReduceInterval ago.
+// reduction was less than minLimitReduceInterval ago.
 func (a *Admission) reduceLimit(now time.Time, bound float64) {
-	if now.Sub(a.reducedAt) < minReduceInterval {
+	if now.Sub(a.reducedAt) < minLimitReduceInterval {
 		return
 	}
-	a.limit = max(a.limit*limitDecrease, bound)
+	a.limit = max(a.limit*limitDecreaseFactor, bound)
 	a.reducedAt = now
 }
 
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -67,8 +67,8 @@
 			if float64(running) > math.Ceil(a.ceiling) {
 				t.Fatalf("%d running above the ceiling", running)
 			}
-			if a.limit < minLimit || a.limit > a.ceiling {
-				t.Fatalf("limit %v is outside of %v to %v", a.limit, minLimit, a.ceiling)
+			if a.limit < minQueryLimit || a.limit > a.ceiling {
+				t.Fatalf("limit %v is outside of %v to %v", a.limit, minQueryLimit, a.ceiling)
 			}
 			if !refusalSeen && a.limit < a.floor {
 				t.Fatalf("limit %v below its floor without a refusal", a.limit)
@@ -86,7 +86,7 @@
 func TestQueryThatWouldMissDeadlineIsRefusedOnArrival(t *testing.T) {
 	g := NewWithT(t)
 	a := NewAdmission(0)
-	for range int(minCeiling) {
+	for range int(minLimitCeiling) {
 		g.Expect(a.Arrive(at(0), at(1000)).Decision).To(Equal(Admit))
 	}
 	for range 5 {
@@ -111,13 +111,13 @@
 	for i := range 50 {
 		end(i*200, TargetsQueueing)
 	}
-	g.Expect(a.limit).To(Equal(floorPerShare), "slow attempts alone would waste slots")
+	g.Expect(a.limit).To(Equal(limitFloorPerShare), "slow attempts alone would waste slots")
 	for i := range 50 {
 		end(10000+i*200, TargetsRefusing)
 	}
-	g.Expect(a.limit).To(Equal(minLimit))
+	g.Expect(a.limit).To(Equal(minQueryLimit))
 	end(30000, TargetsQueueing)
-	g.Expect(a.limit).To(Equal(minLimit), "a lower limit is not raised by queues")
+	g.Expect(a.limit).To(Equal(minQueryLimit), "a lower limit is not raised by queues")
 }
 
 // Guards against long waits under lasting overload: every caller waited as long as a
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -2,7 +2,9 @@
 
 import "time"
 
-// send starts an attempt on a shard, or records why none can be started.
+// send starts an attempt on a shard, as a hedge if hedge is set. If no replica can take
+// a first attempt or a retry, the shard waits for one or is given up. If none can take a
+// hedge, nothing happens.
 func (q *Query) send(now time.Time, shard int, hedge bool) []Action {
 	s := &q.shards[shard]
 	id, ok := q.pickReplica(now, shard, hedge)
@@ -35,6 +37,8 @@
 	}}
 }
 
+// pickReplica returns the replica for the next attempt on a shard, and false if no replica
+// can take one. hedge restricts the choice to replicas with a free slot.
 func (q *Query) pickReplica(now time.Time, shard int, hedge bool) (ReplicaID, bool) {
 	if q.spec.Plain {
 		return q.table.PickRandom(q.snapshot.Name, shard)
@@ -49,7 +53,8 @@
 }
 
 // waitForReplica schedules another check of a shard whose replicas are all busy or
-// in cooldown, if one of them may take attempts before the deadline.
+// in cooldown, if one of them may take attempts before the deadline. Otherwise the shard
+// waits no longer.
 func (q *Query) waitForReplica(now time.Time, shard int) {
 	s := &q.shards[shard]
 	if s.reason == "" {
@@ -68,11 +73,14 @@
 // Parameters of the timeout of one attempt. Each attempt has its own timeout so that a
 // connection that went silent takes only part of the query's time limit.
 const (
-	attemptTimeoutQuantile = 0.99
-	attemptTimeoutFactor   = 4
-	attemptTimeoutMin      = 50 * time.Millisecond
+	attemptTimeoutQuantile = 0.99                  // quantile of the latency of answered attempts from which the timeout is calculated
+	attemptTimeoutFactor   = 4                     // timeout as a multiple of that latency
+	attemptTimeoutMin      = 50 * time.Millisecond // lower bound of the timeout, unless less time is left for the query
 )
 
+// attemptTimeout returns the timeout of an attempt that is sent now. It is never longer
+// than the time left for the query. It equals that time with the plain policy, and while
+// the latency of attempts is not known.
 func (q *Query) attemptTimeout(now time.Time) time.Duration {
 	left := q.spec.Deadline.Sub(now)
 	if q.spec.Plain {
@@ -93,6 +101,8 @@
 	return min(left, limit)
 }
 
+// afterFailure records the reason for the failure of an attempt, and retries the shard
+// unless it has an answer or another attempt on it is in flight.
 func (q *Query) afterFailure(now time.Time, a *attempt, reason Reason) []Action {
 	s := &q.shards[a.shard]
 	if s.answer != nil {
@@ -141,15 +151,18 @@
 // tried again.
 const budgetRetryDelay = 10 * time.Millisecond
 
-// maxBudgetWaits bounds how often a shard may wait for the retry budget.
+// maxBudgetWaits bounds how often a shard may wait for the retry budget in one pass of
+// the query.
 const maxBudgetWaits = 2
 
 // maxRefusedFactor bounds the attempts on a shard, refused ones included, as a
 // multiple of Spec.MaxAttempts.
 const maxRefusedFactor = 3
 
-// exhausted reports whether a shard may get no further attempt. Attempts that a
-// target refused to start have a higher bound, since they cost the target little.
+// exhausted reports whether a shard may get no further attempt. The plain policy allows
+// one. Otherwise there are two bounds: Spec.MaxAttempts for the attempts that a target
+// may have started, and maxRefusedFactor times as many for all attempts. Attempts that a
+// target refused to start have the higher bound, since they cost the target little.
 func (q *Query) exhausted(s *shardState) bool {
 	if q.spec.Plain {
 		return s.sent > 0
@@ -184,6 +197,7 @@
 	return q.cancelWhere(now, func(a *attempt) bool { return a.shard == shard })
 }
 
+// cancelWhere cancels the attempts in flight for which match returns true.
 func (q *Query) cancelWhere(now time.Time, match func(*attempt) bool) []Action {
 	var acts []Action
 	for _, id := range sortedKeys(q.attempts) {
--- a/policy/budget.go
+++ b/policy/budget.go
@@ -1,15 +1,15 @@
 package policy
 
-// budgetBurst is the number of extra attempts that a full budget allows at once. It
-// allows retries in a search that is rarely used.
+// budgetBurst is the number of extra attempts (hedges or retries) that a full budget
+// allows at once. It allows retries in a search that is rarely used.
 const budgetBurst = 20
 
-// Budget limits extra attempts to a share of first attempts, so that the load
-// added to targets is bounded even when everything is slow. Invariant: over any
+// Budget limits extra attempts (hedges or retries) to a share of first attempts, so that
+// the load added to targets is bounded even when everything is slow. Invariant: over any
 // sequence of calls, successes of Take <= share * first attempts + budgetBurst.
 type Budget struct {
-	share  float64
-	tokens float64
+	share  float64 // extra attempts allowed per first attempt
+	tokens float64 // extra attempts allowed now
 }
 
 // NewBudget returns a full budget for the given share of first attempts. A share
@@ -34,6 +34,7 @@
 	return true
 }
 
+// capacity returns the number of extra attempts that a full budget allows at once.
 func (b *Budget) capacity() float64 {
 	if b.share <= 0 {
 		return 0
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -9,8 +9,8 @@
 // Snapshot is one version of a service's index, as chosen for a query.
 type Snapshot struct {
 	Name   string
-	Seq    int64
-	Shards int
+	Seq    int64 // a newer snapshot has a larger number
+	Shards int   // number of shards
 }
 
 // ChooseSnapshot returns the snapshot that a new query reads: the newest complete
@@ -56,6 +56,7 @@
 	minReplicas int // usable replicas of the shard that has the fewest
 }
 
+// candidate counts the usable replicas of each shard of a snapshot.
 func (t *Table) candidate(s *snapshotState) *candidate {
 	c := &candidate{snapshot: s, minReplicas: -1}
 	for shard := range s.shards {
@@ -75,10 +76,16 @@
 	return c
 }
 
-// maxReplicaRatio bounds how many times more replicas an older complete snapshot
-// may have for a newer complete one to be preferred.
+// maxReplicaRatio is how many times as many replicas an older complete snapshot may have
+// for a newer complete one to be preferred. The replicas of a snapshot are those of its
+// shard that has the fewest.
 const maxReplicaRatio = 2
 
+// betterThan reports whether c is a better choice than other. A complete snapshot is
+// better than an incomplete one. Of two incomplete ones, the one with the larger share of
+// readable shards is better, and the newer one if the shares are equal. Of two complete
+// ones, the newer one is better unless the older one has more than maxReplicaRatio times
+// as many replicas.
 func (c *candidate) betterThan(other *candidate) bool {
 	complete, otherComplete := c.complete(), other.complete()
 	if complete != otherComplete {
@@ -98,6 +105,7 @@
 	return c.minReplicas > other.minReplicas*maxReplicaRatio
 }
 
+// complete reports whether every shard has a usable replica.
 func (c *candidate) complete() bool { return c.readable == c.snapshot.shards }
 
 // Records returns the number of records of a shard of a snapshot, and false if no
@@ -111,14 +119,15 @@
 	return n, ok
 }
 
-// Parameters of the cost by which two replicas are compared, and of their queues.
+// Parameters of a replica's cost, which is the expected time of one more call, and of the
+// calls that wait at a replica.
 const (
-	defaultLatency  = 5 * time.Millisecond // assumed for a replica without a measured latency
-	otherZoneCost   = time.Millisecond     // added for a replica outside the VM's zone
-	maxReportAge    = 2 * time.Second      // age from which a reported load is ignored
-	reportWeight    = 0.5                  // weight of a new report; below 1 since reports lag and may mislead
-	reportedLoadCap = 2                    // upper bound of other VMs' calls per slot in the cost
-	maxCallsPerSlot = 2                    // upper bound of this VM's calls in flight per slot
+	defaultReplicaLatency = 5 * time.Millisecond // assumed for a replica without a measured latency
+	otherZoneCost         = time.Millisecond     // added to the cost of a replica outside the VM's zone
+	maxLoadReportAge      = 2 * time.Second      // age from which a leaf's reported load is ignored
+	loadReportWeight      = 0.5                  // weight of a load that was reported just now; below 1 since reports lag and may mislead
+	reportedLoadCap       = 2                    // upper bound of other VMs' calls per slot of a replica, before loadReportWeight, that count in its cost
+	maxCallsPerSlot       = 2                    // upper bound of this VM's calls in flight on a replica, per slot
 )
 
 // Pick chooses the replica for an attempt on a shard: the one with the lower
@@ -183,8 +192,9 @@
 	return t.scratch
 }
 
-// hasCapacity reports whether r has capacity for one more call of this VM: in its
-// queue or, if idle is set, in a free slot.
+// hasCapacity reports whether r has capacity for one more call of this VM. The calls of
+// this VM may wait for a slot, up to maxCallsPerSlot in flight per slot. If idle is set,
+// the call must find a free slot; then the calls of other VMs count too.
 func (t *Table) hasCapacity(r *replica, now time.Time, idle bool) bool {
 	if !idle {
 		return r.outstanding < r.slots*maxCallsPerSlot
@@ -199,10 +209,12 @@
 func (t *Table) cost(r *replica, now time.Time) time.Duration {
 	base := r.latency
 	if base == 0 {
-		base = defaultLatency
+		base = defaultReplicaLatency
 	}
-	others := min(t.otherVMsLoad(r, now), float64(r.slots)*reportedLoadCap*reportWeight)
+	others := min(t.otherVMsLoad(r, now), float64(r.slots)*reportedLoadCap*loadReportWeight)
 	ahead := float64(r.outstanding) + others
+	// The call takes the latency of one call, and waits for the calls ahead of it, which
+	// run in r.slots slots.
 	cost := time.Duration(float64(base) * (1 + ahead/float64(r.slots)))
 	if !r.sameZone {
 		cost += otherZoneCost
@@ -210,27 +222,29 @@
 	return cost + t.warmupCost(r, now)
 }
 
-// otherVMsLoad estimates the number of calls of other VMs on r from the reported
-// load. The weight of a report falls linearly with its age.
+// otherVMsLoad estimates the number of calls of other VMs on r: the reported load without
+// the calls that this VM had in flight when it was reported. The weight of a report starts
+// at loadReportWeight and falls linearly with its age.
 func (t *Table) otherVMsLoad(r *replica, now time.Time) float64 {
 	age := now.Sub(r.reportedAt)
-	if age >= maxReportAge {
+	if age >= maxLoadReportAge {
 		return 0
 	}
 	others := max(r.reportedLoad-float64(r.outstandingAtReport), 0)
-	fresh := 1 - float64(age)/float64(maxReportAge)
-	return others * fresh * reportWeight
+	fresh := 1 - float64(age)/float64(maxLoadReportAge)
+	return others * fresh * loadReportWeight
 }
 
-// warmupCost adds a random cost to a target that has just begun to serve, so that
-// its share of attempts rises gradually over the warm-up.
+// warmupCost returns a random cost to add to a target that has just begun to serve, so
+// that its share of attempts rises gradually over the warm-up.
 func (t *Table) warmupCost(r *replica, now time.Time) time.Duration {
 	served := now.Sub(r.target.servingSince)
 	if t.warmup <= 0 || served >= t.warmup {
 		return 0
 	}
-	left := 1 - float64(served)/float64(t.warmup)
-	return time.Duration(left * float64(t.rng.Int64N(int64(10*defaultLatency))))
+	left := 1 - float64(served)/float64(t.warmup) // share of the warm-up that is left
+	// The upper bound of the cost falls from ten times defaultReplicaLatency to 0.
+	return time.Duration(left * float64(t.rng.Int64N(int64(10*defaultReplicaLatency))))
 }
 
 // ReadyAgain returns the earliest time at which a replica of a shard that is in
--- a/policy/conclude.go
+++ b/policy/conclude.go
@@ -7,17 +7,18 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// finishOrRestart appends the actions that finish the query, or start another pass, if
-// either is due.
+// finishOrRestart appends to acts the actions that finish the query, or start another
+// pass, if either is due. A pass queries all shards of one snapshot. Open shards may still
+// answer, lost shards no longer.
 func (q *Query) finishOrRestart(now time.Time, acts []Action) []Action {
 	open := q.phases[phaseOpen]
 	lost := q.phases[phaseLost] + q.phases[phaseNoHolder]
 	switch {
-	case open == 0 && lost == 0:
+	case open == 0 && lost == 0: // every shard has answered
 		return append(acts, q.finish(now, EndComplete)...)
-	case q.phases[phaseNoHolder] > 0 && q.mayRestart(now):
+	case q.phases[phaseNoHolder] > 0 && q.mayRestart(now): // another snapshot may have all shards
 		return append(acts, q.restart(now)...)
-	case open == 0:
+	case open == 0: // no further answer can arrive
 		return append(acts, q.finish(now, EndExhausted)...)
 	case q.reachableCoverage(lost) < q.spec.MinCoverage:
 		return append(acts, q.finish(now, EndExhausted)...)
@@ -28,7 +29,8 @@
 	return acts
 }
 
-// reachableCoverage returns the coverage that is still possible without lost shards.
+// reachableCoverage returns the share of shards, 0 to 1, that is read if all but the lost
+// shards answer.
 func (q *Query) reachableCoverage(lost int) float64 {
 	return float64(len(q.shards)-lost) / float64(len(q.shards))
 }
@@ -81,6 +83,7 @@
 	return nil
 }
 
+// finish ends the query: it cancels the attempts in flight and reports the outcome.
 func (q *Query) finish(now time.Time, reason EndReason) []Action {
 	acts := q.cancelWhere(now, func(*attempt) bool { return true })
 	q.done = true
@@ -107,6 +110,7 @@
 	return q.finish(now, EndAbandoned)
 }
 
+// collectAnswers returns the answers of the current pass in order of shards.
 func (q *Query) collectAnswers() []*target.LeafAnswer {
 	var list []*target.LeafAnswer
 	for i := range q.shards {
--- a/policy/coverage.go
+++ b/policy/coverage.go
@@ -45,16 +45,16 @@
 
 	Sent     int // attempts, hedges and retries included
 	Refused  int // attempts that no target started
-	Shed     int // attempts of Refused that were refused because no slot was free
-	Hedges   int
-	Retries  int
+	Shed     int // those of Refused that a target refused because no slot was free
+	Hedges   int // attempts sent because an earlier one on the shard was slow
+	Retries  int // attempts sent because an earlier one on the shard failed
 	Restarts int // passes after the first one, each on another snapshot
 
 	LastAnswer LastAnswer
 }
 
-// LastAnswer holds the times of the attempt whose answer arrived last. A query that
-// every shard answered waited for this attempt.
+// LastAnswer holds the times of the attempt whose answer arrived last. If every shard has
+// answered, the query ended when this answer arrived.
 type LastAnswer struct {
 	SentAfter time.Duration // from the start of the query until the attempt was sent
 	Took      time.Duration // from the sending of the attempt to its answer
@@ -65,7 +65,7 @@
 
 // ShardGap describes a shard with missing records.
 type ShardGap struct {
-	Shard        int    `json:"shard"`
+	Shard        int    `json:"shard"` // number of the shard, from 0
 	Reason       Reason `json:"reason"`
 	Missing      int64  `json:"missing"`       // records known to be missing
 	MissingKnown bool   `json:"missing_known"` // false: the number of missing records is not known
@@ -75,8 +75,8 @@
 // records out.
 const ReasonIncomplete Reason = "incomplete"
 
-// Coverage counts the shards and records that an answer is based on, by the partition
-// map of the answer's own snapshot.
+// Coverage counts the shards and records that an answer is based on. The number of shards
+// comes from the partition map of the snapshot that was read.
 type Coverage struct {
 	Shards   int   // number of shards in the snapshot's partition map
 	Answered int   // shards with a complete answer
@@ -87,9 +87,9 @@
 	Missing       int64
 	UnknownShards int
 
-	Gaps []ShardGap
+	Gaps []ShardGap // one for each shard without a complete answer, in order of shards
 
-	partial float64 // sum of the shares read of shards with an incomplete answer
+	partial float64 // sum, over the shards with an incomplete answer, of the share of records read
 }
 
 // Ratio returns the share of shards read, from 0 to 1. A shard with an incomplete
@@ -99,6 +99,8 @@
 	return ratio(c.Answered, c.partial, c.Shards)
 }
 
+// ratio returns the share of shards read, 0 to 1. full is the number of shards with a
+// complete answer, and partial the sum of the shares read of the others.
 func ratio(full int, partial float64, shards int) float64 {
 	if shards == 0 {
 		return 0
@@ -142,6 +144,8 @@
 	return c
 }
 
+// addUnanswered counts a shard without an answer. All its records are missing, if their
+// number is known.
 func (c *Coverage) addUnanswered(q *Query, shard int) {
 	reason := q.shards[shard].reason
 	if reason == "" || q.shards[shard].inFlight > 0 {
@@ -151,8 +155,11 @@
 	c.addGap(ShardGap{Shard: shard, Reason: reason, Missing: n, MissingKnown: known})
 }
 
+// addIncomplete counts a shard whose leaf reported an incomplete answer.
 func (c *Coverage) addIncomplete(shard int, a *target.LeafAnswer) {
 	gap := ShardGap{Shard: shard, Reason: ReasonIncomplete}
+	// The leaf's count of missing records is used if it is consistent. readShare then
+	// returns a share above 0, or 0 if all records of the shard are missing.
 	if _, share := readShare(a); share > 0 || a.Missing == a.Records && a.Records > 0 {
 		gap.Missing = a.Missing
 		gap.MissingKnown = true
@@ -162,6 +169,7 @@
 	c.addGap(gap)
 }
 
+// addGap adds a gap and the number of its missing records.
 func (c *Coverage) addGap(gap ShardGap) {
 	c.Gaps = append(c.Gaps, gap)
 	if gap.MissingKnown {
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -22,6 +22,8 @@
 	return acts
 }
 
+// tryHedge sends a second attempt on a shard if a replica that was not tried has a free
+// slot and the hedge budget allows it.
 func (q *Query) tryHedge(now time.Time, shard int) []Action {
 	if _, ok := q.table.Pick(now, q.snapshot.Name, shard, q.shards[shard].tried, true); !ok {
 		return nil
@@ -34,6 +36,8 @@
 	return q.send(now, shard, true)
 }
 
+// hedgeDelay returns how long an attempt runs before a hedge is sent. It returns false if
+// the query sends no hedges, and while the latency of attempts is not known.
 func (q *Query) hedgeDelay(now time.Time) (time.Duration, bool) {
 	if q.spec.Plain || q.spec.HedgeQuantile <= 0 {
 		return 0, false
--- a/policy/load.go
+++ b/policy/load.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// latencyWeight is the weight of a new sample in a replica's smoothed latency.
-const latencyWeight = 0.2
+// latencySampleWeight is the weight of a new sample in a replica's smoothed latency.
+const latencySampleWeight = 0.2
 
 // EndAttempt records the end of an attempt on a replica.
 func (t *Table) EndAttempt(id ReplicaID, end AttemptEnd, now time.Time) {
@@ -48,21 +48,21 @@
 		if t.stalled(end.Took, now) {
 			r.recordFailure(now.Add(-end.Took), now)
 		}
-	case end.SnapshotGone:
+	case end.SnapshotGone: // the leaf is alive, but lacks the snapshot
 		r.recordAnswer()
 	case end.NoConnection:
 		r.target.cooldown.recordRefusal(now, end.RetryAfter)
 		r.target.cooldown.recordFailure(now.Add(-end.Took), now)
 	case end.Refused:
 		r.cooldown.recordRefusal(now, end.RetryAfter)
-	default:
+	default: // the attempt failed
 		r.recordFailure(now.Add(-end.Took), now)
 	}
 }
 
-// stallQuantile is the latency quantile from which a cancelled attempt counts as
+// stallLatencyQuantile is the latency quantile from which a cancelled attempt counts as
 // failed.
-const stallQuantile = 0.99
+const stallLatencyQuantile = 0.99
 
 // stalled reports whether an attempt without an answer took so long that its
 // replica may not answer at all. On a connection that went silent every attempt
@@ -70,19 +70,22 @@
 // failure is ever reported. Unless these cancellations count as failures, the
 // replica keeps getting its share of attempts and uses up the hedge budget.
 func (t *Table) stalled(took time.Duration, now time.Time) bool {
-	slow, ok := t.Latency.Quantile(now, stallQuantile)
+	slow, ok := t.Latency.Quantile(now, stallLatencyQuantile)
 	return ok && took >= slow
 }
 
+// recordLatency updates the smoothed latency of a replica. The first sample is taken as it
+// is.
 func (r *replica) recordLatency(latency time.Duration) {
 	if r.latency == 0 {
 		r.latency = latency
 		return
 	}
-	r.latency += time.Duration(latencyWeight * float64(latency-r.latency))
+	r.latency += time.Duration(latencySampleWeight * float64(latency-r.latency))
 }
 
-// recordFailure records a failure of a leaf and of its target.
+// recordFailure records the failure of an attempt, sent at sentAt, in the cooldowns of the
+// leaf and of its target.
 func (r *replica) recordFailure(sentAt, now time.Time) {
 	r.cooldown.recordFailure(sentAt, now)
 	r.target.cooldown.recordFailure(sentAt, now)
@@ -94,14 +97,18 @@
 	r.target.cooldown.recordAnswer()
 }
 
+// inCooldown reports whether the replica or its target is in a cooldown, after failures or
+// a refusal.
 func (r *replica) inCooldown(now time.Time) bool {
 	return r.cooldown.active(now) || r.target.cooldown.active(now)
 }
 
+// refusing reports whether the replica or its target is in a cooldown after a refusal.
 func (r *replica) refusing(now time.Time) bool {
 	return r.cooldown.refusing(now) || r.target.cooldown.refusing(now)
 }
 
+// replica returns a replica, nil if it is not in the table.
 func (t *Table) replica(id ReplicaID) *replica {
 	ts := t.targets[id.Target]
 	if ts == nil || id.Leaf < 0 || id.Leaf >= len(ts.replicas) {
@@ -112,7 +119,7 @@
 
 // AttemptEnd describes how an attempt ended. With none of the flags set, it failed.
 type AttemptEnd struct {
-	Answered     bool
+	Answered     bool // by the leaf, with a result
 	Cancelled    bool // by this VM, while it was still running
 	Refused      bool // by the target without starting it, or not sent for lack of a connection
 	SnapshotGone bool // refused only because the leaf does not hold the snapshot
@@ -122,5 +129,5 @@
 	NoConnection bool
 	Shed         bool          // refused because no slot was free
 	RetryAfter   time.Duration // from a refusal; 0 if it states none
-	Took         time.Duration
+	Took         time.Duration // from the sending of the attempt to its end; set by Query and Submission
 }
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -7,9 +7,9 @@
 
 // The levels of pressure.
 const (
-	NoPressure      Pressure = iota
-	TargetsQueueing          // attempts wait in the targets' queues
-	TargetsRefusing          // targets refuse attempts, so part of the work sent is wasted
+	NoPressure      Pressure = iota // no sign of overload
+	TargetsQueueing                 // attempts wait in the targets' queues
+	TargetsRefusing                 // targets refuse attempts, so part of the work sent is wasted
 )
 
 // Thresholds of pressure. These are not signs of pressure:
@@ -20,9 +20,9 @@
 //     that cannot be reached are not loaded, and the others have free slots.
 //   - A slow query. One straggler or silent connection causes it while slots are free.
 const (
-	maxShedShare     = 0.1  // share of recent attempts that are refused because no slot is free
-	shedWeight       = 0.02 // weight of one attempt in that smoothed share
-	slowAttemptShare = 0.25 // share of the time limit that the median attempt takes, even if that is its latency without queues
+	maxShedShare               = 0.1  // share of recent attempts that are refused because no slot is free
+	shedSampleWeight           = 0.02 // weight of one attempt in the smoothed share of refused attempts
+	slowMedianShareOfTimeLimit = 0.25 // attempts count as waiting in queues if their median latency exceeds this share of the query's time limit, even if it is the latency without queues
 )
 
 // Pressure returns the pressure that the end of a query shows. limit is the query's
@@ -31,12 +31,13 @@
 	if t.shedShare > maxShedShare {
 		return TargetsRefusing
 	}
+	// A shard of this query has no answer because targets refused attempts.
 	for _, gap := range out.Coverage.Gaps {
 		if gap.Reason == ReasonShed || (gap.Reason == ReasonBusy && out.Shed > 0) {
 			return TargetsRefusing
 		}
 	}
-	if t.Median.Slow() || t.Median.Recent().Seconds() > slowAttemptShare*limit.Seconds() {
+	if t.Median.Slow() || t.Median.Recent().Seconds() > slowMedianShareOfTimeLimit*limit.Seconds() {
 		return TargetsQueueing
 	}
 	return NoPressure
@@ -48,8 +49,8 @@
 	switch {
 	case end.Cancelled:
 	case end.Shed:
-		t.shedShare += shedWeight * (1 - t.shedShare)
+		t.shedShare += shedSampleWeight * (1 - t.shedShare)
 	default:
-		t.shedShare -= shedWeight * t.shedShare
+		t.shedShare -= shedSampleWeight * t.shedShare
 	}
 }
--- a/policy/pace.go
+++ b/policy/pace.go
@@ -9,21 +9,21 @@
 type MedianLatency struct {
 	recentMedian time.Duration // median latency of recent attempts
 	baseline     time.Duration // median latency without queues; 0 while unknown
-	samples      int
-	updatedAt    time.Time // last call of UpdateBaseline
+	samples      int           // attempts recorded
+	updatedAt    time.Time     // last call of UpdateBaseline
 }
 
 // Parameters of MedianLatency.
 const (
-	medianStep         = 0.01 // share by which one attempt moves the median
-	minMedianSamples   = 50   // with fewer attempts the median is unknown
-	nearBaselineFactor = 1.5  // times the baseline: below it hardly any attempt waits
-	slowBaselineFactor = 3    // times the baseline: above it about two requests wait for each one that runs
+	medianStepShare    = 0.01 // one attempt moves the median by this share of it
+	minMedianSamples   = 50   // with fewer recorded attempts the median is unknown
+	nearBaselineFactor = 1.5  // multiple of the baseline; with a median below it hardly any attempt waits in a queue
+	slowBaselineFactor = 3    // multiple of the baseline; with a median above it about two requests wait for each one that runs
 
-	baselineFallTime = time.Second     // time constant with which the baseline follows a lower median
-	baselineRiseTime = 3 * time.Second // time constant with which the baseline follows a higher median
-	crowdedRiseTime  = 5 * time.Minute // the same, while queues may be the cause of the higher median
-	maxBaselineStep  = time.Second     // longest time that one call of UpdateBaseline accounts for
+	baselineFallTime        = time.Second     // time constant with which the baseline follows a lower median
+	baselineRiseTime        = 3 * time.Second // time constant with which the baseline follows a higher median
+	crowdedBaselineRiseTime = 5 * time.Minute // replaces baselineRiseTime while queues may be the cause of the higher median
+	maxBaselineInterval     = time.Second     // longest time that one call of UpdateBaseline accounts for
 )
 
 // Add records the latency of an attempt that was answered. Each attempt moves the median
@@ -35,9 +35,9 @@
 	case m.recentMedian == 0:
 		m.recentMedian = max(d, time.Microsecond)
 	case d > m.recentMedian:
-		m.recentMedian += time.Duration(medianStep * float64(m.recentMedian))
+		m.recentMedian += time.Duration(medianStepShare * float64(m.recentMedian))
 	case d < m.recentMedian:
-		m.recentMedian -= time.Duration(medianStep * float64(m.recentMedian))
+		m.recentMedian -= time.Duration(medianStepShare * float64(m.recentMedian))
 	}
 }
 
@@ -47,7 +47,7 @@
 // slowly. It rises nonetheless: otherwise a VM that is always crowded would limit
 // callers permanently after targets did become slower.
 func (m *MedianLatency) UpdateBaseline(now time.Time, crowded bool) {
-	elapsed := min(now.Sub(m.updatedAt), maxBaselineStep)
+	elapsed := min(now.Sub(m.updatedAt), maxBaselineInterval)
 	m.updatedAt = now
 	if m.samples < minMedianSamples {
 		return
@@ -60,19 +60,22 @@
 	if m.recentMedian > m.baseline {
 		timeConstant = baselineRiseTime
 		if crowded {
-			timeConstant = crowdedRiseTime
+			timeConstant = crowdedBaselineRiseTime
 		}
 	}
+	// The difference to the recent median shrinks by the share elapsed / timeConstant.
 	m.baseline += time.Duration(float64(m.recentMedian-m.baseline) * elapsed.Seconds() / timeConstant.Seconds())
 }
 
-// Slow reports whether attempts wait in the targets' queues.
+// Slow reports whether attempts wait in the targets' queues. It returns false while the
+// baseline is unknown.
 func (m *MedianLatency) Slow() bool {
 	return m.baseline > 0 && m.recentMedian > slowBaselineFactor*m.baseline
 }
 
-// NearBaseline reports whether attempts are about as fast as without queues. Between
-// NearBaseline and Slow some attempts wait in queues and some do not.
+// NearBaseline reports whether attempts are about as fast as without queues. It returns
+// false while the baseline is unknown. If both NearBaseline and Slow return false, some
+// attempts wait in queues and some do not.
 func (m *MedianLatency) NearBaseline() bool {
 	return m.baseline > 0 && float64(m.recentMedian) < nearBaselineFactor*float64(m.baseline)
 }
--- a/policy/pace_test.go
+++ b/policy/pace_test.go
@@ -83,13 +83,13 @@
 			least, most = min(least, d), max(most, d)
 			before := p.recentMedian
 			p.Add(d)
-			if before > 0 && (p.recentMedian-before).Abs().Seconds() > 1.01*medianStep*before.Seconds() {
+			if before > 0 && (p.recentMedian-before).Abs().Seconds() > 1.01*medianStepShare*before.Seconds() {
 				t.Fatalf("one attempt moved the median from %v to %v", before, p.recentMedian)
 			}
 			ms += rapid.IntRange(0, 2000).Draw(t, "pause")
 			p.UpdateBaseline(at(ms), rapid.Bool().Draw(t, "crowded"))
 			for _, value := range []time.Duration{p.recentMedian, p.baseline} {
-				if value > 0 && (value.Seconds() < (1-medianStep)*least.Seconds() || value.Seconds() > (1+medianStep)*most.Seconds()) {
+				if value > 0 && (value.Seconds() < (1-medianStepShare)*least.Seconds() || value.Seconds() > (1+medianStepShare)*most.Seconds()) {
 					t.Fatalf("median or baseline is %v, for attempts between %v and %v", value, least, most)
 				}
 			}
--- a/policy/query.go
+++ b/policy/query.go
@@ -9,6 +9,9 @@
 // Query is the state machine of one query. Call Start once, then HandleAnswer,
 // HandleFailure and Tick as events occur, and carry out the actions that each returns.
 //
+// A pass queries all shards of one snapshot. A query has a further pass, on another
+// snapshot, if replicas of the first one are lost.
+//
 // Invariants: every attempt reads the snapshot of the query's current pass, and only
 // answers of that pass count; a shard is answered at most once; attempts per shard
 // that a target may have started <= Spec.MaxAttempts; hedges and retries are within
@@ -18,27 +21,27 @@
 	spec  Spec
 	table *Table
 
-	snapshot     Snapshot
-	shards       []shardState
-	attempts     map[AttemptID]*attempt
-	lastAttempt  AttemptID
-	restarts     int
-	sufficientAt time.Time // when MinCoverage was reached in this pass; zero before
-	done         bool
+	snapshot     Snapshot               // of the current pass
+	shards       []shardState           // progress of each shard in the current pass
+	attempts     map[AttemptID]*attempt // in flight
+	lastAttempt  AttemptID              // id of the latest attempt sent
+	restarts     int                    // passes after the first one, each on another snapshot
+	sufficientAt time.Time              // when MinCoverage was reached in this pass; zero before
+	done         bool                   // Finish was returned
 
 	// Updated with each change of a shard: in a query over hundreds of shards, reading
 	// all of them at each event would cost too much.
 	phases       [phaseCount]int // shards in each phase
 	fullShards   int             // shards with a complete answer
-	partialShare float64         // sum of the shares read of shards with an incomplete answer
+	partialShare float64         // sum, over the shards with an incomplete answer, of the share of records read
 	wakeAt       time.Time       // no later than the next time at which Tick has work
 
 	startedAt  time.Time
 	lastAnswer LastAnswer
 
-	sent, hedges, retries int
+	sent, hedges, retries int // attempts in all passes: all of them, hedges only, retries only
 	refused               int // attempts that no target started
-	shed                  int // attempts of refused that were refused because no slot was free
+	shed                  int // attempts of refused that a target refused because no slot was free
 }
 
 // maxRestarts bounds how often a query is restarted on another snapshot.
@@ -59,6 +62,9 @@
 	return q.startPass(now, snap)
 }
 
+// chooseSnapshot returns the snapshot of the first pass. A query that is pinned to a
+// snapshot reads that one. It returns false if there is no snapshot that the query can
+// read.
 func (q *Query) chooseSnapshot(now time.Time) (Snapshot, bool) {
 	if q.spec.PinnedSnapshot != "" {
 		return q.table.FindSnapshot(q.spec.PinnedSnapshot)
@@ -117,6 +123,7 @@
 // HandleFailure records that an attempt ended without an answer.
 func (q *Query) HandleFailure(now time.Time, id AttemptID, f Failure) []Action {
 	snapshotGone := f.Reason == ReasonSnapshotGone
+	// The target refused the attempt because no slot was free.
 	shed := f.Refused && !f.NoConnection && (f.Reason == ReasonShed || f.Reason == ReasonBusy)
 	a := q.endAttempt(now, id, AttemptEnd{
 		Refused:      f.Refused,
@@ -168,7 +175,9 @@
 	return acts
 }
 
-// retryPending sends attempts on shards whose retryAt has come.
+// retryPending sends attempts on the shards that waited for a replica or for the retry
+// budget and whose wait is over. A shard without any attempt so far gets its first one,
+// which uses no retry budget.
 func (q *Query) retryPending(now time.Time) []Action {
 	var acts []Action
 	for shard := range q.shards {
@@ -185,6 +194,7 @@
 	return acts
 }
 
+// unanswered returns the number of shards without an answer in this pass.
 func (q *Query) unanswered() int { return len(q.shards) - q.phases[phaseAnswered] }
 
 // hedgeRetryInterval is the time after which a hedge that was due but not sent, for
@@ -200,7 +210,8 @@
 	return earlier(q.wakeAt, q.sufficientAt.Add(q.spec.Grace))
 }
 
-// scheduleWake moves wakeAt forward to the timeout or the hedge of an attempt.
+// scheduleWake moves wakeAt to an earlier time if the timeout of an attempt, or its hedge,
+// is due before wakeAt.
 func (q *Query) scheduleWake(now time.Time, a *attempt) {
 	q.wakeAt = earlier(q.wakeAt, a.expiresAt)
 	due, hedging := q.hedgeDelay(now)
--- a/policy/rest.go
+++ b/policy/rest.go
@@ -4,18 +4,18 @@
 
 // cooldown keeps attempts away from a replica or a target that fails or refuses.
 type cooldown struct {
-	failures     int       // in a row
-	failedAt     time.Time // when the last one was counted
-	until        time.Time // gets no attempt before, unless no other replica is available
-	refusedUntil time.Time // gets no attempt before: it refused one
+	failures     int       // failures in a row
+	failedAt     time.Time // when the latest failure was counted
+	until        time.Time // end of the cooldown after failures; before it there is no attempt unless no other replica is available
+	refusedUntil time.Time // end of the cooldown after a refusal; before it there is no attempt
 }
 
 // Limits of a cooldown.
 const (
-	baseCooldown       = 50 * time.Millisecond
-	maxCooldown        = 2 * time.Second
-	maxDoublings       = 6
-	failuresToCooldown = 2 // failures in a row that start the first cooldown
+	baseCooldown         = 50 * time.Millisecond // first cooldown after failures, and shortest cooldown after a refusal
+	maxCooldown          = 2 * time.Second       // longest cooldown after failures
+	maxCooldownDoublings = 6                     // upper bound of how often a cooldown after failures is doubled
+	failuresToCooldown   = 2                     // failures in a row that start the first cooldown
 )
 
 // recordFailure counts the failure of an attempt. Each further failure in a row
@@ -31,12 +31,12 @@
 	if c.failures < failuresToCooldown {
 		return
 	}
-	d := baseCooldown << min(c.failures-failuresToCooldown, maxDoublings)
+	d := baseCooldown << min(c.failures-failuresToCooldown, maxCooldownDoublings)
 	c.until = later(c.until, now.Add(min(d, maxCooldown)))
 }
 
-// recordRefusal starts a cooldown of at least d. A refusal is not counted as a
-// failure: a replica or target that refuses is alive.
+// recordRefusal starts a cooldown of at least d, the time after which the refusal allows a
+// retry. A refusal is not counted as a failure: a replica or target that refuses is alive.
 func (c *cooldown) recordRefusal(now time.Time, d time.Duration) {
 	c.refusedUntil = later(c.refusedUntil, now.Add(max(d, baseCooldown)))
 }
@@ -45,8 +45,11 @@
 // may come from a failure later than the answer.
 func (c *cooldown) recordAnswer() { c.failures = 0 }
 
+// active reports whether a cooldown after failures or a refusal has not ended.
 func (c *cooldown) active(now time.Time) bool { return now.Before(c.until) || c.refusing(now) }
 
+// refusing reports whether a cooldown after a refusal has not ended.
 func (c *cooldown) refusing(now time.Time) bool { return now.Before(c.refusedUntil) }
 
+// end returns when the last cooldown ends or ended; zero if there was none.
 func (c *cooldown) end() time.Time { return later(c.until, c.refusedUntil) }
--- a/policy/shard.go
+++ b/policy/shard.go
@@ -8,37 +8,40 @@
 
 // shardState is the progress of one shard in the current pass of a query.
 type shardState struct {
-	answer      *target.LeafAnswer
-	tried       []ReplicaID
-	inFlight    int // attempts in flight
-	sent        int // attempts, hedges and retries included
-	refused     int // attempts of sent that targets refused without starting them
-	budgetWaits int // how often a retry found the retry budget empty
-	hedged      bool
-	phase       phase
-	reason      Reason    // of the last failure
-	retryAt     time.Time // when to try to send again; zero: not waiting
+	answer      *target.LeafAnswer // nil before the shard has answered
+	tried       []ReplicaID        // replicas that got an attempt
+	inFlight    int                // attempts in flight
+	sent        int                // attempts, hedges and retries included
+	refused     int                // attempts of sent that targets refused without starting them
+	budgetWaits int                // how often a retry found the retry budget empty
+	hedged      bool               // a hedge was sent
+	phase       phase              // as of the last call of updatePhase
+	reason      Reason             // why the shard has no answer yet; empty before a first failure or wait
+	retryAt     time.Time          // when to try to send again; zero: not waiting
 }
 
+// attempt is an attempt in flight.
 type attempt struct {
 	id        AttemptID
 	shard     int
 	replica   ReplicaID
 	sentAt    time.Time
-	expiresAt time.Time
+	expiresAt time.Time // when its timeout ends
 }
 
-// phase is the progress of a shard.
+// phase is the progress of a shard in one pass of a query.
 type phase int
 
 const (
 	phaseOpen     phase = iota // may still answer
 	phaseAnswered              // an answer arrived
 	phaseLost                  // can no longer answer
-	phaseNoHolder              // as phaseLost, because no replica holds the snapshot any more
-	phaseCount
+	phaseNoHolder              // can no longer answer: no usable replica holds the shard, or the one that got the last attempt no longer holds the snapshot
+	phaseCount                 // number of phases
 )
 
+// currentPhase derives the phase from the other fields. A shard without an answer is open
+// while an attempt is in flight or it waits to send one.
 func (s *shardState) currentPhase() phase {
 	switch {
 	case s.answer != nil:
@@ -52,7 +55,8 @@
 	}
 }
 
-// updatePhase updates the phase of a shard, and the counts by phase, after a change.
+// updatePhase updates the phase of a shard, and the number of shards in each phase, after
+// a change of the shard.
 func (q *Query) updatePhase(shard int) {
 	s := &q.shards[shard]
 	q.phases[s.phase]--
--- a/policy/status.go
+++ b/policy/status.go
@@ -7,7 +7,9 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// ApplyStatus records a status that was read from a target.
+// ApplyStatus records a status that was read from a target: its state, and the load and
+// the holdings of its leaves. The target counts as reachable again. A holding is one shard
+// of one snapshot whose records a leaf has.
 func (t *Table) ApplyStatus(name string, st target.Status, now time.Time) {
 	ts := t.targets[name]
 	if ts == nil {
@@ -47,9 +49,9 @@
 	}
 }
 
-// setHoldings replaces a leaf's holdings and updates the lists of holders. It
-// changes only what differs: a status arrives from every target at each interval,
-// and almost all of them repeat the last one.
+// setHoldings replaces a leaf's holdings, the shards of snapshots whose records it has,
+// and updates the lists of holders. It changes only what differs: a status arrives from
+// every target at each interval, and almost all of them repeat the last one.
 func (t *Table) setHoldings(r *replica, holdings []target.Holding) {
 	next := make(map[holdingKey]struct{}, len(holdings))
 	for _, h := range holdings {
@@ -71,8 +73,8 @@
 	r.holdings = next
 }
 
-// removeHolder removes a replica from a list of holders, and deletes the snapshot
-// if no replica holds any of its shards.
+// removeHolder removes a replica from the list of those that hold a shard of a snapshot.
+// It deletes the snapshot if no replica holds any of its shards.
 func (t *Table) removeHolder(r *replica, key holdingKey) {
 	s := t.snapshots[key.snapshot]
 	if s == nil {
@@ -89,9 +91,10 @@
 	}
 }
 
-// mergePartitionMaps merges the partition maps and sizes that a leaf reports. The
-// number of shards of a known snapshot never shrinks: if two leaves disagree, the
-// larger map is used, which can only understate coverage.
+// mergePartitionMaps merges the partition maps and sizes that a leaf reports: the number
+// of shards of a snapshot, and the number of records of a shard. Invalid holdings are
+// ignored. The number of shards of a known snapshot never shrinks: if two leaves disagree,
+// the larger map is used, which can only understate coverage.
 func (t *Table) mergePartitionMaps(holdings []target.Holding) {
 	for _, h := range holdings {
 		if h.Shards <= 0 || h.Shard < 0 || h.Shard >= h.Shards {
@@ -125,7 +128,8 @@
 	}
 }
 
-// MarkLost records that no VM with connections to a target can read its status.
+// MarkLost records that no VM with connections to a target can read its status. The target
+// is not used until a status is read again.
 func (t *Table) MarkLost(name string) {
 	if ts := t.targets[name]; ts != nil {
 		ts.lost = true
--- a/policy/submit.go
+++ b/policy/submit.go
@@ -8,13 +8,13 @@
 type Submission struct {
 	table       *Table
 	snapshot    Snapshot
-	shard       int
+	shard       int // chosen by the hash of the request's key
 	tried       []ReplicaID
 	maxAttempts int
-	current     ReplicaID
-	sentAt      time.Time
-	inFlight    bool // sent, and its end is not known yet
-	closed      bool // may have been started: must not be sent again
+	current     ReplicaID // replica of the latest attempt
+	sentAt      time.Time // when the latest attempt was sent
+	inFlight    bool      // the end of the latest attempt is not known yet
+	closed      bool      // a target may have started the request, so it must not be sent again
 }
 
 // NewSubmission returns a Submission for a request whose key hashes to hash. It
@@ -57,7 +57,7 @@
 	}, time.Time{}, true
 }
 
-// HandleEnd records how the attempt in flight ended. Next may return another one only
+// HandleEnd records how the attempt in flight ended. Next may return another attempt only
 // after a refusal, which says that the target did not start the request.
 func (s *Submission) HandleEnd(now time.Time, end AttemptEnd) {
 	if !s.inFlight {
--- a/policy/table.go
+++ b/policy/table.go
@@ -15,40 +15,41 @@
 	Leaf   int
 }
 
-// replica is this VM's view of one leaf.
+// replica is what this VM knows of one leaf of a target.
 type replica struct {
 	id       ReplicaID
 	target   *targetState
-	slots    int
-	sameZone bool
+	slots    int  // requests that the leaf runs at once
+	sameZone bool // the target is in this VM's zone
 
 	outstanding int           // calls of this VM in flight
 	latency     time.Duration // smoothed latency of this VM's calls; 0 before the first
 	cooldown    cooldown      // of this leaf only
 
-	reportedLoad        float64 // load in the last status
-	reportedAt          time.Time
-	outstandingAtReport int // value of outstanding when the status was read
+	reportedLoad        float64   // calls of all VMs on the leaf, from the last status
+	reportedAt          time.Time // when that status was read
+	outstandingAtReport int       // value of outstanding when the status was read
 
-	holdings map[holdingKey]struct{}
+	holdings map[holdingKey]struct{} // shards of snapshots whose records the leaf has
 }
 
+// holdingKey identifies one shard of one snapshot.
 type holdingKey struct {
 	snapshot string
 	shard    int
 }
 
-// targetState is this VM's view of one target.
+// targetState is what this VM knows of one target.
 type targetState struct {
 	name               string
-	incarnation        string
-	state              target.State
-	statusRead         bool // at least one status was read
-	lost               bool // too many status reads failed in a row
-	failedReads        int
-	drainedIncarnation string // incarnation that is known to be draining
-	servingSince       time.Time
-	cooldown           cooldown // of all leaves, which share the target's connections
+	incarnation        string       // of the target's process, from its last status
+	state              target.State // in the last status
+	statusRead         bool         // at least one status was read
+	lost               bool         // too many status reads failed in a row, or MarkLost was called
+	failedReads        int          // status reads that failed in a row
+	drainedIncarnation string       // incarnation that is known to be draining
+	servingSince       time.Time    // when it last began to serve; its warm-up counts from here
+	cooldown           cooldown     // of all leaves, which share the target's connections
 	replicas           []*replica
 }
 
@@ -59,6 +60,7 @@
 	return t.state == target.StateDraining || (t.drainedIncarnation != "" && t.drainedIncarnation == t.incarnation)
 }
 
+// usable reports whether the target may get attempts.
 func (t *targetState) usable() bool {
 	return t.statusRead && !t.lost && !t.draining() && t.state == target.StateServing
 }
@@ -67,28 +69,28 @@
 // its shards.
 type snapshotState struct {
 	name    string
-	seq     int64
-	shards  int
-	records map[int]int64 // by shard; no entry until a replica reports the number
-	holders map[int][]*replica
+	seq     int64              // a newer snapshot has a larger number
+	shards  int                // number of shards
+	records map[int]int64      // by shard; no entry until a replica reports the number
+	holders map[int][]*replica // replicas that hold each shard
 }
 
 // Table holds one VM's view of the targets of one service, and chooses snapshots
 // and replicas from it.
 type Table struct {
-	zone         string
-	rng          *rand.Rand
-	suspectAfter int
-	warmup       time.Duration
+	zone         string        // availability zone of this VM
+	rng          *rand.Rand    // source of random choices
+	suspectAfter int           // status reads of a target that fail in a row until it is lost
+	warmup       time.Duration // time over which the share of attempts of a target rises after it began to serve
 	targets      map[string]*targetState
 	snapshots    map[string]*snapshotState
 	scratch      []*replica // buffer of usableReplicas, reused by Pick
 	shedShare    float64    // smoothed share of recent attempts that targets refused because no slot was free
 
-	Latency *latency.Recorder // of attempts that were answered
-	Median  MedianLatency     // median latency of the same attempts, used for admission and timeouts
-	Hedges  *Budget
-	Retries *Budget
+	Latency *latency.Recorder // latencies of attempts that were answered
+	Median  MedianLatency     // median latency of attempts that were answered, used for admission and timeouts
+	Hedges  *Budget           // of hedges, as a share of first attempts
+	Retries *Budget           // of retries, as a share of first attempts
 }
 
 // NewTable returns an empty table of a service for a VM in zone.
@@ -141,6 +143,7 @@
 	}
 }
 
+// newTarget returns a target with all its leaves, of which no status was read yet.
 func (t *Table) newTarget(spec *bundle.Target) *targetState {
 	ts := &targetState{name: spec.Name}
 	for leaf := range spec.Leaves {
