--- a/edge/announce.go
+++ b/edge/announce.go
@@ -21,7 +21,7 @@
 
 	mu      sync.Mutex // held during a write; guards the fields below
 	self    scatter.VM // this VM's entry; Key is empty until ensureKey
-	listed  bool       // the list holds exactly the entry self
+	listed  bool       // the store's list of VMs is known to hold exactly the entry self
 	written time.Time  // time of this VM's latest write
 }
 
@@ -51,7 +51,7 @@
 }
 
 // observeList records this VM's entry as found in a list of VMs; entry is empty if there is
-// none.
+// none. A different entry in a list that may be older than this VM's latest write is ignored.
 func (a *announcer) observeList(entry scatter.VM) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/edge/callers.go
+++ b/edge/callers.go
@@ -11,27 +11,27 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-// Limits of callers' connections that apply unless the manifest states others. headerBytes is
-// in bytes.
+// Limits of connections. For callers' connections the timeouts apply unless the manifest
+// states others.
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 120 * time.Second
-	headerBytes   = 64 << 10
+	headerTimeout  = 10 * time.Second  // time for reading the header of a request
+	idleTimeout    = 120 * time.Second // how long a connection may wait for the next request
+	maxHeaderBytes = 64 << 10          // size of the header of a caller's request, in bytes; the manifest can only lower it
 )
 
-// idleSlack is added to the manifest's idle timeout. A caller may learn of a longer timeout
-// before this VM does, and must not find its connection closed.
-const idleSlack = 30 * time.Second
+// idleTimeoutSlack is added to the manifest's idle timeout of callers' connections. A caller
+// may learn of a longer timeout before this VM does, and must not find its connection closed.
+const idleTimeoutSlack = 30 * time.Second
 
 // callerListener applies the timeouts of the manifest in force to callers' connections. The
 // timeouts of a net/http server are fixed while it runs, so without this a caller that reuses
 // a connection for as long as the manifest allows would find it closed.
 type callerListener struct {
 	net.Listener
-	limits func() routing.Limits
+	limits func() routing.Limits // limits of the manifest in force
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It wraps each connection in a callerConn.
 func (l *callerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -44,8 +44,8 @@
 	return &callerConn{TCPConn: tcp, limits: l.limits, acceptedAt: time.Now(), roundTrip: measuredRoundTrip(tcp)}, nil
 }
 
-// measuredRoundTrip returns the round-trip time that the kernel measured on a connection, 0
-// if it is not available.
+// measuredRoundTrip returns the round-trip time that the kernel measured on a connection to
+// a caller, 0 if it is not available.
 func measuredRoundTrip(c *net.TCPConn) time.Duration {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -57,7 +57,7 @@
 		info, infoErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	})
 	if err != nil || infoErr != nil {
-		return 0 // answerBy then uses assumedOneWay
+		return 0 // callerPath.answerBy then uses assumedOneWay
 	}
 	return time.Duration(info.Rtt) * time.Microsecond
 }
@@ -66,11 +66,11 @@
 // changes from the same goroutine, so the fields need no lock.
 type callerConn struct {
 	*net.TCPConn
-	limits     func() routing.Limits
-	acceptedAt time.Time
-	roundTrip  time.Duration // 0 if unknown
-	idle       bool          // the next read deadline bounds the wait for a request
-	used       bool          // it has carried an earlier request
+	limits     func() routing.Limits // limits of the manifest in force
+	acceptedAt time.Time             // when the connection was accepted
+	roundTrip  time.Duration         // network round trip to the caller, measured when the connection was accepted; 0 if unknown
+	idle       bool                  // the connection has become idle after a request, so the next read deadline bounds the wait for another one
+	used       bool                  // the connection has carried an earlier request
 }
 
 // callerConnKey is the key of a request's *callerConn in its context.
@@ -93,13 +93,17 @@
 		return callerPath{}
 	}
 	path := callerPath{oneWay: c.roundTrip / 2}
+	// If the first request on a connection arrives within a round trip of its acceptance, the
+	// caller opened the connection for this request. Opening it has taken the caller one round
+	// trip. A connection whose first request arrives later was opened in advance.
 	if !c.used && now.Sub(c.acceptedAt) <= c.roundTrip {
 		path.connectTime = c.roundTrip
 	}
 	return path
 }
 
-// trackCallerState is the server's ConnState hook.
+// trackCallerState is the server's ConnState hook. It marks a connection that has become idle
+// after a request.
 func trackCallerState(c net.Conn, state http.ConnState) {
 	if cc, ok := c.(*callerConn); ok && state == http.StateIdle {
 		cc.idle, cc.used = true, true
@@ -124,7 +128,7 @@
 	c.idle = false
 	switch {
 	case idle && limits.IdleTimeout > 0:
-		return now.Add(limits.IdleTimeout + idleSlack)
+		return now.Add(limits.IdleTimeout + idleTimeoutSlack)
 	case !idle && limits.HeaderTimeout > 0:
 		return now.Add(limits.HeaderTimeout)
 	}
--- a/edge/callers_test.go
+++ b/edge/callers_test.go
@@ -25,7 +25,7 @@
 	trackCallerState(c, http.StateIdle)
 	g.Expect(c.readDeadline(now, time.Time{})).To(gomega.BeZero())
 	g.Expect(c.readDeadline(now, now.Add(-time.Hour))).To(gomega.Equal(now.Add(-time.Hour)))
-	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(now.Add(200*time.Second + idleSlack)))
+	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(now.Add(200*time.Second + idleTimeoutSlack)))
 	g.Expect(c.readDeadline(now, serverDeadline)).To(gomega.Equal(now.Add(3*time.Second)), "the header of the next request")
 
 	limits = routing.Limits{}
--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -22,11 +22,12 @@
 	// ping checks that a VM is alive if there is a connection to it. If the check fails, the
 	// connection is closed.
 	ping(ctx context.Context, vm scatter.VM) error
-	// follow sends a call to a VM that reads the store, and decodes the answer into into.
+	// follow sends a call to a VM that reads the store for others, and decodes the answer into
+	// into. method is methodFollowLeafs or methodFollowManifest.
 	follow(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error
 }
 
-// neverSentError reports that no part of a call was sent.
+// neverSentError reports that no part of a call to another VM was sent.
 type neverSentError struct{ err error }
 
 // Error implements error.
@@ -39,6 +40,7 @@
 // with errNotJoined.
 type noPeerClient struct{}
 
+// errNotJoined means that this VM does not accept calls of other VMs yet, and cannot call them.
 var errNotJoined = errors.New("edge: this VM has not joined the other VMs")
 
 func (noPeerClient) gather(context.Context, scatter.VM, *gatherCall, func(), func(*gatherAnswer)) error {
@@ -53,14 +55,14 @@
 	return errNotJoined
 }
 
-// callLinger is how long a call to another VM stays open after its answer was due. A late
+// peerCallLinger is how long a call to another VM stays open after its answer was due. A late
 // answer still shows that the VM is alive.
-const callLinger = 100 * time.Millisecond
+const peerCallLinger = 100 * time.Millisecond
 
 // callPeer sends one call to another VM. It posts an event when the call was sent, for each
 // answer, and if the call fails.
 func (r *runner) callPeer(call scatter.CallVM) {
-	ctx, cancel := context.WithDeadline(r.attempts, call.AnswerBy.Add(callLinger))
+	ctx, cancel := context.WithDeadline(r.attempts, call.AnswerBy.Add(peerCallLinger))
 	defer cancel()
 	onSent := func() { r.post(event{call: call.Call, sent: true}) }
 	err := r.e.currentPeerClient().gather(ctx, call.VM, r.newGatherCall(call), onSent, func(ans *gatherAnswer) {
@@ -88,6 +90,8 @@
 	r.e.stats.call(end)
 }
 
+// newGatherCall returns the message for a call that delegates some shards to another VM. Its
+// times count from now.
 func (r *runner) newGatherCall(call scatter.CallVM) *gatherCall {
 	services := make([]string, len(call.Shards))
 	for i, shard := range call.Shards {
@@ -121,6 +125,8 @@
 	return scatter.EndUnreachable
 }
 
+// errInvalidAnswer means that an answer names shards that were not in the call, or has not one
+// receipt for each shard.
 var errInvalidAnswer = errors.New("edge: answer does not match the shards of the call")
 
 // toShardsAnswer converts an answer, which holds indexes into the call's shards, to the shard
@@ -148,6 +154,7 @@
 	}, nil
 }
 
+// mapShards converts indexes into the call's shards to shard numbers of the query.
 func mapShards(call scatter.CallVM, indexes []int) ([]int, error) {
 	var shards []int
 	for _, i := range indexes {
@@ -160,10 +167,10 @@
 }
 
 // serveGather serves another VM's call. It acknowledges the call at once, and never calls a
-// third VM, so that no two VMs wait for each other. At the interim time it sends the shards
-// that have been answered by then: the caller learns that this VM is alive, and keeps most of
-// the shards if this VM fails later. Shards for which this VM and the caller know different
-// leafs are declined at once.
+// third VM, so that no two VMs wait for each other. At the interim time, which the call
+// states, it sends the answers of the shards so far. So the calling VM learns that this one is
+// alive, and keeps most of the shards if this VM fails later. Shards for which this VM and the
+// calling VM know different leafs are declined at once.
 func (e *Engine) serveGather(ctx context.Context, call *gatherCall, answer func(*gatherAnswer)) {
 	answer(&gatherAnswer{Key: call.Key}) // acknowledges the call
 	now := time.Now()
@@ -195,10 +202,10 @@
 		BudgetWeight:     scatter.DelegateWeight,
 	}
 	if call.Redelegated {
-		spec.BudgetWeight = 0 // the VM that was called first has counted it
+		spec.BudgetWeight = 0 // the VM that was called first has counted the request in its budget
 	}
 	r := e.newRunner(req, spec)
-	reported := make(map[scatter.AttemptID]bool)
+	reported := make(map[scatter.AttemptID]bool) // attempts whose results were sent
 	r.interim = fromNow(call.InterimUS)
 	r.onInterim = func(ids []scatter.AttemptID) {
 		if ans := r.partialAnswer(ids, reported); len(ans.Included) > 0 {
@@ -217,8 +224,8 @@
 	e.logGather(req, spec, outcome, time.Since(now))
 }
 
-// partialAnswer returns an answer with the results of these attempts, without those in
-// reported, and adds them to reported.
+// partialAnswer returns an answer with the results of these attempts, merged into one list
+// of records. It leaves out the attempts in reported, and adds the others to reported.
 func (r *runner) partialAnswer(ids []scatter.AttemptID, reported map[scatter.AttemptID]bool) *gatherAnswer {
 	ans := &gatherAnswer{}
 	var bodies [][]byte
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -16,31 +16,31 @@
 // Engine serves callers' requests, and the calls of other VMs. It is safe for concurrent use.
 type Engine struct {
 	headerCodec      HeaderCodec
-	pool             *leafhttp.Pool
-	inForce          routing.InForce
-	rotation         *routing.Splitter
-	elapsed          *elapsedTimes
+	pool             *leafhttp.Pool    // connections to leafs
+	inForce          routing.InForce   // holds the manifest in force
+	rotation         *routing.Splitter // chooses the service of each request that is not gathered
+	elapsed          *elapsedTimes     // estimates the time that callers spent before their requests arrived
 	log              *slog.Logger
-	stats            *stats
-	feed             *feed
+	stats            *stats // counters
+	feed             *feed  // what the VMs that follow this one read
 	livenessCheckDue wakeup // a call to another VM failed, so check whether the others are alive
 	suspectVMs       wakeup // a call to another VM failed, or a liveness check did
 	suspectLeafs     wakeup // a leaf did not answer or could not be reached
 
-	mu         sync.Mutex // guards the fields below, queries in progress included
-	table      *scatter.Table
-	registry   *registry.Registry
-	peerClient peerClient
+	mu         sync.Mutex         // guards the fields below, queries in progress included
+	table      *scatter.Table     // what decisions about attempts and calls are based on: leafs, other VMs, loads
+	registry   *registry.Registry // list of leafs
+	peerClient peerClient         // calls other VMs; noPeerClient until this VM has joined them
 }
 
 // EngineOptions configures an Engine. All fields are required.
 type EngineOptions struct {
 	HeaderCodec HeaderCodec
-	Self        string  // name of this VM
-	Zone        string  // availability zone of this VM
-	Power       float64 // processor capacity of this VM, in cores
-	Budget      scatter.BudgetConfig
-	Seed        uint64 // seed of random choices
+	Self        string               // name of this VM
+	Zone        string               // availability zone of this VM
+	Power       float64              // processor capacity of this VM, in cores
+	Budget      scatter.BudgetConfig // bounds the extra load on leafs
+	Seed        uint64               // seed of random choices
 	Log         *slog.Logger
 }
 
@@ -64,8 +64,8 @@
 	}
 }
 
-// Offer puts a manifest in force if it is newer than the present one, and reports whether it
-// did.
+// Offer puts a manifest in force, which then decides about all new requests, if it is newer
+// than the present one. It reports whether it did.
 func (e *Engine) Offer(m *routing.Manifest) bool {
 	if !e.inForce.Offer(m) {
 		return false
@@ -104,8 +104,8 @@
 	return changes
 }
 
-// Leafs returns the number of known leafs, including those that are held after an outage of
-// the store.
+// Leafs returns the number of known leafs. It includes the leafs that are missing from the
+// store's list but are kept in use for a short time after an outage of the store.
 func (e *Engine) Leafs() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,10 +121,10 @@
 
 // Request is a caller's request in the form that is sent to leafs.
 type Request struct {
-	ID       string
+	ID       string // from the caller's headers
 	HTTP     *leafhttp.Request
 	AnswerBy time.Time // latest time to send an answer that reaches the caller within the latency objective
-	Deadline time.Time // that of the caller or of the route, whichever is earlier
+	Deadline time.Time // when the caller's time or that of the route is over, whichever is earlier, less answerMargin
 	Top      int       // maximum number of records in the answer to a gathered request
 }
 
@@ -144,6 +144,7 @@
 	e.peerClient = client
 }
 
+// currentPeerClient returns the client for calls to other VMs.
 func (e *Engine) currentPeerClient() peerClient {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -13,31 +13,33 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-// feed keeps the leafs and the manifest that this VM knows, and the recent changes in the
-// order in which they were learned. VMs that follow this VM instead of the store read from
-// it. It is safe for concurrent use.
+// feed keeps the leafs and the manifest that this VM knows, and the recent changes of the
+// leafs in the order in which they were learned. Each change has a position, its number in
+// this order. VMs that follow this VM instead of the store read from the feed. It is safe for
+// concurrent use.
 type feed struct {
 	incarnation string // identifies this process; positions are valid within one incarnation only
 
-	mu          sync.Mutex // guards the fields below
-	position    int64      // position of the latest change
-	log         []feedChange
+	mu          sync.Mutex               // guards the fields below
+	position    int64                    // position of the latest change of the leafs; 0 before the first
+	log         []feedChange             // the latest changes of the leafs, at most maxFeedLog
 	leafs       map[string]registry.Leaf // by leaf id
-	manifest    *routing.Manifest
-	changed     chan struct{}        // closed and replaced at each change
-	lastSuccess map[string]time.Time // by resource; when the store last answered about it
+	manifest    *routing.Manifest        // in force; nil before the first
+	changed     chan struct{}            // closed and replaced at each change of the feed
+	lastSuccess map[string]time.Time     // by followedLeafs or followedManifest: when the store last answered about it
 
 	packedList     []byte // packed leafs; nil after a change
 	packedManifest []byte // packed document of manifest; nil after a change
 }
 
+// feedChange is a change of the list of leafs with its position.
 type feedChange struct {
 	position int64
 	change   registry.Change
 }
 
-// maxFeedLog is how many changes are kept for VMs that lag behind. A VM that lags further
-// reads the whole list.
+// maxFeedLog is how many changes of the leafs are kept for VMs that lag behind. A VM that
+// lags further reads the whole list.
 const maxFeedLog = 2048
 
 func newFeed() *feed {
@@ -49,6 +51,7 @@
 	}
 }
 
+// appendChanges applies changes of the leafs, in order, and wakes the VMs that wait for them.
 func (f *feed) appendChanges(changes []registry.Change) {
 	if len(changes) == 0 {
 		return
@@ -71,6 +74,7 @@
 	f.notifyWaiters()
 }
 
+// setManifest replaces the manifest and wakes the VMs that wait for a newer one.
 func (f *feed) setManifest(m *routing.Manifest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,15 +89,17 @@
 	f.changed = make(chan struct{})
 }
 
-// recordSuccess records that the store answered about a resource.
+// recordSuccess records that the store answered about a resource, which is followedLeafs or
+// followedManifest.
 func (f *feed) recordSuccess(resource string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastSuccess[resource] = time.Now()
 }
 
-// recordFailure records that a store call failed. VMs that follow this one are woken to learn
-// of it at once, because the store may be rejecting this VM alone.
+// recordFailure records that a store call about a resource failed. Calls of VMs that follow
+// this one stop waiting, so that these VMs learn of it at once: the store may be rejecting
+// this VM alone.
 func (f *feed) recordFailure(resource string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,8 +114,9 @@
 	return time.Since(f.lastSuccess[resource]) < within
 }
 
-// list returns all leafs, packed, and the position from which to continue. The packed list is
-// kept, because the VMs that follow a starting VM request the same list at the same time.
+// list returns all leafs, encoded by pack, and the position of the latest change that they
+// include. The packed list is kept, because the VMs that follow a starting VM request the same
+// list at the same time.
 func (f *feed) list() ([]byte, int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,7 +130,7 @@
 	return f.packedList, f.position, nil
 }
 
-// document returns the packed document of the manifest.
+// document returns the document of the manifest, encoded by pack. There must be a manifest.
 func (f *feed) document() ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,11 +144,12 @@
 	return f.packedManifest, nil
 }
 
-// changesSince returns the changes after a position and the latest position. It returns false
-// if the position is unknown or some of the changes are no longer kept.
+// changesSince returns the changes of the leafs after a position, and the latest position. It
+// returns false if the position is unknown or some of the changes are no longer kept.
 func (f *feed) changesSince(position int64) ([]registry.Change, int64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
+	// The position was never issued, or a change after it is older than the log.
 	if position > f.position || len(f.log) > 0 && position < f.log[0].position-1 {
 		return nil, 0, false
 	}
@@ -163,7 +171,7 @@
 }
 
 // waitFor waits until ready returns true or ctx ends. It calls ready at the start and after
-// each change.
+// each change of the feed.
 func (f *feed) waitFor(ctx context.Context, ready func() bool) {
 	for {
 		_, changed := f.current()
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -12,25 +12,27 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// watchShare is the time that a watch waits, as a share of the time within which a change
+// watchWaitShare is the time that a watch waits, as a share of the time within which a change
 // must be known. Store calls are billed, so a watch should wait long. But a watch is only a
 // hint and may stay silent permanently: the store may have dropped it, or the connection may
 // have been lost on the way. The remaining time is for noticing that and for reading the list
 // again.
-const watchShare = 0.6
+const watchWaitShare = 0.6
 
-// Timeouts and pauses of following the store.
+// Timeouts and pauses of following the store, which means to read it and then to watch it for
+// changes.
 const (
+	// vmsWatchTimeout is how long a watch of the list of VMs waits for a change.
 	vmsWatchTimeout = 20 * time.Second
 	// Pauses after a watch that returned changes, so that the next call returns all changes
 	// that follow shortly after. A drain or a manifest must be known within 3 s.
-	manifestPause = 250 * time.Millisecond
-	leafsPause    = 500 * time.Millisecond
-	vmsPause      = 2 * time.Second
+	manifestChangePause = 250 * time.Millisecond // after a change of the manifest
+	leafsChangePause    = 500 * time.Millisecond // after changes of the list of leafs
+	vmsChangePause      = 2 * time.Second        // after changes of the list of VMs
 	// Bounds of the pause after a call that failed. All VMs lose the store at the same time,
 	// so the pauses are randomized.
-	minRetryPause = 100 * time.Millisecond
-	maxRetryPause = 1500 * time.Millisecond
+	minRetryPause = 100 * time.Millisecond  // longest pause without an earlier failure; it doubles with each failure in a row
+	maxRetryPause = 1500 * time.Millisecond // upper bound of the pause, however many calls failed
 	// vmsRetryPause is the longest pause before the list of VMs is read again after a watch
 	// of it failed. The list rarely changes, and nothing waits for it.
 	vmsRetryPause = 4 * time.Second
@@ -47,13 +49,13 @@
 	e           *Engine
 	store       Store
 	settings    *Settings
-	self        scatter.VM
+	self        scatter.VM // this VM
 	log         *slog.Logger
 	leafsListed chan struct{} // receives a value when the leafs have been listed
 	// ready reports whether this VM knows enough to answer calls of other VMs, which begin
 	// once it is announced.
 	ready     func() bool
-	announcer *announcer
+	announcer *announcer // writes this VM's entry in the list of VMs
 	// listen starts accepting calls of other VMs. It does nothing after the first success.
 	listen func(self scatter.VM) error
 	// joined is called when the list of VMs has been read, or when listen fails. It does
@@ -69,6 +71,7 @@
 	sleep(ctx, d/2+rand.N(d/2))
 }
 
+// sleep waits for a time, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -78,21 +81,23 @@
 	}
 }
 
-// watchTimeout returns how long a watch waits for something that must be known within
-// boundMS, which is in milliseconds.
+// watchTimeout returns how long a watch waits for a change, if this VM must know each change
+// within boundMS milliseconds.
 func (f *follower) watchTimeout(boundMS float64) time.Duration {
-	return time.Duration(watchShare * boundMS * float64(time.Millisecond))
+	return time.Duration(watchWaitShare * boundMS * float64(time.Millisecond))
 }
 
 // resource is something in the store that is followed: it is read as a whole, and then
-// watched.
+// watched for changes.
 type resource struct {
-	name string
+	name string // in log lines and metrics
+	// read reads the resource and applies it to the engine. It returns the revision of the
+	// store from which to watch.
 	read func(ctx context.Context) (Revision, error)
-	// watch waits for changes after a revision and applies them. It returns the revision to
-	// continue from and whether anything changed.
+	// watch waits for changes after a revision and applies them to the engine. It returns the
+	// revision to continue from and whether anything changed.
 	watch func(ctx context.Context, since Revision) (Revision, bool, error)
-	pause time.Duration // after a watch that returned changes
+	pause time.Duration // before the next watch, after one that returned changes
 }
 
 // follow reads and watches a resource until ctx ends.
@@ -149,6 +154,7 @@
 
 // manifests returns the resource of the manifest.
 func (f *follower) manifests() resource {
+	// apply puts a manifest in force if it is newer than the present one; m may be nil.
 	apply := func(m *routing.Manifest) {
 		if m != nil && f.e.Offer(m) {
 			f.log.Info("manifest in force", "manifest", m.Version, "routes", len(m.Routes), "services", len(m.Services))
@@ -166,11 +172,13 @@
 			apply(m)
 			return at, m != nil, err
 		},
-		pause: manifestPause,
+		pause: manifestChangePause,
 	}
 }
 
-// leafs returns the resource of the list of leafs.
+// leafs returns the resource of the list of leafs. After an outage of the store, healthy leafs
+// may be missing from the list. Leafs that are missing are then held, which means kept in use,
+// for a short time.
 func (f *follower) leafs() resource {
 	var age listAge
 	return resource{
@@ -182,7 +190,9 @@
 				return 0, err
 			}
 			f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
-				if hold := age.hold(now, list.AfterOutage, f.settings.Bounds.drainBound()); hold > 0 {
+				if hold := age.missingLeafHold(now, list.AfterOutage, f.settings.Bounds.drainBound()); hold > 0 {
+					// Leafs that are missing from the list stay in use for this time.
+					// StoreRecovered returns when it ends.
 					time.AfterFunc(time.Until(r.StoreRecovered(now, hold)), f.expireHeldLeafs)
 				}
 				return r.Replace(now, list.Leafs)
@@ -215,27 +225,31 @@
 			}), c.Revision)
 			return c.Revision, len(c.Changes) > 0, nil
 		},
-		pause: leafsPause,
+		pause: leafsChangePause,
 	}
 }
 
-// listAge records how old this VM's list of leafs was when the list was read again.
+// listAge records how old this VM's list of leafs is. After a failed read it tells how long
+// the leafs that are missing from the next list are kept in use.
 type listAge struct {
-	failed  bool      // a read failed since freshAt
+	failed  bool      // a read of the list failed since freshAt
 	freshAt time.Time // when the list was last known to be up to date; zero if never
 }
 
-// maxHoldShare bounds how long a missing leaf is held, as a share of the time within which a
-// leaf that left must get no more requests.
+// maxHoldShare bounds how long a leaf that is missing from the list of leafs is held, which
+// means kept in use. It is a share of the time within which a leaf that left must get no more
+// requests. That time counts from when the list was last known to be up to date.
 const maxHoldShare = 0.85
 
-// hold returns for how long leafs that are missing from a new list are held, and marks the
-// list as fresh. bound is the time within which a leaf that left must get no more requests.
+// missingLeafHold returns for how long leafs that are missing from a list just read are held,
+// which means kept in use, and marks the list as fresh. It returns 0 if nothing failed since
+// the previous list.
+//
 // After an outage of the store, the entries of healthy leafs may have expired. This may also
 // be the case if only the VM that was followed failed. But then a leaf may also have left
 // just after the list was last known to be fresh, so it is held no longer than it may still
-// get requests.
-func (a *listAge) hold(now time.Time, afterOutage bool, bound time.Duration) time.Duration {
+// get requests. bound is the time within which a leaf that left must get no more requests.
+func (a *listAge) missingLeafHold(now time.Time, afterOutage bool, bound time.Duration) time.Duration {
 	hold := time.Duration(0)
 	switch {
 	case afterOutage, a.failed && a.freshAt.IsZero():
@@ -265,8 +279,8 @@
 	}
 }
 
-// expireHeldLeafs removes the leafs that are still missing when the hold after an outage
-// ends.
+// expireHeldLeafs removes the leafs that were kept in use after an outage of the store and are
+// still missing from its list when that time ends.
 func (f *follower) expireHeldLeafs() {
 	f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
 		return r.ExpireHeld(now)
--- a/edge/follow_vms.go
+++ b/edge/follow_vms.go
@@ -38,10 +38,13 @@
 	return nil
 }
 
-// vms returns the resource of the list of VMs.
+// vms returns the resource of the list of VMs, in which each VM of this system announces
+// itself. Reading it also opens this VM to calls of the others, and announces it once it
+// is ready.
 func (f *follower) vms() resource {
-	known := make(map[string]scatter.VM)
-	announcedEarly := false
+	known := make(map[string]scatter.VM) // VMs in the list, by name
+	announcedEarly := false              // announced before this VM was ready, at the first start of the system
+	// apply passes the other VMs to the engine.
 	apply := func(at Revision) {
 		others := make([]scatter.VM, 0, len(known))
 		for name, vm := range known {
@@ -52,12 +55,14 @@
 		f.e.setVMs(others)
 		f.log.Info("other VMs", "count", len(others), "revision", at)
 	}
+	// announce announces this VM if it is ready and not in the list.
 	announce := func(ctx context.Context) error {
 		if !f.ready() {
 			return nil
 		}
 		return f.announcer.ensureListed(ctx)
 	}
+	// list reads the list of VMs and starts accepting their calls.
 	list := func(ctx context.Context) (Revision, error) {
 		vms, at, err := f.store.VMs(ctx)
 		if err != nil {
@@ -116,6 +121,6 @@
 			apply(c.Revision)
 			return c.Revision, len(c.Present)+len(c.Deleted) > 0, announce(ctx)
 		},
-		pause: vmsPause,
+		pause: vmsChangePause,
 	}
 }
--- a/edge/gather_codec.go
+++ b/edge/gather_codec.go
@@ -16,24 +16,26 @@
 	methodGathered = "gathered" // gatherAnswer: their results, in one or more messages
 )
 
-// gatherCall is a call to another VM to query the shards that have leafs near it. Fields that
-// end in US are in microseconds; all but LatencyObjectiveUS count from the sending of the
-// call.
+// gatherCall is a call to another VM to query the shards that have leafs near it. Each shard
+// is given by the service that answers for it. Fields that end in US are in microseconds; all
+// but LatencyObjectiveUS count from the sending of the call.
 type gatherCall struct {
 	Key                uint64      `cbor:"1,keyasint"` // identifies the call; chosen by the calling VM
 	ID                 string      `cbor:"2,keyasint"` // id of the caller's request
-	Method             string      `cbor:"3,keyasint"`
+	Method             string      `cbor:"3,keyasint"` // of the request to leafs, as the three fields that follow
 	Target             string      `cbor:"4,keyasint"` // path and query
 	Host               string      `cbor:"5,keyasint"`
 	Header             http.Header `cbor:"6,keyasint"`
-	Services           []string    `cbor:"7,keyasint"` // one service for each shard
-	Top                int         `cbor:"8,keyasint"`
-	MaxAttempts        int         `cbor:"9,keyasint"`
-	LatencyObjectiveUS int64       `cbor:"10,keyasint"`
-	InterimUS          int64       `cbor:"11,keyasint"` // until an answer with the results so far
-	AnswerUS           int64       `cbor:"12,keyasint"` // until the last answer
+	Services           []string    `cbor:"7,keyasint"`  // one service for each shard
+	Top                int         `cbor:"8,keyasint"`  // maximum number of records in an answer
+	MaxAttempts        int         `cbor:"9,keyasint"`  // maximum number of attempts, as the route states it
+	LatencyObjectiveUS int64       `cbor:"10,keyasint"` // latency objective of the route
+	InterimUS          int64       `cbor:"11,keyasint"` // until an answer with the results so far must be sent
+	AnswerUS           int64       `cbor:"12,keyasint"` // until the last answer must be sent
 	DeadlineUS         int64       `cbor:"13,keyasint"` // until the deadline of the caller's request
-	// Views describe what the calling VM knows of the leafs of each of Services.
+	// Views holds one number for each of Services. It stands for the set of usable leafs of the
+	// service as the calling VM knows it, so that the called VM notices if it knows another
+	// set.
 	Views []scatter.View `cbor:"14,keyasint"`
 	// Required is the number of Services without which the whole answer fails; 0 if not
 	// stated.
@@ -43,15 +45,16 @@
 	Redelegated bool `cbor:"16,keyasint,omitempty"`
 }
 
-// gatherAnswer is an answer to a gatherCall; an empty one acknowledges the call. Each shard
-// is in at most one answer.
+// gatherAnswer is an answer to a gatherCall. One with only a Key acknowledges the call. Each
+// shard is in at most one answer.
 type gatherAnswer struct {
 	Key      uint64   `cbor:"1,keyasint"` // key of the gatherCall
-	Included []int    `cbor:"2,keyasint"` // indexes into gatherCall.Services
+	Included []int    `cbor:"2,keyasint"` // shards that have answered, as indexes into gatherCall.Services
 	Receipts []string `cbor:"3,keyasint"` // one for each index in Included
 	Records  []byte   `cbor:"4,keyasint"` // merged top records of these shards
 	Last     bool     `cbor:"5,keyasint"` // no further answer follows
-	// Declined holds indexes into gatherCall.Services that were not queried and will not be.
+	// Declined holds the shards that were not queried and will not be, as indexes into
+	// gatherCall.Services.
 	Declined []int `cbor:"6,keyasint,omitempty"`
 	// Refused is true if no leaf has run the request for any of the other shards, and none
 	// will. The caller of the request should retry after RetryAfterUS, in microseconds. Set
@@ -60,8 +63,8 @@
 	RetryAfterUS int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// decodeBody decodes a message. The sender may be a VM of a later release, so unknown fields
-// are ignored.
+// decodeBody decodes a gatherCall or a gatherAnswer. The sender may be a VM of a later release,
+// so unknown fields are ignored.
 func decodeBody(body []byte, into any) error {
 	if err := cbor.Unmarshal(body, into); err != nil {
 		return result.Wrap(result.BadMessage, err, "body")
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -14,7 +14,8 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// answerMargin is subtracted from a caller's deadline for sending the answer back.
+// answerMargin is the part of a caller's remaining time that is kept for sending the answer
+// back.
 const answerMargin = 6 * time.Millisecond
 
 // retryWithoutManifest is the Retry-After time that callers get while no manifest is known. A
@@ -57,9 +58,11 @@
 	writeResult(w, res)
 }
 
-// defaultBodyLimit applies if a manifest states no limit, in bytes.
+// defaultBodyLimit bounds the size of a request body if the manifest states no limit, in
+// bytes.
 const defaultBodyLimit = 1 << 20
 
+// bodyLimit returns the upper bound of the size of a request body, in bytes.
 func bodyLimit(m *routing.Manifest) int64 {
 	if m.Limits.BodyBytes > 0 {
 		return m.Limits.BodyBytes
@@ -67,6 +70,8 @@
 	return defaultBodyLimit
 }
 
+// rejectBody answers a request whose body is longer than the limit, or could not be read
+// because of err. version is that of the manifest in force.
 func (e *Engine) rejectBody(w http.ResponseWriter, r *http.Request, err error, version int64) {
 	status := http.StatusBadRequest
 	var tooLong *http.MaxBytesError
@@ -77,7 +82,7 @@
 }
 
 // rejectAndClose answers a request that exceeds the manifest's limits or can't be read, and
-// closes its connection.
+// closes its connection. why and version, that of the manifest, are for the log.
 func (e *Engine) rejectAndClose(w http.ResponseWriter, r *http.Request, status int, why string, version int64) {
 	e.logRefusal(r, status, why, version)
 	w.Header().Set("Connection", "close")
@@ -108,10 +113,11 @@
 	return r.URL.RequestURI()
 }
 
-// newRequest returns the request to send to leafs.
+// newRequest returns the request to send to leafs for a caller's request that arrived at
+// arrived. target is its path and query.
 func (e *Engine) newRequest(r *http.Request, target string, body []byte, arrived time.Time, route *routing.Route) *Request {
 	timeout := route.Timeout
-	var shortfall time.Duration
+	var shortfall time.Duration // how much less time the caller has left than others of the route
 	if stated, ok := e.headerCodec.CallerTimeout(r.Header); ok {
 		shortfall = e.elapsed.observe(arrived, route.Name, stated)
 		if stated < timeout || timeout == 0 {
@@ -157,7 +163,8 @@
 	return out
 }
 
-// serve runs a request and returns its result.
+// serve runs a caller's request on a leaf of one service, or of each service of a gathered
+// route, and returns its result.
 func (e *Engine) serve(r *http.Request, req *Request, route *routing.Route) *Result {
 	spec := scatter.Spec{
 		Services:         route.Gather,
@@ -215,6 +222,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
+// writeResult sends a result to the caller.
 func writeResult(w http.ResponseWriter, res *Result) {
 	header := w.Header()
 	for name, values := range res.Header {
--- a/edge/log.go
+++ b/edge/log.go
@@ -32,8 +32,8 @@
 	)...)
 }
 
-// refusalFields returns the log fields of the forecast that refused a request, none if it was
-// not refused.
+// refusalFields returns the log fields of a request that was refused because its forecast wait
+// exceeds the limit, and none for any other request.
 func refusalFields(out scatter.Outcome) []any {
 	if out.Refusal == nil {
 		return nil
@@ -79,8 +79,8 @@
 // maxNamedGaps is how many services a log line names for each cause of gaps.
 const maxNamedGaps = 3
 
-// formatGaps describes the shards without an answer: their number for each cause, and some of
-// their services.
+// formatGaps describes the shards without an answer: their number for each cause, and the
+// services of some of them. services holds the service of each shard of the query.
 func formatGaps(gaps []scatter.Gap, services []string) string {
 	var text strings.Builder
 	for _, cause := range scatter.GapCauses() {
--- a/edge/merge.go
+++ b/edge/merge.go
@@ -17,8 +17,8 @@
 	declined []int // shards that the called VM has not queried and will not
 	last     bool  // no further answer to the call follows
 
-	refused    bool // no leaf has run the request for any shard, and none will
-	retryAfter time.Duration
+	refused    bool          // no leaf has run the request for any shard, and none will
+	retryAfter time.Duration // with refused: when the caller of the request should retry
 }
 
 // mergedResult returns the result of a gathered request, merged from the shards that out
--- a/edge/node.go
+++ b/edge/node.go
@@ -28,18 +28,18 @@
 type Node struct {
 	settings  *Settings
 	store     Store
-	readyPath string
+	readyPath string // path of the readiness check
 	log       *slog.Logger
 	engine    *Engine
-	self      scatter.VM
-	tomb      tomb.Tomb
-	leaving   atomic.Bool
+	self      scatter.VM                    // this VM, without a key
+	tomb      tomb.Tomb                     // runs the servers and the background loops
+	leaving   atomic.Bool                   // Leave was called
 	listed    atomic.Bool                   // the leafs have been listed at least once
 	transport atomic.Pointer[peerTransport] // nil until this VM has joined the other VMs
 
 	callerServer *http.Server
-	auxServers   []*http.Server // for the load balancer and operators
-	stop         context.CancelFunc
+	auxServers   []*http.Server     // for the load balancer and operators
+	stop         context.CancelFunc // ends the background loops
 }
 
 // Options configures a Node. All fields are required.
@@ -53,15 +53,15 @@
 
 // Parameters of the Go runtime.
 const (
-	gcPercent   = 300 // GOGC in percent; memory is cheaper here than CPU time
-	memoryShare = 0.6 // share of the process's memory limit; received data that is not yet read counts in addition
+	gcPercent        = 300 // GOGC in percent; memory is cheaper here than CPU time
+	memoryLimitShare = 0.6 // share of the process's memory limit; received data that is not yet read counts in addition
 )
 
 // NewNode returns a daemon that is not yet running, and sets the Go runtime's parameters for
 // the process.
 func NewNode(opt Options) *Node {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(opt.Settings.MemoryMB * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(opt.Settings.MemoryMB * memoryLimitShare * (1 << 20)))
 	return &Node{
 		settings:  opt.Settings,
 		store:     opt.Store,
@@ -134,11 +134,13 @@
 	return nil
 }
 
+// listen opens a listener at an address of the form "IP:port".
 func listen(address string) (net.Listener, error) {
 	socket, err := net.Listen("tcp", address)
 	return socket, errors.Annotatef(err, "listen on %s", address)
 }
 
+// serve runs a server on a listener in the background.
 func (n *Node) serve(socket net.Listener, server *http.Server) {
 	n.tomb.Go(func() error {
 		if err := server.Serve(socket); err != nil && !errors.Is(err, http.ErrServerClosed) {
@@ -148,6 +150,8 @@
 	})
 }
 
+// newCallerServer returns the server for callers' requests. Once this VM leaves, it closes each
+// connection after the next answer, so that callers turn to other VMs.
 func (n *Node) newCallerServer() *http.Server {
 	return &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -158,7 +162,7 @@
 		}),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         trackCallerState,
 		ConnContext:       withCallerConn,
 		ErrorLog:          logging.StdLogger(n.log),
@@ -170,6 +174,8 @@
 	return !n.leaving.Load() && n.listed.Load() && n.engine.inForce.Get() != nil
 }
 
+// newReadyServer returns the server for the load balancer's readiness checks: status 200 if
+// isReady, else 503.
 func (n *Node) newReadyServer() *http.Server {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get(n.readyPath), func(w http.ResponseWriter, _ *http.Request) {
@@ -180,6 +186,7 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
+// newMetricsServer returns the server that operators read metrics from.
 func (n *Node) newMetricsServer() *http.Server {
 	mux := goji.NewMux()
 	mux.HandleFunc(pat.Get("/metrics"), func(w http.ResponseWriter, _ *http.Request) {
@@ -226,8 +233,8 @@
 // answers those that follow it, as a share of the time within which a change must be known.
 const maxStaleShare = 0.8
 
-// maxStaleness returns how old the latest answer from the store may be at a VM that others
-// follow.
+// maxStaleness returns how old the latest answer from the store may be at a VM that reads the
+// store for others.
 func (n *Node) maxStaleness() time.Duration {
 	bound := min(n.settings.Bounds.ManifestMS, n.settings.Bounds.DrainMS)
 	return time.Duration(maxStaleShare * bound * float64(time.Millisecond))
@@ -261,12 +268,13 @@
 	return nil
 }
 
-// sweepPeriod is the interval at which expired idle connections are closed.
-const sweepPeriod = time.Second
+// idleConnSweepPeriod is the interval at which expired idle connections to leafs are closed.
+const idleConnSweepPeriod = time.Second
 
+// sweepIdleConns closes expired idle connections to leafs until ctx ends.
 func (n *Node) sweepIdleConns(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, sweepPeriod)
+		sleep(ctx, idleConnSweepPeriod)
 		n.engine.pool.CloseExpired(time.Now())
 	}
 }
@@ -274,21 +282,21 @@
 // Shares of the time between SIGTERM and SIGKILL. The load balancer's list lags by some
 // seconds, so the daemon continues to serve for most of the time.
 const (
-	lameDuckShare = 0.7
-	drainShare    = 0.18
+	lameDuckGraceShare = 0.7  // how long this VM continues to serve while it reports not ready, so that the load balancer moves callers to other VMs
+	drainGraceShare    = 0.18 // longest wait for requests in flight after that
 )
 
 // Leave marks this VM as not ready, continues to serve while the load balancer moves callers
 // to other VMs, waits for requests in flight, and stops.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
-	ctx, cancel := context.WithTimeout(context.Background(), n.graceShare(lameDuckShare))
+	ctx, cancel := context.WithTimeout(context.Background(), n.graceShare(lameDuckGraceShare))
 	defer cancel()
 	if err := n.store.Withdraw(ctx, n.self.Name); err != nil {
 		n.log.Warn("removing this VM from the list of VMs failed", "error", err)
 	}
 	<-ctx.Done()
-	ctx, cancel = context.WithTimeout(context.Background(), n.graceShare(drainShare))
+	ctx, cancel = context.WithTimeout(context.Background(), n.graceShare(drainGraceShare))
 	defer cancel()
 	if err := n.callerServer.Shutdown(ctx); err != nil {
 		n.log.Warn("requests in flight were cut off", "error", err)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -22,30 +22,30 @@
 	// timeouts of their own, and a VM that leaves a call unanswered is probed, so pings only
 	// remove dead connections that are not in use. Each ping wakes two processes.
 	peerPingInterval   = 30 * time.Second
-	peerSilenceTimeout = 65 * time.Second       // two pings and some slack
+	peerSilenceTimeout = 65 * time.Second       // a connection that was silent for this time is closed: two pings and some slack
 	peerDialTimeout    = 300 * time.Millisecond // bounds connecting and the hello exchange
-	peerMaxCalls       = 64                     // calls of one VM served at the same time; each takes less than one latency objective
-	peerUse            = "gather"               // purpose of the connections, stated when dialling
+	peerMaxCalls       = 64                     // upper bound of calls of one VM served at the same time; each takes less than one latency objective
+	peerConnPurpose    = "gather"               // purpose of the connections, stated when dialling
 )
 
 // peerTransport serves calls of other VMs, and implements peerClient with one connection to
 // each VM that is called. It is safe for concurrent use.
 type peerTransport struct {
-	opts     wire.Options
+	opts     wire.Options // of all connections; Keys holds this VM's key, which ensureConn replaces by that of the VM to call
 	counters wire.Counters
 	log      *slog.Logger
 	server   *wire.Server
 
-	mu      sync.Mutex // guards the fields below
-	links   map[string]*peerLink
-	pending map[uint64]chan<- *gatherAnswer // calls whose last answer is outstanding, by key
-	lastKey uint64
+	mu      sync.Mutex                      // guards the fields below
+	links   map[string]*peerLink            // by name and address of the VM
+	pending map[uint64]chan<- *gatherAnswer // by key: receivers of the answers to calls whose last answer is outstanding
+	lastKey uint64                          // key of the latest call
 }
 
 // peerLink is the connection to one VM. It is dialled by the first call that needs it.
 type peerLink struct {
 	mu   sync.Mutex // held while dialling
-	conn *wire.Conn
+	conn *wire.Conn // nil if there is none; may be closed
 }
 
 // joinPeers listens for other VMs, which must present this VM's key, and returns the
@@ -58,7 +58,7 @@
 	}
 	p.opts = wire.Options{
 		Self:         self,
-		Use:          peerUse,
+		Use:          peerConnPurpose,
 		Keys:         [][]byte{key},
 		Log:          log,
 		HelloTimeout: peerDialTimeout,
@@ -78,6 +78,8 @@
 	return p, nil
 }
 
+// handle serves a message of another VM. It returns the result of a call, nil for a
+// notification.
 func (p *peerTransport) handle(ctx context.Context, e *Engine, conn *wire.Conn, method string, params []byte) (any, error) {
 	switch method {
 	case methodGather:
@@ -111,7 +113,7 @@
 	}
 }
 
-// follow implements peerClient.
+// follow implements peerClient. It closes a connection on which the call was not answered.
 func (p *peerTransport) follow(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
 	link := p.link(vm)
 	conn, err := link.ensureConn(ctx, vm, p)
@@ -125,6 +127,8 @@
 	return err
 }
 
+// sendAnswer sends an answer to the VM that made the call. If that fails, the failure is only
+// logged.
 func (p *peerTransport) sendAnswer(conn *wire.Conn, ans *gatherAnswer) {
 	body, err := cbor.Marshal(ans)
 	if err == nil {
@@ -135,7 +139,8 @@
 	}
 }
 
-// deliver passes an answer to the call that waits for it.
+// deliver passes an answer to the call that waits for it. An answer is dropped if its call has
+// ended.
 func (p *peerTransport) deliver(ans *gatherAnswer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,6 +166,7 @@
 	return p.lastKey, answers
 }
 
+// unregisterCall ends the delivery of answers to a call.
 func (p *peerTransport) unregisterCall(key uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,6 +232,7 @@
 	return err
 }
 
+// link returns the link to a VM. A VM that has got another address has a new link.
 func (p *peerTransport) link(vm scatter.VM) *peerLink {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -238,7 +245,7 @@
 	return link
 }
 
-// ensureConn returns the connection, and opens it if there is none.
+// ensureConn returns the connection to vm, and opens it if there is none.
 func (l *peerLink) ensureConn(ctx context.Context, vm scatter.VM, p *peerTransport) (*wire.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -256,9 +263,10 @@
 	return conn, nil
 }
 
+// connected reports whether there is an open connection.
 func (l *peerLink) connected() bool { return l.current() != nil }
 
-// current returns the connection, nil if there is none.
+// current returns the connection, nil if none is open.
 func (l *peerLink) current() *wire.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -281,7 +289,8 @@
 	}
 }
 
-// drop closes a connection on which a call was not answered.
+// drop closes a connection on which a call was not answered, so that the next call opens a new
+// one.
 func (l *peerLink) drop(conn *wire.Conn) {
 	l.mu.Lock()
 	if l.conn == conn {
@@ -302,6 +311,7 @@
 	}
 }
 
+// close closes the connection if there is one.
 func (l *peerLink) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -33,8 +33,10 @@
 // never blocks.
 type wakeup chan struct{}
 
+// newWakeup returns a wakeup without a pending notification.
 func newWakeup() wakeup { return make(wakeup, 1) }
 
+// notify wakes the probe loop, now or when it finishes its present round.
 func (w wakeup) notify() {
 	select {
 	case w <- struct{}{}:
@@ -42,10 +44,12 @@
 	}
 }
 
-// probeLoop runs a round of probes whenever one is due. round reports whether it made any
-// probes, and if not, when the next one is due; the zero time means never. The loop sleeps
-// while there are no suspects: waking 8 times a second without work took a seventh of the CPU
-// time (on a quiet day 30.7 s instead of 26.3 s, for all VMs together).
+// probeLoop runs a round of probes at the start, whenever woken is notified, and whenever a
+// probe is due, until ctx ends. round reports whether it made any probes, and if not, when the
+// next one is due; the zero time means never. After a round with probes the next round follows
+// at once. The loop sleeps while there are no suspects: waking 8 times a second without work
+// took a seventh of the CPU time (on a quiet day 30.7 s instead of 26.3 s, for all VMs
+// together).
 func probeLoop(ctx context.Context, woken wakeup, round func(context.Context) (made bool, next time.Time)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -72,7 +76,8 @@
 const pingTimeout = 150 * time.Millisecond
 
 // checkVMs checks whether the VMs that this one calls are alive, after a call to one of them
-// was not answered.
+// was not answered. It is a round of probeLoop. Further checks are due only after the next
+// call that fails, so next is always zero.
 func (n *Node) checkVMs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	due := n.engine.table.DueForLivenessCheck(time.Now())
@@ -82,8 +87,8 @@
 	return len(due) > 0, time.Time{}
 }
 
-// checkVM checks one VM. If the check fails, the VM is not called until it can be reached on
-// a new connection.
+// checkVM pings one VM. If the check fails, the VM is not called until it can be reached on a
+// new connection.
 func (n *Node) checkVM(ctx context.Context, client peerClient, vm scatter.VM) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -98,7 +103,7 @@
 	n.log.Info("VM does not say that it lives", "vm", vm.Name, "zone", vm.Zone, "error", err)
 }
 
-// probeVMs tries to connect to the VMs that did not answer.
+// probeVMs tries to connect to the VMs that did not answer. It is a round of probeLoop.
 func (n *Node) probeVMs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectVMs(time.Now())
@@ -108,6 +113,7 @@
 	return len(suspects) > 0, next
 }
 
+// probeVM tries to connect to one VM and records whether it could be reached.
 func (n *Node) probeVM(ctx context.Context, client peerClient, vm scatter.VM) {
 	_, err := client.connect(ctx, vm)
 	n.engine.mu.Lock()
@@ -118,8 +124,7 @@
 	}
 }
 
-// probeLeafs tries to connect to the leafs that did not answer. A new connection is kept if
-// this VM keeps connections to the leaf.
+// probeLeafs tries to connect to the leafs that did not answer. It is a round of probeLoop.
 func (n *Node) probeLeafs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectLeafs(time.Now())
@@ -128,6 +133,8 @@
 	return len(suspects) > 0, next
 }
 
+// probeLeaf tries to connect to one leaf and records whether it could be reached. A new
+// connection is kept if this VM keeps connections to the leaf.
 func (n *Node) probeLeaf(ctx context.Context, leaf registry.Leaf) {
 	id := scatter.LeafID{ID: leaf.ID, Born: leaf.Born}
 	n.engine.mu.Lock()
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -21,21 +21,22 @@
 // from the embedded Store. Leafs and WatchLeafs must be called from a single goroutine, and
 // so must Manifest and WatchManifest.
 type relay struct {
-	Store
+	Store        // the platform's store; also serves the calls about VMs
 	e            *Engine
 	maxStaleness time.Duration // how old the other VM's latest answer from the store may be
 
-	leafsUpstream, manifestUpstream upstream
-	incarnation                     string // incarnation of the VM that issued the positions of leafs
+	leafsUpstream, manifestUpstream upstream // of the latest full read of the leafs and of the manifest
+	incarnation                     string   // of the followed VM, when it returned the list of leafs; its positions are valid within this incarnation only
 
 	mu          sync.Mutex           // guards the fields below
-	avoidUntil  map[string]time.Time // VMs that failed, and until when they are not followed
-	failing     map[string]bool      // VMs whose latest call failed
-	nextRead    time.Time            // the store is not read before this time
+	avoidUntil  map[string]time.Time // by name of a VM that failed: until when it is not followed
+	failing     map[string]bool      // by name of a VM: whether the latest call to it failed
+	nextRead    time.Time            // the store is not read before this time, unless this VM reads it for others
 	storeFailed bool                 // a read of the store failed since leafs were last listed
 }
 
-// upstream is where a resource is read from at present.
+// upstream is where the leafs or the manifest are read from: the store, or a VM that reads the
+// store for others.
 type upstream struct {
 	vm string // name of the VM that is followed; empty for the store
 }
@@ -43,9 +44,9 @@
 // avoidPeriod is how long a VM that failed is not followed.
 const avoidPeriod = 5 * time.Second
 
-// answerTimeout bounds the wait for an answer that is due at once. For a watch, the time that
-// it waits is added.
-const answerTimeout = 500 * time.Millisecond
+// readerAnswerTimeout bounds the wait for the answer of a VM that reads the store for others.
+// If the call lets that VM wait for a change, that time is added.
+const readerAnswerTimeout = 500 * time.Millisecond
 
 // A VM that normally follows others reads the store only rarely while they fail. Mostly the
 // store is then unavailable to all VMs, and failed calls are billed too. In an outage that
@@ -53,10 +54,11 @@
 // readers again.
 const (
 	// startDelayShare is how long a VM that has just started waits for the VMs that read the
-	// store, as a share of maxStaleness.
+	// store, as a share of relay.maxStaleness: the time for which such a VM serves others
+	// without an answer from the store.
 	startDelayShare = 1.0 / 2
 	// retryDelayShare is the longest pause after a failed read of the store, as a share of
-	// maxStaleness.
+	// relay.maxStaleness.
 	retryDelayShare = 1.0 / 2
 )
 
@@ -73,26 +75,29 @@
 	}
 }
 
-// delayFirstRead is called when the list of VMs is known. It gives the VMs that read the
-// store time to become available.
+// delayFirstRead is called when the list of VMs is known. It delays this VM's first read of
+// the store, unless it reads the store for others. So the VMs that do have time to become
+// available.
 func (r *relay) delayFirstRead() {
 	r.delayRead(time.Duration(startDelayShare * float64(r.maxStaleness)))
 }
 
+// delayRead lets this VM read the store only after a time, unless it reads it for others.
 func (r *relay) delayRead(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.nextRead = time.Now().Add(d)
 }
 
+// storeReaders returns which VMs read the store for others at present.
 func (r *relay) storeReaders() scatter.StoreReaders {
 	r.e.mu.Lock()
 	defer r.e.mu.Unlock()
 	return r.e.table.StoreReaders(time.Now())
 }
 
-// currentReader returns the VM to follow. It returns false if this VM reads the store itself,
-// or if all VMs that read it failed recently.
+// currentReader returns the VM to follow: the first that reads the store for others and has not
+// failed recently. It returns false if there is none, or if this VM reads the store itself.
 func (r *relay) currentReader() (scatter.VM, bool) {
 	readers := r.storeReaders().Others
 	now := time.Now()
@@ -106,8 +111,9 @@
 	return scatter.VM{}, false
 }
 
-// mayReadStore reports whether this VM may read the store now. If not, the readers that
-// failed may be called again, because they may have reached the store again.
+// mayReadStore reports whether this VM may read the store now. If not, the VMs that read it for
+// others may be called again although they failed, because they may have reached the store
+// again.
 func (r *relay) mayReadStore() bool {
 	if r.storeReaders().Self {
 		return true
@@ -124,8 +130,8 @@
 	return true
 }
 
-// sameUpstream reports whether a resource is still to be read from up, and returns the VM to
-// follow if there is one.
+// sameUpstream reports whether up is still where to read from, and returns the VM to follow if
+// there is one.
 func (r *relay) sameUpstream(up upstream) (scatter.VM, bool) {
 	vm, follow := r.currentReader()
 	if !follow {
@@ -134,7 +140,8 @@
 	return vm, up.vm == vm.Name
 }
 
-// Leafs implements Store.
+// Leafs implements Store. It returns errReadDeferred if no VM can be followed and this VM may
+// not read the store now.
 func (r *relay) Leafs(ctx context.Context) (LeafList, error) {
 	if vm, ok := r.currentReader(); ok {
 		var ans leafsAnswer
@@ -156,7 +163,9 @@
 	return list, err
 }
 
-// WatchLeafs implements Store.
+// WatchLeafs implements Store. If the VM to follow has changed since Leafs was called, it
+// returns ErrHistoryCompacted, so that the caller reads the list again. Revisions are those of
+// the store or, if a VM is followed, positions in that VM's sequence of changes.
 func (r *relay) WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error) {
 	vm, same := r.sameUpstream(r.leafsUpstream)
 	if !same {
@@ -175,7 +184,8 @@
 	return LeafChanges{Changes: ans.Changes, Revision: Revision(ans.Position)}, nil
 }
 
-// Manifest implements Store.
+// Manifest implements Store. It returns errReadDeferred if no VM can be followed and this VM
+// may not read the store now.
 func (r *relay) Manifest(ctx context.Context) (*routing.Manifest, Revision, error) {
 	if vm, ok := r.currentReader(); ok {
 		var ans manifestAnswer
@@ -196,7 +206,9 @@
 	return m, at, err
 }
 
-// WatchManifest implements Store.
+// WatchManifest implements Store. If the VM to follow has changed since Manifest was called, it
+// returns ErrHistoryCompacted, so that the caller reads the manifest again. If a VM is
+// followed, the revision is not used: the call states the version of the manifest in force.
 func (r *relay) WatchManifest(ctx context.Context, since Revision, wait time.Duration) (*routing.Manifest, Revision, error) {
 	vm, same := r.sameUpstream(r.manifestUpstream)
 	if !same {
@@ -219,8 +231,9 @@
 	return m, 0, err
 }
 
-// recordListing records the result of a full read of the store, and reports it to the VMs
-// that follow this one. After a failure it delays the next read.
+// recordListing records the result of a full read of a resource, followedLeafs or
+// followedManifest, from the store. The VMs that follow this one learn of it. After a failure
+// it delays the next read.
 func (r *relay) recordListing(resource string, err error) {
 	if err == nil {
 		r.e.feed.recordSuccess(resource)
@@ -235,9 +248,9 @@
 	r.storeFailed = true
 }
 
-// takeStoreFailed reports whether a read of the store failed since leafs were last listed,
-// and clears the mark. Failures of a VM that reads the store do not count, nor does its loss
-// of the store.
+// takeStoreFailed reports whether this VM's own read of the store failed since leafs were last
+// listed, and clears storeFailed. Failed calls to a VM that reads the store for others do not
+// count, nor does that VM's loss of the store.
 func (r *relay) takeStoreFailed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -246,9 +259,9 @@
 	return failed
 }
 
-// recordWatch records a watch that succeeded. A failed watch is ignored, because the full
-// read that follows immediately shows whether the store is lost. If all followers read the
-// store whenever watches are cut, they would make as many calls as without a relay.
+// recordWatch records a watch of the store that succeeded. A failed watch is ignored, because
+// the full read that follows immediately shows whether the store is lost. If all followers read
+// the store whenever watches are cut, they would make as many calls as without a relay.
 func (r *relay) recordWatch(resource string, err error) {
 	if err == nil {
 		r.e.feed.recordSuccess(resource)
@@ -271,7 +284,7 @@
 // followed for avoidPeriod.
 func (r *relay) callReader(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
 	call.MaxStalenessMS = r.maxStaleness.Milliseconds()
-	wait := time.Duration(call.WaitMS)*time.Millisecond + answerTimeout
+	wait := time.Duration(call.WaitMS)*time.Millisecond + readerAnswerTimeout
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	err := r.e.currentPeerClient().follow(ctx, vm, method, call, into)
--- a/edge/relay_serve.go
+++ b/edge/relay_serve.go
@@ -11,31 +11,33 @@
 
 // Methods by which a VM follows another one. Calls are rare, so their parameters are JSON.
 const (
-	methodFollowLeafs    = "follow_leafs"
-	methodFollowManifest = "follow_manifest"
+	methodFollowLeafs    = "follow_leafs"    // returns the list of leafs, or its changes
+	methodFollowManifest = "follow_manifest" // returns a newer manifest
 )
 
-// followCall requests the changes after a position, or everything.
+// followCall requests what another VM has read from the store: the list of leafs or its
+// changes, or the manifest. The called VM numbers the changes of leafs in the order in which
+// it learned them; a position is the number of a change.
 type followCall struct {
-	Incarnation    string `json:"life"` // incarnation of the VM that issued Position
-	Position       int64  `json:"position"`
-	List           bool   `json:"list"` // return everything, at once
-	WaitMS         int64  `json:"wait_ms"`
-	MaxStalenessMS int64  `json:"within_ms"` // longest time since the store answered the called VM
+	Incarnation    string `json:"life"`      // incarnation of the called VM in which Position is valid
+	Position       int64  `json:"position"`  // return the changes after this one; for methodFollowManifest, the version of the manifest that the caller has
+	List           bool   `json:"list"`      // return all leafs, or the manifest if it is newer, at once
+	WaitMS         int64  `json:"wait_ms"`   // without List: longest wait for a change, in milliseconds
+	MaxStalenessMS int64  `json:"within_ms"` // longest time since the store last answered the called VM, in milliseconds; otherwise the call fails
 }
 
 // leafsAnswer is the result of methodFollowLeafs.
 type leafsAnswer struct {
-	Incarnation string            `json:"life"`
-	Position    int64             `json:"position"`
-	Leafs       []byte            `json:"leafs,omitempty"`   // if List was set: packed []registry.Leaf
-	Changes     []registry.Change `json:"changes,omitempty"` // if List was not set
+	Incarnation string            `json:"life"`              // of the called VM; Position is valid within it only
+	Position    int64             `json:"position"`          // number of the latest change, in the called VM's sequence of changes
+	Leafs       []byte            `json:"leafs,omitempty"`   // if List was set: all leafs, a []registry.Leaf encoded by pack
+	Changes     []registry.Change `json:"changes,omitempty"` // if List was not set: the changes after the position of the call
 }
 
 // manifestAnswer is the result of methodFollowManifest, for which followCall.Position is a
 // manifest version.
 type manifestAnswer struct {
-	Document []byte `json:"document,omitempty"` // packed routing.Document; absent if there is no newer one
+	Document []byte `json:"document,omitempty"` // a routing.Document encoded by pack; absent if there is no newer one
 }
 
 // Names of the resources that are followed.
@@ -44,8 +46,10 @@
 	followedManifest = "manifest"
 )
 
-// serveFollowLeafs serves a VM that follows the leafs of this one. It waits for changes for
-// up to WaitMS.
+// serveFollowLeafs serves a VM that reads the leafs from this VM instead of from the store. It
+// returns all leafs at once, or waits for changes for up to WaitMS. It returns errStoreStale if
+// the store has not answered this VM recently, and errPositionUnknown if the caller must read
+// the whole list.
 func (e *Engine) serveFollowLeafs(ctx context.Context, call *followCall) (*leafsAnswer, error) {
 	within := time.Duration(call.MaxStalenessMS) * time.Millisecond
 	if !e.feed.isFresh(followedLeafs, within) {
@@ -64,7 +68,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.WaitMS)*time.Millisecond)
 	defer cancel()
 	var changes []registry.Change
-	position, kept := call.Position, true
+	position, kept := call.Position, true // kept: all changes after call.Position are still known
 	fresh := func() bool { return e.feed.isFresh(followedLeafs, within) }
 	e.feed.waitFor(ctx, func() bool {
 		changes, position, kept = e.feed.changesSince(call.Position)
@@ -79,8 +83,9 @@
 	return &leafsAnswer{Incarnation: e.feed.incarnation, Position: position, Changes: changes}, nil
 }
 
-// serveFollowManifest serves a VM that follows the manifest of this one. It waits for a newer
-// manifest for up to WaitMS.
+// serveFollowManifest serves a VM that reads the manifest from this VM instead of from the
+// store. It waits for a newer manifest for up to WaitMS, unless List is set. It returns
+// errStoreStale if the store has not answered this VM recently.
 func (e *Engine) serveFollowManifest(ctx context.Context, call *followCall) (*manifestAnswer, error) {
 	fresh := func() bool {
 		return e.feed.isFresh(followedManifest, time.Duration(call.MaxStalenessMS)*time.Millisecond)
@@ -110,11 +115,14 @@
 }
 
 var (
-	errStoreStale      = result.Errorf(result.PlatformDown, "this VM has no recent answer from the store")
+	// errStoreStale means that this VM cannot pass on what it read, because it may be stale.
+	errStoreStale = result.Errorf(result.PlatformDown, "this VM has no recent answer from the store")
+	// errPositionUnknown means that this VM cannot tell all changes after the position of a
+	// call, so the calling VM must read the whole list.
 	errPositionUnknown = result.Errorf(result.PositionGone, "the position is unknown or no longer kept")
 )
 
-// decodeFollow decodes the parameters of a follow call.
+// decodeFollow decodes the parameters of methodFollowLeafs or methodFollowManifest.
 func decodeFollow(params json.RawMessage) (*followCall, error) {
 	call := new(followCall)
 	if err := json.Unmarshal(params, call); err != nil {
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -99,9 +99,9 @@
 		{10 * time.Second, true, registry.OutageHold},
 	} {
 		age := listAge{failed: true, freshAt: start}
-		g.Expect(age.hold(start.Add(c.silent), c.outage, bound)).To(gomega.Equal(c.hold))
-		g.Expect(age.hold(start.Add(c.silent), false, bound)).To(gomega.BeZero(), "the list is fresh again")
+		g.Expect(age.missingLeafHold(start.Add(c.silent), c.outage, bound)).To(gomega.Equal(c.hold))
+		g.Expect(age.missingLeafHold(start.Add(c.silent), false, bound)).To(gomega.BeZero(), "the list is fresh again")
 	}
 	neverRead := listAge{failed: true}
-	g.Expect(neverRead.hold(start, false, bound)).To(gomega.Equal(registry.OutageHold))
+	g.Expect(neverRead.missingLeafHold(start, false, bound)).To(gomega.Equal(registry.OutageHold))
 }
--- a/edge/run.go
+++ b/edge/run.go
@@ -17,11 +17,11 @@
 type runner struct {
 	e        *Engine
 	req      *Request
-	spec     scatter.Spec
-	query    *scatter.Query
-	events   chan event
-	done     chan struct{} // closed after loop has returned
-	attempts context.Context
+	spec     scatter.Spec       // requirements and limits of the query
+	query    *scatter.Query     // decides what to do next; changed only with Engine.mu held
+	events   chan event         // from attempts and calls to loop
+	done     chan struct{}      // closed after loop has returned
+	attempts context.Context    // of all attempts and calls; ends some time after the query
 	cancel   context.CancelFunc // cancels attempts
 
 	answers     map[scatter.AttemptID]*reply
@@ -29,19 +29,19 @@
 	callAnswers []*ShardsAnswer           // in the order in which they were passed to the query
 
 	// Set for a query on behalf of another VM, zero for a caller's query.
-	interim    time.Time                 // when onInterim runs; zero after that
+	interim    time.Time                 // when to send the results so far by onInterim; zero after that
 	onInterim  func([]scatter.AttemptID) // receives the attempts answered so far
 	onDeclined func(shards []int)        // receives the shards that are not queried
 }
 
 // event reports the progress or the end of an attempt or of a call to another VM.
 type event struct {
-	attempt scatter.AttemptID
-	call    scatter.CallID // set if the event concerns a call
-	sent    bool           // the call was written to the connection
-	end     scatter.End
-	reply   *reply
-	shards  *ShardsAnswer
+	attempt scatter.AttemptID // set if the event concerns an attempt
+	call    scatter.CallID    // set if the event concerns a call
+	sent    bool              // the call was written to the connection
+	end     scatter.End       // how the attempt or the call ended
+	reply   *reply            // the leaf's answer, nil unless end is EndAnswered or EndFailed
+	shards  *ShardsAnswer     // an answer to a call, nil if the event is none
 	// neverSent is true if the call failed before the VM received it.
 	neverSent bool
 }
@@ -52,8 +52,9 @@
 	metadata LeafMetadata
 }
 
-// failed reports whether the leaf ran the request and failed. An answer that blames the
-// request is passed on to the caller, because another leaf would answer the same.
+// failed reports whether the status, 500 or higher, says that the leaf failed. An answer that
+// blames the request (4xx) is passed on to the caller, because another leaf would answer the
+// same.
 func (r *reply) failed() bool { return r.Status >= http.StatusInternalServerError }
 
 // How long attempts in flight continue after the end of a query.
@@ -65,10 +66,12 @@
 	// made the call, its caller may have disconnected long before without this VM being
 	// notified, so such a query never waits for the deadline.
 	lingerAbandoned = 300 * time.Millisecond
-	// lingerLate is added to the caller's deadline, at which leafs stop by themselves.
+	// lingerLate applies in all other cases. It is added to the caller's deadline, at which
+	// leafs stop by themselves.
 	lingerLate = 60 * time.Millisecond
 )
 
+// newRunner returns a runner of the query that spec describes.
 func (e *Engine) newRunner(req *Request, spec scatter.Spec) *runner {
 	attempts, cancel := context.WithDeadline(context.Background(), spec.Deadline.Add(lingerLate))
 	return &runner{
@@ -88,6 +91,8 @@
 func (r *runner) run(ctx context.Context) scatter.Outcome {
 	out := r.loop(ctx)
 	close(r.done)
+	// Nobody needs the attempts in flight any more: the caller has disconnected, or a gathered
+	// request has its result. Attempts that are not idempotent are not cancelled early, though.
 	unwanted := out.Verdict == scatter.Abandoned || r.spec.Gathered
 	if unwanted && r.spec.Idempotent {
 		time.AfterFunc(lingerAbandoned, r.cancel)
@@ -97,8 +102,8 @@
 	return out
 }
 
-// eventBuffer is additional capacity of the event channel, so that attempts can end without
-// waiting for loop.
+// eventBuffer is the capacity of a runner's event channel beyond one event for each shard. It
+// lets attempts end without waiting for loop.
 const eventBuffer = 8
 
 // loop runs the query until it finishes. It is the only user of r.query.
@@ -150,8 +155,8 @@
 	return a
 }
 
-// step lets f change the query under Engine.mu. It returns the actions to execute and the time
-// of the next tick.
+// step lets f change the query under Engine.mu. It returns the actions to execute, and when the
+// query must be ticked next if no event occurs before.
 func (r *runner) step(f func(now time.Time) []scatter.Action) ([]scatter.Action, time.Time) {
 	r.e.mu.Lock()
 	defer r.e.mu.Unlock()
@@ -253,7 +258,8 @@
 	r.post(ev)
 }
 
-// linger returns how long an attempt continues after the leaf should have stopped.
+// linger returns how long an attempt continues to wait for an answer after the time at which
+// the leaf should have stopped.
 func (r *runner) linger() time.Duration {
 	if r.spec.Gathered {
 		return lingerAbandoned
@@ -270,6 +276,8 @@
 // may have been sent after the request ran.
 func (r *runner) classifyAnswer(s scatter.Send, ans *leafhttp.Answer, metadata LeafMetadata) (*reply, scatter.End) {
 	answer := &reply{Answer: ans, metadata: metadata}
+	// The second case: a leaf of a gathered request failed just when its time was over, so it
+	// is assumed to have stopped for that reason.
 	switch {
 	case metadata.Moved:
 		return nil, scatter.EndMoved
@@ -303,6 +311,7 @@
 	}
 }
 
+// post passes an event to loop, and drops it if loop has returned.
 func (r *runner) post(ev event) {
 	select {
 	case r.events <- ev:
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -41,21 +41,24 @@
 	Metrics string `json:"metrics"` // metrics for operators
 }
 
-// BoundSettings holds the time within which this VM must know a change in the store, in
+// BoundSettings holds the times within which this VM must know a change in the store, in
 // milliseconds.
 type BoundSettings struct {
-	ManifestMS float64 `json:"manifest_ms"`
-	DrainMS    float64 `json:"drain_ms"`
+	ManifestMS float64 `json:"manifest_ms"` // a new manifest must be in force
+	DrainMS    float64 `json:"drain_ms"`    // a leaf that drains or has left must get no more requests
 }
 
+// drainBound returns the time within which a leaf that drains or has left must get no more
+// requests.
 func (b BoundSettings) drainBound() time.Duration {
 	return time.Duration(b.DrainMS * float64(time.Millisecond))
 }
 
-// BudgetSettings bounds the extra load that all VMs together put on leafs.
+// BudgetSettings bounds the extra load that all VMs together put on leafs. An extra arrival is
+// a request that reaches a leaf in addition to the first attempt: a retry or a hedge.
 type BudgetSettings struct {
-	Ratio   float64 `json:"ratio"`    // extra arrivals per request
-	Floor   float64 `json:"floor"`    // extra arrivals per window in addition to the ratio
+	Ratio   float64 `json:"ratio"`    // extra arrivals allowed per request
+	Floor   float64 `json:"floor"`    // extra arrivals allowed per window to all VMs together, in addition to the ratio
 	WindowS float64 `json:"window_s"` // length of the sliding window, in seconds
 }
 
@@ -81,6 +84,7 @@
 	return s, settings.ParseInto(data, s, s.validate)
 }
 
+// validate returns a finding for each invalid field.
 func (s *Settings) validate() []strictjson.Finding {
 	var findings []strictjson.Finding
 	add := func(path string, found any, allowed string) {
--- a/edge/spent.go
+++ b/edge/spent.go
@@ -16,25 +16,26 @@
 // so the difference between the longest stated time and a caller's own is what the caller has
 // spent. elapsedTimes is safe for concurrent use.
 type elapsedTimes struct {
-	mu     sync.Mutex // guards routes
-	routes map[string]*longestTimeout
+	mu     sync.Mutex                 // guards routes
+	routes map[string]*longestTimeout // by name of the route
 }
 
-// longestTimeout is the longest remaining time that callers stated in this period and in the
-// one before.
+// longestTimeout is the longest remaining time that callers of a route stated, in the present
+// period of length timeoutPeriod and in the one before.
 type longestTimeout struct {
-	periodStart       time.Time // start of this period
-	current, previous time.Duration
+	periodStart       time.Time     // start of the present period
+	current, previous time.Duration // longest time stated in the present period and in the one before
 }
 
-// timeoutPeriod is how long a longest stated time is kept at least. It expires because
-// callers change their timeouts.
+// timeoutPeriod is how long the longest remaining time that callers of a route stated is kept
+// at least. It expires because callers change their timeouts.
 const timeoutPeriod = 10 * time.Second
 
 func newElapsedTimes() *elapsedTimes { return &elapsedTimes{routes: make(map[string]*longestTimeout)} }
 
-// observe records the remaining time that a caller of a route states, and returns how much
-// time the caller has spent.
+// observe records timeout, the remaining time that a caller of a route states. It returns how
+// much less this is than the longest time that callers of the route stated recently: the time
+// that the caller has spent.
 func (t *elapsedTimes) observe(now time.Time, route string, timeout time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,14 +58,15 @@
 	connectTime time.Duration // time that the caller spent on opening the connection for this request
 }
 
-// maxElapsedShare is a share of the latency objective that no caller needs to reach a VM.
+// maxElapsedShare bounds the time that a caller needs to reach a VM, as a share of the latency
+// objective, unless a longer time was measured on its connection.
 const maxElapsedShare = 0.25
 
-// elapsed returns how long before its arrival a request began. shortfall is how much less
-// remaining time its caller states than other callers of the route. It is the time that the
-// caller spent on connecting, unless it is too long for that. Then the request is a repeat,
-// which is either late already or counts from the time of the repeat, and the shortfall is
-// ignored.
+// elapsed returns how long before its arrival a request began: the time spent on connecting
+// and the way to this VM. shortfall is how much less remaining time the request's caller states
+// than other callers of the route. It is the time that the caller spent on connecting, unless
+// it is longer than connecting can take. Then the request is a repeat, which is either late
+// already or counts from the time of the repeat, and the shortfall is ignored.
 func (p callerPath) elapsed(shortfall, objective time.Duration) time.Duration {
 	if shortfall > max(time.Duration(maxElapsedShare*float64(objective)), p.connectTime+p.oneWay) {
 		shortfall = 0
@@ -77,18 +79,20 @@
 // afterwards. So it is sent just early enough to be written and to reach the caller before
 // the objective.
 const (
-	assumedOneWay  = 2 * time.Millisecond // one-way time to a caller, if unknown
-	writeTime      = 2 * time.Millisecond
-	writeTimeShare = 0.05 // share of the latency objective
+	assumedOneWay        = 2 * time.Millisecond // one-way network time to a caller, if it is unknown
+	answerWriteTime      = 2 * time.Millisecond // time for writing the answer, without the part that grows with the latency objective
+	answerWriteTimeShare = 0.05                 // further time for writing the answer, as a share of the latency objective
 )
 
-// answerBy returns the latest time to send the answer to a request that began at start.
+// answerBy returns the latest time to send the answer to a request that began at start. This is
+// early enough for the answer to reach the caller within the latency objective, but not before
+// half of the objective has passed.
 func (p callerPath) answerBy(start time.Time, objective time.Duration) time.Time {
 	oneWay := p.oneWay
 	if oneWay == 0 {
 		oneWay = assumedOneWay
 	}
-	early := oneWay + writeTime + time.Duration(writeTimeShare*float64(objective))
+	early := oneWay + answerWriteTime + time.Duration(answerWriteTimeShare*float64(objective))
 	return start.Add(max(objective-early, objective/2))
 }
 
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -12,13 +12,14 @@
 
 // stats holds the counters and histograms of a daemon. docs/OPERATIONS.md lists them.
 type stats struct {
-	set      *metrics.Set
-	attempts map[attemptEnd]*metrics.Counter // created at the start, because looking up a counter by its text is slow
+	set      *metrics.Set                    // all metrics
+	attempts map[attemptEnd]*metrics.Counter // numbers of attempts; created at the start, because looking up a counter by its text is slow
 }
 
+// attemptEnd selects the counter of an attempt that has ended.
 type attemptEnd struct {
-	why scatter.AttemptReason
-	end scatter.End
+	why scatter.AttemptReason // first attempt, retry or hedge
+	end scatter.End           // how it ended
 }
 
 func newStats() *stats {
@@ -32,6 +33,7 @@
 	return s
 }
 
+// count increments the counter whose name and labels are formatted from format and args.
 func (s *stats) count(format string, args ...any) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(format, args...)).Inc()
 }
@@ -49,10 +51,12 @@
 	scatter.EndNotStarted:  "unbegun",
 }
 
+// attempt counts an attempt that has ended.
 func (s *stats) attempt(why scatter.AttemptReason, end scatter.End) {
 	s.attempts[attemptEnd{why, end}].Inc()
 }
 
+// call counts a call to another VM that has ended.
 func (s *stats) call(end scatter.End) {
 	s.count(`bramley_edge_calls_to_vms_total{end=%q}`, endNames[end])
 }
@@ -66,6 +70,7 @@
 	s.count(`bramley_edge_store_calls_total{call=%q,outcome=%q}`, call, outcome)
 }
 
+// request counts a caller's request, how long it took, and its missing shards.
 func (s *stats) request(kind string, out scatter.Outcome, took time.Duration) {
 	s.count(`bramley_edge_requests_total{kind=%q,verdict=%q}`, kind, out.Verdict)
 	s.set.GetOrCreateHistogram(fmt.Sprintf(`bramley_edge_request_seconds{kind=%q}`, kind)).Update(took.Seconds())
--- a/edge/store.go
+++ b/edge/store.go
@@ -14,15 +14,15 @@
 // Revision identifies a state of the store. Revisions only increase.
 type Revision int64
 
-// ErrHistoryCompacted is returned by a watch from a revision that the store no longer keeps.
-// The list must be read again.
+// ErrHistoryCompacted is returned by a watch from a revision whose later changes the store no
+// longer keeps. The resource must be read again as a whole.
 var ErrHistoryCompacted = errors.New("edge: the store no longer keeps this revision")
 
 // LeafList is the complete list of leafs.
 type LeafList struct {
 	Leafs    []registry.Leaf
-	Invalid  int // number of invalid entries, which are not in Leafs
-	Revision Revision
+	Invalid  int      // number of invalid entries, which are not in Leafs
+	Revision Revision // to watch from next
 	// AfterOutage is true if the store may have been unavailable since the previous list.
 	AfterOutage bool
 }
@@ -36,9 +36,9 @@
 // VMChanges holds the changes of the list of VMs since a revision, with only the latest state
 // of each VM.
 type VMChanges struct {
-	Present  []scatter.VM
-	Deleted  []string // names of removed VMs
-	Revision Revision // to watch from next
+	Present  []scatter.VM // new and changed VMs
+	Deleted  []string     // names of removed VMs
+	Revision Revision     // to watch from next
 }
 
 // Store is the users' platform as a source of leafs, manifests and VMs. Each call has a time
@@ -49,15 +49,18 @@
 	// WatchLeafs waits up to wait for changes after a revision. It returns no changes if
 	// there are none.
 	WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error)
-	// Manifest returns nil if there is no manifest yet.
+	// Manifest returns the manifest and the revision to watch from next. It returns nil if
+	// there is no manifest yet.
 	Manifest(ctx context.Context) (*routing.Manifest, Revision, error)
-	// WatchManifest returns nil if no new manifest appears within wait.
+	// WatchManifest waits up to wait for a new manifest after a revision, and returns it with
+	// the revision to watch from next. It returns nil if none appears.
 	WatchManifest(ctx context.Context, since Revision, wait time.Duration) (*routing.Manifest, Revision, error)
 
-	// VMs returns the VMs of this system that have announced themselves.
+	// VMs returns the VMs of this system that have announced themselves, and the revision to
+	// watch from next.
 	VMs(ctx context.Context) ([]scatter.VM, Revision, error)
-	// WatchVMs waits up to wait for changes after a revision. It returns no changes if there are
-	// none.
+	// WatchVMs waits up to wait for changes after a revision. It returns no changes if there
+	// are none.
 	WatchVMs(ctx context.Context, since Revision, wait time.Duration) (VMChanges, error)
 	// Announce writes the entry of this VM.
 	Announce(ctx context.Context, vm scatter.VM) error
@@ -72,7 +75,7 @@
 	NotRun    bool   // the leaf states that it did not run the request
 	Moved     bool   // the address now belongs to another leaf
 	Load      scatter.Load
-	HasLoad   bool
+	HasLoad   bool // the answer states Load
 }
 
 // HeaderCodec reads and writes the headers between callers, this system and leafs.
@@ -83,14 +86,15 @@
 	// CallerTimeout returns the caller's remaining time, false if the caller does not state
 	// it.
 	CallerTimeout(h http.Header) (time.Duration, bool)
-	// AttemptHeaders returns the headers that differ between attempts. left is the time that
-	// remains for the attempt.
+	// AttemptHeaders returns the headers of an attempt that differ from attempt to attempt.
+	// left is the time that remains for the attempt.
 	AttemptHeaders(leaf scatter.LeafID, left time.Duration) http.Header
 	// ReplacedHeaders returns the names of those caller headers that AttemptHeaders replaces.
 	ReplacedHeaders() []string
 	// ParseLeafHeaders parses the status and the headers of a leaf's answer.
 	ParseLeafHeaders(status int, h http.Header) LeafMetadata
-	// GatheredHeaders returns the headers of the answer to a gathered request. missing is the
-	// number of shards without an answer.
+	// GatheredHeaders returns the headers of the answer to a gathered request. receipts are
+	// those of the shards that it includes, and missing is the number of shards without an
+	// answer.
 	GatheredHeaders(receipts []string, missing int) http.Header
 }
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -12,12 +12,13 @@
 // slot of the leaf for some milliseconds, and delays a request by the same time. After a
 // simultaneous start of all VMs, requests would wait for several hundred new connections.
 const (
-	warmInterval  = time.Second
-	warmDialPause = 8 * time.Millisecond // pause between opening two connections
+	warmInterval  = time.Second          // pause between two rounds, each over all missing connections
+	warmDialPause = 8 * time.Millisecond // pause between opening two connections of a round
 )
 
 // warmConns maintains a connection to each leaf of this VM's leaf partition, and to each VM
-// that it calls.
+// that it calls, until ctx ends. The leaf partition of a VM is the part of its zone's leafs to
+// which it keeps connections.
 func (n *Node) warmConns(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, warmInterval)
@@ -32,8 +33,8 @@
 	}
 }
 
-// unusedLeafPeers returns the leafs of this VM's leaf partition that have no request of this VM
-// in flight.
+// unusedLeafPeers returns the leafs that have no request of this VM in flight, out of its leaf
+// partition: the part of its zone's leafs to which it keeps connections.
 func (e *Engine) unusedLeafPeers() []leafhttp.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,6 +46,7 @@
 	return peers
 }
 
+// warmDelegates opens a connection to each VM that this one calls, unless there is one.
 func (e *Engine) warmDelegates(ctx context.Context) {
 	e.mu.Lock()
 	delegates := e.table.Delegates(time.Now())
