--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -20,14 +20,14 @@
 // too late are not sent. A request that lacks too many parts is refused at once: it has not
 // run, and its caller is told when to retry.
 
-// admit decides whether to start the request, and returns false after refusing it. ownShards
-// are the indexes of the shards that this VM queries itself; a VM that is called decides for
-// its own shards.
+// admit decides whether to start the request. It returns true if the request is admitted, and
+// false after refusing it. ownShards are the indexes of the shards that this VM queries itself.
+// Other VMs that it calls decide about theirs.
 //
-// The wait at a shard is the time by which its answer is expected to take longer than is
-// typical. The slack is the time until AnswerBy beyond the typical duration. The request is
-// refused if a shard that it can't leave out needs more than maxWaitShare of the slack. If it
-// is admitted, shards that need more than the whole slack are closed.
+// The slack of a request is the time until AnswerBy less its typical duration. The wait at a
+// shard is the expected time until its answer less the typical duration. The request is refused
+// if the wait at a shard that it can't leave out exceeds maxWaitShare of the slack. If the
+// request is admitted, shards whose wait exceeds the whole slack are closed.
 func (q *Query) admit(now time.Time, ownShards []int) bool {
 	q.omissionsLeft = q.omissionsAllowed(len(ownShards))
 	if !q.spec.Gathered || q.table.admitAll {
@@ -46,6 +46,8 @@
 	}
 	slices.Sort(waits)
 	longest := time.Duration(maxWaitShare * float64(slack))
+	// The shards with the longest waits are left out, as many as allowed. The n others are
+	// needed, and waits[n-1] is the longest wait at one of them.
 	if n := len(waits) - q.omissionsLeft; n > 0 && waits[n-1] > longest {
 		q.refuse(now, Refusal{Wait: waits[n-1], Limit: longest})
 		return false
@@ -69,16 +71,17 @@
 )
 
 // delaysOwnShards reports whether the shards that this VM queries itself are sent only after
-// ownShardsDelay, when called VMs have had time to refuse. Where calls are refused
-// occasionally, leafs would otherwise work on these shards without use, and the caller could
-// not be told that its request has not run.
+// ownShardsDelay, when called VMs have had time to refuse. If the shards were sent at once and a
+// called VM then refused, leafs would work on them without use. The caller could also not be
+// told that its request has not run. The delay is used only where calls are refused
+// occasionally.
 func (q *Query) delaysOwnShards(now time.Time, calls []delegation) bool {
 	return len(calls) > 0 && q.table.callRefusalRate.current(now) > refusalRateForDelay
 }
 
-// omissionsAllowed returns how many shards may be left out when the request starts. For a
-// request that another VM delegated to this one, only the ownShards shards that this VM
-// queries count; the other VM states how many of them it needs.
+// omissionsAllowed returns how many shards may be left out when the request starts. ownShards is
+// the number of shards that this VM queries itself. Only these count for a request that another
+// VM delegated to this one, and that VM states how many of them it needs (Required).
 func (q *Query) omissionsAllowed(ownShards int) int {
 	if !q.spec.Delegated {
 		return q.maxOmissions()
@@ -98,7 +101,8 @@
 const roundingSlack = 1e-9
 
 // omitShard closes a shard that is not queried, since no leaf is expected to answer in time.
-// The request still counts as a request in the budget of the shard's service.
+// The request is still counted in the service's budget, which allows extra arrivals (hedges and
+// retries) in proportion to requests.
 func (q *Query) omitShard(now time.Time, s *shard) {
 	s.close(GapForecast)
 	if !s.budgetCounted {
@@ -121,9 +125,10 @@
 	Limit time.Duration // longest wait that would have been accepted
 }
 
-// refuse closes all shards and sets the delay after which the caller should retry: the time by
-// which the expected wait exceeds the limit, plus a random share of the time left, but never
-// more than maxRetryDelayShare of the time left.
+// refuse closes all shards and sets the delay after which the caller should retry. The delay is
+// the time by which the expected wait exceeds the limit, plus a random share of the time left
+// until the deadline. It is at most maxRetryDelayShare of the time left, and always between
+// minRetryAfter and maxRetryAfter.
 func (q *Query) refuse(now time.Time, refusal Refusal) {
 	q.refusal = &refusal
 	for i := range q.shards {
@@ -144,9 +149,9 @@
 	// The remainder of the slack is a reserve, since other VMs start requests at the same
 	// time, some work takes longer than usual, and leafs pause.
 	maxWaitShare = 0.4
-	// latenessTolerance is the factor by which the expected duration of a request to a leaf
-	// may exceed the time left until its answer is needed. Beyond it, the request is not
-	// sent.
+	// latenessTolerance limits the expected duration of a request to a leaf, as a multiple
+	// of the time left until its answer is needed. A request that is expected to take longer
+	// is not sent to the leaf.
 	latenessTolerance = 2
 	// queueDrainShare is the share of a leaf's capacity that is assumed to shorten its
 	// queue after the leaf reported its load. The remainder is assumed to serve requests
@@ -157,9 +162,9 @@
 // never is the forecast for a shard without a leaf that could be queried.
 const never = time.Hour
 
-// eta returns the expected time from now until a shard answers: the time at the best of its
-// leafs, plus the time for this VM's queries that already wait for a leaf of the shard.
-// Suspect leafs don't count. The result is never if no other leaf may be used.
+// eta returns the expected time from now until a shard answers. It is the time at the shard's
+// best leaf, plus the time for this VM's queries that already wait for a leaf of the shard.
+// Suspect leafs don't count. If no other leaf may be used, the result is the constant never.
 func (q *Query) eta(now time.Time, s *shard) time.Duration {
 	typical, _ := q.table.typicalDuration(now, q.durationKey())
 	best := time.Duration(never)
@@ -176,6 +181,7 @@
 	if best == never {
 		return never
 	}
+	// The queries that already wait are assumed to be served first, by all slots in parallel.
 	ahead := float64(q.table.services[s.service].waiting)
 	return best + time.Duration(ahead/slots*float64(work))
 }
@@ -196,6 +202,8 @@
 
 // backlog returns the expected time until the leaf has a free slot for one more request.
 func (l *leaf) backlog(now time.Time) time.Duration {
+	// ahead is the number of requests that have to end first: those of this VM and of other
+	// VMs, plus the new one, less those that run at the same time.
 	ahead := float64(len(l.inFlight)) + l.queued(now) + 1 - float64(l.Slots)
 	if ahead <= 0 {
 		return 0
--- a/scatter/allowed.go
+++ b/scatter/allowed.go
@@ -25,11 +25,13 @@
 // carries the caller's list as a View, and the called VM declines shards for which its own
 // view differs.
 
-// View is a hash of the set of leafs of a service, without draining ones, as one VM knows it.
-// VMs that know the same leafs have the same view.
+// View identifies the set of leafs that one VM knows of a service: it is a hash of the leafs'
+// ids and start times. Draining leafs are left out. VMs that know the same leafs have the same
+// view.
 type View uint32
 
-// View returns this VM's view of a service, 0 for an unknown one.
+// View returns this VM's view of a service: a hash of the leafs that it knows. It is 0 if the
+// service is unknown.
 func (t *Table) View(service string) View {
 	s := t.services[service]
 	if s == nil {
@@ -42,9 +44,10 @@
 	return s.view
 }
 
-// viewVersion changes with each release that changes the rule for which VM may use which
-// leafs. During a rolling upgrade, VMs of two versions have different views and decline each
-// other's shards. Otherwise they might together use one leaf more than a request allows.
+// viewVersion is the version of the rule that determines which VM may use which leafs. Each
+// release that changes the rule changes it. It is part of every view, so VMs of two versions
+// have different views and decline each other's shards during a rolling upgrade. Otherwise they
+// might together use one leaf more than a request allows.
 const viewVersion = 3
 
 // viewOf returns the hash of the leafs that don't drain.
@@ -61,9 +64,11 @@
 
 // commonLeafs returns the leafs of a shard that both the calling and the called VM may use for
 // a request. attempts is the number of leafs that the request may run on. One fewer than that
-// are returned, but at least one if there is any. Leafs in the given zone come first; the
-// order is otherwise pseudorandom, by the request's id. A leaf whose address was reused counts
-// among them, since only this VM may know of that.
+// are returned, but at least one if there is any. Leafs in the given zone come first. Within and
+// outside the zone the order is pseudorandom, by the request's id.
+//
+// A leaf whose address now belongs to another leaf is not left out: perhaps only this VM knows
+// of that, and both VMs have to compute the same leafs.
 func (t *Table) commonLeafs(service, zone, request string, attempts int) []LeafID {
 	s := t.services[service]
 	if s == nil {
@@ -89,12 +94,14 @@
 	return ids
 }
 
-// candidates returns the leafs that an attempt on a shard may go to:
-//   - all usable ones, if no other VM may query the shard, or if this VM was called for it and
-//     has not yet used a leaf of its own choice;
-//   - the common leafs and its own choice, if this VM was called and has made that choice;
-//   - only the common leafs at the calling VM, at a VM that is called in place of a silent
-//     one, and where the request allows a single attempt.
+// candidates returns the leafs that an attempt on a shard may go to. The common leafs are those
+// that the calling and the called VM both compute and may both use. The called VM may use one
+// more, its own choice. The first of these cases that applies counts:
+//   - all usable leafs, if no other VM may query the shard;
+//   - the common leafs, if this VM is the calling one, if it was called in place of a silent
+//     VM, or if the request allows a single attempt;
+//   - the common leafs and the own choice, if this VM has made that choice;
+//   - all usable leafs otherwise, from which the own choice may be made.
 func (q *Query) candidates(s *shard) []*leaf {
 	switch {
 	case !s.shared:
@@ -107,8 +114,9 @@
 	return q.table.usableLeafs(s.service)
 }
 
-// recordChoice records that an attempt goes to a leaf. If another VM may query the shard too
-// and the leaf is not a common one, the leaf becomes this VM's only own choice.
+// recordChoice records that an attempt goes to a leaf. If another VM may query the shard too,
+// and the leaf is not one of the common leafs that both VMs may use, the leaf becomes this VM's
+// only own choice.
 func (s *shard) recordChoice(id LeafID) {
 	if s.shared && !slices.Contains(s.commonLeafs, id) {
 		s.ownChoice = id
@@ -116,7 +124,7 @@
 }
 
 // clearChoice records that an attempt at a leaf ran nothing. If the leaf was this VM's own
-// choice, another one may be chosen.
+// choice, which the other VM that may query the shard does not use, another leaf may be chosen.
 func (s *shard) clearChoice(id LeafID) {
 	if s.ownChoice == id {
 		s.ownChoice = LeafID{}
@@ -146,8 +154,10 @@
 	}
 }
 
-// rank returns a hash by which the leafs of a shard are ordered for a request. The order is the
-// same at all VMs and differs from request to request. VMs are ordered in the same way.
+// rank returns a hash of a request's id and a leaf's id. The leafs of a shard are ordered by
+// it: the order is the same at all VMs and differs from request to request. Lists of VMs are
+// ordered in the same way, with another text in place of the request's id and VM names in place
+// of leaf ids.
 func rank(request, leaf string) uint64 {
 	return xxhash.Sum64String(request + "/" + leaf)
 }
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// maxSendsPerAttempt bounds how often a shard may be sent, as a multiple of MaxAttempts. Sends
-// beyond MaxAttempts follow refusals or failed connections, neither of which runs anything.
+// maxSendsPerAttempt bounds how often a request may be sent to leafs of one shard, as a multiple
+// of MaxAttempts, the number of leafs that may run it. More sends than MaxAttempts are possible
+// after refusals or failed connections, which run nothing.
 const maxSendsPerAttempt = 3
 
 // Limits on waiting for a leaf with capacity.
 const (
-	// leafPollInterval is the time after which a shard is checked again if none of its leafs
-	// could take a request.
+	// leafPollInterval is the time between two checks of a shard that waits for a leaf,
+	// since none of its leafs could take a request.
 	leafPollInterval = 8 * time.Millisecond
 	// leafWaitShare bounds how long a request to a single service waits for a leaf with
 	// capacity, as a share of the latency objective. A caller that is refused by then can
@@ -44,6 +45,8 @@
 		// them is better than none: a leaf that refused or was unreachable may have
 		// recovered.
 		l = q.table.pickCoolingDown(now, leafs, s.tried)
+		// Leafs that were tried are used again if no attempt on the shard may have run,
+		// or if another VM may query the shard too.
 		if l == nil && (s.possibleRuns == 0 || s.shared) {
 			filter.exclude = nil
 			l = q.table.pickLeaf(now, q.durationKey(), leafs, filter)
@@ -62,17 +65,18 @@
 	return []Action{q.send(now, i, l, reason)}
 }
 
-// spendBudget counts the arrival that an attempt causes at the shard's service, and reports
-// whether the budget allows it. The first arrival of a request is always allowed; every
-// further one is taken from the budget of extra arrivals.
+// spendBudget reports whether the budget of the shard's service allows an attempt. The first
+// attempt that reaches a leaf is always allowed. Each further one is an extra arrival, and is
+// taken from the budget if it is allowed. spendBudget also counts the request in the budget,
+// which grows with the number of requests, unless the request was counted before.
 func (q *Query) spendBudget(now time.Time, s *shard, reason AttemptReason) bool {
 	b := q.table.budget(now, s.service)
 	if !s.budgetCounted {
 		s.budgetCounted = true
 		b.countRequest(now, q.spec.BudgetWeight)
 	}
-	// No attempt of this VM has arrived or may yet arrive, and no other VM was called that
-	// may have sent one.
+	// This is the first arrival: no attempt of this VM has reached a leaf or may still reach
+	// one, and no other VM was called that may have sent an attempt.
 	if !s.arrived && s.inFlight == 0 && s.call == 0 && !q.spec.Redelegated {
 		return true
 	}
@@ -119,18 +123,20 @@
 	}
 }
 
-// latePartShare is the time that a leaf is given for a shard of a gathered request whose answer
-// can no longer be expected before AnswerBy, as a share of the latency objective. The whole
-// answer is then late, but is an answer. Only leafs with a free slot get such a request.
+// latePartShare is the time that a leaf is given for a late shard of a gathered request, as a
+// share of the latency objective. A shard is late if its answer can no longer be expected before
+// AnswerBy. The answer to the whole request is then late too, but is an answer. Only leafs with
+// a free slot are sent late shards.
 const latePartShare = 0.5
 
-// usefulUntil returns until when the answer to an attempt that is sent now is useful: until the
-// deadline for a request to a single service. For a gathered request it is AnswerBy, or a short
-// time from now if a typical attempt would end after AnswerBy, but never after the deadline.
+// usefulUntil returns the time from which the answer to an attempt that is sent now is useless.
+// For a request to a single service it is the deadline. For a gathered request it is AnswerBy.
+// If a typical attempt would end after AnswerBy, it is a short time from now instead (see
+// latePartShare). It is never after the deadline.
 //
-// Parts of a gathered answer are useless once the answer was sent. If leafs were given the
-// caller's whole time, which may be many times the latency objective, those short of slots
-// would spend them on parts that no caller waits for.
+// Parts of a gathered answer are useless once the answer was sent. The caller's whole time may
+// be many times the latency objective. If leafs were given all of it, those short of slots would
+// spend their slots on parts that no caller waits for.
 func (q *Query) usefulUntil(now time.Time) time.Time {
 	if !q.spec.Gathered {
 		return q.spec.Deadline
@@ -143,10 +149,10 @@
 	return earlier(late, q.spec.Deadline)
 }
 
-// waitForLeaf schedules another check of a shard for which no leaf takes a request at the
-// moment. It closes the shard if the time for waiting is over, or if the service has no usable
-// leaf and the caller can turn elsewhere. A hedge does not wait, nor does a shard with an
-// attempt in flight.
+// waitForLeaf is called for a shard for which no leaf takes a request at the moment. It schedules
+// another check of the shard. It closes the shard instead if the time for waiting is over, or if
+// the service has no usable leaf and the caller can turn elsewhere. It does nothing for a hedge,
+// or if an attempt on the shard is in flight.
 func (q *Query) waitForLeaf(now time.Time, s *shard, reason AttemptReason) {
 	if reason == Hedge {
 		return
@@ -166,8 +172,8 @@
 	q.setPollAt(s, now.Add(leafPollInterval))
 }
 
-// setPollAt sets when this query checks again for a leaf of a shard, zero for never. It keeps
-// the number of shards that wait for a leaf of the service up to date.
+// setPollAt sets when this query checks again for a leaf of a shard; a zero time means never. It
+// also updates the service's count of shards that wait for a leaf.
 func (q *Query) setPollAt(s *shard, at time.Time) {
 	if s.waitingOn != nil {
 		s.waitingOn.waiting--
@@ -182,7 +188,9 @@
 	}
 }
 
-// waitUntil returns until when a shard may wait for a leaf with capacity.
+// waitUntil returns the time until which a shard may wait for a leaf with capacity: AnswerBy for
+// a gathered request, otherwise leafWaitShare of the latency objective after the start, but not
+// after the deadline.
 func (q *Query) waitUntil() time.Time {
 	if q.spec.Gathered {
 		return q.spec.AnswerBy
@@ -191,8 +199,8 @@
 	return earlier(q.startedAt.Add(queue), q.spec.Deadline)
 }
 
-// retryShard sends an attempt on the shard with index i, if the shard has no answer, is not
-// closed and has no attempt in flight. It closes the shard instead if it is too late, or if the
+// retryShard sends an attempt on the shard with index i. It does nothing if the shard has an
+// answer, is closed or has an attempt in flight. It closes the shard if it is too late, or if the
 // request allows no further attempt. It is called when an attempt ended without an answer, and
 // when a shard that waited for a leaf is checked again.
 func (q *Query) retryShard(now time.Time, i int) []Action {
--- a/scatter/budget.go
+++ b/scatter/budget.go
@@ -11,15 +11,14 @@
 	Window time.Duration // length of the sliding window in which arrivals are counted
 }
 
-// usableRatio is the share of the configured ratio of extra arrivals to requests that a VM
-// uses, from 0 to 1. The remainder is a margin: the windows of several VMs, whose clocks and
-// wake-ups differ, don't end at the same moment.
+// usableRatio is how much of BudgetConfig.Ratio a VM uses, from 0 to 1. The remainder is a
+// margin: clocks and wake-ups of VMs differ, so their windows don't end at the same moment.
 const usableRatio = 0.9
 
-// budgetSteps is the number of equal steps into which the budget's window is divided; arrivals
-// are counted per step. One more step than that is kept. Extra arrivals are summed over all
-// kept steps, but requests without the oldest step. So the bound holds for every sliding
-// window, wherever it begins within a step.
+// budgetSteps is the number of equal steps into which the budget's window is divided. Arrivals
+// are counted per step. One more step is kept, since a sliding window may begin in the middle of
+// a step. Extra arrivals are summed over all kept steps, but requests over all except the
+// oldest. So the bound holds wherever the window begins.
 const budgetSteps = 40
 
 // budget bounds the extra arrivals that this VM causes at one service. No VM knows what the
@@ -41,15 +40,15 @@
 	return &budget{config: config, startedAt: now}
 }
 
-// countRequest counts a request with the given weight, from 0 to 1. A request that one VM
-// delegates to another counts in part at each of them, so the weight may be below 1.
+// countRequest counts a request with the given weight, from 0 to 1. The weight is below 1 for a
+// request that one VM delegates to another: a part of it counts at each of the two.
 func (b *budget) countRequest(now time.Time, weight float64) {
 	b.advance(now).requests += weight
 }
 
-// spend takes one extra arrival from the budget and returns true, or returns false if that
-// would leave fewer than reserve arrivals in it. The reserve keeps hedges from using up what
-// retries need.
+// spend takes one extra arrival from the budget and returns true. If that would leave fewer than
+// reserve arrivals in the budget, it takes nothing and returns false. The reserve keeps hedges
+// from using up what retries need.
 func (b *budget) spend(now time.Time, reserve float64) bool {
 	step := b.advance(now)
 	var requests, extra float64
@@ -57,6 +56,8 @@
 		requests += b.steps[i].requests
 		extra += b.steps[i].extra
 	}
+	// The step after the newest one in the ring is the oldest. Its requests don't count,
+	// since the window may begin after them.
 	oldest := b.steps[(b.newest+1)%int64(len(b.steps))].requests
 	allowed := b.config.Ratio*usableRatio*(requests-oldest) + b.floor
 	if extra+1+reserve > allowed {
@@ -71,6 +72,7 @@
 func (b *budget) advance(now time.Time) *budgetStep {
 	length := b.config.Window / budgetSteps
 	number := int64(now.Sub(b.startedAt) / max(length, time.Millisecond))
+	// If more steps have passed than the ring holds, it is enough to clear each of them once.
 	for n := 0; b.newest < number && n < len(b.steps); n++ {
 		b.newest++
 		b.steps[b.newest%int64(len(b.steps))] = budgetStep{}
--- a/scatter/conclude.go
+++ b/scatter/conclude.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// conclude returns acts, followed by the end of the query if its outcome is decided. It returns
-// nothing if the query has already ended.
+// conclude returns the actions acts. If the outcome of the query is decided now, it ends the
+// query and appends the Finish action. It returns nothing if the query has already ended.
 func (q *Query) conclude(now time.Time, acts []Action) []Action {
 	if q.done {
 		return nil
@@ -51,17 +51,17 @@
 	}
 }
 
-// failureOutcome returns the outcome of a query without a sufficient answer. It is NotRun, which
-// tells the caller that nothing ran, only if no attempt may have run here or at another VM. It
-// is LeafFailed if a leaf answered a request to a single service with a failure, and mayHaveRun
-// otherwise.
-func (q *Query) failureOutcome(mayHaveRun Verdict) Outcome {
+// failureOutcome returns the outcome of a query without a sufficient answer. Its verdict is
+//   - LeafFailed, if a leaf answered a request to a single service with a failure;
+//   - verdictIfRun, if an attempt of this VM may have run, or another VM may have made one;
+//   - NotRun otherwise, which tells the caller that nothing ran.
+func (q *Query) failureOutcome(verdictIfRun Verdict) Outcome {
 	if q.failedAttempt != 0 && !q.spec.Gathered {
 		return Outcome{Verdict: LeafFailed, Attempt: q.failedAttempt}
 	}
 	for i := range q.shards {
 		if s := &q.shards[i]; s.possibleRuns > 0 || s.call != 0 || s.redelegated {
-			return Outcome{Verdict: mayHaveRun}
+			return Outcome{Verdict: verdictIfRun}
 		}
 	}
 	return Outcome{Verdict: NotRun, RetryAfter: q.retryAfterOrDefault()}
@@ -69,8 +69,9 @@
 
 // Bounds and default of the delay after which a refused caller is told to retry.
 const (
-	// defaultRetryAfterShare is that delay if no VM gave one with its refusal, as a share
-	// of the latency objective: about the time in which the queue of a leaf drains.
+	// defaultRetryAfterShare is the delay that a refused caller is told if no VM gave one
+	// with its refusal, as a share of the latency objective. It is about the time in which
+	// the queue of a leaf drains.
 	defaultRetryAfterShare = 0.25
 	minRetryAfter          = 10 * time.Millisecond // shortest delay that a refused caller is told
 	maxRetryAfter          = time.Second           // longest delay that a refused caller is told
@@ -86,9 +87,11 @@
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// decideGathered is decide for a gathered request. It ends when all shards are answered, when
-// no unanswered shard can be answered any more, when too few shards can be, and from AnswerBy
-// on as soon as enough shards are answered.
+// decideGathered is decide for a gathered request. The query ends
+//   - when all shards are answered;
+//   - when enough shards are answered and no other one can be answered any more;
+//   - when too few shards can be answered, which is a failure;
+//   - from AnswerBy on, as soon as enough shards are answered.
 func (q *Query) decideGathered(now time.Time) (Outcome, bool) {
 	answered, possible := 0, 0 // possible: shards without an answer that may still get one
 	for i := range q.shards {
@@ -111,9 +114,9 @@
 	return Outcome{}, false
 }
 
-// callPending reports whether another VM may still answer a shard. This includes a call that
-// failed over: its VM may be slow rather than stopped, and the budget may not have allowed
-// direct requests to leafs.
+// callPending reports whether another VM may still answer a shard. It may also after its call
+// failed over, since the VM may be slow rather than stopped. That answer may be the only one: the
+// budget may not have allowed direct requests to leafs.
 func (q *Query) callPending(s *shard) bool {
 	return s.call != 0 && !q.calls[s.call].finished
 }
@@ -134,8 +137,9 @@
 	return n > 0 && float64(n) >= q.spec.MinShare*float64(len(q.shards))
 }
 
-// gatheredOutcome returns the outcome of a gathered request that is answered with answered of
-// its shards: the answers of other VMs that are used, and those of leafs for all other shards.
+// gatheredOutcome returns the outcome of a gathered request that is answered; answered is the
+// number of its shards with an answer. The outcome lists the answers of other VMs that are used,
+// and the answers of leafs for the shards that none of these includes.
 func (q *Query) gatheredOutcome(answered int) Outcome {
 	out := Outcome{Verdict: Answered, Missing: len(q.shards) - answered}
 	for i := range q.shards {
--- a/scatter/cooldown.go
+++ b/scatter/cooldown.go
@@ -5,7 +5,7 @@
 // cooldown keeps requests away from a leaf or a VM for a while after it failed, refused or did
 // not answer.
 type cooldown struct {
-	failures int       // consecutive failures, or more after one that starts a cooldown at once
+	failures int       // consecutive failures; raised further by a failure that starts a cooldown at once
 	until    time.Time // end of the latest cooldown, zero if there was none
 }
 
@@ -23,15 +23,15 @@
 	// first failures say little: a leaf breaks off a few answers and serves the next
 	// request.
 	failuresToCooldown = 2
-	// silenceDoublings is how often the length of a cooldown is doubled at once after a
-	// request that got no answer in its whole time.
+	// silenceDoublings is how often baseCooldown is doubled at least for the cooldown after
+	// a request that got no answer in its whole time.
 	silenceDoublings = 2
 )
 
-// recordFailure counts a failure of a request that was sent at sentAt, and starts a cooldown if
-// there were several in a row. Failures of requests that were sent before the end of the latest
-// cooldown don't count: one pause ends many requests that were in flight together, and is no
-// more evidence than one failure.
+// recordFailure counts a failure of a request that was sent at sentAt. It starts a cooldown if
+// there were failuresToCooldown failures or more in a row. Failures of requests that were sent
+// before the end of the latest cooldown don't count: one pause makes many requests fail that
+// were in flight together, and is no more evidence than one failure.
 func (c *cooldown) recordFailure(sentAt, now time.Time) {
 	if sentAt.Before(c.until) {
 		return
@@ -44,7 +44,8 @@
 }
 
 // recordUnreachable records that no connection could be made. No process listens at the
-// address, so a cooldown of twice the base length or more begins at once.
+// address, so a cooldown of twice baseCooldown or more begins at once. During a cooldown it
+// changes nothing.
 func (c *cooldown) recordUnreachable(now time.Time) {
 	if now.Before(c.until) {
 		return
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -10,9 +10,9 @@
 // Delegation: this VM lets other VMs query leafs for it, for two reasons.
 //
 // Traffic between zones is expensive, and a gathered request causes much of it: the greatest
-// records of 20 shards are chosen from 20 times as many. Shards without a leaf in this VM's
-// zone are queried through a VM in the zone of their leafs. That VM passes on only the records
-// that can still be among the greatest.
+// records of 20 shards are chosen from 20 times as many records. Shards without a leaf in this
+// VM's zone are queried through a VM in the zone of their leafs. That VM passes on only the
+// records that can still be among the greatest.
 //
 // With many VMs and many shards, a leaf accepts fewer connections than there are VMs, and
 // querying every shard takes one small VM longer than its caller waits. The VMs of a zone then
@@ -27,26 +27,26 @@
 // call fails over when its shards are sent to another VM, or to leafs directly, instead.
 const (
 	// minDelegatedShards is the smallest number of shards for which a VM in another zone is
-	// called, or another VM after a failed call. For fewer, the message to the other VM is
-	// larger than the answers that it saves.
+	// called. It also applies to a call in place of one that failed. With fewer shards, the
+	// message to the other VM is larger than the answers that it saves.
 	minDelegatedShards = 3
 	// interimAnswerShare is the share of the time until AnswerBy after which the called VM
 	// sends the answers that it has. If it has sent nothing by then, the call may fail
 	// over.
 	interimAnswerShare = 0.5
-	// minDelegateTimeShare is the minimum share of the time until AnswerBy that the called
-	// VM is given for its answer. The remaining time, callRoundTrip at the most, is for
-	// sending its answer and for answering the caller.
+	// minDelegateTimeShare is the shortest time that the called VM is given for its answer,
+	// as a share of the time until AnswerBy. The remaining time, at most callRoundTrip, is
+	// for sending that answer and for answering the caller.
 	minDelegateTimeShare = 0.85
 	// callRoundTrip is the time that a message to the called VM and its answer take on the
 	// network.
 	callRoundTrip = 8 * time.Millisecond
-	// failoverDurationQuantile is the quantile of the times that recent calls took until
-	// their first answer, from which it is computed when a call without an answer fails
-	// over.
+	// failoverDurationQuantile is a quantile of the durations of recent calls, from 0 to 1.
+	// The duration of a call is the time until its first answer. A call without an answer
+	// fails over after a multiple of this quantile.
 	failoverDurationQuantile = 0.95
 	// failoverDurationFactor is the time after which a call without an answer fails over,
-	// as a multiple of that quantile of the durations of recent calls.
+	// as a multiple of the failoverDurationQuantile of the durations of recent calls.
 	failoverDurationFactor = 1.2
 	// latestFailoverShare is the share of the time until AnswerBy after which a call
 	// without an answer fails over at the latest.
@@ -63,14 +63,14 @@
 // delegation is a call to another VM that has to be made.
 type delegation struct {
 	vm        *vm           // the VM to call
-	partition zonePartition // that the shards belong to and the VM owns
+	partition zonePartition // leaf partition of the shards; the VM is one of its owners
 	shards    []int         // indexes of the shards that the VM is to query
 }
 
-// delegations returns the calls to make for shards that this VM does not query itself. Shards
-// with a leaf in this zone go to the VMs of this zone that own their partition. The others go
-// to VMs in few other zones: the zone with the most of these shards is chosen first, then the
-// one with the most of the remaining ones.
+// delegations returns the calls to make for shards that this VM does not query itself. For
+// shards with a leaf in this zone, it calls VMs of this zone that own the shards' leaf partition.
+// For the other shards it calls VMs in few other zones: the zone with leafs of the most shards is
+// chosen first, then the zone with leafs of the most remaining ones, and so on.
 func (q *Query) delegations(now time.Time) []delegation {
 	local, remote := q.splitByProximity(now)
 	byPartition := make(map[zonePartition][]int)
@@ -119,9 +119,9 @@
 	}
 }
 
-// splitByProximity returns the indexes of the shards that have a leaf in this VM's zone. For
-// each of the other shards it returns, by index, the zones of its leafs. Leafs that are not
-// available don't count, and shards without another leaf are left out.
+// splitByProximity divides the shards by where their available leafs are. local holds the
+// indexes of the shards that have such a leaf in this VM's zone. remote holds the other shards,
+// by index, each with the zones of its leafs. Shards without an available leaf are in neither.
 func (q *Query) splitByProximity(now time.Time) (local []int, remote map[int][]string) {
 	remote = make(map[int][]string)
 	for i := range q.shards {
@@ -151,6 +151,7 @@
 	byZone := make(map[string][]int)
 	for i, zones := range remote {
 		for _, z := range zones {
+			// A shard with several leafs in a zone is listed there once.
 			if list := byZone[z]; len(list) == 0 || list[len(list)-1] != i {
 				byZone[z] = append(list, i)
 			}
@@ -189,6 +190,9 @@
 		vm: v.Name, partition: d.partition, redelegated: redelegated, shards: shards, sentAt: now,
 		failoverAt: due,
 	}
+	// The called VM need not answer the shards that the whole answer may leave out. For its
+	// answer it gets the time until AnswerBy less callRoundTrip, but no less than
+	// minDelegateTimeShare of that time.
 	return CallVM{
 		Call:        id,
 		VM:          v.VM,
@@ -202,11 +206,11 @@
 	}
 }
 
-// failoverTime returns when a call that has no answer yet fails over. That is once it takes
-// longer than most calls take until their first answer, but not before an interim answer, which
-// the VM sends at interim, can have been received. In any case it is no later than
-// latestFailoverShare of the time until AnswerBy. A call that is not acknowledged in time fails
-// over earlier (see call.ackDue).
+// failoverTime returns when a call that is sent now fails over if it has no answer by then. That
+// is when the call has taken longer than most calls take until their first answer. The called VM
+// sends an interim answer at interim, so the call does not fail over before that answer can have
+// been received. It fails over at the latest after latestFailoverShare of the time until
+// AnswerBy. A call that is not acknowledged in time fails over earlier (see call.ackDue).
 func (q *Query) failoverTime(now, interim time.Time) time.Time {
 	due := interim.Add(callRoundTrip)
 	if d, known := q.table.durationsOf(q.callDurationKey()).Quantile(now, failoverDurationQuantile); known {
@@ -216,16 +220,18 @@
 	return earlier(due, last)
 }
 
-// delegatedWeight is the part of a delegated request, from 0 to 1, that counts for the budget
-// of the delegating VM; the called VM counts the remainder (DelegateWeight). The called VM sends
-// the hedges; the delegating VM needs the budget only when the call fails over.
+// delegatedWeight is the part of a delegated request, from 0 to 1, that is counted as a request
+// in the budget of the calling VM. The called VM counts the remainder (DelegateWeight), which is
+// larger: the called VM sends the hedges, and the calling VM needs its budget of extra arrivals
+// only when the call fails over.
 const delegatedWeight = 0.15
 
-// DelegateWeight is the BudgetWeight of a request that another VM delegated to this one.
+// DelegateWeight is the BudgetWeight of a request that another VM delegated to this one: the
+// part, from 0 to 1, that this VM counts as a request in its budget of extra arrivals.
 const DelegateWeight = 1 - delegatedWeight
 
-// callDurationKey returns the key of the times that calls to other VMs take until their first
-// answer.
+// callDurationKey returns the key under which the durations of this query's calls to other VMs
+// are recorded. The duration of a call is the time until its first answer.
 func (q *Query) callDurationKey() durationKey {
 	return durationKey{objective: q.spec.LatencyObjective, byVM: true, gathered: q.spec.Gathered}
 }
@@ -242,9 +248,9 @@
 	RetryAfter time.Duration // if Refused: when the caller should retry
 }
 
-// CallReply handles an answer of another VM and returns the actions that follow from it. Where
-// a leaf has meanwhile answered a shard to this VM directly, the other VM's answer is used: it
-// can't be split by shard, and either answer is as good.
+// CallReply handles an answer of another VM and returns the actions that follow from it. A leaf
+// may meanwhile have answered one of its shards to this VM directly. The other VM's answer is
+// then used for the shard: it can't be split by shard, and either answer is as good.
 func (q *Query) CallReply(now time.Time, id CallID, ans CallAnswer) []Action {
 	c := q.calls[id]
 	if c == nil || q.done {
@@ -278,9 +284,10 @@
 	return q.conclude(now, append(acts, q.sendDirectly(now, id)...))
 }
 
-// callRefused handles a refusal: no leaf has run any shard of the call for that VM, and none
-// will. Shards of the call that this VM has not meanwhile sent to a leaf itself are closed: the
-// request's other shards can't make up for them.
+// callRefused handles the refusal of a call: no leaf has run any of its shards for the called VM,
+// and none will. retryAfter is the delay after which the caller should retry. Shards of the call
+// are closed unless this VM has meanwhile sent them to a leaf itself: the request's other shards
+// can't make up for them.
 func (q *Query) callRefused(now time.Time, c *call, id CallID, retryAfter time.Duration) []Action {
 	c.finished, c.resolved = true, true
 	q.table.callRefusalRate.add(now, 1)
@@ -299,9 +306,9 @@
 	return q.conclude(now, nil)
 }
 
-// CallFail handles a call that ended without its last answer. neverSent says that the other VM
-// did not receive the call. Only this VM then queries its shards, unless yet another VM was
-// called for them.
+// CallFail handles a call that ended without its last answer, and returns the actions that
+// follow. neverSent says that the called VM did not receive the call and so queries none of its
+// shards. This VM then queries them alone, unless another VM was called for them too.
 func (q *Query) CallFail(now time.Time, id CallID, neverSent bool) []Action {
 	c := q.calls[id]
 	if c == nil || q.done || c.finished {
@@ -323,10 +330,11 @@
 	return q.conclude(now, acts)
 }
 
-// reclaim sends to leafs the given shards of a call that the called VM never queried. The first
-// attempt on each is its first arrival, and so takes nothing from the budget of extra arrivals.
-// Shards that this VM or a second VM may already have queried, and answered ones, are left as
-// they are.
+// reclaim sends attempts on shards of a call to leafs. shards are the indexes of those that the
+// called VM has not queried and never will. Shards that are answered are skipped, and so are
+// those that this VM or a second VM may already have queried. For the others, no request has
+// reached a leaf yet. The first attempt on each is therefore not an extra arrival, as a hedge or
+// retry is, and takes nothing from the budget that bounds extra arrivals.
 func (q *Query) reclaim(now time.Time, id CallID, shards []int) []Action {
 	var acts []Action
 	for _, i := range shards {
--- a/scatter/faults.go
+++ b/scatter/faults.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// failureRate tracks the share of a leaf's requests that it fails, or refuses without being
-// full, while others succeed. A cooldown after consecutive failures does not detect such a
-// leaf: it answers every other request, and says that it is healthy. Each failure costs time
-// and a retry, which the budget has to pay for.
+// failureRate tracks the share of requests to a leaf that fail. A refusal by a leaf that has free
+// slots counts as a failure. The rate detects a leaf that fails some requests and answers others.
+// A cooldown does not detect it, since it starts only after consecutive failures, and the leaf
+// itself reports that it is healthy. Each failure costs time and a retry, which is taken from the
+// budget.
 //
-// It also tracks the share of calls that other VMs refuse.
+// The type is also used for the share of calls that other VMs refuse.
 type failureRate struct {
 	rate      float64   // smoothed share of failed requests, from 0 to 1, at updatedAt
 	updatedAt time.Time // when the latest request ended
@@ -19,18 +20,19 @@
 // Parameters of the failure rate.
 const (
 	failureRateWeight = 0.15 // weight of the latest request in the smoothed failure rate, from 0 to 1
-	// failureRateHalfLife is the time without requests in which the failure rate falls to
-	// half, so that the leaf is tried again.
+	// failureRateHalfLife is the time in which the failure rate of a leaf without requests
+	// falls to half, so that the leaf is tried again.
 	failureRateHalfLife = 4 * time.Second
-	// failureRateSurcharge is the surcharge on the expected duration at a leaf that fails
-	// every request, as a share of the latency objective; with a lower failure rate it is
-	// proportionally lower. Requests go to the leaf with the lowest sum. A leaf in another
-	// zone takes the failing leaf's place after three consecutive failures (see
-	// crossZoneSurcharge), not after one.
+	// failureRateSurcharge is what is added to the expected duration at a leaf that fails
+	// every request, as a share of the latency objective. With a lower failure rate the
+	// surcharge is proportionally lower. Requests go to the leaf with the lowest sum. Leafs
+	// in another zone have a surcharge too (crossZoneSurcharge). So they replace a failing
+	// leaf after three consecutive failures, not after one.
 	failureRateSurcharge = 0.8
 )
 
-// current returns the share of requests that are expected to fail now, from 0 to 1.
+// current returns the share of requests that are expected to fail now, from 0 to 1: the recorded
+// share, which halves with each failureRateHalfLife since the latest request.
 func (f *failureRate) current(now time.Time) float64 {
 	if f.rate == 0 {
 		return 0
--- a/scatter/floor.go
+++ b/scatter/floor.go
@@ -6,21 +6,24 @@
 // VMs together may cause at a service per window, besides a ratio of its requests. No VM knows
 // what the others spend, so each has a share of the floor.
 const (
-	// ownersFloorShare is the fraction of the floor that only the owners of a service
-	// divide among themselves: the VMs that normally send requests to its leafs. Most
-	// arrivals at a gathered request's shard are theirs. All VMs divide the remainder
-	// equally. If they divided the whole floor equally, one VM's share of it would be less
-	// than one arrival in a large fleet.
+	// ownersFloorShare is the fraction of the floor, from 0 to 1, that only the owners of a
+	// service divide among themselves. The owners are the VMs that normally send requests
+	// to its leafs, and cause most arrivals there. All VMs divide the remainder equally. If
+	// all VMs of a large fleet divided the whole floor equally, the share of each would be
+	// less than one arrival. The fraction applies to services that only gathered requests
+	// use.
 	ownersFloorShare = 0.5
-	// firstWindowShare is the fraction of its share of the floor that a VM may spend in the
-	// first window after its process started: an earlier incarnation may have spent the
-	// whole share in the same window. Both together stay within the headroom as long as
+	// firstWindowShare limits what a VM may spend in the first window after its process
+	// started, as a fraction of the VM's share of the floor. An earlier incarnation of the
+	// VM may have spent the whole share in the same window. What both spend together is
+	// covered by the headroom for unknown VMs (vmHeadroom) as long as
 	// firstWindowShare <= vmHeadroom - 1.
 	firstWindowShare = 0.25
 )
 
-// budget returns the budget of the named service, after setting this VM's current share of the
-// floor in it.
+// budget returns the budget of extra arrivals of the named service. It first sets this VM's
+// current share of the floor in it: of the extra arrivals that all VMs together may cause per
+// window, besides the ratio.
 func (t *Table) budget(now time.Time, name string) *budget {
 	s := t.service(now, name)
 	s.budget.floor = t.floorShare(now, name, s.gatheredOnly)
@@ -29,8 +32,9 @@
 
 // floorShare returns this VM's share of the budget's floor for the named service, in extra
 // arrivals per window. The floor is what all VMs together may cause besides the ratio.
-// gatheredOnly says that only gathered requests use the service; its owners then have a larger
-// share than other VMs. A VM that does not yet know how many others there are has none.
+// gatheredOnly says that only gathered requests use the service. The service's owners then have
+// a larger share than other VMs. A VM that does not yet know how many others there are has no
+// share.
 func (t *Table) floorShare(now time.Time, name string, gatheredOnly bool) float64 {
 	if !t.vmsKnown {
 		return 0
@@ -40,6 +44,7 @@
 	if gatheredOnly {
 		share = (1-ownersFloorShare)/vms + ownersFloorShare*t.ownerShare(name)
 	}
+	// There may be more VMs than this one knows.
 	share /= vmHeadroom
 	if now.Sub(t.startedAt) < t.budgetConfig.Window {
 		share *= firstWindowShare
@@ -48,9 +53,9 @@
 }
 
 // ownerShare returns this VM's fraction, from 0 to 1, of what the owners of a service divide
-// among themselves. They divide it in proportion to their power, as calls are divided. The
-// owners are those of the service's leaf partition in each zone that has leafs of it, or in
-// every zone if no leaf is known. The fraction is 0 if this VM is not one of them.
+// among themselves. It is 0 if this VM is not an owner. They divide it in proportion to their
+// power, as calls to them are divided. The owners are the VMs that own the service's leaf
+// partition in any zone that has leafs of the service, or in any zone at all if no leaf is known.
 func (t *Table) ownerShare(name string) float64 {
 	if !t.ownsService(name) {
 		return 0
@@ -85,8 +90,9 @@
 	return zones
 }
 
-// ownsService reports whether this VM is one of the owners of a service in its zone: of the
-// leaf partition that the service's leafs belong to, if the zone has any.
+// ownsService reports whether this VM owns the leaf partition of its zone that the named
+// service's leafs belong to. The partition is computed from the name, so the answer does not
+// depend on whether the zone has such leafs.
 func (t *Table) ownsService(name string) bool {
 	z := t.zones[t.zone]
 	return z.owns(z.partitionOf(name))
--- a/scatter/gap.go
+++ b/scatter/gap.go
@@ -9,10 +9,11 @@
 // GapCause is the reason why a shard had no answer.
 type GapCause int
 
-// The causes, in the order in which they are written out. An attempt is one request to a leaf.
+// The reasons why a shard had no answer when its query ended, in the order in which they are
+// written out. An attempt is one request to a leaf.
 const (
-	GapSlow       GapCause = iota // an attempt was still in flight
-	GapNoCapacity                 // its leafs were full, or were not used for a while after failures
+	GapSlow       GapCause = iota // an attempt on the shard was still in flight
+	GapNoCapacity                 // the shard's leafs were full, in cooldown or suspect; the latter two follow failures
 	GapBudget                     // the budget of extra arrivals did not allow another attempt
 	GapLate                       // it was too late for another attempt
 	GapAttempts                   // all allowed attempts ended without an answer
@@ -21,17 +22,18 @@
 	GapCall                       // the called VM answered, but not for this shard
 	GapSilent                     // the called VM did not answer
 	GapDeclined                   // a called VM left the shard to its caller, since their lists of leafs differ
-	gapCauses                     // number of causes
+	gapCauses                     // number of the causes above, not a cause itself
 )
 
-// String returns the word used in logs and metrics.
+// String returns the word for the cause that is used in logs and metrics.
 func (c GapCause) String() string {
 	return [...]string{
 		"slow", "room", "budget", "late", "attempts", "no_leaf", "forecast", "call", "silent", "declined",
 	}[c]
 }
 
-// GapCauses returns all causes in their order.
+// GapCauses returns all reasons why a shard may have no answer, in the order in which they are
+// written out.
 func GapCauses() []GapCause {
 	list := make([]GapCause, gapCauses)
 	for i := range list {
@@ -40,7 +42,7 @@
 	return list
 }
 
-// gaps returns the shards that have no answer, each with the cause.
+// gaps returns the shards of the query that have no answer, each with the reason for that.
 func (q *Query) gaps() []Gap {
 	var list []Gap
 	for i := range q.shards {
@@ -51,7 +53,7 @@
 	return list
 }
 
-// cause returns why a shard has no answer.
+// cause returns the reason why a shard has no answer. It is called when the query ends.
 func (q *Query) cause(s *shard) GapCause {
 	switch {
 	case s.inFlight > 0:
@@ -69,7 +71,8 @@
 	}
 }
 
-// close ends all further attempts on a shard and records the cause.
+// close rules out further attempts on a shard. cause is recorded as the reason why the shard has
+// no answer, unless the shard is closed already.
 func (s *shard) close(cause GapCause) {
 	if !s.closed {
 		s.closed = true
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// hedgeBudgetReserve is the number of extra arrivals in the budget that hedges must leave for
-// retries: a hedge saves time, a retry saves the answer.
+// hedgeBudgetReserve is the number of extra arrivals that hedges must leave in the budget for
+// retries. Retries come first, since a hedge saves time, but a retry saves the answer.
 const hedgeBudgetReserve = 1
 
 // Parameters of the hedge delay: the time from an attempt at a leaf until a second attempt, the
 // hedge, is sent to another leaf.
 const (
-	// hedgeDurationQuantile is the quantile of recent durations of requests to leafs from
-	// which the delay is computed. Pauses of leafs lie beyond it.
+	// hedgeDurationQuantile is a quantile of the recent durations of requests to leafs, from
+	// 0 to 1. The hedge delay is computed from it. Requests that a pause of a leaf delays
+	// take longer than this quantile.
 	hedgeDurationQuantile = 0.9
-	// hedgeDurationFactor is the hedge delay as a multiple of that quantile of recent
-	// durations. It is high enough that ordinary variation causes few hedges.
+	// hedgeDurationFactor is the hedge delay as a multiple of the hedgeDurationQuantile of
+	// recent durations. It is high enough that ordinary variation causes few hedges.
 	hedgeDurationFactor = 1.3
 	// maxHedgeDelayShare is the longest hedge delay of a request to a single service, as a
 	// share of the latency objective. After a longer one, the answer to the hedge would be
@@ -24,26 +25,26 @@
 	defaultHedgeDelayShare = 0.35
 	minHedgeDelay          = 4 * time.Millisecond // shortest hedge delay computed from durations
 
-	// hedgeAnswerTimeFactor is the time that the answer to a hedge of a gathered request is
-	// given, as a multiple of the quantile of recent durations. A part of a gathered answer
-	// is useful until AnswerBy, and the answer to a hedge is traffic from another zone. So a
-	// hedge is sent as late as its answer may still be in time: many slow leafs have
-	// answered by then.
+	// hedgeAnswerTimeFactor is the time that a hedge of a gathered request is given for its
+	// answer, as a multiple of the hedgeDurationQuantile of recent durations. The hedge is
+	// sent no earlier than this time before AnswerBy, until when an answer is useful. Many
+	// slow leafs have answered by then, which saves hedges. The answer to a hedge is traffic
+	// from another zone.
 	hedgeAnswerTimeFactor = 2.5
 	// hedgeNetworkTime is the part of the time until AnswerBy that is kept for the network,
 	// and not given to the leaf that gets the hedge.
 	hedgeNetworkTime = 4 * time.Millisecond
 )
 
-// hedgeDelay returns how long an attempt at a leaf may take before a second leaf is tried. It
-// is a multiple of a high quantile of recent durations, and longer in proportion for a leaf that
-// reports that its machine is slow.
+// hedgeDelay returns how long an attempt at a leaf may take before a second leaf is tried. It is
+// hedgeDurationFactor times the hedgeDurationQuantile of recent durations. For a leaf that
+// reports that its machine is slow, it is longer in proportion.
 //
-// For a gathered request, the delay is extended to the time at which a hedge that takes
-// hedgeAnswerTimeFactor times the quantile is just in time for AnswerBy. A longer delay is cut to
-// the time at which a hedge that takes the quantile is just in time. Where many leafs are slow,
-// the quantile may lie beyond AnswerBy, and no hedge would be in time. Therefore the delay is
-// never cut below half of the time until AnswerBy.
+// The delay of a gathered request has two more bounds. It is at least so long that a hedge that
+// takes hedgeAnswerTimeFactor times the quantile ends just in time for AnswerBy. It is at most so
+// long that a hedge that takes the quantile itself ends just in time. Where many leafs are slow,
+// the quantile may lie beyond AnswerBy, and no hedge would be in time. The upper bound is
+// therefore never less than half of the time until AnswerBy.
 func (q *Query) hedgeDelay(now time.Time, l *leaf) time.Duration {
 	d, known := q.table.durationsOf(q.durationKey()).Quantile(now, hedgeDurationQuantile)
 	if !known {
@@ -54,17 +55,17 @@
 	if !q.spec.Gathered {
 		return min(delay, time.Duration(maxHedgeDelayShare*float64(q.spec.LatencyObjective)))
 	}
-	// window is the time from the start of the query in which an answer is in time. inTime
-	// and last are the latest delays after which a hedge is in time if it takes
-	// hedgeAnswerTimeFactor times the quantile, and the quantile itself.
+	// window is the time from the start of the query within which an answer is in time. A
+	// hedge after the delay inTime is in time if it takes hedgeAnswerTimeFactor times the
+	// quantile. A hedge after the delay last is in time if it takes the quantile.
 	window := q.spec.AnswerBy.Sub(q.startedAt) - hedgeNetworkTime
 	inTime := window - time.Duration(hedgeAnswerTimeFactor*float64(d))
 	last := max(window-d, window/2)
 	return max(min(delay, last), inTime, minHedgeDelay)
 }
 
-// hedgeRetryPause is the time until hedges are tried again after one was due but could not be
-// sent, since no leaf was idle or the budget was used up.
+// hedgeRetryPause is the time for which a query tries no hedge after one was due but could not
+// be sent, since no leaf was idle or the budget was used up.
 const hedgeRetryPause = 6 * time.Millisecond
 
 // hedge sends a second attempt for each shard whose only attempt in flight takes longer than
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -7,7 +7,7 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// LeafID identifies one incarnation of a leaf: one run of its process. It is comparable.
+// LeafID identifies one incarnation of a leaf: one run of its process.
 type LeafID struct {
 	ID   string // the leaf's id, the same for all of its incarnations
 	Born int64  // Unix time at which the incarnation started, in milliseconds
@@ -32,14 +32,14 @@
 	inFlight  []pendingRequest // requests of this VM, oldest first
 	slowdown  slowdown
 	cooldown  cooldown
-	failures  failureRate // of requests that this VM sent
+	failures  failureRate // share of this VM's requests to the leaf that fail
 	suspicion suspicion
 
-	othersReported float64       // requests of other VMs at the leaf, by its latest load report
+	othersReported float64       // requests of other VMs that ran or waited at the leaf, by its latest load report
 	reportedAt     time.Time     // when that report was received
 	freeSlots      int           // slots without a request, by that report
-	halfOpen       bool          // its latest request expired: one request at a time until one is answered
-	typicalWork    time.Duration // smoothed: how long the requests sent here would take at a leaf of usual speed
+	halfOpen       bool          // its latest request expired; it gets one request at a time until it answers one
+	typicalWork    time.Duration // smoothed time that requests like those sent here take at a leaf of usual speed
 }
 
 // pendingRequest is a request of this VM to a leaf that has not ended.
@@ -53,28 +53,30 @@
 const (
 	// reportedLoadLifetime is the age from which the load that a leaf reported is ignored.
 	reportedLoadLifetime = time.Second
-	// reportedLoadWeight is the share of other VMs' requests in a fresh load report that is
-	// counted, since even a fresh report lags behind. It decreases with the report's age.
+	// reportedLoadWeight is the weight of other VMs' requests in a fresh load report, from 0
+	// to 1. They don't count in full, since even a fresh report lags behind. The weight
+	// decreases with the report's age.
 	reportedLoadWeight = 0.5
 	// stalledDurationFactor is the multiple of a request's expected duration after which a
 	// leaf that has not answered it counts as stalled.
 	stalledDurationFactor = 3
-	// minStalledDuration is the time that a leaf has to leave a request without an answer
-	// at least before it counts as stalled.
+	// minStalledDuration is the shortest time without an answer to a request after which a
+	// leaf counts as stalled.
 	minStalledDuration = 20 * time.Millisecond
 	// typicalWorkWeight is the weight of a new request in the smoothed typical duration of
 	// the requests to a leaf (leaf.typicalWork), from 0 to 1.
 	typicalWorkWeight = 0.1
-	// stalledLeafDelay is the delay that a request to a stalled leaf is expected to have. A
-	// pause of a leaf takes about 100 ms.
+	// stalledLeafDelay is the additional time that a request to a stalled leaf is expected
+	// to take. A pause of a leaf takes about 100 ms.
 	stalledLeafDelay = 80 * time.Millisecond
 )
 
 // available reports whether requests may be sent to the leaf, as far as this VM knows.
 func (l *leaf) available(now time.Time) bool { return !l.suspicion.raised && !l.cooldown.active(now) }
 
-// preferredTo reports whether l is a better choice than other, where neither is available: a
-// leaf that is not suspect is preferred, and then one whose cooldown ends earlier.
+// preferredTo reports whether l is a better choice than other if neither is available. A leaf
+// that is not suspect is better than a suspect one. Otherwise the leaf whose cooldown ends
+// earlier is better.
 func (l *leaf) preferredTo(other *leaf) bool {
 	if l.suspicion.raised != other.suspicion.raised {
 		return other.suspicion.raised
@@ -86,13 +88,13 @@
 // has its address.
 func (l *leaf) usable() bool { return !l.Draining && !l.addressReused }
 
-// crossZoneSurcharge is the surcharge on the expected duration at a leaf in another zone, as a
+// crossZoneSurcharge is what is added to the expected duration at a leaf in another zone, as a
 // share of the latency objective. Requests go to the leaf with the lowest sum. Traffic between
-// zones is expensive, and a leaf in this zone that is slower by less than the surcharge still
+// zones is expensive. A leaf in this zone that is slower by less than the surcharge still
 // answers in time.
 const crossZoneSurcharge = 0.25
 
-// recordSent records a request that is sent to the leaf.
+// recordSent records a request that is sent to the leaf, and updates typicalWork.
 func (l *leaf) recordSent(f pendingRequest) {
 	l.inFlight = append(l.inFlight, f)
 	if l.typicalWork == 0 {
@@ -134,10 +136,10 @@
 	}
 }
 
-// recordRefusal records that the leaf refused to run a request. It starts a short cooldown: a
-// full leaf gets no request for a moment. A leaf that reports a free slot with its refusal
-// refuses for another reason, and is just as likely to refuse the next request. That counts as
-// a failure.
+// recordRefusal records that the leaf refused to run a request. It starts a short cooldown, so
+// that a full leaf gets no request for a moment. A leaf that reports a free slot with its refusal
+// is not full, and is just as likely to refuse the next request. Such a refusal counts as a
+// failure.
 func (l *leaf) recordRefusal(now time.Time) {
 	l.cooldown.startAtLeast(now, refusedCooldown)
 	if l.reportedAt.Equal(now) && l.freeSlots > 0 {
@@ -155,8 +157,8 @@
 	return l.othersReported * reportedLoadWeight * (1 - float64(age)/float64(reportedLoadLifetime))
 }
 
-// stalled reports whether the oldest request in flight takes much longer than expected: the
-// leaf has paused, or has stopped without notice.
+// stalled reports whether the oldest request in flight takes much longer than expected. The leaf
+// has then paused, or has stopped without notice.
 func (l *leaf) stalled(now time.Time) bool {
 	if len(l.inFlight) == 0 {
 		return false
@@ -171,12 +173,15 @@
 	return time.Duration(l.slowdown.factor(now) * float64(typical))
 }
 
-// cost returns the time that one more request is expected to take at the leaf, with the time in
-// the queue, plus surcharges for another zone, a stalled leaf and recent failures. Requests go
-// to the leaf with the lowest cost. typical is the duration of such a request at a leaf of usual
-// speed; objective is its latency objective, of which some surcharges are shares.
+// cost returns the cost of one more request at the leaf. Requests go to the leaf with the lowest
+// cost. It is the time that the request is expected to take, including the time in the queue,
+// plus surcharges for another zone, a stalled leaf and recent failures. typical is the duration
+// of such a request at a leaf of usual speed. objective is its latency objective; some surcharges
+// are shares of it.
 func (l *leaf) cost(now time.Time, objective, typical time.Duration) time.Duration {
 	base := l.expected(now, typical)
+	// ahead is the number of requests that have to end first: those of this VM and of other
+	// VMs, plus the new one, less those that run at the same time.
 	ahead := float64(len(l.inFlight)) + l.othersEstimate(now) + 1 - float64(l.Slots)
 	cost := base + time.Duration(max(ahead, 0)/float64(l.Slots)*float64(base))
 	if !l.sameZone {
@@ -194,7 +199,7 @@
 }
 
 // hasCapacity reports whether this VM may send one more request to the leaf. A leaf whose latest
-// request expired is tried with a single one, so that no more are lost if it is still too slow.
+// request expired gets a single one, so that no more requests are lost if it is still too slow.
 func (l *leaf) hasCapacity() bool {
 	if l.halfOpen {
 		return len(l.inFlight) == 0
--- a/scatter/overtake.go
+++ b/scatter/overtake.go
@@ -15,18 +15,18 @@
 	ackWaitShare = 0.2
 	// minAckWait is the shortest time within which a call has to be acknowledged.
 	minAckWait = 10 * time.Millisecond
-	// ackWaitFactor is a lower bound of the time within which a call has to be
-	// acknowledged, as a multiple of the longest time that a VM of the called VM's zone
-	// recently took for that.
+	// ackWaitFactor gives a second lower bound of the time within which a call has to be
+	// acknowledged. The bound is this multiple of the longest time that VMs in the called
+	// VM's zone recently took to acknowledge a call.
 	ackWaitFactor = 1.5
-	// ackTimeHalfLife is the time in which the recorded longest time that a VM took to
-	// acknowledge a call falls to half.
+	// ackTimeHalfLife is the time in which the recorded acknowledgement time of a zone's VMs
+	// falls to half.
 	ackTimeHalfLife = 10 * time.Second
 )
 
-// CallSent records that a call was written to its connection. The time within which the other VM
-// has to acknowledge it starts now. Before that, silence says nothing about the other VM: a
-// connection to it has to be made first. CallSent returns no actions.
+// CallSent records that a call was written to its connection. The time within which the called VM
+// has to acknowledge the call starts now. It does not start earlier, since silence says nothing
+// about a VM to which a connection is still being made. CallSent returns no actions.
 func (q *Query) CallSent(now time.Time, id CallID) []Action {
 	c := q.calls[id]
 	if c == nil || q.done || c.acked {
@@ -37,16 +37,17 @@
 	return nil
 }
 
-// ackDue returns the time at which a call that is written now, to a VM in the given zone, fails
-// over unless the VM has acknowledged it.
+// ackDue returns the time by which a VM in the given zone has to acknowledge a call that is
+// written now. Otherwise the call fails over.
 func (q *Query) ackDue(now time.Time, zone string) time.Time {
 	wait := max(time.Duration(ackWaitShare*float64(q.spec.AnswerBy.Sub(now))), minAckWait)
 	recent := q.table.ackTimes[zone].longest(now)
 	return now.Add(max(wait, time.Duration(ackWaitFactor*float64(recent))))
 }
 
-// acknowledged records that a message of the called VM on a call was received. The first one
+// acknowledged records that a message of the called VM on a call was received. The first message
 // shows that the VM is alive, so the call no longer fails over for lack of an acknowledgement.
+// The time that the first message took is recorded for the VM's zone if it is the longest.
 func (q *Query) acknowledged(now time.Time, c *call) {
 	if c.acked {
 		return
@@ -62,11 +63,12 @@
 
 // ackTime is the longest time that VMs of a zone recently took to acknowledge a call.
 type ackTime struct {
-	took time.Duration // the longest time, as of at
+	took time.Duration // the longest time to acknowledge a call, as it counted at the time at
 	at   time.Time     // when the latest acknowledgement was received
 }
 
-// longest returns the longest time as of now: it decays since it was recorded.
+// longest returns the longest time that VMs of the zone recently took to acknowledge a call. A
+// recorded time counts less the older it is: half after each ackTimeHalfLife.
 func (a ackTime) longest(now time.Time) time.Duration {
 	return time.Duration(float64(a.took) * math.Exp2(-float64(now.Sub(a.at))/float64(ackTimeHalfLife)))
 }
@@ -74,9 +76,10 @@
 // Failover of calls.
 //
 // The problem: of hundreds of VMs, some freeze or are lost together. Each VM makes a call only
-// every few seconds, so it detects a lost VM through a request of its own. A VM that owns none
-// of a shard's leafs has no connections to them and almost none of the budget. Therefore the
-// shards of a VM that is silent or lost are queried through another owner.
+// every few seconds, so it detects a lost VM through a request of its own. The owners of a
+// shard's leafs are the VMs that normally send requests to them. Any other VM has no connections
+// to the leafs and almost none of the budget. Therefore the shards of a called VM that is silent
+// or lost are queried through another owner.
 
 // failOverOverdueCalls handles the calls whose answer or acknowledgement is overdue. If the
 // called VM has sent no message, the call fails over to another VM. Otherwise this VM sends the
@@ -100,14 +103,15 @@
 	return acts
 }
 
-// failOver sends the unanswered shards of a call to another VM that owns their leafs, and so
-// has connections to them and most of the budget. mayHaveSent says that the first VM may have
-// received the call, and so may have sent the shards to leafs.
+// failOver calls another VM for the unanswered shards of a call. The other VM is an owner of
+// their leafs too, so it has connections to them and most of the budget. mayHaveSent says that
+// the first VM may have received the call, and so may have sent requests for the shards to leafs.
 //
-// If there is no other VM, or there are too few shards for a call, it depends on whether a VM
-// that was called may have sent the shards to leafs. If so, this VM sends them to leafs itself,
-// as extra arrivals that are taken from the budget. If not, failOver leaves them to CallFail,
-// which sends them as first arrivals and takes nothing from the budget.
+// There may be no other VM to call, or too few shards for a call. If a VM that was called may
+// have sent requests for the shards, this VM then sends them to leafs itself. The requests are
+// extra arrivals, which are taken from the budget. If no VM may have sent any, failOver returns
+// nothing and leaves the shards to CallFail. CallFail takes nothing from the budget, since its
+// requests are the first arrivals.
 func (q *Query) failOver(now time.Time, id CallID, mayHaveSent bool) []Action {
 	c := q.calls[id]
 	redelegated := mayHaveSent || c.redelegated
@@ -136,9 +140,9 @@
 	return names
 }
 
-// unanswered returns the indexes of the shards of a call that still have to be queried: those
-// that are unanswered and not closed, are not in flight to a leaf of this VM's choice, and do
-// not belong to a later call.
+// unanswered returns the indexes of the shards of a call that still have to be queried. A shard
+// is left out if it is answered or closed, if an attempt of this VM on it is in flight, or if a
+// later call was made for it.
 func (q *Query) unanswered(id CallID) []int {
 	var list []int
 	for _, i := range q.calls[id].shards {
@@ -150,8 +154,9 @@
 	return list
 }
 
-// sendDirectly sends the unanswered shards of a call to leafs. The called VM may have sent them
-// to leafs already, so each is taken from the budget as a retry.
+// sendDirectly sends requests for the unanswered shards of a call to leafs. The called VM may
+// already have sent requests for them. So each request counts as a retry, which is taken from the
+// budget.
 func (q *Query) sendDirectly(now time.Time, id CallID) []Action {
 	var acts []Action
 	for _, i := range q.unanswered(id) {
@@ -160,10 +165,10 @@
 	return acts
 }
 
-// includeAnswer records another VM's answer with the given shards, and decides whether it is
-// used in the result. Two VMs may have been called for one shard, and an answer can't be split.
-// The new answer therefore replaces the used ones that share a shard with it, but only if it
-// has more shards than they have in total.
+// includeAnswer records another VM's answer, which includes the given shards, and decides
+// whether the result uses it. Two VMs may have been called for one shard, and an answer can't be
+// split. So the new answer and the used answers that share a shard with it exclude each other.
+// The new answer replaces them only if it has more shards than they have in total.
 func (q *Query) includeAnswer(shards []int) {
 	q.callAnswers = append(q.callAnswers, callAnswer{shards: shards})
 	if len(shards) == 0 {
@@ -180,8 +185,8 @@
 	q.setUsed(len(q.callAnswers)-1, true)
 }
 
-// overlapping returns the indexes of the used answers of other VMs that have one of the given
-// shards, and the total number of shards of these answers.
+// overlapping returns the indexes of those answers of other VMs that are used in the result and
+// include any of the given shards. total is the number of all shards of these answers.
 func (q *Query) overlapping(shards []int) (list []int, total int) {
 	for _, i := range shards {
 		n := q.shards[i].includedAnswer - 1
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -26,16 +26,16 @@
 	// Views holds, for a delegated request, the calling VM's view of each service: a hash
 	// of the leafs that it knows. A shard is declined if this VM's view of it differs.
 	Views []View
-	// Required is, for a delegated request, how many of Services the whole answer can't do
-	// without; 0 if the calling VM did not say.
+	// Required is, for a delegated request, how many of the shards have to be answered so
+	// that the calling VM has enough for its caller; 0 if the calling VM did not say.
 	Required int
-	// Redelegated says that another VM was called for the same shards before. Each arrival
-	// at a leaf is then counted as an extra one, and only those leafs are used that each of
-	// these VMs may use.
+	// Redelegated says that another VM was called for the same shards before. Each request
+	// that reaches a leaf then counts as an extra arrival in the budget. Only leafs are used
+	// that both the calling and each called VM may use.
 	Redelegated bool
 	// BudgetWeight is the part of the request, from 0 to 1, that counts as a request in this
-	// VM's budget of extra arrivals. For a delegated request, the calling VM counts the
-	// remainder.
+	// VM's budget of extra arrivals (hedges and retries). For a delegated request, the
+	// calling VM counts the remainder.
 	BudgetWeight float64
 }
 
@@ -55,7 +55,7 @@
 	Leaf    LeafID // the leaf to send it to
 	Address string // the leaf's address
 	SentAt  time.Time
-	// Until is when the leaf has to stop: a later answer is useless.
+	// Until is when the leaf has to stop its work, since a later answer is useless.
 	Until          time.Time
 	OtherZone      bool // the leaf is in another availability zone
 	KeepConnection bool // the connection stays open for later requests
@@ -68,12 +68,13 @@
 	VM          VM
 	SentAt      time.Time
 	Shards      []int  // indexes of the shards in the query
-	Views       []View // for each of Shards, a hash of the leafs that this VM knows
-	Required    int    // how many of Shards the answer can't do without
+	Views       []View // for each of Shards, a hash of the leafs that the calling VM knows
+	Required    int    // how many of Shards have to be answered so that the whole answer is sufficient
 	Redelegated bool   // another VM was called for the shards before and may have queried them
 	// InterimBy is when the called VM sends a first answer with the shards answered so far.
 	InterimBy time.Time
-	// AnswerBy is when it stops waiting for the other shards and sends its last answer.
+	// AnswerBy is when the called VM stops waiting for the other shards and sends its last
+	// answer.
 	AnswerBy time.Time
 }
 
@@ -156,9 +157,9 @@
 	callAnswers   []callAnswer           // answers of other VMs, in the order of arrival
 	lastAttempt   AttemptID              // the newest one; 0 for none
 	failedAttempt AttemptID              // the latest one that a leaf answered with a failure; 0 for none
-	hedgeRetryAt  time.Time              // no hedge is sent before: one that was due found no idle leaf or no budget
+	hedgeRetryAt  time.Time              // no hedge is sent before this time, since one found no idle leaf or no budget
 
-	omissionsLeft int           // number of shards that the answer may still leave out, besides omitted ones
+	omissionsLeft int           // number of shards that the answer may leave out, besides those omitted at the start
 	refusal       *Refusal      // nil if this VM did not refuse
 	retryAfter    time.Duration // delay after which a refused caller should retry; 0 if no VM refused
 
@@ -177,17 +178,17 @@
 	hedged         bool      // a hedge was sent
 	hedgeAt        time.Time // when the latest attempt is slow enough for a hedge
 	pollAt         time.Time // when to look for a leaf again; zero if not waiting
-	waitingOn      *service  // service that counts the shard as waiting, nil for none
+	waitingOn      *service  // the service, while it counts the shard as waiting for a leaf; nil otherwise
 	closed         bool      // no further attempt will be made
 	gap            GapCause  // why it was closed
-	declined       bool      // left to the calling VM
-	answer         AttemptID // the attempt that answered it; 0 for none
+	declined       bool      // left to the calling VM, which knows other leafs than this VM
+	answer         AttemptID // the attempt that answered the shard; 0 for none
 	call           CallID    // the latest call for the shard; 0 for none
-	redelegated    bool      // a second VM was called for it
+	redelegated    bool      // another VM was called for the shard after one that may have queried it
 	shared         bool      // another VM may query it too
 	commonLeafs    []LeafID  // if shared: leafs that either VM may use
 	ownChoice      LeafID    // if shared: the leaf that only this VM uses; zero for none
-	includedAnswer int       // number of the included call answer with the shard, from 1; 0 for none
+	includedAnswer int       // number, from 1, of the used answer of another VM that includes the shard; 0 for none
 }
 
 // answered reports whether the shard has an answer, from a leaf or from another VM.
@@ -203,23 +204,23 @@
 // call is a call to another VM, which queries some shards for this one.
 type call struct {
 	vm          string        // name of the called VM
-	partition   zonePartition // that the shards belong to
+	partition   zonePartition // leaf partition that the shards belong to
 	redelegated bool          // follows another call for the same shards
 	shards      []int         // indexes of the shards in the query
 	sentAt      time.Time     // when the query decided to make the call
 	acked       bool          // the VM has sent any message on the call
 	failoverAt  time.Time     // when the call fails over if it has no answer
-	// writtenAt is when the call was written to its connection, zero before. ackDue is by
-	// when the VM has to acknowledge it, zero before it was written and once it was
-	// acknowledged.
+	// writtenAt is when the call was written to its connection, zero before. ackDue is the
+	// time by which the VM has to acknowledge the call. It is zero before the call was
+	// written and once it was acknowledged.
 	writtenAt, ackDue time.Time
 	answered          bool // the VM has answered, perhaps in part
 	finished          bool // no further answer will arrive
 	resolved          bool // no failover is pending: answered in full, failed over, or sent directly
 }
 
-// overdueTime returns when the call is overdue, and fails over: once its acknowledgement or its
-// answer has not come in time.
+// overdueTime returns when the call becomes overdue: at the earlier of the times by which it has
+// to be acknowledged and by which it has to be answered.
 func (c *call) overdueTime() time.Time { return earlier(c.failoverAt, c.ackDue) }
 
 // callAnswer is one answer of another VM. It can't be split: all of its shards are used or none.
@@ -243,8 +244,9 @@
 	return q
 }
 
-// Start returns the calls and the first attempts, or refuses the request if it is not expected
-// to be answered in time.
+// Start starts the query and returns its first actions: calls to other VMs and attempts at
+// leafs. If the request is not expected to be answered in time, Start refuses it and returns
+// Finish.
 func (q *Query) Start(now time.Time) []Action {
 	q.startedAt = now
 	var calls []delegation
@@ -307,7 +309,7 @@
 }
 
 // shareShard records that another VM may query the shard too, and computes the leafs that either
-// VM may use. Those in the given zone come first; it is that of the called VM.
+// VM may use. zone is the zone of the called VM; its leafs come first.
 func (q *Query) shareShard(s *shard, zone string) {
 	s.shared = true
 	s.commonLeafs = q.table.commonLeafs(s.service, zone, q.spec.RequestID, q.spec.MaxAttempts)
@@ -347,8 +349,8 @@
 	return q.conclude(now, nil)
 }
 
-// Fail handles an attempt that ended without an answer, in the way that end says, and returns
-// the actions that follow.
+// Fail handles an attempt that ended without an answer and returns the actions that follow. end
+// says how it ended.
 func (q *Query) Fail(now time.Time, id AttemptID, end End) []Action {
 	a := q.attempts[id]
 	if a == nil || q.done {
@@ -377,8 +379,8 @@
 		return q.finish(q.atDeadline())
 	}
 	if out, decided := q.decide(now); decided {
-		// If an answer is due, it precedes everything else that became overdue while
-		// this VM was paused.
+		// If the outcome is decided, the query ends before anything else is done. Other
+		// actions may have become overdue while this VM was paused, but are of no use.
 		return q.finish(out)
 	}
 	acts := q.failOverOverdueCalls(now)
--- a/scatter/readers.go
+++ b/scatter/readers.go
@@ -11,23 +11,25 @@
 	// readersPerZone is the number of VMs of a zone that always read the store. The other
 	// VMs follow them: they get what these have read.
 	readersPerZone = 2
-	// spareReaders is the number of further VMs of a zone that follow the readers like all
-	// others, but that the others follow when the readers fail. Without them every VM would
-	// read the store instead. A store that refuses some VMs, the readers of a zone among
-	// them, would then get calls from all other VMs of the zone.
+	// spareReaders is the number of further VMs of a zone that may have to read the store.
+	// They follow the readers like all other VMs. When the readers fail, the other VMs follow
+	// the spare readers. Without spare readers, every VM of the zone would then read the
+	// store itself. If the readers failed because the store refuses them, it would get calls
+	// from all other VMs of the zone.
 	spareReaders = 4
 )
 
 // StoreReaders says which VMs read the store in this VM's zone.
 type StoreReaders struct {
 	Self bool // this VM reads the store, for itself and for the VMs that follow it
-	// Others are, if this VM does not read the store, the VMs that do or that may have to.
-	// This VM follows the first one that works.
+	// Others are the VMs that this VM may follow if it does not read the store: those that
+	// read the store, then those that may have to. This VM follows the first one that works.
 	Others []VM
 }
 
-// StoreReaders returns the VMs that read the store in this zone. All VMs that know the same
-// list of VMs make the same choice, except that VMs that this one can't call are left out.
+// StoreReaders returns the VMs that read the store in this zone. All VMs that know the same list
+// of VMs choose the same readers. VMs that this one can't call at the moment are left out of
+// Others.
 func (t *Table) StoreReaders(now time.Time) StoreReaders {
 	names := []string{t.self}
 	for name, v := range t.vms {
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// slowdown estimates by which factor work takes longer than usual at a leaf. Usual is the
-// median of all leafs for one kind of request.
+// slowdown estimates by which factor work takes longer than usual at a leaf. The usual duration
+// is the median of all leafs for one kind of request.
 //
-// The factor is the product of two. A leaf reports the slowdown of its machine. Its pauses, its
-// queues and the network show only in the duration of its answers, as an excess over what the
-// report explains. The two are kept apart, since a pause says nothing about the next request:
-// with one smoothed latency, a leaf that paused once would get fewer requests for seconds.
+// The factor is the product of two factors. The first is the slowdown of the leaf's machine,
+// which the leaf reports. The second is the excess: the duration of answers as a multiple of what
+// the report explains. Pauses, queues and the network show only in the excess. The two factors
+// are kept apart, since a pause says nothing about the next request: with one smoothed latency,
+// a leaf that paused once would get fewer requests for seconds.
 type slowdown struct {
 	reported   float64   // slowdown of the machine as reported by the leaf, smoothed: 1 as usual; 0 before the first report
 	reportedAt time.Time // when the latest report was received
-	excess     float64   // duration of answers as a multiple of that expected from reported, smoothed; 0 before the first answer
+	excess     float64   // smoothed duration of answers, as a multiple of the duration expected from reported; 0 before the first answer
 	excessAt   time.Time // when excess last changed
 	slowAt     time.Time // when the latest slow answer was received
 }
@@ -31,8 +32,8 @@
 	minReportedSlowdown    = 0.2 // lower bound of the slowdown that a leaf may report for its machine
 	maxReportedSlowdown    = 50  // upper bound of the slowdown that a leaf may report for its machine
 	answerExcessWeight     = 0.2 // weight of the excess of a new answer in the smoothed excess
-	// expiredDurationFactor is the factor by which the time of a request that expired at
-	// the leaf is multiplied, to estimate how long the request would have taken.
+	// expiredDurationFactor is the estimated duration of a request that expired at the leaf,
+	// as a multiple of the time until it expired.
 	expiredDurationFactor = 2
 	expiredExcessWeight   = 0.5 // weight of the excess of an expired request in the smoothed excess
 	// maxExcessStep bounds the excess of one answer, as a multiple of the smoothed excess.
@@ -64,19 +65,20 @@
 }
 
 // recordExpired records that the leaf was still at work when the time of a request was over.
-// How long the request would have taken is not known, so it is estimated as
-// expiredDurationFactor times the time it was given. An expired request has a larger weight than
-// an answer: such a leaf is too slow for its requests, and shows it much less often than other
-// leafs answer.
+// The request's duration is not known, and is estimated as expiredDurationFactor times the time
+// that it was given. An expired request has a larger weight than an answer, since a leaf that is
+// too slow gives new values much less often than other leafs.
 func (s *slowdown) recordExpired(now, sentAt time.Time, typical time.Duration) {
 	s.add(now, sentAt, expiredDurationFactor*now.Sub(sentAt), typical, expiredExcessWeight)
 }
 
-// add updates the smoothed excess by a request that was sent at sentAt and took the given time.
-// typical is its duration at a leaf of usual speed, and weight that of the new value in the
-// smoothed one. A slow request is ignored if it was sent before the latest slow answer was
-// received.
+// add updates the smoothed excess with a request that was sent at sentAt and took the time took.
+// typical is the duration of such a request at a leaf of usual speed. weight is the weight of
+// the new value in the smoothed one, from 0 to 1. A slow request is ignored if it was sent before
+// the latest slow answer was received.
 func (s *slowdown) add(now, sentAt time.Time, took, typical time.Duration, weight float64) {
+	// ratio is the excess of this request. It is limited to maxExcessStep times the smoothed
+	// excess below.
 	ratio := float64(took) / (float64(typical) * s.reportedFactor(now))
 	if ratio > slowAnswerThreshold {
 		if sentAt.Before(s.slowAt) {
@@ -103,8 +105,9 @@
 // the network; 1 if there was no answer.
 func (s *slowdown) excessFactor(now time.Time) float64 { return decayed(s.excess, now.Sub(s.excessAt)) }
 
-// decayed returns a factor that was recorded age ago, moved towards 1: its deviation from 1
-// halves with each slowdownHalfLife. The result is 1 for an unknown factor, which is 0.
+// decayed returns the current value of a factor that was recorded the time age ago. Its
+// deviation from 1 halves with each slowdownHalfLife. A factor of 0 is unknown, for which the
+// result is 1.
 func decayed(factor float64, age time.Duration) float64 {
 	if factor == 0 {
 		return 1
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -6,11 +6,11 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// suspicion keeps requests away from a VM or a leaf that did not answer, until a new
-// connection to it can be made. Each request sent to one that is frozen, disconnected or
-// without power loses half of its time. Requests to one leaf or VM are rarer than the longest
-// cooldown, so with a cooldown alone nearly every request would detect the failure again. A
-// probe, which makes a new connection, costs only a handshake.
+// suspicion keeps requests away from a VM or a leaf that did not answer, until a new connection
+// to it can be made. Each request sent to a VM or leaf that is frozen, disconnected or without
+// power loses half of its time. A cooldown alone would not prevent that: the time between two
+// requests to one leaf or VM is mostly longer than the longest cooldown, so nearly every request
+// would detect the failure again. A probe, which makes a new connection, costs only a handshake.
 type suspicion struct {
 	raised    bool      // the leaf or VM is suspect: it gets no requests
 	probes    int       // consecutive failed probes
@@ -38,8 +38,8 @@
 	s.nextProbe = now.Add(min(firstProbePause<<min(s.probes, maxPauseDoublings), longest))
 }
 
-// due reports whether a probe is due now. If not, next is when one will be, zero if the leaf or
-// VM is not suspect.
+// due reports whether a probe is due now. If not, next is when the next probe is due. It is zero
+// if the leaf or VM is not suspect.
 func (s *suspicion) due(now time.Time) (due bool, next time.Time) {
 	switch {
 	case !s.raised:
@@ -80,22 +80,25 @@
 // livenessRound schedules a liveness check of all VMs that this one calls, after one of them
 // was silent.
 //
-// VMs are lost together: a rack, a zone, a network. Each loss that is detected only by a call
-// costs a request the shards of that call, and a VM calls many others.
+// VMs are lost together: those of a rack, a zone or a network. If a call detects that a VM is
+// lost, a request loses the shards of that call. Since a VM calls many others, this would happen
+// to many requests.
 type livenessRound struct {
 	requested bool      // a check of all VMs has to be made
 	lastAt    time.Time // when the latest check was started
 }
 
-// livenessPause is the minimum time between two rounds of liveness checks by this VM: a round
-// costs each VM one message from each of the VMs that call it.
+// livenessPause is the minimum time between two rounds of liveness checks by this VM. In a
+// round, a VM sends a message to each VM that it calls. If all VMs make a round, each of them
+// gets one message from each of the VMs that call it.
 const livenessPause = time.Second
 
-// request requests a round, unless the latest one is too recent.
+// request requests a round, unless the latest one was started less than livenessPause ago.
 func (r *livenessRound) request(now time.Time) { r.requested = now.Sub(r.lastAt) >= livenessPause }
 
-// DueForLivenessCheck returns the VMs whose liveness has to be checked now: all that this one
-// calls if a round was requested, none otherwise. The request is then cleared.
+// DueForLivenessCheck returns the VMs whose liveness has to be checked now. If a round of checks
+// was requested, these are all VMs that this one calls, and the round counts as started.
+// Otherwise there are none.
 func (t *Table) DueForLivenessCheck(now time.Time) []VM {
 	if !t.liveness.requested {
 		return nil
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -22,15 +22,15 @@
 	vms           map[string]*vm          // by name: the other VMs
 	members       map[string]memberInfo   // by name: the other VMs, including those that left recently
 	zones         map[string]*zoneMembers // by zone: members and this VM
-	leafOwners    int                     // number of VMs that use one leaf: the owners of one partition of each zone
-	maxShards     int                     // number of shards of the gathered request with the most
-	shardsPerZone int                     // how many of these shards have a leaf in one zone, on average
+	leafOwners    int                     // number of VMs that normally use one leaf: the owners of one leaf partition in each zone
+	maxShards     int                     // number of shards of the gathered request that has the most shards
+	shardsPerZone int                     // how many of those maxShards shards have a leaf in one zone, on average
 	vmsKnown      bool                    // SetVMs was called at least once
 	liveness      livenessRound
 	startedAt     time.Time                         // when this VM's process started
 	durations     map[durationKey]*latency.Recorder // recent durations of requests and calls
 
-	ackTimes        map[string]ackTime // by zone: how long VMs take to acknowledge a call
+	ackTimes        map[string]ackTime // by zone: longest time that VMs recently took to acknowledge a call
 	callRefusalRate failureRate        // share of calls that other VMs refuse
 	admitAll        bool               // for tests: the forecast refuses no request
 }
@@ -42,17 +42,18 @@
 	budget         *budget // of extra arrivals
 	maxConnections int     // connections that a leaf accepts from all VMs together; 0 for no limit
 	waiting        int     // shards of this VM's queries that wait for a leaf of the service with capacity
-	gatheredOnly   bool    // used by gathered requests only, so mostly by the VMs that own its leafs
+	gatheredOnly   bool    // only gathered requests use the service; its leafs then get requests mostly from their owners
 	view           View    // hash of the leafs, if viewKnown
 	viewKnown      bool    // false after a change of the leafs
 }
 
-// durationKey identifies a kind of request: requests whose durations are comparable. Requests of
-// routes with the same latency objective are assumed to be of one kind.
+// durationKey identifies a kind of request. The durations of requests of one kind are comparable
+// and are recorded together. Routes with the same latency objective are assumed to have requests
+// of one kind.
 type durationKey struct {
-	objective time.Duration // latency objective
-	byVM      bool          // answers by another VM
-	gathered  bool          // answers for one shard of a gathered request
+	objective time.Duration // latency objective of the requests
+	byVM      bool          // the durations are those of calls to other VMs
+	gathered  bool          // the durations are those of parts of gathered requests
 }
 
 // NewTable returns an empty table for the VM self, whose process started at startedAt.
@@ -135,15 +136,17 @@
 // Limits on what this VM uses of resources that all VMs share: the connections and slots of
 // leafs, and the floor of budgets.
 const (
-	// usableConnectionShare is how much of a leaf's connection limit all VMs together use,
-	// from 0 to 1. The limit is configured for the service. A leaf accepts fewer
-	// connections while its queue is long, and resets the others.
+	// usableConnectionShare is the share of a leaf's connection limit that all VMs together
+	// use, from 0 to 1. The limit is configured for the service. The remainder is a margin:
+	// while its queue is long, a leaf accepts fewer connections and resets the others.
 	usableConnectionShare = 0.8
-	// vmHeadroom is the number of VMs that are assumed to share a resource, per known VM:
-	// the list of VMs lags behind, and VMs are added or replaced.
+	// vmHeadroom is the number of VMs that are assumed to share a resource, as a multiple of
+	// the number of known VMs. It is above 1 since the list of VMs lags behind, and VMs are
+	// added or replaced.
 	vmHeadroom = 1.25
-	// maxInFlightPerSlot bounds the requests that this VM has in flight at a leaf, per slot
-	// of the leaf. Requests beyond it wait longer than a request to another leaf takes.
+	// maxInFlightPerSlot is the largest number of requests that this VM has in flight at a
+	// leaf, per slot of the leaf. More requests would wait longer than a request to another
+	// leaf takes.
 	maxInFlightPerSlot = 2
 )
 
@@ -157,9 +160,13 @@
 	}
 }
 
-// connectionsPerLeaf returns how many of the connections that a leaf of the service accepts are
-// this VM's share; infinite if there is no limit. A share below one allows an occasional
-// connection, but none that stays open unused.
+// connectionsPerLeaf returns this VM's share of the connections that a leaf of the service
+// accepts, as a number of connections. It is infinite if there is no limit. A share below one
+// allows an occasional connection, but none that stays open unused.
+//
+// A service that only gathered requests use (gatheredOnly) gets requests mostly from the VMs
+// that own its leafs. Each owner therefore has an equal share among the owners. In all other
+// cases the share is equal among all VMs.
 func (t *Table) connectionsPerLeaf(s *service) float64 {
 	if s.maxConnections == 0 {
 		return math.Inf(1)
@@ -171,9 +178,9 @@
 	return float64(s.maxConnections) * usableConnectionShare / (float64(vms) * vmHeadroom)
 }
 
-// KeepsConnection reports whether a connection to a leaf is kept open after a request. It is not
-// if this VM's share of the leaf's connections is below one: VMs that use the leaf only
-// occasionally would otherwise hold all connections that it accepts.
+// KeepsConnection reports whether a connection to a leaf is kept open after a request. It is
+// closed if this VM's share of the leaf's connections is below one. Otherwise VMs that use the
+// leaf only occasionally would hold all connections that it accepts.
 func (t *Table) KeepsConnection(id LeafID) bool {
 	l := t.findLeaf(id)
 	return l != nil && t.connectionsPerLeaf(t.services[l.Service]) >= 1
@@ -211,12 +218,12 @@
 type leafFilter struct {
 	exclude  []LeafID  // leafs that were already tried
 	idleOnly bool      // only leafs that would start the request at once
-	answerBy time.Time // only leafs that are expected to answer by then, or not much later; zero for all
+	answerBy time.Time // only leafs that are expected to answer by then, or not much later; zero for no limit
 }
 
-// pickLeaf returns the leaf for a request: of the given leafs that pass the filter, are available
-// and have capacity, the one with the lowest cost, which is the expected duration plus
-// surcharges. It returns nil if there is none.
+// pickLeaf returns the leaf for a request: the one with the lowest cost, which is the expected
+// duration plus surcharges. Only those of the given leafs are considered that pass the filter,
+// are available and have capacity. It returns nil if there is none.
 func (t *Table) pickLeaf(now time.Time, kind durationKey, leafs []*leaf, filter leafFilter) *leaf {
 	var best *leaf
 	var bestCost time.Duration
@@ -228,6 +235,7 @@
 		if filter.idleOnly && !l.idle(now) {
 			continue
 		}
+		// A leaf may take latenessTolerance times the time that is left.
 		if !filter.answerBy.IsZero() && now.Add(l.eta(now, typical)/latenessTolerance).After(filter.answerBy) {
 			continue
 		}
@@ -246,9 +254,10 @@
 // the costs of two leafs differ by less, either may be picked.
 const costJitter = time.Millisecond
 
-// pickCoolingDown returns a leaf for a request for which pickLeaf found none: of the given leafs
-// in cooldown or under suspicion, the one whose cooldown ends first. Suspect leafs come last.
-// Leafs in tried and those without capacity are left out. It returns nil if there is none.
+// pickCoolingDown returns a leaf for a request for which pickLeaf found none. It chooses among
+// the given leafs that are in cooldown or suspect: the one whose cooldown ends first, and a
+// suspect one only if there is no other. Leafs in tried and those without capacity are left out.
+// It returns nil if no leaf remains.
 func (t *Table) pickCoolingDown(now time.Time, leafs []*leaf, tried []LeafID) *leaf {
 	var best *leaf
 	for _, l := range leafs {
@@ -262,7 +271,7 @@
 	return best
 }
 
-// durationsOf returns the recorded durations of one kind of request.
+// durationsOf returns the recorder of recent durations of one kind of request.
 func (t *Table) durationsOf(key durationKey) *latency.Recorder {
 	r := t.durations[key]
 	if r == nil {
@@ -272,9 +281,9 @@
 	return r
 }
 
-// recordDuration records how long the answer to an attempt took. The time is divided by the
-// slowdown that the leaf reports for its machine: the duration expected of one leaf must not
-// depend on how slow other leafs are.
+// recordDuration records how long the answer to an attempt took. The time is first divided by
+// the slowdown that the leaf reports for its machine. The duration that is expected of one leaf
+// then does not depend on how slow other leafs are.
 func (t *Table) recordDuration(now time.Time, kind durationKey, a *attempt) {
 	took := now.Sub(a.sentAt)
 	if l := t.findLeaf(a.leaf); l != nil {
@@ -303,9 +312,10 @@
 	return d, known
 }
 
-// UnusedLeafs returns the leafs of this VM's zone to which it normally sends requests, since it
-// owns their partition, and which have no request of this VM in flight. Connections to them can
-// be opened before they are needed. Leafs that drain or are suspect are left out.
+// UnusedLeafs returns leafs of this VM's zone to which connections can be opened before they are
+// needed. These are the leafs of the partition that this VM owns, to which it normally sends
+// requests. Leafs with a request of this VM in flight, draining ones and suspect ones are left
+// out.
 func (t *Table) UnusedLeafs() []registry.Leaf {
 	z := t.zones[t.zone]
 	var list []registry.Leaf
@@ -351,8 +361,8 @@
 	return true
 }
 
-// refusedCooldown is how long a leaf that refused a request gets no other one: about the time in
-// which one request ends and frees a slot.
+// refusedCooldown is the time for which a leaf that refused a request gets no other one. It is
+// about the time until one of the leaf's requests ends and frees a slot.
 const refusedCooldown = 15 * time.Millisecond
 
 // AttemptEnded records how a request that was sent to a leaf at sentAt ended. It may be called
--- a/scatter/vm.go
+++ b/scatter/vm.go
@@ -27,10 +27,10 @@
 func (v *vm) available(now time.Time) bool { return !v.suspicion.raised && !v.cooldown.active(now) }
 
 // memberRetention is how long a VM that is no longer listed remains a member of its zone. The
-// leafs of a zone are divided into partitions among its members. Most VMs return within seconds
-// under their old name. Without the retention, nearly every VM would get another partition at
-// each restart of one, and open connections to other leafs while the zone is short of VMs
-// anyway.
+// leafs of a zone are divided into partitions among its members. After a restart, most VMs return
+// within seconds under their old name. Without the retention, each restart of a VM would give
+// nearly every other VM another partition. They would have to open connections to other leafs
+// while the zone is short of VMs anyway.
 const memberRetention = 20 * time.Second
 
 // SetVMs sets the list of the other VMs, and divides the leafs of each zone among its VMs. What
@@ -50,8 +50,8 @@
 	t.vmsKnown = true
 }
 
-// memberInfo is what is known of a VM that is a member of a zone: one that is listed, or was so a
-// short time ago.
+// memberInfo is what is known of a VM that is a member of a zone. A VM is a member while it is
+// listed, and for memberRetention after that.
 type memberInfo struct {
 	zone  string
 	power float64   // number of processor cores
@@ -61,13 +61,14 @@
 // Parameters of the choice of VMs that this one calls for a leaf partition, among the VMs that
 // own it.
 const (
-	// delegatesPerPartition is how many of the owners of a partition one VM calls, as long
-	// as they answer. Different VMs call different owners. A VM's number of connections to
-	// other VMs thus grows with the number of partitions rather than that of VMs.
+	// delegatesPerPartition is how many of the owners of a leaf partition one VM calls, as
+	// long as they answer. Different VMs call different owners. A VM therefore has a number
+	// of connections to other VMs that grows with the number of partitions, and not with the
+	// number of VMs.
 	delegatesPerPartition = 2
-	// minDelegatePower is the minimum power of an owner to be called, as a share of the
-	// power of the strongest owner that may be called. A request waits for the slowest of
-	// its calls.
+	// minDelegatePower is the smallest power of an owner that is called, as a share of the
+	// power of the strongest owner that may be called. Weaker owners are not called, since a
+	// request waits for the slowest of its calls.
 	minDelegatePower = 0.5
 )
 
@@ -85,6 +86,8 @@
 		if v == nil || slices.Contains(except, owner.name) || !v.available(now) {
 			continue
 		}
+		// Owners come in descending order of power, so list[0] is the strongest, and all
+		// further ones are too weak as well.
 		if len(list) > 0 && owner.power < minDelegatePower*list[0].Power {
 			break
 		}
@@ -94,9 +97,9 @@
 	return list[:min(len(list), delegatesPerPartition)]
 }
 
-// pickVM returns the VM to call for a leaf partition, leaving out those named in except. Of two
-// randomly drawn delegates (see delegates), it is the one that has fewer of this VM's calls in
-// flight, relative to its power. The result is nil if there is none.
+// pickVM returns the VM to call for a leaf partition, or nil if there is none. VMs named in
+// except are left out. Of the VMs that delegates returns, two are drawn at random, possibly the
+// same. The one with fewer of this VM's calls in flight, relative to its power, is picked.
 func (t *Table) pickVM(now time.Time, p zonePartition, except []string) *vm {
 	list := t.delegates(now, p, except)
 	if len(list) == 0 {
@@ -109,8 +112,8 @@
 	return a
 }
 
-// Delegates returns all VMs that this one calls to have leafs queried, so that connections to
-// them can be opened before they are needed.
+// Delegates returns all VMs that this one calls so that they query leafs for it. Connections to
+// them can thus be opened before they are needed.
 func (t *Table) Delegates(now time.Time) []VM {
 	var list []VM
 	zones := t.shardZones()
@@ -157,7 +160,8 @@
 }
 
 // CallEnded records how a call to the named VM ended. It may be called long after the query
-// ended. A VM that could not be reached or did not answer becomes suspect.
+// ended. A VM that could not be reached or did not answer becomes suspect. If it was reached but
+// did not answer, a liveness check of all VMs that this one calls is requested too.
 func (t *Table) CallEnded(now time.Time, name string, end End) {
 	v := t.vms[name]
 	if v == nil {
--- a/scatter/zone.go
+++ b/scatter/zone.go
@@ -9,14 +9,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ownersPerLeaf is the number of VMs of a zone that own a leaf: that normally send requests to
-// it. A zone with fewer than twice as many VMs is not divided, and all of its VMs own all
-// leafs. Fewer owners would be too few when some are lost. With more, a leaf's connections would
-// not suffice for all of them, and each would be used too rarely to stay open.
+// ownersPerLeaf is the number of VMs of a zone that own a leaf, which means that they normally
+// send requests to it. The leafs of a zone with fewer than twice as many VMs are not divided, and
+// all of its VMs own all leafs. Fewer owners would be too few when some are lost. With more, a
+// leaf would not accept enough connections for all owners, and each connection would be used too
+// rarely to stay open.
 const ownersPerLeaf = 4
 
 // callCost is the processor time that a call to another VM costs the calling VM, as a multiple of
-// that of a request to a leaf.
+// the processor time of a request to a leaf.
 const callCost = 3
 
 // zoneMembers holds the VMs of one zone, this one included, ordered by descending power and
@@ -27,10 +28,10 @@
 // index i of the list owns partition i modulo the number of partitions. A small zone has one
 // partition, which all of its VMs own.
 type zoneMembers struct {
-	ranked     []zoneMember // the list
+	ranked     []zoneMember // the VMs of the zone, in this order
 	self       int          // index of this VM in the list, -1 in other zones
 	partitions int          // number of leaf partitions
-	owners     int          // number of VMs that own a partition: the first ones of the list
+	owners     int          // number of VMs that own a partition: the first ones in ranked
 }
 
 // zoneMember is a VM of a zone.
@@ -54,8 +55,8 @@
 }
 
 // fastestPartitioning returns the number of leaf partitions with which a request to the given
-// number of shards is answered fastest. More partitions are queried in parallel, but each costs
-// a call, and the partition whose strongest owner has the least power takes longest. VMs differ
+// number of shards is answered fastest. Partitions are queried in parallel, but each costs a
+// call. The partition whose strongest owner has the least power takes longest, since VMs differ
 // in power, and so in the processor time of one request to a leaf.
 func (z *zoneMembers) fastestPartitioning(shards int) int {
 	most := len(z.ranked) / ownersPerLeaf
@@ -68,6 +69,8 @@
 	best, least := 1, math.Inf(1)
 	for n := 1; n <= most; n++ {
 		weakest := max(z.ranked[n-1].power, minPower)
+		// took is the time for the calls, plus that for the shards of the slowest one. Its
+		// unit is the time of one request to a leaf on one core.
 		took := float64(n)*callCost/caller + float64(shards)/float64(n)/weakest
 		if took < least {
 			best, least = n, took
@@ -79,13 +82,14 @@
 // minPower is the power in cores assumed for a VM that states none.
 const minPower = 0.01
 
-// partitionOf returns the number, from 0, of the leaf partition of the zone that the leafs of the
-// named service belong to. It is computed from the name, also if the zone has no such leaf.
+// partitionOf returns the number, from 0, of the zone's leaf partition to which the leafs of the
+// named service belong. It is computed from the name, also if the zone has no such leaf.
 func (z *zoneMembers) partitionOf(service string) int {
 	return int(xxhash.Sum64String(service) % uint64(z.partitions))
 }
 
-// owns reports whether this VM owns the leaf partition with the given number.
+// owns reports whether this VM owns the leaf partition with the given number. It does not if it
+// is in another zone, or if the VMs before it in the zone's list suffice as owners.
 func (z *zoneMembers) owns(partition int) bool {
 	return z.self >= 0 && z.self < z.owners && z.self%z.partitions == partition
 }
@@ -106,9 +110,9 @@
 	t.Repartition(now)
 }
 
-// Repartition divides the leafs of all zones into partitions again if the number of shards that a
-// request queries in a zone has changed. It has to be called after each batch of changes of the
-// list of leafs.
+// Repartition updates the number of shards that a request queries in a zone. If it has changed,
+// the leafs of all zones are divided into partitions again. Repartition has to be called after
+// each batch of changes of the list of leafs.
 func (t *Table) Repartition(now time.Time) {
 	if n := t.countShardsPerZone(); n != t.shardsPerZone {
 		t.shardsPerZone = n
@@ -117,9 +121,9 @@
 }
 
 // countShardsPerZone returns how many shards of the gathered request with the most shards have a
-// leaf in one zone, assuming that leafs are spread evenly over the zones. It is computed from
-// the average number of leafs per shard, rounded, so that single leafs that are added or removed
-// don't change it.
+// leaf in one zone. It assumes that leafs are spread evenly over the zones. It uses the rounded
+// average number of leafs per shard, so that single leafs that are added or removed don't change
+// the result.
 func (t *Table) countShardsPerZone() int {
 	zones := make(map[string]bool)
 	services, leafs := 0, 0
@@ -136,12 +140,14 @@
 	if services == 0 {
 		return t.maxShards
 	}
+	// The probability that a shard has a leaf in a given zone is replicas / zones, at most 1.
 	replicas := math.Round(float64(leafs) / float64(services))
 	return int(math.Ceil(float64(t.maxShards) * min(replicas/float64(len(zones)), 1)))
 }
 
-// partitionZones orders the VMs of each zone, including those that left recently, divides the
-// leafs of the zone into partitions that the VMs own, and sets this VM's shares of connections.
+// partitionZones divides the leafs of each zone into partitions that the zone's VMs own. VMs that
+// left less than memberRetention ago still count. Then this VM's shares of the connections to
+// leafs are set, which depend on the division.
 func (t *Table) partitionZones(now time.Time) {
 	zones := map[string]*zoneMembers{t.zone: {ranked: []zoneMember{{name: t.self, power: t.power}}}}
 	for name, p := range t.members {
@@ -157,6 +163,7 @@
 	t.leafOwners = 0
 	for _, z := range zones {
 		z.arrange(t.self, t.shardsPerZone)
+		// The owners of one partition: the zone's owners divided by its partitions, rounded up.
 		t.leafOwners += (z.owners + z.partitions - 1) / z.partitions
 	}
 	t.zones = zones
