--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -21,7 +21,7 @@
 // them own.
 //
 // Delegation costs two more hops within the region. Calls to a VM that is frozen, disconnected
-// or stopped fail over (see overtake.go).
+// or stopped fail over (see failover.go).
 
 // Parameters of calls to other VMs. AnswerBy is the time by which this VM answers its caller. A
 // call fails over when its shards are sent to another VM, or to leafs directly, instead.
