--- a/edge/callers.go
+++ b/edge/callers.go
@@ -69,8 +69,10 @@
 	limits     func() routing.Limits // limits of the manifest in force
 	acceptedAt time.Time             // when the connection was accepted
 	roundTrip  time.Duration         // network round trip to the caller, measured when the connection was accepted; 0 if unknown
-	idle       bool                  // the connection has become idle after a request, so the next read deadline bounds the wait for another one
-	used       bool                  // the connection has carried an earlier request
+	// idle is set when the connection becomes idle after a request. The read deadline that is
+	// set next bounds the wait for another request, and clears idle.
+	idle bool
+	used bool // the connection has carried an earlier request
 }
 
 // callerConnKey is the key of a request's *callerConn in its context.
--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -125,8 +125,8 @@
 	return scatter.EndUnreachable
 }
 
-// errInvalidAnswer means that an answer names shards that were not in the call, or has not one
-// receipt for each shard.
+// errInvalidAnswer means that an answer names shards that were not in the call, or that its
+// number of receipts differs from its number of included shards.
 var errInvalidAnswer = errors.New("edge: answer does not match the shards of the call")
 
 // toShardsAnswer converts an answer, which holds indexes into the call's shards, to the shard
--- a/edge/elapsed.go
+++ b/edge/elapsed.go
@@ -27,8 +27,9 @@
 	current, previous time.Duration // longest time stated in the present period and in the one before
 }
 
-// timeoutPeriod is how long the longest remaining time that callers of a route stated is kept
-// at least. It expires because callers change their timeouts.
+// timeoutPeriod is the length of a period. The longest remaining time that callers of a route
+// stated in a period is kept until the end of the next one. It expires because callers change
+// their timeouts.
 const timeoutPeriod = 10 * time.Second
 
 func newElapsedTimes() *elapsedTimes { return &elapsedTimes{routes: make(map[string]*longestTimeout)} }
@@ -58,15 +59,17 @@
 	connectTime time.Duration // time that the caller spent on opening the connection for this request
 }
 
-// maxElapsedShare bounds the time that a caller needs to reach a VM, as a share of the latency
-// objective, unless a longer time was measured on its connection.
+// maxElapsedShare is the longest time that a caller is assumed to need for connecting to a VM,
+// as a share of the latency objective. If a longer time was measured on the caller's
+// connection, for opening it and for the way to this VM, the measured time is the bound.
 const maxElapsedShare = 0.25
 
 // elapsed returns how long before its arrival a request began: the time spent on connecting
 // and the way to this VM. shortfall is how much less remaining time the request's caller states
-// than other callers of the route. It is the time that the caller spent on connecting, unless
-// it is longer than connecting can take. Then the request is a repeat, which is either late
-// already or counts from the time of the repeat, and the shortfall is ignored.
+// than other callers of the route. A shortfall that is not longer than connecting can take is
+// the time that the caller spent on connecting. A longer one means that the request is a
+// repeat. A repeat is either late already or counts from the time of the repeat, so its
+// shortfall is ignored.
 func (p callerPath) elapsed(shortfall, objective time.Duration) time.Duration {
 	if shortfall > max(time.Duration(maxElapsedShare*float64(objective)), p.connectTime+p.oneWay) {
 		shortfall = 0
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Offer puts a manifest in force, which then decides about all new requests, if it is newer
-// than the present one. It reports whether it did.
+// Offer puts a manifest in force if it is newer than the present one, and reports whether it
+// did. The manifest in force decides about all new requests.
 func (e *Engine) Offer(m *routing.Manifest) bool {
 	if !e.inForce.Offer(m) {
 		return false
@@ -124,7 +124,7 @@
 	ID       string // from the caller's headers
 	HTTP     *leafhttp.Request
 	AnswerBy time.Time // latest time to send an answer that reaches the caller within the latency objective
-	Deadline time.Time // when the caller's time or that of the route is over, whichever is earlier, less answerMargin
+	Deadline time.Time // end of the caller's time or of the route's timeout, whichever is earlier; earlier by answerMargin, to leave time for sending the answer
 	Top      int       // maximum number of records in the answer to a gathered request
 }
 
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -28,8 +28,8 @@
 	changed     chan struct{}            // closed and replaced at each change of the feed
 	lastSuccess map[string]time.Time     // by followedLeafs or followedManifest: when the store last answered about it
 
-	packedList     []byte // packed leafs; nil after a change
-	packedManifest []byte // packed document of manifest; nil after a change
+	packedList     []byte // leafs, encoded by pack; nil if they have changed since
+	packedManifest []byte // document of manifest, encoded by pack; nil if it has changed since
 }
 
 // feedChange is a change of the list of leafs with its position.
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -26,13 +26,16 @@
 	vmsWatchTimeout = 20 * time.Second
 	// Pauses after a watch that returned changes, so that the next call returns all changes
 	// that follow shortly after. A drain or a manifest must be known within 3 s.
-	manifestChangePause = 250 * time.Millisecond // after a change of the manifest
-	leafsChangePause    = 500 * time.Millisecond // after changes of the list of leafs
-	vmsChangePause      = 2 * time.Second        // after changes of the list of VMs
-	// Bounds of the pause after a call that failed. All VMs lose the store at the same time,
-	// so the pauses are randomized.
-	minRetryPause = 100 * time.Millisecond  // longest pause without an earlier failure; it doubles with each failure in a row
-	maxRetryPause = 1500 * time.Millisecond // upper bound of the pause, however many calls failed
+	manifestChangePause = 250 * time.Millisecond // pause after a watch that returned a new manifest
+	leafsChangePause    = 500 * time.Millisecond // pause after a watch that returned changes of the list of leafs
+	vmsChangePause      = 2 * time.Second        // pause after a watch that returned changes of the list of VMs
+	// minRetryPause is the upper bound of the pause before the next try while no failure has
+	// been counted. The bound doubles with each failure in a row. All VMs lose the store at
+	// the same time, so the pauses are randomized below the bound.
+	minRetryPause = 100 * time.Millisecond
+	// maxRetryPause is the upper bound of the pause before the next try, however many calls
+	// failed in a row.
+	maxRetryPause = 1500 * time.Millisecond
 	// vmsRetryPause is the longest pause before the list of VMs is read again after a watch
 	// of it failed. The list rarely changes, and nothing waits for it.
 	vmsRetryPause = 4 * time.Second
@@ -97,7 +100,9 @@
 	// watch waits for changes after a revision and applies them to the engine. It returns the
 	// revision to continue from and whether anything changed.
 	watch func(ctx context.Context, since Revision) (Revision, bool, error)
-	pause time.Duration // before the next watch, after one that returned changes
+	// pause is the time between two watches if the first one returned changes, or ended sooner
+	// than this without changes.
+	pause time.Duration
 }
 
 // follow reads and watches a resource until ctx ends.
@@ -134,8 +139,9 @@
 	}
 }
 
-// watch watches a resource from a revision until a call fails. A short pause follows a watch
-// that ends early without changes, because a store in trouble may end every watch at once.
+// watch watches a resource from a revision until a call fails. It pauses after a call that
+// returned changes. It also pauses after a call that ended early without changes, because a
+// store in trouble may end every watch at once.
 func (f *follower) watch(ctx context.Context, res resource, revision Revision) error {
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -246,9 +252,10 @@
 // the previous list.
 //
 // After an outage of the store, the entries of healthy leafs may have expired. This may also
-// be the case if only the VM that was followed failed. But then a leaf may also have left
-// just after the list was last known to be fresh, so it is held no longer than it may still
-// get requests. bound is the time within which a leaf that left must get no more requests.
+// be the case if only the VM that was followed failed. But then a missing leaf may also have
+// left just after the list was last known to be fresh. bound is the time within which a leaf
+// that left must get no more requests. So the hold ends before bound has passed since the list
+// was last known to be fresh.
 func (a *listAge) missingLeafHold(now time.Time, afterOutage bool, bound time.Duration) time.Duration {
 	hold := time.Duration(0)
 	switch {
--- a/edge/gather_codec.go
+++ b/edge/gather_codec.go
@@ -9,11 +9,12 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// Messages between VMs. They are CBOR bodies of JSON-RPC notifications, because JSON-RPC
-// parses parameters several times and encodes records as text.
+// Methods of the messages between VMs. Each message is a JSON-RPC notification with a body in
+// CBOR instead of parameters in JSON. JSON parameters would be parsed several times, and
+// records in them would be encoded as text.
 const (
-	methodGather   = "gather"   // gatherCall: query the leafs of some shards
-	methodGathered = "gathered" // gatherAnswer: their results, in one or more messages
+	methodGather   = "gather"   // method of a gatherCall, which requests the results of some shards
+	methodGathered = "gathered" // method of a gatherAnswer; one call may get several
 )
 
 // gatherCall is a call to another VM to query the shards that have leafs near it. Each shard
@@ -22,7 +23,7 @@
 type gatherCall struct {
 	Key                uint64      `cbor:"1,keyasint"` // identifies the call; chosen by the calling VM
 	ID                 string      `cbor:"2,keyasint"` // id of the caller's request
-	Method             string      `cbor:"3,keyasint"` // of the request to leafs, as the three fields that follow
+	Method             string      `cbor:"3,keyasint"` // HTTP method of the request to leafs; Target, Host and Header are of the same request
 	Target             string      `cbor:"4,keyasint"` // path and query
 	Host               string      `cbor:"5,keyasint"`
 	Header             http.Header `cbor:"6,keyasint"`
@@ -56,7 +57,7 @@
 	// Declined holds the shards that were not queried and will not be, as indexes into
 	// gatherCall.Services.
 	Declined []int `cbor:"6,keyasint,omitempty"`
-	// Refused is true if no leaf has run the request for any of the other shards, and none
+	// Refused is true if no leaf has run the request for any shard of the call, and none
 	// will. The caller of the request should retry after RetryAfterUS, in microseconds. Set
 	// only with Last.
 	Refused      bool  `cbor:"7,keyasint,omitempty"`
--- a/edge/merge.go
+++ b/edge/merge.go
@@ -10,7 +10,7 @@
 
 // ShardsAnswer is the answer of some shards, from one leaf or from another VM.
 type ShardsAnswer struct {
-	Included []int    // numbers in the query of the shards that answered
+	Included []int    // shards that answered, as shard numbers of the query
 	Receipts []string // one for each shard in Included
 	Records  []byte   // merged top records of these shards
 
--- a/edge/node.go
+++ b/edge/node.go
@@ -54,7 +54,7 @@
 // Parameters of the Go runtime.
 const (
 	gcPercent        = 300 // GOGC in percent; memory is cheaper here than CPU time
-	memoryLimitShare = 0.6 // share of the process's memory limit; received data that is not yet read counts in addition
+	memoryLimitShare = 0.6 // memory limit of the Go runtime, as a share of the process's limit; received data that is not yet read counts in addition
 )
 
 // NewNode returns a daemon that is not yet running, and sets the Go runtime's parameters for
@@ -229,8 +229,8 @@
 	n.tomb.Go(func() error { probeLoop(ctx, n.engine.suspectLeafs, n.probeLeafs); return nil })
 }
 
-// maxStaleShare is the longest time without an answer from the store after which a VM still
-// answers those that follow it, as a share of the time within which a change must be known.
+// maxStaleShare bounds how old the latest answer from the store may be at a VM that serves the
+// VMs that follow it. It is a share of the time within which a change must be known.
 const maxStaleShare = 0.8
 
 // maxStaleness returns how old the latest answer from the store may be at a VM that reads the
@@ -240,8 +240,9 @@
 	return time.Duration(maxStaleShare * bound * float64(time.Millisecond))
 }
 
-// followStore follows the list of VMs. Once this is known, and with it which VMs read the
-// store for others, it starts to follow the manifest and the leafs.
+// followStore follows the list of VMs. This list determines which VMs read the store for
+// others. So the manifest and the leafs are followed only once the list has been read, or
+// listening for other VMs has failed.
 func (n *Node) followStore(ctx context.Context, f *follower, store *relay) {
 	f.joined = sync.OnceFunc(func() {
 		store.delayFirstRead()
@@ -282,8 +283,8 @@
 // Shares of the time between SIGTERM and SIGKILL. The load balancer's list lags by some
 // seconds, so the daemon continues to serve for most of the time.
 const (
-	lameDuckGraceShare = 0.7  // how long this VM continues to serve while it reports not ready, so that the load balancer moves callers to other VMs
-	drainGraceShare    = 0.18 // longest wait for requests in flight after that
+	lameDuckGraceShare = 0.7  // share for which this VM continues to serve while it reports not ready, so that the load balancer moves callers to other VMs
+	drainGraceShare    = 0.18 // share that bounds the wait for requests in flight, after lameDuckGraceShare
 )
 
 // Leave marks this VM as not ready, continues to serve while the load balancer moves callers
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -38,7 +38,7 @@
 
 	mu      sync.Mutex                      // guards the fields below
 	links   map[string]*peerLink            // by name and address of the VM
-	pending map[uint64]chan<- *gatherAnswer // by key: receivers of the answers to calls whose last answer is outstanding
+	pending map[uint64]chan<- *gatherAnswer // by key of a call in progress: where its answers are sent
 	lastKey uint64                          // key of the latest call
 }
 
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -26,7 +26,7 @@
 	maxStaleness time.Duration // how old the other VM's latest answer from the store may be
 
 	leafsUpstream, manifestUpstream upstream // of the latest full read of the leafs and of the manifest
-	incarnation                     string   // of the followed VM, when it returned the list of leafs; its positions are valid within this incarnation only
+	incarnation                     string   // of the followed VM, when it returned the list of leafs; its positions, the numbers of its leaf changes, are valid within this incarnation only
 
 	mu          sync.Mutex           // guards the fields below
 	avoidUntil  map[string]time.Time // by name of a VM that failed: until when it is not followed
@@ -54,8 +54,8 @@
 // readers again.
 const (
 	// startDelayShare is how long a VM that has just started waits for the VMs that read the
-	// store, as a share of relay.maxStaleness: the time for which such a VM serves others
-	// without an answer from the store.
+	// store for others. It is a share of relay.maxStaleness, the time for which a VM may
+	// serve others without a new answer from the store.
 	startDelayShare = 1.0 / 2
 	// retryDelayShare is the longest pause after a failed read of the store, as a share of
 	// relay.maxStaleness.
@@ -82,7 +82,8 @@
 	r.delayRead(time.Duration(startDelayShare * float64(r.maxStaleness)))
 }
 
-// delayRead lets this VM read the store only after a time, unless it reads it for others.
+// delayRead keeps this VM from reading the store until d has passed. The delay does not apply
+// while this VM reads the store for others.
 func (r *relay) delayRead(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,8 +131,8 @@
 	return true
 }
 
-// sameUpstream reports whether up is still where to read from, and returns the VM to follow if
-// there is one.
+// sameUpstream returns the VM to follow if there is one, and whether up is still the upstream
+// to read from: that VM, or the store if there is no VM to follow.
 func (r *relay) sameUpstream(up upstream) (scatter.VM, bool) {
 	vm, follow := r.currentReader()
 	if !follow {
--- a/edge/relay_serve.go
+++ b/edge/relay_serve.go
@@ -23,7 +23,7 @@
 	Position       int64  `json:"position"`  // return the changes after this one; for methodFollowManifest, the version of the manifest that the caller has
 	List           bool   `json:"list"`      // return all leafs, or the manifest if it is newer, at once
 	WaitMS         int64  `json:"wait_ms"`   // without List: longest wait for a change, in milliseconds
-	MaxStalenessMS int64  `json:"within_ms"` // longest time since the store last answered the called VM, in milliseconds; otherwise the call fails
+	MaxStalenessMS int64  `json:"within_ms"` // the call fails if the store last answered the called VM longer ago than this, in milliseconds
 }
 
 // leafsAnswer is the result of methodFollowLeafs.
@@ -42,8 +42,8 @@
 
 // Names of the resources that are followed.
 const (
-	followedLeafs    = "leafs"
-	followedManifest = "manifest"
+	followedLeafs    = "leafs"    // list of leafs
+	followedManifest = "manifest" // manifest in force
 )
 
 // serveFollowLeafs serves a VM that reads the leafs from this VM instead of from the store. It
@@ -70,6 +70,8 @@
 	var changes []registry.Change
 	position, kept := call.Position, true // kept: all changes after call.Position are still known
 	fresh := func() bool { return e.feed.isFresh(followedLeafs, within) }
+	// The wait ends when there are changes, when some changes are no longer kept, or when the
+	// store has not answered this VM recently.
 	e.feed.waitFor(ctx, func() bool {
 		changes, position, kept = e.feed.changesSince(call.Position)
 		return len(changes) > 0 || !kept || !fresh()
@@ -96,6 +98,8 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.WaitMS)*time.Millisecond)
 	defer cancel()
 	newer := false
+	// The wait ends when there is a newer manifest, at once if List is set, or when the store
+	// has not answered this VM recently.
 	e.feed.waitFor(ctx, func() bool {
 		m, _ := e.feed.current()
 		newer = m != nil && m.Version > call.Position
--- a/edge/run.go
+++ b/edge/run.go
@@ -41,7 +41,7 @@
 	sent    bool              // the call was written to the connection
 	end     scatter.End       // how the attempt or the call ended
 	reply   *reply            // the leaf's answer, nil unless end is EndAnswered or EndFailed
-	shards  *ShardsAnswer     // an answer to a call, nil if the event is none
+	shards  *ShardsAnswer     // an answer to a call to another VM; nil for any other event
 	// neverSent is true if the call failed before the VM received it.
 	neverSent bool
 }
@@ -62,9 +62,9 @@
 	// lingerAbandoned applies if the caller has disconnected, or if a gathered request has
 	// been answered. Leafs should not work on unwanted results, but cancelling an attempt
 	// closes its connection, which costs a new one. So a leaf gets enough time to finish most
-	// requests, and one that is paused gets time to report that it stopped. If another VM
-	// made the call, its caller may have disconnected long before without this VM being
-	// notified, so such a query never waits for the deadline.
+	// requests, and one that is paused gets time to report that it stopped. It always
+	// applies to a query on behalf of another VM: the caller may have disconnected long
+	// before, and this VM is not notified of that.
 	lingerAbandoned = 300 * time.Millisecond
 	// lingerLate applies in all other cases. It is added to the caller's deadline, at which
 	// leafs stop by themselves.
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -12,7 +12,7 @@
 // slot of the leaf for some milliseconds, and delays a request by the same time. After a
 // simultaneous start of all VMs, requests would wait for several hundred new connections.
 const (
-	warmInterval  = time.Second          // pause between two rounds, each over all missing connections
+	warmInterval  = time.Second          // pause between two rounds; each round opens all missing connections
 	warmDialPause = 8 * time.Millisecond // pause between opening two connections of a round
 )
 
