--- a/policy/admission.go
+++ b/policy/admission.go
@@ -55,15 +55,25 @@
 }
 
 // Parameters of an Admission. Its limit is the number of queries that may run at once on
-// this VM. The share is the number that SetShare sets.
+// this VM. The limit moves between a floor and a ceiling, which are multiples of the VM's
+// share: the number of queries that this VM may run so that all VMs together just fill the
+// targets' slots.
 const (
-	minQueryLimit           = 1.0 // lower bound of the limit, in queries
-	minLimitCeiling         = 8.0 // the limit may always rise to this number of queries, however small the share is
-	limitFloorPerShare      = 4.5 // floor of the limit per query of the share; enough that most of the time a request waits for each slot
-	limitCeilingPerShare    = 6.0 // ceiling of the limit per query of the share; allows bursts while attempts are fast
+	minQueryLimit   = 1.0 // lower bound of the limit of queries in flight
+	minLimitCeiling = 8.0 // the limit may always rise to this number of queries, however small the VM's share is
+	// limitFloorPerShare is the floor of the limit, as a multiple of the number of queries
+	// that is this VM's share. With all VMs at their floors, a request waits for each slot
+	// most of the time.
+	limitFloorPerShare = 4.5
+	// limitCeilingPerShare is the ceiling of the limit, as a multiple of the number of
+	// queries that is this VM's share. It allows bursts while attempts are fast.
+	limitCeilingPerShare    = 6.0
 	maxWaitPerQueryDuration = 0.6 // longest wait for admission, as a share of a query's expected duration
 	limitDecreaseFactor     = 0.8 // factor applied to the limit after a sign of overload
-	limitIncreasePerQuery   = 0.2 // queries added to the limit, from its floor upwards, when a query ends without a sign of overload while the limit is reached
+	// limitIncreasePerQuery is what the end of one query adds to a limit that is at its
+	// floor or above, in queries. It is added only if the query's end shows no overload and
+	// as many queries ran as the limit allows.
+	limitIncreasePerQuery = 0.2
 	// limitIncreaseBelowFloor replaces limitIncreasePerQuery while the limit is below its
 	// floor. It is divided by the limit: with a limit of n queries, the ends of n queries
 	// together add 0.1. A faster rise would outweigh the reductions by refusals.
@@ -72,8 +82,8 @@
 	durationSampleWeight    = 0.1                    // weight of a new sample in the smoothed durations of queries
 	maxRetryAfter           = 5 * time.Second        // upper bound of the time after which a refused caller is told to retry
 	minRetryAfter           = 50 * time.Millisecond  // lower bound of the time after which a refused caller is told to retry
-	maxQueuedPerLimit       = 20                     // upper bound of waiting queries, as a multiple of the limit
-	maxDurationDeviations   = 2                      // number of deviations from the mean duration within which nearly all queries end
+	maxQueuedPerLimit       = 20                     // upper bound of waiting queries, as a multiple of the limit of queries in flight
+	maxDurationDeviations   = 2                      // nearly all queries end within the mean duration plus this many times the mean deviation from it
 	defaultQueryDuration    = 20 * time.Millisecond  // assumed duration of a query before the first one ends
 )
 
@@ -90,8 +100,8 @@
 // SetShare sets the share: how many whole queries this VM may run so that all VMs
 // together just fill the targets' slots. The floor and the ceiling of the limit follow
 // from the share. The slots stay busy if the limits of all VMs are at their floors, so
-// slow attempts do not lower the limit below its floor. Refusals do, since there may be
-// more VMs, or fewer targets, than the share was calculated for.
+// slow attempts do not lower the limit below its floor. Refusals do lower it further,
+// since there may be more VMs, or fewer targets, than the share was calculated for.
 func (a *Admission) SetShare(share float64) {
 	a.share = share
 	a.floor = max(share*limitFloorPerShare, minQueryLimit)
@@ -182,8 +192,8 @@
 	a.lastEnd = now
 }
 
-// smooth returns the moving average old after a new sample. The first sample is taken
-// as it is.
+// smooth returns a moving average after a new sample. old is the average before the
+// sample, or 0 before the first sample, which is taken as it is.
 func smooth(old, sample time.Duration) time.Duration {
 	if old == 0 {
 		return sample
@@ -191,12 +201,14 @@
 	return old + time.Duration(durationSampleWeight*float64(sample-old))
 }
 
-// adjustLimit lowers the limit if the end of a query shows overload, and raises it if
-// not and the limit is reached. The query that has ended is no longer in running, but it
-// counts as running here.
+// adjustLimit lowers the limit if the end of a query shows overload. Otherwise it raises
+// the limit if as many queries ran as the limit allows. The query that has ended is no
+// longer in running, but it counts as running here.
 func (a *Admission) adjustLimit(now time.Time, end QueryEnd) {
 	switch end.Pressure {
 	case TargetsQueueing:
+		// Slow attempts do not lower the limit below its floor. A limit that refusals have
+		// lowered further stays as it is.
 		a.reduceLimit(now, min(a.floor, a.limit))
 		return
 	case TargetsRefusing:
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -74,8 +74,8 @@
 // connection that went silent takes only part of the query's time limit.
 const (
 	attemptTimeoutQuantile = 0.99                  // quantile of the latency of answered attempts from which the timeout is calculated
-	attemptTimeoutFactor   = 4                     // timeout as a multiple of that latency
-	attemptTimeoutMin      = 50 * time.Millisecond // lower bound of the timeout, unless less time is left for the query
+	attemptTimeoutFactor   = 4                     // timeout as a multiple of the latency at attemptTimeoutQuantile
+	attemptTimeoutMin      = 50 * time.Millisecond // lower bound of the timeout; a query with less time left uses the time left
 )
 
 // attemptTimeout returns the timeout of an attempt that is sent now. It is never longer
@@ -93,9 +93,10 @@
 	limit := max(slow*attemptTimeoutFactor, attemptTimeoutMin)
 	if q.table.Median.NearBaseline() {
 		// While targets have no queues, an attempt that takes half of the time left is
-		// lost rather than slow. Without this bound its timeout can exceed the deadline,
-		// since a few lost attempts raise the quantile, and no retry would be sent. An
-		// attempt in a queue may still be answered, and a retry would wait as long.
+		// lost rather than slow. Without this bound, a few lost attempts can raise the
+		// quantile so far that the timeout exceeds the deadline. Then no retry would be
+		// sent. While targets have queues, the bound does not apply: an attempt in a queue
+		// may still be answered, and a retry would wait as long.
 		limit = min(limit, max(left/2, attemptTimeoutMin))
 	}
 	return min(left, limit)
--- a/policy/budget.go
+++ b/policy/budget.go
@@ -1,7 +1,7 @@
 package policy
 
 // budgetBurst is the number of extra attempts (hedges or retries) that a full budget
-// allows at once. It allows retries in a search that is rarely used.
+// allows at once. A budget starts full, so a search that is rarely used can retry too.
 const budgetBurst = 20
 
 // Budget limits extra attempts (hedges or retries) to a share of first attempts, so that
@@ -20,7 +20,8 @@
 	return b
 }
 
-// RecordFirst counts n first attempts and refills the budget accordingly.
+// RecordFirst counts n first attempts. They refill the budget by its share of n, up to
+// its capacity.
 func (b *Budget) RecordFirst(n int) {
 	b.tokens = min(b.tokens+b.share*float64(n), b.capacity())
 }
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -45,6 +45,7 @@
 	return s.toSnapshot(), true
 }
 
+// toSnapshot returns what a query needs to know of the snapshot.
 func (s *snapshotState) toSnapshot() Snapshot {
 	return Snapshot{Name: s.name, Seq: s.seq, Shards: s.shards}
 }
@@ -76,9 +77,9 @@
 	return c
 }
 
-// maxReplicaRatio is how many times as many replicas an older complete snapshot may have
-// for a newer complete one to be preferred. The replicas of a snapshot are those of its
-// shard that has the fewest.
+// maxReplicaRatio bounds the preference for the newer of two complete snapshots. The older
+// one is chosen if it has more than this many times as many replicas. The replicas of a
+// snapshot are those of its shard that has the fewest.
 const maxReplicaRatio = 2
 
 // betterThan reports whether c is a better choice than other. A complete snapshot is
@@ -126,13 +127,13 @@
 	otherZoneCost         = time.Millisecond     // added to the cost of a replica outside the VM's zone
 	maxLoadReportAge      = 2 * time.Second      // age from which a leaf's reported load is ignored
 	loadReportWeight      = 0.5                  // weight of a load that was reported just now; below 1 since reports lag and may mislead
-	reportedLoadCap       = 2                    // upper bound of other VMs' calls per slot of a replica, before loadReportWeight, that count in its cost
+	reportedLoadCap       = 2                    // upper bound, per slot, of other VMs' calls that count in a replica's cost; loadReportWeight is applied to the calls and to this bound
 	maxCallsPerSlot       = 2                    // upper bound of this VM's calls in flight on a replica, per slot
 )
 
-// Pick chooses the replica for an attempt on a shard: the one with the lower
-// expected time of two random usable replicas. Choosing from two random ones keeps
-// VMs that read the same report from all sending to the same leaf. Replicas in
+// Pick chooses the replica for an attempt on a shard. It draws two usable replicas at
+// random and returns the one with the lower expected time. The random draw keeps VMs
+// that read the same report from all sending to the same leaf. Replicas in
 // tried are excluded. If idle is set, replicas without a free slot are excluded
 // too, for attempts that should not wait in a queue. It returns false if no replica
 // remains.
@@ -247,9 +248,10 @@
 	return time.Duration(left * float64(t.rng.Int64N(int64(10*defaultReplicaLatency))))
 }
 
-// ReadyAgain returns the earliest time at which a replica of a shard that is in
-// cooldown or busy may be tried again, and false if the shard has no such replica.
-// Replicas in tried are excluded.
+// ReadyAgain returns when to check a shard again whose replicas are all busy or in
+// cooldown: when the first of their cooldowns has ended, but not before
+// minRecheckInterval from now. Replicas in tried are excluded. It returns false if no
+// usable replica remains.
 func (t *Table) ReadyAgain(now time.Time, snapshot string, shard int, tried []ReplicaID) (time.Time, bool) {
 	s := t.snapshots[snapshot]
 	if s == nil {
--- a/policy/conclude.go
+++ b/policy/conclude.go
@@ -20,7 +20,7 @@
 		return append(acts, q.restart(now)...)
 	case open == 0: // no further answer can arrive
 		return append(acts, q.finish(now, EndExhausted)...)
-	case q.reachableCoverage(lost) < q.spec.MinCoverage:
+	case q.reachableCoverage(lost) < q.spec.MinCoverage: // too many shards are lost
 		return append(acts, q.finish(now, EndExhausted)...)
 	}
 	if q.sufficient(now) {
--- a/policy/cooldown.go
+++ b/policy/cooldown.go
@@ -6,8 +6,8 @@
 type cooldown struct {
 	failures     int       // failures in a row
 	failedAt     time.Time // when the latest failure was counted
-	until        time.Time // end of the cooldown after failures; before it there is no attempt unless no other replica is available
-	refusedUntil time.Time // end of the cooldown after a refusal; before it there is no attempt
+	until        time.Time // end of the cooldown after failures; until then attempts are sent only if no other replica is available
+	refusedUntil time.Time // end of the cooldown after a refusal; until then no attempts are sent
 }
 
 // Limits of a cooldown.
@@ -18,7 +18,8 @@
 	failuresToCooldown   = 2                     // failures in a row that start the first cooldown
 )
 
-// recordFailure counts the failure of an attempt. Each further failure in a row
+// recordFailure counts the failure of an attempt that was sent at sentAt. The first
+// cooldown starts after failuresToCooldown failures in a row. Each further failure
 // doubles the cooldown, up to maxCooldown. Attempts that were in flight at the same
 // time count once: a short pause of the target or of this VM fails many of them and
 // shows no more than one failure does.
--- a/policy/coverage.go
+++ b/policy/coverage.go
@@ -30,7 +30,7 @@
 const (
 	EndComplete   EndReason = iota // every shard answered
 	EndSufficient                  // MinCoverage was reached and the grace period has passed
-	EndExhausted                   // no shard can still answer and some have not, or MinCoverage can no longer be reached
+	EndExhausted                   // some shards have not answered and none of them still can, or MinCoverage can no longer be reached
 	EndDeadline                    // the deadline passed
 	EndNoSnapshot                  // no snapshot was readable
 	EndAbandoned                   // the caller disconnected
--- a/policy/load.go
+++ b/policy/load.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// stallLatencyQuantile is the latency quantile from which a cancelled attempt counts as
-// failed.
+// stallLatencyQuantile is a quantile of the latency of answered attempts. A cancelled
+// attempt that took at least that long counts as failed.
 const stallLatencyQuantile = 0.99
 
 // stalled reports whether an attempt without an answer took so long that its
--- a/policy/median_latency.go
+++ b/policy/median_latency.go
@@ -22,7 +22,7 @@
 
 	baselineFallTime        = time.Second     // time constant with which the baseline follows a lower median
 	baselineRiseTime        = 3 * time.Second // time constant with which the baseline follows a higher median
-	crowdedBaselineRiseTime = 5 * time.Minute // replaces baselineRiseTime while queues may be the cause of the higher median
+	crowdedBaselineRiseTime = 5 * time.Minute // replaces baselineRiseTime while this VM runs more queries than its share of the slots, so that queues may be the cause of the higher median
 	maxBaselineInterval     = time.Second     // longest time that one call of UpdateBaseline accounts for
 )
 
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -20,9 +20,12 @@
 //     that cannot be reached are not loaded, and the others have free slots.
 //   - A slow query. One straggler or silent connection causes it while slots are free.
 const (
-	maxShedShare               = 0.1  // share of recent attempts that are refused because no slot is free
-	shedSampleWeight           = 0.02 // weight of one attempt in the smoothed share of refused attempts
-	slowMedianShareOfTimeLimit = 0.25 // attempts count as waiting in queues if their median latency exceeds this share of the query's time limit, even if it is the latency without queues
+	maxShedShare     = 0.1  // targets count as refusing if more than this share of recent attempts was refused because no slot was free
+	shedSampleWeight = 0.02 // weight of one attempt in the smoothed share of refused attempts
+	// slowMedianShareOfTimeLimit is a share of the query's time limit. Attempts count as
+	// waiting in queues if their median latency exceeds it, even if they are as slow without
+	// queues.
+	slowMedianShareOfTimeLimit = 0.25
 )
 
 // Pressure returns the pressure that the end of a query shows. limit is the query's
--- a/policy/query.go
+++ b/policy/query.go
@@ -34,14 +34,14 @@
 	phases       [phaseCount]int // shards in each phase
 	fullShards   int             // shards with a complete answer
 	partialShare float64         // sum, over the shards with an incomplete answer, of the share of records read
-	wakeAt       time.Time       // no later than the next time at which Tick has work
+	wakeAt       time.Time       // Tick has no work before this time, except at the end of the grace period
 
 	startedAt  time.Time
 	lastAnswer LastAnswer
 
 	sent, hedges, retries int // attempts in all passes: all of them, hedges only, retries only
 	refused               int // attempts that no target started
-	shed                  int // attempts of refused that a target refused because no slot was free
+	shed                  int // attempts counted in refused that a target refused because no slot was free
 }
 
 // maxRestarts bounds how often a query is restarted on another snapshot.
@@ -91,7 +91,7 @@
 }
 
 // HandleAnswer records the answer of an attempt. The caller must have checked that the
-// answer's echo matches the attempt.
+// answer's Echo, which identifies the attempt that it belongs to, matches.
 func (q *Query) HandleAnswer(now time.Time, id AttemptID, answer *target.LeafAnswer) []Action {
 	a := q.endAttempt(now, id, AttemptEnd{Answered: true})
 	if a == nil || q.done {
@@ -216,6 +216,8 @@
 	q.wakeAt = earlier(q.wakeAt, a.expiresAt)
 	due, hedging := q.hedgeDelay(now)
 	if hedging && !q.shards[a.shard].hedged {
+		// The hedge may be overdue because it could not be sent. It is then tried again only
+		// after hedgeRetryInterval.
 		q.wakeAt = earlier(q.wakeAt, later(a.sentAt.Add(due), now.Add(hedgeRetryInterval)))
 	}
 }
--- a/policy/shard.go
+++ b/policy/shard.go
@@ -12,7 +12,7 @@
 	tried       []ReplicaID        // replicas that got an attempt
 	inFlight    int                // attempts in flight
 	sent        int                // attempts, hedges and retries included
-	refused     int                // attempts of sent that targets refused without starting them
+	refused     int                // attempts counted in sent that targets refused without starting them
 	budgetWaits int                // how often a retry found the retry budget empty
 	hedged      bool               // a hedge was sent
 	phase       phase              // as of the last call of updatePhase
--- a/policy/table.go
+++ b/policy/table.go
@@ -24,7 +24,7 @@
 
 	outstanding int           // calls of this VM in flight
 	latency     time.Duration // smoothed latency of this VM's calls; 0 before the first
-	cooldown    cooldown      // of this leaf only
+	cooldown    cooldown      // after failures and refusals of this leaf only
 
 	reportedLoad        float64   // calls of all VMs on the leaf, from the last status
 	reportedAt          time.Time // when that status was read
@@ -49,7 +49,7 @@
 	failedReads        int          // status reads that failed in a row
 	drainedIncarnation string       // incarnation that is known to be draining
 	servingSince       time.Time    // when it last began to serve; its warm-up counts from here
-	cooldown           cooldown     // of all leaves, which share the target's connections
+	cooldown           cooldown     // of all leaves together, since they share the target's connections
 	replicas           []*replica
 }
 
@@ -89,8 +89,8 @@
 
 	Latency *latency.Recorder // latencies of attempts that were answered
 	Median  MedianLatency     // median latency of attempts that were answered, used for admission and timeouts
-	Hedges  *Budget           // of hedges, as a share of first attempts
-	Retries *Budget           // of retries, as a share of first attempts
+	Hedges  *Budget           // bounds hedges to a share of first attempts
+	Retries *Budget           // bounds retries to a share of first attempts
 }
 
 // NewTable returns an empty table of a service for a VM in zone.
