--- a/edge/elapsed.go
+++ b/edge/elapsed.go
@@ -27,9 +27,9 @@
 	current, previous time.Duration // longest time stated in the present period and in the one before
 }
 
-// timeoutPeriod is the length of a period. The longest remaining time that callers of a route
-// stated in a period is kept until the end of the next one. It expires because callers change
-// their timeouts.
+// timeoutPeriod is the least length of a period: it ends with the first request of the route
+// after this time. The longest remaining time that callers of a route stated in a period is
+// kept until the end of the next period. It expires because callers change their timeouts.
 const timeoutPeriod = 10 * time.Second
 
 func newElapsedTimes() *elapsedTimes { return &elapsedTimes{routes: make(map[string]*longestTimeout)} }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -55,9 +55,9 @@
 }
 
 // Parameters of an Admission. Its limit is the number of queries that may run at once on
-// this VM. The limit moves between a floor and a ceiling, which are multiples of the VM's
-// share: the number of queries that this VM may run so that all VMs together just fill the
-// targets' slots.
+// this VM. Its floor and its ceiling follow from the VM's share: the number of queries that
+// this VM may run so that all VMs together just fill the targets' slots. Only refused
+// attempts lower the limit below its floor.
 const (
 	minQueryLimit   = 1.0 // lower bound of the limit of queries in flight
 	minLimitCeiling = 8.0 // the limit may always rise to this number of queries, however small the VM's share is
