--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -24,10 +24,11 @@
 // false after refusing it. ownShards are the indexes of the shards that this VM queries itself.
 // Other VMs that it calls decide about theirs.
 //
-// The slack of a request is the time until AnswerBy less its typical duration. The wait at a
-// shard is the expected time until its answer less the typical duration. The request is refused
-// if the wait at a shard that it can't leave out exceeds maxWaitShare of the slack. If the
-// request is admitted, shards whose wait exceeds the whole slack are closed.
+// AnswerBy is the time at which the request is answered with the parts received so far. The slack
+// of a request is the time until AnswerBy less its typical duration. The wait at a shard is the
+// expected time until its answer less the typical duration. The request is refused if the wait at
+// a shard that it can't leave out exceeds maxWaitShare of the slack. If the request is admitted,
+// shards whose wait exceeds the whole slack are closed: nothing is sent for them.
 func (q *Query) admit(now time.Time, ownShards []int) bool {
 	q.omissionsLeft = q.omissionsAllowed(len(ownShards))
 	if !q.spec.Gathered || q.table.admitAll {
@@ -80,8 +81,9 @@
 }
 
 // omissionsAllowed returns how many shards may be left out when the request starts. ownShards is
-// the number of shards that this VM queries itself. Only these count for a request that another
-// VM delegated to this one, and that VM states how many of them it needs (Required).
+// the number of shards that this VM queries itself. If another VM delegated the request to this
+// one, only these shards count. The field Required of the Spec then says how many answered shards
+// the calling VM needs.
 func (q *Query) omissionsAllowed(ownShards int) int {
 	if !q.spec.Delegated {
 		return q.maxOmissions()
@@ -100,9 +102,9 @@
 // is a whole number except for floating-point error is thus not rounded up to the next one.
 const roundingSlack = 1e-9
 
-// omitShard closes a shard that is not queried, since no leaf is expected to answer in time.
-// The request is still counted in the service's budget, which allows extra arrivals (hedges and
-// retries) in proportion to requests.
+// omitShard closes a shard that is not queried, since no leaf is expected to answer in time. The
+// request is still counted in the service's budget, which allows hedges and retries in proportion
+// to requests.
 func (q *Query) omitShard(now time.Time, s *shard) {
 	s.close(GapForecast)
 	if !s.budgetCounted {
@@ -146,6 +148,7 @@
 const (
 	// maxWaitShare limits the expected wait at a shard that a request can't leave out, as
 	// a share of the slack: the time until AnswerBy beyond the request's typical duration.
+	// AnswerBy is when the request is answered with the parts received so far.
 	// The remainder of the slack is a reserve, since other VMs start requests at the same
 	// time, some work takes longer than usual, and leafs pause.
 	maxWaitShare = 0.4
@@ -159,12 +162,13 @@
 	queueDrainShare = 0.5
 )
 
-// never is the forecast for a shard without a leaf that could be queried.
+// never is the expected time until a shard's answer if it has no leaf that could be queried.
 const never = time.Hour
 
-// eta returns the expected time from now until a shard answers. It is the time at the shard's
-// best leaf, plus the time for this VM's queries that already wait for a leaf of the shard.
-// Suspect leafs don't count. If no other leaf may be used, the result is the constant never.
+// eta returns the expected time from now until a shard answers. It is the time until the answer of
+// the leaf that is expected to answer first, plus the time for this VM's queries that already wait
+// for a leaf of the shard. Suspect leafs don't count. If no other leaf may be used, the result is
+// the constant never.
 func (q *Query) eta(now time.Time, s *shard) time.Duration {
 	typical, _ := q.table.typicalDuration(now, q.durationKey())
 	best := time.Duration(never)
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -66,9 +66,10 @@
 }
 
 // spendBudget reports whether the budget of the shard's service allows an attempt. The first
-// attempt that reaches a leaf is always allowed. Each further one is an extra arrival, and is
-// taken from the budget if it is allowed. spendBudget also counts the request in the budget,
-// which grows with the number of requests, unless the request was counted before.
+// attempt that reaches a leaf is always allowed. Each further one, such as a hedge or a retry, is
+// an extra arrival. It is allowed if the budget has enough extra arrivals left, and then takes one
+// from it. spendBudget also counts the request in the budget, which grows with the number of
+// requests, unless the request was counted before.
 func (q *Query) spendBudget(now time.Time, s *shard, reason AttemptReason) bool {
 	b := q.table.budget(now, s.service)
 	if !s.budgetCounted {
@@ -125,14 +126,16 @@
 
 // latePartShare is the time that a leaf is given for a late shard of a gathered request, as a
 // share of the latency objective. A shard is late if its answer can no longer be expected before
-// AnswerBy. The answer to the whole request is then late too, but is an answer. Only leafs with
-// a free slot are sent late shards.
+// AnswerBy, the time at which the request is answered with the parts received so far. The answer
+// to the whole request is then late too, but is an answer. Only leafs with a free slot are sent
+// late shards.
 const latePartShare = 0.5
 
 // usefulUntil returns the time from which the answer to an attempt that is sent now is useless.
-// For a request to a single service it is the deadline. For a gathered request it is AnswerBy.
-// If a typical attempt would end after AnswerBy, it is a short time from now instead (see
-// latePartShare). It is never after the deadline.
+// For a request to a single service it is the deadline. For a gathered request it is AnswerBy,
+// when the request is answered with the parts received so far. If a typical attempt would end
+// after AnswerBy, it is a short time from now instead (see latePartShare). It is never after the
+// deadline.
 //
 // Parts of a gathered answer are useless once the answer was sent. The caller's whole time may
 // be many times the latency objective. If leafs were given all of it, those short of slots would
@@ -188,9 +191,10 @@
 	}
 }
 
-// waitUntil returns the time until which a shard may wait for a leaf with capacity: AnswerBy for
-// a gathered request, otherwise leafWaitShare of the latency objective after the start, but not
-// after the deadline.
+// waitUntil returns the time until which a shard may wait for a leaf with capacity. For a gathered
+// request it is AnswerBy, when the request is answered with the parts received so far. For a
+// request to a single service it is leafWaitShare of the latency objective after the start, but
+// not after the deadline.
 func (q *Query) waitUntil() time.Time {
 	if q.spec.Gathered {
 		return q.spec.AnswerBy
--- a/scatter/budget.go
+++ b/scatter/budget.go
@@ -7,7 +7,7 @@
 // again by another VM.
 type BudgetConfig struct {
 	Ratio  float64       // extra arrivals allowed per request in the window
-	Floor  float64       // extra arrivals that all VMs together may cause per window, besides the ratio
+	Floor  float64       // extra arrivals that all VMs together may cause per window, besides those that Ratio allows
 	Window time.Duration // length of the sliding window in which arrivals are counted
 }
 
@@ -21,9 +21,13 @@
 // oldest. So the bound holds wherever the window begins.
 const budgetSteps = 40
 
-// budget bounds the extra arrivals that this VM causes at one service. No VM knows what the
-// others spend. Each VM spends the ratio of its own requests and its share of the floor, so
-// the total bound holds however requests are distributed.
+// budget bounds the extra arrivals that this VM causes at one service. An extra arrival is
+// anything that reaches a leaf after the first arrival of a request, such as a hedge or a retry.
+//
+// No VM knows how many extra arrivals the others cause. Each VM may cause as many as the ratio
+// allows for its own requests, plus its share of the floor. The floor is the number that all VMs
+// together may cause per window besides the ratio. So the bound on all VMs together holds however
+// requests are distributed among them.
 type budget struct {
 	config    BudgetConfig
 	floor     float64                     // this VM's share of the configured floor, in extra arrivals per window
@@ -32,7 +36,8 @@
 	startedAt time.Time                   // when step 0 began
 }
 
-// budgetStep counts the requests (by weight) and the extra arrivals of one step of the window.
+// budgetStep counts the arrivals at a service in one step of the window: the requests, each with
+// its weight from 0 to 1, and the extra arrivals, such as hedges and retries.
 type budgetStep struct{ requests, extra float64 }
 
 // newBudget returns a budget whose steps are numbered from now.
@@ -46,9 +51,9 @@
 	b.advance(now).requests += weight
 }
 
-// spend takes one extra arrival from the budget and returns true. If that would leave fewer than
-// reserve arrivals in the budget, it takes nothing and returns false. The reserve keeps hedges
-// from using up what retries need.
+// spend takes one extra arrival, such as a hedge or a retry, from the budget and returns true. If
+// fewer than reserve extra arrivals would then be left, it takes nothing and returns false. The
+// reserve keeps hedges from using up what retries need.
 func (b *budget) spend(now time.Time, reserve float64) bool {
 	step := b.advance(now)
 	var requests, extra float64
@@ -59,6 +64,8 @@
 	// The step after the newest one in the ring is the oldest. Its requests don't count,
 	// since the window may begin after them.
 	oldest := b.steps[(b.newest+1)%int64(len(b.steps))].requests
+	// The window allows the usable part of the ratio for each request, plus this VM's share
+	// of the floor.
 	allowed := b.config.Ratio*usableRatio*(requests-oldest) + b.floor
 	if extra+1+reserve > allowed {
 		return false
--- a/scatter/conclude.go
+++ b/scatter/conclude.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// conclude returns the actions acts. If the outcome of the query is decided now, it ends the
-// query and appends the Finish action. It returns nothing if the query has already ended.
+// conclude returns the given actions. If the outcome of the query is decided now, it ends the
+// query and appends the Finish action. If the query ended before, it returns nothing.
 func (q *Query) conclude(now time.Time, acts []Action) []Action {
 	if q.done {
 		return nil
@@ -114,9 +114,10 @@
 	return Outcome{}, false
 }
 
-// callPending reports whether another VM may still answer a shard. It may also after its call
-// failed over, since the VM may be slow rather than stopped. That answer may be the only one: the
-// budget may not have allowed direct requests to leafs.
+// callPending reports whether another VM may still answer a shard. That is also possible after its
+// call failed over, which means that the shard was queried in another way. The VM may be slow
+// rather than stopped. Its answer may be the only one: the budget of hedges and retries may not
+// have allowed direct requests to leafs.
 func (q *Query) callPending(s *shard) bool {
 	return s.call != 0 && !q.calls[s.call].finished
 }
--- a/scatter/cooldown.go
+++ b/scatter/cooldown.go
@@ -5,7 +5,7 @@
 // cooldown keeps requests away from a leaf or a VM for a while after it failed, refused or did
 // not answer.
 type cooldown struct {
-	failures int       // consecutive failures; raised further by a failure that starts a cooldown at once
+	failures int       // consecutive failures; one that starts a cooldown at once may count as several
 	until    time.Time // end of the latest cooldown, zero if there was none
 }
 
@@ -23,8 +23,8 @@
 	// first failures say little: a leaf breaks off a few answers and serves the next
 	// request.
 	failuresToCooldown = 2
-	// silenceDoublings is how often baseCooldown is doubled at least for the cooldown after
-	// a request that got no answer in its whole time.
+	// silenceDoublings is the smallest number of times that baseCooldown is doubled for the
+	// cooldown after a request that got no answer until its time was over.
 	silenceDoublings = 2
 )
 
@@ -54,10 +54,10 @@
 	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown+1, maxPauseDoublings), maxCooldown))
 }
 
-// recordSilence records that nothing was received in the whole time of a request that was sent
-// at sentAt. This time is many times longer than any pause of a leaf. The leaf has stopped
-// without notice, and the next request would be lost as well. The cooldown begins at once, and
-// is longer than after a failure.
+// recordSilence records that nothing was received until the time of a request was over. The
+// request was sent at sentAt. Its time is many times longer than any pause of a leaf. The leaf has
+// stopped without notice, and the next request would be lost as well. The cooldown begins at once,
+// and is longer than after a failure.
 func (c *cooldown) recordSilence(sentAt, now time.Time) {
 	if sentAt.Before(c.until) {
 		return
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -209,8 +209,9 @@
 // failoverTime returns when a call that is sent now fails over if it has no answer by then. That
 // is when the call has taken longer than most calls take until their first answer. The called VM
 // sends an interim answer at interim, so the call does not fail over before that answer can have
-// been received. It fails over at the latest after latestFailoverShare of the time until
-// AnswerBy. A call that is not acknowledged in time fails over earlier (see call.ackDue).
+// been received. It fails over at the latest after latestFailoverShare of the time until AnswerBy,
+// by when this VM answers its caller. A call that is not acknowledged in time fails over earlier
+// (see call.ackDue).
 func (q *Query) failoverTime(now, interim time.Time) time.Time {
 	due := interim.Add(callRoundTrip)
 	if d, known := q.table.durationsOf(q.callDurationKey()).Quantile(now, failoverDurationQuantile); known {
@@ -220,14 +221,15 @@
 	return earlier(due, last)
 }
 
-// delegatedWeight is the part of a delegated request, from 0 to 1, that is counted as a request
-// in the budget of the calling VM. The called VM counts the remainder (DelegateWeight), which is
-// larger: the called VM sends the hedges, and the calling VM needs its budget of extra arrivals
-// only when the call fails over.
+// delegatedWeight is the part of a delegated request, from 0 to 1, that is counted as a request in
+// the budget of the calling VM. A budget allows hedges and retries in proportion to requests. The
+// called VM counts the remainder (DelegateWeight), which is larger: the called VM sends the
+// hedges, and the calling VM needs its budget only when the call fails over.
 const delegatedWeight = 0.15
 
-// DelegateWeight is the BudgetWeight of a request that another VM delegated to this one: the
-// part, from 0 to 1, that this VM counts as a request in its budget of extra arrivals.
+// DelegateWeight is the BudgetWeight of a request that another VM delegated to this one: the part,
+// from 0 to 1, that this VM counts as a request in its budget. A budget allows hedges and retries
+// in proportion to requests.
 const DelegateWeight = 1 - delegatedWeight
 
 // callDurationKey returns the key under which the durations of this query's calls to other VMs
@@ -286,8 +288,8 @@
 
 // callRefused handles the refusal of a call: no leaf has run any of its shards for the called VM,
 // and none will. retryAfter is the delay after which the caller should retry. Shards of the call
-// are closed unless this VM has meanwhile sent them to a leaf itself: the request's other shards
-// can't make up for them.
+// are closed, which rules out further attempts on them: the request's other shards can't make up
+// for them. Shards that this VM has meanwhile sent to a leaf itself stay open.
 func (q *Query) callRefused(now time.Time, c *call, id CallID, retryAfter time.Duration) []Action {
 	c.finished, c.resolved = true, true
 	q.table.callRefusalRate.add(now, 1)
--- a/scatter/failover.go
+++ b/scatter/failover.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Parameters of the time within which a VM has to acknowledge a call by any message. A VM that
-// is frozen, disconnected or stopped does not, and the call fails over while there is time for
-// another VM to do all of the work.
+// Parameters of the time within which a VM has to acknowledge a call by any message. A VM that is
+// frozen, disconnected or stopped does not, and the call fails over while there is time for
+// another VM to do all of the work. AnswerBy is the time by which this VM answers its caller.
 const (
 	// ackWaitShare is the time within which a call has to be acknowledged, as a share of
 	// the time until AnswerBy.
@@ -61,14 +61,17 @@
 	q.table.ackTimes[c.partition.zone] = ackTime{took: took, at: now}
 }
 
-// ackTime is the longest time that VMs of a zone recently took to acknowledge a call.
+// ackTime records the longest time that VMs of a zone recently took to acknowledge a call. A
+// recorded time is reduced as it gets older (see longest).
 type ackTime struct {
-	took time.Duration // the longest time to acknowledge a call, as it counted at the time at
-	at   time.Time     // when the latest acknowledgement was received
+	// took is the longer of two times: the time that the latest acknowledgement took, and
+	// the time recorded before, reduced by its age at that moment.
+	took time.Duration
+	at   time.Time // when the latest acknowledgement was received
 }
 
 // longest returns the longest time that VMs of the zone recently took to acknowledge a call. A
-// recorded time counts less the older it is: half after each ackTimeHalfLife.
+// recorded time is reduced by half for each ackTimeHalfLife since it was recorded.
 func (a ackTime) longest(now time.Time) time.Duration {
 	return time.Duration(float64(a.took) * math.Exp2(-float64(now.Sub(a.at))/float64(ackTimeHalfLife)))
 }
@@ -76,10 +79,10 @@
 // Failover of calls.
 //
 // The problem: of hundreds of VMs, some freeze or are lost together. Each VM makes a call only
-// every few seconds, so it detects a lost VM through a request of its own. The owners of a
-// shard's leafs are the VMs that normally send requests to them. Any other VM has no connections
-// to the leafs and almost none of the budget. Therefore the shards of a called VM that is silent
-// or lost are queried through another owner.
+// every few seconds, so it detects a lost VM through a request of its own. The owners of a shard's
+// leafs are the VMs that normally send requests to them. Any other VM has no connections to the
+// leafs, and almost none of the budget of extra arrivals (hedges and retries). Therefore the
+// shards of a called VM that is silent or lost are queried through another owner.
 
 // failOverOverdueCalls handles the calls whose answer or acknowledgement is overdue. If the
 // called VM has sent no message, the call fails over to another VM. Otherwise this VM sends the
@@ -103,15 +106,16 @@
 	return acts
 }
 
-// failOver calls another VM for the unanswered shards of a call. The other VM is an owner of
-// their leafs too, so it has connections to them and most of the budget. mayHaveSent says that
-// the first VM may have received the call, and so may have sent requests for the shards to leafs.
+// failOver calls another VM for the unanswered shards of a call. The other VM is an owner of their
+// leafs too, so it has connections to them and most of the budget of extra arrivals, such as
+// hedges and retries. mayHaveSent says that the first VM may have received the call, and so may
+// have sent requests for the shards to leafs.
 //
-// There may be no other VM to call, or too few shards for a call. If a VM that was called may
-// have sent requests for the shards, this VM then sends them to leafs itself. The requests are
-// extra arrivals, which are taken from the budget. If no VM may have sent any, failOver returns
-// nothing and leaves the shards to CallFail. CallFail takes nothing from the budget, since its
-// requests are the first arrivals.
+// There may be no other VM to call, or too few shards for a call. What follows then depends on the
+// VMs that were called. If one of them may have sent requests for the shards, this VM sends
+// requests to leafs itself. They are taken from the budget, since they are extra arrivals. If no
+// VM may have sent any, failOver returns nothing and leaves the shards to CallFail. The requests
+// of CallFail are the first arrivals, and are not taken from the budget.
 func (q *Query) failOver(now time.Time, id CallID, mayHaveSent bool) []Action {
 	c := q.calls[id]
 	redelegated := mayHaveSent || c.redelegated
--- a/scatter/failure_rate.go
+++ b/scatter/failure_rate.go
@@ -8,8 +8,8 @@
 // failureRate tracks the share of requests to a leaf that fail. A refusal by a leaf that has free
 // slots counts as a failure. The rate detects a leaf that fails some requests and answers others.
 // A cooldown does not detect it, since it starts only after consecutive failures, and the leaf
-// itself reports that it is healthy. Each failure costs time and a retry, which is taken from the
-// budget.
+// itself reports that it is healthy. Each failure costs time and a retry, and a budget limits how
+// many retries there are.
 //
 // The type is also used for the share of calls that other VMs refuse.
 type failureRate struct {
@@ -25,9 +25,10 @@
 	failureRateHalfLife = 4 * time.Second
 	// failureRateSurcharge is what is added to the expected duration at a leaf that fails
 	// every request, as a share of the latency objective. With a lower failure rate the
-	// surcharge is proportionally lower. Requests go to the leaf with the lowest sum. Leafs
-	// in another zone have a surcharge too (crossZoneSurcharge). So they replace a failing
-	// leaf after three consecutive failures, not after one.
+	// surcharge is proportionally lower. Requests go to the leaf with the lowest sum of
+	// expected duration and surcharges. Leafs in another zone have a surcharge too
+	// (crossZoneSurcharge). So they replace a failing leaf after three consecutive failures,
+	// not after one.
 	failureRateSurcharge = 0.8
 )
 
--- a/scatter/floor.go
+++ b/scatter/floor.go
@@ -14,16 +14,17 @@
 	// use.
 	ownersFloorShare = 0.5
 	// firstWindowShare limits what a VM may spend in the first window after its process
-	// started, as a fraction of the VM's share of the floor. An earlier incarnation of the
-	// VM may have spent the whole share in the same window. What both spend together is
-	// covered by the headroom for unknown VMs (vmHeadroom) as long as
-	// firstWindowShare <= vmHeadroom - 1.
+	// started, as a fraction of the VM's share of the floor. The VM's previous process may
+	// have spent the whole share in the same window. All shares are computed for more VMs
+	// than are known, by the factor vmHeadroom. What both processes spend together is
+	// covered by that headroom as long as firstWindowShare <= vmHeadroom - 1.
 	firstWindowShare = 0.25
 )
 
-// budget returns the budget of extra arrivals of the named service. It first sets this VM's
-// current share of the floor in it: of the extra arrivals that all VMs together may cause per
-// window, besides the ratio.
+// budget returns this VM's budget for the named service, which bounds extra arrivals, such as
+// hedges and retries. Each call first brings this VM's share of the floor up to date in the budget.
+// The floor is the number of extra arrivals that all VMs together may cause per window, besides a
+// ratio of the requests.
 func (t *Table) budget(now time.Time, name string) *budget {
 	s := t.service(now, name)
 	s.budget.floor = t.floorShare(now, name, s.gatheredOnly)
@@ -31,10 +32,10 @@
 }
 
 // floorShare returns this VM's share of the budget's floor for the named service, in extra
-// arrivals per window. The floor is what all VMs together may cause besides the ratio.
-// gatheredOnly says that only gathered requests use the service. The service's owners then have
-// a larger share than other VMs. A VM that does not yet know how many others there are has no
-// share.
+// arrivals (hedges and retries) per window. The floor is the number of extra arrivals that all VMs
+// together may cause per window, besides a ratio of the requests. gatheredOnly says that only
+// gathered requests use the service. The service's owners then have a larger share than other VMs.
+// A VM that does not yet know how many others there are has no share.
 func (t *Table) floorShare(now time.Time, name string, gatheredOnly bool) float64 {
 	if !t.vmsKnown {
 		return 0
@@ -52,10 +53,11 @@
 	return t.budgetConfig.Floor * share
 }
 
-// ownerShare returns this VM's fraction, from 0 to 1, of what the owners of a service divide
-// among themselves. It is 0 if this VM is not an owner. They divide it in proportion to their
-// power, as calls to them are divided. The owners are the VMs that own the service's leaf
-// partition in any zone that has leafs of the service, or in any zone at all if no leaf is known.
+// ownerShare returns this VM's fraction, from 0 to 1, of the part of the budget's floor that the
+// owners of a service divide among themselves. It is 0 if this VM is not an owner. Owners divide
+// that part in proportion to their power, as calls to them are divided. The owners are the VMs
+// that own the service's leaf partition in any zone that has leafs of the service, or in any zone
+// at all if no leaf is known.
 func (t *Table) ownerShare(name string) float64 {
 	if !t.ownsService(name) {
 		return 0
--- a/scatter/gap.go
+++ b/scatter/gap.go
@@ -13,15 +13,15 @@
 // written out. An attempt is one request to a leaf.
 const (
 	GapSlow       GapCause = iota // an attempt on the shard was still in flight
-	GapNoCapacity                 // the shard's leafs were full, in cooldown or suspect; the latter two follow failures
-	GapBudget                     // the budget of extra arrivals did not allow another attempt
+	GapNoCapacity                 // each of the shard's leafs was full, or was kept free of requests after failures
+	GapBudget                     // the budget, which bounds hedges and retries, did not allow another attempt
 	GapLate                       // it was too late for another attempt
 	GapAttempts                   // all allowed attempts ended without an answer
 	GapNoLeaf                     // no known leaf takes requests
 	GapForecast                   // by the forecast, no leaf could have answered in time
 	GapCall                       // the called VM answered, but not for this shard
 	GapSilent                     // the called VM did not answer
-	GapDeclined                   // a called VM left the shard to its caller, since their lists of leafs differ
+	GapDeclined                   // the called VM left the shard to the calling VM, since the two know different leafs
 	gapCauses                     // number of the causes above, not a cause itself
 )
 
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -3,7 +3,8 @@
 import "time"
 
 // hedgeBudgetReserve is the number of extra arrivals that hedges must leave in the budget for
-// retries. Retries come first, since a hedge saves time, but a retry saves the answer.
+// retries. An extra arrival is a request that reaches a leaf again, as a hedge or a retry. Retries
+// come first, since a hedge saves time, but a retry saves the answer.
 const hedgeBudgetReserve = 1
 
 // Parameters of the hedge delay: the time from an attempt at a leaf until a second attempt, the
@@ -26,10 +27,10 @@
 	minHedgeDelay          = 4 * time.Millisecond // shortest hedge delay computed from durations
 
 	// hedgeAnswerTimeFactor is the time that a hedge of a gathered request is given for its
-	// answer, as a multiple of the hedgeDurationQuantile of recent durations. The hedge is
-	// sent no earlier than this time before AnswerBy, until when an answer is useful. Many
-	// slow leafs have answered by then, which saves hedges. The answer to a hedge is traffic
-	// from another zone.
+	// answer, as a multiple of the hedgeDurationQuantile of recent durations. AnswerBy is
+	// the time at which the request is answered with the parts received so far. No hedge is
+	// sent before AnswerBy less this time. Many slow leafs have answered by then, which
+	// saves hedges. The answer to a hedge is traffic from another zone.
 	hedgeAnswerTimeFactor = 2.5
 	// hedgeNetworkTime is the part of the time until AnswerBy that is kept for the network,
 	// and not given to the leaf that gets the hedge.
@@ -40,11 +41,12 @@
 // hedgeDurationFactor times the hedgeDurationQuantile of recent durations. For a leaf that
 // reports that its machine is slow, it is longer in proportion.
 //
-// The delay of a gathered request has two more bounds. It is at least so long that a hedge that
-// takes hedgeAnswerTimeFactor times the quantile ends just in time for AnswerBy. It is at most so
-// long that a hedge that takes the quantile itself ends just in time. Where many leafs are slow,
-// the quantile may lie beyond AnswerBy, and no hedge would be in time. The upper bound is
-// therefore never less than half of the time until AnswerBy.
+// The delay of a gathered request has two more bounds. They depend on AnswerBy, the time at which
+// the request is answered with the parts received so far. After the lower bound, a hedge that
+// takes hedgeAnswerTimeFactor times the quantile ends just in time for AnswerBy. After the upper
+// bound, a hedge that takes the quantile itself ends just in time. Where many leafs are slow, the
+// quantile may lie beyond AnswerBy, and no hedge would be in time. The upper bound is therefore
+// never less than half of the time from the start to AnswerBy.
 func (q *Query) hedgeDelay(now time.Time, l *leaf) time.Duration {
 	d, known := q.table.durationsOf(q.durationKey()).Quantile(now, hedgeDurationQuantile)
 	if !known {
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -30,15 +30,15 @@
 	addressReused bool // another leaf answered at its address; this leaf will not be there again
 
 	inFlight  []pendingRequest // requests of this VM, oldest first
-	slowdown  slowdown
-	cooldown  cooldown
-	failures  failureRate // share of this VM's requests to the leaf that fail
-	suspicion suspicion
+	slowdown  slowdown         // how much longer than usual work takes at the leaf
+	cooldown  cooldown         // after failures or refusals, keeps requests away for a while
+	failures  failureRate      // share of this VM's requests to the leaf that fail
+	suspicion suspicion        // after silence, keeps requests away until a new connection can be made
 
 	othersReported float64       // requests of other VMs that ran or waited at the leaf, by its latest load report
 	reportedAt     time.Time     // when that report was received
 	freeSlots      int           // slots without a request, by that report
-	halfOpen       bool          // its latest request expired; it gets one request at a time until it answers one
+	halfOpen       bool          // a request's time was over while it worked; it gets one request at a time until it answers one
 	typicalWork    time.Duration // smoothed time that requests like those sent here take at a leaf of usual speed
 }
 
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -30,12 +30,13 @@
 	// that the calling VM has enough for its caller; 0 if the calling VM did not say.
 	Required int
 	// Redelegated says that another VM was called for the same shards before. Each request
-	// that reaches a leaf then counts as an extra arrival in the budget. Only leafs are used
-	// that both the calling and each called VM may use.
+	// to a leaf then counts as an extra arrival in the budget, as a retry does, since the
+	// other VM may have sent one. Only leafs are used that both the calling and each called
+	// VM may use.
 	Redelegated bool
 	// BudgetWeight is the part of the request, from 0 to 1, that counts as a request in this
-	// VM's budget of extra arrivals (hedges and retries). For a delegated request, the
-	// calling VM counts the remainder.
+	// VM's budget. The budget allows hedges and retries in proportion to requests. For a
+	// delegated request, the calling VM counts the remainder.
 	BudgetWeight float64
 }
 
@@ -142,9 +143,12 @@
 // Query is one request in progress. Call Start once, then pass in the events, and carry out
 // the actions that each of them returns, until Finish. It is not safe for concurrent use.
 //
-// Invariants: there is exactly one Finish; for each shard, at most MaxAttempts attempts may
-// have run; for a request that is not idempotent, no attempt is sent after one that may have
-// run; every attempt after a shard's first arrival was taken from the budget.
+// Invariants:
+//   - There is exactly one Finish.
+//   - For each shard, at most MaxAttempts attempts may have run.
+//   - For a request that is not idempotent, no attempt is sent after one that may have run.
+//   - Every attempt on a shard after the first one that reached a leaf was taken from the budget of
+//     hedges and retries.
 type Query struct {
 	spec      Spec
 	table     *Table
@@ -173,7 +177,7 @@
 	sends          int       // attempts that were sent
 	inFlight       int       // attempts that have not ended
 	possibleRuns   int       // attempts that ran or may have run
-	arrived        bool      // an attempt reached a leaf or may have
+	arrived        bool      // an attempt reached a leaf, or may have reached one
 	budgetCounted  bool      // the service's budget has counted the request
 	hedged         bool      // a hedge was sent
 	hedgeAt        time.Time // when the latest attempt is slow enough for a hedge
@@ -184,7 +188,7 @@
 	declined       bool      // left to the calling VM, which knows other leafs than this VM
 	answer         AttemptID // the attempt that answered the shard; 0 for none
 	call           CallID    // the latest call for the shard; 0 for none
-	redelegated    bool      // another VM was called for the shard after one that may have queried it
+	redelegated    bool      // a second VM was called for the shard after a first one that may have queried it
 	shared         bool      // another VM may query it too
 	commonLeafs    []LeafID  // if shared: leafs that either VM may use
 	ownChoice      LeafID    // if shared: the leaf that only this VM uses; zero for none
@@ -205,7 +209,7 @@
 type call struct {
 	vm          string        // name of the called VM
 	partition   zonePartition // leaf partition that the shards belong to
-	redelegated bool          // follows another call for the same shards
+	redelegated bool          // another VM was called for the shards before and may have queried them
 	shards      []int         // indexes of the shards in the query
 	sentAt      time.Time     // when the query decided to make the call
 	acked       bool          // the VM has sent any message on the call
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -8,37 +8,47 @@
 // slowdown estimates by which factor work takes longer than usual at a leaf. The usual duration
 // is the median of all leafs for one kind of request.
 //
-// The factor is the product of two factors. The first is the slowdown of the leaf's machine,
-// which the leaf reports. The second is the excess: the duration of answers as a multiple of what
-// the report explains. Pauses, queues and the network show only in the excess. The two factors
-// are kept apart, since a pause says nothing about the next request: with one smoothed latency,
-// a leaf that paused once would get fewer requests for seconds.
+// The factor is the product of two factors. The first is the slowdown of the leaf's machine, which
+// the leaf reports. The second is the excess: the duration of answers as a multiple of the
+// duration that is expected with the reported slowdown. Pauses, queues and the network show only
+// in the excess. The two factors are kept apart, since a pause says nothing about the next
+// request: with one smoothed latency, a leaf that paused once would get fewer requests for
+// seconds.
 type slowdown struct {
-	reported   float64   // slowdown of the machine as reported by the leaf, smoothed: 1 as usual; 0 before the first report
+	// reported is the smoothed slowdown that the leaf reports for its machine. It is 1 for a
+	// machine of usual speed, and 0 before the first report.
+	reported   float64
 	reportedAt time.Time // when the latest report was received
-	excess     float64   // smoothed duration of answers, as a multiple of the duration expected from reported; 0 before the first answer
-	excessAt   time.Time // when excess last changed
-	slowAt     time.Time // when the latest slow answer was received
+	// excess is the smoothed duration of answers, as a multiple of the duration expected
+	// with the reported slowdown. It is 0 before the first answer.
+	excess   float64
+	excessAt time.Time // when excess last changed
+	slowAt   time.Time // when the latest slow answer was received
 }
 
-// Parameters of a leaf's slowdown. The reported slowdown is that of the leaf's machine, as the
-// leaf reports it. The excess is the duration of an answer as a multiple of the duration to be
-// expected from that report. Weights, from 0 to 1, are those of a new value in a smoothed one.
+// Parameters of a leaf's slowdown. The reported slowdown is the duration of work on the leaf's
+// machine, as a multiple of the usual, as the leaf reports it. The excess is the duration of an
+// answer, as a multiple of the duration that is expected with the reported slowdown.
+//
+// Both are smoothed: each new value moves the smoothed value towards itself. With a weight of 0.5,
+// the smoothed value moves by half of the difference.
 const (
-	// reportedSlowdownWeight is the weight of a newly reported slowdown of a leaf's machine
-	// in the smoothed one. The speed of machines changes many times a second around a mean
-	// that lasts for seconds.
+	// reportedSlowdownWeight is the weight, from 0 to 1, of a newly reported slowdown of a
+	// leaf's machine in the smoothed reported slowdown. The speed of machines changes many
+	// times a second around a mean that lasts for seconds.
 	reportedSlowdownWeight = 0.5
 	minReportedSlowdown    = 0.2 // lower bound of the slowdown that a leaf may report for its machine
 	maxReportedSlowdown    = 50  // upper bound of the slowdown that a leaf may report for its machine
-	answerExcessWeight     = 0.2 // weight of the excess of a new answer in the smoothed excess
+	answerExcessWeight     = 0.2 // weight, from 0 to 1, of the excess of a new answer in the smoothed excess
 	// expiredDurationFactor is the estimated duration of a request that expired at the leaf,
 	// as a multiple of the time until it expired.
 	expiredDurationFactor = 2
-	expiredExcessWeight   = 0.5 // weight of the excess of an expired request in the smoothed excess
-	// maxExcessStep bounds the excess of one answer, as a multiple of the smoothed excess.
+	expiredExcessWeight   = 0.5 // weight, from 0 to 1, of the excess of an expired request in the smoothed excess
+	// maxExcessStep bounds the excess of one answer or expired request, as a multiple of the
+	// smoothed excess. A larger excess counts as this multiple.
 	maxExcessStep = 3
-	// slowAnswerThreshold is the excess above which an answer is slow.
+	// slowAnswerThreshold is the excess above which an answer is slow: it took more than
+	// this multiple of the expected duration.
 	slowAnswerThreshold = 2
 	// slowdownHalfLife is the time without new values in which the deviation of a smoothed
 	// slowdown or excess from 1 falls to half, so that a leaf that was slow and gets no
@@ -73,12 +83,13 @@
 }
 
 // add updates the smoothed excess with a request that was sent at sentAt and took the time took.
-// typical is the duration of such a request at a leaf of usual speed. weight is the weight of
-// the new value in the smoothed one, from 0 to 1. A slow request is ignored if it was sent before
-// the latest slow answer was received.
+// The excess of the request is that time, as a multiple of the duration that is expected with the
+// reported slowdown. typical is the duration of such a request at a leaf of usual speed. weight is
+// the weight of the request's excess in the smoothed one, from 0 to 1. A slow request is ignored
+// if it was sent before the latest slow answer was received.
 func (s *slowdown) add(now, sentAt time.Time, took, typical time.Duration, weight float64) {
-	// ratio is the excess of this request. It is limited to maxExcessStep times the smoothed
-	// excess below.
+	// ratio is the excess of this request. Below, it counts as no more than maxExcessStep
+	// times the smoothed excess.
 	ratio := float64(took) / (float64(typical) * s.reportedFactor(now))
 	if ratio > slowAnswerThreshold {
 		if sentAt.Before(s.slowAt) {
@@ -91,18 +102,19 @@
 	s.excessAt = now
 }
 
-// factor returns the expected duration of the next request as a multiple of its duration at a
-// leaf of usual speed.
+// factor returns the expected duration of the next request as a multiple of its duration at a leaf
+// of usual speed. It includes the reported slowdown of the leaf's machine and the excess.
 func (s *slowdown) factor(now time.Time) float64 { return s.reportedFactor(now) * s.excessFactor(now) }
 
-// reportedFactor returns the part of factor that is due to the leaf's machine, as reported by
-// the leaf; 1 if it reported none.
+// reportedFactor returns the current slowdown of the leaf's machine, as the leaf reported it: the
+// duration of work as a multiple of the usual. It is 1 if the leaf reported none.
 func (s *slowdown) reportedFactor(now time.Time) float64 {
 	return decayed(s.reported, now.Sub(s.reportedAt))
 }
 
-// excessFactor returns the part of factor that the report does not explain: pauses, queues and
-// the network; 1 if there was no answer.
+// excessFactor returns the current excess: the duration of answers as a multiple of the expected
+// one. The expected duration already includes the slowdown that the leaf reports for its machine.
+// Pauses, queues and the network raise the excess. It is 1 if there was no answer.
 func (s *slowdown) excessFactor(now time.Time) float64 { return decayed(s.excess, now.Sub(s.excessAt)) }
 
 // decayed returns the current value of a factor that was recorded the time age ago. Its
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -82,7 +82,7 @@
 //
 // VMs are lost together: those of a rack, a zone or a network. If a call detects that a VM is
 // lost, a request loses the shards of that call. Since a VM calls many others, this would happen
-// to many requests.
+// to many requests. The check finds the other lost VMs before requests do.
 type livenessRound struct {
 	requested bool      // a check of all VMs has to be made
 	lastAt    time.Time // when the latest check was started
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -13,20 +13,20 @@
 // Table is what this VM knows of leafs and of other VMs. It is not safe for concurrent use.
 type Table struct {
 	self          string  // name of this VM
-	zone          string  // its availability zone
-	power         float64 // of this VM, in cores
+	zone          string  // availability zone of this VM
+	power         float64 // number of processor cores of this VM
 	rng           *rand.Rand
 	budgetConfig  BudgetConfig
-	leafs         map[string]*leaf        // by id
-	services      map[string]*service     // by name
-	vms           map[string]*vm          // by name: the other VMs
-	members       map[string]memberInfo   // by name: the other VMs, including those that left recently
-	zones         map[string]*zoneMembers // by zone: members and this VM
-	leafOwners    int                     // number of VMs that normally use one leaf: the owners of one leaf partition in each zone
-	maxShards     int                     // number of shards of the gathered request that has the most shards
-	shardsPerZone int                     // how many of those maxShards shards have a leaf in one zone, on average
-	vmsKnown      bool                    // SetVMs was called at least once
-	liveness      livenessRound
+	leafs         map[string]*leaf                  // by id
+	services      map[string]*service               // by name
+	vms           map[string]*vm                    // by name: the other VMs
+	members       map[string]memberInfo             // by name: the other VMs, including those that left recently
+	zones         map[string]*zoneMembers           // by zone: members and this VM
+	leafOwners    int                               // number of VMs that normally use one leaf: the owners of one leaf partition in each zone
+	maxShards     int                               // number of shards of the gathered request that has the most shards
+	shardsPerZone int                               // how many of those maxShards shards have a leaf in one zone, on average
+	vmsKnown      bool                              // SetVMs was called at least once
+	liveness      livenessRound                     // check of all VMs that this one calls, after one was silent
 	startedAt     time.Time                         // when this VM's process started
 	durations     map[durationKey]*latency.Recorder // recent durations of requests and calls
 
@@ -39,12 +39,12 @@
 type service struct {
 	name           string
 	leafs          []*leaf
-	budget         *budget // of extra arrivals
+	budget         *budget // bounds the hedges, retries and other extra arrivals that this VM causes
 	maxConnections int     // connections that a leaf accepts from all VMs together; 0 for no limit
 	waiting        int     // shards of this VM's queries that wait for a leaf of the service with capacity
-	gatheredOnly   bool    // only gathered requests use the service; its leafs then get requests mostly from their owners
-	view           View    // hash of the leafs, if viewKnown
-	viewKnown      bool    // false after a change of the leafs
+	gatheredOnly   bool    // only gathered requests use the service; most requests to its leafs then come from the VMs that own them
+	view           View    // hash of the leafs that don't drain; valid if viewKnown
+	viewKnown      bool    // view is up to date; false after a change of the leafs
 }
 
 // durationKey identifies a kind of request. The durations of requests of one kind are comparable
@@ -133,8 +133,9 @@
 	return s
 }
 
-// Limits on what this VM uses of resources that all VMs share: the connections and slots of
-// leafs, and the floor of budgets.
+// Limits on what this VM uses of resources that all VMs share. These are the connections and slots
+// of leafs, and the extra arrivals (hedges and retries) that all VMs together may cause at a
+// service per window besides a ratio of its requests.
 const (
 	// usableConnectionShare is the share of a leaf's connection limit that all VMs together
 	// use, from 0 to 1. The limit is configured for the service. The remainder is a margin:
--- a/scatter/view.go
+++ b/scatter/view.go
@@ -50,7 +50,8 @@
 // might together use one leaf more than a request allows.
 const viewVersion = 3
 
-// viewOf returns the hash of the leafs that don't drain.
+// viewOf returns the hash of the ids and start times of the given leafs. Draining leafs are left
+// out.
 func viewOf(leafs []*leaf) View {
 	var sum uint64 = viewVersion
 	for _, l := range leafs {
--- a/scatter/vm.go
+++ b/scatter/vm.go
@@ -106,6 +106,7 @@
 		return nil
 	}
 	a, b := t.drawByPower(list), t.drawByPower(list)
+	// This compares b.inFlight / b.Power with a.inFlight / a.Power, without a division.
 	if float64(b.inFlight)*a.Power < float64(a.inFlight)*b.Power {
 		return b
 	}
@@ -150,6 +151,7 @@
 	for _, v := range list {
 		total += v.Power
 	}
+	// at is a random point in a row of intervals, one for each VM, as long as its power.
 	at := t.rng.Float64() * total
 	for _, v := range list {
 		if at -= v.Power; at < 0 {
--- a/scatter/zone.go
+++ b/scatter/zone.go
@@ -48,6 +48,8 @@
 	})
 	z.self = slices.IndexFunc(z.ranked, func(v zoneMember) bool { return v.name == self })
 	z.partitions = z.fastestPartitioning(shards)
+	// All VMs of a small zone own its leafs. In a larger zone, each partition has ownersPerLeaf
+	// owners, and the other VMs own none.
 	z.owners = len(z.ranked)
 	if len(z.ranked) >= 2*ownersPerLeaf {
 		z.owners = z.partitions * ownersPerLeaf
