--- a/edge/engine.go
+++ b/edge/engine.go
@@ -124,7 +124,7 @@
 	ID       string // from the caller's headers
 	HTTP     *leafhttp.Request
 	AnswerBy time.Time // latest time to send an answer that reaches the caller within the latency objective
-	Deadline time.Time // end of the caller's time or of the route's timeout, whichever is earlier; earlier by answerMargin, to leave time for sending the answer
+	Deadline time.Time // end of the caller's time or of the route's timeout, whichever comes first, less answerMargin for sending the answer
 	Top      int       // maximum number of records in the answer to a gathered request
 }
 
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// listAge records how old this VM's list of leafs is. After a failed read it tells how long
+// listAge records how old this VM's list of leafs is. After a failed read it determines how long
 // the leafs that are missing from the next list are kept in use.
 type listAge struct {
 	failed  bool      // a read of the list failed since freshAt
@@ -251,11 +251,12 @@
 // which means kept in use, and marks the list as fresh. It returns 0 if nothing failed since
 // the previous list.
 //
-// After an outage of the store, the entries of healthy leafs may have expired. This may also
-// be the case if only the VM that was followed failed. But then a missing leaf may also have
-// left just after the list was last known to be fresh. bound is the time within which a leaf
-// that left must get no more requests. So the hold ends before bound has passed since the list
-// was last known to be fresh.
+// After an outage of the store, the entries of healthy leafs may have expired, so missing
+// leafs are held for registry.OutageHold. If reads failed but no outage of the store is known,
+// as when the followed VM failed, the entries may have expired too, and missing leafs are held
+// as well. But such a leaf may instead have left, as early as just after the list was last known
+// to be fresh. bound is the time within which a leaf that left must get no more requests. So in
+// this case the hold ends before bound has passed since the list was last known to be fresh.
 func (a *listAge) missingLeafHold(now time.Time, afterOutage bool, bound time.Duration) time.Duration {
 	hold := time.Duration(0)
 	switch {
--- a/edge/run.go
+++ b/edge/run.go
@@ -91,8 +91,9 @@
 func (r *runner) run(ctx context.Context) scatter.Outcome {
 	out := r.loop(ctx)
 	close(r.done)
-	// Nobody needs the attempts in flight any more: the caller has disconnected, or a gathered
-	// request has its result. Attempts that are not idempotent are not cancelled early, though.
+	// The results of the attempts in flight are not needed any more if the caller has
+	// disconnected, or if a gathered request has its result. Attempts that are not idempotent
+	// are not cancelled early, though.
 	unwanted := out.Verdict == scatter.Abandoned || r.spec.Gathered
 	if unwanted && r.spec.Idempotent {
 		time.AfterFunc(lingerAbandoned, r.cancel)
@@ -106,7 +107,9 @@
 // lets attempts end without waiting for loop.
 const eventBuffer = 8
 
-// loop runs the query until it finishes. It is the only user of r.query.
+// loop runs the query until it finishes. It is the only user of r.query. For a query on behalf
+// of another VM, loop also sends that VM an interim answer, with the results so far, when
+// r.interim is reached.
 func (r *runner) loop(ctx context.Context) scatter.Outcome {
 	r.query = scatter.NewQuery(r.spec, r.e.table)
 	acts, wake := r.step(r.query.Start)
@@ -259,7 +262,10 @@
 }
 
 // linger returns how long an attempt continues to wait for an answer after the time at which
-// the leaf should have stopped.
+// the leaf should have stopped. For a gathered request that time may be long before the
+// caller's deadline, as the request is answered with the parts received so far. So its leafs
+// get the longer lingerAbandoned to finish or to report that they stopped. For any other
+// request that time is the deadline, to which lingerLate is added.
 func (r *runner) linger() time.Duration {
 	if r.spec.Gathered {
 		return lingerAbandoned
--- a/integration/harness_test.go
+++ b/integration/harness_test.go
@@ -3,9 +3,9 @@
 //
 // A test starts a cluster, which is stopped when the test ends:
 //
-//	c := start(t, shape{Targets: 3, Daemons: 2})
+//	c := start(t, clusterConfig{Targets: 3, Daemons: 2})
 //	answer, status, err := c.Daemons[0].Search(c.ctx, findSearch, gateway.SearchBody{Query: "well"})
-//	c.expectTruth(answer, c.Index, target.KindSearch, searchBody("well"))
+//	c.expectCompleteAnswer(answer, c.Index, target.KindSearch, searchBody("well"))
 //
 // See clusterConfig for the options and cluster for what a test has access to.
 // Faults are set on c.Platform, c.Targets[i], and, if the config enables proxies,
--- a/integration/health_test.go
+++ b/integration/health_test.go
@@ -169,7 +169,7 @@
 	c.Expect(l.stop()).To(gomega.BeEmpty())
 }
 
-// A target is killed. A VM without connections reads its status seldom, so it would go on
+// A target is killed. A VM without connections rarely reads its status, so it would go on
 // sending calls there, each of which costs a query time before it fails. The owners must
 // report that the target is lost, and report it as available again when another process
 // takes its place.
--- a/integration/leaf_faults_test.go
+++ b/integration/leaf_faults_test.go
@@ -98,7 +98,7 @@
 			a, status, err := c.Daemons[0].Search(c.ctx, findSearch, body)
 			c.ok(err)
 			c.Expect(status).To(gomega.Equal(http.StatusOK))
-			c.expectTruth(a, c.Index, target.KindSearch, body)
+			c.expectCompleteAnswer(a, c.Index, target.KindSearch, body)
 		}
 	}
 }
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -14,9 +14,9 @@
 
 func searchBody(query string) gateway.SearchBody { return gateway.SearchBody{Query: query} }
 
-// expectTruth compares an answer that claims to be complete with what the simulated
+// expectCompleteAnswer compares an answer that claims to be complete with what the simulated
 // targets hold of index x. The answer must be from x's snapshot.
-func (c *cluster) expectTruth(a gateway.Answer, x targetsim.Index, kind target.Kind, body gateway.SearchBody) {
+func (c *cluster) expectCompleteAnswer(a gateway.Answer, x targetsim.Index, kind target.Kind, body gateway.SearchBody) {
 	c.t.Helper()
 	const most = 1000 // max_items of the test bundle
 	limit := body.Limit
@@ -44,11 +44,11 @@
 			c.ok(err)
 			c.Expect(status).To(gomega.Equal(http.StatusOK))
 			c.Expect(a.Code).To(gomega.Equal(int(result.Complete)))
-			c.expectTruth(a, c.Index, target.KindSearch, body)
+			c.expectCompleteAnswer(a, c.Index, target.KindSearch, body)
 		}
 		a, _, err := d.Browse(c.ctx, browseSearch, gateway.SearchBody{Limit: 7})
 		c.ok(err)
-		c.expectTruth(a, c.Index, target.KindBrowse, gateway.SearchBody{Limit: 7})
+		c.expectCompleteAnswer(a, c.Index, target.KindBrowse, gateway.SearchBody{Limit: 7})
 	}
 	key := newKey("path")
 	for _, d := range c.Daemons {
--- a/integration/target_test.go
+++ b/integration/target_test.go
@@ -38,7 +38,7 @@
 	}, recoveryTimeout, "10ms").Should(gomega.Equal(n), d.Name)
 	a, _, err := d.Search(c.ctx, findSearch, searchBody("well"))
 	c.ok(err)
-	c.expectTruth(a, c.Index, target.KindSearch, searchBody("well"))
+	c.expectCompleteAnswer(a, c.Index, target.KindSearch, searchBody("well"))
 }
 
 func (c *cluster) clearTargetFaults() {
@@ -85,7 +85,7 @@
 			return err
 		}
 		if a.Code == int(result.Complete) {
-			c.expectTruth(a, c.Index, target.KindSearch, body)
+			c.expectCompleteAnswer(a, c.Index, target.KindSearch, body)
 			return nil
 		}
 		short := a.Coverage != nil && a.Coverage.Ratio < 1
--- a/leafhttp/pool.go
+++ b/leafhttp/pool.go
@@ -21,7 +21,7 @@
 }
 
 // transientIdleTimeout is how long a transient connection may stay idle. Requests to a leaf
-// that a VM seldom uses come in bursts, as after a start of all VMs, and each new connection
+// that a VM rarely uses come in bursts, as after a start of all VMs, and each new connection
 // takes a slot of the leaf.
 const transientIdleTimeout = 500 * time.Millisecond
 
@@ -33,8 +33,9 @@
 	return d
 }
 
-// Pool keeps idle connections to leafs. It is safe for concurrent use. It does not
-// limit the number of concurrent requests to a leaf, and so of connections; callers do.
+// Pool keeps idle connections to leafs. It is safe for concurrent use. Callers limit the
+// number of concurrent requests to a leaf, and thereby the number of its connections; the
+// pool does not.
 type Pool struct {
 	mu   sync.Mutex         // guards idle
 	idle map[string][]*conn // by Endpoint.Key; the last one used is last
@@ -162,7 +163,7 @@
 }
 
 // pop removes and returns the idle connection that was used last, or nil. That one is
-// the least likely to have been closed by the leaf or dropped on the way meanwhile.
+// the least likely to have been closed by the leaf or dropped by the network meanwhile.
 func (p *Pool) pop(leaf Endpoint) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,8 +203,8 @@
 	return nil
 }
 
-// CloseIdle closes the idle connections to an endpoint with this key, for when the leaf
-// was removed.
+// CloseIdle closes the idle connections to an endpoint with this key. It is for a leaf
+// that was removed or does not answer.
 func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
 	list := p.idle[key]
--- a/leafhttp/request.go
+++ b/leafhttp/request.go
@@ -67,8 +67,8 @@
 const maxAnswerBytes = 4 << 20
 
 // readAnswer reads the answer to a request. A body that ends too early is an error.
-// So is a reset of the connection where only the end of the connection delimits the
-// body.
+// If only the end of the connection delimits the body, a reset of the connection is an
+// error too.
 func readAnswer(c *conn, method string) (*Answer, *http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
--- a/objstore/client.go
+++ b/objstore/client.go
@@ -60,7 +60,7 @@
 // that can't be rewound.
 //
 // A call on a connection that has gone silent times out. net/http then closes that
-// HTTP/1.1 connection, and the Client closes all idle ones too, because a device
+// HTTP/1.1 connection, and the Client closes all idle ones too, because a network device
 // that has lost the state of one connection has often lost that of all.
 type Client struct {
 	base      string // "http://" with the platform's IP and port
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -126,7 +126,7 @@
 type auditFilter struct {
 	person, action, digest string
 	since, until           time.Time
-	last                   int // number of rows
+	last                   int // maximum number of rows, the last ones are kept
 }
 
 func newAuditFilter(c *cli.Command) auditFilter {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -103,7 +103,7 @@
 
 // progress says on how many VMs a revision is in force.
 type progress struct {
-	done bool // on all VMs
+	done bool // in force on all VMs
 	text string
 }
 
@@ -132,7 +132,7 @@
 	return p
 }
 
-// printProgress prints text unless it equals last, and stores it there.
+// printProgress prints text and stores it in last, unless last already equals it.
 func (a *app) printProgress(last *string, text string) {
 	if *last != text {
 		fmt.Fprintln(a.err, text)
--- a/ops/server.go
+++ b/ops/server.go
@@ -16,7 +16,7 @@
 // has to fit.
 const requestTimeout = 70 * time.Second
 
-// Options configure the operators' page. Status is required. Its functions are called
+// Options configure the operators' page. Status is required. All functions are called
 // concurrently.
 type Options struct {
 	Status  func() Status
--- a/peer/health/reporter_test.go
+++ b/peer/health/reporter_test.go
@@ -27,7 +27,7 @@
 
 // owner is a simulated owner. Owners rank by the numbers of their places.
 type owner struct {
-	speaker    *reporter
+	reporter   *reporter
 	table      *facts.Table
 	place      int
 	cannotRead bool        // can't read the target
@@ -39,7 +39,7 @@
 func newWorld(n int) *world {
 	w := &world{now: time.Unix(1_000_000, 0), other: newTable()}
 	for i := range n {
-		w.owners = append(w.owners, &owner{speaker: newReporter(), table: newTable(), place: i})
+		w.owners = append(w.owners, &owner{reporter: newReporter(), table: newTable(), place: i})
 	}
 	w.restart()
 	return w
@@ -63,7 +63,7 @@
 	}}}
 }
 
-func (w *world) standing(place int) ownerOrder {
+func (w *world) ownerOrder(place int) ownerOrder {
 	s := ownerOrder{place: place}
 	for _, o := range w.owners {
 		if !o.lost {
@@ -87,7 +87,7 @@
 func (w *world) finishRead(o *owner) {
 	r := o.pending
 	o.pending = nil
-	next, publish := o.speaker.handleRead(testTarget, *r, w.standing(o.place), testTimes, w.now)
+	next, publish := o.reporter.handleRead(testTarget, *r, w.ownerOrder(o.place), testTimes, w.now)
 	if known, _ := o.table.Health(testTarget); publish && known.Stamp == r.base.Stamp {
 		o.table.Merge(facts.Fact{Health: &next}, w.now.Unix())
 	}
@@ -145,7 +145,7 @@
 	if !h.SameContent(encode(w.status)) {
 		return fmt.Errorf("known %+v, the target says %+v", h, w.status)
 	}
-	if lost(h, w.standing(0).owners) {
+	if lost(h, w.ownerOrder(0).owners) {
 		return fmt.Errorf("%+v counts as lost", h)
 	}
 	return nil
@@ -238,7 +238,7 @@
 			g.Expect(w.checkKnown()).To(Succeed(), "%d owners can't read the target", blind+1)
 		}
 	}
-	g.Expect(lost(w.known(), w.standing(0).owners)).To(BeTrue())
+	g.Expect(lost(w.known(), w.ownerOrder(0).owners)).To(BeTrue())
 	w.owners[1].cannotRead = false
 	w.runUntilSettled()
 	g.Expect(w.checkKnown()).To(Succeed())
@@ -254,7 +254,7 @@
 		o.cannotRead = true
 	}
 	w.runUntilSettled()
-	g.Expect(lost(w.known(), w.standing(0).owners)).To(BeTrue())
+	g.Expect(lost(w.known(), w.ownerOrder(0).owners)).To(BeTrue())
 	w.owners[2].cannotRead = false
 	w.runUntilSettled()
 	g.Expect(w.checkKnown()).To(Succeed())
--- a/policy/median_latency.go
+++ b/policy/median_latency.go
@@ -44,7 +44,7 @@
 // UpdateBaseline moves the baseline towards the recent median. crowded says that this
 // VM runs more queries than its share of the slots: attempts are then slow because of
 // queues rather than because targets became slower, and the baseline rises very
-// slowly. It rises nonetheless: otherwise a VM that is always crowded would limit
+// slowly. It still has to rise: otherwise a VM that is always crowded would limit
 // callers permanently after targets did become slower.
 func (m *MedianLatency) UpdateBaseline(now time.Time, crowded bool) {
 	elapsed := min(now.Sub(m.updatedAt), maxBaselineInterval)
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry keeps the list of leafs that the platform reports, whatever way it
-// is read. It reads no clock and does no I/O: its inputs are listings, single changes
+// Package registry keeps the list of leafs that the platform reports, regardless of how
+// it is read. It reads no clock and does no I/O: its inputs are listings, single changes
 // and the time, its outputs changes of the leafs to use.
 package registry
 
@@ -48,8 +48,8 @@
 func (r *Registry) Len() int { return len(r.leafs) }
 
 // StoreRecovered records that the store answers again after an outage. Leafs that go
-// missing within hold are kept until its end. StoreRecovered returns that time, at which
-// ExpireHeld has to be called.
+// missing before now plus hold are kept until then. StoreRecovered returns that time, at
+// which ExpireHeld has to be called.
 func (r *Registry) StoreRecovered(now time.Time, hold time.Duration) time.Time {
 	r.holdEnd = now.Add(hold)
 	return r.holdEnd
--- a/routing/manifest.go
+++ b/routing/manifest.go
@@ -140,8 +140,9 @@
 	return n
 }
 
-// Match returns the route of a request: of the routes for the host, the one whose prefix
-// of the path is longest. It returns nil if there is none. The host may include a port.
+// Match returns the route of a request: among the routes for the host, the one with the
+// longest prefix that the path begins with. It returns nil if there is none. The host may
+// include a port.
 func (m *Manifest) Match(host, path string) *Route {
 	for _, r := range m.byHost[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
--- a/routing/splitter.go
+++ b/routing/splitter.go
@@ -25,8 +25,8 @@
 // NewSplitter returns a splitter without state.
 func NewSplitter() *Splitter { return &Splitter{routes: make(map[string]*splitState)} }
 
-// Next returns the service for the route's next request. The state of a split starts
-// again when the split changes.
+// Next returns the service for the route's next request. If the route's split has
+// changed, its round-robin state is reset first.
 func (r *Splitter) Next(route *Route) string {
 	if len(route.Split) == 0 {
 		return route.Service
--- a/scatter/suspicion_test.go
+++ b/scatter/suspicion_test.go
@@ -39,7 +39,7 @@
 }
 
 // Guards against refusing a request because all leafs of a service are suspect. They have
-// failed, or this VM was disconnected from them; one is tried nonetheless.
+// failed, or this VM was disconnected from them; one of them must still be tried.
 func TestSuspectLeafIsUsedWithoutAlternative(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -35,11 +35,11 @@
 	vms    []*vm
 }
 
-// vm is one VM. Its settings and its door to the store outlive its processes.
+// vm is one VM. Its settings and its proxy to the store outlive its processes.
 type vm struct {
-	set  *edge.Settings
-	file string
-	door *edgesim.StoreProxy
+	set   *edge.Settings
+	file  string
+	proxy *edgesim.StoreProxy
 
 	mu      sync.Mutex // guards process
 	process *exec.Cmd
@@ -72,7 +72,7 @@
 func (s *deployment) close() {
 	for _, v := range s.vms {
 		v.kill()
-		v.door.Close()
+		v.proxy.Close()
 	}
 	for _, l := range s.leafs {
 		l.Stop()
@@ -95,9 +95,9 @@
 }
 
 func (s *deployment) addVM(name, zone string) {
-	door := edgesim.NewStoreProxy(s.store.Address())
-	v := &vm{door: door, file: filepath.Join(s.dir, name+".json"), set: &edge.Settings{
-		Name: name, Zone: zone, Store: door.Address(), GraceS: 1, Power: 1, MemoryMB: 256, LogLevel: "warn",
+	proxy := edgesim.NewStoreProxy(s.store.Address())
+	v := &vm{proxy: proxy, file: filepath.Join(s.dir, name+".json"), set: &edge.Settings{
+		Name: name, Zone: zone, Store: proxy.Address(), GraceS: 1, Power: 1, MemoryMB: 256, LogLevel: "warn",
 		Listen: edge.ListenSettings{Callers: s.address(), Ready: s.address(), VMs: s.address(), Metrics: s.address()},
 		Bounds: edge.BoundSettings{ManifestMS: 3000, DrainMS: 3000},
 		Budget: edge.BudgetSettings{Ratio: 0.2, Floor: 200, WindowS: 10},
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -116,9 +116,9 @@
 		v.waitExit(2 * time.Second)
 		v.start(s)
 	default:
-		v.door.Reject(503)
+		v.proxy.Reject(503)
 		time.Sleep(pause)
-		v.door.Reject(0)
+		v.proxy.Reject(0)
 	}
 }
 
@@ -162,7 +162,7 @@
 		s.store.Put("servers", id, l.RegistryEntry("ready"))
 	}
 	for _, v := range s.vms {
-		v.door.Reject(0)
+		v.proxy.Reject(0)
 		v.signal(syscall.SIGCONT)
 	}
 }
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -145,7 +145,7 @@
 	if p == nil || p.endpoint.Connections > 0 {
 		return
 	}
-	// Reports of other VMs have begun or ended, so the next read is planned anew.
+	// Reports of other VMs have begun or ended, so the next read is scheduled again.
 	if previous := p.readInterval; (previous == 0) != (interval == 0) {
 		p.nextRead = time.Now().Add(jitter(max(interval, p.endpoint.HealthInterval)))
 	}
--- a/topk/topk.go
+++ b/topk/topk.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// RecordBytes is the length of a record. Fewer bytes at the end of a shard's answer are
-// ignored.
+// RecordBytes is the length of a record. An incomplete record at the end of a shard's
+// answer is ignored.
 const RecordBytes = 16
 
 // record is a record as two big-endian numbers, which compare in the same order as its
@@ -26,8 +26,8 @@
 // Merge returns the greatest records of all parts, at most limit of them, greatest first.
 // Equal records are all kept.
 //
-// It keeps the greatest records in a min-heap: of 20 parts of 62 records nearly all are
-// rejected by one comparison with the root. Sorting all of them took 233 us for each
+// It keeps the greatest records in a min-heap: with 20 parts of 62 records each, nearly all
+// are rejected by one comparison with the root. Sorting all of them took 233 us for each
 // request; the heap takes 19 us (BenchmarkMerge).
 func Merge(limit int, parts [][]byte) []byte {
 	if limit <= 0 {
