--- a/policy/median_latency.go
+++ b/policy/median_latency.go
@@ -22,7 +22,7 @@
 
 	baselineFallTime        = time.Second     // time constant with which the baseline follows a lower median
 	baselineRiseTime        = 3 * time.Second // time constant with which the baseline follows a higher median
-	crowdedBaselineRiseTime = 5 * time.Minute // replaces baselineRiseTime while queues may be the cause of the higher median
+	crowdedBaselineRiseTime = 5 * time.Minute // replaces baselineRiseTime while this VM runs more queries than its share of the slots, so that queues may be the cause of the higher median
 	maxBaselineInterval     = time.Second     // longest time that one call of UpdateBaseline accounts for
 )
 
@@ -44,7 +44,7 @@
 // UpdateBaseline moves the baseline towards the recent median. crowded says that this
 // VM runs more queries than its share of the slots: attempts are then slow because of
 // queues rather than because targets became slower, and the baseline rises very
-// slowly. It rises nonetheless: otherwise a VM that is always crowded would limit
+// slowly. It still has to rise: otherwise a VM that is always crowded would limit
 // callers permanently after targets did become slower.
 func (m *MedianLatency) UpdateBaseline(now time.Time, crowded bool) {
 	elapsed := min(now.Sub(m.updatedAt), maxBaselineInterval)
