--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -23,7 +23,7 @@
 const (
 	MaxBodyBytes   = 64 << 10         // size of a request's body, in bytes
 	MaxHeaderBytes = 16 << 10         // size of a request's header, in bytes
-	readTimeout    = 10 * time.Second // for reading one request, its header included
+	readTimeout    = 10 * time.Second // longest time for reading a request, and for reading its header
 	idleTimeout    = 2 * time.Minute  // after which an unused connection of a caller is closed
 	writeMargin    = 10 * time.Second // for writing the answer, beyond the longest time limit of a request
 	maxTimeLimit   = time.Minute      // longest time limit of a request
--- a/peer/facts/facts.go
+++ b/peer/facts/facts.go
@@ -61,8 +61,9 @@
 	Health *Health `json:"h,omitempty"`
 }
 
-// Key identifies the subject of a fact: an incarnation of a target that drains, a VM, or
-// a target whose health is stated. Of two facts with one key a table keeps one.
+// Key identifies the subject of a fact. For a Drain that is a target together with one of
+// its incarnations (runs of its process), for a Member a VM, and for a Health a target. Of
+// two facts with the same key, a table keeps one.
 type Key string
 
 const (
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -90,7 +90,7 @@
 	mu               sync.Mutex             // guards the fields below; held during calls of the Sink, the Exchange and the Monitor, which never call back
 	reporter         *reporter              // decides what this VM, as an owner, publishes
 	timings          map[string]timing      // by target of the bundle in force
-	rereadInterval   time.Duration          // between reads through an owner of a target about which an owner publishes statements
+	rereadInterval   time.Duration          // interval at which this VM reads a target through one of its owners while a statement describes its health; see adjustReadInterval
 	readBase         map[string]facts.Stamp // by target: stamp of the known statement when the current or last read began
 	appliedStamps    map[string]facts.Stamp // by target: stamp of the statement that the Sink last received, or that was known when the Sink received a read
 	partlyUnreadable map[string]bool        // by target that some owner can't read: whether the Sink was notified that the target is lost
@@ -337,9 +337,10 @@
 	}
 }
 
-// TargetStatus implements target.Sink for the Monitor. It passes a status that was read
-// on to the Sink. A status that was read through an owner is dropped if a newer statement
-// arrived during the read.
+// TargetStatus implements target.Sink for the Monitor. The Monitor calls it
+// with each status that it has read, and TargetStatus passes the status to the Sink. A
+// status that was read through an owner is dropped if a newer statement arrived during
+// the read.
 func (r *Relay) TargetStatus(name string, status target.Status, at time.Time) {
 	direct := r.readsDirectly(name)
 	r.mu.Lock()
@@ -359,10 +360,10 @@
 	}
 }
 
-// TargetFailed implements target.Sink for the Monitor. It passes a failed read on to the
-// Sink. A failed read through an owner is ignored as long as a statement describes the
-// target and some live owner can read it: the owner that was used may be frozen, or the
-// network path to it cut.
+// TargetFailed implements target.Sink for the Monitor. It passes the error of a failed
+// read to the Sink. A failed read through an owner is ignored as long as a statement
+// describes the target and some live owner can read it: the owner that was used may be
+// frozen, or the network path to it cut.
 func (r *Relay) TargetFailed(name string, err error, at time.Time) {
 	if !r.readsDirectly(name) {
 		h, known := r.exchange.Health(name)
--- a/peer/route/hold_place.go
+++ b/peer/route/hold_place.go
@@ -113,8 +113,9 @@
 	}
 }
 
-// releasePlace releases the claim to a place on the platform, unless held is nil. It
-// doesn't use the context of the tomb, which has ended when the router stops.
+// releasePlace deletes this VM's claim to its place, which is stored on the platform, so
+// that another VM can acquire the place. It does nothing if held is nil. It doesn't use the
+// context of r.tomb, because that context is cancelled when the router stops.
 func (r *Router) releasePlace(held *place.Held) {
 	if held == nil {
 		return
--- a/peer/share/share.go
+++ b/peer/share/share.go
@@ -4,8 +4,8 @@
 // The fleet has a fixed number of places, bundle.Fleet.MaxVMs. A Plan gives the
 // number of places that own connections to a target, and the number of connections
 // that each owner may hold. Owners*PerOwner never exceeds the target's limit. If the
-// limit is enough for every place, all VMs connect directly, and none needs to know
-// which others are alive: this is the static share of a small fleet. In a larger
+// limit is at least the number of places, all VMs connect directly, and none needs to
+// know which others are alive: this is the static share of a small fleet. In a larger
 // fleet the owners of a target are chosen by rendezvous hashing over the places, and
 // the other VMs reach the target through them.
 //
@@ -21,15 +21,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// wantedOwners is the number of VMs that own connections to a target if it doesn't accept
-// enough connections for every place. Some of the owners may be lost, and they are few
-// enough that each sees a large part of the target's load.
+// wantedOwners is the greatest number of VMs that own connections to a target which accepts
+// fewer connections than the fleet has places. With this many owners, some may be lost, and
+// yet each owner sees a large part of the target's load.
 const wantedOwners = 8
 
-// spareShares is the number of shares of a target's connections that no VM owns, if not
-// every place owns one. They are left for this case: a VM that is frozen or isolated
-// keeps its connections to the target open, while the VM that claims its place opens
-// others.
+// spareShares is the number of shares of a target's connections that no VM owns, if the
+// target accepts fewer connections than the fleet has places. These shares are left free
+// for the following case: a VM that is frozen or isolated keeps its connections to the
+// target open, while another VM claims its place and opens connections of its own.
 const spareShares = 1
 
 // Plan is the division of the connections that one target accepts. They are divided among
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -42,11 +42,12 @@
 // reports that its machine is slow, it is longer in proportion.
 //
 // The delay of a gathered request has two more bounds. They depend on AnswerBy, the time at which
-// the request is answered with the parts received so far. After the lower bound, a hedge that
-// takes hedgeAnswerTimeFactor times the quantile ends just in time for AnswerBy. After the upper
-// bound, a hedge that takes the quantile itself ends just in time. Where many leafs are slow, the
-// quantile may lie beyond AnswerBy, and no hedge would be in time. The upper bound is therefore
-// never less than half of the time from the start to AnswerBy.
+// the request is answered with the parts received so far. A hedge that is sent at the lower
+// bound is answered before AnswerBy if it takes no longer than hedgeAnswerTimeFactor times the
+// quantile. A hedge that is sent at the upper bound is answered before AnswerBy if it takes no
+// longer than the quantile. Where many leafs are slow, the quantile may lie beyond AnswerBy, and
+// no hedge would be in time. The upper bound is therefore never less than half of the time from
+// the start to AnswerBy.
 func (q *Query) hedgeDelay(now time.Time, l *leaf) time.Duration {
 	d, known := q.table.durationsOf(q.durationKey()).Quantile(now, hedgeDurationQuantile)
 	if !known {
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -103,7 +103,9 @@
 }
 
 // factor returns the expected duration of the next request as a multiple of its duration at a leaf
-// of usual speed. It includes the reported slowdown of the leaf's machine and the excess.
+// of usual speed. It is the product of two factors: the slowdown that the leaf reported for its
+// machine, and the excess, the duration of answers as a multiple of the duration that is expected
+// with that slowdown.
 func (s *slowdown) factor(now time.Time) float64 { return s.reportedFactor(now) * s.excessFactor(now) }
 
 // reportedFactor returns the current slowdown of the leaf's machine, as the leaf reported it: the
--- a/scatter/view.go
+++ b/scatter/view.go
@@ -116,8 +116,8 @@
 }
 
 // recordChoice records that an attempt goes to a leaf. If another VM may query the shard too,
-// and the leaf is not one of the common leafs that both VMs may use, the leaf becomes this VM's
-// only own choice.
+// and the leaf is not one of the common leafs that both VMs may use, the leaf is kept as this
+// VM's own choice: the one other leaf that this VM may use for the shard.
 func (s *shard) recordChoice(id LeafID) {
 	if s.shared && !slices.Contains(s.commonLeafs, id) {
 		s.ownChoice = id
--- a/target/probe.go
+++ b/target/probe.go
@@ -30,11 +30,12 @@
 	}
 }
 
-// updateSuspicionTime moves suspicionTime forward if a connection has become suspect, to
-// when the suspect one began to wait for data. All connections of the pool that have
-// received nothing since then are probed. Otherwise calls would find the silent connections
-// of a target one after another, each at the cost of SuspectAfter and of all calls on it.
-// p.mu must be held.
+// updateSuspicionTime updates suspicionTime if a connection has become suspect. The new
+// value is the time at which that connection began to wait for data, unless suspicionTime
+// is already later. All connections of the pool that have received nothing since
+// suspicionTime are probed. Otherwise calls would find the silent connections of a target
+// one after another, each at the cost of SuspectAfter and of all calls on it. p.mu must be
+// held.
 func (p *pool) updateSuspicionTime(now time.Time) {
 	for _, cn := range p.conns {
 		if cn.isSuspect(now, p.client.opts.SuspectAfter) && cn.waitingSince.After(p.suspicionTime) {
