--- a/edge/follow.go
+++ b/edge/follow.go
@@ -29,15 +29,15 @@
 	manifestChangePause = 250 * time.Millisecond // pause after a watch that returned a new manifest
 	leafsChangePause    = 500 * time.Millisecond // pause after a watch that returned changes of the list of leafs
 	vmsChangePause      = 2 * time.Second        // pause after a watch that returned changes of the list of VMs
-	// minRetryPause is the upper bound of the pause before the next try while no failure has
-	// been counted. The bound doubles with each failure in a row. All VMs lose the store at
-	// the same time, so the pauses are randomized below the bound.
+	// The pause before the next try is random, between half of a bound and the whole bound,
+	// since all VMs lose the store at the same time. minRetryPause is this bound while no
+	// failure has been counted. The bound doubles with each failure in a row.
 	minRetryPause = 100 * time.Millisecond
-	// maxRetryPause is the upper bound of the pause before the next try, however many calls
-	// failed in a row.
+	// maxRetryPause is the largest value of that bound, however many calls failed in a row.
 	maxRetryPause = 1500 * time.Millisecond
 	// vmsRetryPause is the longest pause before the list of VMs is read again after a watch
-	// of it failed. The list rarely changes, and nothing waits for it.
+	// of it failed. The pause is random, at least half as long. The list rarely changes, and
+	// nothing waits for it.
 	vmsRetryPause = 4 * time.Second
 	// deferredReadPause is the pause of a VM that leaves reading the store to the VMs that
 	// read it for others. Calls to these VMs cost no store call.
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -124,7 +124,9 @@
 	}
 }
 
-// probeLeafs tries to connect to the leafs that did not answer. It is a round of probeLoop.
+// probeLeafs tries to connect to the leafs that did not answer. It is a round of probeLoop. The
+// connection of a successful probe is kept for later requests if this VM keeps connections to the
+// leaf; otherwise it is closed soon.
 func (n *Node) probeLeafs(ctx context.Context) (made bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectLeafs(time.Now())
@@ -133,8 +135,9 @@
 	return len(suspects) > 0, next
 }
 
-// probeLeaf tries to connect to one leaf and records whether it could be reached. A new
-// connection is kept if this VM keeps connections to the leaf.
+// probeLeaf tries to connect to one leaf and records whether it could be reached. The connection
+// is kept for later requests if this VM keeps connections to the leaf; otherwise it is closed
+// soon.
 func (n *Node) probeLeaf(ctx context.Context, leaf registry.Leaf) {
 	id := scatter.LeafID{ID: leaf.ID, Born: leaf.Born}
 	n.engine.mu.Lock()
--- a/internal/lab/bench/scenario.go
+++ b/internal/lab/bench/scenario.go
@@ -34,9 +34,9 @@
 const (
 	stragglerProb     = 0.01 // fraction of leaf calls that take stragglerFactor times as long
 	stragglerFactor   = 20
-	overloadServiceMS = 16  // service time at and above the capacity; it bounds the calls per second
-	busyLoad          = 0.7 // fraction of the capacity
-	reportedLoad      = 20  // load that every other target reports instead of its much lower one
+	overloadServiceMS = 16  // mean service time of a leaf in scenarios with a high load; longer than baseServiceMS to limit the calls per second
+	busyLoad          = 0.7 // rate of queries as a fraction of the capacity
+	reportedLoad      = 20  // running and queued requests that every other target reports for each of its leafs; the true number is much lower
 	overloadWarmup    = 5 * time.Second
 	restartDivisor    = 4 // one in 4 targets is restarted in a window
 	extraShards       = 5 // additional shards of the new index in two of every four switches
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -134,8 +134,9 @@
 }
 
 // Limits on what this VM uses of resources that all VMs share. These are the connections and slots
-// of leafs, and the extra arrivals (hedges and retries) that all VMs together may cause at a
-// service per window besides a ratio of its requests.
+// of leafs, and the floor of a service's budget. The budget allows extra arrivals, such as hedges
+// and retries, in proportion to the service's requests. The floor is the number of extra arrivals
+// that all VMs together may cause per window in addition.
 const (
 	// usableConnectionShare is the share of a leaf's connection limit that all VMs together
 	// use, from 0 to 1. The limit is configured for the service. The remainder is a margin:
