--- a/internal/lab/edgesim/store.go
+++ b/internal/lab/edgesim/store.go
@@ -92,11 +92,11 @@
 	s.put(kind, name, json.RawMessage(spec))
 }
 
-// Remove removes an object if it exists.
-func (s *Store) Remove(kind, name string) {
+// Remove removes an object and reports whether it existed.
+func (s *Store) Remove(kind, name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.remove(kind, name)
+	return s.remove(kind, name)
 }
 
 // Compact discards the history and closes all connections, which aborts the waiting watches. A
