--- a/edge/callers.go
+++ b/edge/callers.go
@@ -89,7 +89,7 @@
 
 // callerPathOf returns what is known about the network path from the caller of a request that
 // arrived at now.
-func callerPathOf(ctx context.Context, now time.Time) callerPath {
+func callerPathOf(ctx context.Context, arrived time.Time) callerPath {
 	c, ok := ctx.Value(callerConnKey{}).(*callerConn)
 	if !ok {
 		return callerPath{}
@@ -98,7 +98,7 @@
 	// If the first request on a connection arrives within a round trip of its acceptance, the
 	// caller opened the connection for this request. Opening it has taken the caller one round
 	// trip. A connection whose first request arrives later was opened in advance.
-	if !c.used && now.Sub(c.acceptedAt) <= c.roundTrip {
+	if !c.used && arrived.Sub(c.acceptedAt) <= c.roundTrip {
 		path.connectTime = c.roundTrip
 	}
 	return path
--- a/edge/callers_test.go
+++ b/edge/callers_test.go
@@ -38,13 +38,13 @@
 // connection.
 func TestManifestHeaderTimeoutClosesSlowCaller(t *testing.T) {
 	g := gomega.NewWithT(t)
-	socket, err := listen("127.0.0.1:0")
+	ln, err := listen("127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	server := &http.Server{ReadHeaderTimeout: time.Hour, ConnState: trackCallerState, Handler: http.NotFoundHandler()}
 	limits := func() routing.Limits { return routing.Limits{HeaderTimeout: 50 * time.Millisecond} }
-	go func() { _ = server.Serve(&callerListener{Listener: socket, limits: limits}) }()
+	go func() { _ = server.Serve(&callerListener{Listener: ln, limits: limits}) }()
 	t.Cleanup(func() { _ = server.Close() })
-	caller, err := net.Dial("tcp", socket.Addr().String())
+	caller, err := net.Dial("tcp", ln.Addr().String())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	t.Cleanup(func() { _ = caller.Close() })
 	_, err = caller.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\n"))
--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -62,7 +62,7 @@
 // callPeer sends one call to another VM. It posts an event when the call was sent, for each
 // answer, and if the call fails.
 func (r *runner) callPeer(call scatter.CallVM) {
-	ctx, cancel := context.WithDeadline(r.attempts, call.AnswerBy.Add(peerCallLinger))
+	ctx, cancel := context.WithDeadline(r.attemptCtx, call.AnswerBy.Add(peerCallLinger))
 	defer cancel()
 	onSent := func() { r.post(event{call: call.Call, sent: true}) }
 	err := r.e.currentPeerClient().gather(ctx, call.VM, r.newGatherCall(call), onSent, func(ans *gatherAnswer) {
@@ -71,7 +71,7 @@
 			r.e.log.Error("invalid answer of a VM dropped", "request", r.req.ID, "vm", call.VM.Name, "error", err)
 			return
 		}
-		r.post(event{call: call.Call, shards: shards})
+		r.post(event{call: call.Call, callAnswer: shards})
 	})
 	end := scatter.EndAnswered
 	if err != nil {
@@ -234,7 +234,7 @@
 			continue
 		}
 		reported[id] = true
-		reply := r.answers[id]
+		reply := r.replies[id]
 		ans.Included = append(ans.Included, r.shards[id])
 		ans.Receipts = append(ans.Receipts, reply.metadata.Receipt)
 		bodies = append(bodies, reply.Body)
--- a/edge/elapsed_test.go
+++ b/edge/elapsed_test.go
@@ -11,7 +11,7 @@
 
 // Guards against answers that are sent in time by the VM's clock but arrive late for a caller
 // that first had to open a connection.
-func TestAnswerLeavesInTimeOverNewConnection(t *testing.T) {
+func TestAnswerIsSentInTimeOverNewConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const objective, oneWay = 80 * time.Millisecond, 3 * time.Millisecond
 	elapsed := newElapsedTimes()
@@ -30,7 +30,7 @@
 
 // Guards against late answers on a route with so few requests that no other caller's stated
 // time is known. The time that the caller spent is then derived from the connection itself.
-func TestAnswerLeavesInTimeForOnlyCallerOfRoute(t *testing.T) {
+func TestAnswerIsSentInTimeForOnlyCallerOfRoute(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const objective, oneWay = 50 * time.Millisecond, 3 * time.Millisecond
 	now := time.Unix(1_000_000, 0)
@@ -51,13 +51,13 @@
 // Guards against a round-trip time that the kernel doesn't return: a real connection has one.
 func TestConnectionRoundTripIsMeasured(t *testing.T) {
 	g := gomega.NewWithT(t)
-	socket, err := listen("127.0.0.1:0")
+	ln, err := listen("127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	defer func() { _ = socket.Close() }()
-	caller, err := net.Dial("tcp", socket.Addr().String())
+	defer func() { _ = ln.Close() }()
+	caller, err := net.Dial("tcp", ln.Addr().String())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = caller.Close() }()
-	conn, err := (&callerListener{Listener: socket}).Accept()
+	conn, err := (&callerListener{Listener: ln}).Accept()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = conn.Close() }()
 	g.Expect(conn.(*callerConn).roundTrip).To(gomega.BeNumerically(">", 0))
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -61,9 +61,9 @@
 	announcer *announcer // writes this VM's entry in the list of VMs
 	// listen starts accepting calls of other VMs. It does nothing after the first success.
 	listen func(self scatter.VM) error
-	// joined is called when the list of VMs has been read, or when listen fails. It does
+	// followLeafsAndManifest is called when the list of VMs has been read, or when listen fails. It does
 	// nothing after the first call.
-	joined func()
+	followLeafsAndManifest func()
 }
 
 // backoff waits before the next try. The longest pause doubles with each failure in a row, up
@@ -220,11 +220,11 @@
 			age.freshAt = time.Now()
 			f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
 				var out []registry.Change
-				for _, one := range c.Changes {
-					if one.Gone {
-						out = append(out, r.Remove(now, one.Leaf.ID)...)
+				for _, change := range c.Changes {
+					if change.Gone {
+						out = append(out, r.Remove(now, change.Leaf.ID)...)
 					} else {
-						out = append(out, r.Put(one.Leaf)...)
+						out = append(out, r.Put(change.Leaf)...)
 					}
 				}
 				return out
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -195,7 +195,7 @@
 	res := &Result{Outcome: out, Header: http.Header{}}
 	switch out.Verdict {
 	case scatter.Answered, scatter.LeafFailed:
-		ans := r.answers[out.Attempt]
+		ans := r.replies[out.Attempt]
 		res.Status, res.Body = ans.Status, ans.Body
 		res.Header = forwardedHeaders(ans.Header, nil)
 	case scatter.NotRun:
@@ -216,9 +216,9 @@
 }
 
 // replyUnavailable answers 503 with Retry-After to a request that was sent to no leaf.
-func (e *Engine) replyUnavailable(w http.ResponseWriter, r *http.Request, why string, after time.Duration) {
+func (e *Engine) replyUnavailable(w http.ResponseWriter, r *http.Request, why string, retryAfter time.Duration) {
 	e.logRefusal(r, http.StatusServiceUnavailable, why, 0)
-	w.Header().Set("Retry-After", formatSeconds(after))
+	w.Header().Set("Retry-After", formatSeconds(retryAfter))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
--- a/edge/merge.go
+++ b/edge/merge.go
@@ -43,7 +43,7 @@
 func (r *runner) collect(out scatter.Outcome) []ShardsAnswer {
 	answers := make([]ShardsAnswer, 0, len(out.Parts)+len(out.CallAnswers))
 	for _, id := range out.Parts {
-		ans := r.answers[id]
+		ans := r.replies[id]
 		answers = append(answers, ShardsAnswer{Receipts: []string{ans.metadata.Receipt}, Records: ans.Body})
 	}
 	for _, n := range out.CallAnswers {
--- a/edge/node.go
+++ b/edge/node.go
@@ -26,16 +26,16 @@
 
 // Node is a daemon on the users' platform.
 type Node struct {
-	settings  *Settings
-	store     Store
-	readyPath string // path of the readiness check
-	log       *slog.Logger
-	engine    *Engine
-	self      scatter.VM                    // this VM, without a key
-	tomb      tomb.Tomb                     // runs the servers and the background loops
-	leaving   atomic.Bool                   // Leave was called
-	listed    atomic.Bool                   // the leafs have been listed at least once
-	transport atomic.Pointer[peerTransport] // nil until this VM has joined the other VMs
+	settings    *Settings
+	store       Store
+	readyPath   string // path of the readiness check
+	log         *slog.Logger
+	engine      *Engine
+	self        scatter.VM                    // this VM, without a key
+	tomb        tomb.Tomb                     // runs the servers and the background loops
+	leaving     atomic.Bool                   // Leave was called
+	leafsListed atomic.Bool                   // the leafs have been listed at least once
+	transport   atomic.Pointer[peerTransport] // nil until this VM has joined the other VMs
 
 	callerServer *http.Server
 	auxServers   []*http.Server     // for the load balancer and operators
@@ -110,21 +110,21 @@
 // Start opens the listeners and begins to follow the store. It doesn't wait until the daemon
 // is ready.
 func (n *Node) Start() error {
-	socket, err := listen(n.settings.Listen.Callers)
+	ln, err := listen(n.settings.Listen.Callers)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	n.callerServer = n.newCallerServer()
-	n.serve(&callerListener{Listener: socket, limits: n.engine.callerLimits}, n.callerServer)
+	n.serve(&callerListener{Listener: ln, limits: n.engine.callerLimits}, n.callerServer)
 	for address, server := range map[string]*http.Server{
 		n.settings.Listen.Ready:   n.newReadyServer(),
 		n.settings.Listen.Metrics: n.newMetricsServer(),
 	} {
-		socket, err := listen(address)
+		ln, err := listen(address)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		n.serve(socket, server)
+		n.serve(ln, server)
 		n.auxServers = append(n.auxServers, server)
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -136,15 +136,15 @@
 
 // listen opens a listener at an address of the form "IP:port".
 func listen(address string) (net.Listener, error) {
-	socket, err := net.Listen("tcp", address)
-	return socket, errors.Annotatef(err, "listen on %s", address)
+	ln, err := net.Listen("tcp", address)
+	return ln, errors.Annotatef(err, "listen on %s", address)
 }
 
 // serve runs a server on a listener in the background.
-func (n *Node) serve(socket net.Listener, server *http.Server) {
+func (n *Node) serve(ln net.Listener, server *http.Server) {
 	n.tomb.Go(func() error {
-		if err := server.Serve(socket); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			n.log.Error("serving a listener failed", "address", socket.Addr().String(), "error", err)
+		if err := server.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
+			n.log.Error("serving a listener failed", "address", ln.Addr().String(), "error", err)
 		}
 		return nil
 	})
@@ -171,7 +171,7 @@
 
 // isReady reports whether callers should send requests to this VM.
 func (n *Node) isReady() bool {
-	return !n.leaving.Load() && n.listed.Load() && n.engine.inForce.Get() != nil
+	return !n.leaving.Load() && n.leafsListed.Load() && n.engine.inForce.Get() != nil
 }
 
 // newReadyServer returns the server for the load balancer's readiness checks: status 200 if
@@ -198,10 +198,10 @@
 // startLoops starts the background loops: following the store, announcing this VM,
 // maintaining connections, and probing.
 func (n *Node) startLoops(ctx context.Context) {
-	store := newRelay(n.store, n.engine, n.maxStaleness())
+	r := newRelay(n.store, n.engine, n.maxStaleness())
 	f := &follower{
 		e:           n.engine,
-		store:       store,
+		store:       r,
 		settings:    n.settings,
 		self:        n.self,
 		log:         n.log,
@@ -210,13 +210,13 @@
 		announcer:   &announcer{store: n.store, self: n.self, log: n.log},
 	}
 	n.tomb.Go(func() error {
-		n.followStore(ctx, f, store)
+		n.followStore(ctx, f, r)
 		return nil
 	})
 	n.tomb.Go(func() error {
 		select {
 		case <-f.leafsListed:
-			n.listed.Store(true)
+			n.leafsListed.Store(true)
 			f.announce(ctx)
 		case <-ctx.Done():
 		}
@@ -243,9 +243,9 @@
 // followStore follows the list of VMs. This list determines which VMs read the store for
 // others. So the manifest and the leafs are followed only once the list has been read, or
 // listening for other VMs has failed.
-func (n *Node) followStore(ctx context.Context, f *follower, store *relay) {
-	f.joined = sync.OnceFunc(func() {
-		store.delayFirstRead()
+func (n *Node) followStore(ctx context.Context, f *follower, r *relay) {
+	f.followLeafsAndManifest = sync.OnceFunc(func() {
+		r.delayFirstRead()
 		n.tomb.Go(func() error { f.follow(ctx, f.manifests()); return nil })
 		n.tomb.Go(func() error { f.follow(ctx, f.leafs()); return nil })
 	})
--- a/edge/pack_test.go
+++ b/edge/pack_test.go
@@ -10,7 +10,7 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-func largeManifest(routes int) *routing.Manifest {
+func manifestWithRoutes(routes int) *routing.Manifest {
 	doc := routing.Document{Version: 7, Services: map[string]routing.Service{}}
 	for i := range routes {
 		name := fmt.Sprintf("r-%04d", i)
@@ -29,7 +29,7 @@
 func TestLargeManifestIsSentCompressed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFeed()
-	m := largeManifest(1900)
+	m := manifestWithRoutes(1900)
 	f.setManifest(m)
 	packed, err := f.document()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -56,10 +56,10 @@
 	f.appendChanges([]registry.Change{{Leaf: registry.Leaf{ID: "leaf-1"}, Gone: true}})
 	g.Expect(leafs()).To(gomega.BeEmpty())
 
-	f.setManifest(largeManifest(1))
+	f.setManifest(manifestWithRoutes(1))
 	_, err := f.document()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	f.setManifest(largeManifest(2))
+	f.setManifest(manifestWithRoutes(2))
 	packed, err := f.document()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	received, err := (&manifestAnswer{Document: packed}).manifest()
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -152,13 +152,13 @@
 	}
 }
 
-// answersPerCall is the maximum number of messages that answer a call: the acknowledgement,
+// maxAnswersPerCall is the maximum number of messages that answer a call: the acknowledgement,
 // the declined shards, the interim answer and the last one.
-const answersPerCall = 4
+const maxAnswersPerCall = 4
 
 // registerCall returns the key of a new call, and a channel that receives its answers.
 func (p *peerTransport) registerCall() (uint64, <-chan *gatherAnswer) {
-	answers := make(chan *gatherAnswer, answersPerCall)
+	answers := make(chan *gatherAnswer, maxAnswersPerCall)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastKey++
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -50,12 +50,12 @@
 // at once. The loop sleeps while there are no suspects: waking 8 times a second without work
 // took a seventh of the CPU time (on a quiet day 30.7 s instead of 26.3 s, for all VMs
 // together).
-func probeLoop(ctx context.Context, woken wakeup, round func(context.Context) (made bool, next time.Time)) {
+func probeLoop(ctx context.Context, wake wakeup, round func(context.Context) (probed bool, next time.Time)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
-		made, next := round(ctx)
-		if made {
+		probed, next := round(ctx)
+		if probed {
 			continue
 		}
 		var due <-chan time.Time
@@ -64,7 +64,7 @@
 			due = timer.C
 		}
 		select {
-		case <-woken:
+		case <-wake:
 		case <-due:
 		case <-ctx.Done():
 		}
@@ -78,7 +78,7 @@
 // checkVMs checks whether the VMs that this one calls are alive, after a call to one of them
 // was not answered. It is a round of probeLoop. Further checks are due only after the next
 // call that fails, so next is always zero.
-func (n *Node) checkVMs(ctx context.Context) (made bool, next time.Time) {
+func (n *Node) checkVMs(ctx context.Context) (probed bool, next time.Time) {
 	n.engine.mu.Lock()
 	due := n.engine.table.DueForLivenessCheck(time.Now())
 	client := n.engine.peerClient
@@ -104,7 +104,7 @@
 }
 
 // probeVMs tries to connect to the VMs that did not answer. It is a round of probeLoop.
-func (n *Node) probeVMs(ctx context.Context) (made bool, next time.Time) {
+func (n *Node) probeVMs(ctx context.Context) (probed bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectVMs(time.Now())
 	client := n.engine.peerClient
@@ -127,7 +127,7 @@
 // probeLeafs tries to connect to the leafs that did not answer. It is a round of probeLoop. The
 // connection of a successful probe is kept for later requests if this VM keeps connections to the
 // leaf; otherwise it is closed soon.
-func (n *Node) probeLeafs(ctx context.Context) (made bool, next time.Time) {
+func (n *Node) probeLeafs(ctx context.Context) (probed bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectLeafs(time.Now())
 	n.engine.mu.Unlock()
@@ -141,9 +141,9 @@
 func (n *Node) probeLeaf(ctx context.Context, leaf registry.Leaf) {
 	id := scatter.LeafID{ID: leaf.ID, Born: leaf.Born}
 	n.engine.mu.Lock()
-	peer := leafhttp.Endpoint{Key: poolKey(id), Address: leaf.Address, Transient: !n.engine.table.KeepsConnection(id)}
+	endpoint := leafhttp.Endpoint{Key: poolKey(id), Address: leaf.Address, Transient: !n.engine.table.KeepsConnection(id)}
 	n.engine.mu.Unlock()
-	err := n.engine.pool.Warm(ctx, peer)
+	err := n.engine.pool.Warm(ctx, endpoint)
 	n.engine.mu.Lock()
 	cleared := n.engine.table.RecordLeafProbe(time.Now(), id, err == nil)
 	n.engine.mu.Unlock()
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -43,8 +43,8 @@
 		table: table, peerClient: &silentPeerClient{silentVM: "vm-c"}, suspectVMs: newWakeup(),
 	}}
 	table.CallEnded(now, "vm-b", scatter.EndSilent)
-	made, _ := n.checkVMs(t.Context())
-	g.Expect(made).To(gomega.BeTrue())
+	probed, _ := n.checkVMs(t.Context())
+	g.Expect(probed).To(gomega.BeTrue())
 	var called []string
 	for _, vm := range table.Delegates(now) {
 		called = append(called, vm.Name)
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -54,10 +54,10 @@
 // The VMs that followed it list the store themselves.
 func TestReaderFailureIsNotAStoreOutage(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		err    error
-		store  error
-		outage bool
+		name      string
+		readerErr error
+		storeErr  error
+		outage    bool
 	}{
 		{"silent", result.Errorf(result.PeerSilent, "no answer"), nil, false},
 		{"unreachable", errors.New("connection refused"), nil, false},
@@ -65,8 +65,8 @@
 		{"silent, and the store fails once", result.Errorf(result.PeerSilent, "no answer"), errors.New("down"), true},
 	} {
 		g := gomega.NewWithT(t)
-		store := &listingStore{err: c.store}
-		r := newFollowingRelay(store, &failingPeerClient{err: c.err})
+		store := &listingStore{err: c.storeErr}
+		r := newFollowingRelay(store, &failingPeerClient{err: c.readerErr})
 		g.Expect(r.storeReaders().Self).To(gomega.BeFalse())
 		var list LeafList
 		g.Eventually(func() (err error) {
@@ -89,9 +89,9 @@
 	const bound = 5 * time.Second
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
-		silent time.Duration
-		outage bool
-		hold   time.Duration
+		sinceFresh time.Duration
+		outage     bool
+		hold       time.Duration
 	}{
 		{0, false, registry.OutageHold},
 		{3500 * time.Millisecond, false, 750 * time.Millisecond},
@@ -99,8 +99,8 @@
 		{10 * time.Second, true, registry.OutageHold},
 	} {
 		age := listAge{failed: true, freshAt: start}
-		g.Expect(age.missingLeafHold(start.Add(c.silent), c.outage, bound)).To(gomega.Equal(c.hold))
-		g.Expect(age.missingLeafHold(start.Add(c.silent), false, bound)).To(gomega.BeZero(), "the list is fresh again")
+		g.Expect(age.missingLeafHold(start.Add(c.sinceFresh), c.outage, bound)).To(gomega.Equal(c.hold))
+		g.Expect(age.missingLeafHold(start.Add(c.sinceFresh), false, bound)).To(gomega.BeZero(), "the list is fresh again")
 	}
 	neverRead := listAge{failed: true}
 	g.Expect(neverRead.missingLeafHold(start, false, bound)).To(gomega.Equal(registry.OutageHold))
--- a/edge/run.go
+++ b/edge/run.go
@@ -15,16 +15,16 @@
 // and calls run in goroutines of their own, which report only through events and may outlive
 // loop.
 type runner struct {
-	e        *Engine
-	req      *Request
-	spec     scatter.Spec       // requirements and limits of the query
-	query    *scatter.Query     // decides what to do next; changed only with Engine.mu held
-	events   chan event         // from attempts and calls to loop
-	done     chan struct{}      // closed after loop has returned
-	attempts context.Context    // of all attempts and calls; ends some time after the query
-	cancel   context.CancelFunc // cancels attempts
+	e          *Engine
+	req        *Request
+	spec       scatter.Spec       // requirements and limits of the query
+	query      *scatter.Query     // decides what to do next; changed only with Engine.mu held
+	events     chan event         // from attempts and calls to loop
+	done       chan struct{}      // closed after loop has returned
+	attemptCtx context.Context    // of all attempts and calls; ends some time after the query
+	cancel     context.CancelFunc // cancels attempts
 
-	answers     map[scatter.AttemptID]*reply
+	replies     map[scatter.AttemptID]*reply
 	shards      map[scatter.AttemptID]int // shard number of each attempt
 	callAnswers []*ShardsAnswer           // in the order in which they were passed to the query
 
@@ -36,12 +36,12 @@
 
 // event reports the progress or the end of an attempt or of a call to another VM.
 type event struct {
-	attempt scatter.AttemptID // set if the event concerns an attempt
-	call    scatter.CallID    // set if the event concerns a call
-	sent    bool              // the call was written to the connection
-	end     scatter.End       // how the attempt or the call ended
-	reply   *reply            // the leaf's answer, nil unless end is EndAnswered or EndFailed
-	shards  *ShardsAnswer     // an answer to a call to another VM; nil for any other event
+	attempt    scatter.AttemptID // set if the event concerns an attempt
+	call       scatter.CallID    // set if the event concerns a call
+	sent       bool              // the call was written to the connection
+	end        scatter.End       // how the attempt or the call ended
+	reply      *reply            // the leaf's answer, nil unless end is EndAnswered or EndFailed
+	callAnswer *ShardsAnswer     // an answer to a call to another VM; nil for any other event
 	// neverSent is true if the call failed before the VM received it.
 	neverSent bool
 }
@@ -73,17 +73,17 @@
 
 // newRunner returns a runner of the query that spec describes.
 func (e *Engine) newRunner(req *Request, spec scatter.Spec) *runner {
-	attempts, cancel := context.WithDeadline(context.Background(), spec.Deadline.Add(lingerLate))
+	ctx, cancel := context.WithDeadline(context.Background(), spec.Deadline.Add(lingerLate))
 	return &runner{
-		e:        e,
-		req:      req,
-		spec:     spec,
-		events:   make(chan event, len(spec.Services)+eventBuffer),
-		done:     make(chan struct{}),
-		attempts: attempts,
-		cancel:   cancel,
-		answers:  make(map[scatter.AttemptID]*reply),
-		shards:   make(map[scatter.AttemptID]int),
+		e:          e,
+		req:        req,
+		spec:       spec,
+		events:     make(chan event, len(spec.Services)+eventBuffer),
+		done:       make(chan struct{}),
+		attemptCtx: ctx,
+		cancel:     cancel,
+		replies:    make(map[scatter.AttemptID]*reply),
+		shards:     make(map[scatter.AttemptID]int),
 	}
 }
 
@@ -173,20 +173,20 @@
 		switch {
 		case ev.sent:
 			return r.query.CallSent(now, ev.call)
-		case ev.call != 0 && ev.shards != nil:
-			r.callAnswers = append(r.callAnswers, ev.shards)
+		case ev.call != 0 && ev.callAnswer != nil:
+			r.callAnswers = append(r.callAnswers, ev.callAnswer)
 			return r.query.CallReply(now, ev.call, scatter.CallAnswer{
-				Included: ev.shards.Included,
-				Declined: ev.shards.declined,
-				Last:     ev.shards.last,
+				Included: ev.callAnswer.Included,
+				Declined: ev.callAnswer.declined,
+				Last:     ev.callAnswer.last,
 
-				Refused:    ev.shards.refused,
-				RetryAfter: ev.shards.retryAfter,
+				Refused:    ev.callAnswer.refused,
+				RetryAfter: ev.callAnswer.retryAfter,
 			})
 		case ev.call != 0:
 			return r.query.CallFail(now, ev.call, ev.neverSent)
 		case ev.reply != nil:
-			r.answers[ev.attempt] = ev.reply
+			r.replies[ev.attempt] = ev.reply
 			return r.query.Reply(now, ev.attempt, r.answerFailed(ev.reply))
 		default:
 			return r.query.Fail(now, ev.attempt, ev.end)
@@ -225,9 +225,9 @@
 // send makes one attempt and records its end in the table, even if the query has ended long
 // before.
 func (r *runner) send(s scatter.Send) {
-	ctx, cancel := context.WithDeadline(r.attempts, s.Until.Add(r.linger()))
+	ctx, cancel := context.WithDeadline(r.attemptCtx, s.Until.Add(r.linger()))
 	defer cancel()
-	peer := leafhttp.Endpoint{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
+	endpoint := leafhttp.Endpoint{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
 	var metadata LeafMetadata
 	// A leaf may send a late answer to an earlier request where the answer to the next one is
 	// expected.
@@ -235,7 +235,7 @@
 		metadata = r.e.headerCodec.ParseLeafHeaders(ans.Status, ans.Header)
 		return metadata.RequestID == "" || metadata.RequestID == r.req.ID
 	}
-	ans, err := r.e.pool.Do(ctx, peer, r.req.HTTP, r.e.headerCodec.AttemptHeaders(s.Leaf, time.Until(s.Until)), matches)
+	ans, err := r.e.pool.Do(ctx, endpoint, r.req.HTTP, r.e.headerCodec.AttemptHeaders(s.Leaf, time.Until(s.Until)), matches)
 	ev := event{attempt: s.Attempt}
 	if err == nil {
 		ev.reply, ev.end = r.classifyAnswer(s, ans, metadata)
@@ -244,7 +244,7 @@
 	}
 	if ev.end == scatter.EndSilent {
 		// Other connections to this leaf may be dead too.
-		r.e.pool.CloseIdle(peer.Key)
+		r.e.pool.CloseIdle(endpoint.Key)
 	}
 	r.e.mu.Lock()
 	now := time.Now()
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -19,9 +19,9 @@
 
 func TestParseSettings(t *testing.T) {
 	g := gomega.NewWithT(t)
-	set, err := ParseSettings([]byte(validSettings))
+	s, err := ParseSettings([]byte(validSettings))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(set.Budget.Floor).To(gomega.Equal(54.0))
+	g.Expect(s.Budget.Floor).To(gomega.Equal(54.0))
 }
 
 // Guards against a daemon that starts with an invalid setting, such as an invalid store
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -82,10 +82,10 @@
 // writeMetrics writes all metrics in the Prometheus text format.
 func (e *Engine) writeMetrics(w io.Writer) {
 	e.stats.set.WritePrometheus(w)
-	dials, reuses, dirty := e.pool.Stats()
+	dials, reuses, discarded := e.pool.Stats()
 	fmt.Fprintf(w, "bramley_edge_leaf_connections_opened_total %d\n", dials)
 	fmt.Fprintf(w, "bramley_edge_leaf_connections_reused_total %d\n", reuses)
-	fmt.Fprintf(w, "bramley_edge_leaf_connections_dropped_total %d\n", dirty)
+	fmt.Fprintf(w, "bramley_edge_leaf_connections_dropped_total %d\n", discarded)
 	fmt.Fprintf(w, "bramley_edge_leaf_connections_idle %d\n", e.pool.Idle())
 	fmt.Fprintf(w, "bramley_edge_leafs %d\n", e.Leafs())
 	if m := e.inForce.Get(); m != nil {
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -22,10 +22,10 @@
 func (n *Node) warmConns(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, warmInterval)
-		for _, peer := range n.engine.unusedLeafPeers() {
+		for _, endpoint := range n.engine.unusedLeafEndpoints() {
 			// The error is only logged: an unreachable leaf is detected when it is used.
-			if err := n.engine.pool.Warm(ctx, peer); err != nil {
-				n.log.Debug("opening a connection to a leaf failed", "leaf", peer.Key, "error", err)
+			if err := n.engine.pool.Warm(ctx, endpoint); err != nil {
+				n.log.Debug("opening a connection to a leaf failed", "leaf", endpoint.Key, "error", err)
 			}
 			sleep(ctx, warmDialPause)
 		}
@@ -33,17 +33,17 @@
 	}
 }
 
-// unusedLeafPeers returns the leafs that have no request of this VM in flight, out of its leaf
+// unusedLeafEndpoints returns the leafs that have no request of this VM in flight, out of its leaf
 // partition: the part of its zone's leafs to which it keeps connections.
-func (e *Engine) unusedLeafPeers() []leafhttp.Endpoint {
+func (e *Engine) unusedLeafEndpoints() []leafhttp.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var peers []leafhttp.Endpoint
+	var endpoints []leafhttp.Endpoint
 	for _, l := range e.table.UnusedLeafs() {
 		key := poolKey(scatter.LeafID{ID: l.ID, Born: l.Born})
-		peers = append(peers, leafhttp.Endpoint{Key: key, Address: l.Address})
+		endpoints = append(endpoints, leafhttp.Endpoint{Key: key, Address: l.Address})
 	}
-	return peers
+	return endpoints
 }
 
 // warmDelegates opens a connection to each VM that this one calls, unless there is one.
