--- a/leafhttp/conn.go
+++ b/leafhttp/conn.go
@@ -64,12 +64,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	wouldBlock := false
 	err = raw.Read(func(fd uintptr) bool {
 		var buf [1]byte
 		_, _, peekErr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = peekErr == unix.EAGAIN
+		wouldBlock = peekErr == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && wouldBlock
 }
--- a/leafhttp/pool.go
+++ b/leafhttp/pool.go
@@ -26,8 +26,8 @@
 const transientIdleTimeout = 500 * time.Millisecond
 
 // limitIdle returns how long a connection may stay idle if the leaf itself allows d.
-func (p Endpoint) limitIdle(d time.Duration) time.Duration {
-	if p.Transient {
+func (e Endpoint) limitIdle(d time.Duration) time.Duration {
+	if e.Transient {
 		return min(d, transientIdleTimeout)
 	}
 	return d
--- a/leafhttp/pool_test.go
+++ b/leafhttp/pool_test.go
@@ -21,10 +21,10 @@
 func callWithTimeout(pool *leafhttp.Pool, l *edgesim.Leaf, id string, timeout time.Duration) (*leafhttp.Answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	peer := leafhttp.Endpoint{Key: l.ID, Address: l.Address()}
+	endpoint := leafhttp.Endpoint{Key: l.ID, Address: l.Address()}
 	req := &leafhttp.Request{Method: "POST", Target: "/x", Host: "h", Header: http.Header{}, Body: []byte("report"), HasBody: true}
 	extra := http.Header{"Bramleybarrow-Attempt-Id": {id}}
-	return pool.Do(ctx, peer, req, extra, func(ans *leafhttp.Answer) bool {
+	return pool.Do(ctx, endpoint, req, extra, func(ans *leafhttp.Answer) bool {
 		return ans.Header.Get("Bramleybarrow-Attempt-Id") == id
 	})
 }
@@ -135,10 +135,10 @@
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
 	pool := leafhttp.NewPool()
-	peer := leafhttp.Endpoint{Key: l.ID, Address: l.Address(), Transient: true}
-	g.Expect(pool.Warm(context.Background(), peer)).To(gomega.Succeed())
+	endpoint := leafhttp.Endpoint{Key: l.ID, Address: l.Address(), Transient: true}
+	g.Expect(pool.Warm(context.Background(), endpoint)).To(gomega.Succeed())
 	req := &leafhttp.Request{Method: "GET", Target: "/x", Host: "h", Header: http.Header{}}
-	_, err := pool.Do(context.Background(), peer, req, nil, func(*leafhttp.Answer) bool { return true })
+	_, err := pool.Do(context.Background(), endpoint, req, nil, func(*leafhttp.Answer) bool { return true })
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(pool.Idle()).To(gomega.Equal(1), "kept for the next request of a burst")
 	pool.CloseExpired(time.Now().Add(time.Second))
