--- a/edge/announce.go
+++ b/edge/announce.go
@@ -11,7 +11,7 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// announcer keeps this VM's entry in the store's list of VMs. Store writes are billed, so it
+// announcer maintains this VM's entry in the store's list of VMs. Store writes are billed, so it
 // writes only if the entry is known to be missing or different. An entry outlives the process
 // that wrote it, so a VM that was killed finds its own entry after a restart. An announcer is
 // safe for concurrent use.
@@ -31,8 +31,8 @@
 const maxListAge = 10 * time.Second
 
 // ensureKey sets the key that other VMs must present to call this one, and returns the
-// completed entry. It takes the key of entry, which an earlier incarnation of this VM wrote,
-// or else generates a new one.
+// completed entry. It uses the key of entry, which an earlier incarnation of this VM wrote, or
+// else generates a new one.
 func (a *announcer) ensureKey(entry scatter.VM) (scatter.VM, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/edge/callers.go
+++ b/edge/callers.go
@@ -20,7 +20,8 @@
 )
 
 // idleTimeoutSlack is added to the manifest's idle timeout of callers' connections. A caller
-// may learn of a longer timeout before this VM does, and must not find its connection closed.
+// may apply a longer timeout of a new manifest before this VM does, and must not find its
+// connection closed.
 const idleTimeoutSlack = 30 * time.Second
 
 // callerListener applies the timeouts of the manifest in force to callers' connections. The
@@ -88,7 +89,7 @@
 }
 
 // callerPathOf returns what is known about the network path from the caller of a request that
-// arrived at now.
+// arrived at the given time. ctx is the context of the request.
 func callerPathOf(ctx context.Context, arrived time.Time) callerPath {
 	c, ok := ctx.Value(callerConnKey{}).(*callerConn)
 	if !ok {
--- a/edge/callers_test.go
+++ b/edge/callers_test.go
@@ -11,10 +11,10 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-// Guards against closing a caller's connection by the server's own idle timeout although the
-// manifest allows a longer one: a caller that reuses the connection would find it closed. The
-// manifest's timeouts apply, also after a change. The deadlines with which the server ends
-// its own reads are not changed.
+// Guards against a server that closes a caller's connection after its own idle timeout although
+// the manifest allows a longer one: a caller that reuses the connection would find it closed.
+// The manifest's timeouts apply, also after a change of the manifest. The deadlines with which
+// the server ends its own reads are not changed.
 func TestManifestTimeoutsOverrideServerTimeouts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := routing.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 200 * time.Second}
--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -22,8 +22,8 @@
 	// ping checks that a VM is alive if there is a connection to it. If the check fails, the
 	// connection is closed.
 	ping(ctx context.Context, vm scatter.VM) error
-	// follow sends a call to a VM that reads the store for others, and decodes the answer into
-	// into. method is methodFollowLeafs or methodFollowManifest.
+	// follow sends a call to a VM that reads the store for others, and stores the decoded answer
+	// in into. method is methodFollowLeafs or methodFollowManifest.
 	follow(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error
 }
 
@@ -168,9 +168,9 @@
 
 // serveGather serves another VM's call. It acknowledges the call at once, and never calls a
 // third VM, so that no two VMs wait for each other. At the interim time, which the call
-// states, it sends the answers of the shards so far. So the calling VM learns that this one is
-// alive, and keeps most of the shards if this VM fails later. Shards for which this VM and the
-// calling VM know different leafs are declined at once.
+// states, it sends the answers of the shards so far. This shows the calling VM that this one is
+// alive, and leaves it the results of most shards if this VM fails later. Shards for which this
+// VM and the calling VM know different leafs are declined at once.
 func (e *Engine) serveGather(ctx context.Context, call *gatherCall, answer func(*gatherAnswer)) {
 	answer(&gatherAnswer{Key: call.Key}) // acknowledges the call
 	now := time.Now()
--- a/edge/elapsed.go
+++ b/edge/elapsed.go
@@ -68,8 +68,8 @@
 // and the way to this VM. shortfall is how much less remaining time the request's caller states
 // than other callers of the route. A shortfall that is not longer than connecting can take is
 // the time that the caller spent on connecting. A longer one means that the request is a
-// repeat. A repeat is either late already or counts from the time of the repeat, so its
-// shortfall is ignored.
+// repeat after a failure. A repeat is either late already or counts from the time at which it
+// was sent, so its shortfall is ignored.
 func (p callerPath) elapsed(shortfall, objective time.Duration) time.Duration {
 	if shortfall > max(time.Duration(maxElapsedShare*float64(objective)), p.connectTime+p.oneWay) {
 		shortfall = 0
@@ -77,10 +77,10 @@
 	return max(shortfall, p.connectTime) + p.oneWay
 }
 
-// Parameters of the time at which a gathered request is answered in part. An answer is worth
-// the square of its share of the shards until the latency objective, and a tenth of that
-// afterwards. So it is sent just early enough to be written and to reach the caller before
-// the objective.
+// Parameters of the time at which a gathered request is answered although shards are missing.
+// Until the latency objective, an answer is worth the square of its share of the shards;
+// afterwards it is worth a tenth of that. So it is sent just early enough to be written and to
+// reach the caller before the objective.
 const (
 	assumedOneWay        = 2 * time.Millisecond // one-way network time to a caller, if it is unknown
 	answerWriteTime      = 2 * time.Millisecond // time for writing the answer, without the part that grows with the latency objective
--- a/edge/elapsed_test.go
+++ b/edge/elapsed_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against answers that are sent in time by the VM's clock but arrive late for a caller
-// that first had to open a connection.
+// that first had to open a connection, which takes part of the latency objective.
 func TestAnswerIsSentInTimeOverNewConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const objective, oneWay = 80 * time.Millisecond, 3 * time.Millisecond
@@ -28,8 +28,9 @@
 	g.Expect(unknown.elapsed(repeat, objective)).To(gomega.BeZero())
 }
 
-// Guards against late answers on a route with so few requests that no other caller's stated
-// time is known. The time that the caller spent is then derived from the connection itself.
+// Guards against late answers on a route that has only one caller, so that there is no other
+// stated time to compare with. The time that the caller spent is then derived from the round
+// trip measured on its connection.
 func TestAnswerIsSentInTimeForOnlyCallerOfRoute(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const objective, oneWay = 50 * time.Millisecond, 3 * time.Millisecond
@@ -48,7 +49,8 @@
 	g.Expect(timeToAnswer(now)).To(gomega.Equal(timeToAnswer(now.Add(time.Second))), "the connection was already open")
 }
 
-// Guards against a round-trip time that the kernel doesn't return: a real connection has one.
+// Guards against a round-trip time that can't be read from the kernel and is then assumed: the
+// time of a real connection is available.
 func TestConnectionRoundTripIsMeasured(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ln, err := listen("127.0.0.1:0")
@@ -64,7 +66,7 @@
 }
 
 // Guards against an outdated longest timeout: when all callers of a route reduce their
-// timeouts, the difference must not count as time spent indefinitely.
+// timeouts, the difference must not permanently count as time that they have spent.
 func TestLongestTimeoutExpires(t *testing.T) {
 	g := gomega.NewWithT(t)
 	elapsed := newElapsedTimes()
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -22,13 +22,13 @@
 	elapsed          *elapsedTimes     // estimates the time that callers spent before their requests arrived
 	log              *slog.Logger
 	stats            *stats // counters
-	feed             *feed  // what the VMs that follow this one read
-	livenessCheckDue wakeup // a call to another VM failed, so check whether the others are alive
-	suspectVMs       wakeup // a call to another VM failed, or a liveness check did
-	suspectLeafs     wakeup // a leaf did not answer or could not be reached
+	feed             *feed  // read by the VMs that follow this one
+	livenessCheckDue wakeup // wakes checkVMs after a failed call to another VM
+	suspectVMs       wakeup // wakes probeVMs after a failed call to another VM or a failed liveness check
+	suspectLeafs     wakeup // wakes probeLeafs after a leaf did not answer or could not be reached
 
-	mu         sync.Mutex         // guards the fields below, queries in progress included
-	table      *scatter.Table     // what decisions about attempts and calls are based on: leafs, other VMs, loads
+	mu         sync.Mutex         // guards the fields below and the query of each runner
+	table      *scatter.Table     // state of leafs and other VMs, on which decisions about attempts and calls are based
 	registry   *registry.Registry // list of leafs
 	peerClient peerClient         // calls other VMs; noPeerClient until this VM has joined them
 }
@@ -65,7 +65,7 @@
 }
 
 // Offer puts a manifest in force if it is newer than the present one, and reports whether it
-// did. The manifest in force decides about all new requests.
+// did. The manifest in force applies to all new requests.
 func (e *Engine) Offer(m *routing.Manifest) bool {
 	if !e.inForce.Offer(m) {
 		return false
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -14,7 +14,7 @@
 )
 
 // feed keeps the leafs and the manifest that this VM knows, and the recent changes of the
-// leafs in the order in which they were learned. Each change has a position, its number in
+// leafs in the order in which this VM received them. Each change has a position, its number in
 // this order. VMs that follow this VM instead of the store read from the feed. It is safe for
 // concurrent use.
 type feed struct {
@@ -98,8 +98,8 @@
 }
 
 // recordFailure records that a store call about a resource failed. Calls of VMs that follow
-// this one stop waiting, so that these VMs learn of it at once: the store may be rejecting
-// this VM alone.
+// this one stop waiting and fail, so that these VMs can read from elsewhere at once: the store
+// may be rejecting this VM alone.
 func (f *feed) recordFailure(resource string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,8 +114,8 @@
 	return time.Since(f.lastSuccess[resource]) < within
 }
 
-// list returns all leafs, encoded by pack, and the position of the latest change that they
-// include. The packed list is kept, because the VMs that follow a starting VM request the same
+// list returns all leafs, encoded by pack, and the position of the latest change that the list
+// includes. The packed list is kept, because the VMs that follow a starting VM request the same
 // list at the same time.
 func (f *feed) list() ([]byte, int64, error) {
 	f.mu.Lock()
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -13,34 +13,32 @@
 )
 
 // watchWaitShare is the time that a watch waits, as a share of the time within which a change
-// must be known. Store calls are billed, so a watch should wait long. But a watch is only a
-// hint and may stay silent permanently: the store may have dropped it, or the connection may
-// have been lost on the way. The remaining time is for noticing that and for reading the list
-// again.
+// must be known. Store calls are billed, so a watch should wait long. But a watch may never
+// report a change that has occurred: the store may have dropped the watch, or the connection
+// may have failed without an error. The remaining time is for detecting this and for reading
+// the list again.
 const watchWaitShare = 0.6
 
-// Timeouts and pauses of following the store, which means to read it and then to watch it for
-// changes.
+// Timeouts and pauses for following the store: reading it and then watching it for changes.
 const (
 	// vmsWatchTimeout is how long a watch of the list of VMs waits for a change.
 	vmsWatchTimeout = 20 * time.Second
 	// Pauses after a watch that returned changes, so that the next call returns all changes
 	// that follow shortly after. A drain or a manifest must be known within 3 s.
-	manifestChangePause = 250 * time.Millisecond // pause after a watch that returned a new manifest
-	leafsChangePause    = 500 * time.Millisecond // pause after a watch that returned changes of the list of leafs
-	vmsChangePause      = 2 * time.Second        // pause after a watch that returned changes of the list of VMs
-	// The pause before the next try is random, between half of a bound and the whole bound,
-	// since all VMs lose the store at the same time. minRetryPause is this bound while no
-	// failure has been counted. The bound doubles with each failure in a row.
+	manifestChangePause = 250 * time.Millisecond // a new manifest
+	leafsChangePause    = 500 * time.Millisecond // changes of the list of leafs
+	vmsChangePause      = 2 * time.Second        // changes of the list of VMs
+	// The pause before the next try has an upper bound, which is minRetryPause without a
+	// failure and doubles with each failure in a row, up to maxRetryPause. The pause is random,
+	// at least half of the bound, because all VMs lose the store at the same time.
 	minRetryPause = 100 * time.Millisecond
-	// maxRetryPause is the largest value of that bound, however many calls failed in a row.
 	maxRetryPause = 1500 * time.Millisecond
 	// vmsRetryPause is the longest pause before the list of VMs is read again after a watch
 	// of it failed. The pause is random, at least half as long. The list rarely changes, and
 	// nothing waits for it.
 	vmsRetryPause = 4 * time.Second
-	// deferredReadPause is the pause of a VM that leaves reading the store to the VMs that
-	// read it for others. Calls to these VMs cost no store call.
+	// deferredReadPause is the pause after errReadDeferred. It is short, because the next try
+	// first calls the VMs that read the store for others, which costs no store call.
 	deferredReadPause = 200 * time.Millisecond
 	// firstStartPause is how long a VM waits for the others to announce themselves when the
 	// whole system starts for the first time. All VMs start within 0.3 s.
@@ -61,14 +59,13 @@
 	announcer *announcer // writes this VM's entry in the list of VMs
 	// listen starts accepting calls of other VMs. It does nothing after the first success.
 	listen func(self scatter.VM) error
-	// followLeafsAndManifest is called when the list of VMs has been read, or when listen fails. It does
-	// nothing after the first call.
+	// followLeafsAndManifest starts following the leafs and the manifest. It is called when the
+	// list of VMs has been read, or when listen fails. It does nothing after the first call.
 	followLeafsAndManifest func()
 }
 
-// backoff waits before the next try. The longest pause doubles with each failure in a row, up
-// to maxRetryPause; the actual pause is random, at least half as long. It returns early when
-// ctx ends.
+// backoff waits before the next try, for the time that minRetryPause describes, or until ctx
+// ends. failures is the number of failures in a row.
 func backoff(ctx context.Context, failures int) {
 	d := min(minRetryPause<<min(failures, 4), maxRetryPause)
 	sleep(ctx, d/2+rand.N(d/2))
@@ -183,8 +180,8 @@
 }
 
 // leafs returns the resource of the list of leafs. After an outage of the store, healthy leafs
-// may be missing from the list. Leafs that are missing are then held, which means kept in use,
-// for a short time.
+// may be missing from the list. Missing leafs are then held, that is, kept in use for a short
+// time.
 func (f *follower) leafs() resource {
 	var age listAge
 	return resource{
@@ -197,8 +194,7 @@
 			}
 			f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
 				if hold := age.missingLeafHold(now, list.AfterOutage, f.settings.Bounds.drainBound()); hold > 0 {
-					// Leafs that are missing from the list stay in use for this time.
-					// StoreRecovered returns when it ends.
+					// StoreRecovered returns when the hold ends.
 					time.AfterFunc(time.Until(r.StoreRecovered(now, hold)), f.expireHeldLeafs)
 				}
 				return r.Replace(now, list.Leafs)
@@ -235,28 +231,27 @@
 	}
 }
 
-// listAge records how old this VM's list of leafs is. After a failed read it determines how long
-// the leafs that are missing from the next list are kept in use.
+// listAge records how old this VM's list of leafs is. This determines how long leafs that are
+// missing from the next list are held after a failed read.
 type listAge struct {
 	failed  bool      // a read of the list failed since freshAt
 	freshAt time.Time // when the list was last known to be up to date; zero if never
 }
 
-// maxHoldShare bounds how long a leaf that is missing from the list of leafs is held, which
-// means kept in use. It is a share of the time within which a leaf that left must get no more
-// requests. That time counts from when the list was last known to be up to date.
+// maxHoldShare bounds how long a leaf that is missing from the list of leafs is held. It is a
+// share of the time within which a leaf that left must get no more requests, and counts from
+// when the list was last known to be up to date.
 const maxHoldShare = 0.85
 
 // missingLeafHold returns for how long leafs that are missing from a list just read are held,
-// which means kept in use, and marks the list as fresh. It returns 0 if nothing failed since
-// the previous list.
+// and marks the list as fresh. It returns 0 if nothing failed since the previous list.
 //
 // After an outage of the store, the entries of healthy leafs may have expired, so missing
 // leafs are held for registry.OutageHold. If reads failed but no outage of the store is known,
 // as when the followed VM failed, the entries may have expired too, and missing leafs are held
-// as well. But such a leaf may instead have left, as early as just after the list was last known
-// to be fresh. bound is the time within which a leaf that left must get no more requests. So in
-// this case the hold ends before bound has passed since the list was last known to be fresh.
+// as well. But such a leaf may instead have left, possibly just after the list was last known
+// to be fresh, and must get no more requests once bound has passed since then. So in this case
+// the hold ends earlier than that.
 func (a *listAge) missingLeafHold(now time.Time, afterOutage bool, bound time.Duration) time.Duration {
 	hold := time.Duration(0)
 	switch {
@@ -287,8 +282,8 @@
 	}
 }
 
-// expireHeldLeafs removes the leafs that were kept in use after an outage of the store and are
-// still missing from its list when that time ends.
+// expireHeldLeafs removes the held leafs that are still missing from the list when their hold
+// ends.
 func (f *follower) expireHeldLeafs() {
 	f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
 		return r.ExpireHeld(now)
--- a/edge/gather_codec.go
+++ b/edge/gather_codec.go
@@ -34,12 +34,11 @@
 	InterimUS          int64       `cbor:"11,keyasint"` // until an answer with the results so far must be sent
 	AnswerUS           int64       `cbor:"12,keyasint"` // until the last answer must be sent
 	DeadlineUS         int64       `cbor:"13,keyasint"` // until the deadline of the caller's request
-	// Views holds one number for each of Services. It stands for the set of usable leafs of the
-	// service as the calling VM knows it, so that the called VM notices if it knows another
-	// set.
+	// Views holds one hash for each of Services: of the set of usable leafs of the service that
+	// the calling VM knows. The called VM declines a shard if it knows another set.
 	Views []scatter.View `cbor:"14,keyasint"`
-	// Required is the number of Services without which the whole answer fails; 0 if not
-	// stated.
+	// Required is how many of Services must answer so that the calling VM has enough shards
+	// for its caller; 0 if not stated.
 	Required int `cbor:"15,keyasint,omitempty"`
 	// Redelegated is true if another VM was called for the same shards before and did not
 	// answer.
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -117,7 +117,7 @@
 // arrived. target is its path and query.
 func (e *Engine) newRequest(r *http.Request, target string, body []byte, arrived time.Time, route *routing.Route) *Request {
 	timeout := route.Timeout
-	var shortfall time.Duration // how much less time the caller has left than others of the route
+	var shortfall time.Duration // how much less remaining time the caller states than others of the route
 	if stated, ok := e.headerCodec.CallerTimeout(r.Header); ok {
 		shortfall = e.elapsed.observe(arrived, route.Name, stated)
 		if stated < timeout || timeout == 0 {
--- a/edge/node.go
+++ b/edge/node.go
@@ -54,7 +54,7 @@
 // Parameters of the Go runtime.
 const (
 	gcPercent        = 300 // GOGC in percent; memory is cheaper here than CPU time
-	memoryLimitShare = 0.6 // memory limit of the Go runtime, as a share of the process's limit; received data that is not yet read counts in addition
+	memoryLimitShare = 0.6 // memory limit of the Go runtime, as a share of the process's limit, which also covers received data that is not yet read
 )
 
 // NewNode returns a daemon that is not yet running, and sets the Go runtime's parameters for
@@ -85,7 +85,7 @@
 	}
 }
 
-// Run serves until SIGTERM or SIGINT, then leaves in an orderly way.
+// Run serves until SIGTERM or SIGINT, then calls Leave.
 func (n *Node) Run() error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -150,8 +150,8 @@
 	})
 }
 
-// newCallerServer returns the server for callers' requests. Once this VM leaves, it closes each
-// connection after the next answer, so that callers turn to other VMs.
+// newCallerServer returns the server for callers' requests. Once Leave was called, it closes
+// each connection after the next answer, so that callers connect to other VMs.
 func (n *Node) newCallerServer() *http.Server {
 	return &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -229,12 +229,12 @@
 	n.tomb.Go(func() error { probeLoop(ctx, n.engine.suspectLeafs, n.probeLeafs); return nil })
 }
 
-// maxStaleShare bounds how old the latest answer from the store may be at a VM that serves the
-// VMs that follow it. It is a share of the time within which a change must be known.
+// maxStaleShare bounds the age of the latest answer from the store at a VM that others follow,
+// as a share of the time within which a change must be known.
 const maxStaleShare = 0.8
 
-// maxStaleness returns how old the latest answer from the store may be at a VM that reads the
-// store for others.
+// maxStaleness returns the greatest age of the latest answer from the store at which this VM
+// still follows a VM that reads the store for others.
 func (n *Node) maxStaleness() time.Duration {
 	bound := min(n.settings.Bounds.ManifestMS, n.settings.Bounds.DrainMS)
 	return time.Duration(maxStaleShare * bound * float64(time.Millisecond))
--- a/edge/pack_test.go
+++ b/edge/pack_test.go
@@ -10,6 +10,7 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
+// manifestWithRoutes returns a manifest with this number of routes.
 func manifestWithRoutes(routes int) *routing.Manifest {
 	doc := routing.Document{Version: 7, Services: map[string]routing.Service{}}
 	for i := range routes {
@@ -22,10 +23,9 @@
 }
 
 // Guards against manifests that are too large to send to many VMs at once. When all VMs start
-// under a manifest of 1,900 routes, all others call the VMs that read the store at the same
-// time. Uncompressed, the calls time out while the manifest is sent to each VM, and callers
-// are refused for two more seconds. The manifest is sent compressed, and is received
-// unchanged.
+// at the same time, they all request the manifest from the few VMs that read the store. With
+// 1,900 routes and without compression, these calls time out, and callers are refused for two
+// more seconds. The manifest is sent compressed, and is received unchanged.
 func TestLargeManifestIsSentCompressed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFeed()
@@ -67,7 +67,7 @@
 	g.Expect(received.Routes).To(gomega.HaveLen(2))
 }
 
-// Bytes that are not a packed body cause an error, not an empty list.
+// Guards against an invalid packed body that is read as an empty list: unpack returns an error.
 func TestUnpackRejectsInvalidBytes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var list []registry.Leaf
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -22,9 +22,9 @@
 	// timeouts of their own, and a VM that leaves a call unanswered is probed, so pings only
 	// remove dead connections that are not in use. Each ping wakes two processes.
 	peerPingInterval   = 30 * time.Second
-	peerSilenceTimeout = 65 * time.Second       // a connection that was silent for this time is closed: two pings and some slack
+	peerSilenceTimeout = 65 * time.Second       // a connection on which nothing was received for this time is closed; a little more than two ping intervals
 	peerDialTimeout    = 300 * time.Millisecond // bounds connecting and the hello exchange
-	peerMaxCalls       = 64                     // upper bound of calls of one VM served at the same time; each takes less than one latency objective
+	peerMaxCalls       = 64                     // upper bound of calls of one VM served at the same time; a gather call takes less than one latency objective
 	peerConnPurpose    = "gather"               // purpose of the connections, stated when dialling
 )
 
@@ -48,8 +48,8 @@
 	conn *wire.Conn // nil if there is none; may be closed
 }
 
-// joinPeers listens for other VMs, which must present this VM's key, and returns the
-// transport that also calls them.
+// joinPeers listens for calls of other VMs, which must present key, and returns the transport
+// that serves these calls and calls other VMs.
 func joinPeers(e *Engine, self wire.Identity, listen string, key []byte, log *slog.Logger) (*peerTransport, error) {
 	p := &peerTransport{
 		log:     log,
@@ -232,7 +232,7 @@
 	return err
 }
 
-// link returns the link to a VM. A VM that has got another address has a new link.
+// link returns the link to a VM. A VM whose address has changed gets a new link.
 func (p *peerTransport) link(vm scatter.VM) *peerLink {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -44,12 +44,12 @@
 	}
 }
 
-// probeLoop runs a round of probes at the start, whenever woken is notified, and whenever a
-// probe is due, until ctx ends. round reports whether it made any probes, and if not, when the
-// next one is due; the zero time means never. After a round with probes the next round follows
-// at once. The loop sleeps while there are no suspects: waking 8 times a second without work
-// took a seventh of the CPU time (on a quiet day 30.7 s instead of 26.3 s, for all VMs
-// together).
+// probeLoop runs a round of probes at the start, whenever wake is notified, and whenever a
+// probe is due, until ctx ends. round reports whether it probed anything, and if not, when the
+// next probe is due; the zero time means never. After a round with probes the next round
+// follows at once. The loop sleeps while there are no suspects: waking 8 times a second without
+// work took a seventh of the CPU time of all VMs together (30.7 s instead of 26.3 s on a quiet
+// day).
 func probeLoop(ctx context.Context, wake wakeup, round func(context.Context) (probed bool, next time.Time)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -124,9 +124,7 @@
 	}
 }
 
-// probeLeafs tries to connect to the leafs that did not answer. It is a round of probeLoop. The
-// connection of a successful probe is kept for later requests if this VM keeps connections to the
-// leaf; otherwise it is closed soon.
+// probeLeafs tries to connect to the leafs that did not answer. It is a round of probeLoop.
 func (n *Node) probeLeafs(ctx context.Context) (probed bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectLeafs(time.Now())
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -12,10 +12,10 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// Store calls are billed, and 77 VMs that all watch the store make 77 times as many calls. So
-// a few VMs in each zone read the store. The others follow one of these over the connections
-// between VMs, and read the store themselves if it fails. A VM that lost the store reports
-// this instead of passing on data that may be stale.
+// Store calls are billed, and 77 VMs that all watch the store make 77 times as many calls as
+// one. So a few VMs in each zone read the store. The others follow one of these over the
+// connections between VMs, and read the store themselves if it fails. A VM that lost the store
+// reports this instead of passing on data that may be stale.
 
 // relay is a Store that reads leafs and the manifest from another VM if one serves them, else
 // from the embedded Store. Leafs and WatchLeafs must be called from a single goroutine, and
@@ -23,10 +23,10 @@
 type relay struct {
 	Store        // the platform's store; also serves the calls about VMs
 	e            *Engine
-	maxStaleness time.Duration // how old the other VM's latest answer from the store may be
+	maxStaleness time.Duration // how old the followed VM's latest answer from the store may be
 
-	leafsUpstream, manifestUpstream upstream // of the latest full read of the leafs and of the manifest
-	incarnation                     string   // of the followed VM, when it returned the list of leafs; its positions, the numbers of its leaf changes, are valid within this incarnation only
+	leafsUpstream, manifestUpstream upstream // sources of the latest full read of the leafs and of the manifest
+	incarnation                     string   // of the followed VM when it returned the list of leafs; its positions in the sequence of changes are valid within this incarnation only
 
 	mu          sync.Mutex           // guards the fields below
 	avoidUntil  map[string]time.Time // by name of a VM that failed: until when it is not followed
@@ -50,8 +50,8 @@
 
 // A VM that normally follows others reads the store only rarely while they fail. Mostly the
 // store is then unavailable to all VMs, and failed calls are billed too. In an outage that
-// lasted 4.5 s, 77 VMs made 1,043 such calls without success; then each of them found its
-// readers again.
+// lasted 4.5 s, 77 VMs made 1,043 such calls, all of which failed. After the outage each of
+// them could follow its readers again.
 const (
 	// startDelayShare is how long a VM that has just started waits for the VMs that read the
 	// store for others. It is a share of relay.maxStaleness, the time for which a VM may
@@ -75,9 +75,9 @@
 	}
 }
 
-// delayFirstRead is called when the list of VMs is known. It delays this VM's first read of
-// the store, unless it reads the store for others. So the VMs that do have time to become
-// available.
+// delayFirstRead is called before the leafs and the manifest are first read. It delays this
+// VM's first read of the store, unless it reads the store for others. This gives the VMs that
+// do so time to become available.
 func (r *relay) delayFirstRead() {
 	r.delayRead(time.Duration(startDelayShare * float64(r.maxStaleness)))
 }
@@ -165,12 +165,13 @@
 }
 
 // WatchLeafs implements Store. If the VM to follow has changed since Leafs was called, it
-// returns ErrHistoryCompacted, so that the caller reads the list again. Revisions are those of
-// the store or, if a VM is followed, positions in that VM's sequence of changes.
+// returns ErrHistoryCompacted, so that the caller reads the list again from the new upstream.
+// Revisions are those of the store or, if a VM is followed, positions in that VM's sequence of
+// changes.
 func (r *relay) WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error) {
 	vm, same := r.sameUpstream(r.leafsUpstream)
 	if !same {
-		return LeafChanges{}, ErrHistoryCompacted // makes the caller read the list again, from the new upstream
+		return LeafChanges{}, ErrHistoryCompacted
 	}
 	if r.leafsUpstream.vm == "" {
 		c, err := r.Store.WatchLeafs(ctx, since, wait)
@@ -233,8 +234,8 @@
 }
 
 // recordListing records the result of a full read of a resource, followedLeafs or
-// followedManifest, from the store. The VMs that follow this one learn of it. After a failure
-// it delays the next read.
+// followedManifest, from the store. It passes the result to the feed, so that VMs that follow
+// this one are notified of a failure. After a failure it also delays the next read.
 func (r *relay) recordListing(resource string, err error) {
 	if err == nil {
 		r.e.feed.recordSuccess(resource)
@@ -261,8 +262,9 @@
 }
 
 // recordWatch records a watch of the store that succeeded. A failed watch is ignored, because
-// the full read that follows immediately shows whether the store is lost. If all followers read
-// the store whenever watches are cut, they would make as many calls as without a relay.
+// the full read that follows immediately shows whether the store is lost. If a failed watch
+// counted as a loss, all followers would read the store themselves whenever the store ends its
+// watches, which would take as many calls as without a relay.
 func (r *relay) recordWatch(resource string, err error) {
 	if err == nil {
 		r.e.feed.recordSuccess(resource)
--- a/edge/relay_serve.go
+++ b/edge/relay_serve.go
@@ -17,7 +17,7 @@
 
 // followCall requests what another VM has read from the store: the list of leafs or its
 // changes, or the manifest. The called VM numbers the changes of leafs in the order in which
-// it learned them; a position is the number of a change.
+// it received them; a position is the number of a change.
 type followCall struct {
 	Incarnation    string `json:"life"`      // incarnation of the called VM in which Position is valid
 	Position       int64  `json:"position"`  // return the changes after this one; for methodFollowManifest, the version of the manifest that the caller has
@@ -119,9 +119,10 @@
 }
 
 var (
-	// errStoreStale means that this VM cannot pass on what it read, because it may be stale.
+	// errStoreStale means that this VM cannot pass on what it read from the store, because it
+	// may be stale.
 	errStoreStale = result.Errorf(result.PlatformDown, "this VM has no recent answer from the store")
-	// errPositionUnknown means that this VM cannot tell all changes after the position of a
+	// errPositionUnknown means that this VM does not know all changes after the position of a
 	// call, so the calling VM must read the whole list.
 	errPositionUnknown = result.Errorf(result.PositionGone, "the position is unknown or no longer kept")
 )
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// listingStore lists one leaf, and returns err.
+// listingStore is a Store whose Leafs returns one leaf and err.
 type listingStore struct {
 	Store
 	err error
@@ -35,11 +35,11 @@
 	return c.err
 }
 
-// newFollowingRelay returns a relay of a VM for which others read the store.
+// newFollowingRelay returns the relay of a VM that follows others instead of reading the store.
 func newFollowingRelay(store Store, client peerClient) *relay {
 	e := &Engine{log: logging.Discard(), stats: newStats(), feed: newFeed(), peerClient: client}
 	for i := range 20 {
-		// Of many names, one sorts behind the two others.
+		// The hash of a VM's name determines whether it reads the store.
 		name := string(rune('a' + i))
 		e.table = scatter.NewTable(scatter.VM{Name: name, Zone: "a"}, scatter.BudgetConfig{}, time.Now(), rand.New(rand.NewPCG(1, 2)))
 		e.table.SetVMs(time.Now(), []scatter.VM{{Name: "vm-1", Zone: "a"}, {Name: "vm-2", Zone: "a"}})
@@ -50,8 +50,9 @@
 	return newRelay(store, e, time.Millisecond)
 }
 
-// Guards against treating the failure of a VM that reads the store as an outage of the store.
-// The VMs that followed it list the store themselves.
+// Guards against treating the failure of a VM that reads the store for others as an outage of
+// the store: the VMs that followed it then read the list of leafs from the store, and must not
+// report AfterOutage unless their own read failed too.
 func TestReaderFailureIsNotAStoreOutage(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -80,10 +81,10 @@
 	}
 }
 
-// Guards against holding a leaf too long that left while the VM that reads the store was
-// frozen. The VMs that followed it find the leaf missing after 3.5 s. If they held it as
-// after an outage of the store, it would get requests for 5.7 s, although at most 5 s are
-// allowed.
+// Guards against holding a leaf too long after it left. It leaves while the VM that reads the
+// store is frozen, so the VMs that follow this VM find the leaf missing only after 3.5 s. If
+// they held it as after an outage of the store, it would get requests for 5.7 s, although at
+// most 5 s are allowed.
 func TestMissingLeafIsHeldNoLongerThanDrainBound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const bound = 5 * time.Second
--- a/edge/run.go
+++ b/edge/run.go
@@ -11,7 +11,7 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// runner is a query in progress. Its fields belong to the goroutine that runs loop. Attempts
+// runner executes one query. Its fields belong to the goroutine that runs loop. Attempts
 // and calls run in goroutines of their own, which report only through events and may outlive
 // loop.
 type runner struct {
@@ -21,15 +21,15 @@
 	query      *scatter.Query     // decides what to do next; changed only with Engine.mu held
 	events     chan event         // from attempts and calls to loop
 	done       chan struct{}      // closed after loop has returned
-	attemptCtx context.Context    // of all attempts and calls; ends some time after the query
-	cancel     context.CancelFunc // cancels attempts
+	attemptCtx context.Context    // parent of the contexts of all attempts and calls; ends some time after the query
+	cancel     context.CancelFunc // cancels attemptCtx
 
-	replies     map[scatter.AttemptID]*reply
-	shards      map[scatter.AttemptID]int // shard number of each attempt
-	callAnswers []*ShardsAnswer           // in the order in which they were passed to the query
+	replies     map[scatter.AttemptID]*reply // usable answers of leafs, and answers that report a failure
+	shards      map[scatter.AttemptID]int    // shard number of each attempt
+	callAnswers []*ShardsAnswer              // in the order in which they were passed to the query
 
 	// Set for a query on behalf of another VM, zero for a caller's query.
-	interim    time.Time                 // when to send the results so far by onInterim; zero after that
+	interim    time.Time                 // when to pass the results so far to onInterim; zero after that
 	onInterim  func([]scatter.AttemptID) // receives the attempts answered so far
 	onDeclined func(shards []int)        // receives the shards that are not queried
 }
@@ -52,19 +52,20 @@
 	metadata LeafMetadata
 }
 
-// failed reports whether the status, 500 or higher, says that the leaf failed. An answer that
-// blames the request (4xx) is passed on to the caller, because another leaf would answer the
-// same.
+// failed reports whether the status, 500 or higher, means that the leaf failed. A 4xx status
+// means that the request is at fault; it is passed on to the caller, because another leaf would
+// answer the same.
 func (r *reply) failed() bool { return r.Status >= http.StatusInternalServerError }
 
-// How long attempts in flight continue after the end of a query.
+// How long attempts in flight continue after the end of a query, or after the time at which
+// their leaf should have stopped (see runner.linger).
 const (
 	// lingerAbandoned applies if the caller has disconnected, or if a gathered request has
 	// been answered. Leafs should not work on unwanted results, but cancelling an attempt
-	// closes its connection, which costs a new one. So a leaf gets enough time to finish most
-	// requests, and one that is paused gets time to report that it stopped. It always
-	// applies to a query on behalf of another VM: the caller may have disconnected long
-	// before, and this VM is not notified of that.
+	// closes its connection, and opening a new one is expensive. So a leaf gets enough time to
+	// finish most requests, and one that is paused gets time to report that it stopped. It
+	// always applies to a query on behalf of another VM, because this VM is not notified when
+	// the caller disconnects.
 	lingerAbandoned = 300 * time.Millisecond
 	// lingerLate applies in all other cases. It is added to the caller's deadline, at which
 	// leafs stop by themselves.
@@ -92,8 +93,8 @@
 	out := r.loop(ctx)
 	close(r.done)
 	// The results of the attempts in flight are not needed any more if the caller has
-	// disconnected, or if a gathered request has its result. Attempts that are not idempotent
-	// are not cancelled early, though.
+	// disconnected, or if a gathered request has its result. A request that is not idempotent
+	// is not cancelled early, though.
 	unwanted := out.Verdict == scatter.Abandoned || r.spec.Gathered
 	if unwanted && r.spec.Idempotent {
 		time.AfterFunc(lingerAbandoned, r.cancel)
@@ -139,8 +140,9 @@
 	}
 }
 
-// tick processes a pending event, or else lets the query handle the passing of time. If this
-// VM was short of CPU time, an answer that has arrived must not be classified as missing.
+// tick is called when loop's timer expires. It processes a pending event if there is one,
+// so that an answer that arrived while this VM was short of CPU time is not treated as
+// missing. Otherwise it lets the query act on the time that has passed.
 func (r *runner) tick() ([]scatter.Action, time.Time) {
 	select {
 	case ev := <-r.events:
@@ -150,7 +152,7 @@
 	}
 }
 
-// earlier returns the earlier of two times. If b is zero, it stands for never.
+// earlier returns the earlier of two times. A zero b means never.
 func earlier(a, b time.Time) time.Time {
 	if !b.IsZero() && b.Before(a) {
 		return b
@@ -229,8 +231,7 @@
 	defer cancel()
 	endpoint := leafhttp.Endpoint{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
 	var metadata LeafMetadata
-	// A leaf may send a late answer to an earlier request where the answer to the next one is
-	// expected.
+	// An answer on a reused connection may be a late answer to an earlier request.
 	matches := func(ans *leafhttp.Answer) bool {
 		metadata = r.e.headerCodec.ParseLeafHeaders(ans.Status, ans.Header)
 		return metadata.RequestID == "" || metadata.RequestID == r.req.ID
@@ -263,7 +264,7 @@
 
 // linger returns how long an attempt continues to wait for an answer after the time at which
 // the leaf should have stopped. For a gathered request that time may be long before the
-// caller's deadline, as the request is answered with the parts received so far. So its leafs
+// caller's deadline, as the request is answered with the shards received so far. So its leafs
 // get the longer lingerAbandoned to finish or to report that they stopped. For any other
 // request that time is the deadline, to which lingerLate is added.
 func (r *runner) linger() time.Duration {
@@ -273,8 +274,8 @@
 	return lingerLate
 }
 
-// expirySlack is how long before its deadline a leaf may stop, because it gets the remaining
-// time in whole milliseconds.
+// expirySlack is how long before the end of its time a leaf may stop. The remaining time is sent
+// to the leaf in whole milliseconds, so the leaf's deadline may be early.
 const expirySlack = 2 * time.Millisecond
 
 // classifyAnswer returns how an attempt with this answer ended, and the reply if it can be
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -12,7 +12,7 @@
 )
 
 // Settings is the JSON settings file of a daemon on the users' platform.
-// deploy/settings.json.tmpl creates it from the values that the platform provides.
+// It is generated from deploy/settings.json.tmpl and the values that the platform provides.
 type Settings struct {
 	Name   string         `json:"name"` // name of this VM
 	Zone   string         `json:"zone"` // availability zone
@@ -26,7 +26,7 @@
 	Budget     BudgetSettings `json:"budget"`
 	// Power is the CPU capacity of this VM, in cores. VMs with more capacity get more calls.
 	Power float64 `json:"power"`
-	// MemoryMB is the memory limit of the process, in MB. The platform kills a process that
+	// MemoryMB is the memory limit of the process, in MiB. The platform kills a process that
 	// exceeds it.
 	MemoryMB float64 `json:"memory_mb"`
 	LogLevel string  `json:"log_level"` // debug, info, warn or error
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -13,7 +13,7 @@
 // stats holds the counters and histograms of a daemon. docs/OPERATIONS.md lists them.
 type stats struct {
 	set      *metrics.Set                    // all metrics
-	attempts map[attemptEnd]*metrics.Counter // numbers of attempts; created at the start, because looking up a counter by its text is slow
+	attempts map[attemptEnd]*metrics.Counter // ended attempts; created at the start, because looking up a counter by its text is slow
 }
 
 // attemptEnd selects the counter of an attempt that has ended.
--- a/edge/store.go
+++ b/edge/store.go
@@ -86,7 +86,7 @@
 	// CallerTimeout returns the caller's remaining time, false if the caller does not state
 	// it.
 	CallerTimeout(h http.Header) (time.Duration, bool)
-	// AttemptHeaders returns the headers of an attempt that differ from attempt to attempt.
+	// AttemptHeaders returns the headers that differ from one attempt to the next.
 	// left is the time that remains for the attempt.
 	AttemptHeaders(leaf scatter.LeafID, left time.Duration) http.Header
 	// ReplacedHeaders returns the names of those caller headers that AttemptHeaders replaces.
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -9,8 +9,9 @@
 )
 
 // Parameters of opening connections before they are needed. Opening a connection occupies a
-// slot of the leaf for some milliseconds, and delays a request by the same time. After a
-// simultaneous start of all VMs, requests would wait for several hundred new connections.
+// slot of the leaf for some milliseconds, and delays a request that waits for it by the same
+// time. After a simultaneous start of all VMs, requests would wait for several hundred new
+// connections.
 const (
 	warmInterval  = time.Second          // pause between two rounds; each round opens all missing connections
 	warmDialPause = 8 * time.Millisecond // pause between opening two connections of a round
@@ -33,8 +34,8 @@
 	}
 }
 
-// unusedLeafEndpoints returns the leafs that have no request of this VM in flight, out of its leaf
-// partition: the part of its zone's leafs to which it keeps connections.
+// unusedLeafEndpoints returns the endpoints of the leafs in this VM's leaf partition that have
+// no request of this VM in flight.
 func (e *Engine) unusedLeafEndpoints() []leafhttp.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
