--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -66,12 +66,12 @@
 	defer cancel()
 	onSent := func() { r.post(event{call: call.Call, sent: true}) }
 	err := r.e.currentPeerClient().gather(ctx, call.VM, r.newGatherCall(call), onSent, func(ans *gatherAnswer) {
-		shards, err := toShardsAnswer(call, ans)
+		callAnswer, err := toShardsAnswer(call, ans)
 		if err != nil {
 			r.e.log.Error("invalid answer of a VM dropped", "request", r.req.ID, "vm", call.VM.Name, "error", err)
 			return
 		}
-		r.post(event{call: call.Call, callAnswer: shards})
+		r.post(event{call: call.Call, callAnswer: callAnswer})
 	})
 	end := scatter.EndAnswered
 	if err != nil {
--- a/edge/node.go
+++ b/edge/node.go
@@ -249,12 +249,12 @@
 		n.tomb.Go(func() error { f.follow(ctx, f.manifests()); return nil })
 		n.tomb.Go(func() error { f.follow(ctx, f.leafs()); return nil })
 	})
-	f.listen = n.listen
+	f.listen = n.listenForVMs
 	f.follow(ctx, f.vms())
 }
 
-// listen starts accepting calls of other VMs, unless this VM has joined them already.
-func (n *Node) listen(self scatter.VM) error {
+// listenForVMs starts accepting calls of other VMs, unless this VM has joined them already.
+func (n *Node) listenForVMs(self scatter.VM) error {
 	if n.transport.Load() != nil {
 		return nil
 	}
