--- a/edge/follow.go
+++ b/edge/follow.go
@@ -138,7 +138,7 @@
 
 // watch watches a resource from a revision until a call fails. It pauses after a call that
 // returned changes. It also pauses after a call that ended early without changes, because a
-// store in trouble may end every watch at once.
+// store that is failing may end every watch at once.
 func (f *follower) watch(ctx context.Context, res resource, revision Revision) error {
 	for ctx.Err() == nil {
 		began := time.Now()
--- a/edge/follow_vms.go
+++ b/edge/follow_vms.go
@@ -39,8 +39,8 @@
 }
 
 // vms returns the resource of the list of VMs, in which each VM of this system announces
-// itself. Reading it also opens this VM to calls of the others, and announces it once it
-// is ready.
+// itself. After reading the list, this VM accepts calls of the others, and is announced to
+// them if it is ready.
 func (f *follower) vms() resource {
 	known := make(map[string]scatter.VM) // VMs in the list, by name
 	announcedEarly := false              // announced before this VM was ready, at the first start of the system
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -17,6 +17,7 @@
   "power": 0.4, "memory_mb": 284, "log_level": "info"
 }`
 
+// A complete settings file is accepted and its values are read.
 func TestParseSettings(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, err := ParseSettings([]byte(validSettings))
--- a/edge/store.go
+++ b/edge/store.go
@@ -41,8 +41,8 @@
 	Revision Revision     // to watch from next
 }
 
-// Store is the users' platform as a source of leafs, manifests and VMs. Each call has a time
-// limit.
+// Store is the users' platform as a source of leafs, manifests and VMs. Implementations bound
+// the duration of each call.
 type Store interface {
 	// Leafs returns all leafs.
 	Leafs(ctx context.Context) (LeafList, error)
