--- a/edge/callers_test.go
+++ b/edge/callers_test.go
@@ -11,10 +11,10 @@
 	"github.com/bramleybarrow/bramleybarrow/routing"
 )
 
-// Guards against closing a caller's connection by the server's own idle timeout although the
-// manifest allows a longer one: a caller that reuses the connection would find it closed. The
-// manifest's timeouts apply, also after a change. The deadlines with which the server ends
-// its own reads are not changed.
+// Guards against a server that closes a caller's connection after its own idle timeout although
+// the manifest allows a longer one: a caller that reuses the connection would find it closed.
+// The manifest's timeouts apply, also after a change of the manifest. The deadlines with which
+// the server ends its own reads are not changed.
 func TestManifestTimeoutsOverrideServerTimeouts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := routing.Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 200 * time.Second}
@@ -38,13 +38,13 @@
 // connection.
 func TestManifestHeaderTimeoutClosesSlowCaller(t *testing.T) {
 	g := gomega.NewWithT(t)
-	socket, err := listen("127.0.0.1:0")
+	ln, err := listen("127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	server := &http.Server{ReadHeaderTimeout: time.Hour, ConnState: trackCallerState, Handler: http.NotFoundHandler()}
 	limits := func() routing.Limits { return routing.Limits{HeaderTimeout: 50 * time.Millisecond} }
-	go func() { _ = server.Serve(&callerListener{Listener: socket, limits: limits}) }()
+	go func() { _ = server.Serve(&callerListener{Listener: ln, limits: limits}) }()
 	t.Cleanup(func() { _ = server.Close() })
-	caller, err := net.Dial("tcp", socket.Addr().String())
+	caller, err := net.Dial("tcp", ln.Addr().String())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	t.Cleanup(func() { _ = caller.Close() })
 	_, err = caller.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\n"))
--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -22,8 +22,8 @@
 	// ping checks that a VM is alive if there is a connection to it. If the check fails, the
 	// connection is closed.
 	ping(ctx context.Context, vm scatter.VM) error
-	// follow sends a call to a VM that reads the store for others, and decodes the answer into
-	// into. method is methodFollowLeafs or methodFollowManifest.
+	// follow sends a call to a VM that reads the store for others, and stores the decoded answer
+	// in into. method is methodFollowLeafs or methodFollowManifest.
 	follow(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error
 }
 
@@ -62,16 +62,16 @@
 // callPeer sends one call to another VM. It posts an event when the call was sent, for each
 // answer, and if the call fails.
 func (r *runner) callPeer(call scatter.CallVM) {
-	ctx, cancel := context.WithDeadline(r.attempts, call.AnswerBy.Add(peerCallLinger))
+	ctx, cancel := context.WithDeadline(r.attemptCtx, call.AnswerBy.Add(peerCallLinger))
 	defer cancel()
 	onSent := func() { r.post(event{call: call.Call, sent: true}) }
 	err := r.e.currentPeerClient().gather(ctx, call.VM, r.newGatherCall(call), onSent, func(ans *gatherAnswer) {
-		shards, err := toShardsAnswer(call, ans)
+		callAnswer, err := toShardsAnswer(call, ans)
 		if err != nil {
 			r.e.log.Error("invalid answer of a VM dropped", "request", r.req.ID, "vm", call.VM.Name, "error", err)
 			return
 		}
-		r.post(event{call: call.Call, shards: shards})
+		r.post(event{call: call.Call, callAnswer: callAnswer})
 	})
 	end := scatter.EndAnswered
 	if err != nil {
@@ -168,9 +168,9 @@
 
 // serveGather serves another VM's call. It acknowledges the call at once, and never calls a
 // third VM, so that no two VMs wait for each other. At the interim time, which the call
-// states, it sends the answers of the shards so far. So the calling VM learns that this one is
-// alive, and keeps most of the shards if this VM fails later. Shards for which this VM and the
-// calling VM know different leafs are declined at once.
+// states, it sends the answers of the shards so far. This shows the calling VM that this one is
+// alive, and leaves it the results of most shards if this VM fails later. Shards for which this
+// VM and the calling VM know different leafs are declined at once.
 func (e *Engine) serveGather(ctx context.Context, call *gatherCall, answer func(*gatherAnswer)) {
 	answer(&gatherAnswer{Key: call.Key}) // acknowledges the call
 	now := time.Now()
@@ -234,7 +234,7 @@
 			continue
 		}
 		reported[id] = true
-		reply := r.answers[id]
+		reply := r.replies[id]
 		ans.Included = append(ans.Included, r.shards[id])
 		ans.Receipts = append(ans.Receipts, reply.metadata.Receipt)
 		bodies = append(bodies, reply.Body)
--- a/edge/follow_vms.go
+++ b/edge/follow_vms.go
@@ -32,15 +32,15 @@
 	}
 	f.announcer.observeList(entry)
 	if err := f.listen(self); err != nil {
-		f.joined()
+		f.followLeafsAndManifest()
 		return err
 	}
 	return nil
 }
 
 // vms returns the resource of the list of VMs, in which each VM of this system announces
-// itself. Reading it also opens this VM to calls of the others, and announces it once it
-// is ready.
+// itself. After reading the list, this VM accepts calls of the others, and is announced to
+// them if it is ready.
 func (f *follower) vms() resource {
 	known := make(map[string]scatter.VM) // VMs in the list, by name
 	announcedEarly := false              // announced before this VM was ready, at the first start of the system
@@ -95,7 +95,7 @@
 				}
 			}
 			apply(at)
-			f.joined()
+			f.followLeafsAndManifest()
 			return at, announce(ctx)
 		},
 		watch: func(ctx context.Context, since Revision) (Revision, bool, error) {
--- a/edge/node.go
+++ b/edge/node.go
@@ -26,16 +26,16 @@
 
 // Node is a daemon on the users' platform.
 type Node struct {
-	settings  *Settings
-	store     Store
-	readyPath string // path of the readiness check
-	log       *slog.Logger
-	engine    *Engine
-	self      scatter.VM                    // this VM, without a key
-	tomb      tomb.Tomb                     // runs the servers and the background loops
-	leaving   atomic.Bool                   // Leave was called
-	listed    atomic.Bool                   // the leafs have been listed at least once
-	transport atomic.Pointer[peerTransport] // nil until this VM has joined the other VMs
+	settings    *Settings
+	store       Store
+	readyPath   string // path of the readiness check
+	log         *slog.Logger
+	engine      *Engine
+	self        scatter.VM                    // this VM, without a key
+	tomb        tomb.Tomb                     // runs the servers and the background loops
+	leaving     atomic.Bool                   // Leave was called
+	leafsListed atomic.Bool                   // the leafs have been listed at least once
+	transport   atomic.Pointer[peerTransport] // nil until this VM has joined the other VMs
 
 	callerServer *http.Server
 	auxServers   []*http.Server     // for the load balancer and operators
@@ -54,7 +54,7 @@
 // Parameters of the Go runtime.
 const (
 	gcPercent        = 300 // GOGC in percent; memory is cheaper here than CPU time
-	memoryLimitShare = 0.6 // memory limit of the Go runtime, as a share of the process's limit; received data that is not yet read counts in addition
+	memoryLimitShare = 0.6 // memory limit of the Go runtime, as a share of the process's limit, which also covers received data that is not yet read
 )
 
 // NewNode returns a daemon that is not yet running, and sets the Go runtime's parameters for
@@ -85,7 +85,7 @@
 	}
 }
 
-// Run serves until SIGTERM or SIGINT, then leaves in an orderly way.
+// Run serves until SIGTERM or SIGINT, then calls Leave.
 func (n *Node) Run() error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -110,21 +110,21 @@
 // Start opens the listeners and begins to follow the store. It doesn't wait until the daemon
 // is ready.
 func (n *Node) Start() error {
-	socket, err := listen(n.settings.Listen.Callers)
+	ln, err := listen(n.settings.Listen.Callers)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	n.callerServer = n.newCallerServer()
-	n.serve(&callerListener{Listener: socket, limits: n.engine.callerLimits}, n.callerServer)
+	n.serve(&callerListener{Listener: ln, limits: n.engine.callerLimits}, n.callerServer)
 	for address, server := range map[string]*http.Server{
 		n.settings.Listen.Ready:   n.newReadyServer(),
 		n.settings.Listen.Metrics: n.newMetricsServer(),
 	} {
-		socket, err := listen(address)
+		ln, err := listen(address)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		n.serve(socket, server)
+		n.serve(ln, server)
 		n.auxServers = append(n.auxServers, server)
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -136,22 +136,22 @@
 
 // listen opens a listener at an address of the form "IP:port".
 func listen(address string) (net.Listener, error) {
-	socket, err := net.Listen("tcp", address)
-	return socket, errors.Annotatef(err, "listen on %s", address)
+	ln, err := net.Listen("tcp", address)
+	return ln, errors.Annotatef(err, "listen on %s", address)
 }
 
 // serve runs a server on a listener in the background.
-func (n *Node) serve(socket net.Listener, server *http.Server) {
+func (n *Node) serve(ln net.Listener, server *http.Server) {
 	n.tomb.Go(func() error {
-		if err := server.Serve(socket); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			n.log.Error("serving a listener failed", "address", socket.Addr().String(), "error", err)
+		if err := server.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
+			n.log.Error("serving a listener failed", "address", ln.Addr().String(), "error", err)
 		}
 		return nil
 	})
 }
 
-// newCallerServer returns the server for callers' requests. Once this VM leaves, it closes each
-// connection after the next answer, so that callers turn to other VMs.
+// newCallerServer returns the server for callers' requests. Once Leave was called, it closes
+// each connection after the next answer, so that callers connect to other VMs.
 func (n *Node) newCallerServer() *http.Server {
 	return &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -171,7 +171,7 @@
 
 // isReady reports whether callers should send requests to this VM.
 func (n *Node) isReady() bool {
-	return !n.leaving.Load() && n.listed.Load() && n.engine.inForce.Get() != nil
+	return !n.leaving.Load() && n.leafsListed.Load() && n.engine.inForce.Get() != nil
 }
 
 // newReadyServer returns the server for the load balancer's readiness checks: status 200 if
@@ -198,10 +198,10 @@
 // startLoops starts the background loops: following the store, announcing this VM,
 // maintaining connections, and probing.
 func (n *Node) startLoops(ctx context.Context) {
-	store := newRelay(n.store, n.engine, n.maxStaleness())
+	r := newRelay(n.store, n.engine, n.maxStaleness())
 	f := &follower{
 		e:           n.engine,
-		store:       store,
+		store:       r,
 		settings:    n.settings,
 		self:        n.self,
 		log:         n.log,
@@ -210,13 +210,13 @@
 		announcer:   &announcer{store: n.store, self: n.self, log: n.log},
 	}
 	n.tomb.Go(func() error {
-		n.followStore(ctx, f, store)
+		n.followStore(ctx, f, r)
 		return nil
 	})
 	n.tomb.Go(func() error {
 		select {
 		case <-f.leafsListed:
-			n.listed.Store(true)
+			n.leafsListed.Store(true)
 			f.announce(ctx)
 		case <-ctx.Done():
 		}
@@ -229,12 +229,12 @@
 	n.tomb.Go(func() error { probeLoop(ctx, n.engine.suspectLeafs, n.probeLeafs); return nil })
 }
 
-// maxStaleShare bounds how old the latest answer from the store may be at a VM that serves the
-// VMs that follow it. It is a share of the time within which a change must be known.
+// maxStaleShare bounds the age of the latest answer from the store at a VM that others follow,
+// as a share of the time within which a change must be known.
 const maxStaleShare = 0.8
 
-// maxStaleness returns how old the latest answer from the store may be at a VM that reads the
-// store for others.
+// maxStaleness returns the greatest age of the latest answer from the store at which this VM
+// still follows a VM that reads the store for others.
 func (n *Node) maxStaleness() time.Duration {
 	bound := min(n.settings.Bounds.ManifestMS, n.settings.Bounds.DrainMS)
 	return time.Duration(maxStaleShare * bound * float64(time.Millisecond))
@@ -243,18 +243,18 @@
 // followStore follows the list of VMs. This list determines which VMs read the store for
 // others. So the manifest and the leafs are followed only once the list has been read, or
 // listening for other VMs has failed.
-func (n *Node) followStore(ctx context.Context, f *follower, store *relay) {
-	f.joined = sync.OnceFunc(func() {
-		store.delayFirstRead()
+func (n *Node) followStore(ctx context.Context, f *follower, r *relay) {
+	f.followLeafsAndManifest = sync.OnceFunc(func() {
+		r.delayFirstRead()
 		n.tomb.Go(func() error { f.follow(ctx, f.manifests()); return nil })
 		n.tomb.Go(func() error { f.follow(ctx, f.leafs()); return nil })
 	})
-	f.listen = n.listen
+	f.listen = n.listenForVMs
 	f.follow(ctx, f.vms())
 }
 
-// listen starts accepting calls of other VMs, unless this VM has joined them already.
-func (n *Node) listen(self scatter.VM) error {
+// listenForVMs starts accepting calls of other VMs, unless this VM has joined them already.
+func (n *Node) listenForVMs(self scatter.VM) error {
 	if n.transport.Load() != nil {
 		return nil
 	}
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -28,8 +28,8 @@
 }
 
 // Guards against lost calls when several VMs fail at the same time, for example in a power
-// failure. A call finds the first one. Liveness checks find the other one before any call is
-// lost on it, and VMs that are alive are called as before.
+// failure. A call to the first one fails. A liveness check then detects the other one before
+// any call to it is lost, and VMs that are alive are called as before.
 func TestVMThatFailsLivenessCheckIsNotCalled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
@@ -43,8 +43,8 @@
 		table: table, peerClient: &silentPeerClient{silentVM: "vm-c"}, suspectVMs: newWakeup(),
 	}}
 	table.CallEnded(now, "vm-b", scatter.EndSilent)
-	made, _ := n.checkVMs(t.Context())
-	g.Expect(made).To(gomega.BeTrue())
+	probed, _ := n.checkVMs(t.Context())
+	g.Expect(probed).To(gomega.BeTrue())
 	var called []string
 	for _, vm := range table.Delegates(now) {
 		called = append(called, vm.Name)
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// listingStore lists one leaf, and returns err.
+// listingStore is a Store whose Leafs returns one leaf and err.
 type listingStore struct {
 	Store
 	err error
@@ -35,11 +35,11 @@
 	return c.err
 }
 
-// newFollowingRelay returns a relay of a VM for which others read the store.
+// newFollowingRelay returns the relay of a VM that follows others instead of reading the store.
 func newFollowingRelay(store Store, client peerClient) *relay {
 	e := &Engine{log: logging.Discard(), stats: newStats(), feed: newFeed(), peerClient: client}
 	for i := range 20 {
-		// Of many names, one sorts behind the two others.
+		// The hash of a VM's name determines whether it reads the store.
 		name := string(rune('a' + i))
 		e.table = scatter.NewTable(scatter.VM{Name: name, Zone: "a"}, scatter.BudgetConfig{}, time.Now(), rand.New(rand.NewPCG(1, 2)))
 		e.table.SetVMs(time.Now(), []scatter.VM{{Name: "vm-1", Zone: "a"}, {Name: "vm-2", Zone: "a"}})
@@ -50,14 +50,15 @@
 	return newRelay(store, e, time.Millisecond)
 }
 
-// Guards against treating the failure of a VM that reads the store as an outage of the store.
-// The VMs that followed it list the store themselves.
+// Guards against treating the failure of a VM that reads the store for others as an outage of
+// the store: the VMs that followed it then read the list of leafs from the store, and must not
+// report AfterOutage unless their own read failed too.
 func TestReaderFailureIsNotAStoreOutage(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		err    error
-		store  error
-		outage bool
+		name      string
+		readerErr error
+		storeErr  error
+		outage    bool
 	}{
 		{"silent", result.Errorf(result.PeerSilent, "no answer"), nil, false},
 		{"unreachable", errors.New("connection refused"), nil, false},
@@ -65,8 +66,8 @@
 		{"silent, and the store fails once", result.Errorf(result.PeerSilent, "no answer"), errors.New("down"), true},
 	} {
 		g := gomega.NewWithT(t)
-		store := &listingStore{err: c.store}
-		r := newFollowingRelay(store, &failingPeerClient{err: c.err})
+		store := &listingStore{err: c.storeErr}
+		r := newFollowingRelay(store, &failingPeerClient{err: c.readerErr})
 		g.Expect(r.storeReaders().Self).To(gomega.BeFalse())
 		var list LeafList
 		g.Eventually(func() (err error) {
@@ -80,18 +81,18 @@
 	}
 }
 
-// Guards against holding a leaf too long that left while the VM that reads the store was
-// frozen. The VMs that followed it find the leaf missing after 3.5 s. If they held it as
-// after an outage of the store, it would get requests for 5.7 s, although at most 5 s are
-// allowed.
+// Guards against holding a leaf too long after it left. It leaves while the VM that reads the
+// store is frozen, so the VMs that follow this VM find the leaf missing only after 3.5 s. If
+// they held it as after an outage of the store, it would get requests for 5.7 s, although at
+// most 5 s are allowed.
 func TestMissingLeafIsHeldNoLongerThanDrainBound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const bound = 5 * time.Second
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
-		silent time.Duration
-		outage bool
-		hold   time.Duration
+		sinceFresh time.Duration
+		outage     bool
+		hold       time.Duration
 	}{
 		{0, false, registry.OutageHold},
 		{3500 * time.Millisecond, false, 750 * time.Millisecond},
@@ -99,8 +100,8 @@
 		{10 * time.Second, true, registry.OutageHold},
 	} {
 		age := listAge{failed: true, freshAt: start}
-		g.Expect(age.missingLeafHold(start.Add(c.silent), c.outage, bound)).To(gomega.Equal(c.hold))
-		g.Expect(age.missingLeafHold(start.Add(c.silent), false, bound)).To(gomega.BeZero(), "the list is fresh again")
+		g.Expect(age.missingLeafHold(start.Add(c.sinceFresh), c.outage, bound)).To(gomega.Equal(c.hold))
+		g.Expect(age.missingLeafHold(start.Add(c.sinceFresh), false, bound)).To(gomega.BeZero(), "the list is fresh again")
 	}
 	neverRead := listAge{failed: true}
 	g.Expect(neverRead.missingLeafHold(start, false, bound)).To(gomega.Equal(registry.OutageHold))
--- a/edge/run.go
+++ b/edge/run.go
@@ -11,37 +11,37 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// runner is a query in progress. Its fields belong to the goroutine that runs loop. Attempts
+// runner executes one query. Its fields belong to the goroutine that runs loop. Attempts
 // and calls run in goroutines of their own, which report only through events and may outlive
 // loop.
 type runner struct {
-	e        *Engine
-	req      *Request
-	spec     scatter.Spec       // requirements and limits of the query
-	query    *scatter.Query     // decides what to do next; changed only with Engine.mu held
-	events   chan event         // from attempts and calls to loop
-	done     chan struct{}      // closed after loop has returned
-	attempts context.Context    // of all attempts and calls; ends some time after the query
-	cancel   context.CancelFunc // cancels attempts
+	e          *Engine
+	req        *Request
+	spec       scatter.Spec       // requirements and limits of the query
+	query      *scatter.Query     // decides what to do next; changed only with Engine.mu held
+	events     chan event         // from attempts and calls to loop
+	done       chan struct{}      // closed after loop has returned
+	attemptCtx context.Context    // parent of the contexts of all attempts and calls; ends some time after the query
+	cancel     context.CancelFunc // cancels attemptCtx
 
-	answers     map[scatter.AttemptID]*reply
-	shards      map[scatter.AttemptID]int // shard number of each attempt
-	callAnswers []*ShardsAnswer           // in the order in which they were passed to the query
+	replies     map[scatter.AttemptID]*reply // usable answers of leafs, and answers that report a failure
+	shards      map[scatter.AttemptID]int    // shard number of each attempt
+	callAnswers []*ShardsAnswer              // in the order in which they were passed to the query
 
 	// Set for a query on behalf of another VM, zero for a caller's query.
-	interim    time.Time                 // when to send the results so far by onInterim; zero after that
+	interim    time.Time                 // when to pass the results so far to onInterim; zero after that
 	onInterim  func([]scatter.AttemptID) // receives the attempts answered so far
 	onDeclined func(shards []int)        // receives the shards that are not queried
 }
 
 // event reports the progress or the end of an attempt or of a call to another VM.
 type event struct {
-	attempt scatter.AttemptID // set if the event concerns an attempt
-	call    scatter.CallID    // set if the event concerns a call
-	sent    bool              // the call was written to the connection
-	end     scatter.End       // how the attempt or the call ended
-	reply   *reply            // the leaf's answer, nil unless end is EndAnswered or EndFailed
-	shards  *ShardsAnswer     // an answer to a call to another VM; nil for any other event
+	attempt    scatter.AttemptID // set if the event concerns an attempt
+	call       scatter.CallID    // set if the event concerns a call
+	sent       bool              // the call was written to the connection
+	end        scatter.End       // how the attempt or the call ended
+	reply      *reply            // the leaf's answer, nil unless end is EndAnswered or EndFailed
+	callAnswer *ShardsAnswer     // an answer to a call to another VM; nil for any other event
 	// neverSent is true if the call failed before the VM received it.
 	neverSent bool
 }
@@ -52,19 +52,20 @@
 	metadata LeafMetadata
 }
 
-// failed reports whether the status, 500 or higher, says that the leaf failed. An answer that
-// blames the request (4xx) is passed on to the caller, because another leaf would answer the
-// same.
+// failed reports whether the status, 500 or higher, means that the leaf failed. A 4xx status
+// means that the request is at fault; it is passed on to the caller, because another leaf would
+// answer the same.
 func (r *reply) failed() bool { return r.Status >= http.StatusInternalServerError }
 
-// How long attempts in flight continue after the end of a query.
+// How long attempts in flight continue after the end of a query, or after the time at which
+// their leaf should have stopped (see runner.linger).
 const (
 	// lingerAbandoned applies if the caller has disconnected, or if a gathered request has
 	// been answered. Leafs should not work on unwanted results, but cancelling an attempt
-	// closes its connection, which costs a new one. So a leaf gets enough time to finish most
-	// requests, and one that is paused gets time to report that it stopped. It always
-	// applies to a query on behalf of another VM: the caller may have disconnected long
-	// before, and this VM is not notified of that.
+	// closes its connection, and opening a new one is expensive. So a leaf gets enough time to
+	// finish most requests, and one that is paused gets time to report that it stopped. It
+	// always applies to a query on behalf of another VM, because this VM is not notified when
+	// the caller disconnects.
 	lingerAbandoned = 300 * time.Millisecond
 	// lingerLate applies in all other cases. It is added to the caller's deadline, at which
 	// leafs stop by themselves.
@@ -73,17 +74,17 @@
 
 // newRunner returns a runner of the query that spec describes.
 func (e *Engine) newRunner(req *Request, spec scatter.Spec) *runner {
-	attempts, cancel := context.WithDeadline(context.Background(), spec.Deadline.Add(lingerLate))
+	ctx, cancel := context.WithDeadline(context.Background(), spec.Deadline.Add(lingerLate))
 	return &runner{
-		e:        e,
-		req:      req,
-		spec:     spec,
-		events:   make(chan event, len(spec.Services)+eventBuffer),
-		done:     make(chan struct{}),
-		attempts: attempts,
-		cancel:   cancel,
-		answers:  make(map[scatter.AttemptID]*reply),
-		shards:   make(map[scatter.AttemptID]int),
+		e:          e,
+		req:        req,
+		spec:       spec,
+		events:     make(chan event, len(spec.Services)+eventBuffer),
+		done:       make(chan struct{}),
+		attemptCtx: ctx,
+		cancel:     cancel,
+		replies:    make(map[scatter.AttemptID]*reply),
+		shards:     make(map[scatter.AttemptID]int),
 	}
 }
 
@@ -92,8 +93,8 @@
 	out := r.loop(ctx)
 	close(r.done)
 	// The results of the attempts in flight are not needed any more if the caller has
-	// disconnected, or if a gathered request has its result. Attempts that are not idempotent
-	// are not cancelled early, though.
+	// disconnected, or if a gathered request has its result. A request that is not idempotent
+	// is not cancelled early, though.
 	unwanted := out.Verdict == scatter.Abandoned || r.spec.Gathered
 	if unwanted && r.spec.Idempotent {
 		time.AfterFunc(lingerAbandoned, r.cancel)
@@ -139,8 +140,9 @@
 	}
 }
 
-// tick processes a pending event, or else lets the query handle the passing of time. If this
-// VM was short of CPU time, an answer that has arrived must not be classified as missing.
+// tick is called when loop's timer expires. It processes a pending event if there is one,
+// so that an answer that arrived while this VM was short of CPU time is not treated as
+// missing. Otherwise it lets the query act on the time that has passed.
 func (r *runner) tick() ([]scatter.Action, time.Time) {
 	select {
 	case ev := <-r.events:
@@ -150,7 +152,7 @@
 	}
 }
 
-// earlier returns the earlier of two times. If b is zero, it stands for never.
+// earlier returns the earlier of two times. A zero b means never.
 func earlier(a, b time.Time) time.Time {
 	if !b.IsZero() && b.Before(a) {
 		return b
@@ -173,20 +175,20 @@
 		switch {
 		case ev.sent:
 			return r.query.CallSent(now, ev.call)
-		case ev.call != 0 && ev.shards != nil:
-			r.callAnswers = append(r.callAnswers, ev.shards)
+		case ev.call != 0 && ev.callAnswer != nil:
+			r.callAnswers = append(r.callAnswers, ev.callAnswer)
 			return r.query.CallReply(now, ev.call, scatter.CallAnswer{
-				Included: ev.shards.Included,
-				Declined: ev.shards.declined,
-				Last:     ev.shards.last,
+				Included: ev.callAnswer.Included,
+				Declined: ev.callAnswer.declined,
+				Last:     ev.callAnswer.last,
 
-				Refused:    ev.shards.refused,
-				RetryAfter: ev.shards.retryAfter,
+				Refused:    ev.callAnswer.refused,
+				RetryAfter: ev.callAnswer.retryAfter,
 			})
 		case ev.call != 0:
 			return r.query.CallFail(now, ev.call, ev.neverSent)
 		case ev.reply != nil:
-			r.answers[ev.attempt] = ev.reply
+			r.replies[ev.attempt] = ev.reply
 			return r.query.Reply(now, ev.attempt, r.answerFailed(ev.reply))
 		default:
 			return r.query.Fail(now, ev.attempt, ev.end)
@@ -225,17 +227,16 @@
 // send makes one attempt and records its end in the table, even if the query has ended long
 // before.
 func (r *runner) send(s scatter.Send) {
-	ctx, cancel := context.WithDeadline(r.attempts, s.Until.Add(r.linger()))
+	ctx, cancel := context.WithDeadline(r.attemptCtx, s.Until.Add(r.linger()))
 	defer cancel()
-	peer := leafhttp.Endpoint{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
+	endpoint := leafhttp.Endpoint{Key: poolKey(s.Leaf), Address: s.Address, Transient: !s.KeepConnection}
 	var metadata LeafMetadata
-	// A leaf may send a late answer to an earlier request where the answer to the next one is
-	// expected.
+	// An answer on a reused connection may be a late answer to an earlier request.
 	matches := func(ans *leafhttp.Answer) bool {
 		metadata = r.e.headerCodec.ParseLeafHeaders(ans.Status, ans.Header)
 		return metadata.RequestID == "" || metadata.RequestID == r.req.ID
 	}
-	ans, err := r.e.pool.Do(ctx, peer, r.req.HTTP, r.e.headerCodec.AttemptHeaders(s.Leaf, time.Until(s.Until)), matches)
+	ans, err := r.e.pool.Do(ctx, endpoint, r.req.HTTP, r.e.headerCodec.AttemptHeaders(s.Leaf, time.Until(s.Until)), matches)
 	ev := event{attempt: s.Attempt}
 	if err == nil {
 		ev.reply, ev.end = r.classifyAnswer(s, ans, metadata)
@@ -244,7 +245,7 @@
 	}
 	if ev.end == scatter.EndSilent {
 		// Other connections to this leaf may be dead too.
-		r.e.pool.CloseIdle(peer.Key)
+		r.e.pool.CloseIdle(endpoint.Key)
 	}
 	r.e.mu.Lock()
 	now := time.Now()
@@ -263,7 +264,7 @@
 
 // linger returns how long an attempt continues to wait for an answer after the time at which
 // the leaf should have stopped. For a gathered request that time may be long before the
-// caller's deadline, as the request is answered with the parts received so far. So its leafs
+// caller's deadline, as the request is answered with the shards received so far. So its leafs
 // get the longer lingerAbandoned to finish or to report that they stopped. For any other
 // request that time is the deadline, to which lingerLate is added.
 func (r *runner) linger() time.Duration {
@@ -273,8 +274,8 @@
 	return lingerLate
 }
 
-// expirySlack is how long before its deadline a leaf may stop, because it gets the remaining
-// time in whole milliseconds.
+// expirySlack is how long before the end of its time a leaf may stop. The remaining time is sent
+// to the leaf in whole milliseconds, so the leaf's deadline may be early.
 const expirySlack = 2 * time.Millisecond
 
 // classifyAnswer returns how an attempt with this answer ended, and the reply if it can be
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -17,11 +17,12 @@
   "power": 0.4, "memory_mb": 284, "log_level": "info"
 }`
 
+// A complete settings file is accepted and its values are read.
 func TestParseSettings(t *testing.T) {
 	g := gomega.NewWithT(t)
-	set, err := ParseSettings([]byte(validSettings))
+	s, err := ParseSettings([]byte(validSettings))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(set.Budget.Floor).To(gomega.Equal(54.0))
+	g.Expect(s.Budget.Floor).To(gomega.Equal(54.0))
 }
 
 // Guards against a daemon that starts with an invalid setting, such as an invalid store
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -9,8 +9,9 @@
 )
 
 // Parameters of opening connections before they are needed. Opening a connection occupies a
-// slot of the leaf for some milliseconds, and delays a request by the same time. After a
-// simultaneous start of all VMs, requests would wait for several hundred new connections.
+// slot of the leaf for some milliseconds, and delays a request that waits for it by the same
+// time. After a simultaneous start of all VMs, requests would wait for several hundred new
+// connections.
 const (
 	warmInterval  = time.Second          // pause between two rounds; each round opens all missing connections
 	warmDialPause = 8 * time.Millisecond // pause between opening two connections of a round
@@ -22,10 +23,10 @@
 func (n *Node) warmConns(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, warmInterval)
-		for _, peer := range n.engine.unusedLeafPeers() {
+		for _, endpoint := range n.engine.unusedLeafEndpoints() {
 			// The error is only logged: an unreachable leaf is detected when it is used.
-			if err := n.engine.pool.Warm(ctx, peer); err != nil {
-				n.log.Debug("opening a connection to a leaf failed", "leaf", peer.Key, "error", err)
+			if err := n.engine.pool.Warm(ctx, endpoint); err != nil {
+				n.log.Debug("opening a connection to a leaf failed", "leaf", endpoint.Key, "error", err)
 			}
 			sleep(ctx, warmDialPause)
 		}
@@ -33,17 +34,17 @@
 	}
 }
 
-// unusedLeafPeers returns the leafs that have no request of this VM in flight, out of its leaf
-// partition: the part of its zone's leafs to which it keeps connections.
-func (e *Engine) unusedLeafPeers() []leafhttp.Endpoint {
+// unusedLeafEndpoints returns the endpoints of the leafs in this VM's leaf partition that have
+// no request of this VM in flight.
+func (e *Engine) unusedLeafEndpoints() []leafhttp.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var peers []leafhttp.Endpoint
+	var endpoints []leafhttp.Endpoint
 	for _, l := range e.table.UnusedLeafs() {
 		key := poolKey(scatter.LeafID{ID: l.ID, Born: l.Born})
-		peers = append(peers, leafhttp.Endpoint{Key: key, Address: l.Address})
+		endpoints = append(endpoints, leafhttp.Endpoint{Key: key, Address: l.Address})
 	}
-	return peers
+	return endpoints
 }
 
 // warmDelegates opens a connection to each VM that this one calls, unless there is one.
--- a/leafhttp/pool_test.go
+++ b/leafhttp/pool_test.go
@@ -18,17 +18,19 @@
 	return callWithTimeout(pool, l, id, time.Second)
 }
 
+// callWithTimeout is call with a given timeout.
 func callWithTimeout(pool *leafhttp.Pool, l *edgesim.Leaf, id string, timeout time.Duration) (*leafhttp.Answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	peer := leafhttp.Endpoint{Key: l.ID, Address: l.Address()}
+	endpoint := leafhttp.Endpoint{Key: l.ID, Address: l.Address()}
 	req := &leafhttp.Request{Method: "POST", Target: "/x", Host: "h", Header: http.Header{}, Body: []byte("report"), HasBody: true}
 	extra := http.Header{"Bramleybarrow-Attempt-Id": {id}}
-	return pool.Do(ctx, peer, req, extra, func(ans *leafhttp.Answer) bool {
+	return pool.Do(ctx, endpoint, req, extra, func(ans *leafhttp.Answer) bool {
 		return ans.Header.Get("Bramleybarrow-Attempt-Id") == id
 	})
 }
 
+// newLeaf returns a running leaf that stops at the end of the test.
 func newLeaf(t *testing.T) *edgesim.Leaf {
 	l := (&edgesim.Leaf{ID: "leaf-1"}).Start()
 	t.Cleanup(l.Stop)
@@ -118,8 +120,8 @@
 	g.Expect(errors.As(err, new(*leafhttp.UnreachableError))).To(gomega.BeTrue())
 }
 
-// A leaf accepts a request and never answers. The request has to end with its context,
-// and the connection must not be reused.
+// Guards against a request that never ends because its leaf accepts it and never
+// answers. The request ends with its context, and the connection is not reused.
 func TestRequestToSilentLeafEndsWithContext(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
@@ -130,15 +132,16 @@
 	g.Expect(pool.Idle()).To(gomega.Equal(0))
 }
 
-// Guards against hundreds of VMs that each keep a connection to a leaf that accepts fewer.
+// Guards against hundreds of VMs that each keep a connection to a leaf that accepts
+// fewer connections: a transient connection is closed soon after its request.
 func TestTransientConnectionExpiresSoon(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
 	pool := leafhttp.NewPool()
-	peer := leafhttp.Endpoint{Key: l.ID, Address: l.Address(), Transient: true}
-	g.Expect(pool.Warm(context.Background(), peer)).To(gomega.Succeed())
+	endpoint := leafhttp.Endpoint{Key: l.ID, Address: l.Address(), Transient: true}
+	g.Expect(pool.Warm(context.Background(), endpoint)).To(gomega.Succeed())
 	req := &leafhttp.Request{Method: "GET", Target: "/x", Host: "h", Header: http.Header{}}
-	_, err := pool.Do(context.Background(), peer, req, nil, func(*leafhttp.Answer) bool { return true })
+	_, err := pool.Do(context.Background(), endpoint, req, nil, func(*leafhttp.Answer) bool { return true })
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(pool.Idle()).To(gomega.Equal(1), "kept for the next request of a burst")
 	pool.CloseExpired(time.Now().Add(time.Second))
