--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -46,11 +46,11 @@
 		}
 	}
 	slices.Sort(waits)
-	longest := time.Duration(maxWaitShare * float64(slack))
+	maxWait := time.Duration(maxWaitShare * float64(slack))
 	// The shards with the longest waits are left out, as many as allowed. The n others are
 	// needed, and waits[n-1] is the longest wait at one of them.
-	if n := len(waits) - q.omissionsLeft; n > 0 && waits[n-1] > longest {
-		q.refuse(now, Refusal{Wait: waits[n-1], Limit: longest})
+	if n := len(waits) - q.omissionsLeft; n > 0 && waits[n-1] > maxWait {
+		q.refuse(now, Refusal{Wait: waits[n-1], Limit: maxWait})
 		return false
 	}
 	for _, i := range late {
@@ -139,8 +139,8 @@
 		}
 	}
 	left := float64(q.spec.Deadline.Sub(now))
-	random := minRetryDelayShare + (maxRetryDelayShare-minRetryDelayShare)*q.table.rng.Float64()
-	after := min(refusal.Wait-refusal.Limit+time.Duration(random*left), time.Duration(maxRetryDelayShare*left))
+	randomShare := minRetryDelayShare + (maxRetryDelayShare-minRetryDelayShare)*q.table.rng.Float64()
+	after := min(refusal.Wait-refusal.Limit+time.Duration(randomShare*left), time.Duration(maxRetryDelayShare*left))
 	q.retryAfter = min(max(after, minRetryAfter), maxRetryAfter)
 }
 
@@ -208,17 +208,17 @@
 func (l *leaf) backlog(now time.Time) time.Duration {
 	// ahead is the number of requests that have to end first: those of this VM and of other
 	// VMs, plus the new one, less those that run at the same time.
-	ahead := float64(len(l.inFlight)) + l.queued(now) + 1 - float64(l.Slots)
+	ahead := float64(len(l.inFlight)) + l.othersRemaining(now) + 1 - float64(l.Slots)
 	if ahead <= 0 {
 		return 0
 	}
 	return time.Duration(ahead / float64(l.Slots) * float64(l.expected(now, l.typicalWork)))
 }
 
-// queued returns the estimated number of requests of other VMs at the leaf: those at its last
+// othersRemaining returns the estimated number of requests of other VMs at the leaf: those at its last
 // report, less those that it is assumed to have completed since. It is 0 if the report is too
 // old.
-func (l *leaf) queued(now time.Time) float64 {
+func (l *leaf) othersRemaining(now time.Time) float64 {
 	age := now.Sub(l.reportedAt)
 	if age >= reportedLoadLifetime || l.othersReported == 0 {
 		return 0
--- a/scatter/admission_test.go
+++ b/scatter/admission_test.go
@@ -15,12 +15,12 @@
 // an answer may leave out two shards.
 func newScarceSimulation(t *testing.T) (*simulation, func() Spec) {
 	w := newWorld(t)
-	p := newSimulation(w, 5)
-	names := p.shards(20, partWork, homeZone, "other")
+	sim := newSimulation(w, 5)
+	names := sim.shards(20, partWork, homeZone, "other")
 	for _, name := range names[:4] {
-		p.leafs[LeafID{ID: name + "@other", Born: 1}].slowdown = 20
+		sim.leafs[LeafID{ID: name + "@other", Born: 1}].slowdown = 20
 	}
-	return p, func() Spec {
+	return sim, func() Spec {
 		return Spec{
 			Services: names, Gathered: true, Idempotent: true, MaxAttempts: 2, MinShare: 0.89,
 			LatencyObjective: 200 * time.Millisecond, AnswerBy: w.now.Add(186 * time.Millisecond),
@@ -29,43 +29,43 @@
 	}
 }
 
-// failedShare is how many of 100 callers may fail where the slots suffice for most of them.
-const failedShare = 4
+// maxFailedPercent is how many of 100 callers may fail where the slots suffice for most of them.
+const maxFailedPercent = 4
 
 // Guards against failed requests where the slots of four shards suffice for four fifths of the
 // requests. Without admission, one request in five is started, occupies slots of all shards,
 // and fails when its time is over.
 func TestScarceShardsServeNearTheirCapacity(t *testing.T) {
 	const length = 10 * time.Second
-	p, request := newScarceSimulation(t)
-	p.run(length, 90, request)
-	p.Expect(100 * (p.failed + p.late)).To(gomega.BeNumerically("<=", failedShare*p.callers))
+	sim, request := newScarceSimulation(t)
+	sim.run(length, 90, request)
+	sim.Expect(100 * (sim.failed + sim.late)).To(gomega.BeNumerically("<=", maxFailedPercent*sim.callers))
 	slots := 2.0
-	p.Expect(p.credit).To(gomega.BeNumerically(">=", 0.9*slots*float64(length/partWork)))
-	p.Expect(p.longestRefusal).To(gomega.BeZero())
+	sim.Expect(sim.credit).To(gomega.BeNumerically(">=", 0.9*slots*float64(length/partWork)))
+	sim.Expect(sim.longestRefusal).To(gomega.BeZero())
 }
 
 // Shows the failure that the test above guards against: the same load with all requests
 // admitted.
 func TestScarceShardsFailCallersWithoutAdmission(t *testing.T) {
-	p, request := newScarceSimulation(t)
-	for _, table := range p.tables {
+	sim, request := newScarceSimulation(t)
+	for _, table := range sim.tables {
 		table.admitAll = true
 	}
-	p.run(10*time.Second, 90, request)
-	p.Expect(100 * (p.failed + p.late)).To(gomega.BeNumerically(">", 2*failedShare*p.callers))
+	sim.run(10*time.Second, 90, request)
+	sim.Expect(100 * (sim.failed + sim.late)).To(gomega.BeNumerically(">", 2*maxFailedPercent*sim.callers))
 }
 
 // Guards against refusing callers while shards have slots to spare and leafs are unevenly
 // loaded.
 func TestNoCallerIsRefusedWithSpareSlots(t *testing.T) {
-	p, request := newScarceSimulation(t)
-	for _, l := range p.leafs {
+	sim, request := newScarceSimulation(t)
+	for _, l := range sim.leafs {
 		l.slowdown = 1
 	}
-	p.run(10*time.Second, 60, request)
-	p.Expect(p.refused).To(gomega.BeZero())
-	p.Expect(p.credit).To(gomega.Equal(float64(p.callers)))
+	sim.run(10*time.Second, 60, request)
+	sim.Expect(sim.refused).To(gomega.BeZero())
+	sim.Expect(sim.credit).To(gomega.Equal(float64(sim.callers)))
 }
 
 // Guards against useless work and status 502 where a called VM refuses. Shards that only it
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -44,7 +44,7 @@
 		// All leafs are in cooldown after failures, or each was tried. Using one of
 		// them is better than none: a leaf that refused or was unreachable may have
 		// recovered.
-		l = q.table.pickCoolingDown(now, leafs, s.tried)
+		l = q.table.pickUnavailable(now, leafs, s.tried)
 		// Leafs that were tried are used again if no attempt on the shard may have run,
 		// or if another VM may query the shard too.
 		if l == nil && (s.possibleRuns == 0 || s.shared) {
@@ -199,8 +199,8 @@
 	if q.spec.Gathered {
 		return q.spec.AnswerBy
 	}
-	queue := time.Duration(leafWaitShare * float64(q.spec.LatencyObjective))
-	return earlier(q.startedAt.Add(queue), q.spec.Deadline)
+	maxWait := time.Duration(leafWaitShare * float64(q.spec.LatencyObjective))
+	return earlier(q.startedAt.Add(maxWait), q.spec.Deadline)
 }
 
 // retryShard sends an attempt on the shard with index i. It does nothing if the shard has an
--- a/scatter/budget.go
+++ b/scatter/budget.go
@@ -77,8 +77,8 @@
 // advance makes the step of the current time the newest one, and returns it. It clears the
 // steps that have left the window.
 func (b *budget) advance(now time.Time) *budgetStep {
-	length := b.config.Window / budgetSteps
-	number := int64(now.Sub(b.startedAt) / max(length, time.Millisecond))
+	stepLength := b.config.Window / budgetSteps
+	number := int64(now.Sub(b.startedAt) / max(stepLength, time.Millisecond))
 	// If more steps have passed than the ring holds, it is enough to clear each of them once.
 	for n := 0; b.newest < number && n < len(b.steps); n++ {
 		b.newest++
--- a/scatter/budget_test.go
+++ b/scatter/budget_test.go
@@ -14,25 +14,25 @@
 func TestBudgetHoldsInEverySlidingWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
-		terms := BudgetConfig{Ratio: 0.2, Floor: 40, Window: 10 * time.Second}
+		config := BudgetConfig{Ratio: 0.2, Floor: 40, Window: 10 * time.Second}
 		start := time.Unix(1000, 0)
-		b := newBudget(terms, start)
-		b.floor = terms.Floor / 10
-		var firsts, extras []time.Time
+		b := newBudget(config, start)
+		b.floor = config.Floor / 10
+		var requests, extras []time.Time
 		now := start
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
 				b.countRequest(now, 1)
-				firsts = append(firsts, now)
+				requests = append(requests, now)
 				continue
 			}
 			if !b.spend(now, 0) {
 				continue
 			}
 			extras = append(extras, now)
-			allowed := terms.Ratio*float64(countAfter(firsts, now.Add(-terms.Window))) + terms.Floor/10
-			g.Expect(float64(countAfter(extras, now.Add(-terms.Window)))).To(gomega.BeNumerically("<=", allowed))
+			allowed := config.Ratio*float64(countAfter(requests, now.Add(-config.Window))) + config.Floor/10
+			g.Expect(float64(countAfter(extras, now.Add(-config.Window)))).To(gomega.BeNumerically("<=", allowed))
 		}
 	})
 }
@@ -49,7 +49,7 @@
 
 // Guards against a budget that is never refilled: it would refuse every retry after the first
 // minute.
-func TestBudgetFillsAgain(t *testing.T) {
+func TestSpentBudgetIsRefilled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	b := newBudget(BudgetConfig{Ratio: 0.2, Floor: 40, Window: 10 * time.Second}, now)
--- a/scatter/cooldown.go
+++ b/scatter/cooldown.go
@@ -23,9 +23,9 @@
 	// first failures say little: a leaf breaks off a few answers and serves the next
 	// request.
 	failuresToCooldown = 2
-	// silenceDoublings is the smallest number of times that baseCooldown is doubled for the
+	// minSilenceDoublings is the smallest number of times that baseCooldown is doubled for the
 	// cooldown after a request that got no answer until its time was over.
-	silenceDoublings = 2
+	minSilenceDoublings = 2
 )
 
 // recordFailure counts a failure of a request that was sent at sentAt. It starts a cooldown if
@@ -62,7 +62,7 @@
 	if sentAt.Before(c.until) {
 		return
 	}
-	c.failures = max(c.failures+1, failuresToCooldown+silenceDoublings)
+	c.failures = max(c.failures+1, failuresToCooldown+minSilenceDoublings)
 	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxPauseDoublings), maxCooldown))
 }
 
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -185,10 +185,10 @@
 	}
 	left := q.spec.AnswerBy.Sub(now)
 	interim := now.Add(time.Duration(interimAnswerShare * float64(left)))
-	due := q.failoverTime(now, interim)
+	failoverAt := q.failoverTime(now, interim)
 	q.calls[id] = &call{
 		vm: v.Name, partition: d.partition, redelegated: redelegated, shards: shards, sentAt: now,
-		failoverAt: due,
+		failoverAt: failoverAt,
 	}
 	// The called VM need not answer the shards that the whole answer may leave out. For its
 	// answer it gets the time until AnswerBy less callRoundTrip, but no less than
@@ -217,8 +217,8 @@
 	if d, known := q.table.durationsOf(q.callDurationKey()).Quantile(now, failoverDurationQuantile); known {
 		due = later(due, now.Add(time.Duration(failoverDurationFactor*float64(d))))
 	}
-	last := now.Add(time.Duration(latestFailoverShare * float64(q.spec.AnswerBy.Sub(now))))
-	return earlier(due, last)
+	latest := now.Add(time.Duration(latestFailoverShare * float64(q.spec.AnswerBy.Sub(now))))
+	return earlier(due, latest)
 }
 
 // delegatedWeight is the part of a delegated request, from 0 to 1, that is counted as a request in
@@ -259,7 +259,7 @@
 		return nil
 	}
 	q.includeAnswer(ans.Included)
-	q.acknowledged(now, c)
+	q.recordAck(now, c)
 	if ans.Refused {
 		return q.callRefused(now, c, id, ans.RetryAfter)
 	}
--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -304,8 +304,8 @@
 	after := w.table.zones[homeZone]
 	w.Expect(after.self).To(gomega.Equal(before.self))
 	w.Expect(after.partitions).To(gomega.Equal(before.partitions))
-	for part := range after.partitions {
-		for _, v := range w.table.delegates(w.now, zonePartition{zone: homeZone, partition: part}, nil) {
+	for partition := range after.partitions {
+		for _, v := range w.table.delegates(w.now, zonePartition{zone: homeZone, partition: partition}, nil) {
 			w.Expect(v.Name).NotTo(gomega.Equal("vm-00"))
 		}
 	}
@@ -380,7 +380,7 @@
 
 // Guards against a called VM that gives up on shards long before the latency objective,
 // because the time reserved for the way back grew with the objective.
-func TestCalledVMHasNearlyAllOfALongObjective(t *testing.T) {
+func TestTimeReservedForCallAnswerIsBounded(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(10, "other")
 	w.table.SetVMs(w.now, []VM{{Name: "vm-other", Zone: "other", Power: 1}})
--- a/scatter/failover.go
+++ b/scatter/failover.go
@@ -45,10 +45,10 @@
 	return now.Add(max(wait, time.Duration(ackWaitFactor*float64(recent))))
 }
 
-// acknowledged records that a message of the called VM on a call was received. The first message
+// recordAck records that a message of the called VM on a call was received. The first message
 // shows that the VM is alive, so the call no longer fails over for lack of an acknowledgement.
 // The time that the first message took is recorded for the VM's zone if it is the longest.
-func (q *Query) acknowledged(now time.Time, c *call) {
+func (q *Query) recordAck(now time.Time, c *call) {
 	if c.acked {
 		return
 	}
--- a/scatter/failover_test.go
+++ b/scatter/failover_test.go
@@ -229,7 +229,7 @@
 
 // Guards against extra arrivals that no budget pays for: the silent VM may have queried each
 // shard.
-func TestSecondVMPaysForEachArrival(t *testing.T) {
+func TestSecondVMTakesEachArrivalFromBudget(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(5, homeZone, "other")
 	spec := w.gathered(names)
--- a/scatter/floor.go
+++ b/scatter/floor.go
@@ -66,16 +66,16 @@
 	if len(zones) > 0 && !zones[t.zone] {
 		return 0
 	}
-	all := 0.0
+	total := 0.0
 	for zone, z := range t.zones {
 		if len(zones) > 0 && !zones[zone] {
 			continue
 		}
 		for _, owner := range z.ownersOf(z.partitionOf(name)) {
-			all += max(owner.power, minPower)
+			total += max(owner.power, minPower)
 		}
 	}
-	return max(t.power, minPower) / all
+	return max(t.power, minPower) / total
 }
 
 // leafZones returns the set of zones that have leafs of a service; it is empty if no leaf is
--- a/scatter/floor_test.go
+++ b/scatter/floor_test.go
@@ -38,17 +38,17 @@
 func TestFloorSharesStayBelowFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
-	terms := BudgetConfig{Ratio: 0.2, Floor: 200, Window: 10 * time.Second}
+	config := BudgetConfig{Ratio: 0.2, Floor: 200, Window: 10 * time.Second}
 	for _, perZone := range []int{1, 2, 7, 20} {
 		vms := fleetOf(perZone, "a", "b", "c", "d")
-		for _, shard := range []bool{false, true} {
+		for _, gatheredOnly := range []bool{false, true} {
 			sum := 0.0
 			for _, v := range vms {
-				old := tableOf(vms, v, terms, now, now.Add(-time.Minute))
-				fresh := tableOf(vms, v, terms, now, now.Add(-time.Second))
-				sum += old.floorShare(now, "shard-7", shard) + fresh.floorShare(now, "shard-7", shard)
+				old := tableOf(vms, v, config, now, now.Add(-time.Minute))
+				fresh := tableOf(vms, v, config, now, now.Add(-time.Second))
+				sum += old.floorShare(now, "shard-7", gatheredOnly) + fresh.floorShare(now, "shard-7", gatheredOnly)
 			}
-			g.Expect(sum).To(gomega.BeNumerically("<=", terms.Floor+1e-9), "%d VMs a zone, shard %v", perZone, shard)
+			g.Expect(sum).To(gomega.BeNumerically("<=", config.Floor+1e-9), "%d VMs a zone, shard %v", perZone, gatheredOnly)
 		}
 	}
 }
@@ -59,11 +59,11 @@
 func TestOwnersOfAShardMayHedgeItMoreThanOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
-	terms := BudgetConfig{Ratio: 0.2, Floor: 200, Window: 10 * time.Second}
+	config := BudgetConfig{Ratio: 0.2, Floor: 200, Window: 10 * time.Second}
 	vms := fleetOf(20, "a", "b", "c", "d")
 	var owners, others []float64
 	for _, v := range vms {
-		table := tableOf(vms, v, terms, now, now.Add(-time.Minute))
+		table := tableOf(vms, v, config, now, now.Add(-time.Minute))
 		floor := table.floorShare(now, "shard-7", true)
 		if table.ownsService("shard-7") {
 			owners = append(owners, floor)
--- a/scatter/harness_test.go
+++ b/scatter/harness_test.go
@@ -21,10 +21,10 @@
 const homeZone = "home"
 
 func newWorld(t types.GomegaTestingT) *world {
-	terms := BudgetConfig{Ratio: 0.2, Floor: 50, Window: 10 * time.Second}
+	config := BudgetConfig{Ratio: 0.2, Floor: 50, Window: 10 * time.Second}
 	now := time.Unix(1_000_000, 0)
 	w := &world{WithT: gomega.NewWithT(t), now: now}
-	w.becomeVM("vm-home", homeZone, terms)
+	w.becomeVM("vm-home", homeZone, config)
 	return w
 }
 
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -53,8 +53,8 @@
 	if !known {
 		return time.Duration(defaultHedgeDelayShare * float64(q.spec.LatencyObjective))
 	}
-	pace := max(l.slowdown.reportedFactor(now), 1)
-	delay := max(time.Duration(hedgeDurationFactor*pace*float64(d)), minHedgeDelay)
+	machineSlowdown := max(l.slowdown.reportedFactor(now), 1)
+	delay := max(time.Duration(hedgeDurationFactor*machineSlowdown*float64(d)), minHedgeDelay)
 	if !q.spec.Gathered {
 		return min(delay, time.Duration(maxHedgeDelayShare*float64(q.spec.LatencyObjective)))
 	}
@@ -62,9 +62,9 @@
 	// hedge after the delay inTime is in time if it takes hedgeAnswerTimeFactor times the
 	// quantile. A hedge after the delay last is in time if it takes the quantile.
 	window := q.spec.AnswerBy.Sub(q.startedAt) - hedgeNetworkTime
-	inTime := window - time.Duration(hedgeAnswerTimeFactor*float64(d))
-	last := max(window-d, window/2)
-	return max(min(delay, last), inTime, minHedgeDelay)
+	minDelay := window - time.Duration(hedgeAnswerTimeFactor*float64(d))
+	maxDelay := max(window-d, window/2)
+	return max(min(delay, maxDelay), minDelay, minHedgeDelay)
 }
 
 // hedgeRetryPause is the time for which a query tries no hedge after one was due but could not
--- a/scatter/hedge_test.go
+++ b/scatter/hedge_test.go
@@ -8,9 +8,9 @@
 	"github.com/onsi/gomega"
 )
 
-// learnShards plays n gathered requests. The slow leafs answer after took, which their
+// runGathered plays n gathered requests. The slow leafs answer after took, which their
 // machines state if stated is set; the others answer after 8 ms.
-func (w *world) learnShards(names []string, n int, slow map[string]bool, took time.Duration, stated bool) {
+func (w *world) runGathered(names []string, n int, slow map[string]bool, took time.Duration, reported bool) {
 	for range n {
 		q := NewQuery(w.gathered(names), w.table)
 		first := sends(q.Start(w.now))
@@ -24,7 +24,7 @@
 				if slow[names[s.Shard]] != late {
 					continue
 				}
-				if stated && late {
+				if reported && late {
 					w.table.RecordLoad(w.now, s.Leaf, Load{Slots: 2, Slowdown: float64(took) / float64(8*time.Millisecond)})
 				}
 				w.table.AttemptEnded(w.now, s.Leaf, s.SentAt, EndAnswered)
@@ -40,11 +40,11 @@
 // time in which nine of ten leafs answer, slow ones included, and by then the request was
 // over.
 func TestSilentLeafIsHedgedWhileOthersAreSlow(t *testing.T) {
-	for _, stated := range []bool{true, false} {
-		t.Run(fmt.Sprintf("stated %v", stated), func(t *testing.T) {
+	for _, reported := range []bool{true, false} {
+		t.Run(fmt.Sprintf("stated %v", reported), func(t *testing.T) {
 			w := newWorld(t)
 			names := w.shards(20, homeZone)
-			w.learnShards(names, 10, map[string]bool{names[0]: true, names[1]: true, names[2]: true, names[3]: true}, 85*time.Millisecond, stated)
+			w.runGathered(names, 10, map[string]bool{names[0]: true, names[1]: true, names[2]: true, names[3]: true}, 85*time.Millisecond, reported)
 			w.leaf("dark", homeZone)
 			w.leaf("dark", "other")
 			q := NewQuery(w.gathered([]string{names[10], "dark"}), w.table)
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -95,32 +95,32 @@
 const crossZoneSurcharge = 0.25
 
 // recordSent records a request that is sent to the leaf, and updates typicalWork.
-func (l *leaf) recordSent(f pendingRequest) {
-	l.inFlight = append(l.inFlight, f)
+func (l *leaf) recordSent(req pendingRequest) {
+	l.inFlight = append(l.inFlight, req)
 	if l.typicalWork == 0 {
-		l.typicalWork = f.typical
+		l.typicalWork = req.typical
 	}
-	l.typicalWork += time.Duration(typicalWorkWeight * float64(f.typical-l.typicalWork))
+	l.typicalWork += time.Duration(typicalWorkWeight * float64(req.typical-l.typicalWork))
 }
 
 // removeInFlight removes one request that was sent at sentAt from those in flight, and returns
 // it. If there is none, it returns a request whose typical duration is not known.
 func (l *leaf) removeInFlight(sentAt time.Time) pendingRequest {
-	i := slices.IndexFunc(l.inFlight, func(f pendingRequest) bool { return f.sentAt.Equal(sentAt) })
+	i := slices.IndexFunc(l.inFlight, func(req pendingRequest) bool { return req.sentAt.Equal(sentAt) })
 	if i < 0 {
 		return pendingRequest{sentAt: sentAt}
 	}
-	f := l.inFlight[i]
+	req := l.inFlight[i]
 	l.inFlight = slices.Delete(l.inFlight, i, i+1)
-	return f
+	return req
 }
 
 // recordAnswer records that the leaf answered request f now, with whatever result.
-func (l *leaf) recordAnswer(now time.Time, f pendingRequest) {
+func (l *leaf) recordAnswer(now time.Time, req pendingRequest) {
 	l.cooldown.recordAnswer()
 	l.halfOpen = false
-	if f.known {
-		l.slowdown.recordAnswer(now, f.sentAt, f.typical)
+	if req.known {
+		l.slowdown.recordAnswer(now, req.sentAt, req.typical)
 	}
 }
 
--- a/scatter/liveness_test.go
+++ b/scatter/liveness_test.go
@@ -7,8 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// ownedShards adds shards with a leaf in each of the zones, so that VMs there are called.
-func (w *world) ownedShards(zones ...string) {
+// gatheredShards adds shards with a leaf in each of the zones, so that VMs there are called.
+func (w *world) gatheredShards(zones ...string) {
 	for _, name := range w.shards(2, zones...) {
 		w.table.SetServiceConfig(w.now, name, ServiceConfig{Shard: true})
 	}
@@ -19,12 +19,12 @@
 // calls. After the first silent call, the liveness of all VMs that are called is checked.
 func TestSilentVMTriggersLivenessRound(t *testing.T) {
 	w := newWorld(t)
-	w.ownedShards("other", "third")
+	w.gatheredShards("other", "third")
 	vms := fleetOf(8, "other", "third")
 	w.table.SetVMs(w.now, vms)
 	w.Expect(w.table.DueForLivenessCheck(w.now)).To(gomega.BeEmpty())
-	partners := w.table.Delegates(w.now)
-	silent := partners[0]
+	delegates := w.table.Delegates(w.now)
+	silent := delegates[0]
 	w.table.CallEnded(w.now, silent.Name, EndSilent)
 	due := w.table.DueForLivenessCheck(w.now)
 	w.Expect(due).NotTo(gomega.BeEmpty())
@@ -43,7 +43,7 @@
 // messages alone would use up the remaining processor time.
 func TestLivenessRoundsAreRateLimited(t *testing.T) {
 	w := newWorld(t)
-	w.ownedShards("other", "third")
+	w.gatheredShards("other", "third")
 	vms := fleetOf(8, "other", "third")
 	w.table.SetVMs(w.now, vms)
 	rounds := 0
--- a/scatter/load_test.go
+++ b/scatter/load_test.go
@@ -63,126 +63,126 @@
 // newSimulation returns a simulation with a number of VMs, separate from the world's own
 // leafs.
 func newSimulation(w *world, vms int) *simulation {
-	p := &simulation{world: w, rng: rand.New(rand.NewPCG(3, 4)), leafs: make(map[LeafID]*simulatedLeaf)}
+	sim := &simulation{world: w, rng: rand.New(rand.NewPCG(3, 4)), leafs: make(map[LeafID]*simulatedLeaf)}
 	for range vms {
 		w.becomeVM("vm-home", homeZone, w.table.budgetConfig)
-		p.tables = append(p.tables, w.table)
+		sim.tables = append(sim.tables, w.table)
 	}
-	return p
+	return sim
 }
 
 // shards adds services with a leaf in each of the zones, known to all VMs.
-func (p *simulation) shards(n int, work time.Duration, zones ...string) []string {
+func (sim *simulation) shards(n int, work time.Duration, zones ...string) []string {
 	var names []string
-	for _, t := range p.tables {
-		p.table = t
-		names = p.world.shards(n, zones...)
+	for _, t := range sim.tables {
+		sim.table = t
+		names = sim.world.shards(n, zones...)
 	}
-	for _, l := range p.table.leafs {
-		p.leafs[l.id] = &simulatedLeaf{slots: l.Slots, work: work, slowdown: 1}
+	for _, l := range sim.table.leafs {
+		sim.leafs[l.id] = &simulatedLeaf{slots: l.Slots, work: work, slowdown: 1}
 	}
 	return names
 }
 
-func (p *simulation) after(d time.Duration, do func()) {
-	p.serial++
-	heap.Push(&p.events, simulatedEvent{at: p.now.Add(d), serial: p.serial, do: do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.serial++
+	heap.Push(&sim.events, simulatedEvent{at: sim.now.Add(d), serial: sim.serial, do: do})
 }
 
 // run simulates callers, perSecond of them per second for the given time, each with a request.
-func (p *simulation) run(length time.Duration, perSecond float64, request func() Spec) {
-	end := p.now.Add(length)
+func (sim *simulation) run(length time.Duration, perSecond float64, request func() Spec) {
+	end := sim.now.Add(length)
 	var arrive func()
 	arrive = func() {
-		if !p.now.Before(end) {
+		if !sim.now.Before(end) {
 			return
 		}
-		p.startQuery(request())
-		p.after(time.Duration(p.rng.ExpFloat64()/perSecond*float64(time.Second)), arrive)
+		sim.startQuery(request())
+		sim.after(time.Duration(sim.rng.ExpFloat64()/perSecond*float64(time.Second)), arrive)
 	}
-	p.after(0, arrive)
-	for len(p.events) > 0 {
-		ev := heap.Pop(&p.events).(simulatedEvent)
-		p.now = ev.at
+	sim.after(0, arrive)
+	for len(sim.events) > 0 {
+		ev := heap.Pop(&sim.events).(simulatedEvent)
+		sim.now = ev.at
 		ev.do()
 	}
 }
 
-func (p *simulation) startQuery(spec Spec) {
-	p.callers++
-	q := NewQuery(spec, p.tables[p.rng.IntN(len(p.tables))])
-	p.execute(q, q.Start(p.now))
+func (sim *simulation) startQuery(spec Spec) {
+	sim.callers++
+	q := NewQuery(spec, sim.tables[sim.rng.IntN(len(sim.tables))])
+	sim.execute(q, q.Start(sim.now))
 }
 
-func (p *simulation) execute(q *Query, acts []Action) {
+func (sim *simulation) execute(q *Query, acts []Action) {
 	for _, s := range sends(acts) {
-		p.send(q, s)
+		sim.send(q, s)
 	}
 	if out := outcome(acts); out != nil {
-		p.recordOutcome(q, out)
+		sim.recordOutcome(q, out)
 		return
 	}
 	if !q.done {
-		p.after(max(q.Wake(p.now).Sub(p.now), 0), func() { p.execute(q, q.Tick(p.now)) })
+		sim.after(max(q.Wake(sim.now).Sub(sim.now), 0), func() { sim.execute(q, q.Tick(sim.now)) })
 	}
 }
 
-func (p *simulation) recordOutcome(q *Query, out *Outcome) {
-	took := p.now.Sub(q.startedAt)
+func (sim *simulation) recordOutcome(q *Query, out *Outcome) {
+	took := sim.now.Sub(q.startedAt)
 	switch {
 	case out.Verdict == NotRun:
-		p.refused++
-		p.longestRefusal = max(p.longestRefusal, took)
+		sim.refused++
+		sim.longestRefusal = max(sim.longestRefusal, took)
 	case out.Verdict != Answered:
-		p.failed++
+		sim.failed++
 	case took > q.spec.LatencyObjective:
-		p.late++
+		sim.late++
 	default:
-		p.inTime++
+		sim.inTime++
 		share := 1 - float64(out.Missing)/float64(len(q.shards))
-		p.credit += share * share
+		sim.credit += share * share
 	}
 }
 
-func (p *simulation) send(q *Query, s Send) {
-	l := p.leafs[s.Leaf]
+func (sim *simulation) send(q *Query, s Send) {
+	l := sim.leafs[s.Leaf]
 	part := simulatedPart{send: s, finish: func(end End) {
-		q.table.RecordLoad(p.now, s.Leaf, Load{Running: l.running, Waiting: len(l.queue), Slots: l.slots, Slowdown: l.slowdown})
-		q.table.AttemptEnded(p.now, s.Leaf, s.SentAt, end)
+		q.table.RecordLoad(sim.now, s.Leaf, Load{Running: l.running, Waiting: len(l.queue), Slots: l.slots, Slowdown: l.slowdown})
+		q.table.AttemptEnded(sim.now, s.Leaf, s.SentAt, end)
 		if end == EndAnswered {
-			p.execute(q, q.Reply(p.now, s.Attempt, false))
+			sim.execute(q, q.Reply(sim.now, s.Attempt, false))
 		} else {
-			p.execute(q, q.Fail(p.now, s.Attempt, end))
+			sim.execute(q, q.Fail(sim.now, s.Attempt, end))
 		}
 	}}
-	if p.rng.Float64() < l.shedShare {
-		p.after(time.Millisecond, func() { part.finish(EndRefused) })
+	if sim.rng.Float64() < l.shedShare {
+		sim.after(time.Millisecond, func() { part.finish(EndRefused) })
 		return
 	}
 	l.queue = append(l.queue, part)
-	p.start(l)
+	sim.start(l)
 }
 
 // start starts queued parts while slots are free.
-func (p *simulation) start(l *simulatedLeaf) {
+func (sim *simulation) start(l *simulatedLeaf) {
 	for l.running < l.slots && len(l.queue) > 0 {
 		part := l.queue[0]
 		l.queue = l.queue[1:]
-		left := part.send.Until.Sub(p.now)
+		left := part.send.Until.Sub(sim.now)
 		if left <= 0 {
-			p.after(0, func() { part.finish(EndExpired) })
+			sim.after(0, func() { part.finish(EndExpired) })
 			continue
 		}
-		took := time.Duration(float64(l.work) * l.slowdown * (0.7 + 0.6*p.rng.Float64()))
+		took := time.Duration(float64(l.work) * l.slowdown * (0.7 + 0.6*sim.rng.Float64()))
 		end := EndAnswered
 		if took > left {
 			took, end = left, EndExpired
 		}
 		l.running++
-		p.after(took, func() {
+		sim.after(took, func() {
 			l.running--
 			part.finish(end)
-			p.start(l)
+			sim.start(l)
 		})
 	}
 }
--- a/scatter/query_test.go
+++ b/scatter/query_test.go
@@ -49,7 +49,7 @@
 
 // Guards against telling a caller "not run" although a leaf ran the request: the refusal came
 // after an attempt with an unknown end. The caller would send the request again.
-func TestNotRunIsSaidOnlyIfNothingMayHaveRun(t *testing.T) {
+func TestNotRunIsReportedOnlyIfNothingMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		w.leaf("ledger", homeZone)
--- a/scatter/shed_test.go
+++ b/scatter/shed_test.go
@@ -7,9 +7,9 @@
 	"github.com/onsi/gomega"
 )
 
-// playRefusals sends n requests at the given interval. The given leaf refuses those that it
+// runRefused sends n requests at the given interval. The given leaf refuses those that it
 // gets, and states load.
-func (w *world) playRefusals(service string, leaf LeafID, n int, interval time.Duration, load Load) {
+func (w *world) runRefused(service string, leaf LeafID, n int, interval time.Duration, load Load) {
 	for range n {
 		s := sends(NewQuery(w.single(service, true), w.table).Start(w.now))[0]
 		end := EndAnswered
@@ -30,7 +30,7 @@
 	local := w.leaf("ledger", homeZone)
 	remote := w.leaf("ledger", "other")
 	first := func() LeafID { return sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf }
-	w.playRefusals("ledger", local, 5, 2*refusedCooldown, Load{Running: 0, Slots: 2})
+	w.runRefused("ledger", local, 5, 2*refusedCooldown, Load{Running: 0, Slots: 2})
 	w.Expect(first()).To(gomega.Equal(remote))
 	w.wait(3 * failureRateHalfLife)
 	w.Expect(first()).To(gomega.Equal(local))
@@ -41,7 +41,7 @@
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
-	w.playRefusals("ledger", local, 6, reportedLoadLifetime, Load{Running: 2, Waiting: 12, Slots: 2})
+	w.runRefused("ledger", local, 6, reportedLoadLifetime, Load{Running: 2, Waiting: 12, Slots: 2})
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
 
@@ -49,15 +49,15 @@
 // while the other leaf of each shard has slots to spare.
 func TestCallersAreServedWhileHalfOfLeafsShedLoad(t *testing.T) {
 	w := newWorld(t)
-	p := newSimulation(w, 1)
-	names := p.shards(30, 9*time.Millisecond, homeZone, "other")
-	for id, l := range p.leafs {
+	sim := newSimulation(w, 1)
+	names := sim.shards(30, 9*time.Millisecond, homeZone, "other")
+	for id, l := range sim.leafs {
 		if w.table.findLeaf(id).Zone == homeZone {
 			l.shedShare = 0.6
 		}
 	}
-	p.run(10*time.Second, 20, func() Spec { return w.gathered(names) })
-	t.Logf("callers %d, in time %d, late %d, refused %d, failed %d", p.callers, p.inTime, p.late, p.refused, p.failed)
-	w.Expect(float64(p.failed+p.refused) / float64(p.callers)).To(gomega.BeNumerically("<", 0.03))
-	w.Expect(p.credit / float64(p.callers)).To(gomega.BeNumerically(">", 0.95))
+	sim.run(10*time.Second, 20, func() Spec { return w.gathered(names) })
+	t.Logf("callers %d, in time %d, late %d, refused %d, failed %d", sim.callers, sim.inTime, sim.late, sim.refused, sim.failed)
+	w.Expect(float64(sim.failed+sim.refused) / float64(sim.callers)).To(gomega.BeNumerically("<", 0.03))
+	w.Expect(sim.credit / float64(sim.callers)).To(gomega.BeNumerically(">", 0.95))
 }
--- a/scatter/speed_test.go
+++ b/scatter/speed_test.go
@@ -7,8 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// playAnswers plays n requests, one after another, that are each answered after took.
-func (w *world) playAnswers(spec Spec, n int, took time.Duration) {
+// runAnswered plays n requests, one after another, that are each answered after took.
+func (w *world) runAnswered(spec Spec, n int, took time.Duration) {
 	for range n {
 		spec.Deadline = w.now.Add(time.Second)
 		q := NewQuery(spec, w.table)
@@ -26,7 +26,7 @@
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
 	w.leaf("ledger", "other")
-	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
+	w.runAnswered(w.single("ledger", true), 60, 8*time.Millisecond)
 	var paused []Send
 	for range 4 {
 		paused = append(paused, sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))...)
@@ -58,11 +58,11 @@
 // Guards against trusting a leaf that states that its machine is as usual, while its answers
 // take long each time because of a slow network. The stated factor must not outweigh the
 // measured durations.
-func TestLeafWithSlowAnswersIsAvoidedDespiteStatedSlowdown(t *testing.T) {
+func TestLeafWithSlowAnswersIsAvoidedDespiteReportedSlowdown(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
 	remote := w.leaf("ledger", "other")
-	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
+	w.runAnswered(w.single("ledger", true), 60, 8*time.Millisecond)
 	for range 10 {
 		s := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0]
 		if s.Leaf == remote {
@@ -85,8 +85,8 @@
 	short, long := w.single("ledger", true), w.single("ledger", true)
 	short.LatencyObjective, long.LatencyObjective = 50*time.Millisecond, 500*time.Millisecond
 	for range 60 {
-		w.playAnswers(short, 1, 3*time.Millisecond)
-		w.playAnswers(long, 1, 40*time.Millisecond)
+		w.runAnswered(short, 1, 3*time.Millisecond)
+		w.runAnswered(long, 1, 40*time.Millisecond)
 	}
 	w.Expect(sends(NewQuery(short, w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
@@ -114,7 +114,7 @@
 func TestLeafThatWasTooSlowIsTriedWithOneRequest(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
-	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
+	w.runAnswered(w.single("ledger", true), 60, 8*time.Millisecond)
 	expire := func(s Send) {
 		w.wait(100 * time.Millisecond)
 		w.table.AttemptEnded(w.now, local, s.SentAt, EndExpired)
@@ -139,7 +139,7 @@
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
 	remote := w.leaf("ledger", "other")
-	w.playAnswers(w.single("ledger", true), 60, 8*time.Millisecond)
+	w.runAnswered(w.single("ledger", true), 60, 8*time.Millisecond)
 	for range 6 {
 		s := sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0]
 		if s.Leaf == remote {
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -55,11 +55,11 @@
 // there are none.
 func (t *Table) SuspectVMs(now time.Time) (list []VM, next time.Time) {
 	for _, v := range t.vms {
-		due, later := v.suspicion.due(now)
+		due, probeAt := v.suspicion.due(now)
 		if due {
 			list = append(list, v.VM)
 		}
-		next = earlier(next, later)
+		next = earlier(next, probeAt)
 	}
 	return list, next
 }
@@ -119,11 +119,11 @@
 // leafs, zero if there are none.
 func (t *Table) SuspectLeafs(now time.Time) (list []registry.Leaf, next time.Time) {
 	for _, l := range t.leafs {
-		due, later := l.suspicion.due(now)
+		due, probeAt := l.suspicion.due(now)
 		if due {
 			list = append(list, l.Leaf)
 		}
-		next = earlier(next, later)
+		next = earlier(next, probeAt)
 	}
 	return list, next
 }
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -256,11 +256,11 @@
 // the costs of two leafs differ by less, either may be picked.
 const costJitter = time.Millisecond
 
-// pickCoolingDown returns a leaf for a request for which pickLeaf found none. It chooses among
+// pickUnavailable returns a leaf for a request for which pickLeaf found none. It chooses among
 // the given leafs that are in cooldown or suspect: the one whose cooldown ends first, and a
 // suspect one only if there is no other. Leafs in tried and those without capacity are left out.
 // It returns nil if no leaf remains.
-func (t *Table) pickCoolingDown(now time.Time, leafs []*leaf, tried []LeafID) *leaf {
+func (t *Table) pickUnavailable(now time.Time, leafs []*leaf, tried []LeafID) *leaf {
 	var best *leaf
 	for _, l := range leafs {
 		if l.available(now) || slices.Contains(tried, l.id) || !l.hasCapacity() {
@@ -374,21 +374,21 @@
 	if l == nil {
 		return
 	}
-	f := l.removeInFlight(sentAt)
+	req := l.removeInFlight(sentAt)
 	if end.showsAlive() {
 		l.suspicion = suspicion{}
 	}
 	switch end {
 	case EndAnswered:
-		l.recordAnswer(now, f)
+		l.recordAnswer(now, req)
 		l.failures.add(now, 0)
 	case EndFailed:
-		l.recordAnswer(now, f)
+		l.recordAnswer(now, req)
 		l.failures.add(now, 1)
 	case EndExpired:
 		l.halfOpen = true
-		if f.known {
-			l.slowdown.recordExpired(now, sentAt, f.typical)
+		if req.known {
+			l.slowdown.recordExpired(now, sentAt, req.typical)
 		}
 	case EndUnreachable:
 		l.cooldown.recordUnreachable(now)
--- a/scatter/vm.go
+++ b/scatter/vm.go
@@ -43,7 +43,7 @@
 			known = &vm{VM: v}
 		}
 		next[v.Name] = known
-		t.members[v.Name] = memberInfo{zone: v.Zone, power: v.Power, seen: now}
+		t.members[v.Name] = memberInfo{zone: v.Zone, power: v.Power, lastListed: now}
 	}
 	t.vms = next
 	t.partitionZones(now)
@@ -53,9 +53,9 @@
 // memberInfo is what is known of a VM that is a member of a zone. A VM is a member while it is
 // listed, and for memberRetention after that.
 type memberInfo struct {
-	zone  string
-	power float64   // number of processor cores
-	seen  time.Time // when it was last listed
+	zone       string
+	power      float64   // number of processor cores
+	lastListed time.Time // when it was last listed
 }
 
 // Parameters of the choice of VMs that this one calls for a leaf partition, among the VMs that
@@ -66,10 +66,10 @@
 	// of connections to other VMs that grows with the number of partitions, and not with the
 	// number of VMs.
 	delegatesPerPartition = 2
-	// minDelegatePower is the smallest power of an owner that is called, as a share of the
+	// minDelegatePowerShare is the smallest power of an owner that is called, as a share of the
 	// power of the strongest owner that may be called. Weaker owners are not called, since a
 	// request waits for the slowest of its calls.
-	minDelegatePower = 0.5
+	minDelegatePowerShare = 0.5
 )
 
 // delegates returns the VMs that this one calls for a leaf partition: up to
@@ -88,7 +88,7 @@
 		}
 		// Owners come in descending order of power, so list[0] is the strongest, and all
 		// further ones are too weak as well.
-		if len(list) > 0 && owner.power < minDelegatePower*list[0].Power {
+		if len(list) > 0 && owner.power < minDelegatePowerShare*list[0].Power {
 			break
 		}
 		list = append(list, v)
--- a/scatter/zone.go
+++ b/scatter/zone.go
@@ -61,21 +61,21 @@
 // call. The partition whose strongest owner has the least power takes longest, since VMs differ
 // in power, and so in the processor time of one request to a leaf.
 func (z *zoneMembers) fastestPartitioning(shards int) int {
-	most := len(z.ranked) / ownersPerLeaf
-	if most <= 1 {
+	maxPartitions := len(z.ranked) / ownersPerLeaf
+	if maxPartitions <= 1 {
 		return 1
 	}
 	// With n partitions, a caller of median power makes n calls. The slowest one is to the
 	// strongest owner of the last partition, which sends a request for each of its shards.
-	caller := max(z.ranked[len(z.ranked)/2].power, minPower)
-	best, least := 1, math.Inf(1)
-	for n := 1; n <= most; n++ {
-		weakest := max(z.ranked[n-1].power, minPower)
+	callerPower := max(z.ranked[len(z.ranked)/2].power, minPower)
+	best, bestTime := 1, math.Inf(1)
+	for n := 1; n <= maxPartitions; n++ {
+		ownerPower := max(z.ranked[n-1].power, minPower)
 		// took is the time for the calls, plus that for the shards of the slowest one. Its
 		// unit is the time of one request to a leaf on one core.
-		took := float64(n)*callCost/caller + float64(shards)/float64(n)/weakest
-		if took < least {
-			best, least = n, took
+		took := float64(n)*callCost/callerPower + float64(shards)/float64(n)/ownerPower
+		if took < bestTime {
+			best, bestTime = n, took
 		}
 	}
 	return best
@@ -152,15 +152,15 @@
 // leafs are set, which depend on the division.
 func (t *Table) partitionZones(now time.Time) {
 	zones := map[string]*zoneMembers{t.zone: {ranked: []zoneMember{{name: t.self, power: t.power}}}}
-	for name, p := range t.members {
-		if now.Sub(p.seen) > memberRetention {
+	for name, m := range t.members {
+		if now.Sub(m.lastListed) > memberRetention {
 			delete(t.members, name)
 			continue
 		}
-		if zones[p.zone] == nil {
-			zones[p.zone] = &zoneMembers{}
+		if zones[m.zone] == nil {
+			zones[m.zone] = &zoneMembers{}
 		}
-		zones[p.zone].ranked = append(zones[p.zone].ranked, zoneMember{name: name, power: p.power})
+		zones[m.zone].ranked = append(zones[m.zone].ranked, zoneMember{name: name, power: m.power})
 	}
 	t.leafOwners = 0
 	for _, z := range zones {
