--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -18,7 +18,7 @@
 // could answer. The forecast uses the load and slowdown that the leafs report, the VM's own
 // requests in flight, and the typical duration of that kind of request. Parts that would be
 // too late are not sent. A request that lacks too many parts is refused at once: it has not
-// run, and its caller is told when to retry.
+// run, and its caller gets a delay after which to retry.
 
 // admit decides whether to start the request. It returns true if the request is admitted, and
 // false after refusing it. ownShards are the indexes of the shards that this VM queries itself.
@@ -60,30 +60,31 @@
 	return true
 }
 
-// A VM that calls other VMs for some shards of a request may first wait for their refusals
-// before it queries the remaining shards, its own ones, itself.
+// A request's own shards are those that this VM queries itself, while other VMs that it calls
+// query the rest. The queries of the own shards may be delayed until the called VMs have had time
+// to refuse.
 const (
 	// refusalRateForDelay is the share of calls refused by other VMs, from 0 to 1, above
 	// which the queries of this VM's own shards are delayed.
 	refusalRateForDelay = 0.05
-	// ownShardsDelay is how long these queries are delayed: about as long as a call to
-	// another VM and its refusal take.
+	// ownShardsDelay is how long the queries of this VM's own shards are delayed: about as
+	// long as a call to another VM and its refusal take.
 	ownShardsDelay = 3 * time.Millisecond
 )
 
 // delaysOwnShards reports whether the shards that this VM queries itself are sent only after
 // ownShardsDelay, when called VMs have had time to refuse. If the shards were sent at once and a
-// called VM then refused, leafs would work on them without use. The caller could also not be
-// told that its request has not run. The delay is used only where calls are refused
-// occasionally.
+// called VM then refused, leafs would work on them for nothing, and this VM could no longer
+// answer its caller that the request has not run. The delay is used only while more than
+// refusalRateForDelay of the calls are refused.
 func (q *Query) delaysOwnShards(now time.Time, calls []delegation) bool {
 	return len(calls) > 0 && q.table.callRefusalRate.current(now) > refusalRateForDelay
 }
 
 // omissionsAllowed returns how many shards may be left out when the request starts. ownShards is
 // the number of shards that this VM queries itself. If another VM delegated the request to this
-// one, only these shards count. The field Required of the Spec then says how many answered shards
-// the calling VM needs.
+// one, only these shards count. The field Required of the Spec is then the number of answered
+// shards that the calling VM needs.
 func (q *Query) omissionsAllowed(ownShards int) int {
 	if !q.spec.Delegated {
 		return q.maxOmissions()
@@ -113,12 +114,13 @@
 	}
 }
 
-// Bounds of the delay after which a refused caller is told to retry. A random delay between
-// them keeps callers that were refused together from retrying together. Most callers wait no
-// longer than the upper bound, and the remaining time is enough for another attempt.
+// Bounds of the delay after which a refused caller should retry. A random part of the delay
+// between the two bounds keeps callers that were refused together from retrying together. Most
+// callers wait no longer than the upper bound, and the remaining time is enough for another
+// attempt.
 const (
-	minRetryDelayShare = 0.1  // shortest random delay, as a share of the time until the caller's deadline
-	maxRetryDelayShare = 0.33 // longest delay, as a share of the time until the caller's deadline
+	minRetryDelayShare = 0.1  // shortest random part, as a share of the time until the caller's deadline
+	maxRetryDelayShare = 0.33 // longest random part and longest delay, as a share of the time until the caller's deadline
 )
 
 // Refusal is the forecast that led to refusing a request.
@@ -156,9 +158,9 @@
 	// of the time left until its answer is needed. A request that is expected to take longer
 	// is not sent to the leaf.
 	latenessTolerance = 2
-	// queueDrainShare is the share of a leaf's capacity that is assumed to shorten its
-	// queue after the leaf reported its load. The remainder is assumed to serve requests
-	// that other VMs have sent since.
+	// queueDrainShare is the share of a leaf's slots, from 0 to 1, that are assumed to work
+	// on the requests in the leaf's latest load report. The other slots are assumed to work
+	// on requests that other VMs have sent since.
 	queueDrainShare = 0.5
 )
 
@@ -215,9 +217,9 @@
 	return time.Duration(ahead / float64(l.Slots) * float64(l.expected(now, l.typicalWork)))
 }
 
-// othersRemaining returns the estimated number of requests of other VMs at the leaf: those at its last
-// report, less those that it is assumed to have completed since. It is 0 if the report is too
-// old.
+// othersRemaining returns the estimated number of requests of other VMs at the leaf: those in its
+// last load report, less those that it is assumed to have completed since. It is 0 if the report
+// is older than reportedLoadLifetime.
 func (l *leaf) othersRemaining(now time.Time) float64 {
 	age := now.Sub(l.reportedAt)
 	if age >= reportedLoadLifetime || l.othersReported == 0 {
--- a/scatter/admission_test.go
+++ b/scatter/admission_test.go
@@ -10,9 +10,10 @@
 // partWork is how long a leaf works on a part.
 const partWork = 28 * time.Millisecond
 
-// newScarceSimulation returns a load on 20 shards with two leafs each, of which four shards
-// have practically lost one. The slots left there suffice for four fifths of the requests, and
-// an answer may leave out two shards.
+// newScarceSimulation returns a simulation of five VMs with 20 shards, and a function that returns
+// a request to all of them. Each shard has two leafs with two slots each. In four shards, one leaf
+// is 20 times as slow as usual, so it answers no part in time. At 90 requests per second, the slots
+// of the other leaf suffice for four fifths of the requests. An answer may leave out two shards.
 func newScarceSimulation(t *testing.T) (*simulation, func() Spec) {
 	w := newWorld(t)
 	sim := newSimulation(w, 5)
@@ -29,7 +30,8 @@
 	}
 }
 
-// maxFailedPercent is how many of 100 callers may fail where the slots suffice for most of them.
+// maxFailedPercent is the largest percentage of callers that may fail or get a late answer where
+// the slots suffice for most requests.
 const maxFailedPercent = 4
 
 // Guards against failed requests where the slots of four shards suffice for four fifths of the
@@ -68,9 +70,9 @@
 	sim.Expect(sim.credit).To(gomega.Equal(float64(sim.callers)))
 }
 
-// Guards against useless work and status 502 where a called VM refuses. Shards that only it
-// queries are short of slots, while this VM's own leafs work on the other shards; since parts
-// of the request have run, the caller gets 502.
+// Guards against a request that can't be reported as not run, although the called VM refused it.
+// The shards that only the called VM queries are short of slots. Meanwhile leafs already work on
+// the shards that this VM queries itself, for nothing, and the caller gets status 502.
 func TestOwnShardsWaitWhereCallsAreRefused(t *testing.T) {
 	w := newWorld(t)
 	names := append(w.shards(8, "other"), "own-1", "own-2")
@@ -101,8 +103,9 @@
 }
 
 // Guards against an inconsistent count of waiting requests when queries wait for a service
-// before its first leaf is known. If they were subtracted from a count that they were not
-// added to, shards would be forecast to answer before they are queried.
+// before its first leaf is known. If they were subtracted from a count to which they were not
+// added, the count would be negative, and shards would be forecast to answer before they are
+// queried.
 func TestWaitingRequestsAreCountedOnce(t *testing.T) {
 	w := newWorld(t)
 	q := NewQuery(w.gathered([]string{"late"}), w.table)
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -3,8 +3,8 @@
 import "time"
 
 // maxSendsPerAttempt bounds how often a request may be sent to leafs of one shard, as a multiple
-// of MaxAttempts, the number of leafs that may run it. More sends than MaxAttempts are possible
-// after refusals or failed connections, which run nothing.
+// of MaxAttempts, the number of leafs that may run it. Refusals and failed connections count as
+// sends, but not towards MaxAttempts, since nothing ran.
 const maxSendsPerAttempt = 3
 
 // Limits on waiting for a leaf with capacity.
@@ -41,9 +41,8 @@
 	}
 	l := q.table.pickLeaf(now, q.durationKey(), leafs, filter)
 	if l == nil && reason != Hedge && s.inFlight == 0 {
-		// All leafs are in cooldown after failures, or each was tried. Using one of
-		// them is better than none: a leaf that refused or was unreachable may have
-		// recovered.
+		// No available leaf takes the attempt. A leaf in cooldown or a suspect one is
+		// better than none: it may have recovered since it refused or was unreachable.
 		l = q.table.pickUnavailable(now, leafs, s.tried)
 		// Leafs that were tried are used again if no attempt on the shard may have run,
 		// or if another VM may query the shard too.
@@ -126,9 +125,9 @@
 
 // latePartShare is the time that a leaf is given for a late shard of a gathered request, as a
 // share of the latency objective. A shard is late if its answer can no longer be expected before
-// AnswerBy, the time at which the request is answered with the parts received so far. The answer
-// to the whole request is then late too, but is an answer. Only leafs with a free slot are sent
-// late shards.
+// AnswerBy, the time at which the request is answered with the parts received so far. If the
+// request needs a late shard, its answer is late too, which is better than a failure. Late shards
+// are sent only to leafs with a free slot.
 const latePartShare = 0.5
 
 // usefulUntil returns the time from which the answer to an attempt that is sent now is useless.
@@ -137,9 +136,9 @@
 // after AnswerBy, it is a short time from now instead (see latePartShare). It is never after the
 // deadline.
 //
-// Parts of a gathered answer are useless once the answer was sent. The caller's whole time may
-// be many times the latency objective. If leafs were given all of it, those short of slots would
-// spend their slots on parts that no caller waits for.
+// Parts of a gathered answer are useless once the answer was sent. The time until the caller's
+// deadline may be many times the latency objective. If leafs were given all of it, those short of
+// slots would spend their slots on parts that no caller waits for.
 func (q *Query) usefulUntil(now time.Time) time.Time {
 	if !q.spec.Gathered {
 		return q.spec.Deadline
--- a/scatter/budget.go
+++ b/scatter/budget.go
@@ -40,7 +40,7 @@
 // its weight from 0 to 1, and the extra arrivals, such as hedges and retries.
 type budgetStep struct{ requests, extra float64 }
 
-// newBudget returns a budget whose steps are numbered from now.
+// newBudget returns an empty budget whose step 0 begins now.
 func newBudget(config BudgetConfig, now time.Time) *budget {
 	return &budget{config: config, startedAt: now}
 }
--- a/scatter/budget_test.go
+++ b/scatter/budget_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against more extra load on leafs than allowed by a burst of retries and hedges around
-// the boundary of two windows. In every sliding window, the extra arrivals stay within the
-// ratio of the requests plus this VM's share of the floor.
+// Guards against a burst of retries and hedges around the boundary of two windows that causes more
+// extra arrivals than allowed. In every sliding window, the extra arrivals stay within the ratio
+// of the requests plus this VM's share of the floor.
 func TestBudgetHoldsInEverySlidingWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
@@ -37,6 +37,7 @@
 	})
 }
 
+// countAfter returns how many of the times are after from.
 func countAfter(times []time.Time, from time.Time) int {
 	n := 0
 	for _, at := range times {
--- a/scatter/conclude.go
+++ b/scatter/conclude.go
@@ -54,7 +54,7 @@
 // failureOutcome returns the outcome of a query without a sufficient answer. Its verdict is
 //   - LeafFailed, if a leaf answered a request to a single service with a failure;
 //   - verdictIfRun, if an attempt of this VM may have run, or another VM may have made one;
-//   - NotRun otherwise, which tells the caller that nothing ran.
+//   - NotRun otherwise: no leaf ran the request.
 func (q *Query) failureOutcome(verdictIfRun Verdict) Outcome {
 	if q.failedAttempt != 0 && !q.spec.Gathered {
 		return Outcome{Verdict: LeafFailed, Attempt: q.failedAttempt}
@@ -67,14 +67,13 @@
 	return Outcome{Verdict: NotRun, RetryAfter: q.retryAfterOrDefault()}
 }
 
-// Bounds and default of the delay after which a refused caller is told to retry.
+// Bounds and default of the delay after which a refused caller should retry.
 const (
-	// defaultRetryAfterShare is the delay that a refused caller is told if no VM gave one
-	// with its refusal, as a share of the latency objective. It is about the time in which
-	// the queue of a leaf drains.
+	// defaultRetryAfterShare is the delay if no VM gave one with its refusal, as a share of
+	// the latency objective. It is about the time in which the queue of a leaf drains.
 	defaultRetryAfterShare = 0.25
-	minRetryAfter          = 10 * time.Millisecond // shortest delay that a refused caller is told
-	maxRetryAfter          = time.Second           // longest delay that a refused caller is told
+	minRetryAfter          = 10 * time.Millisecond // shortest delay after which a refused caller should retry
+	maxRetryAfter          = time.Second           // longest delay after which a refused caller should retry
 )
 
 // retryAfterOrDefault returns the delay after which the caller should retry: the one of the VM
@@ -114,10 +113,10 @@
 	return Outcome{}, false
 }
 
-// callPending reports whether another VM may still answer a shard. That is also possible after its
-// call failed over, which means that the shard was queried in another way. The VM may be slow
-// rather than stopped. Its answer may be the only one: the budget of hedges and retries may not
-// have allowed direct requests to leafs.
+// callPending reports whether the VM that was called for a shard may still answer it. This
+// includes a call that failed over: the called VM may be slow rather than stopped. Its answer may
+// be the only one, since the budget of hedges and retries may not have allowed direct requests to
+// leafs.
 func (q *Query) callPending(s *shard) bool {
 	return s.call != 0 && !q.calls[s.call].finished
 }
--- a/scatter/cooldown.go
+++ b/scatter/cooldown.go
@@ -19,19 +19,19 @@
 	// maxPauseDoublings is how often the length of a cooldown, or the pause between probes
 	// of a suspect leaf or VM, is doubled at most.
 	maxPauseDoublings = 5
-	// failuresToCooldown is the number of consecutive failures that start a cooldown. The
-	// first failures say little: a leaf breaks off a few answers and serves the next
-	// request.
+	// failuresToCooldown is the number of consecutive failures that start a cooldown. One
+	// failure is no reason to avoid a leaf: a leaf that broke off an answer mostly serves
+	// the next request.
 	failuresToCooldown = 2
-	// minSilenceDoublings is the smallest number of times that baseCooldown is doubled for the
-	// cooldown after a request that got no answer until its time was over.
+	// minSilenceDoublings is how often baseCooldown is doubled at least for the cooldown
+	// after a request that got no answer in the time allowed for it.
 	minSilenceDoublings = 2
 )
 
 // recordFailure counts a failure of a request that was sent at sentAt. It starts a cooldown if
-// there were failuresToCooldown failures or more in a row. Failures of requests that were sent
-// before the end of the latest cooldown don't count: one pause makes many requests fail that
-// were in flight together, and is no more evidence than one failure.
+// there were failuresToCooldown consecutive failures or more. Failures of requests that were sent
+// before the end of the latest cooldown don't count: one pause of a leaf makes all requests fail
+// that are in flight together, which is no more evidence than one failure.
 func (c *cooldown) recordFailure(sentAt, now time.Time) {
 	if sentAt.Before(c.until) {
 		return
@@ -54,10 +54,10 @@
 	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown+1, maxPauseDoublings), maxCooldown))
 }
 
-// recordSilence records that nothing was received until the time of a request was over. The
-// request was sent at sentAt. Its time is many times longer than any pause of a leaf. The leaf has
-// stopped without notice, and the next request would be lost as well. The cooldown begins at once,
-// and is longer than after a failure.
+// recordSilence records that a request that was sent at sentAt got no answer in the time allowed
+// for it. That time is many times longer than any pause of a leaf. So the leaf has stopped without
+// notice, and the next request would be lost as well. The cooldown begins at once, and is longer
+// than after a failure.
 func (c *cooldown) recordSilence(sentAt, now time.Time) {
 	if sentAt.Before(c.until) {
 		return
@@ -66,8 +66,8 @@
 	c.extend(now, min(baseCooldown<<min(c.failures-failuresToCooldown, maxPauseDoublings), maxCooldown))
 }
 
-// startAtLeast starts a cooldown of at least d without counting a failure: a leaf that
-// refuses is alive.
+// startAtLeast starts a cooldown of at least d after a refusal. It counts no failure, since a
+// leaf that refuses is alive.
 func (c *cooldown) startAtLeast(now time.Time, d time.Duration) { c.extend(now, d) }
 
 // extend moves the end of the cooldown to d from now, unless it already ends later.
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -287,9 +287,10 @@
 }
 
 // callRefused handles the refusal of a call: no leaf has run any of its shards for the called VM,
-// and none will. retryAfter is the delay after which the caller should retry. Shards of the call
-// are closed, which rules out further attempts on them: the request's other shards can't make up
-// for them. Shards that this VM has meanwhile sent to a leaf itself stay open.
+// and none will. retryAfter is the delay after which the caller should retry. The shards of the
+// call are closed: the called VM refuses if too few of them could be answered in time, and the
+// request's other shards can't make up for them. Shards that this VM has meanwhile sent to a leaf
+// itself stay open.
 func (q *Query) callRefused(now time.Time, c *call, id CallID, retryAfter time.Duration) []Action {
 	c.finished, c.resolved = true, true
 	q.table.callRefusalRate.add(now, 1)
@@ -334,9 +335,9 @@
 
 // reclaim sends attempts on shards of a call to leafs. shards are the indexes of those that the
 // called VM has not queried and never will. Shards that are answered are skipped, and so are
-// those that this VM or a second VM may already have queried. For the others, no request has
-// reached a leaf yet. The first attempt on each is therefore not an extra arrival, as a hedge or
-// retry is, and takes nothing from the budget that bounds extra arrivals.
+// those that this VM or a second VM may already have queried. No request for the others has
+// reached a leaf yet. So the first attempt on each is not an extra arrival, as a hedge or a retry
+// is, and takes nothing from the budget.
 func (q *Query) reclaim(now time.Time, id CallID, shards []int) []Action {
 	var acts []Action
 	for _, i := range shards {
--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -27,6 +27,7 @@
 	return q, calls[0]
 }
 
+// allBut returns the indexes from 0 to n-1 without the given ones.
 func allBut(n int, except ...int) []int {
 	var list []int
 	for i := range n {
@@ -41,9 +42,9 @@
 	return list
 }
 
-// Guards against three leafs working on one shard of a request: another VM sent it to two
-// leafs and then froze, and this VM sent it to a third one directly. Whatever both VMs do, and
-// whichever leafs the other VM avoids, they use two leafs of three.
+// Guards against three leafs working on one shard of a request that allows two: the called VM sent
+// the shard to two leafs and then froze, and this VM sent it to a third one directly. Both VMs
+// together use at most two leafs, whichever leafs the called VM can't reach.
 func TestTwoVMsUseNoMoreLeafsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request := rapid.StringMatching("[0-9a-f]{16}").Draw(t, "request")
@@ -101,10 +102,10 @@
 	})
 }
 
-// Guards against three leafs working on one shard of a request while leafs are replaced. The
-// called VM has lost the store and still knows removed leafs; it would use one of these, and
-// the calling VM two others. The called VM declines shards for which its view differs, and
-// both together use no more leafs than the request allows.
+// Guards against three leafs working on one shard of a request that allows two, while leafs are
+// replaced. The called VM can't reach the store and still knows removed leafs; it would use one of
+// these, and the calling VM two others. The called VM declines shards for which its view differs,
+// and both together use no more leafs than the request allows.
 func TestVMsWithDifferentViewsUseNoMoreLeafsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const shards = 6
@@ -117,7 +118,7 @@
 		peer.becomeVM("vm-other", "other", ampleBudget)
 		peer.shards(shards, "other", "third", "fourth")
 		for _, service := range names {
-			switch rapid.IntRange(0, 3).Draw(t, "what the caller learned") {
+			switch rapid.IntRange(0, 3).Draw(t, "change that only the caller knows") {
 			case 1: // a leaf was removed
 				w.table.Apply(w.now, registry.Change{Leaf: registry.Leaf{ID: service + "@other", Born: 1, Service: service}, Gone: true})
 			case 2: // a leaf was added
@@ -183,8 +184,8 @@
 	}
 }
 
-// Guards against losing a shard that the called VM declines because this VM has learned of a
-// new leaf earlier. The shard is sent at once and costs nothing of the budget, since it was
+// Guards against losing a shard that the called VM declines, since it does not yet know a new leaf
+// that this VM knows. The shard is sent at once and takes nothing from the budget, since it was
 // sent to no leaf before.
 func TestDeclinedShardIsSentAtOnce(t *testing.T) {
 	w := newWorld(t)
@@ -203,8 +204,9 @@
 // ampleBudget allows every hedge.
 var ampleBudget = BudgetConfig{Ratio: 0.2, Floor: 1000, Window: 10 * time.Second}
 
-// Guards against losing the shards of a called VM that freezes. They are sent directly to one
-// leaf each, since the VM may have used one; if its answer still arrives, it is included once.
+// Guards against losing the shards of a called VM that freezes. Each is sent directly to one leaf
+// only, since the VM may have sent it to another. If the VM's answer still arrives, it replaces
+// the answers of these leafs.
 func TestSilentVMFailsOverToLeafs(t *testing.T) {
 	w := newWorld(t)
 	q, call := newDelegatedQuery(w, 10)
@@ -231,8 +233,8 @@
 	w.Expect(w.table.pickVM(w.now, zonePartition{zone: call.VM.Zone}, nil)).To(gomega.BeNil())
 }
 
-// Guards against delegating shards that have a leaf in this VM's zone; the others go to as few
-// VMs as possible.
+// Guards against delegating shards that have a leaf in this VM's zone. Only the other shards are
+// delegated, all to one VM.
 func TestNearShardsAreNotDelegated(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(8, "other", "third")
@@ -314,8 +316,8 @@
 	w.Expect(w.table.zones[homeZone].ranked).NotTo(gomega.ContainElement(zoneMember{name: "vm-00", power: 1}))
 }
 
-// Guards against a failed request although its parts are on the way. The called VM is slightly
-// late, and the budget allows no direct requests to leafs; the shards must not be counted as
+// Guards against a failed request although its parts will still arrive. The called VM is slightly
+// late, and the budget allows no direct requests to leafs. The shards must not be counted as
 // lost.
 func TestAnswerAfterFailoverStillCounts(t *testing.T) {
 	w := newWorld(t)
@@ -378,8 +380,8 @@
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(silent))
 }
 
-// Guards against a called VM that gives up on shards long before the latency objective,
-// because the time reserved for the way back grew with the objective.
+// Guards against a called VM that stops waiting for shards long before AnswerBy, because the time
+// reserved for sending its answer back grows with the time until AnswerBy.
 func TestTimeReservedForCallAnswerIsBounded(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(10, "other")
@@ -394,9 +396,9 @@
 	}
 }
 
-// Guards against a lost proof that nothing ran. A called VM reaches no leaf, and says so after
-// the call failed over and the calling VM's own attempts had the same result. The caller is
-// told that nothing ran.
+// Guards against reporting that a request may have run although nothing ran. The call fails over,
+// the calling VM reaches no leaf itself, and only then does the called VM refuse, since it reaches
+// no leaf either. The verdict is NotRun.
 func TestRefusalAfterFailoverProvesNotRun(t *testing.T) {
 	w := newWorld(t)
 	q, call := newDelegatedQuery(w, 10)
--- a/scatter/failover.go
+++ b/scatter/failover.go
@@ -25,8 +25,8 @@
 )
 
 // CallSent records that a call was written to its connection. The time within which the called VM
-// has to acknowledge the call starts now. It does not start earlier, since silence says nothing
-// about a VM to which a connection is still being made. CallSent returns no actions.
+// has to acknowledge the call starts now. It does not start earlier, since silence is no
+// evidence against a VM to which a connection is still being opened. CallSent always returns nil.
 func (q *Query) CallSent(now time.Time, id CallID) []Action {
 	c := q.calls[id]
 	if c == nil || q.done || c.acked {
@@ -46,8 +46,8 @@
 }
 
 // recordAck records that a message of the called VM on a call was received. The first message
-// shows that the VM is alive, so the call no longer fails over for lack of an acknowledgement.
-// The time that the first message took is recorded for the VM's zone if it is the longest.
+// acknowledges the call: the VM is alive, and the call no longer fails over for lack of an
+// acknowledgement. The time until this message is recorded for the VM's zone if it is the longest.
 func (q *Query) recordAck(now time.Time, c *call) {
 	if c.acked {
 		return
@@ -79,10 +79,11 @@
 // Failover of calls.
 //
 // The problem: of hundreds of VMs, some freeze or are lost together. Each VM makes a call only
-// every few seconds, so it detects a lost VM through a request of its own. The owners of a shard's
-// leafs are the VMs that normally send requests to them. Any other VM has no connections to the
-// leafs, and almost none of the budget of extra arrivals (hedges and retries). Therefore the
-// shards of a called VM that is silent or lost are queried through another owner.
+// every few seconds, and detects a lost VM only when one of its own calls gets no answer. It can
+// hardly query the shards of that call itself. The owners of a shard's leafs are the VMs that
+// normally send requests to them. Any other VM has no connections to the leafs, and almost none of
+// the budget of extra arrivals (hedges and retries). Therefore the shards of a called VM that is
+// silent or lost are queried through another owner.
 
 // failOverOverdueCalls handles the calls whose answer or acknowledgement is overdue. If the
 // called VM has sent no message, the call fails over to another VM. Otherwise this VM sends the
@@ -111,11 +112,11 @@
 // hedges and retries. mayHaveSent says that the first VM may have received the call, and so may
 // have sent requests for the shards to leafs.
 //
-// There may be no other VM to call, or too few shards for a call. What follows then depends on the
-// VMs that were called. If one of them may have sent requests for the shards, this VM sends
-// requests to leafs itself. They are taken from the budget, since they are extra arrivals. If no
-// VM may have sent any, failOver returns nothing and leaves the shards to CallFail. The requests
-// of CallFail are the first arrivals, and are not taken from the budget.
+// If there is no other VM to call, or there are too few shards for a call, one of two things
+// follows. If a called VM may have sent requests for the shards, this VM sends requests to leafs
+// itself. They are extra arrivals, and are taken from the budget. If no VM can have sent any,
+// failOver returns nothing and leaves the shards to CallFail. The requests of CallFail are the
+// first arrivals, and are not taken from the budget.
 func (q *Query) failOver(now time.Time, id CallID, mayHaveSent bool) []Action {
 	c := q.calls[id]
 	redelegated := mayHaveSent || c.redelegated
@@ -178,7 +179,8 @@
 	if len(shards) == 0 {
 		return
 	}
-	// dropped: shards that the result loses if the new answer replaces the overlapping ones
+	// dropped is the number of shards of the overlapping answers, which the new answer would
+	// replace.
 	overlaps, dropped := q.overlapping(shards)
 	if dropped >= len(shards) {
 		return
--- a/scatter/failover_test.go
+++ b/scatter/failover_test.go
@@ -39,8 +39,9 @@
 	return calls[0]
 }
 
-// Guards against losing the shards of a silent VM: the VMs that call it own none of its leafs,
-// and their share of the budget is less than one arrival.
+// Guards against losing the shards of a silent VM. The VMs that call it don't own its leafs, so
+// their share of the budget's floor is less than one extra arrival, and they can't send the shards
+// to leafs themselves.
 func TestSilentVMFailsOverToAnotherOwner(t *testing.T) {
 	w := newWorld(t)
 	q, first := newQueryWithTwoOwners(w, 10)
@@ -73,8 +74,8 @@
 	w.Expect(names).To(gomega.HaveLen(3))
 }
 
-// Guards against requests to thirty leafs over new connections because the called VM is
-// unreachable.
+// Guards against requests to thirty leafs, each over a new connection, because the called VM is
+// unreachable. Another owner of the leafs is called instead.
 func TestUnreachableVMFailsOverToAnotherOwner(t *testing.T) {
 	w := newWorld(t)
 	q, first := newQueryWithTwoOwners(w, 10)
@@ -116,8 +117,8 @@
 	}
 }
 
-// Guards against telling a caller that its request has not run because the second VM refused
-// it: the first VM may have run it.
+// Guards against reporting that a request has not run because the second VM refused it: leafs may
+// have run it for the first VM.
 func TestRefusalOfSecondVMDoesNotProveNotRun(t *testing.T) {
 	w := newWorld(t)
 	q, _ := newQueryWithTwoOwners(w, 10)
@@ -227,8 +228,9 @@
 	w.Expect(w.table.ackTimes).To(gomega.BeEmpty(), "how long the acknowledgement took is not known")
 }
 
-// Guards against extra arrivals that no budget pays for: the silent VM may have queried each
-// shard.
+// Guards against extra arrivals that are taken from no budget. A VM that is called in place of a
+// silent one takes even its first request for a shard from the budget, since the silent VM may
+// have queried the shard.
 func TestSecondVMTakesEachArrivalFromBudget(t *testing.T) {
 	w := newWorld(t)
 	names := w.shards(5, homeZone, "other")
--- a/scatter/failure_rate.go
+++ b/scatter/failure_rate.go
@@ -14,7 +14,7 @@
 // The type is also used for the share of calls that other VMs refuse.
 type failureRate struct {
 	rate      float64   // smoothed share of failed requests, from 0 to 1, at updatedAt
-	updatedAt time.Time // when the latest request ended
+	updatedAt time.Time // when the latest counted request ended
 }
 
 // Parameters of the failure rate.
--- a/scatter/floor_test.go
+++ b/scatter/floor_test.go
@@ -32,9 +32,9 @@
 	return t
 }
 
-// Guards against more extra arrivals at a shard's leafs than allowed: 80 VMs each take their
-// share of the floor, and most are killed and take it again in their next incarnation within
-// the window. The sum of all shares stays below the floor whatever each VM does.
+// Guards against more extra arrivals at a shard's leafs than allowed. 80 VMs each spend their share
+// of the floor, and are restarted and spend a share again within the same window. The sum of the
+// shares before and after the restart stays below the floor.
 func TestFloorSharesStayBelowFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
@@ -53,9 +53,9 @@
 	}
 }
 
-// Guards against an answer that lacks a shard although another leaf has it. Its leaf pauses,
-// and the VM that owns it could hedge only once in ten seconds, since the floor was divided
-// among 80 VMs of which 20 use that leaf.
+// Guards against an answer that lacks a shard although another leaf has it. The shard's leaf
+// pauses, and the VM that owns it can hedge only once in ten seconds, if the floor is divided
+// equally among 80 VMs of which 20 use that leaf.
 func TestOwnersOfAShardMayHedgeItMoreThanOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
@@ -76,8 +76,8 @@
 	g.Expect(others).To(gomega.HaveEach(gomega.BeNumerically(">=", 1)))
 }
 
-// Guards against a VM that has just started and takes itself for the only one until it has
-// read the list of VMs. It spends nothing of the floor that others may be spending.
+// Guards against a VM that has just started and spends the whole floor, as if it were the only VM,
+// until it has read the list of VMs. Before that it spends nothing of the floor.
 func TestVMWithoutVMListSpendsNoFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
--- a/scatter/gap.go
+++ b/scatter/gap.go
@@ -13,7 +13,7 @@
 // written out. An attempt is one request to a leaf.
 const (
 	GapSlow       GapCause = iota // an attempt on the shard was still in flight
-	GapNoCapacity                 // each of the shard's leafs was full, or was kept free of requests after failures
+	GapNoCapacity                 // no leaf could take an attempt: each was full, in cooldown, suspect or too slow
 	GapBudget                     // the budget, which bounds hedges and retries, did not allow another attempt
 	GapLate                       // it was too late for another attempt
 	GapAttempts                   // all allowed attempts ended without an answer
--- a/scatter/harness_test.go
+++ b/scatter/harness_test.go
@@ -11,15 +11,17 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// world is a table with leafs, and a clock that only the test advances.
+// world is the table of one VM, and a clock that only the test advances.
 type world struct {
 	*gomega.WithT
 	table *Table
 	now   time.Time
 }
 
+// homeZone is the zone of the VM that has the world's table.
 const homeZone = "home"
 
+// newWorld returns a world whose VM is vm-home, without leafs.
 func newWorld(t types.GomegaTestingT) *world {
 	config := BudgetConfig{Ratio: 0.2, Floor: 50, Window: 10 * time.Second}
 	now := time.Unix(1_000_000, 0)
@@ -56,6 +58,7 @@
 	return names
 }
 
+// wait advances the clock by d.
 func (w *world) wait(d time.Duration) { w.now = w.now.Add(d) }
 
 // gathered returns a gathered request with a latency objective of 100 ms.
@@ -76,6 +79,7 @@
 	}
 }
 
+// sends returns those of the actions that send a request to a leaf.
 func sends(acts []Action) []Send {
 	var out []Send
 	for _, a := range acts {
@@ -86,6 +90,7 @@
 	return out
 }
 
+// vmCalls returns those of the actions that call another VM.
 func vmCalls(acts []Action) []CallVM {
 	var out []CallVM
 	for _, a := range acts {
@@ -96,7 +101,7 @@
 	return out
 }
 
-// outcome returns the outcome of a query, nil if it is still in progress.
+// outcome returns the outcome of the query that the actions end, nil if they don't end it.
 func outcome(acts []Action) *Outcome {
 	for _, a := range acts {
 		if f, ok := a.(Finish); ok {
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -29,8 +29,8 @@
 	// hedgeAnswerTimeFactor is the time that a hedge of a gathered request is given for its
 	// answer, as a multiple of the hedgeDurationQuantile of recent durations. AnswerBy is
 	// the time at which the request is answered with the parts received so far. No hedge is
-	// sent before AnswerBy less this time. Many slow leafs have answered by then, which
-	// saves hedges. The answer to a hedge is traffic from another zone.
+	// sent before AnswerBy less this time. Many slow leafs have answered by then and need no
+	// hedge. The answer to a hedge is traffic from another zone.
 	hedgeAnswerTimeFactor = 2.5
 	// hedgeNetworkTime is the part of the time until AnswerBy that is kept for the network,
 	// and not given to the leaf that gets the hedge.
@@ -59,8 +59,9 @@
 		return min(delay, time.Duration(maxHedgeDelayShare*float64(q.spec.LatencyObjective)))
 	}
 	// window is the time from the start of the query within which an answer is in time. A
-	// hedge after the delay inTime is in time if it takes hedgeAnswerTimeFactor times the
-	// quantile. A hedge after the delay last is in time if it takes the quantile.
+	// hedge after minDelay is in time if it takes hedgeAnswerTimeFactor times the quantile. A
+	// hedge after maxDelay is in time if it takes the quantile. If the two bounds contradict
+	// each other, minDelay counts.
 	window := q.spec.AnswerBy.Sub(q.startedAt) - hedgeNetworkTime
 	minDelay := window - time.Duration(hedgeAnswerTimeFactor*float64(d))
 	maxDelay := max(window-d, window/2)
--- a/scatter/hedge_test.go
+++ b/scatter/hedge_test.go
@@ -8,8 +8,9 @@
 	"github.com/onsi/gomega"
 )
 
-// runGathered plays n gathered requests. The slow leafs answer after took, which their
-// machines state if stated is set; the others answer after 8 ms.
+// runGathered runs n gathered requests. The leafs of the services in slow answer after took, the
+// others after 8 ms. If reported is set, the slow leafs report the corresponding slowdown of their
+// machines.
 func (w *world) runGathered(names []string, n int, slow map[string]bool, took time.Duration, reported bool) {
 	for range n {
 		q := NewQuery(w.gathered(names), w.table)
@@ -35,10 +36,10 @@
 	}
 }
 
-// Guards against a hedge that comes too late. A fifth of the leafs is slow, and then one leaf
-// goes silent. Callers got answers without its shard, or none: the hedge was due after the
-// time in which nine of ten leafs answer, slow ones included, and by then the request was
-// over.
+// Guards against a hedge that comes too late. A fifth of the leafs is slow, and then one leaf does
+// not answer. If the hedge is due only after the time in which nine of ten leafs answer, slow ones
+// included, the request is over by then, and its answer, if any, lacks the shard of the silent
+// leaf.
 func TestSilentLeafIsHedgedWhileOthersAreSlow(t *testing.T) {
 	for _, reported := range []bool{true, false} {
 		t.Run(fmt.Sprintf("stated %v", reported), func(t *testing.T) {
@@ -57,7 +58,7 @@
 				hedged = sends(q.Tick(w.now))
 			}
 			w.Expect(hedged).To(gomega.HaveLen(1))
-			w.Expect(w.now.Sub(began)).To(gomega.BeNumerically("<=", 70*time.Millisecond), "8 ms and the way must be left")
+			w.Expect(w.now.Sub(began)).To(gomega.BeNumerically("<=", 70*time.Millisecond), "8 ms and the time on the network must remain until AnswerBy")
 		})
 	}
 }
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -38,7 +38,7 @@
 	othersReported float64       // requests of other VMs that ran or waited at the leaf, by its latest load report
 	reportedAt     time.Time     // when that report was received
 	freeSlots      int           // slots without a request, by that report
-	halfOpen       bool          // a request's time was over while it worked; it gets one request at a time until it answers one
+	halfOpen       bool          // the leaf stopped a request that took too long; it gets one request at a time until it answers one
 	typicalWork    time.Duration // smoothed time that requests like those sent here take at a leaf of usual speed
 }
 
@@ -46,7 +46,7 @@
 type pendingRequest struct {
 	sentAt  time.Time
 	typical time.Duration // duration of such requests at a leaf of usual speed
-	known   bool          // typical was measured; otherwise it is a default
+	known   bool          // typical follows from recorded durations; otherwise it is a default
 }
 
 // Parameters of the time that a leaf is expected to take for a request.
--- a/scatter/liveness_test.go
+++ b/scatter/liveness_test.go
@@ -7,16 +7,17 @@
 	"github.com/onsi/gomega"
 )
 
-// gatheredShards adds shards with a leaf in each of the zones, so that VMs there are called.
+// gatheredShards adds two services that only gathered requests use, with a leaf in each of the
+// zones, so that VMs of these zones are called.
 func (w *world) gatheredShards(zones ...string) {
 	for _, name := range w.shards(2, zones...) {
 		w.table.SetServiceConfig(w.now, name, ServiceConfig{Shard: true})
 	}
 }
 
-// Guards against detecting each of many lost VMs by a call of its own. A third of the VMs
-// loses power at once, and for some seconds every request lacks the shards of one or two
-// calls. After the first silent call, the liveness of all VMs that are called is checked.
+// Guards against detecting each of many lost VMs by a separate call. A third of the VMs loses power
+// at once, and for some seconds every request lacks the shards of one or two calls. After the first
+// call without an answer, the liveness of all VMs that this one calls is checked.
 func TestSilentVMTriggersLivenessRound(t *testing.T) {
 	w := newWorld(t)
 	w.gatheredShards("other", "third")
--- a/scatter/load_test.go
+++ b/scatter/load_test.go
@@ -6,43 +6,48 @@
 	"time"
 )
 
-// simulation is a load on a world's leafs in virtual time: callers that arrive at random,
-// leafs with slots and queues that stop work at the time given to them, and VMs that make the
-// decisions.
+// simulation simulates a load on leafs in virtual time. Callers arrive at random, and a random VM
+// makes the decisions for each request. Leafs have slots and queues, and stop work on an attempt
+// when its time is over.
 type simulation struct {
 	*world
 	tables []*Table // one for each VM
 	rng    *rand.Rand
 	leafs  map[LeafID]*simulatedLeaf
-	events simulatedEvents
-	serial int
+	events simulatedEvents // queue, ordered by time
+	serial int             // number of events scheduled so far
 
+	// Numbers of callers: all, and those whose request was answered within the latency
+	// objective, was answered later, was refused, or failed in another way.
 	callers, inTime, late, refused, failed int
-	credit                                 float64 // sum over answers in time: share of answered shards, squared
-	longestRefusal                         time.Duration
+	credit                                 float64       // sum over answers in time: share of answered shards, squared
+	longestRefusal                         time.Duration // longest time until a request was refused
 }
 
-// simulatedLeaf takes the time work, multiplied by its slowdown, to finish a part.
+// simulatedLeaf is a leaf that takes work times slowdown on average to finish an attempt.
 type simulatedLeaf struct {
 	slots     int
 	work      time.Duration
 	slowdown  float64
-	shedShare float64 // share of the parts that it refuses
+	shedShare float64 // share of the attempts that it refuses
 	running   int
 	queue     []simulatedPart
 }
 
+// simulatedPart is an attempt at a simulated leaf.
 type simulatedPart struct {
 	send   Send
-	finish func(End)
+	finish func(End) // passes the end of the attempt to the VM that sent it
 }
 
+// simulatedEvent is a function to call at a time.
 type simulatedEvent struct {
 	at     time.Time
 	serial int // keeps events of the same time in order
 	do     func()
 }
 
+// simulatedEvents is a heap of events, the earliest first.
 type simulatedEvents []simulatedEvent
 
 func (e simulatedEvents) Len() int      { return len(e) }
@@ -60,8 +65,8 @@
 	return last
 }
 
-// newSimulation returns a simulation with a number of VMs, separate from the world's own
-// leafs.
+// newSimulation returns a simulation with the given number of VMs, whose tables have no leafs. It
+// replaces the table of w.
 func newSimulation(w *world, vms int) *simulation {
 	sim := &simulation{world: w, rng: rand.New(rand.NewPCG(3, 4)), leafs: make(map[LeafID]*simulatedLeaf)}
 	for range vms {
@@ -84,6 +89,7 @@
 	return names
 }
 
+// after schedules a call of do in d from now.
 func (sim *simulation) after(d time.Duration, do func()) {
 	sim.serial++
 	heap.Push(&sim.events, simulatedEvent{at: sim.now.Add(d), serial: sim.serial, do: do})
@@ -108,12 +114,15 @@
 	}
 }
 
+// startQuery starts the request of a caller at a random VM.
 func (sim *simulation) startQuery(spec Spec) {
 	sim.callers++
 	q := NewQuery(spec, sim.tables[sim.rng.IntN(len(sim.tables))])
 	sim.execute(q, q.Start(sim.now))
 }
 
+// execute carries out the actions of a query and, if it is still in progress, schedules its next
+// tick.
 func (sim *simulation) execute(q *Query, acts []Action) {
 	for _, s := range sends(acts) {
 		sim.send(q, s)
@@ -127,6 +136,7 @@
 	}
 }
 
+// recordOutcome counts the outcome of a query.
 func (sim *simulation) recordOutcome(q *Query, out *Outcome) {
 	took := sim.now.Sub(q.startedAt)
 	switch {
@@ -144,6 +154,7 @@
 	}
 }
 
+// send queues an attempt at its leaf, which may refuse it.
 func (sim *simulation) send(q *Query, s Send) {
 	l := sim.leafs[s.Leaf]
 	part := simulatedPart{send: s, finish: func(end End) {
@@ -163,7 +174,7 @@
 	sim.start(l)
 }
 
-// start starts queued parts while slots are free.
+// start starts queued attempts at a leaf while it has free slots.
 func (sim *simulation) start(l *simulatedLeaf) {
 	for l.running < l.slots && len(l.queue) > 0 {
 		part := l.queue[0]
--- a/scatter/owners_test.go
+++ b/scatter/owners_test.go
@@ -68,8 +68,8 @@
 	w.Expect(called()).To(gomega.HaveLen(3), "other VMs own the partitions too")
 }
 
-// Guards against VMs holding more connections to a leaf than it accepts: hundreds of VMs each
-// used the leaf once and kept the connection.
+// Guards against more open connections to a leaf than it accepts: hundreds of VMs each use the leaf
+// once and keep the connection.
 func TestKeptConnectionsStayBelowLimit(t *testing.T) {
 	vms := largeFleet("a", "b", "c", "d", "e", "f")
 	kept := 0
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -9,8 +9,8 @@
 	Idempotent bool     // the request may run on several leafs
 	// MaxAttempts is how many leafs of a shard may run the request.
 	MaxAttempts int
-	// MinShare is the share of all shards, from 0 to 1, that have to be answered at least
-	// for a gathered request to be answered.
+	// MinShare is the minimum share of the shards, from 0 to 1, that have to be answered for
+	// a gathered request to be answered.
 	MinShare         float64
 	LatencyObjective time.Duration // duration within which such requests should be answered
 	// AnswerBy is when a gathered request is answered with the parts received so far, if
@@ -27,16 +27,16 @@
 	// of the leafs that it knows. A shard is declined if this VM's view of it differs.
 	Views []View
 	// Required is, for a delegated request, how many of the shards have to be answered so
-	// that the calling VM has enough for its caller; 0 if the calling VM did not say.
+	// that the calling VM has enough for its caller; 0 if the calling VM did not set it.
 	Required int
 	// Redelegated says that another VM was called for the same shards before. Each request
 	// to a leaf then counts as an extra arrival in the budget, as a retry does, since the
 	// other VM may have sent one. Only leafs are used that both the calling and each called
 	// VM may use.
 	Redelegated bool
-	// BudgetWeight is the part of the request, from 0 to 1, that counts as a request in this
-	// VM's budget. The budget allows hedges and retries in proportion to requests. For a
-	// delegated request, the calling VM counts the remainder.
+	// BudgetWeight is the part of the request, from 0 to 1, that counts in this VM's budget.
+	// The budget allows hedges and retries in proportion to requests. For a delegated
+	// request, the calling VM counts the remainder.
 	BudgetWeight float64
 }
 
--- a/scatter/query_test.go
+++ b/scatter/query_test.go
@@ -10,9 +10,9 @@
 	"github.com/bramleybarrow/bramleybarrow/registry"
 )
 
-// Guards against running a request twice that must run once. The leaf ran it, its connection
-// broke before the answer, and the request was sent to another leaf. Only a refusal by the
-// leaf, or a connection that was never made, allows another attempt.
+// Guards against running a request twice that must run at most once. A leaf runs it, the connection
+// breaks before the answer, and the request is sent to another leaf. Only an end that shows that
+// nothing ran allows another attempt: a refusal, no connection, or another leaf at the address.
 func TestNonIdempotentRequestIsNotResentAfterItMayHaveRun(t *testing.T) {
 	w := newWorld(t)
 	w.leaf("ledger", homeZone)
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards against a caller that waits for its whole time limit before it is told that nothing
-// ran, although it was known from the start that the service had no leaf.
+// Guards against a caller that waits for its whole time limit for the verdict that nothing ran,
+// although no leaf of the service is known from the start.
 func TestRequestWithoutLeafsIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t)
 	q := NewQuery(w.single("ledger", true), w.table)
@@ -47,8 +47,8 @@
 	w.Expect(out.RetryAfter).To(gomega.BeNumerically(">", 0))
 }
 
-// Guards against telling a caller "not run" although a leaf ran the request: the refusal came
-// after an attempt with an unknown end. The caller would send the request again.
+// Guards against the verdict NotRun although a leaf ran the request: a refusal followed an attempt
+// that may have run. The caller would send the request again.
 func TestNotRunIsReportedOnlyIfNothingMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -73,7 +73,7 @@
 	})
 }
 
-// Guards against a late answer to a gathered request because one of 30 leafs pauses: the other
+// Guards against a late answer to a gathered request because one of 20 leafs pauses: the other
 // parts arrived in time and are sufficient.
 func TestGatheredRequestIsAnsweredInPartInTime(t *testing.T) {
 	w := newWorld(t)
@@ -107,9 +107,9 @@
 	w.Expect(out.RetryAfter).To(gomega.BeNumerically(">=", minRetryAfter))
 }
 
-// Guards against waiting on when too many shards turn out to be unreachable after requests
-// were sent. The query ends as soon as this is certain, and not with the verdict that the
-// request has not run.
+// Guards against further waiting when too many shards turn out to be unreachable after requests
+// were sent. The query ends as soon as this is certain. Its verdict is not NotRun, since leafs may
+// have run some shards.
 func TestGatheredRequestEndsOnceTooFewShardsCanAnswer(t *testing.T) {
 	w := newWorld(t)
 	spec := w.gathered(w.shards(12, homeZone))
@@ -180,9 +180,9 @@
 	w.Expect(w.table.findLeaf(renewed).cooldown.active(w.now)).To(gomega.BeFalse())
 }
 
-// Whatever leafs do and when, a query ends exactly once and by its deadline, sends a shard to
-// no more leafs than allowed, and does not resend a request that must run once after it may
-// have run.
+// Whatever leafs do and when, a query ends exactly once and by its deadline, and sends a shard to no
+// more leafs than allowed. A request that is not idempotent is not sent again after it may have
+// run.
 func TestQueryInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -203,16 +203,17 @@
 	})
 }
 
-// invariantRun plays random events and checks the actions of a query.
+// invariantRun passes random events to a query and checks the actions that it returns.
 type invariantRun struct {
 	w    *world
 	q    *Query
 	spec Spec
-	open map[AttemptID]Send
-	ran  map[int]map[LeafID]bool
-	ends int
+	open map[AttemptID]Send      // attempts in flight
+	ran  map[int]map[LeafID]bool // by shard: leafs that may have run it
+	ends int                     // number of Finish actions
 }
 
+// apply records the actions and checks them.
 func (r *invariantRun) apply(acts []Action) {
 	for _, s := range sends(acts) {
 		r.open[s.Attempt] = s
@@ -230,6 +231,7 @@
 	}
 }
 
+// step advances the clock to the next tick, or ends the oldest attempt in flight in a random way.
 func (r *invariantRun) step(t *rapid.T) {
 	if len(r.open) == 0 || rapid.Bool().Draw(t, "tick") {
 		r.w.now = later(r.q.Wake(r.w.now), r.w.now)
@@ -273,8 +275,8 @@
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))).To(gomega.HaveLen(1))
 }
 
-// Guards against a called VM that waits for leafs. A VM that has just started knows no leafs,
-// and must answer the call at once; waiting cost the calling VM all of its request's time.
+// Guards against a called VM that waits for leafs. A VM that has just started knows no leafs, and
+// must answer the call at once. If it waited, the calling VM would lose all of its request's time.
 func TestVMWithoutLeafsAnswersACallAtOnce(t *testing.T) {
 	w := newWorld(t)
 	spec := w.gathered([]string{"unknown-1", "unknown-2"})
@@ -283,9 +285,10 @@
 	w.Expect(outcome(NewQuery(spec, w.table).Start(w.now))).NotTo(gomega.BeNil())
 }
 
-// Guards against twice the traffic between zones although every answer would be in time: a
-// leaf in this zone is slightly slower than one in another zone, which is used instead. A leaf
-// in this zone is avoided only if it is slow relative to the latency objective.
+// Guards against needless traffic between zones. A leaf in this zone is slightly slower than one in
+// another zone, which would be used instead: twice the traffic between zones, although every
+// answer would be in time anyway. The leaf in this zone is avoided only if it is slow relative to
+// the latency objective.
 func TestNearLeafIsKeptWhileItIsInTime(t *testing.T) {
 	for _, c := range []struct {
 		near time.Duration
@@ -304,10 +307,10 @@
 	}
 }
 
-// Guards against repeated use of a leaf that fails every other request. It says that it is
-// healthy and answers the others, so there are no two consecutive failures, and each failure
-// costs its request a retry. Another leaf, even in another zone, is used until the failures
-// are some seconds old.
+// Guards against repeated use of a leaf that fails every other request. It reports that it is
+// healthy and answers the others. So there are no two consecutive failures, which would start a
+// cooldown, and each failure costs its request a retry. Another leaf, even in another zone, is
+// used until the failures are some seconds old.
 func TestLeafThatFailsEveryOtherRequestIsAvoided(t *testing.T) {
 	for _, end := range []End{EndBroken, EndFailed} {
 		w := newWorld(t)
@@ -349,8 +352,9 @@
 	w.Expect(sends(NewQuery(report, w.table).Start(w.now))[0].Until).To(gomega.Equal(report.Deadline))
 }
 
-// Guards against an attempt for a part that no caller waits for, which delays other requests.
-// An earlier attempt fails just before an answer is sent that is sufficient without it.
+// Guards against an attempt whose part no caller waits for, and which delays other requests. The
+// attempt would follow one that fails just before AnswerBy, when the answer is sufficient without
+// its part.
 func TestLateAttemptIsNotSentForSufficientAnswer(t *testing.T) {
 	for _, missing := range []int{1, 2} {
 		w := newWorld(t)
@@ -367,8 +371,8 @@
 	}
 }
 
-// Guards against telling a caller that its request may have run although no leaf started it:
-// the queues of the leafs are so long that the time of all parts is over before they start.
+// Guards against reporting that a request may have run although no leaf started it: the queues of
+// the leafs are so long that the time of all parts is over before they start.
 func TestAttemptsThatWereNotStartedHaveNotRun(t *testing.T) {
 	w := newWorld(t)
 	spec := w.gathered(w.shards(2, homeZone))
--- a/scatter/readers.go
+++ b/scatter/readers.go
@@ -14,8 +14,8 @@
 	// spareReaders is the number of further VMs of a zone that may have to read the store.
 	// They follow the readers like all other VMs. When the readers fail, the other VMs follow
 	// the spare readers. Without spare readers, every VM of the zone would then read the
-	// store itself. If the readers failed because the store refuses them, it would get calls
-	// from all other VMs of the zone.
+	// store itself. A store that refuses the readers would then get calls from all other VMs
+	// of the zone.
 	spareReaders = 4
 )
 
--- a/scatter/readers_test.go
+++ b/scatter/readers_test.go
@@ -8,8 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against a zone in which every VM reads the store, because the store refuses its
-// readers.
+// Guards against a zone in which every VM reads the store, because the store refuses the VMs that
+// normally read it. The other VMs follow a spare reader, and only one VM reads in addition.
 func TestSpareReadersAreFollowedWhereReadersFail(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
--- a/scatter/shed_test.go
+++ b/scatter/shed_test.go
@@ -7,8 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// runRefused sends n requests at the given interval. The given leaf refuses those that it
-// gets, and states load.
+// runRefused runs n requests at the given interval. The given leaf refuses those that it gets,
+// and reports load with each refusal. Other leafs answer.
 func (w *world) runRefused(service string, leaf LeafID, n int, interval time.Duration, load Load) {
 	for range n {
 		s := sends(NewQuery(w.single(service, true), w.table).Start(w.now))[0]
@@ -45,7 +45,7 @@
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
 
-// Guards against spending the budget of extra arrivals on leafs that refuse six parts of ten,
+// Guards against spending the budget of extra arrivals on leafs that refuse six attempts of ten,
 // while the other leaf of each shard has slots to spare.
 func TestCallersAreServedWhileHalfOfLeafsShedLoad(t *testing.T) {
 	w := newWorld(t)
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -11,9 +11,9 @@
 // The factor is the product of two factors. The first is the slowdown of the leaf's machine, which
 // the leaf reports. The second is the excess: the duration of answers as a multiple of the
 // duration that is expected with the reported slowdown. Pauses, queues and the network show only
-// in the excess. The two factors are kept apart, since a pause says nothing about the next
-// request: with one smoothed latency, a leaf that paused once would get fewer requests for
-// seconds.
+// in the excess. The two factors are kept apart, since a pause does not predict the duration of
+// the next request: with one smoothed latency, a leaf that paused once would get fewer requests
+// for seconds.
 type slowdown struct {
 	// reported is the smoothed slowdown that the leaf reports for its machine. It is 1 for a
 	// machine of usual speed, and 0 before the first report.
@@ -76,13 +76,13 @@
 
 // recordExpired records that the leaf was still at work when the time of a request was over.
 // The request's duration is not known, and is estimated as expiredDurationFactor times the time
-// that it was given. An expired request has a larger weight than an answer, since a leaf that is
-// too slow gives new values much less often than other leafs.
+// that it was given. An expired request has a larger weight than an answer, since requests to a
+// leaf that is too slow end much less often than those to other leafs.
 func (s *slowdown) recordExpired(now, sentAt time.Time, typical time.Duration) {
 	s.add(now, sentAt, expiredDurationFactor*now.Sub(sentAt), typical, expiredExcessWeight)
 }
 
-// add updates the smoothed excess with a request that was sent at sentAt and took the time took.
+// add updates the smoothed excess with a request that was sent at sentAt and had the duration took.
 // The excess of the request is that time, as a multiple of the duration that is expected with the
 // reported slowdown. typical is the duration of such a request at a leaf of usual speed. weight is
 // the weight of the request's excess in the smoothed one, from 0 to 1. A slow request is ignored
@@ -119,7 +119,7 @@
 // Pauses, queues and the network raise the excess. It is 1 if there was no answer.
 func (s *slowdown) excessFactor(now time.Time) float64 { return decayed(s.excess, now.Sub(s.excessAt)) }
 
-// decayed returns the current value of a factor that was recorded the time age ago. Its
+// decayed returns the current value of a factor, where age is the time since it was recorded. Its
 // deviation from 1 halves with each slowdownHalfLife. A factor of 0 is unknown, for which the
 // result is 1.
 func decayed(factor float64, age time.Duration) float64 {
--- a/scatter/speed_test.go
+++ b/scatter/speed_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-// runAnswered plays n requests, one after another, that are each answered after took.
+// runAnswered runs n requests, one after another, that are each answered after took.
 func (w *world) runAnswered(spec Spec, n int, took time.Duration) {
 	for range n {
 		spec.Deadline = w.now.Add(time.Second)
@@ -19,9 +19,9 @@
 	}
 }
 
-// Guards against avoiding a leaf that paused once. A leaf pauses for 100 ms, and its four
-// requests are answered late. It is as fast as before afterwards, but for seconds the next
-// requests would go to another zone, at the expense of needless traffic between zones.
+// Guards against avoiding a leaf that paused once. A leaf pauses for 100 ms, and its four requests
+// are answered late. Afterwards it is as fast as before, but for seconds the next requests would go
+// to another zone, which causes needless traffic between zones.
 func TestLeafThatPausedOnceIsUsedAgain(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
@@ -40,9 +40,9 @@
 	w.Expect(sends(NewQuery(w.single("ledger", true), w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
 
-// Guards against late answers from a leaf whose machine does other work too, so that each
-// answer takes six times as long. The leaf states this with its first answer. It is avoided at
-// once and used again when it may have recovered.
+// Guards against late answers from a leaf whose machine does other work too, so that each answer
+// takes six times as long. The leaf reports this with its first answer. It is avoided at once and
+// used again when it may have recovered.
 func TestLeafOnASlowMachineIsAvoided(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
@@ -55,9 +55,9 @@
 	w.Expect(first()).To(gomega.Equal(local))
 }
 
-// Guards against trusting a leaf that states that its machine is as usual, while its answers
-// take long each time because of a slow network. The stated factor must not outweigh the
-// measured durations.
+// Guards against trusting a leaf that reports a machine of usual speed, while each of its answers
+// takes long because of a slow network. The reported slowdown must not outweigh the durations of
+// the answers.
 func TestLeafWithSlowAnswersIsAvoidedDespiteReportedSlowdown(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
@@ -76,8 +76,8 @@
 }
 
 // Guards against one expected duration for two kinds of requests, of 3 ms and of 40 ms, at one
-// leaf. The long ones would make the leaf look slow for the short ones, which would go to
-// another zone.
+// leaf. Because of the long ones, the leaf would count as slow for the short ones, which would go
+// to another zone.
 func TestDurationsOfRequestKindsAreSeparate(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
@@ -91,10 +91,10 @@
 	w.Expect(sends(NewQuery(short, w.table).Start(w.now))[0].Leaf).To(gomega.Equal(local))
 }
 
-// Guards against taking a slow kind of request for a pause of the leaf. A VM has just started
-// and knows no durations. Requests that take 60 ms of a latency objective of 250 ms were taken
-// for pauses after 24 ms, as if all kinds were as fast as parts of a search, and the next
-// requests went to another zone.
+// Guards against mistaking a slow kind of request for a pause of the leaf. A VM has just started and
+// knows no durations. If it assumed that all kinds were as fast as parts of a search, requests that
+// take 60 ms of a latency objective of 250 ms would count as paused after 24 ms, and the next
+// requests would go to another zone.
 func TestSlowRequestKindIsNotMistakenForPauseAtStartup(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
@@ -109,8 +109,8 @@
 }
 
 // Guards against sending several requests to a leaf that was nine times as slow as others and
-// finished nothing in time. Once this history has partly decayed, a few requests would go
-// there before the first of them showed the slowness again.
+// finished nothing in time. Once its recorded slowdown has partly decayed, a few requests would go
+// there before the first of them showed that it is still slow.
 func TestLeafThatWasTooSlowIsTriedWithOneRequest(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -80,9 +80,9 @@
 // livenessRound schedules a liveness check of all VMs that this one calls, after one of them
 // was silent.
 //
-// VMs are lost together: those of a rack, a zone or a network. If a call detects that a VM is
-// lost, a request loses the shards of that call. Since a VM calls many others, this would happen
-// to many requests. The check finds the other lost VMs before requests do.
+// VMs fail together: those of a rack, a zone or a network. A request whose call detects that a VM
+// is lost may get no answers for the shards of that call. Since a VM calls many others, this would
+// happen to many requests. The check finds the other lost VMs before requests do.
 type livenessRound struct {
 	requested bool      // a check of all VMs has to be made
 	lastAt    time.Time // when the latest check was started
--- a/scatter/suspicion_test.go
+++ b/scatter/suspicion_test.go
@@ -7,9 +7,9 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against detecting a leaf that lost power again after each cooldown. Each time, a
-// request loses half of its time and spends budget on a second leaf; with a hundred such leafs
-// no answer has enough shards. The leaf is used again once a connection to it was made.
+// Guards against detecting anew after each cooldown that a leaf has lost power. Each time, a request
+// loses half of its time and spends budget on a second leaf. With a hundred such leafs, no answer
+// has enough shards. The leaf is used again only once a connection to it was made.
 func TestSilentLeafIsUsedAgainOnlyAfterSuccessfulProbe(t *testing.T) {
 	for _, end := range []End{EndSilent, EndUnreachable} {
 		w := newWorld(t)
@@ -38,8 +38,8 @@
 	}
 }
 
-// Guards against refusing a request because all leafs of a service are suspect. They have
-// failed, or this VM was disconnected from them; one of them must still be tried.
+// Guards against refusing a request because all leafs of a service are suspect. They may have
+// recovered, or only this VM was disconnected from them. One of them must still be tried.
 func TestSuspectLeafIsUsedWithoutAlternative(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
@@ -54,7 +54,7 @@
 }
 
 // Guards against avoiding a leaf whose answer comes late because this VM was frozen. The leaf
-// was suspect, but the answer shows that it is alive, and it is used again without a probe.
+// became suspect, but the answer shows that it is alive, and it is used again without a probe.
 func TestLateAnswerClearsASuspectLeaf(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -22,7 +22,7 @@
 	vms           map[string]*vm                    // by name: the other VMs
 	members       map[string]memberInfo             // by name: the other VMs, including those that left recently
 	zones         map[string]*zoneMembers           // by zone: members and this VM
-	leafOwners    int                               // number of VMs that normally use one leaf: the owners of one leaf partition in each zone
+	leafOwners    int                               // number of VMs that normally use one leaf: the owners of one leaf partition, summed over the zones
 	maxShards     int                               // number of shards of the gathered request that has the most shards
 	shardsPerZone int                               // how many of those maxShards shards have a leaf in one zone, on average
 	vmsKnown      bool                              // SetVMs was called at least once
@@ -91,7 +91,7 @@
 }
 
 // Apply applies a change of the list of leafs: one leaf was added, changed or removed. A leaf
-// with a new incarnation, service or address replaces the old one, of which nothing is kept.
+// with a new incarnation, service or address replaces the old one, whose history is dropped.
 func (t *Table) Apply(now time.Time, change registry.Change) {
 	id := LeafID{ID: change.Leaf.ID, Born: change.Leaf.Born}
 	old := t.leafs[change.Leaf.ID]
@@ -284,8 +284,8 @@
 }
 
 // recordDuration records how long the answer to an attempt took. The time is first divided by
-// the slowdown that the leaf reports for its machine. The duration that is expected of one leaf
-// then does not depend on how slow other leafs are.
+// the slowdown that the leaf reports for its machine. So the typical duration of a kind of request
+// does not depend on how slow the leafs are that answer it.
 func (t *Table) recordDuration(now time.Time, kind durationKey, a *attempt) {
 	took := now.Sub(a.sentAt)
 	if l := t.findLeaf(a.leaf); l != nil {
@@ -336,7 +336,7 @@
 const (
 	EndAnswered    End = iota // answered, with any status
 	EndUnreachable            // no connection: nothing reached the leaf
-	EndRefused                // the leaf says that it did not run the request
+	EndRefused                // the leaf reports that it did not run the request
 	EndBroken                 // the request may have run: the connection was cut or reset, or the answer was corrupt
 	EndSilent                 // the request may have run: no answer while this VM waited for it
 	EndMoved                  // another leaf has the address; nothing ran
--- a/scatter/view.go
+++ b/scatter/view.go
@@ -9,21 +9,22 @@
 )
 
 // Two VMs may send requests to leafs of one shard: the called VM, and the calling VM once it
-// has waited too long. Neither knows in time what the other did. Both compute the same leafs
-// from the request's id, one fewer than the request allows (MaxAttempts). The calling VM uses
-// only these; the called VM may use one more of its own choice. Together they use no more
-// leafs than the request allows, even if one of them freezes between any two steps.
+// has waited too long. Neither knows in time what the other did. Both compute the same leafs,
+// the common leafs, from the request's id. These are one fewer than the request allows
+// (MaxAttempts). The calling VM uses only these; the called VM may use one more of its own
+// choice. Together they use no more leafs than the request allows, even if one of them freezes
+// between any two steps.
 //
-// A second VM, called because the first one is silent, uses the computed leafs only.
+// A second VM, called because the first one is silent, uses the common leafs only.
 //
-// The called VM sends requests to these leafs all the time and knows which are slow or
-// unreachable. If it too were restricted to the computed leafs, a shard with two bad leafs of
-// three would be lost to every second request, while a good leaf is idle.
+// The called VM sends requests to the shard's leafs all the time and knows which are slow or
+// unreachable. If it too were restricted to the common leafs, every second request would get no
+// answer from a shard with two bad leafs of three, while a good leaf is idle.
 //
-// They compute the same leafs only if both know the same list. A change reaches one VM up to
-// some seconds before another, and a VM that has lost the store much later. Therefore a call
-// carries the caller's list as a View, and the called VM declines shards for which its own
-// view differs.
+// Both compute the same leafs only if both know the same list of leafs. A change of the list
+// reaches one VM up to some seconds before another, and much later if a VM can't reach the
+// store. Therefore a call carries a View, a hash of the calling VM's list, and the called VM
+// declines shards for which its own view differs.
 
 // View identifies the set of leafs that one VM knows of a service: it is a hash of the leafs'
 // ids and start times. Draining leafs are left out. VMs that know the same leafs have the same
--- a/scatter/view_test.go
+++ b/scatter/view_test.go
@@ -9,10 +9,10 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against answers that lack a shard of which two leafs of three are unreachable or
-// slow, although the third would do: the called VM was restricted to two leafs computed from
-// the request's id. It uses the third and no fourth, and the leafs that the calling VM may use
-// stay within what the request allows.
+// Guards against answers that lack a shard although one of its leafs could answer. The others are
+// unreachable or slow, and the called VM is restricted to the common leafs, which are computed from
+// the request's id. It uses one other leaf and no second one, so that both VMs together use no more
+// leafs than the request allows.
 func TestCalledVMUsesTheLeafThatAnswers(t *testing.T) {
 	for i := range 40 {
 		w := newWorld(t)
@@ -32,7 +32,7 @@
 		w.Expect(first).To(gomega.HaveLen(1))
 		w.Expect(first[0].Leaf).To(gomega.Equal(good))
 
-		// Otherwise it uses only leafs that the calling VM may use too.
+		// For further attempts it uses only leafs that the calling VM may use too.
 		w.wait(5 * time.Millisecond)
 		common := w.table.commonLeafs("shard", "other", spec.RequestID, spec.MaxAttempts)
 		w.Expect(common).To(gomega.HaveLen(spec.MaxAttempts - 1))
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against losing a shard because the chosen leaf refuses or is unreachable. That leaf
-// runs nothing, so another may be chosen.
+// Guards against losing a shard because the leaf that the called VM chose refuses, is unreachable,
+// or has lost its address to another leaf. That leaf runs nothing, so another may be chosen.
 func TestCalledVMChoosesAgainAfterARefusal(t *testing.T) {
 	for _, end := range []End{EndRefused, EndUnreachable, EndMoved} {
 		w := newWorld(t)
--- a/scatter/vm.go
+++ b/scatter/vm.go
@@ -23,13 +23,13 @@
 	suspicion suspicion
 }
 
-// available reports whether calls may be sent to the VM.
+// available reports whether calls may be sent to the VM: it is neither suspect nor in cooldown.
 func (v *vm) available(now time.Time) bool { return !v.suspicion.raised && !v.cooldown.active(now) }
 
 // memberRetention is how long a VM that is no longer listed remains a member of its zone. The
 // leafs of a zone are divided into partitions among its members. After a restart, most VMs return
-// within seconds under their old name. Without the retention, each restart of a VM would give
-// nearly every other VM another partition. They would have to open connections to other leafs
+// within seconds under their old name. Without the retention, each restart of a VM would assign
+// another partition to nearly every other VM. They would have to open connections to other leafs
 // while the zone is short of VMs anyway.
 const memberRetention = 20 * time.Second
 
--- a/scatter/zone.go
+++ b/scatter/zone.go
@@ -57,9 +57,10 @@
 }
 
 // fastestPartitioning returns the number of leaf partitions with which a request to the given
-// number of shards is answered fastest. Partitions are queried in parallel, but each costs a
-// call. The partition whose strongest owner has the least power takes longest, since VMs differ
-// in power, and so in the processor time of one request to a leaf.
+// number of shards is answered fastest. More partitions mean fewer shards for each of the VMs that
+// are called in parallel, but each partition costs a call. VMs differ in power, and so in the time
+// of one request to a leaf. The slowest partition is the one whose strongest owner has the least
+// power.
 func (z *zoneMembers) fastestPartitioning(shards int) int {
 	maxPartitions := len(z.ranked) / ownersPerLeaf
 	if maxPartitions <= 1 {
@@ -81,7 +82,8 @@
 	return best
 }
 
-// minPower is the power in cores assumed for a VM that states none.
+// minPower is the smallest power, in cores, that a VM is assumed to have. It also applies to a VM
+// that reports none.
 const minPower = 0.01
 
 // partitionOf returns the number, from 0, of the zone's leaf partition to which the leafs of the
