--- a/scatter/admission_test.go
+++ b/scatter/admission_test.go
@@ -10,17 +10,18 @@
 // partWork is how long a leaf works on a part.
 const partWork = 28 * time.Millisecond
 
-// newScarceSimulation returns a load on 20 shards with two leafs each, of which four shards
-// have practically lost one. The slots left there suffice for four fifths of the requests, and
-// an answer may leave out two shards.
+// newScarceSimulation returns a simulation of five VMs with 20 shards, and a function that returns
+// a request to all of them. Each shard has two leafs with two slots each. In four shards, one leaf
+// is 20 times as slow as usual, so it answers no part in time. At 90 requests per second, the slots
+// of the other leaf suffice for four fifths of the requests. An answer may leave out two shards.
 func newScarceSimulation(t *testing.T) (*simulation, func() Spec) {
 	w := newWorld(t)
-	p := newSimulation(w, 5)
-	names := p.shards(20, partWork, homeZone, "other")
+	sim := newSimulation(w, 5)
+	names := sim.shards(20, partWork, homeZone, "other")
 	for _, name := range names[:4] {
-		p.leafs[LeafID{ID: name + "@other", Born: 1}].slowdown = 20
+		sim.leafs[LeafID{ID: name + "@other", Born: 1}].slowdown = 20
 	}
-	return p, func() Spec {
+	return sim, func() Spec {
 		return Spec{
 			Services: names, Gathered: true, Idempotent: true, MaxAttempts: 2, MinShare: 0.89,
 			LatencyObjective: 200 * time.Millisecond, AnswerBy: w.now.Add(186 * time.Millisecond),
@@ -29,48 +30,49 @@
 	}
 }
 
-// failedShare is how many of 100 callers may fail where the slots suffice for most of them.
-const failedShare = 4
+// maxFailedPercent is the largest percentage of callers that may fail or get a late answer where
+// the slots suffice for most requests.
+const maxFailedPercent = 4
 
 // Guards against failed requests where the slots of four shards suffice for four fifths of the
 // requests. Without admission, one request in five is started, occupies slots of all shards,
 // and fails when its time is over.
 func TestScarceShardsServeNearTheirCapacity(t *testing.T) {
 	const length = 10 * time.Second
-	p, request := newScarceSimulation(t)
-	p.run(length, 90, request)
-	p.Expect(100 * (p.failed + p.late)).To(gomega.BeNumerically("<=", failedShare*p.callers))
+	sim, request := newScarceSimulation(t)
+	sim.run(length, 90, request)
+	sim.Expect(100 * (sim.failed + sim.late)).To(gomega.BeNumerically("<=", maxFailedPercent*sim.callers))
 	slots := 2.0
-	p.Expect(p.credit).To(gomega.BeNumerically(">=", 0.9*slots*float64(length/partWork)))
-	p.Expect(p.longestRefusal).To(gomega.BeZero())
+	sim.Expect(sim.credit).To(gomega.BeNumerically(">=", 0.9*slots*float64(length/partWork)))
+	sim.Expect(sim.longestRefusal).To(gomega.BeZero())
 }
 
 // Shows the failure that the test above guards against: the same load with all requests
 // admitted.
 func TestScarceShardsFailCallersWithoutAdmission(t *testing.T) {
-	p, request := newScarceSimulation(t)
-	for _, table := range p.tables {
+	sim, request := newScarceSimulation(t)
+	for _, table := range sim.tables {
 		table.admitAll = true
 	}
-	p.run(10*time.Second, 90, request)
-	p.Expect(100 * (p.failed + p.late)).To(gomega.BeNumerically(">", 2*failedShare*p.callers))
+	sim.run(10*time.Second, 90, request)
+	sim.Expect(100 * (sim.failed + sim.late)).To(gomega.BeNumerically(">", 2*maxFailedPercent*sim.callers))
 }
 
 // Guards against refusing callers while shards have slots to spare and leafs are unevenly
 // loaded.
 func TestNoCallerIsRefusedWithSpareSlots(t *testing.T) {
-	p, request := newScarceSimulation(t)
-	for _, l := range p.leafs {
+	sim, request := newScarceSimulation(t)
+	for _, l := range sim.leafs {
 		l.slowdown = 1
 	}
-	p.run(10*time.Second, 60, request)
-	p.Expect(p.refused).To(gomega.BeZero())
-	p.Expect(p.credit).To(gomega.Equal(float64(p.callers)))
+	sim.run(10*time.Second, 60, request)
+	sim.Expect(sim.refused).To(gomega.BeZero())
+	sim.Expect(sim.credit).To(gomega.Equal(float64(sim.callers)))
 }
 
-// Guards against useless work and status 502 where a called VM refuses. Shards that only it
-// queries are short of slots, while this VM's own leafs work on the other shards; since parts
-// of the request have run, the caller gets 502.
+// Guards against a request that can't be reported as not run, although the called VM refused it.
+// The shards that only the called VM queries are short of slots. Meanwhile leafs already work on
+// the shards that this VM queries itself, for nothing, and the caller gets status 502.
 func TestOwnShardsWaitWhereCallsAreRefused(t *testing.T) {
 	w := newWorld(t)
 	names := append(w.shards(8, "other"), "own-1", "own-2")
@@ -101,8 +103,9 @@
 }
 
 // Guards against an inconsistent count of waiting requests when queries wait for a service
-// before its first leaf is known. If they were subtracted from a count that they were not
-// added to, shards would be forecast to answer before they are queried.
+// before its first leaf is known. If they were subtracted from a count to which they were not
+// added, the count would be negative, and shards would be forecast to answer before they are
+// queried.
 func TestWaitingRequestsAreCountedOnce(t *testing.T) {
 	w := newWorld(t)
 	q := NewQuery(w.gathered([]string{"late"}), w.table)
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -29,8 +29,8 @@
 	// hedgeAnswerTimeFactor is the time that a hedge of a gathered request is given for its
 	// answer, as a multiple of the hedgeDurationQuantile of recent durations. AnswerBy is
 	// the time at which the request is answered with the parts received so far. No hedge is
-	// sent before AnswerBy less this time. Many slow leafs have answered by then, which
-	// saves hedges. The answer to a hedge is traffic from another zone.
+	// sent before AnswerBy less this time. Many slow leafs have answered by then and need no
+	// hedge. The answer to a hedge is traffic from another zone.
 	hedgeAnswerTimeFactor = 2.5
 	// hedgeNetworkTime is the part of the time until AnswerBy that is kept for the network,
 	// and not given to the leaf that gets the hedge.
@@ -53,18 +53,19 @@
 	if !known {
 		return time.Duration(defaultHedgeDelayShare * float64(q.spec.LatencyObjective))
 	}
-	pace := max(l.slowdown.reportedFactor(now), 1)
-	delay := max(time.Duration(hedgeDurationFactor*pace*float64(d)), minHedgeDelay)
+	machineSlowdown := max(l.slowdown.reportedFactor(now), 1)
+	delay := max(time.Duration(hedgeDurationFactor*machineSlowdown*float64(d)), minHedgeDelay)
 	if !q.spec.Gathered {
 		return min(delay, time.Duration(maxHedgeDelayShare*float64(q.spec.LatencyObjective)))
 	}
 	// window is the time from the start of the query within which an answer is in time. A
-	// hedge after the delay inTime is in time if it takes hedgeAnswerTimeFactor times the
-	// quantile. A hedge after the delay last is in time if it takes the quantile.
+	// hedge after minDelay is in time if it takes hedgeAnswerTimeFactor times the quantile. A
+	// hedge after maxDelay is in time if it takes the quantile. If the two bounds contradict
+	// each other, minDelay counts.
 	window := q.spec.AnswerBy.Sub(q.startedAt) - hedgeNetworkTime
-	inTime := window - time.Duration(hedgeAnswerTimeFactor*float64(d))
-	last := max(window-d, window/2)
-	return max(min(delay, last), inTime, minHedgeDelay)
+	minDelay := window - time.Duration(hedgeAnswerTimeFactor*float64(d))
+	maxDelay := max(window-d, window/2)
+	return max(min(delay, maxDelay), minDelay, minHedgeDelay)
 }
 
 // hedgeRetryPause is the time for which a query tries no hedge after one was due but could not
--- a/scatter/liveness_test.go
+++ b/scatter/liveness_test.go
@@ -7,24 +7,25 @@
 	"github.com/onsi/gomega"
 )
 
-// ownedShards adds shards with a leaf in each of the zones, so that VMs there are called.
-func (w *world) ownedShards(zones ...string) {
+// gatheredShards adds two services that only gathered requests use, with a leaf in each of the
+// zones, so that VMs of these zones are called.
+func (w *world) gatheredShards(zones ...string) {
 	for _, name := range w.shards(2, zones...) {
 		w.table.SetServiceConfig(w.now, name, ServiceConfig{Shard: true})
 	}
 }
 
-// Guards against detecting each of many lost VMs by a call of its own. A third of the VMs
-// loses power at once, and for some seconds every request lacks the shards of one or two
-// calls. After the first silent call, the liveness of all VMs that are called is checked.
+// Guards against detecting each of many lost VMs by a separate call. A third of the VMs loses power
+// at once, and for some seconds every request lacks the shards of one or two calls. After the first
+// call without an answer, the liveness of all VMs that this one calls is checked.
 func TestSilentVMTriggersLivenessRound(t *testing.T) {
 	w := newWorld(t)
-	w.ownedShards("other", "third")
+	w.gatheredShards("other", "third")
 	vms := fleetOf(8, "other", "third")
 	w.table.SetVMs(w.now, vms)
 	w.Expect(w.table.DueForLivenessCheck(w.now)).To(gomega.BeEmpty())
-	partners := w.table.Delegates(w.now)
-	silent := partners[0]
+	delegates := w.table.Delegates(w.now)
+	silent := delegates[0]
 	w.table.CallEnded(w.now, silent.Name, EndSilent)
 	due := w.table.DueForLivenessCheck(w.now)
 	w.Expect(due).NotTo(gomega.BeEmpty())
@@ -43,7 +44,7 @@
 // messages alone would use up the remaining processor time.
 func TestLivenessRoundsAreRateLimited(t *testing.T) {
 	w := newWorld(t)
-	w.ownedShards("other", "third")
+	w.gatheredShards("other", "third")
 	vms := fleetOf(8, "other", "third")
 	w.table.SetVMs(w.now, vms)
 	rounds := 0
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -22,7 +22,7 @@
 	vms           map[string]*vm                    // by name: the other VMs
 	members       map[string]memberInfo             // by name: the other VMs, including those that left recently
 	zones         map[string]*zoneMembers           // by zone: members and this VM
-	leafOwners    int                               // number of VMs that normally use one leaf: the owners of one leaf partition in each zone
+	leafOwners    int                               // number of VMs that normally use one leaf: the owners of one leaf partition, summed over the zones
 	maxShards     int                               // number of shards of the gathered request that has the most shards
 	shardsPerZone int                               // how many of those maxShards shards have a leaf in one zone, on average
 	vmsKnown      bool                              // SetVMs was called at least once
@@ -91,7 +91,7 @@
 }
 
 // Apply applies a change of the list of leafs: one leaf was added, changed or removed. A leaf
-// with a new incarnation, service or address replaces the old one, of which nothing is kept.
+// with a new incarnation, service or address replaces the old one, whose history is dropped.
 func (t *Table) Apply(now time.Time, change registry.Change) {
 	id := LeafID{ID: change.Leaf.ID, Born: change.Leaf.Born}
 	old := t.leafs[change.Leaf.ID]
@@ -256,11 +256,11 @@
 // the costs of two leafs differ by less, either may be picked.
 const costJitter = time.Millisecond
 
-// pickCoolingDown returns a leaf for a request for which pickLeaf found none. It chooses among
+// pickUnavailable returns a leaf for a request for which pickLeaf found none. It chooses among
 // the given leafs that are in cooldown or suspect: the one whose cooldown ends first, and a
 // suspect one only if there is no other. Leafs in tried and those without capacity are left out.
 // It returns nil if no leaf remains.
-func (t *Table) pickCoolingDown(now time.Time, leafs []*leaf, tried []LeafID) *leaf {
+func (t *Table) pickUnavailable(now time.Time, leafs []*leaf, tried []LeafID) *leaf {
 	var best *leaf
 	for _, l := range leafs {
 		if l.available(now) || slices.Contains(tried, l.id) || !l.hasCapacity() {
@@ -284,8 +284,8 @@
 }
 
 // recordDuration records how long the answer to an attempt took. The time is first divided by
-// the slowdown that the leaf reports for its machine. The duration that is expected of one leaf
-// then does not depend on how slow other leafs are.
+// the slowdown that the leaf reports for its machine. So the typical duration of a kind of request
+// does not depend on how slow the leafs are that answer it.
 func (t *Table) recordDuration(now time.Time, kind durationKey, a *attempt) {
 	took := now.Sub(a.sentAt)
 	if l := t.findLeaf(a.leaf); l != nil {
@@ -336,7 +336,7 @@
 const (
 	EndAnswered    End = iota // answered, with any status
 	EndUnreachable            // no connection: nothing reached the leaf
-	EndRefused                // the leaf says that it did not run the request
+	EndRefused                // the leaf reports that it did not run the request
 	EndBroken                 // the request may have run: the connection was cut or reset, or the answer was corrupt
 	EndSilent                 // the request may have run: no answer while this VM waited for it
 	EndMoved                  // another leaf has the address; nothing ran
@@ -374,21 +374,21 @@
 	if l == nil {
 		return
 	}
-	f := l.removeInFlight(sentAt)
+	req := l.removeInFlight(sentAt)
 	if end.showsAlive() {
 		l.suspicion = suspicion{}
 	}
 	switch end {
 	case EndAnswered:
-		l.recordAnswer(now, f)
+		l.recordAnswer(now, req)
 		l.failures.add(now, 0)
 	case EndFailed:
-		l.recordAnswer(now, f)
+		l.recordAnswer(now, req)
 		l.failures.add(now, 1)
 	case EndExpired:
 		l.halfOpen = true
-		if f.known {
-			l.slowdown.recordExpired(now, sentAt, f.typical)
+		if req.known {
+			l.slowdown.recordExpired(now, sentAt, req.typical)
 		}
 	case EndUnreachable:
 		l.cooldown.recordUnreachable(now)
--- a/scatter/vm.go
+++ b/scatter/vm.go
@@ -23,13 +23,13 @@
 	suspicion suspicion
 }
 
-// available reports whether calls may be sent to the VM.
+// available reports whether calls may be sent to the VM: it is neither suspect nor in cooldown.
 func (v *vm) available(now time.Time) bool { return !v.suspicion.raised && !v.cooldown.active(now) }
 
 // memberRetention is how long a VM that is no longer listed remains a member of its zone. The
 // leafs of a zone are divided into partitions among its members. After a restart, most VMs return
-// within seconds under their old name. Without the retention, each restart of a VM would give
-// nearly every other VM another partition. They would have to open connections to other leafs
+// within seconds under their old name. Without the retention, each restart of a VM would assign
+// another partition to nearly every other VM. They would have to open connections to other leafs
 // while the zone is short of VMs anyway.
 const memberRetention = 20 * time.Second
 
@@ -43,7 +43,7 @@
 			known = &vm{VM: v}
 		}
 		next[v.Name] = known
-		t.members[v.Name] = memberInfo{zone: v.Zone, power: v.Power, seen: now}
+		t.members[v.Name] = memberInfo{zone: v.Zone, power: v.Power, lastListed: now}
 	}
 	t.vms = next
 	t.partitionZones(now)
@@ -53,9 +53,9 @@
 // memberInfo is what is known of a VM that is a member of a zone. A VM is a member while it is
 // listed, and for memberRetention after that.
 type memberInfo struct {
-	zone  string
-	power float64   // number of processor cores
-	seen  time.Time // when it was last listed
+	zone       string
+	power      float64   // number of processor cores
+	lastListed time.Time // when it was last listed
 }
 
 // Parameters of the choice of VMs that this one calls for a leaf partition, among the VMs that
@@ -66,10 +66,10 @@
 	// of connections to other VMs that grows with the number of partitions, and not with the
 	// number of VMs.
 	delegatesPerPartition = 2
-	// minDelegatePower is the smallest power of an owner that is called, as a share of the
+	// minDelegatePowerShare is the smallest power of an owner that is called, as a share of the
 	// power of the strongest owner that may be called. Weaker owners are not called, since a
 	// request waits for the slowest of its calls.
-	minDelegatePower = 0.5
+	minDelegatePowerShare = 0.5
 )
 
 // delegates returns the VMs that this one calls for a leaf partition: up to
@@ -88,7 +88,7 @@
 		}
 		// Owners come in descending order of power, so list[0] is the strongest, and all
 		// further ones are too weak as well.
-		if len(list) > 0 && owner.power < minDelegatePower*list[0].Power {
+		if len(list) > 0 && owner.power < minDelegatePowerShare*list[0].Power {
 			break
 		}
 		list = append(list, v)
