--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -40,13 +40,13 @@
 		runners[i].SetFleetSize(vms)
 	}
 	connectOverLoopback(b, runners)
-	var left, done atomic.Int64
-	left.Store(int64(b.N))
+	var remaining, done atomic.Int64
+	remaining.Store(int64(b.N))
 	var wg sync.WaitGroup
 	b.ResetTimer()
 	for i := range callers {
 		wg.Go(func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				out := runners[i%vms].Run(context.Background(), request("d"), func(context.Context) Outcome {
 					return Outcome{Code: result.Accepted, Result: []byte(`{"filed":true}`)}
 				})
--- a/once/credit.go
+++ b/once/credit.go
@@ -38,8 +38,8 @@
 
 // newCredit returns the budget of a VM that earns rate writes per second, in a
 // fleet that may send fleet writes per second.
-func newCredit(fleet, rate float64, now time.Time) *credit {
-	return &credit{fleetRate: fleet, rate: rate, updated: now, balance: min(minBurstWrites, rate)}
+func newCredit(fleetRate, rate float64, now time.Time) *credit {
+	return &credit{fleetRate: fleetRate, rate: rate, updated: now, balance: min(minBurstWrites, rate)}
 }
 
 // burst returns the balance, in writes, up to which this VM earns further writes:
--- a/once/fault_test.go
+++ b/once/fault_test.go
@@ -19,7 +19,7 @@
 
 func (c *clock) now() time.Time          { return time.Now().Add(time.Duration(c.offset.Load())) }
 func (c *clock) advance(d time.Duration) { c.offset.Add(int64(d)) }
-func (c *clock) set(o *Options)          { o.Clock = c.now }
+func (c *clock) configure(o *Options)    { o.Clock = c.now }
 
 // shortWaits makes a Runner give up after at most 50 ms.
 func shortWaits(o *Options) {
@@ -34,7 +34,7 @@
 	g := NewWithT(t)
 	var c clock
 	store := newFaultStore(1)
-	a, b := startRunner(t, store, "a", c.set), startRunner(t, store, "b", c.set)
+	a, b := startRunner(t, store, "a", c.configure), startRunner(t, store, "b", c.configure)
 	req, w := request("d"), acceptedWork()
 	var paused atomic.Bool
 	store.beforePut = func(string) error {
@@ -43,7 +43,7 @@
 		}
 		g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
 		c.advance(b.opts.KeyTTL + b.opts.MaxClockSkew + 2*segmentWindow)
-		g.Expect(startedCleaner(b).cleanRound()).To(Succeed())
+		g.Expect(cleanerWithDeployment(b).cleanRound()).To(Succeed())
 		g.Expect(store.names("vatnsleit.")).To(BeEmpty())
 		return nil
 	}
@@ -51,9 +51,9 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// startedCleaner returns a copy of r's cleaner that is configured for the test's
+// cleanerWithDeployment returns a copy of r's cleaner that is configured for the test's
 // deployment.
-func startedCleaner(r *Runner) *cleaner {
+func cleanerWithDeployment(r *Runner) *cleaner {
 	c := *r.cleaner
 	c.opts.Deployment = "vatnsleit"
 	return &c
@@ -66,13 +66,13 @@
 	g := NewWithT(t)
 	var right, slow clock
 	store := newFaultStore(1)
-	a, b := startRunner(t, store, "a", right.set), startRunner(t, store, "b", slow.set)
+	a, b := startRunner(t, store, "a", right.configure), startRunner(t, store, "b", slow.configure)
 	req, w := request("d"), acceptedWork()
 	g.Expect(a.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
 	day := a.opts.KeyTTL + a.opts.MaxClockSkew + 2*segmentWindow
 	right.advance(day)
 	slow.advance(day - time.Hour)
-	g.Expect(startedCleaner(a).cleanRound()).To(Succeed())
+	g.Expect(cleanerWithDeployment(a).cleanRound()).To(Succeed())
 	g.Expect(store.names("vatnsleit.")).To(BeEmpty())
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.KeyExpired))
 	store.failClearedReads.Store(true)
@@ -123,7 +123,7 @@
 	g.Expect(a.Run(t.Context(), req, w.run).Code).To(Equal(result.ClaimsDown))
 	store.failAll.Store(false)
 	store.recovered.Store(true)
-	g.Eventually(a.committer.pending, testTimeout).Should(BeZero())
+	g.Eventually(a.committer.numWaiting, testTimeout).Should(BeZero())
 	g.Expect((<-late)()).To(MatchError(objstore.ErrConflict))
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
 }
@@ -175,11 +175,11 @@
 // Guards against a second run after the loss of a VM between claim and answer. It
 // is unknown whether the target ran the request, so another VM must not run it, and
 // must answer that the outcome is unknown.
-func TestClaimOfALostVMIsNeverRunAgain(t *testing.T) {
+func TestRequestOfLostVMIsNeverRunAgain(t *testing.T) {
 	g := NewWithT(t)
 	var c clock
 	store := newFaultStore(1)
-	a, b := startRunner(t, store, "a", shortWaits), startRunner(t, store, "b", c.set)
+	a, b := startRunner(t, store, "a", shortWaits), startRunner(t, store, "b", c.configure)
 	req, w := request("d"), acceptedWork()
 	a.Run(t.Context(), req, func(ctx context.Context) Outcome {
 		store.failPuts.Store(true)
--- a/once/key_test.go
+++ b/once/key_test.go
@@ -47,11 +47,11 @@
 	store := newFaultStore(1)
 	a, w := startRunner(t, store, "a"), acceptedWork()
 	req := request("d")
-	for made, want := range map[time.Duration]result.Code{
+	for offset, want := range map[time.Duration]result.Code{
 		-a.opts.KeyTTL - time.Minute:      result.KeyExpired,
 		a.opts.MaxClockSkew + time.Minute: result.BadRequest,
 	} {
-		key, err := ParseKey(fmt.Sprintf("%d-abcdefgh", time.Now().Add(made).Unix()))
+		key, err := ParseKey(fmt.Sprintf("%d-abcdefgh", time.Now().Add(offset).Unix()))
 		g.Expect(err).NotTo(HaveOccurred())
 		req.Key = key
 		g.Expect(a.Run(t.Context(), req, w.run).Code).To(Equal(want))
@@ -65,7 +65,7 @@
 	g := NewWithT(t)
 	var c clock
 	store := newFaultStore(1)
-	a := startRunner(t, store, "a", c.set)
+	a := startRunner(t, store, "a", c.configure)
 	for i := range 2*cleanPageSize + 1 {
 		for _, deployment := range []string{"vatnsleit", "pletenica"} {
 			name := segmentName(deployment, time.Now().Add(-time.Duration(i)*segmentWindow))
@@ -79,7 +79,7 @@
 	_, err := store.Put(t.Context(), Kind, young, 0, []byte("{}"))
 	g.Expect(err).NotTo(HaveOccurred())
 
-	clean := startedCleaner(a)
+	clean := cleanerWithDeployment(a)
 	g.Expect(clean.cleanRound()).To(Succeed())
 	g.Expect(store.names("vatnsleit.")).To(HaveLen(len(old) + 1))
 	c.advance(a.opts.KeyTTL + a.opts.MaxClockSkew + segmentWindow)
@@ -101,17 +101,17 @@
 		vms = append(vms, objstore.VM{Name: fmt.Sprint("vm", i)})
 	}
 	vms = append(vms, vms[0])
-	turns := map[string]bool{}
+	cleaners := map[string]bool{}
 	for hour := range 24 {
 		count := 0
 		for _, v := range vms[:50] {
 			if isCleaner(vms, v.Name, time.Unix(int64(hour)*3600, 0)) {
 				count++
-				turns[v.Name] = true
+				cleaners[v.Name] = true
 			}
 		}
 		g.Expect(count).To(Equal(maxCleaners))
 	}
-	g.Expect(len(turns)).To(BeNumerically(">", 10), "the cleaners must change")
+	g.Expect(len(cleaners)).To(BeNumerically(">", 10), "the cleaners must change")
 	g.Expect(isCleaner(nil, "alone", time.Now())).To(BeTrue())
 }
--- a/once/name.go
+++ b/once/name.go
@@ -21,8 +21,8 @@
 // then accepts no new keys. Only then may another object hold claims of these keys,
 // see overflowName. Names sort by deployment and then by time, so the cleaner can
 // list the oldest first.
-func segmentName(deployment string, made time.Time) string {
-	return fmt.Sprintf("%s%010d", deploymentPrefix(deployment), made.Unix())
+func segmentName(deployment string, created time.Time) string {
+	return fmt.Sprintf("%s%010d", deploymentPrefix(deployment), created.Unix())
 }
 
 // overflowSegments is the number of overflow segments that each second has in
--- a/once/peers.go
+++ b/once/peers.go
@@ -74,8 +74,8 @@
 // toRelayEntry converts an entry to its form in messages to other VMs.
 func toRelayEntry(e entry) relay.Entry {
 	wire := relay.Entry{Digest: e.Digest, Op: e.Op, Holder: e.Holder, UntilMS: e.UntilMS}
-	if k := e.Outcome; k != nil {
-		wire.Outcome = &relay.Outcome{Code: k.Code, Result: k.Result, Detail: k.Detail}
+	if outcome := e.Outcome; outcome != nil {
+		wire.Outcome = &relay.Outcome{Code: outcome.Code, Result: outcome.Result, Detail: outcome.Detail}
 	}
 	return wire
 }
@@ -83,8 +83,8 @@
 // fromRelayEntry converts an entry of a message of another VM.
 func fromRelayEntry(wire relay.Entry) entry {
 	e := entry{Digest: wire.Digest, Op: wire.Op, Holder: wire.Holder, UntilMS: wire.UntilMS}
-	if k := wire.Outcome; k != nil {
-		e.Outcome = &storedOutcome{Code: k.Code, Result: json.RawMessage(k.Result), Detail: k.Detail}
+	if outcome := wire.Outcome; outcome != nil {
+		e.Outcome = &storedOutcome{Code: outcome.Code, Result: json.RawMessage(outcome.Result), Detail: outcome.Detail}
 	}
 	return e
 }
--- a/once/peers_test.go
+++ b/once/peers_test.go
@@ -30,11 +30,11 @@
 // connectPeers lets the VMs commit for one another. The WaitGroup counts delayed
 // deliveries.
 func connectPeers(runners []*Runner, seed uint64, faults bool) *sync.WaitGroup {
-	late := &sync.WaitGroup{}
+	lateMessages := &sync.WaitGroup{}
 	for i, r := range runners {
-		r.dispatcher.peers = &fakePeers{runners: runners, faults: faults, lateMessages: late, rng: rand.New(rand.NewPCG(seed, uint64(30+i)))}
+		r.dispatcher.peers = &fakePeers{runners: runners, faults: faults, lateMessages: lateMessages, rng: rand.New(rand.NewPCG(seed, uint64(30+i)))}
 	}
-	return late
+	return lateMessages
 }
 
 func (p *fakePeers) draw(bound int) int {
@@ -44,18 +44,18 @@
 }
 
 func (p *fakePeers) Committer(string) (objstore.VM, bool) {
-	at := 0
+	index := 0
 	if p.faults && p.draw(4) == 0 {
-		at = p.draw(len(p.runners))
+		index = p.draw(len(p.runners))
 	}
-	return objstore.VM{Name: strconv.Itoa(at)}, p.runners[at].dispatcher.peers != p
+	return objstore.VM{Name: strconv.Itoa(index)}, p.runners[index].dispatcher.peers != p
 }
 
 func (p *fakePeers) Commit(ctx context.Context, vm objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
-	at, _ := strconv.Atoi(vm.Name)
+	index, _ := strconv.Atoi(vm.Name)
 	batch := relay.Batch{Segment: req.Segment, HoldMS: 20, Credit: req.Credit(), Ops: []relay.Op{req.Op}}
 	deliver := func() (relay.Reply, relay.Delivery) {
-		replies, err := p.runners[at].Commit(context.Background(), batch)
+		replies, err := p.runners[index].Commit(context.Background(), batch)
 		if err != nil {
 			return relay.Reply{}, relay.NotAccepted
 		}
@@ -64,7 +64,7 @@
 	if !p.faults {
 		return deliver()
 	}
-	later := func() {
+	deliverLater := func() {
 		pause := time.Duration(p.draw(60)) * time.Millisecond
 		p.lateMessages.Go(func() {
 			time.Sleep(pause)
@@ -75,13 +75,13 @@
 	case 0: // the message is lost
 		return relay.Reply{}, relay.Unknown
 	case 1: // the other VM is frozen and continues later
-		later()
+		deliverLater()
 		return relay.Reply{}, relay.Unknown
 	case 2: // applied, but the answer is lost
 		_, _ = deliver()
 		return relay.Reply{}, relay.Unknown
 	case 3: // applied, the answer is lost, and a second delivery follows later
-		later()
+		deliverLater()
 		_, _ = deliver()
 		return relay.Reply{}, relay.Unknown
 	}
@@ -95,15 +95,15 @@
 	batches chan relay.Batch
 }
 
-func (h *frozenPeer) Committer(string) (objstore.VM, bool) { return objstore.VM{Name: "held"}, true }
+func (p *frozenPeer) Committer(string) (objstore.VM, bool) { return objstore.VM{Name: "held"}, true }
 
-func (h *frozenPeer) Commit(_ context.Context, _ objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
-	h.batches <- relay.Batch{Segment: req.Segment, HoldMS: 1000, Ops: []relay.Op{req.Op}}
+func (p *frozenPeer) Commit(_ context.Context, _ objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
+	p.batches <- relay.Batch{Segment: req.Segment, HoldMS: 1000, Ops: []relay.Op{req.Op}}
 	return relay.Reply{}, relay.Unknown
 }
 
-func (h *frozenPeer) deliverNext(t *testing.T) relay.Reply {
-	replies, err := h.to.Commit(t.Context(), <-h.batches)
+func (p *frozenPeer) deliverNext(t *testing.T) relay.Reply {
+	replies, err := p.to.Commit(t.Context(), <-p.batches)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return replies[0]
 }
@@ -140,7 +140,7 @@
 	store.failAll.Store(true)
 	g.Expect(a.Run(t.Context(), req, w.run).Code).To(Equal(result.ClaimsDown))
 	store.failAll.Store(false)
-	g.Eventually(a.committer.pending, testTimeout).Should(BeZero())
+	g.Eventually(a.committer.numWaiting, testTimeout).Should(BeZero())
 	g.Expect(c.deliverNext(t).Verdict).To(Equal(relay.Gone))
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
@@ -180,11 +180,11 @@
 	store := newFaultStore(1)
 	c := newFrozenPeer(t, store)
 	a, b := startRunner(t, store, "a"), startRunner(t, store, "b")
-	slow := &slowPeer{frozenPeer: c, entered: make(chan struct{}), resume: make(chan struct{})}
+	slow := &slowPeer{frozenPeer: c, stored: make(chan struct{}), resume: make(chan struct{})}
 	a.dispatcher.peers = slow
 	store.afterPut = func(string, error) error {
 		slow.once.Do(func() {
-			close(slow.entered)
+			close(slow.stored)
 			<-slow.resume
 		})
 		return nil
@@ -192,7 +192,7 @@
 	req, w := request("d"), acceptedWork()
 	a.Run(t.Context(), req, func(ctx context.Context) Outcome {
 		close(slow.resume)
-		g.Eventually(c.to.committer.pending, testTimeout).Should(BeZero())
+		g.Eventually(c.to.committer.numWaiting, testTimeout).Should(BeZero())
 		g.Expect(b.Run(ctx, req, w.run).Code).To(Equal(result.InProgress))
 		return w.run(ctx)
 	})
@@ -203,14 +203,14 @@
 // slowPeer gives up on an operation whose write has been stored.
 type slowPeer struct {
 	*frozenPeer
-	once            sync.Once
-	entered, resume chan struct{}
+	once           sync.Once
+	stored, resume chan struct{}
 }
 
 func (s *slowPeer) Commit(_ context.Context, _ objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		<-s.entered
+		<-s.stored
 		cancel()
 	}()
 	replies, err := s.to.Commit(ctx, relay.Batch{Segment: req.Segment, HoldMS: 1000, Ops: []relay.Op{req.Op}})
@@ -228,21 +228,21 @@
 	store := newFaultStore(1)
 	a, c := startRunner(t, store, "a"), startRunner(t, store, "c")
 	connectPeers([]*Runner{c, a}, 1, false)
-	entered, blocked := make(chan struct{}), make(chan struct{})
-	resume := sync.OnceFunc(func() { close(blocked) })
+	putStarted, resumed := make(chan struct{}), make(chan struct{})
+	resume := sync.OnceFunc(func() { close(resumed) })
 	defer resume()
-	var first sync.Once
+	var firstPut sync.Once
 	store.beforePut = func(string) error {
-		first.Do(func() {
-			close(entered)
-			<-blocked
+		firstPut.Do(func() {
+			close(putStarted)
+			<-resumed
 		})
 		return nil
 	}
 	w := acceptedWork()
 	outcome := make(chan Outcome, 1)
 	go func() { outcome <- a.Run(context.Background(), request("d"), w.run) }()
-	<-entered
+	<-putStarted
 	closed := make(chan error, 1)
 	go func() { closed <- c.Close(context.Background()) }()
 	g.Eventually(c.committer.isClosed, testTimeout).Should(BeTrue())
@@ -277,7 +277,7 @@
 	g.Expect(c.committer.admitRelayed()).To(Succeed())
 	c.committer.untrack(false)
 	store.failPuts.Store(false)
-	g.Eventually(c.committer.pending, testTimeout).Should(BeZero())
+	g.Eventually(c.committer.numWaiting, testTimeout).Should(BeZero())
 	_, err = c.committer.admitPeer("d.1", ops(2))
 	g.Expect(err).NotTo(HaveOccurred())
 }
--- a/once/race_test.go
+++ b/once/race_test.go
@@ -42,11 +42,11 @@
 	for i := range runners {
 		runners[i] = startRunner(t, store, fmt.Sprint("vm", i))
 	}
-	late := &sync.WaitGroup{}
+	lateMessages := &sync.WaitGroup{}
 	if relayed {
-		late = connectPeers(runners, seed, true)
+		lateMessages = connectPeers(runners, seed, true)
 	}
-	return &race{runners: runners, store: store, lateMessages: late}
+	return &race{runners: runners, store: store, lateMessages: lateMessages}
 }
 
 type race struct {
@@ -149,18 +149,18 @@
 		base := request("d")
 		var wg sync.WaitGroup
 		for i, vm := range r.runners {
-			wg.Go(func() { h.drive(vm, base, i, rand.New(rand.NewPCG(seed, uint64(10+i)))) })
+			wg.Go(func() { h.runClient(vm, base, i, rand.New(rand.NewPCG(seed, uint64(10+i)))) })
 		}
 		wg.Wait()
 		r.closeAndWait(t)
 		g := NewWithT(t)
 		verdict := porcupine.CheckOperationsTimeout(claimModel, h.ops, time.Minute)
 		g.Expect(verdict).To(Equal(porcupine.Ok))
-		// Each claim was released or abandoned. No entry may be left, or its key
+		// Each claim was released or abandoned. No entry may remain, or its key
 		// would be reported as in progress forever.
-		left, err := r.store.segment(segmentName(base.Deployment, base.Key.Created()))
+		remaining, err := r.store.segment(segmentName(base.Deployment, base.Key.Created()))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(left.Entries).To(BeEmpty())
+		g.Expect(remaining.Entries).To(BeEmpty())
 	})
 }
 
@@ -180,7 +180,7 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: call, Return: end})
 }
 
-func (h *history) drive(r *Runner, base Request, client int, rng *rand.Rand) {
+func (h *history) runClient(r *Runner, base Request, client int, rng *rand.Rand) {
 	for range raceTurns {
 		key := rng.IntN(raceKeys)
 		req := base
--- a/once/relay_state.go
+++ b/once/relay_state.go
@@ -45,8 +45,8 @@
 
 // start returns the first step for an operation. remote says that another VM
 // commits the operation's segment.
-func (c *relayState) start(remote bool, now time.Time) step {
-	if remote && now.Before(c.relayDeadline) {
+func (s *relayState) start(remote bool, now time.Time) step {
+	if remote && now.Before(s.relayDeadline) {
 		return stepRelay
 	}
 	return stepDirect
@@ -56,15 +56,15 @@
 // platform gets the operation again: if each VM called a slow platform itself, the
 // platform would become slower for all. A committer that does not answer is not
 // called again.
-func (c *relayState) next(ev event, now time.Time) step {
+func (s *relayState) next(ev event, now time.Time) step {
 	switch ev {
 	case eventDecided:
 		return stepEnd
 	case eventUndecided:
-		c.mayApplyElsewhere = true
-		return c.start(true, now)
+		s.mayApplyElsewhere = true
+		return s.start(true, now)
 	case eventUnknown:
-		c.mayApplyElsewhere = true
+		s.mayApplyElsewhere = true
 	}
 	return stepDirect
 }
@@ -72,4 +72,4 @@
 // mustBar reports whether the claim has to be barred, so that no other VM adds it
 // to the segment later. This is so for a claim that was not won, if another VM may
 // still have it.
-func (c *relayState) mustBar(won bool) bool { return c.mayApplyElsewhere && !won }
+func (s *relayState) mustBar(won bool) bool { return s.mayApplyElsewhere && !won }
--- a/once/relay_state_test.go
+++ b/once/relay_state_test.go
@@ -47,13 +47,13 @@
 func TestCreditIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		const fleet = 280.0
+		const fleetRate = 280.0
 		vms := rapid.SampledFrom([]int{1, 7, 950}).Draw(t, "vms")
 		begin := time.Unix(1700000000, 0)
 		now := begin
 		credits := make([]*credit, min(vms, 7))
 		for i := range credits {
-			credits[i] = newCredit(fleet, fleet/float64(vms), now)
+			credits[i] = newCredit(fleetRate, fleetRate/float64(vms), now)
 		}
 		written := 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -71,16 +71,16 @@
 					written++
 				}
 			case 1:
-				given := c.withdraw(now)
-				g.Expect(given).To(And(BeNumerically(">=", 0), BeNumerically("<=", 1)))
-				credits[rapid.IntRange(0, len(credits)-1).Draw(t, "to")].deposit(given, now)
+				amount := c.withdraw(now)
+				g.Expect(amount).To(And(BeNumerically(">=", 0), BeNumerically("<=", 1)))
+				credits[rapid.IntRange(0, len(credits)-1).Draw(t, "to")].deposit(amount, now)
 			case 2:
 				c.withdraw(now) // the transfer is lost
 			}
-			each := fleet / float64(vms)
-			earned := float64(len(credits)) * (min(minBurstWrites, each) + each*now.Sub(begin).Seconds())
+			rate := fleetRate / float64(vms)
+			earned := float64(len(credits)) * (min(minBurstWrites, rate) + rate*now.Sub(begin).Seconds())
 			g.Expect(written).To(BeNumerically("<=", earned+1e-6))
-			g.Expect(c.balance).To(BeNumerically("<=", max(minBurstWrites, each, fleet/depositCapDivisor)))
+			g.Expect(c.balance).To(BeNumerically("<=", max(minBurstWrites, rate, fleetRate/depositCapDivisor)))
 		}
 	})
 }
--- a/once/runner.go
+++ b/once/runner.go
@@ -152,22 +152,22 @@
 // storedOutcomeOf returns the outcome as it is stored. A detail that is too long is
 // cut, and a result above MaxResultBytes is left out.
 func (r *Runner) storedOutcomeOf(out Outcome) *storedOutcome {
-	k := &storedOutcome{Code: out.Code, Result: out.Result, Detail: out.Detail}
-	if len(k.Detail) > maxDetailBytes {
-		k.Detail = k.Detail[:maxDetailBytes]
+	stored := &storedOutcome{Code: out.Code, Result: out.Result, Detail: out.Detail}
+	if len(stored.Detail) > maxDetailBytes {
+		stored.Detail = stored.Detail[:maxDetailBytes]
 	}
-	if len(k.Result) > r.opts.MaxResultBytes {
-		k.Result = nil
-		k.Detail = detailNotStored
+	if len(stored.Result) > r.opts.MaxResultBytes {
+		stored.Result = nil
+		stored.Detail = detailNotStored
 	}
-	return k
+	return stored
 }
 
 // finish ends a claim in the background: it stores the outcome k (opComplete), or
 // removes the claim (opRelease; k is nil). The channel gets the reply.
-func (r *Runner) finish(name string, claim op, kind opKind, k *storedOutcome) <-chan reply {
+func (r *Runner) finish(name string, claim op, kind opKind, outcome *storedOutcome) <-chan reply {
 	claim.kind = kind
-	claim.entry.Outcome = k
+	claim.entry.Outcome = outcome
 	return r.dispatcher.finish(name, claim)
 }
 
--- a/once/segment.go
+++ b/once/segment.go
@@ -123,9 +123,9 @@
 	replies := make([]reply, len(batch))
 	changed := false
 	for i, o := range batch {
-		var did bool
-		replies[i], did = next.applyOne(o)
-		changed = changed || did
+		var opChanged bool
+		replies[i], opChanged = next.applyOne(o)
+		changed = changed || opChanged
 	}
 	return next, replies, changed
 }
--- a/once/segment_test.go
+++ b/once/segment_test.go
@@ -55,8 +55,8 @@
 				}
 			}
 			if !hasRelease {
-				_, _, again := next.apply(batch)
-				g.Expect(again).To(BeFalse(), "applying a batch a second time changed the segment")
+				_, _, changedAgain := next.apply(batch)
+				g.Expect(changedAgain).To(BeFalse(), "applying a batch a second time changed the segment")
 			}
 			if !changed {
 				g.Expect(next.Entries).To(HaveLen(len(s.Entries)))
@@ -64,9 +64,9 @@
 			value, err := next.encode()
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(len(value)).To(And(BeNumerically("<=", next.size+entryOverhead), BeNumerically("<=", objstore.MaxValue)))
-			back, err := decodeSegment("d.1", value)
+			decoded, err := decodeSegment("d.1", value)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(back).To(Equal(next))
+			g.Expect(decoded).To(Equal(next))
 			s = next
 		}
 	})
@@ -96,8 +96,8 @@
 	g.Expect(len(value)).To(BeNumerically("<=", objstore.MaxValue))
 }
 
-// drawFullOp draws an operation on a key of a second that has little space left.
-func drawFullOp(t *rapid.T) op {
+// drawLargeOp draws an operation on a key of a second that has little space left.
+func drawLargeOp(t *rapid.T) op {
 	o := op{kind: rapid.SampledFrom([]opKind{opClaim, opClaim, opRelease}).Draw(t, "kind")}
 	o.id = fmt.Sprintf("report/1700000000-key%05d", rapid.IntRange(0, 3).Draw(t, "id"))
 	o.entry.Op = fmt.Sprintf("op%d", rapid.IntRange(0, 5).Draw(t, "op"))
@@ -116,7 +116,7 @@
 		var s segment
 		moved := map[string]bool{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			o := drawFullOp(t)
+			o := drawLargeOp(t)
 			next, replies, changed := s.apply([]op{o})
 			if replies[0].verdict == verdictMoved {
 				g.Expect(next.Sealed).To(BeTrue())
--- a/once/segment_writer.go
+++ b/once/segment_writer.go
@@ -137,8 +137,8 @@
 // committer stops.
 func (c *committer) waitForCredit() (waited, ok bool) {
 	for {
-		wait, paid := c.credit.take(time.Now())
-		if paid {
+		wait, taken := c.credit.take(time.Now())
+		if taken {
 			return waited, true
 		}
 		waited = true
--- a/once/store_test.go
+++ b/once/store_test.go
@@ -45,7 +45,7 @@
 	return &faultStore{objects: map[string]objstore.Object{}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-func (s *faultStore) wait(ctx context.Context) error {
+func (s *faultStore) simulateCall(ctx context.Context) error {
 	if s.failAll.Load() {
 		return errLost
 	}
@@ -56,7 +56,7 @@
 }
 
 func (s *faultStore) Get(ctx context.Context, kind, name string) (objstore.Object, error) {
-	if err := s.wait(ctx); err != nil {
+	if err := s.simulateCall(ctx); err != nil {
 		return objstore.Object{}, err
 	}
 	if s.failClearedReads.Load() && kind == ClearedKind {
@@ -78,7 +78,7 @@
 			return 0, err
 		}
 	}
-	if err := s.wait(ctx); err != nil {
+	if err := s.simulateCall(ctx); err != nil {
 		return 0, err
 	}
 	if s.failPuts.Load() {
@@ -128,7 +128,7 @@
 }
 
 func (s *faultStore) List(ctx context.Context, kind, after string, limit int) (objstore.Page, error) {
-	if err := s.wait(ctx); err != nil {
+	if err := s.simulateCall(ctx); err != nil {
 		return objstore.Page{}, err
 	}
 	s.mu.Lock()
@@ -148,7 +148,7 @@
 }
 
 func (s *faultStore) Delete(ctx context.Context, kind, name string, expect uint64) error {
-	if err := s.wait(ctx); err != nil {
+	if err := s.simulateCall(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -166,11 +166,11 @@
 }
 
 func (s *faultStore) VMs(ctx context.Context) ([]objstore.VM, error) {
-	return s.vms, s.wait(ctx)
+	return s.vms, s.simulateCall(ctx)
 }
 
 // Conditions that tests wait for.
-func (c *committer) pending() int {
+func (c *committer) numWaiting() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.waiting
