--- a/once/relay/relay_test.go
+++ b/once/relay/relay_test.go
@@ -53,12 +53,12 @@
 			g.Expect(ok).To(BeTrue())
 			same, _ := Choose(segment, reversed, avoidNone)
 			g.Expect(same).To(Equal(chosen))
-			other, found := Choose(segment, vms, func(vm string) bool { return vm == names[0] })
-			left, foundToo := Choose(segment, without, avoidNone)
-			g.Expect(other).To(Equal(left))
-			g.Expect(found).To(Equal(foundToo))
+			whenAvoided, found := Choose(segment, vms, func(vm string) bool { return vm == names[0] })
+			whenAbsent, foundAbsent := Choose(segment, without, avoidNone)
+			g.Expect(whenAvoided).To(Equal(whenAbsent))
+			g.Expect(found).To(Equal(foundAbsent))
 			if chosen.Name != names[0] {
-				g.Expect(left).To(Equal(chosen))
+				g.Expect(whenAbsent).To(Equal(chosen))
 			}
 		}
 	})
@@ -101,7 +101,7 @@
 
 // newTestLinksWithTimeout is newTestLinks with the given ResponseTimeout; 0 selects
 // the default.
-func newTestLinksWithTimeout(t *testing.T, c Committer, silent time.Duration) (*Links, *faultproxy.Proxy, objstore.VM) {
+func newTestLinksWithTimeout(t *testing.T, c Committer, responseTimeout time.Duration) (*Links, *faultproxy.Proxy, objstore.VM) {
 	g := NewWithT(t)
 	options := func(vm string) wire.Options {
 		return wire.Options{
@@ -121,7 +121,7 @@
 	t.Cleanup(func() { _ = proxy.Close() })
 	b := objstore.VM{Name: "b", Address: proxy.Address()}
 	links := NewLinks(Options{
-		Self: "a", ResponseTimeout: silent,
+		Self: "a", ResponseTimeout: responseTimeout,
 		Fleet: &fakeFleet{vms: []objstore.VM{{Name: "a"}, b}, options: options("a")},
 	})
 	t.Cleanup(links.Stop)
@@ -138,17 +138,17 @@
 // connection, or be reported as not accepted.
 func TestOperationAfterTimeoutIsNotLost(t *testing.T) {
 	g := NewWithT(t)
-	silence := make(chan struct{})
+	testEnd := make(chan struct{})
 	links, _, b := newTestLinksWithTimeout(t, committerFunc(func(ctx context.Context, batch Batch) ([]Reply, error) {
 		if batch.Ops[0].ID == "held" {
 			select {
-			case <-silence:
+			case <-testEnd:
 			case <-ctx.Done():
 			}
 		}
 		return make([]Reply, len(batch.Ops)), nil
 	}), 250*time.Millisecond)
-	defer close(silence)
+	defer close(testEnd)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for range 20 {
@@ -225,13 +225,13 @@
 
 // Operations that are queued for one VM at the same time are sent in few messages,
 // separated by segment.
-func TestBatches(t *testing.T) {
+func TestOperationsAreBatchedPerSegment(t *testing.T) {
 	g := NewWithT(t)
 	var queue []*pending
 	for i := range 3 * MaxOps {
-		a := opRequest(fmt.Sprint(i))
-		a.Segment = fmt.Sprint(i % 2)
-		queue = append(queue, &pending{req: a})
+		req := opRequest(fmt.Sprint(i))
+		req.Segment = fmt.Sprint(i % 2)
+		queue = append(queue, &pending{req: req})
 	}
 	seen := map[string]bool{}
 	list := splitBatches(queue)
