--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -17,9 +17,9 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// BenchmarkRun measures store calls per request, on a platform that answers in 3 ms
-// and accepts 300 writes and 2000 reads per second. The VMs share 280 writes per
-// second.
+// BenchmarkRun measures throughput, latency and store calls per request, on a
+// platform that answers in 3 ms and accepts 300 writes and 2000 reads per second. The
+// VMs share 280 writes per second.
 func BenchmarkRun(b *testing.B) {
 	for _, vms := range []int{1, 7, 50} {
 		for _, callers := range []int{1, 16, 64, 256} {
@@ -86,7 +86,7 @@
 func (f *fakeFleet) Live() []objstore.VM       { return f.vms }
 func (f *fakeFleet) WireOptions() wire.Options { return f.options }
 
-// connectOverLoopback connects the VMs over loopback.
+// connectOverLoopback lets the VMs commit for one another, over loopback connections.
 func connectOverLoopback(b *testing.B, runners []*Runner) {
 	var vms []objstore.VM
 	fleets := make([]*fakeFleet, len(runners))
--- a/once/cleaner.go
+++ b/once/cleaner.go
@@ -15,15 +15,15 @@
 
 // Limits of the cleaner. Pages are short because a listing contains the values.
 const (
-	maxCleaners        = 2                     // VMs that remove claims at the same time
+	maxCleaners        = 2                     // VMs that remove expired claims at the same time
 	cleanPageSize      = 4                     // segments in one page of the listing
 	maxCleanedPerRound = 200                   // removed segments after which a round ends
 	cleanPagePause     = 20 * time.Millisecond // pause between two pages of a round
 	cleanerRotation    = time.Hour             // time after which other VMs are chosen as cleaners
 )
 
-// cleaner removes old claims from the platform. It removes whole segments (objects
-// that hold the claims of one second), once all keys of a segment are older than
+// cleaner removes expired claims from the platform. It removes a whole segment (an
+// object that holds the claims of one second) once all its keys are older than
 // KeyTTL + MaxClockSkew.
 type cleaner struct {
 	opts     Options
@@ -47,9 +47,8 @@
 	_ = c.tomb.Wait()
 }
 
-// loop runs a round of cleaning again and again until the cleaner is stopped. The
-// time between rounds is random, on average CleanInterval. If Deployment is empty,
-// loop removes nothing.
+// loop runs a cleaning round every CleanInterval on average, at random times, until
+// the cleaner is stopped. If Deployment is empty, it removes nothing.
 func (c *cleaner) loop() error {
 	if c.opts.Deployment == "" {
 		<-c.tomb.Dying()
@@ -75,9 +74,10 @@
 	}
 }
 
-// cleanRound removes old segments, if this VM is one of the maxCleaners VMs that
-// do so now. It stops after the page with which the number of removed segments
-// reaches maxCleanedPerRound.
+// cleanRound removes expired segments page by page, if this VM is one of the
+// maxCleaners VMs that do so now. It ends when no expired segments are left, or
+// after the page with which the number of removed segments reaches
+// maxCleanedPerRound.
 func (c *cleaner) cleanRound() error {
 	vms, err := c.listVMs(c.ctx)
 	if err != nil {
@@ -113,7 +113,7 @@
 
 // advanceRecord records on the platform that claims of keys older than
 // KeyTTL + MaxClockSkew are being removed. It returns the recorded time: claims of
-// keys created before it may be removed.
+// keys that were created before this time may be removed.
 func (c *cleaner) advanceRecord(ctx context.Context) (time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -124,7 +124,7 @@
 // removePage lists one page of the oldest segments and removes those whose keys
 // were all created before the given time. Names sort by time, so it stops at the
 // first newer segment. It returns the number of removed segments; more reports
-// whether further old segments may exist.
+// whether further expired segments may exist.
 func (c *cleaner) removePage(ctx context.Context, before time.Time) (removed int, more bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -147,11 +147,11 @@
 	return removed, page.More, nil
 }
 
-// isCleaner reports whether the VM self is one of the maxCleaners VMs that remove
-// claims in the hour that begins at the given time. They are the first by
-// rendezvous hashing over the platform's list. The list lags, so more or fewer VMs
-// may be active. Removal is conditional, so that removing a segment twice is
-// harmless.
+// isCleaner reports whether the VM named self is one of the maxCleaners VMs that
+// remove claims in the hour that begins at the given time. These VMs are chosen by
+// rendezvous hashing over vms, the platform's list. The list may be outdated, so more
+// or fewer VMs may be active. This does no harm, because each removal depends on the
+// segment's version.
 func isCleaner(vms []objstore.VM, self string, hour time.Time) bool {
 	rank := func(vm string) uint64 {
 		return xxhash.Sum64String(vm + hour.UTC().Format(time.RFC3339))
--- a/once/cleared_record.go
+++ b/once/cleared_record.go
@@ -34,7 +34,7 @@
 		return clearedRecord{}, 0, errors.Trace(err)
 	}
 	var c clearedRecord
-	// If a record in another form were read as "nothing was removed", keys whose
+	// If a record in another form were read as "nothing was removed", requests whose
 	// claims were removed could run again.
 	if findings := strictjson.Decode(object.Value, &c); len(findings) > 0 {
 		return clearedRecord{}, 0, errors.Errorf("cannot decode the record of cleared claims: %s", findings[0])
@@ -61,19 +61,22 @@
 	return before.Truncate(time.Second), errors.Trace(err)
 }
 
-// checkCleared rejects a key whose earlier claim may have been removed before the
-// key was claimed now. Without it, a request that was completed long ago could run
-// a second time. This happens if a VM is paused between the check of the key's age
-// and its claim, if its clock is slow, or if its KeyTTL is longer. The cleaner
-// writes its record before it removes claims, and this read follows the claim: a
-// claim made after the removal finds the record. A claim made before the removal
-// was the only one, however late it is used.
+// checkCleared is called after the request's key was claimed. It rejects the key if
+// an earlier claim of the key may have been removed before. Without it, a request
+// that was completed long ago could run a second time: if this VM was paused between
+// the check of the key's age and the claim, if its clock is slow, or if its KeyTTL
+// is longer than that of other VMs.
+//
+// The cleaner writes the record before it removes claims, and the record is read
+// here after the claim was made. So if the claim was made after a removal, the
+// record shows the removal. If it was made before the removal, it was the key's only
+// claim, and the request may run at any later time.
 //
 // It returns true if the request may run. Otherwise the Outcome is the answer to
 // the caller.
 //
 // Keys younger than half of KeyTTL are not checked, which avoids the read in most
-// requests. Therefore clocks may be wrong by up to half of KeyTTL.
+// requests. This is safe as long as clocks are wrong by less than half of KeyTTL.
 func (r *Runner) checkCleared(ctx context.Context, req Request) (Outcome, bool) {
 	if r.opts.Clock().Sub(req.Key.Created()) < r.opts.KeyTTL/2 {
 		return Outcome{}, true
--- a/once/committer.go
+++ b/once/committer.go
@@ -37,7 +37,7 @@
 // committer applies operations (claims, outcomes and releases of claims) to
 // segments, the stored objects that each hold the claims of one second. It uses
 // group commit: while one conditional update of a segment is in flight or waits for
-// credit, further operations queue up and are sent together with the next update.
+// credit, further operations queue up and are sent together in the next update.
 type committer struct {
 	opts     Options
 	log      *slog.Logger
@@ -52,7 +52,7 @@
 	writers     map[string]*segmentWriter // by segment name
 	waiting     int                       // operations whose reply is outstanding: queued, being written or being relayed
 	peerWaiting int                       // those counted in waiting that other VMs relayed to this one
-	closed      bool                      // close was called; operations of callers and peers are rejected
+	closed      bool                      // close was called; new claims and operations of other VMs are rejected
 	idle        chan struct{}             // closed once closed is set and waiting is 0
 	failures    int                       // failed store calls in a row
 	lastProbe   time.Time                 // when a claim was last let through while the platform was down
@@ -102,8 +102,9 @@
 	return c
 }
 
-// abandon queues the removal of a claim that this VM no longer waits for and that
-// another VM may still add to the segment with the given name.
+// abandon queues the release of a claim that this VM no longer waits for and that
+// another VM may still add to the segment with the given name. o.barOnRelease must
+// be set.
 func (c *committer) abandon(name string, o op) {
 	o.kind = opRelease
 	c.counters.abandoned.Inc()
@@ -205,8 +206,9 @@
 	return nil
 }
 
-// runTracked runs f in a goroutine, for which close waits as for an operation. It
-// returns false without running f if the committer has stopped.
+// runTracked runs f in a goroutine that counts as an outstanding operation, so that
+// close waits for it. It returns false without running f if the committer has
+// stopped.
 func (c *committer) runTracked(f func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -225,7 +227,8 @@
 }
 
 // commitInBackground queues a completion or a release of a claim. The operation is
-// retried until it succeeds or the committer stops. The channel gets the reply.
+// retried until it succeeds or the committer stops. The channel gets the reply, or
+// nothing if the committer stops first.
 func (c *committer) commitInBackground(name string, o op) <-chan reply {
 	p := &pending{op: o, done: make(chan reply, 1)}
 	c.mu.Lock()
@@ -239,7 +242,7 @@
 func (c *committer) enqueue(name string, p *pending) {
 	select {
 	case <-c.tomb.Dying():
-		return // stopped before all outcomes were stored; close has returned an error
+		return // the committer has stopped and applies no further operations
 	default:
 	}
 	w := c.writers[name]
@@ -311,8 +314,8 @@
 	c.untrack(p.fromPeer)
 }
 
-// untrack removes an operation from the counts of outstanding operations. peer says
-// that another VM relayed the operation to this one.
+// untrack removes an operation from the count of outstanding operations, and, if
+// peer is set, from the count of those that other VMs relayed to this one.
 func (c *committer) untrack(peer bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -337,10 +340,10 @@
 }
 
 // release queues the removal of an abandoned claim of one of this VM's own callers.
-// A claim that another VM relayed must stay: that VM may have found the claim by a
-// read of its own, regarded it as won and handed the request to a target. If the
-// claim were removed here, a later request with the same key would win the key and
-// run again.
+// It must not be used for a claim that another VM relayed: that VM may have found the
+// claim by a read of its own, regarded it as won and handed the request to a target.
+// If the claim were removed here, a later request with the same key would win the
+// key and run again.
 func (c *committer) release(w *segmentWriter, p *pending) {
 	o := p.op
 	o.kind = opRelease
@@ -378,7 +381,6 @@
 // backoff waits a random time after the failed try with the given number, counted
 // from 0. It returns false if the committer stops.
 func (c *committer) backoff(try int) bool {
-	// The upper bound of the wait doubles with each try, up to maxBackoff.
 	ceiling := min(minBackoff<<min(try, maxBackoffShift), maxBackoff)
 	timer := time.NewTimer(time.Duration(rand.Int64N(int64(ceiling))) + time.Millisecond)
 	defer timer.Stop()
@@ -390,8 +392,9 @@
 	}
 }
 
-// close rejects new operations, waits until all operations are complete or ctx
-// ends, and stops the segment writers. It returns an error if operations are left.
+// close rejects new claims and operations of other VMs, waits until all operations
+// are complete or ctx ends, and stops the segment writers. It returns an error if
+// operations are left.
 func (c *committer) close(ctx context.Context) error {
 	c.mu.Lock()
 	c.closed = true
--- a/once/counters.go
+++ b/once/counters.go
@@ -9,11 +9,11 @@
 	operations *metrics.Counter // claims, outcomes and releases in these updates
 	bytes      *metrics.Counter // size of the values in these updates
 	conflicts  *metrics.Counter // updates refused because the segment had another version
-	failures   *metrics.Counter // store calls that failed without an answer of the platform
+	failures   *metrics.Counter // store calls with another error than those of a working platform, see isPlatformAnswer
 	abandoned  *metrics.Counter // abandoned claims that may have been stored
-	cleared    *metrics.Counter // segments removed, because all their keys were too old
-	relayed    *metrics.Counter // operations applied by another VM
-	fallbacks  *metrics.Counter // operations that another VM should have applied and this VM had to
+	cleared    *metrics.Counter // segments removed because all their keys had expired
+	relayed    *metrics.Counter // operations relayed to another VM, which applied them
+	fallbacks  *metrics.Counter // operations that another VM should have applied and this VM applied itself
 }
 
 // newCounters registers the metrics in set.
--- a/once/credit.go
+++ b/once/credit.go
@@ -22,11 +22,11 @@
 
 // credit is this VM's budget of writes (conditional updates) to the platform. The
 // unit is one write. Each VM earns writes at the fleet's rate divided by the number
-// of VMs in the bundle. It may transfer unused writes to the VM that commits for
-// it. The transferred amount is deducted here, and is lost if the message is lost.
-// So all VMs together never write more than they earned, whatever their lists of
-// live VMs contain, and the VM that commits for many has nearly all of it. It is
-// safe for concurrent use.
+// of VMs that Runner.SetFleetSize sets. It may transfer unused writes to the VM that
+// commits for it. The transferred amount is deducted here, and is lost if the message
+// is lost. So all VMs together never write more than they earned, whatever their
+// lists of live VMs contain, and a VM that commits for many others gets most of their
+// unused writes. It is safe for concurrent use.
 type credit struct {
 	fleetRate float64 // writes per second that all VMs together may send
 
@@ -37,7 +37,7 @@
 }
 
 // newCredit returns the budget of a VM that earns rate writes per second, in a
-// fleet that may send fleet writes per second.
+// fleet that may send fleetRate writes per second.
 func newCredit(fleetRate, rate float64, now time.Time) *credit {
 	return &credit{fleetRate: fleetRate, rate: rate, updated: now, balance: min(minBurstWrites, rate)}
 }
@@ -70,7 +70,7 @@
 }
 
 // take deducts one write. If the balance is below one write, it returns false and
-// the longest time until the balance reaches it: a transfer may come earlier.
+// the time until the VM has earned that write; a transfer may shorten this time.
 func (c *credit) take(now time.Time) (wait time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/once/dispatcher.go
+++ b/once/dispatcher.go
@@ -67,7 +67,8 @@
 }
 
 // newRelayState returns the state of an operation that is not sent yet. The time
-// for relaying it ends after relayWait, or earlier if ctx has an early deadline.
+// for relaying it is relayWait, or the time until the deadline of ctx divided by
+// relayWaitDivisor if that is shorter.
 func (d *dispatcher) newRelayState(ctx context.Context) *relayState {
 	now := time.Now()
 	wait := d.relayWait
@@ -106,9 +107,10 @@
 func (d *dispatcher) withdrawCredit() float64 { return d.committer.credit.withdraw(time.Now()) }
 
 // finish starts a completion or a release, which is retried until it succeeds or
-// the committer stops. The channel gets the reply. Both may be applied twice and at
-// any later time. A release that has to bar its claim uses this VM's own update: it
-// is not relayed to the other VM that may still apply the claim.
+// the committer stops. The channel gets the reply, or nothing if the committer stops
+// first. The operation may be applied twice, and at any later time. A release with
+// barOnRelease is always applied by this VM's own update: the VM to which it would
+// be relayed may be the one that still has the claim and gave no final answer.
 func (d *dispatcher) finish(name string, o op) <-chan reply {
 	if d.peers == nil || o.barOnRelease && o.kind == opRelease {
 		return d.committer.commitInBackground(name, o)
--- a/once/fault_test.go
+++ b/once/fault_test.go
@@ -14,22 +14,23 @@
 
 const testTimeout = 20 * time.Second
 
-// clock runs ahead of the real time by an offset that the test sets.
+// clock runs ahead of the real time by an offset that the test increases.
 type clock struct{ offset atomic.Int64 }
 
 func (c *clock) now() time.Time          { return time.Now().Add(time.Duration(c.offset.Load())) }
 func (c *clock) advance(d time.Duration) { c.offset.Add(int64(d)) }
 func (c *clock) configure(o *Options)    { o.Clock = c.now }
 
-// shortWaits makes a Runner give up after at most 50 ms.
+// shortWaits makes a Runner wait for a claim or the storing of an outcome for at most
+// 50 ms.
 func shortWaits(o *Options) {
 	o.ClaimWait, o.OutcomeWait, o.CallTimeout = 50*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
 }
 
 // Guards against a second run of a request whose claim was removed. VM a checks the
 // age of a key and is paused. VM b runs the request, and a day later its claim is
-// removed. Then VM a continues, finds no claim and wins one. Only a check after the
-// claim detects that the key has expired.
+// removed. Then VM a continues, finds no claim and claims the key. Only a check after
+// the claim detects that the key has expired.
 func TestVMPausedDuringCleanupDoesNotRun(t *testing.T) {
 	g := NewWithT(t)
 	var c clock
@@ -51,8 +52,8 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// cleanerWithDeployment returns a copy of r's cleaner that is configured for the test's
-// deployment.
+// cleanerWithDeployment returns a copy of r's cleaner that cleans the test's
+// deployment. It has no goroutine; the test runs its rounds.
 func cleanerWithDeployment(r *Runner) *cleaner {
 	c := *r.cleaner
 	c.opts.Deployment = "vatnsleit"
@@ -80,10 +81,10 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// Guards against a request that is reported as "in progress" forever although it
-// never ran. The platform stores the claim but its answer is lost, and the platform
-// stays down until the VM has given up and answered "not run". The claim must be
-// removed when the platform is back.
+// Guards against a key that stays blocked although its request never ran. The
+// platform stores the claim but its answer is lost, and the platform stays down until
+// the VM has given up and answered "not run". The claim must be removed when the
+// platform is back.
 func TestClaimWithLostAnswerIsReleased(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -105,8 +106,9 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// As above, but the platform applies the write only after the VM has found no claim
-// and considers the removal complete. The write must fail with a version conflict.
+// As TestClaimWithLostAnswerIsReleased, but the platform applies the write of the
+// claim only after the VM has found no claim and considers the removal complete. The
+// late write must fail with a version conflict.
 func TestDelayedClaimWriteIsFencedOff(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -172,9 +174,9 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// Guards against a second run after the loss of a VM between claim and answer. It
-// is unknown whether the target ran the request, so another VM must not run it, and
-// must answer that the outcome is unknown.
+// Guards against a second run of a request whose VM is lost between claim and answer.
+// It is unknown whether the target ran the request, so another VM must not run it. It
+// answers "in progress" until the request's time has passed, and "unknown" after that.
 func TestRequestOfLostVMIsNeverRunAgain(t *testing.T) {
 	g := NewWithT(t)
 	var c clock
@@ -210,9 +212,9 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// Guards against a VM that stops and drops an outcome that waits for its write, so
-// that later requests with the key get the answer "unknown" forever. Close waits
-// for the outcome.
+// Guards against the loss of an outcome that waits for its write when the VM stops.
+// Later requests with the key would get the answer "unknown" forever. Close must wait
+// until the outcome is stored.
 func TestCloseWaitsForOutcomes(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
--- a/once/fuzz_test.go
+++ b/once/fuzz_test.go
@@ -9,9 +9,9 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/platformsim"
 )
 
-// FuzzParseKey: each key has one canonical form. If two forms of one key were
-// stored as two claims, a request that is repeated in the other form would run
-// twice.
+// FuzzParseKey guards against a request that runs twice because its key was sent in
+// two forms, which were stored as two claims. Each key has one canonical form, which
+// parses to the same key.
 func FuzzParseKey(f *testing.F) {
 	for _, text := range []string{"1700000000-abcdefgh", "007-abcdefgh", "7-abcdefgh", "-1-abcdefgh", "9999999999-________", "1-short", "1700000000-abcdéfgh"} {
 		f.Add(text)
@@ -29,9 +29,9 @@
 	})
 }
 
-// FuzzSegment: a segment that was written by another release, or damaged, is either
-// rejected or decoded and encoded without change. If a claim were lost, its request
-// could run again.
+// FuzzSegment guards against a lost claim, whose request could run again. A segment
+// that was written by another release, or damaged, must be rejected, or decoded and
+// encoded without change.
 func FuzzSegment(f *testing.F) {
 	for _, text := range append(foreignSegments, `{"entries":{}}`, `{"entries":{"k":{"op":"o","outcome":{"code":1}}}}`) {
 		f.Add([]byte(text))
@@ -56,10 +56,10 @@
 	`{"entries":{"k":{"op":"o","part":1}}}`, `{"entries":{}} {"entries":{"k":{"op":"o"}}}`,
 }
 
-// TestForeignSegmentIsRefused: VMs of two releases run at the same time, and the
-// newer release stores claims in another form. When the older release read them as
-// an empty segment, it claimed the key of a request that had been run, and handed
-// it to a target again.
+// TestForeignSegmentIsRefused guards against a second run while VMs of two releases
+// run at the same time and the newer release stores claims in another form. If the
+// older release read them as an empty segment, it could claim the key of a request
+// that was run, and hand the request to a target again.
 func TestForeignSegmentIsRefused(t *testing.T) {
 	for _, text := range foreignSegments {
 		_, err := decodeSegment("d.1", []byte(text))
@@ -67,9 +67,10 @@
 	}
 }
 
-// TestForeignRecordOfClearedClaims: the record of removed claims was written in
-// another form. When it was read as "none", a VM with a slow clock ran a key again
-// whose claim had been removed long before.
+// TestForeignRecordOfClearedClaims guards against a second run after the record of
+// removed claims was written in another form. If it were read as "nothing was
+// removed", a VM with a slow clock could run a request again whose claim was removed.
+// The read must fail instead.
 func TestForeignRecordOfClearedClaims(t *testing.T) {
 	for _, text := range []string{`null`, `{}`, `{"until":1700000000}`, `{"before":1700000000,"part":1}`} {
 		g := NewWithT(t)
--- a/once/key_test.go
+++ b/once/key_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// Keys that are too old or too far in the future are rejected before anything is
+// Keys that are too old or too far in the future are rejected before they are
 // claimed. The request of an old key may have run and its claim may have been
-// removed; a key of the future would still be valid after its claim was removed.
+// removed. A key with a future time could still be used after its claim was removed.
 func TestKeysOutsideValidityAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -60,7 +60,7 @@
 	g.Expect(store.puts + store.gets).To(BeZero())
 }
 
-// The cleaner removes old segments of its own deployment only, one page at a time.
+// The cleaner removes expired segments of its own deployment only, page by page.
 func TestCleanerRemovesOldSegmentsInPages(t *testing.T) {
 	g := NewWithT(t)
 	var c clock
@@ -94,6 +94,9 @@
 	g.Expect(store.names("pletenica.")).To(Equal(others))
 }
 
+// Guards against all VMs of a fleet listing and removing expired claims at the same
+// time. In each hour, maxCleaners of 50 VMs do so, and not always the same ones, even
+// if the list of VMs contains one of them twice. With an empty list, any VM does.
 func TestFewVMsRunCleaner(t *testing.T) {
 	g := NewWithT(t)
 	var vms []objstore.VM
--- a/once/name.go
+++ b/once/name.go
@@ -16,28 +16,29 @@
 // stored form: VMs with different values would claim one key in two objects.
 const segmentWindow = time.Second
 
-// segmentName returns the name of the object that holds the claims of keys created
-// at the time made. A segment is sealed as soon as a claim does not fit into it, and
-// then accepts no new keys. Only then may another object hold claims of these keys,
-// see overflowName. Names sort by deployment and then by time, so the cleaner can
-// list the oldest first.
+// segmentName returns the name of the segment (stored object) for keys with the given
+// creation time. A segment is sealed as soon as a claim does not fit into it, and then
+// accepts no new keys. Only then may other objects hold claims of keys of the same
+// second, see overflowName. Names sort by deployment and then by time, so the cleaner
+// can list the oldest first.
 func segmentName(deployment string, created time.Time) string {
 	return fmt.Sprintf("%s%010d", deploymentPrefix(deployment), created.Unix())
 }
 
-// overflowSegments is the number of overflow segments that each second has in
-// addition to its segment. Like segmentWindow, it is part of the stored form.
+// overflowSegments is the number of overflow segments over which the further keys of
+// one second are spread once the second's own segment is sealed. Like segmentWindow,
+// it is part of the stored form.
 const overflowSegments = 8
 
-// overflowName returns the name of the overflow segment that holds the claim with
-// that id if the segment of the key's second is sealed, which means that it accepts
-// no new keys. The name sorts after the name of the sealed segment.
+// overflowName returns the name of the overflow segment for the claim with the given
+// id, to be used once the given segment is sealed. The name sorts after the name of
+// the sealed segment.
 func overflowName(segment, id string) string {
 	return fmt.Sprintf("%s%s%d", segment, overflowSeparator, xxhash.Sum64String(id)%overflowSegments)
 }
 
-// overflowSeparator stands between the name of a second's segment and the number of
-// its overflow segment.
+// overflowSeparator separates the name of a second's segment from the number of the
+// overflow segment.
 const overflowSeparator = "+"
 
 // isOverflow reports whether the name is that of an overflow segment.
--- a/once/options.go
+++ b/once/options.go
@@ -15,17 +15,17 @@
 // Defaults of Options.
 const (
 	defaultKeyTTL         = 24 * time.Hour         // age up to which a key may be used
-	defaultMaxClockSkew   = 5 * time.Minute        // difference between the clocks of two VMs that is allowed for
-	defaultClaimWait      = 2 * time.Second        // limit for winning a claim
-	defaultOutcomeWait    = 500 * time.Millisecond // limit for storing an outcome before the caller is answered
-	defaultCallTimeout    = time.Second            // limit of one store call
-	defaultRunTimeout     = 30 * time.Second       // limit of a request whose context has no deadline
+	defaultMaxClockSkew   = 5 * time.Minute        // upper bound on the difference between the clocks of any two VMs
+	defaultClaimWait      = 2 * time.Second        // time limit for claiming a key
+	defaultOutcomeWait    = 500 * time.Millisecond // longest time that the answer to a caller waits until the outcome is stored
+	defaultCallTimeout    = time.Second            // time limit of one store call
+	defaultRunTimeout     = 30 * time.Second       // time after which a request whose context has no deadline counts as lost
 	defaultFleetWriteRate = 280                    // writes per second that all VMs together may send to the platform
 	defaultFleetSize      = 7                      // VMs that share these writes until SetFleetSize is called
 	defaultMaxPending     = 10000                  // operations of this VM's callers that may wait for a write
 	defaultMaxPeerPending = 10000                  // operations of other VMs that may wait for a write of this VM
 	defaultMaxResultBytes = 16 << 10               // size of the largest result that is stored, in bytes
-	defaultCleanInterval  = time.Minute            // average time between two rounds that remove old claims
+	defaultCleanInterval  = time.Minute            // average time between two rounds that remove expired claims
 )
 
 // Options configures a Runner. Only Store, VM and Incarnation are required.
@@ -44,15 +44,17 @@
 	// VMs. Claims are removed KeyTTL + MaxClockSkew after their key was created.
 	MaxClockSkew time.Duration
 
-	ClaimWait   time.Duration // limit for winning a claim
-	OutcomeWait time.Duration // limit for storing the outcome before the caller gets its answer
-	CallTimeout time.Duration // limit of one store call
-	RunTimeout  time.Duration // limit of a request whose context has no deadline
+	ClaimWait   time.Duration // time limit for claiming a key
+	OutcomeWait time.Duration // longest time that the answer to a caller waits until the outcome is stored
+	CallTimeout time.Duration // time limit of one store call
+	// RunTimeout is the time after which a request whose context has no deadline
+	// counts as lost. It does not end the request: a request with the same key gets
+	// the answer "in progress" before that time and "unknown" after it.
+	RunTimeout time.Duration
 
 	// FleetWriteRate is how many conditional updates per second all VMs together
-	// may send to the platform. SetFleetSize sets by how many VMs it is divided
-	// equally. A VM transfers updates that it did not use to the VM that commits
-	// for it.
+	// may send to the platform. Each VM gets an equal part, see SetFleetSize. A VM
+	// transfers updates that it did not use to the VM that commits for it.
 	FleetWriteRate float64
 	// MaxPending limits the operations of this VM's own callers that wait for a
 	// write. Claims above it are refused.
@@ -114,5 +116,5 @@
 	Result     json.RawMessage // the target's result, if Code is Accepted
 	Detail     string          // explanation for the caller, may be empty
 	RetryAfter time.Duration   // time after which the caller may try again; 0 if a retry makes no sense
-	Replayed   bool            // this is the stored outcome of an earlier request with the same key
+	Replayed   bool            // the outcome was stored by an earlier request with the same key
 }
--- a/once/peers.go
+++ b/once/peers.go
@@ -56,11 +56,10 @@
 	return toRelayReply(<-p.done)
 }
 
-// relayKinds gives the name that each kind of operation has in messages to other
-// VMs.
+// relayKinds maps each kind of operation to its name in messages to other VMs.
 var relayKinds = map[opKind]relay.Kind{opClaim: relay.Claim, opComplete: relay.Complete, opRelease: relay.Release}
 
-// relayVerdicts gives the name that each verdict has in messages to other VMs.
+// relayVerdicts maps each verdict to its name in messages to other VMs.
 var relayVerdicts = map[verdict]relay.Verdict{
 	verdictDone: relay.Done, verdictHeld: relay.Held, verdictFull: relay.Full, verdictMoved: relay.Moved, verdictGone: relay.Gone,
 }
@@ -125,9 +124,9 @@
 }
 
 // fromRelayReply converts the result of relaying an operation: what the other VM
-// replied, and whether the operation reached it. The reply is set for eventDecided
-// only. A reply with an unknown verdict is an eventUnknown: it leaves open whether
-// the operation was applied.
+// replied, and whether the operation reached it. The returned reply is set for
+// eventDecided only. An unknown verdict becomes eventUnknown, because it leaves open
+// whether the operation was applied.
 func fromRelayReply(got relay.Reply, delivery relay.Delivery) (reply, event) {
 	switch {
 	case delivery == relay.NotAccepted:
--- a/once/peers_test.go
+++ b/once/peers_test.go
@@ -15,9 +15,9 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// fakePeers connects one VM to the others within the process. Its faults follow a
-// seed: VMs disagree about the committer, messages are lost, delayed or duplicated,
-// and answers are lost.
+// fakePeers connects one VM to the others within the process. If faults is set, VMs
+// disagree about the committer, messages are lost, delayed or duplicated, and answers
+// are lost, at random by a fixed seed.
 type fakePeers struct {
 	runners      []*Runner
 	faults       bool
@@ -27,8 +27,8 @@
 	rng *rand.Rand
 }
 
-// connectPeers lets the VMs commit for one another. The WaitGroup counts delayed
-// deliveries.
+// connectPeers lets the VMs commit for one another, with the faults of fakePeers if
+// faults is set. The WaitGroup counts delayed deliveries.
 func connectPeers(runners []*Runner, seed uint64, faults bool) *sync.WaitGroup {
 	lateMessages := &sync.WaitGroup{}
 	for i, r := range runners {
@@ -37,6 +37,7 @@
 	return lateMessages
 }
 
+// draw returns a random number from 0 to bound-1.
 func (p *fakePeers) draw(bound int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,12 +103,14 @@
 	return relay.Reply{}, relay.Unknown
 }
 
+// deliverNext lets the committer apply the next operation and returns its reply.
 func (p *frozenPeer) deliverNext(t *testing.T) relay.Reply {
 	replies, err := p.to.Commit(t.Context(), <-p.batches)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return replies[0]
 }
 
+// newFrozenPeer returns a frozenPeer that applies operations on a new VM named c.
 func newFrozenPeer(t *testing.T, store objstore.Store) *frozenPeer {
 	return &frozenPeer{to: startRunner(t, store, "c"), batches: make(chan relay.Batch, 8)}
 }
@@ -115,7 +118,7 @@
 // Guards against a key that stays blocked although its request never ran. The
 // committer is frozen with the claim in its queue. VM a updates the segment itself,
 // wins the claim, every target refuses the request, and the key is released. Then
-// the committer continues and must not enter the claim.
+// the committer continues and must not add the claim.
 func TestResumedCommitterDoesNotUndoRelease(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -128,9 +131,9 @@
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
 }
 
-// As above, but VM a cannot reach the platform in time either and answers "not run"
-// without a claim. The barred id must prevent the committer, which cannot be
-// called, from entering the claim whenever it continues.
+// As TestResumedCommitterDoesNotUndoRelease, but VM a cannot reach the platform in
+// time either and answers "not run" without a claim. VM a must bar the operation id,
+// so that the frozen committer cannot add the claim, whenever it continues.
 func TestResumedCommitterDoesNotEnterAbandonedClaim(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -147,8 +150,8 @@
 }
 
 // Guards against a request that gets the answer "in progress" because of its own
-// claim. The committer enters the claim and stops before it answers. The update of
-// VM a finds the entry and must recognize it as its own.
+// claim. The committer adds the claim and stops before it answers. VM a then updates
+// the segment itself, finds the entry and must recognize it as its own.
 func TestClaimEnteredByLostCommitterIsRecognized(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -171,10 +174,10 @@
 	return relay.Reply{}, relay.Unknown
 }
 
-// Guards against a second run. The committer writes the claim, but after its own
-// time limit, and removes it as a claim whose caller has given up. Meanwhile VM a
-// has found the entry, regarded it as won and handed the request over; a later
-// request with the key then finds no claim.
+// Guards against a second run. The committer writes the claim only after its time
+// limit for the answer to VM a. If it removed the claim as one whose caller has given
+// up, VM a could have found the entry in the meantime, regarded the claim as won and
+// handed the request to a target. A later request with the key would find no claim.
 func TestCommitterKeepsClaimAfterLateAnswer(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -200,11 +203,12 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// slowPeer gives up on an operation whose write has been stored.
+// slowPeer is a committer whose time limit ends after the write of an operation was
+// stored, but before the platform's answer arrives.
 type slowPeer struct {
 	*frozenPeer
 	once           sync.Once
-	stored, resume chan struct{}
+	stored, resume chan struct{} // closed once the write is stored; closed to let the platform answer
 }
 
 func (s *slowPeer) Commit(_ context.Context, _ objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
--- a/once/race_test.go
+++ b/once/race_test.go
@@ -15,17 +15,15 @@
 )
 
 const (
-	raceSeeds = 12
-	raceVMs   = 4
-	raceKeys  = 3
-	raceTurns = 6
+	raceSeeds = 12 // races of each kind
+	raceVMs   = 4  // VMs in a race
+	raceKeys  = 3  // keys for which the VMs compete
+	raceTurns = 6  // requests of each VM in a race
 )
 
 // newRace starts VMs on a store that loses writes, loses answers, applies some
-// writes late, and delays senders.
-//
-// With relayed set, the VMs commit for one another, and their messages are lost,
-// delayed or duplicated.
+// writes late, and delays senders. If relayed is set, the VMs commit for one another,
+// and their messages are lost, delayed or duplicated.
 func newRace(t *testing.T, seed uint64, relayed bool) *race {
 	store := newFaultStore(seed)
 	store.loseAnswer, store.loseWrite, store.lateWrite = 0.15, 0.1, 0.1
@@ -49,6 +47,7 @@
 	return &race{runners: runners, store: store, lateMessages: lateMessages}
 }
 
+// race is a set of VMs that compete for the same keys.
 type race struct {
 	runners      []*Runner
 	store        *faultStore
@@ -95,19 +94,20 @@
 	r.store.lateWG.Wait()
 }
 
-// claimInput and claimOutput are the register's operations for porcupine.
+// claimInput is a call on the register of a key for porcupine: a claim or its release.
 type claimInput struct {
 	key     int
-	op      string
+	op      string // operation id of the claim
 	release bool
 }
 
+// claimOutput is the result of a claimInput.
 type claimOutput struct {
-	known  bool
+	known  bool   // false if the call may or may not have taken effect
 	winner string // operation that holds the key after a claim
 }
 
-// claimModel is one register per key: free, or held by an operation.
+// claimModel is one register per key, which is free ("") or held by an operation.
 var claimModel = (&porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, raceKeys)
@@ -141,8 +141,8 @@
 
 // TestClaimsAreLinearizable guards against two VMs that both run one request. Both
 // claim its key at the same time, are paused before or after their conditional
-// update, and lose its answer. If a claim were not a single register, both could
-// consider it won.
+// update, and lose its answer. If the claims of a key did not behave like operations
+// on a single register, both VMs could consider the key theirs.
 func TestClaimsAreLinearizable(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64, r *race) {
 		h := &history{start: time.Now()}
@@ -157,21 +157,25 @@
 		verdict := porcupine.CheckOperationsTimeout(claimModel, h.ops, time.Minute)
 		g.Expect(verdict).To(Equal(porcupine.Ok))
 		// Each claim was released or abandoned. No entry may remain, or its key
-		// would be reported as in progress forever.
+		// would stay blocked.
 		remaining, err := r.store.segment(segmentName(base.Deployment, base.Key.Created()))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(remaining.Entries).To(BeEmpty())
 	})
 }
 
+// history records the calls of a race for porcupine.
 type history struct {
-	start time.Time
+	start time.Time  // the times in ops are relative to it
 	mu    sync.Mutex // guards ops
 	ops   []porcupine.Operation
 }
 
+// farFuture is the end of a call that may take effect at any later time, in
+// nanoseconds.
 const farFuture = int64(1) << 62
 
+// now returns the nanoseconds since the start.
 func (h *history) now() int64 { return int64(time.Since(h.start)) }
 
 func (h *history) add(client int, in claimInput, out claimOutput, call, end int64) {
@@ -180,6 +184,7 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: call, Return: end})
 }
 
+// runClient claims keys on one VM and releases each claim that it wins.
 func (h *history) runClient(r *Runner, base Request, client int, rng *rand.Rand) {
 	for range raceTurns {
 		key := rng.IntN(raceKeys)
@@ -202,7 +207,7 @@
 			h.add(client, in, claimOutput{}, end, farFuture)
 		case rep.verdict == verdictHeld:
 			if claim.barOnRelease {
-				// Another VM may enter the claim until it is barred in the
+				// Another VM may add the claim until it is barred in the
 				// background.
 				h.add(client, in, claimOutput{}, call, farFuture)
 				h.add(client, claimInput{key: key, op: in.op, release: true}, claimOutput{}, end, farFuture)
@@ -220,15 +225,15 @@
 
 // submission is one call of Run and its outcome.
 type submission struct {
-	key  int
-	name string
+	key  int    // index of the request
+	name string // JSON string that identifies the call, and its result if it runs
 	out  Outcome
 }
 
-// TestRunAtMostOnce: the VMs get requests with the same keys at the same time and
-// repeatedly, while the platform loses writes and answers and a VM is killed. Each
-// request runs at most once. A call that got the answer "not run" did not run it,
-// and all calls that got the outcome got the same one.
+// TestRunAtMostOnce guards against a second run. The VMs get requests with the same
+// keys at the same time and repeatedly, while the platform loses writes and answers
+// and a VM is killed. Each request must run at most once. A call with the answer "not
+// run" must not have run it, and all calls that get the outcome must get the same one.
 func TestRunAtMostOnce(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64, r *race) {
 		g := NewWithT(t)
--- a/once/relay_state.go
+++ b/once/relay_state.go
@@ -15,7 +15,7 @@
 // be removed, op.barOnRelease makes the release leave the operation's id in the
 // segment, so that the committer cannot add the entry again.
 type relayState struct {
-	relayDeadline time.Time // the operation is not relayed after it; the remaining time is for this VM's own update
+	relayDeadline time.Time // time after which the operation is not relayed; the rest of its time is for this VM's own update
 	// mayApplyElsewhere says that another VM may apply the operation, now or at any
 	// later time. It stays set, because an operation that was sent cannot be
 	// withdrawn.
@@ -70,6 +70,6 @@
 }
 
 // mustBar reports whether the claim has to be barred, so that no other VM adds it
-// to the segment later. This is so for a claim that was not won, if another VM may
-// still have it.
+// to the segment later. This is the case if the claim was not won and another VM may
+// still apply it.
 func (s *relayState) mustBar(won bool) bool { return s.mayApplyElsewhere && !won }
--- a/once/relay_state_test.go
+++ b/once/relay_state_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestRelayStateProperties: an operation is relayed only in the first part of its
-// time and never again after a missing answer. It always ends with a final verdict
-// or this VM's own update. That another VM may still apply the operation is never
-// forgotten.
+// TestRelayStateProperties: an operation is relayed only until relayDeadline, and
+// never again after a missing answer. It always ends with a final verdict or this
+// VM's own update. Once another VM may apply the operation, mayApplyElsewhere stays
+// set.
 func TestRelayStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -41,9 +41,9 @@
 	})
 }
 
-// TestCreditIsConserved: VMs with different lists of VMs transfer accrued credit to
-// one another, and some transfers are lost. Together they never write more than
-// they accrued, and no VM holds more than its limit.
+// TestCreditIsConserved: VMs transfer credit to any other VM, and some transfers are
+// lost. Together they never write more than they earned, and no VM holds more than
+// its limit.
 func TestCreditIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
--- a/once/runner.go
+++ b/once/runner.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	retryAfterInProgress = 200 * time.Millisecond // told to a caller while the first request with its key is running
-	retryAfterDown       = time.Second            // told to a caller when the platform is down or too many claims wait
+	retryAfterInProgress = 200 * time.Millisecond // RetryAfter while the first request with the key runs, or if claiming the key took too long
+	retryAfterDown       = time.Second            // RetryAfter if the platform is down or too many claims wait
 	opIDBytes            = 8                      // random bytes in an operation id
 
 	// detailNotStored is the detail of a stored outcome without its result.
@@ -25,7 +25,7 @@
 // for concurrent use.
 type Runner struct {
 	opts       Options
-	holder     string      // VM and incarnation (start of this process), as in entry.Holder
+	holder     string      // VM and incarnation (start of this process), stored as entry.Holder
 	committer  *committer  // applies operations to segments by this VM's own updates
 	dispatcher *dispatcher // relays operations to other VMs or passes them to committer
 	cleaner    *cleaner    // removes expired claims
@@ -50,9 +50,9 @@
 	r.committer.credit.setRate(r.opts.FleetWriteRate/float64(max(vms, 1)), time.Now())
 }
 
-// Close stops the background work after the outcomes of all requests are stored or
-// ctx ends. Call it after the last Run has returned. It returns an error if
-// outcomes could not be stored; later requests with their keys get the answer
+// Close waits until the outcomes of all requests are stored or ctx ends, and stops
+// the background work. Call it after the last Run has returned. It returns an error
+// if outcomes could not be stored; later requests with the same keys get the answer
 // "unknown".
 func (r *Runner) Close(ctx context.Context) error {
 	r.cleaner.stop()
@@ -93,9 +93,9 @@
 	return out
 }
 
-// newClaim returns the operation that claims the request's key. The claim names the
-// time by which the request should be done: the deadline of ctx, or RunTimeout from
-// now.
+// newClaim returns the operation that claims the request's key. The claim contains
+// the time by which the request should be done: the deadline of ctx or, if there is
+// none, RunTimeout from now.
 func (r *Runner) newClaim(ctx context.Context, req Request) op {
 	until := r.opts.Clock().Add(r.opts.RunTimeout)
 	if deadline, ok := ctx.Deadline(); ok {
@@ -134,10 +134,10 @@
 	}
 }
 
-// claim makes the claim, in the segment with the given name or, if that is sealed
-// (was full once), in the key's overflow segment. It returns the name of the
-// segment that was used and the reply. It sets claim.barOnRelease if another VM may
-// still add the claim to that segment.
+// claim applies the claim to the segment with the given name or, if that is sealed
+// (was full once), to the key's overflow segment. It returns the name of the segment
+// that was used and the reply. It sets claim.barOnRelease if another VM may still add
+// the claim to that segment.
 func (r *Runner) claim(ctx context.Context, name string, claim *op) (string, reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.ClaimWait)
 	defer cancel()
@@ -163,8 +163,9 @@
 	return stored
 }
 
-// finish ends a claim in the background: it stores the outcome k (opComplete), or
-// removes the claim (opRelease; k is nil). The channel gets the reply.
+// finish ends a claim in the background: it stores the outcome (kind opComplete), or
+// removes the claim (kind opRelease; outcome is nil). The channel gets the reply, or
+// nothing if the Runner is closed first.
 func (r *Runner) finish(name string, claim op, kind opKind, outcome *storedOutcome) <-chan reply {
 	claim.kind = kind
 	claim.entry.Outcome = outcome
@@ -186,8 +187,8 @@
 }
 
 // answerHeld returns the answer to a request whose key was claimed by an earlier
-// request, whose entry is held: the stored outcome, or that the earlier request is
-// in progress or its outcome is unknown.
+// request: the stored outcome, or that the earlier request is in progress or its
+// outcome is unknown. held is the entry of the earlier request.
 func (r *Runner) answerHeld(req Request, held entry) Outcome {
 	if held.Digest != req.Digest {
 		return Outcome{Code: result.KeyReused}
--- a/once/runner_test.go
+++ b/once/runner_test.go
@@ -24,7 +24,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// startRunner starts a Runner that is closed at the end of the test.
+// startRunner starts a Runner of the VM with the given name. It is closed at the end
+// of the test.
 func startRunner(t *testing.T, store objstore.Store, name string, change ...func(*Options)) *Runner {
 	opts := Options{Store: store, VM: name, Incarnation: "1", CallTimeout: 5 * time.Second, ClaimWait: 10 * time.Second, OutcomeWait: 10 * time.Second, FleetWriteRate: 70000}
 	for _, f := range change {
@@ -39,8 +40,10 @@
 	return r
 }
 
+// serial is the number in the last key that request made.
 var serial atomic.Int64
 
+// request returns a request with a new key.
 func request(digest string) Request {
 	key, err := ParseKey(fmt.Sprintf("%d-key%08d", time.Now().Unix(), serial.Add(1)))
 	if err != nil {
@@ -49,12 +52,13 @@
 	return Request{Deployment: "vatnsleit", Search: "withdrawal-report", Key: key, Digest: digest}
 }
 
-// work counts its runs and returns out.
+// work is a function for Runner.Run that counts its calls and returns out.
 type work struct {
 	ran atomic.Int64
 	out Outcome
 }
 
+// acceptedWork returns work that a target accepts.
 func acceptedWork() *work {
 	return &work{out: Outcome{Code: result.Accepted, Result: []byte(`{"filed":"<1>"}`)}}
 }
@@ -64,6 +68,8 @@
 	return w.out
 }
 
+// A second request with the same key gets the stored outcome at any VM and does not
+// run. With another payload, it is rejected.
 func TestDuplicateRequestGetsStoredOutcome(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
--- a/once/segment.go
+++ b/once/segment.go
@@ -18,7 +18,7 @@
 	maxSizeForResults = objstore.MaxValue * 3 / 4 // size of a segment above which outcomes are stored without their results
 	entryOverhead     = 160                       // field names, quotes and numbers of an entry
 	maxDetailBytes    = 256                       // longest detail of a stored outcome
-	barredOverhead    = 10                        // quotes, value and comma of a barred id
+	barredOverhead    = 10                        // quotes, value and comma of an id in Barred
 	maxJSONExpansion  = 6                         // largest number of bytes that JSON needs for one byte of text
 )
 
@@ -29,11 +29,11 @@
 	// Barred holds the operation ids of claims that must never be added to Entries;
 	// see op.barOnRelease.
 	Barred map[string]bool `json:"barred,omitempty"`
-	// Sealed says that the segment of a second has been full. It accepts no new
-	// keys, whatever is released later, because they are claimed in one of the
-	// overflow segments, further objects for the keys of the same second.
+	// Sealed says that the segment was full once. It accepts no new keys after that,
+	// even if claims are released: the further keys of its second are claimed in
+	// overflow segments, which are separate objects.
 	Sealed   bool `json:"sealed,omitempty"`
-	overflow bool // this is an overflow segment: when it is full, there is no other one
+	overflow bool // this is an overflow segment: if it is full, new claims are refused
 	size     int  // estimated size of the JSON in bytes
 }
 
@@ -86,12 +86,12 @@
 	id    string // search and key
 	entry entry  // entry.Op identifies the claim for all three kinds
 	// barOnRelease makes a release of the claim store the claim's operation id as
-	// barred: the claim can't be added to the segment any more. It is set when the
+	// barred, so that the claim can't be added to the segment later. It is set if the
 	// claim was sent to another VM that has not given a final answer. That VM may be
 	// frozen with the claim in its queue and add the claim after the caller has given
-	// up. The key would then be reported as in progress forever, although its caller
-	// got the answer "not run". Changing the object's version does not stop a VM that
-	// reads before it writes; the barred id does.
+	// up. The key would then stay blocked, although its caller got the answer "not
+	// run". Changing the object's version does not stop a VM that reads the object
+	// before it writes; the barred id does.
 	barOnRelease bool
 }
 
@@ -226,7 +226,7 @@
 	return true
 }
 
-// put adds or replaces the entry of a key and updates the estimated size.
+// put adds or replaces the entry with the given id and updates the estimated size.
 func (s *segment) put(id string, e entry) {
 	if old, ok := s.Entries[id]; ok {
 		s.size -= old.size(id)
@@ -235,8 +235,8 @@
 	s.size += e.size(id)
 }
 
-// encode returns the segment's JSON. It leaves the results of targets as the target
-// wrote them, without escaping '<' and '&'.
+// encode returns the segment's JSON. It leaves '<' and '&' unescaped, so that the
+// results of targets stay as the targets wrote them.
 func (s segment) encode() ([]byte, error) {
 	var value bytes.Buffer
 	encoder := json.NewEncoder(&value)
@@ -257,7 +257,7 @@
 		return segment{}, errors.Annotate(err, "cannot decode a claims object")
 	}
 	if s.Entries == nil || decoder.More() {
-		return segment{}, errors.New("cannot decode a claims object: it has no entries or trailing data")
+		return segment{}, errors.New("cannot decode a claims object: it has no entries, or data after the JSON value")
 	}
 	for id, e := range s.Entries {
 		s.size += e.size(id)
--- a/once/segment_test.go
+++ b/once/segment_test.go
@@ -13,6 +13,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// drawOp draws an operation on one of a few keys.
 func drawOp(t *rapid.T) op {
 	kind := opKind(rapid.IntRange(int(opClaim), int(opRelease)).Draw(t, "kind"))
 	o := op{kind: kind, id: fmt.Sprintf("report/1700000000-key%05d", rapid.IntRange(0, 4).Draw(t, "id"))}
@@ -28,7 +29,7 @@
 // TestSegmentProperties applies random batches to a segment. A key has one holder
 // at a time; a key with an outcome never changes again; a batch without a release
 // changes nothing when it is applied a second time; the encoded form decodes to the
-// same segment and fits into a value.
+// same segment and fits into an object's value.
 func TestSegmentProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -72,6 +73,8 @@
 	})
 }
 
+// Guards against an outcome that cannot be stored because claims have used up the
+// space of its segment.
 func TestFullSegmentReservesSpaceForOutcomes(t *testing.T) {
 	g := NewWithT(t)
 	var s segment
@@ -96,7 +99,8 @@
 	g.Expect(len(value)).To(BeNumerically("<=", objstore.MaxValue))
 }
 
-// drawLargeOp draws an operation on a key of a second that has little space left.
+// drawLargeOp draws a claim or a release. A claim is either small or takes more than
+// half of a segment's space for claims.
 func drawLargeOp(t *rapid.T) op {
 	o := op{kind: rapid.SampledFrom([]opKind{opClaim, opClaim, opRelease}).Draw(t, "kind")}
 	o.id = fmt.Sprintf("report/1700000000-key%05d", rapid.IntRange(0, 3).Draw(t, "id"))
@@ -108,8 +112,8 @@
 // TestSealedSegmentAcceptsNoKeys guards against a request that runs twice. The
 // segment of its second is full, so its key is claimed in its overflow segment.
 // Then a release frees space, and a later request claims the key in the segment. A
-// sealed segment must accept no key again, and a key that moved must never be
-// claimed in it.
+// sealed segment must accept no keys, and a key with the verdict verdictMoved must
+// never be claimed in it.
 func TestSealedSegmentAcceptsNoKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
--- a/once/segment_writer.go
+++ b/once/segment_writer.go
@@ -8,9 +8,9 @@
 	"github.com/juju/errors"
 )
 
-// segmentWriter applies operations to one segment, a stored object that holds the
-// claims of one second, for the committer. At most one goroutine works on it at a
-// time.
+// segmentWriter is the committer's queue of operations on one segment (a stored
+// object that holds the claims of one second), with the last known content of the
+// segment. At most one goroutine works on it at a time.
 type segmentWriter struct {
 	name string // of the segment's object
 
@@ -92,7 +92,7 @@
 			return true
 		}
 		if errors.Is(err, objstore.ErrTooLarge) {
-			c.log.Error("a claims object is too large", "object", w.name)
+			c.log.Error("cannot write the claims object: it is too large", "object", w.name)
 			c.deliverAll(w, batch, rejectAll(replies))
 			return true
 		}
@@ -104,8 +104,9 @@
 }
 
 // dropAbandoned returns the batch without the claims whose caller no longer waits.
-// It releases those of this VM's own callers that may be stored, now or later: the
-// claim was part of a write of this VM, or another VM may still store it.
+// It queues the release of a dropped claim of this VM's own callers if the claim may
+// be stored, now or later: it was part of a write of this VM, or another VM may still
+// store it.
 func (c *committer) dropAbandoned(w *segmentWriter, batch []*pending) []*pending {
 	kept := batch[:0]
 	for _, p := range batch {
@@ -177,8 +178,9 @@
 }
 
 // write replaces the segment by next, which includes the batch, on condition that
-// the object still has the version that the writer knows. After an error the write
-// may still have taken effect, unless the error is objstore.ErrBusy.
+// the object still has the version that the writer knows. After an error other than
+// objstore.ErrBusy, ErrConflict and ErrTooLarge, the write may have taken effect, or
+// may do so later.
 func (c *committer) write(w *segmentWriter, next segment, batch []*pending) error {
 	value, err := next.encode()
 	if err != nil {
@@ -203,17 +205,18 @@
 		c.counters.conflicts.Inc()
 	}
 	if !errors.Is(err, objstore.ErrBusy) {
-		// The write may have taken effect, or may do so later. After a new read,
-		// the operation ids in the segment show which operations were stored.
+		// The known state may be outdated: another write took effect, or this one
+		// did or still may. After a new read, the operation ids in the segment show
+		// which operations were stored.
 		w.known = false
 	}
 	return errors.Trace(err)
 }
 
 // needsFresh reports whether any reply could be different with a newer state of the
-// segment. That is so for a key that is held without an outcome, a full segment, a
-// claim that is barred or no longer exists, and a release. A stored outcome is
-// final.
+// segment. This is the case for a key that is held without an outcome, a full
+// segment, a claim that is barred or no longer exists, and a release. A stored
+// outcome is final.
 func needsFresh(batch []*pending, replies []reply) bool {
 	for i, rep := range replies {
 		switch rep.verdict {
@@ -235,9 +238,8 @@
 // needsFence reports whether the segment has to be written although its content
 // stays the same, to give it a new version. An abandoned claim that is not in the
 // segment may still be stored, because the platform may apply a write long after
-// its sender gave up. The key would then be reported as in progress forever. If a
-// write moves the segment past the version that the old write expects, the old
-// write fails.
+// its sender gave up. The key would then stay blocked. A further write changes the
+// version, so that the old write, which expects the old version, fails.
 func needsFence(w *segmentWriter, batch []*pending) bool {
 	for _, p := range batch {
 		if p.op.kind == opRelease && p.attempted && p.expectedVersion == w.version {
@@ -256,8 +258,8 @@
 	return ops
 }
 
-// rejectAll sets all replies to verdictFull, because the segment's value is too
-// large to be written. It returns the changed replies.
+// rejectAll sets all verdicts to verdictFull and returns the replies. It is used if
+// the segment's value is too large to be written.
 func rejectAll(replies []reply) []reply {
 	for i := range replies {
 		replies[i].verdict = verdictFull
--- a/once/store_test.go
+++ b/once/store_test.go
@@ -13,14 +13,14 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// faultStore is a platform in memory whose faults follow a seed. Versions start
-// again at 1 after a removal, which is the worst behavior that the interface
-// allows.
+// faultStore is a platform in memory that fails writes at random by a fixed seed, and
+// as the test sets its fields. Versions start again at 1 after a removal, which is the
+// worst behavior that the interface allows.
 type faultStore struct {
-	mu      sync.Mutex // guards all fields
+	mu      sync.Mutex // guards the fields up to lists
 	objects map[string]objstore.Object
 	rng     *rand.Rand
-	puts    int
+	puts    int // writes that reached the store
 	gets    int
 	lists   int
 
@@ -35,7 +35,7 @@
 	beforePut        func(name string) error            // called without mu
 	afterPut         func(name string, err error) error // called without mu
 	delayPut         func(apply func() error) bool      // returns true to fail a write, which it may apply later
-	lateWG           sync.WaitGroup
+	lateWG           sync.WaitGroup                     // counts writes of lateWrite that are not yet applied
 	vms              []objstore.VM
 }
 
@@ -45,6 +45,8 @@
 	return &faultStore{objects: map[string]objstore.Object{}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
+// simulateCall waits for the latency. It returns an error if failAll is set or ctx has
+// ended.
 func (s *faultStore) simulateCall(ctx context.Context) error {
 	if s.failAll.Load() {
 		return errLost
@@ -113,6 +115,7 @@
 	return version, err
 }
 
+// put applies a write if the object has the expected version.
 func (s *faultStore) put(kind, name string, expect uint64, value []byte) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +172,7 @@
 	return s.vms, s.simulateCall(ctx)
 }
 
-// Conditions that tests wait for.
+// numWaiting returns the number of operations whose reply is outstanding.
 func (c *committer) numWaiting() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,6 +191,7 @@
 	return c.closed
 }
 
+// names returns the sorted names of all objects with the prefix.
 func (s *faultStore) names(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,6 +205,7 @@
 	return names
 }
 
+// segment decodes the stored segment with the given name.
 func (s *faultStore) segment(name string) (segment, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
