--- a/once/relay/link.go
+++ b/once/relay/link.go
@@ -12,7 +12,7 @@
 // link is the connection to one VM, with its queue. Its goroutine dials, sends
 // batches, and ends when nothing was sent for IdleTimeout or the connection breaks.
 type link struct {
-	parent    *Links        // the table that holds this link
+	parent    *Links        // holds this link in its table
 	vm        objstore.VM   // the VM at the other end
 	wake      chan struct{} // signals that operations were queued
 	callSlots chan struct{} // one token per batch in flight; holds at most maxConcurrentBatches
@@ -24,9 +24,9 @@
 // cancelled are guarded by Links.mu.
 type pending struct {
 	req       OpRequest
-	done      chan answer // receives one answer, which it buffers
+	done      chan answer // buffered; receives at most one answer
 	sent      bool        // the operation was put into a batch
-	cancelled bool        // the caller gave up before the operation was sent
+	cancelled bool        // the caller gave up before the operation was put into a batch
 }
 
 // answer is the result of relaying one operation.
@@ -59,7 +59,7 @@
 		case <-k.wake:
 		}
 		if isClosed(conn) {
-			return nil // queued operations were never sent
+			return nil // remove answers the queued operations, which were never sent
 		}
 		time.Sleep(batchDelay)
 		for _, batch := range splitBatches(k.takeQueue()) {
@@ -115,8 +115,8 @@
 }
 
 // takeQueue empties the queue and returns the operations whose callers still wait.
-// It marks them as sent before they are: a caller that gives up in between must not
-// assume that the other VM will never apply its operation.
+// It marks them as sent already: a caller that gives up from now on must not assume
+// that the other VM will never apply its operation.
 func (k *link) takeQueue() []*pending {
 	k.parent.mu.Lock()
 	defer k.parent.mu.Unlock()
@@ -135,7 +135,7 @@
 // on one segment, and at most MaxOps.
 func splitBatches(queue []*pending) [][]*pending {
 	var list [][]*pending
-	open := map[string]int{} // index of the batch that is not full, by segment
+	open := map[string]int{} // index of the last batch, by segment
 	for _, p := range queue {
 		index, ok := open[p.req.Segment]
 		if !ok || len(list[index]) == MaxOps {
@@ -148,9 +148,9 @@
 	return list
 }
 
-// sendBatch starts a goroutine that sends a batch. Before that it waits until fewer
-// than maxConcurrentBatches are in flight to the VM. If the connection ends first,
-// it answers the operations with NotAccepted.
+// sendBatch waits until fewer than maxConcurrentBatches batches are in flight to the
+// VM, and starts a goroutine that sends the batch. If the connection ends first, it
+// answers the operations with NotAccepted.
 func (k *link) sendBatch(conn *wire.Conn, batch []*pending) {
 	select {
 	case k.callSlots <- struct{}{}:
@@ -185,7 +185,7 @@
 		deliver(batch, got.Replies, Answered)
 		return
 	}
-	k.parent.avoid(k.vm, err) // before the batch is answered, so that its callers do not choose this VM again
+	k.parent.avoid(k.vm, err) // before deliver, so that the callers do not choose this VM again
 	if isRefusal(err) {
 		deliver(batch, nil, NotAccepted)
 		return
--- a/once/relay/links.go
+++ b/once/relay/links.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	defaultHold            = 250 * time.Millisecond // time within which the other VM answers a batch, even without verdicts
+	defaultHold            = 250 * time.Millisecond // time after which the other VM answers a batch, even without verdicts
 	defaultResponseTimeout = 500 * time.Millisecond // time without an answer after which a VM counts as lost
-	defaultAvoidFor        = 2 * time.Second        // time for which a lost VM is not chosen
+	defaultAvoidFor        = 2 * time.Second        // time for which a lost VM, or one that refused a batch, is not chosen
 	defaultIdleTimeout     = 10 * time.Second       // time after which an unused connection is closed
 
-	// liveListTTL is how long a list of live VMs is reused before Fleet is asked for
-	// a new one.
+	// liveListTTL is how long a list of live VMs is reused before it is read from
+	// Fleet again.
 	liveListTTL = 100 * time.Millisecond
-	// batchDelay is how long the first queued operation waits for others to the
-	// same VM. It is short compared with an update of a segment.
+	// batchDelay is how long the first queued operation waits for further ones for
+	// the same VM. It is short compared with an update of a segment.
 	batchDelay = 500 * time.Microsecond
 	// maxConcurrentBatches limits the batches in flight to one VM. Package wire
 	// serves twice as many for one connection.
@@ -44,12 +44,14 @@
 	Log   *slog.Logger
 
 	// Hold is the time after which the other VM answers a batch of operations even
-	// if some have no verdict yet; default 250 ms.
+	// if some have no verdict yet; default 250 ms. It must be shorter than
+	// ResponseTimeout.
 	Hold time.Duration
 	// ResponseTimeout is the time without an answer after which the other VM counts
 	// as lost; default 500 ms.
 	ResponseTimeout time.Duration
-	// AvoidFor is how long a lost VM is not chosen to commit segments; default 2 s.
+	// AvoidFor is how long a VM that is lost or refused a batch is not chosen to
+	// commit segments; default 2 s.
 	AvoidFor time.Duration
 	// IdleTimeout is the time after which an unused connection is closed; default
 	// 10 s.
@@ -80,8 +82,8 @@
 	Credit func() float64
 }
 
-// Links holds this VM's connections to the VMs that commit for it, which means that
-// they update segments for all VMs. It is safe for concurrent use.
+// Links holds this VM's connections to the VMs that commit segments, which means
+// that they update them for all VMs. It is safe for concurrent use.
 type Links struct {
 	opts Options
 	tomb *tomb.Tomb      // stops the goroutines of the links
@@ -89,7 +91,7 @@
 
 	mu       sync.Mutex           // guards the fields below, and the fields of link and pending that say so
 	links    map[string]*link     // by address of the VM
-	avoided  map[string]time.Time // time until which a lost VM is not chosen, by name of the VM
+	avoided  map[string]time.Time // time until which a VM is not chosen, by name of the VM
 	live     []objstore.VM        // the last list of live VMs
 	listedAt time.Time            // when live was read
 }
@@ -113,7 +115,7 @@
 	return l
 }
 
-// Stop closes all connections. The results of operations in flight are lost.
+// Stop closes all connections. Operations in flight get the Delivery Unknown.
 func (l *Links) Stop() {
 	l.tomb.Kill(nil)
 	_ = l.tomb.Wait()
@@ -133,9 +135,9 @@
 	return vm, ok && vm.Name != l.opts.Self
 }
 
-// Commit sends one operation to a VM, in a batch with others. It returns when the
-// VM has answered or counts as lost, or when ctx ends. The Reply is set only if the
-// Delivery is Answered.
+// Commit sends one operation to a VM, possibly in a batch with others. It returns
+// when the VM has answered or counts as lost, or when ctx ends. The Reply is set only
+// if the Delivery is Answered.
 func (l *Links) Commit(ctx context.Context, vm objstore.VM, req OpRequest) (Reply, Delivery) {
 	p := &pending{req: req, done: make(chan answer, 1)}
 	if !l.enqueue(vm, p) {
@@ -173,8 +175,9 @@
 	return true
 }
 
-// cancel withdraws an operation and returns NotAccepted. If the operation is part
-// of a batch already, this is not possible, and cancel returns Unknown.
+// cancel marks a queued operation, so that it is not sent, and returns NotAccepted.
+// If the operation is part of a batch already, cancel has no effect and returns
+// Unknown.
 func (l *Links) cancel(p *pending) Delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -185,8 +188,8 @@
 	return NotAccepted
 }
 
-// avoid excludes a VM for AvoidFor from being chosen to commit segments. cause is
-// logged.
+// avoid excludes a VM for AvoidFor from being chosen to commit segments, and logs
+// the cause.
 func (l *Links) avoid(vm objstore.VM, cause error) {
 	l.opts.Log.Debug("VM is not chosen as committer for a while", "vm", vm.Name, "error", cause)
 	l.mu.Lock()
--- a/once/relay/messages.go
+++ b/once/relay/messages.go
@@ -4,9 +4,9 @@
 //
 // The VM is chosen by rendezvous hashing over the live VMs. So all VMs with the
 // same list choose the same VM, and only the segments of a lost VM move to others.
-// Two VMs that both act as committer of a segment do no harm: the conditional
-// update of the segment decides. This package never retries by itself; package once
-// decides what follows when there is no answer.
+// If two VMs both act as committer of a segment, no harm is done: their updates are
+// conditional, so only one of two concurrent ones succeeds. This package never
+// retries; package once decides what to do when there is no answer.
 package relay
 
 import "github.com/bramleybarrow/bramleybarrow/result"
@@ -21,8 +21,8 @@
 // and returns Replies.
 const MethodCommit = Prefix + "commit"
 
-// MaxOps limits the operations in a batch, so that its answer, which may contain a
-// stored result for each operation, fits into one message.
+// MaxOps limits the number of operations in a batch, so that the answer, which may
+// contain a stored result for each operation, fits into one message.
 const MaxOps = 64
 
 // Batch is a list of operations on one segment, the stored object that holds the
@@ -57,14 +57,14 @@
 // one second.
 type Entry struct {
 	Digest  string   `json:"digest"`            // digest of the request's payload
-	Op      string   `json:"op"`                // id of the operation that made the claim
-	Holder  string   `json:"holder"`            // VM that made the claim, with its incarnation (start of the process)
+	Op      string   `json:"op"`                // id of the claim's operation
+	Holder  string   `json:"holder"`            // VM that claims the key, with its incarnation (start of the process)
 	UntilMS int64    `json:"until_ms"`          // Unix milliseconds; the time by which the holder should be done
 	Outcome *Outcome `json:"outcome,omitempty"` // nil until the outcome is stored
 }
 
-// Outcome is the stored outcome of the request with a key. Result contains the
-// bytes that the target sent: embedded as JSON they would be re-encoded in transit.
+// Outcome is the stored outcome of the request with a key. Result is sent as bytes
+// and not as embedded JSON, which would be re-encoded in transit.
 type Outcome struct {
 	Code   result.Code `json:"code"`
 	Result []byte      `json:"result,omitempty"`
--- a/once/relay/relay_test.go
+++ b/once/relay/relay_test.go
@@ -22,6 +22,8 @@
 
 const testTimeout = 20 * time.Second
 
+// TestMain fixes the seed of the property tests and checks that no goroutine is left
+// at the end.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -32,9 +34,9 @@
 
 func avoidNone(string) bool { return false }
 
-// TestChooseProperties: VMs with the same list choose the same VM in any order of
-// the list, an avoided VM is never chosen, and when a VM leaves only its own
-// segments move to others.
+// TestChooseProperties: VMs with the same list choose the same VM, in any order of
+// the list. An avoided VM is treated like one that is not in the list. If a VM leaves
+// the list, only the segments that it committed move to other VMs.
 func TestChooseProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -64,6 +66,7 @@
 	})
 }
 
+// Guards against one VM that commits many more segments than the others.
 func TestSegmentsAreEvenlyDistributed(t *testing.T) {
 	g := NewWithT(t)
 	var vms []objstore.VM
@@ -80,11 +83,12 @@
 	}
 }
 
-// committerFunc implements Committer.
+// committerFunc is a Committer that calls the function.
 type committerFunc func(ctx context.Context, b Batch) ([]Reply, error)
 
 func (f committerFunc) Commit(ctx context.Context, b Batch) ([]Reply, error) { return f(ctx, b) }
 
+// fakeFleet is a fixed list of VMs that are all alive.
 type fakeFleet struct {
 	vms     []objstore.VM
 	options wire.Options
@@ -128,14 +132,15 @@
 	return links, proxy, b
 }
 
+// opRequest returns a request to claim the key with the given id.
 func opRequest(id string) OpRequest {
 	return OpRequest{Segment: "d.1700000000", Op: Op{Kind: Claim, ID: id, Entry: Entry{Op: id}}, Credit: func() float64 { return 0 }}
 }
 
-// Guards against the loss of an operation because of the one before it. A VM does
-// not answer one operation, and the next one, which a caller sends at the same
-// moment, is sent on the connection that is being closed. It must wait for a new
-// connection, or be reported as not accepted.
+// Guards against an operation that is lost because the previous one was not answered
+// in time. The connection is then closed. The next operation, which a caller sends at
+// this moment, must not be sent on this connection: it must wait for a new one, or be
+// reported as not accepted.
 func TestOperationAfterTimeoutIsNotLost(t *testing.T) {
 	g := NewWithT(t)
 	testEnd := make(chan struct{})
@@ -159,10 +164,10 @@
 	}
 }
 
-// Guards against a key that stays blocked. If an operation is wrongly reported as
-// not accepted, the VM that sent the claim answers "not run" without removing the
-// claim, and the committer enters it a moment later. NotAccepted may be reported
-// only if the committer said so or the message was never sent.
+// Guards against a key that stays blocked. If a claim is wrongly reported as not
+// accepted, the VM that sent it answers "not run" without removing the claim, and the
+// committer adds it a moment later. NotAccepted may be reported only if the committer
+// answered so or the message was never sent.
 func TestNotAcceptedOnlyWhenCertain(t *testing.T) {
 	g := NewWithT(t)
 	accepted := make(chan struct{}, 1)
@@ -223,8 +228,8 @@
 	}, testTimeout).Should(Equal(NotAccepted))
 }
 
-// Operations that are queued for one VM at the same time are sent in few messages,
-// separated by segment.
+// Operations that are queued for one VM at the same time are sent in as few batches
+// as possible, each on one segment and of at most MaxOps.
 func TestOperationsAreBatchedPerSegment(t *testing.T) {
 	g := NewWithT(t)
 	var queue []*pending
--- a/once/relay/serve.go
+++ b/once/relay/serve.go
@@ -8,8 +8,8 @@
 )
 
 // Committer applies operations that other VMs send. Commit returns one reply per
-// operation, in order. An error means that no operation of the batch was applied or
-// will be.
+// operation, in the order of the batch. An error means that no operation of the batch
+// was or will be applied.
 type Committer interface {
 	Commit(ctx context.Context, b Batch) ([]Reply, error)
 }
@@ -26,7 +26,7 @@
 		return nil, result.Wrap(result.BadMessage, err, "")
 	}
 	if len(b.Ops) == 0 || len(b.Ops) > MaxOps || b.Segment == "" {
-		return nil, result.Errorf(result.BadMessage, "%d operations on segment %q, at most %d", len(b.Ops), b.Segment, MaxOps)
+		return nil, result.Errorf(result.BadMessage, "%d operations on segment %q; needed are 1 to %d operations and the name of the segment", len(b.Ops), b.Segment, MaxOps)
 	}
 	replies, err := c.Commit(ctx, b)
 	if err != nil {
