--- a/once/committer.go
+++ b/once/committer.go
@@ -47,7 +47,8 @@
 	ctx      context.Context // canceled when the tomb is killed
 
 	// mu guards the fields below and the queue, running and lastUsed fields of all
-	// segment writers. No other lock is taken and no call is made while it is held.
+	// segment writers. While it is held, no other lock than the tomb's is taken and
+	// neither the platform nor another VM is called.
 	mu          sync.Mutex
 	writers     map[string]*segmentWriter // by segment name
 	waiting     int                       // operations whose reply is outstanding: queued, being written or being relayed
--- a/once/runner.go
+++ b/once/runner.go
@@ -149,8 +149,8 @@
 	return name, rep, err
 }
 
-// storedOutcomeOf returns the outcome as it is stored. A detail that is too long is
-// cut, and a result above MaxResultBytes is left out.
+// storedOutcomeOf returns the outcome as it is stored. A detail longer than
+// maxDetailBytes is cut, and a result larger than MaxResultBytes is left out.
 func (r *Runner) storedOutcomeOf(out Outcome) *storedOutcome {
 	stored := &storedOutcome{Code: out.Code, Result: out.Result, Detail: out.Detail}
 	if len(stored.Detail) > maxDetailBytes {
