--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -17,9 +17,9 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// BenchmarkRun measures store calls per request, on a platform that answers in 3 ms
-// and accepts 300 writes and 2000 reads per second. The VMs share 280 writes per
-// second.
+// BenchmarkRun measures throughput, latency and store calls per request, on a
+// platform that answers in 3 ms and accepts 300 writes and 2000 reads per second. The
+// VMs share 280 writes per second.
 func BenchmarkRun(b *testing.B) {
 	for _, vms := range []int{1, 7, 50} {
 		for _, callers := range []int{1, 16, 64, 256} {
@@ -40,13 +40,13 @@
 		runners[i].SetFleetSize(vms)
 	}
 	connectOverLoopback(b, runners)
-	var left, done atomic.Int64
-	left.Store(int64(b.N))
+	var remaining, done atomic.Int64
+	remaining.Store(int64(b.N))
 	var wg sync.WaitGroup
 	b.ResetTimer()
 	for i := range callers {
 		wg.Go(func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				out := runners[i%vms].Run(context.Background(), request("d"), func(context.Context) Outcome {
 					return Outcome{Code: result.Accepted, Result: []byte(`{"filed":true}`)}
 				})
@@ -86,7 +86,7 @@
 func (f *fakeFleet) Live() []objstore.VM       { return f.vms }
 func (f *fakeFleet) WireOptions() wire.Options { return f.options }
 
-// connectOverLoopback connects the VMs over loopback.
+// connectOverLoopback lets the VMs commit for one another, over loopback connections.
 func connectOverLoopback(b *testing.B, runners []*Runner) {
 	var vms []objstore.VM
 	fleets := make([]*fakeFleet, len(runners))
--- a/once/relay/relay_test.go
+++ b/once/relay/relay_test.go
@@ -22,6 +22,8 @@
 
 const testTimeout = 20 * time.Second
 
+// TestMain fixes the seed of the property tests and checks that no goroutine is left
+// at the end.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -32,9 +34,9 @@
 
 func avoidNone(string) bool { return false }
 
-// TestChooseProperties: VMs with the same list choose the same VM in any order of
-// the list, an avoided VM is never chosen, and when a VM leaves only its own
-// segments move to others.
+// TestChooseProperties: VMs with the same list choose the same VM, in any order of
+// the list. An avoided VM is treated like one that is not in the list. If a VM leaves
+// the list, only the segments that it committed move to other VMs.
 func TestChooseProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -53,17 +55,18 @@
 			g.Expect(ok).To(BeTrue())
 			same, _ := Choose(segment, reversed, avoidNone)
 			g.Expect(same).To(Equal(chosen))
-			other, found := Choose(segment, vms, func(vm string) bool { return vm == names[0] })
-			left, foundToo := Choose(segment, without, avoidNone)
-			g.Expect(other).To(Equal(left))
-			g.Expect(found).To(Equal(foundToo))
+			whenAvoided, found := Choose(segment, vms, func(vm string) bool { return vm == names[0] })
+			whenAbsent, foundAbsent := Choose(segment, without, avoidNone)
+			g.Expect(whenAvoided).To(Equal(whenAbsent))
+			g.Expect(found).To(Equal(foundAbsent))
 			if chosen.Name != names[0] {
-				g.Expect(left).To(Equal(chosen))
+				g.Expect(whenAbsent).To(Equal(chosen))
 			}
 		}
 	})
 }
 
+// Guards against one VM that commits many more segments than the others.
 func TestSegmentsAreEvenlyDistributed(t *testing.T) {
 	g := NewWithT(t)
 	var vms []objstore.VM
@@ -80,11 +83,12 @@
 	}
 }
 
-// committerFunc implements Committer.
+// committerFunc is a Committer that calls the function.
 type committerFunc func(ctx context.Context, b Batch) ([]Reply, error)
 
 func (f committerFunc) Commit(ctx context.Context, b Batch) ([]Reply, error) { return f(ctx, b) }
 
+// fakeFleet is a fixed list of VMs that are all alive.
 type fakeFleet struct {
 	vms     []objstore.VM
 	options wire.Options
@@ -101,7 +105,7 @@
 
 // newTestLinksWithTimeout is newTestLinks with the given ResponseTimeout; 0 selects
 // the default.
-func newTestLinksWithTimeout(t *testing.T, c Committer, silent time.Duration) (*Links, *faultproxy.Proxy, objstore.VM) {
+func newTestLinksWithTimeout(t *testing.T, c Committer, responseTimeout time.Duration) (*Links, *faultproxy.Proxy, objstore.VM) {
 	g := NewWithT(t)
 	options := func(vm string) wire.Options {
 		return wire.Options{
@@ -121,34 +125,35 @@
 	t.Cleanup(func() { _ = proxy.Close() })
 	b := objstore.VM{Name: "b", Address: proxy.Address()}
 	links := NewLinks(Options{
-		Self: "a", ResponseTimeout: silent,
+		Self: "a", ResponseTimeout: responseTimeout,
 		Fleet: &fakeFleet{vms: []objstore.VM{{Name: "a"}, b}, options: options("a")},
 	})
 	t.Cleanup(links.Stop)
 	return links, proxy, b
 }
 
+// opRequest returns a request to claim the key with the given id.
 func opRequest(id string) OpRequest {
 	return OpRequest{Segment: "d.1700000000", Op: Op{Kind: Claim, ID: id, Entry: Entry{Op: id}}, Credit: func() float64 { return 0 }}
 }
 
-// Guards against the loss of an operation because of the one before it. A VM does
-// not answer one operation, and the next one, which a caller sends at the same
-// moment, is sent on the connection that is being closed. It must wait for a new
-// connection, or be reported as not accepted.
+// Guards against an operation that is lost because the previous one was not answered
+// in time. The connection is then closed. The next operation, which a caller sends at
+// this moment, must not be sent on this connection: it must wait for a new one, or be
+// reported as not accepted.
 func TestOperationAfterTimeoutIsNotLost(t *testing.T) {
 	g := NewWithT(t)
-	silence := make(chan struct{})
+	testEnd := make(chan struct{})
 	links, _, b := newTestLinksWithTimeout(t, committerFunc(func(ctx context.Context, batch Batch) ([]Reply, error) {
 		if batch.Ops[0].ID == "held" {
 			select {
-			case <-silence:
+			case <-testEnd:
 			case <-ctx.Done():
 			}
 		}
 		return make([]Reply, len(batch.Ops)), nil
 	}), 250*time.Millisecond)
-	defer close(silence)
+	defer close(testEnd)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for range 20 {
@@ -159,10 +164,10 @@
 	}
 }
 
-// Guards against a key that stays blocked. If an operation is wrongly reported as
-// not accepted, the VM that sent the claim answers "not run" without removing the
-// claim, and the committer enters it a moment later. NotAccepted may be reported
-// only if the committer said so or the message was never sent.
+// Guards against a key that stays blocked. If a claim is wrongly reported as not
+// accepted, the VM that sent it answers "not run" without removing the claim, and the
+// committer adds it a moment later. NotAccepted may be reported only if the committer
+// answered so or the message was never sent.
 func TestNotAcceptedOnlyWhenCertain(t *testing.T) {
 	g := NewWithT(t)
 	accepted := make(chan struct{}, 1)
@@ -223,15 +228,15 @@
 	}, testTimeout).Should(Equal(NotAccepted))
 }
 
-// Operations that are queued for one VM at the same time are sent in few messages,
-// separated by segment.
-func TestBatches(t *testing.T) {
+// Operations that are queued for one VM at the same time are sent in as few batches
+// as possible, each on one segment and of at most MaxOps.
+func TestOperationsAreBatchedPerSegment(t *testing.T) {
 	g := NewWithT(t)
 	var queue []*pending
 	for i := range 3 * MaxOps {
-		a := opRequest(fmt.Sprint(i))
-		a.Segment = fmt.Sprint(i % 2)
-		queue = append(queue, &pending{req: a})
+		req := opRequest(fmt.Sprint(i))
+		req.Segment = fmt.Sprint(i % 2)
+		queue = append(queue, &pending{req: req})
 	}
 	seen := map[string]bool{}
 	list := splitBatches(queue)
--- a/once/relay_state.go
+++ b/once/relay_state.go
@@ -15,7 +15,7 @@
 // be removed, op.barOnRelease makes the release leave the operation's id in the
 // segment, so that the committer cannot add the entry again.
 type relayState struct {
-	relayDeadline time.Time // the operation is not relayed after it; the remaining time is for this VM's own update
+	relayDeadline time.Time // time after which the operation is not relayed; the rest of its time is for this VM's own update
 	// mayApplyElsewhere says that another VM may apply the operation, now or at any
 	// later time. It stays set, because an operation that was sent cannot be
 	// withdrawn.
@@ -45,8 +45,8 @@
 
 // start returns the first step for an operation. remote says that another VM
 // commits the operation's segment.
-func (c *relayState) start(remote bool, now time.Time) step {
-	if remote && now.Before(c.relayDeadline) {
+func (s *relayState) start(remote bool, now time.Time) step {
+	if remote && now.Before(s.relayDeadline) {
 		return stepRelay
 	}
 	return stepDirect
@@ -56,20 +56,20 @@
 // platform gets the operation again: if each VM called a slow platform itself, the
 // platform would become slower for all. A committer that does not answer is not
 // called again.
-func (c *relayState) next(ev event, now time.Time) step {
+func (s *relayState) next(ev event, now time.Time) step {
 	switch ev {
 	case eventDecided:
 		return stepEnd
 	case eventUndecided:
-		c.mayApplyElsewhere = true
-		return c.start(true, now)
+		s.mayApplyElsewhere = true
+		return s.start(true, now)
 	case eventUnknown:
-		c.mayApplyElsewhere = true
+		s.mayApplyElsewhere = true
 	}
 	return stepDirect
 }
 
 // mustBar reports whether the claim has to be barred, so that no other VM adds it
-// to the segment later. This is so for a claim that was not won, if another VM may
-// still have it.
-func (c *relayState) mustBar(won bool) bool { return c.mayApplyElsewhere && !won }
+// to the segment later. This is the case if the claim was not won and another VM may
+// still apply it.
+func (s *relayState) mustBar(won bool) bool { return s.mayApplyElsewhere && !won }
--- a/once/relay_state_test.go
+++ b/once/relay_state_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestRelayStateProperties: an operation is relayed only in the first part of its
-// time and never again after a missing answer. It always ends with a final verdict
-// or this VM's own update. That another VM may still apply the operation is never
-// forgotten.
+// TestRelayStateProperties: an operation is relayed only until relayDeadline, and
+// never again after a missing answer. It always ends with a final verdict or this
+// VM's own update. Once another VM may apply the operation, mayApplyElsewhere stays
+// set.
 func TestRelayStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -41,19 +41,19 @@
 	})
 }
 
-// TestCreditIsConserved: VMs with different lists of VMs transfer accrued credit to
-// one another, and some transfers are lost. Together they never write more than
-// they accrued, and no VM holds more than its limit.
+// TestCreditIsConserved: VMs transfer credit to any other VM, and some transfers are
+// lost. Together they never write more than they earned, and no VM holds more than
+// its limit.
 func TestCreditIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		const fleet = 280.0
+		const fleetRate = 280.0
 		vms := rapid.SampledFrom([]int{1, 7, 950}).Draw(t, "vms")
 		begin := time.Unix(1700000000, 0)
 		now := begin
 		credits := make([]*credit, min(vms, 7))
 		for i := range credits {
-			credits[i] = newCredit(fleet, fleet/float64(vms), now)
+			credits[i] = newCredit(fleetRate, fleetRate/float64(vms), now)
 		}
 		written := 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -71,16 +71,16 @@
 					written++
 				}
 			case 1:
-				given := c.withdraw(now)
-				g.Expect(given).To(And(BeNumerically(">=", 0), BeNumerically("<=", 1)))
-				credits[rapid.IntRange(0, len(credits)-1).Draw(t, "to")].deposit(given, now)
+				amount := c.withdraw(now)
+				g.Expect(amount).To(And(BeNumerically(">=", 0), BeNumerically("<=", 1)))
+				credits[rapid.IntRange(0, len(credits)-1).Draw(t, "to")].deposit(amount, now)
 			case 2:
 				c.withdraw(now) // the transfer is lost
 			}
-			each := fleet / float64(vms)
-			earned := float64(len(credits)) * (min(minBurstWrites, each) + each*now.Sub(begin).Seconds())
+			rate := fleetRate / float64(vms)
+			earned := float64(len(credits)) * (min(minBurstWrites, rate) + rate*now.Sub(begin).Seconds())
 			g.Expect(written).To(BeNumerically("<=", earned+1e-6))
-			g.Expect(c.balance).To(BeNumerically("<=", max(minBurstWrites, each, fleet/depositCapDivisor)))
+			g.Expect(c.balance).To(BeNumerically("<=", max(minBurstWrites, rate, fleetRate/depositCapDivisor)))
 		}
 	})
 }
