--- a/peer/health/check_calls.go
+++ b/peer/health/check_calls.go
@@ -28,16 +28,16 @@
 }
 
 // Search makes the search and checks its error against the known health of the target.
-func (d checkedLeaves) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (target.LeafAnswer, error) {
-	answer, err := d.Leaves.Search(ctx, name, leaf, req)
-	d.relay.checkCall(name, err)
+func (c checkedLeaves) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (target.LeafAnswer, error) {
+	answer, err := c.Leaves.Search(ctx, name, leaf, req)
+	c.relay.checkCall(name, err)
 	return answer, err
 }
 
 // Submit sends the request and checks its error against the known health of the target.
-func (d checkedLeaves) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error) {
-	answer, err := d.Leaves.Submit(ctx, name, leaf, req)
-	d.relay.checkCall(name, err)
+func (c checkedLeaves) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error) {
+	answer, err := c.Leaves.Submit(ctx, name, leaf, req)
+	c.relay.checkCall(name, err)
 	return answer, err
 }
 
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -116,7 +116,7 @@
 // other VMs.
 func (r *Relay) Start(x Exchange, m Monitor) {
 	r.exchange, r.monitor = x, m
-	r.tomb.Go(r.follow)
+	r.tomb.Go(r.run)
 }
 
 // Stop stops the processing of statements and waits for its end.
@@ -185,23 +185,23 @@
 	}
 }
 
-// sweepInterval is the time between checks of the targets that some owner can't read:
+// recheckInterval is the time between checks of the targets that some owner can't read:
 // whether the owners that could still read them have been lost.
-const sweepInterval = time.Second
+const recheckInterval = time.Second
 
-// follow applies statements as they arrive, and checks partlyUnreadable targets at
+// run applies statements as they arrive, and checks partlyUnreadable targets at
 // sweepInterval, until the Relay stops.
-func (r *Relay) follow() error {
-	sweep := time.NewTicker(sweepInterval)
-	defer sweep.Stop()
+func (r *Relay) run() error {
+	recheck := time.NewTicker(recheckInterval)
+	defer recheck.Stop()
 	for {
 		select {
 		case <-r.exchange.HealthChanged():
 			for _, h := range r.exchange.TakeHealthChanges() {
 				r.apply(h)
 			}
-		case <-sweep.C:
-			r.sweep()
+		case <-recheck.C:
+			r.recheckLost()
 		case <-r.tomb.Dying():
 			return nil
 		}
@@ -265,10 +265,10 @@
 	}
 }
 
-// sweep passes the statements about some targets to the Sink again: those that became
+// recheckLost passes the statements about some targets to the Sink again: those that became
 // lost because an owner was lost, and those that aren't lost any more because an owner
 // was added.
-func (r *Relay) sweep() {
+func (r *Relay) recheckLost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, wasLost := range r.partlyUnreadable {
--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -72,8 +72,8 @@
 func (f *fakes) TargetState(string, string, target.State, time.Time) {}
 func (f *fakes) TargetLost(string)                                   { f.lost++ }
 
-func statement(epoch uint64, unread ...int) facts.Health {
-	return facts.Health{Target: testTarget, Stamp: facts.Stamp{Epoch: epoch, Incarnation: "i"}, UnreadableBy: unread}
+func statement(epoch uint64, unreadableBy ...int) facts.Health {
+	return facts.Health{Target: testTarget, Stamp: facts.Stamp{Epoch: epoch, Incarnation: "i"}, UnreadableBy: unreadableBy}
 }
 
 // newRelay returns the relay of a VM that owns no target. The test's target has two
@@ -170,14 +170,14 @@
 	r, f := newRelay()
 	f.known = statement(1, 3)
 	r.apply(f.known)
-	r.sweep()
+	r.recheckLost()
 	g.Expect(f.lost).To(BeZero())
 	f.ownership.LiveOwners = []int{3}
-	r.sweep()
-	r.sweep()
+	r.recheckLost()
+	r.recheckLost()
 	g.Expect(f.lost).To(Equal(1))
 	f.ownership.LiveOwners = []int{3, 4}
-	r.sweep()
+	r.recheckLost()
 	g.Expect(f.statuses).To(HaveLen(2))
 }
 
--- a/peer/health/reporter.go
+++ b/peer/health/reporter.go
@@ -134,9 +134,9 @@
 		content.State, content.Drained = facts.Draining, true // a drain is final
 	}
 	known := r.base.Target != "" // there is a statement about the target
-	unread := slices.Contains(r.base.UnreadableBy, order.place)
+	statedUnreadable := slices.Contains(r.base.UnreadableBy, order.place)
 	// The known statement is correct, also about this owner.
-	if known && !unread && r.base.SameContent(content) {
+	if known && !statedUnreadable && r.base.SameContent(content) {
 		ts.differsSince = time.Time{}
 		return facts.Health{}, false
 	}
@@ -144,7 +144,7 @@
 		ts.differsSince = now
 	}
 	// Only this owner can revoke its statement that it can't read the target.
-	if !unread && !due(ts.differsSince, rank(r.base, order), t, now) {
+	if !statedUnreadable && !due(ts.differsSince, rank(r.base, order), t, now) {
 		return facts.Health{}, false
 	}
 	ts.differsSince = time.Time{}
--- a/peer/health/reporter_test.go
+++ b/peer/health/reporter_test.go
@@ -14,15 +14,15 @@
 
 const testTarget = "t"
 
-var testTimes = timing{interval: time.Second, suspectAfter: 2}
+var testTiming = timing{interval: time.Second, suspectAfter: 2}
 
-// world simulates one target, its owners, one VM that owns nothing, and the time.
-type world struct {
-	now    time.Time
-	owners []*owner
-	other  *facts.Table
-	status target.Status
-	born   int
+// simulation simulates one target, its owners, one VM that owns nothing, and the time.
+type simulation struct {
+	now      time.Time
+	owners   []*owner
+	otherVM  *facts.Table
+	status   target.Status
+	restarts int
 }
 
 // owner is a simulated owner. Owners rank by the numbers of their places.
@@ -36,13 +36,13 @@
 	pending    *readResult // a finished read that isn't handled yet, as in a frozen process
 }
 
-func newWorld(n int) *world {
-	w := &world{now: time.Unix(1_000_000, 0), other: newTable()}
+func newSimulation(n int) *simulation {
+	sim := &simulation{now: time.Unix(1_000_000, 0), otherVM: newTable()}
 	for i := range n {
-		w.owners = append(w.owners, &owner{reporter: newReporter(), table: newTable(), place: i})
+		sim.owners = append(sim.owners, &owner{reporter: newReporter(), table: newTable(), place: i})
 	}
-	w.restart()
-	return w
+	sim.restart()
+	return sim
 }
 
 func newTable() *facts.Table {
@@ -51,21 +51,21 @@
 	return t
 }
 
-func (w *world) restart() {
-	w.born++
-	w.status = target.Status{Target: testTarget, Incarnation: fmt.Sprint("i", 1000-w.born), State: target.StateServing}
-	w.setHoldings("s1", 1)
+func (sim *simulation) restart() {
+	sim.restarts++
+	sim.status = target.Status{Target: testTarget, Incarnation: fmt.Sprint("i", 1000-sim.restarts), State: target.StateServing}
+	sim.setHoldings("s1", 1)
 }
 
-func (w *world) setHoldings(snapshot string, seq int64) {
-	w.status.Leaves = []target.LeafStatus{{Holdings: []target.Holding{
+func (sim *simulation) setHoldings(snapshot string, seq int64) {
+	sim.status.Leaves = []target.LeafStatus{{Holdings: []target.Holding{
 		{Snapshot: snapshot, Seq: seq, Shards: 8, Shard: int(seq) % 8, Records: 10 * seq},
 	}}}
 }
 
-func (w *world) ownerOrder(place int) ownerOrder {
+func (sim *simulation) ownerOrder(place int) ownerOrder {
 	s := ownerOrder{place: place}
-	for _, o := range w.owners {
+	for _, o := range sim.owners {
 		if !o.lost {
 			s.owners = append(s.owners, o.place)
 		}
@@ -74,22 +74,22 @@
 }
 
 // beginRead reads the target; finishRead handles the result.
-func (w *world) beginRead(o *owner) {
+func (sim *simulation) beginRead(o *owner) {
 	base, _ := o.table.Health(testTarget)
-	r := &readResult{base: base, began: w.now}
+	r := &readResult{base: base, began: sim.now}
 	if !o.cannotRead {
-		status := w.status
+		status := sim.status
 		r.status = &status
 	}
 	o.pending = r
 }
 
-func (w *world) finishRead(o *owner) {
+func (sim *simulation) finishRead(o *owner) {
 	r := o.pending
 	o.pending = nil
-	next, publish := o.reporter.handleRead(testTarget, *r, w.ownerOrder(o.place), testTimes, w.now)
+	next, publish := o.reporter.handleRead(testTarget, *r, sim.ownerOrder(o.place), testTiming, sim.now)
 	if known, _ := o.table.Health(testTarget); publish && known.Stamp == r.base.Stamp {
-		o.table.Merge(facts.Fact{Health: &next}, w.now.Unix())
+		o.table.Merge(facts.Fact{Health: &next}, sim.now.Unix())
 	}
 }
 
@@ -104,48 +104,48 @@
 
 // round lets each owner that isn't lost read once, and exchanges all facts after each
 // read.
-func (w *world) round() {
-	for _, o := range w.owners {
+func (sim *simulation) round() {
+	for _, o := range sim.owners {
 		if o.lost {
 			continue
 		}
-		w.beginRead(o)
-		w.finishRead(o)
-		w.syncAll()
+		sim.beginRead(o)
+		sim.finishRead(o)
+		sim.syncAll()
 	}
-	w.now = w.now.Add(testTimes.interval)
+	sim.now = sim.now.Add(testTiming.interval)
 }
 
-func (w *world) syncAll() {
+func (sim *simulation) syncAll() {
 	for range 2 {
-		for _, o := range w.owners {
+		for _, o := range sim.owners {
 			if !o.isolated && !o.lost {
-				syncTables(o.table, w.other)
+				syncTables(o.table, sim.otherVM)
 			}
 		}
 	}
 }
 
 // runUntilSettled runs enough rounds for the owner of the last rank to publish.
-func (w *world) runUntilSettled() {
-	for range 4 * (len(w.owners) + 1) {
-		w.round()
+func (sim *simulation) runUntilSettled() {
+	for range 4 * (len(sim.owners) + 1) {
+		sim.round()
 	}
 }
 
-func (w *world) known() facts.Health {
-	h, _ := w.other.Health(testTarget)
+func (sim *simulation) known() facts.Health {
+	h, _ := sim.otherVM.Health(testTarget)
 	return h
 }
 
 // checkKnown returns an error unless the other VM knows the target's current status
 // and doesn't count the target as lost. It holds once all facts are exchanged.
-func (w *world) checkKnown() error {
-	h := w.known()
-	if !h.SameContent(encode(w.status)) {
-		return fmt.Errorf("known %+v, the target says %+v", h, w.status)
+func (sim *simulation) checkKnown() error {
+	h := sim.known()
+	if !h.SameContent(encode(sim.status)) {
+		return fmt.Errorf("known %+v, the target says %+v", h, sim.status)
 	}
-	if lost(h, w.ownerOrder(0).owners) {
+	if lost(h, sim.ownerOrder(0).owners) {
 		return fmt.Errorf("%+v counts as lost", h)
 	}
 	return nil
@@ -155,19 +155,19 @@
 // several statements for one. An unchanged target must cause none.
 func TestOnlyFirstOwnerReports(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(3)
-	w.runUntilSettled()
-	g.Expect(w.checkKnown()).To(Succeed())
-	before := w.known().Stamp
-	w.runUntilSettled()
-	g.Expect(w.known().Stamp).To(Equal(before), "published again although nothing changed")
-	w.setHoldings("s2", 2)
-	w.beginRead(w.owners[1])
-	w.finishRead(w.owners[1])
-	w.syncAll()
-	g.Expect(w.known().Stamp).To(Equal(before), "the second did not wait for the first")
-	w.round()
-	g.Expect(w.checkKnown()).To(Succeed())
+	sim := newSimulation(3)
+	sim.runUntilSettled()
+	g.Expect(sim.checkKnown()).To(Succeed())
+	before := sim.known().Stamp
+	sim.runUntilSettled()
+	g.Expect(sim.known().Stamp).To(Equal(before), "published again although nothing changed")
+	sim.setHoldings("s2", 2)
+	sim.beginRead(sim.owners[1])
+	sim.finishRead(sim.owners[1])
+	sim.syncAll()
+	g.Expect(sim.known().Stamp).To(Equal(before), "the second did not wait for the first")
+	sim.round()
+	g.Expect(sim.checkKnown()).To(Succeed())
 }
 
 // TestNextOwnerReportsForFrozenOwner: the owner that publishes for a target is frozen,
@@ -176,11 +176,11 @@
 // removed. The next owner must publish the change.
 func TestNextOwnerReportsForFrozenOwner(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(3)
-	w.runUntilSettled()
-	w.setHoldings("s2", 2)
-	w.runOthersUntilSettled()
-	g.Expect(w.checkKnown()).To(Succeed())
+	sim := newSimulation(3)
+	sim.runUntilSettled()
+	sim.setHoldings("s2", 2)
+	sim.runOthersUntilSettled()
+	g.Expect(sim.checkKnown()).To(Succeed())
 }
 
 // TestFrozenOwnerStatementLoses: the first owner reads a target and is frozen. The
@@ -189,37 +189,37 @@
 // of an ended process. It must lose, whether the first owner receives the others'
 // statements before or after it.
 func TestFrozenOwnerStatementLoses(t *testing.T) {
-	for _, missed := range []bool{false, true} { // true: the others didn't see the incarnation that the first owner read
+	for _, unseen := range []bool{false, true} { // true: the others didn't see the incarnation that the first owner read
 		g := NewWithT(t)
-		w := newWorld(3)
-		w.runUntilSettled()
-		first := w.owners[0]
+		sim := newSimulation(3)
+		sim.runUntilSettled()
+		first := sim.owners[0]
 		first.isolated = true
-		w.restart()
-		w.beginRead(first)
-		if !missed {
-			w.runOthersUntilSettled()
+		sim.restart()
+		sim.beginRead(first)
+		if !unseen {
+			sim.runOthersUntilSettled()
 		}
-		w.restart()
-		w.runOthersUntilSettled()
-		g.Expect(w.checkKnown()).To(Succeed())
-		w.finishRead(first)
+		sim.restart()
+		sim.runOthersUntilSettled()
+		g.Expect(sim.checkKnown()).To(Succeed())
+		sim.finishRead(first)
 		first.isolated = false
-		w.syncAll()
-		g.Expect(w.checkKnown()).To(Succeed())
+		sim.syncAll()
+		g.Expect(sim.checkKnown()).To(Succeed())
 	}
 }
 
 // runOthersUntilSettled lets all owners but the first read until one of them has
 // published in its place.
-func (w *world) runOthersUntilSettled() {
+func (sim *simulation) runOthersUntilSettled() {
 	for range 4 {
-		for _, o := range w.owners[1:] {
-			w.beginRead(o)
-			w.finishRead(o)
+		for _, o := range sim.owners[1:] {
+			sim.beginRead(o)
+			sim.finishRead(o)
 		}
-		w.syncAll()
-		w.now = w.now.Add(testTimes.interval)
+		sim.syncAll()
+		sim.now = sim.now.Add(testTiming.interval)
 	}
 }
 
@@ -229,19 +229,19 @@
 // can read it.
 func TestTargetLostOnlyWhenNoOwnerCanRead(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(3)
-	w.runUntilSettled()
-	for blind := range w.owners {
-		w.owners[blind].cannotRead = true
-		w.runUntilSettled()
-		if blind < len(w.owners)-1 {
-			g.Expect(w.checkKnown()).To(Succeed(), "%d owners can't read the target", blind+1)
+	sim := newSimulation(3)
+	sim.runUntilSettled()
+	for i := range sim.owners {
+		sim.owners[i].cannotRead = true
+		sim.runUntilSettled()
+		if i < len(sim.owners)-1 {
+			g.Expect(sim.checkKnown()).To(Succeed(), "%d owners can't read the target", i+1)
 		}
 	}
-	g.Expect(lost(w.known(), w.ownerOrder(0).owners)).To(BeTrue())
-	w.owners[1].cannotRead = false
-	w.runUntilSettled()
-	g.Expect(w.checkKnown()).To(Succeed())
+	g.Expect(lost(sim.known(), sim.ownerOrder(0).owners)).To(BeTrue())
+	sim.owners[1].cannotRead = false
+	sim.runUntilSettled()
+	g.Expect(sim.checkKnown()).To(Succeed())
 }
 
 // TestTargetDownFromTheStart: a bundle contains a target that is down. Without a
@@ -249,29 +249,29 @@
 // The owners must publish that they can't read it, and its status once it is up.
 func TestTargetDownFromTheStart(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(3)
-	for _, o := range w.owners {
+	sim := newSimulation(3)
+	for _, o := range sim.owners {
 		o.cannotRead = true
 	}
-	w.runUntilSettled()
-	g.Expect(lost(w.known(), w.ownerOrder(0).owners)).To(BeTrue())
-	w.owners[2].cannotRead = false
-	w.runUntilSettled()
-	g.Expect(w.checkKnown()).To(Succeed())
+	sim.runUntilSettled()
+	g.Expect(lost(sim.known(), sim.ownerOrder(0).owners)).To(BeTrue())
+	sim.owners[2].cannotRead = false
+	sim.runUntilSettled()
+	g.Expect(sim.checkKnown()).To(Succeed())
 }
 
 // TestDrainedStaysDrained: a late read returns the state serving for a target whose
 // drain was published. The target must not get new work.
 func TestDrainedStaysDrained(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(2)
-	w.status.State = target.StateDraining
-	w.runUntilSettled()
-	w.status.State = target.StateServing
-	w.setHoldings("s2", 2)
-	w.runUntilSettled()
-	g.Expect(decode(w.known()).State).To(Equal(target.StateDraining))
-	g.Expect(decode(w.known()).Leaves).To(Equal(w.status.Leaves))
+	sim := newSimulation(2)
+	sim.status.State = target.StateDraining
+	sim.runUntilSettled()
+	sim.status.State = target.StateServing
+	sim.setHoldings("s2", 2)
+	sim.runUntilSettled()
+	g.Expect(decode(sim.known()).State).To(Equal(target.StateDraining))
+	g.Expect(decode(sim.known()).Leaves).To(Equal(sim.status.Leaves))
 }
 
 // TestHealthConverges: owners are isolated, frozen during a read, unable to read the
@@ -280,42 +280,42 @@
 // current status.
 func TestHealthConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(4)
+		sim := newSimulation(4)
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
-			o := w.owners[rapid.IntRange(0, 3).Draw(t, "owner")]
-			w.step(o, rapid.IntRange(0, 7).Draw(t, "what"))
+			o := sim.owners[rapid.IntRange(0, 3).Draw(t, "owner")]
+			sim.step(o, rapid.IntRange(0, 7).Draw(t, "what"))
 		}
-		for i, o := range w.owners {
+		for i, o := range sim.owners {
 			o.cannotRead, o.isolated, o.pending = false, false, nil
 			o.lost = i == 0
 		}
-		w.runUntilSettled()
-		if err := w.checkKnown(); err != nil {
+		sim.runUntilSettled()
+		if err := sim.checkKnown(); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-func (w *world) step(o *owner, action int) {
+func (sim *simulation) step(o *owner, action int) {
 	switch action {
 	case 0:
-		w.restart()
+		sim.restart()
 	case 1:
-		w.setHoldings(fmt.Sprint("s", w.now.Unix()), w.now.Unix())
+		sim.setHoldings(fmt.Sprint("s", sim.now.Unix()), sim.now.Unix())
 	case 2:
 		o.cannotRead = !o.cannotRead
 	case 3:
 		o.isolated = !o.isolated
 	case 4, 5:
 		if o.pending == nil {
-			w.beginRead(o)
+			sim.beginRead(o)
 		} else {
-			w.finishRead(o)
+			sim.finishRead(o)
 		}
 	case 6:
-		w.syncAll()
+		sim.syncAll()
 	default:
-		w.round()
+		sim.round()
 	}
 }
 
