--- a/peer/facts/health.go
+++ b/peer/facts/health.go
@@ -178,7 +178,7 @@
 
 // mergeHealth adds a statement about a target and reports whether it changed the table.
 func (t *Table) mergeHealth(h Health) bool {
-	if _, named := t.targets[h.Target]; !named {
+	if _, kept := t.targets[h.Target]; !kept {
 		return false
 	}
 	old, known := t.health[h.Target]
--- a/peer/facts/table_test.go
+++ b/peer/facts/table_test.go
@@ -31,8 +31,8 @@
 	}}
 }
 
-// exchange does one comparison of digests, started by a.
-func exchange(a, b *Table) {
+// syncTables does one comparison of digests, started by a.
+func syncTables(a, b *Table) {
 	buckets := append(a.Differing(General, b.Digest(General)), a.Differing(Targets, b.Digest(Targets))...)
 	give, want := b.Compare(buckets, a.Entries(buckets))
 	for _, f := range give {
@@ -58,7 +58,7 @@
 			}
 		}
 		for range 5 {
-			exchange(a, b)
+			syncTables(a, b)
 		}
 		for section := range sectionCount {
 			if a.Root(section) != b.Root(section) || len(a.Differing(section, b.Digest(section))) != 0 {
@@ -128,11 +128,11 @@
 	for i := range maxDrainsPerTarget {
 		table.AddDrain("t", fmt.Sprint("fast-", i), now+365*86400)
 	}
-	_, fresh := table.AddDrain("t", "later", now)
-	g.Expect(fresh).To(BeTrue())
+	_, added := table.AddDrain("t", "later", now)
+	g.Expect(added).To(BeTrue())
 	g.Expect(table.Drains()).To(ContainElement(HaveField("Incarnation", "later")))
-	_, fresh = table.AddDrain("t", "later", now)
-	g.Expect(fresh).To(BeFalse())
+	_, added = table.AddDrain("t", "later", now)
+	g.Expect(added).To(BeFalse())
 }
 
 // TestNewestDrainComesLast: a target drains, restarts and drains again, and a late
