--- a/peer/share/share.go
+++ b/peer/share/share.go
@@ -21,10 +21,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// wantedOwners is the greatest number of VMs that own connections to a target which accepts
+// maxOwners is the greatest number of VMs that own connections to a target which accepts
 // fewer connections than the fleet has places. With this many owners, some may be lost, and
 // yet each owner sees a large part of the target's load.
-const wantedOwners = 8
+const maxOwners = 8
 
 // spareShares is the number of shares of a target's connections that no VM owns, if the
 // target accepts fewer connections than the fleet has places. These shares are left free
@@ -52,7 +52,7 @@
 	if connections < placeCount {
 		// At most wantedOwners, and one share is left free; but a target that accepts any
 		// connection has at least one owner.
-		owners = min(wantedOwners, max(connections-spareShares, 1), connections)
+		owners = min(maxOwners, max(connections-spareShares, 1), connections)
 	}
 	switch {
 	case owners == 0:
@@ -103,9 +103,9 @@
 		ranked[i] = weighed{c, xxhash.Sum64String(target + "\x00" + name(c))}
 	}
 	slices.SortFunc(ranked, func(a, b weighed) int { return cmp.Compare(b.weight, a.weight) })
-	first := make([]C, min(n, len(ranked)))
-	for i := range first {
-		first[i] = ranked[i].candidate
+	top := make([]C, min(n, len(ranked)))
+	for i := range top {
+		top[i] = ranked[i].candidate
 	}
-	return first
+	return top
 }
--- a/peer/share/share_test.go
+++ b/peer/share/share_test.go
@@ -49,7 +49,7 @@
 		}
 	}
 	slices.Sort(owned)
-	mean := targets * wantedOwners / places
+	mean := targets * maxOwners / places
 	g.Expect(owned[0]).To(BeNumerically(">", mean/2))
 	g.Expect(owned[places-1]).To(BeNumerically("<", mean*2))
 }
@@ -64,14 +64,14 @@
 // name. Each VM sees the list as it was some replacements ago, at most lag. It
 // returns the largest number of connections to one target at any time, if each VM
 // chooses the owners from the list that it sees.
-func rollingPeak(fleet, targets, lag int, plan Plan) int {
-	names := make([]string, fleet)
+func rollingPeak(vmCount, targets, lag int, plan Plan) int {
+	names := make([]string, vmCount)
 	for i := range names {
 		names[i] = fmt.Sprint("old-", i)
 	}
 	history := [][]string{slices.Clone(names)}
 	peak := 0
-	for step := range fleet {
+	for step := range vmCount {
 		names[step] = fmt.Sprint("new-", step)
 		history = append(history, slices.Clone(names))
 		for target := range targets {
@@ -103,13 +103,13 @@
 // lists are.
 func TestReplacementWithLaggingList(t *testing.T) {
 	g := NewWithT(t)
-	const fleet, targets, limit, lag = 100, 10, 25, 10
-	plan := NewPlan(limit, fleet)
+	const vmCount, targets, limit, lag = 100, 10, 25, 10
+	plan := NewPlan(limit, vmCount)
 	// The whole limit is divided among the owners, without a spare share.
-	full := Plan{Places: fleet, Owners: plan.Owners, PerOwner: limit / plan.Owners}
-	listPeak := rollingPeak(fleet, targets, lag, full)
+	full := Plan{Places: vmCount, Owners: plan.Owners, PerOwner: limit / plan.Owners}
+	listPeak := rollingPeak(vmCount, targets, lag, full)
 	placePeak := 0
-	for place := range fleet {
+	for place := range vmCount {
 		placePeak += full.Connections("target-0", place)
 	}
 	t.Logf("limit %d, peak by places %d, peak by list %d", limit, placePeak, listPeak)
