--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -1,9 +1,10 @@
 // Package peer implements the gossip protocol between the VMs of a deployment:
 // membership, and the exchange of revisions, drains and the health of targets.
 // Each VM keeps connections to a few others, chosen at random. It forwards each
-// new fact as soon as it receives it, and at an interval compares digests with
-// one peer. What a VM sends per second therefore depends on its number of
-// connections and on the rate of changes, not on the size of the fleet.
+// new fact (package facts) as soon as it receives it, and at an interval compares
+// digests of all its facts with one peer. What a VM sends per second therefore
+// depends on its number of connections and on the rate of changes, not on the size
+// of the fleet.
 //
 // Merged state never reverts: a head is signed and its revision only rises, a
 // drain belongs to one incarnation of a target, and only a VM itself can state
@@ -63,8 +64,8 @@
 	Deployment  string      // name of the deployment that all VMs of the exchange belong to
 	FleetKeys   [][]byte    // keys that authenticate connections between VMs, newest first
 	Listen      string      // IP and port on which other VMs connect
-	// Seeds are addresses of VMs to dial when neither the platform nor a peer
-	// provides any. They let a fleet start while the platform is down.
+	// Seeds are addresses of VMs to dial when this VM knows no others from the
+	// platform or from peers. They let a fleet start while the platform is down.
 	Seeds []string
 	Store objstore.Store // of the platform; only its list of VMs is read
 	Heads Heads          // the head and bundles that are exchanged with other VMs
@@ -76,25 +77,26 @@
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
 	Interval       time.Duration // between comparisons of digests with one random peer; default 1 s
-	Fanout         int           // connections that this VM dials to other VMs for the exchange; default 4
-	MaxInbound     int           // connections accepted from other VMs for the exchange that it keeps; default 16
+	Fanout         int           // number of connections for the exchange that this VM dials; default 4
+	MaxInbound     int           // greatest number of accepted connections for the exchange; default 16
 	RotateInterval time.Duration // between replacements of one dialled connection; default 60 s
 	SuspectAfter   time.Duration // time that a suspected VM has to refute the suspicion; default 3 s
-	ListInterval   time.Duration // mean time between reads of the platform's list of VMs by watching VMs; default 5 s
+	ListInterval   time.Duration // mean time between reads of the platform's list of VMs, if Watching; default 5 s
 	PingInterval   time.Duration // between pings on idle connections; default 2 s
 }
 
+// Defaults of the Options.
 const (
-	defaultInterval       = time.Second     // Options.Interval: between comparisons of digests with a peer
-	defaultFanout         = 4               // Options.Fanout: connections that this VM dials to other VMs
-	defaultMaxInbound     = 16              // Options.MaxInbound: connections accepted from other VMs that it keeps
-	defaultRotateInterval = time.Minute     // Options.RotateInterval: between replacements of one dialled connection
-	defaultSuspectAfter   = 3 * time.Second // Options.SuspectAfter: time that a suspected VM has to refute the suspicion
-	defaultListInterval   = 5 * time.Second // Options.ListInterval: between a watching VM's reads of the platform's list of VMs
-	defaultPingInterval   = 2 * time.Second // Options.PingInterval: between pings on an idle connection
-
-	// nonWatcherListFactor multiplies the time between reads of the platform's list of
-	// VMs on the VMs that don't watch the platform.
+	defaultInterval       = time.Second     // Options.Interval
+	defaultFanout         = 4               // Options.Fanout
+	defaultMaxInbound     = 16              // Options.MaxInbound
+	defaultRotateInterval = time.Minute     // Options.RotateInterval
+	defaultSuspectAfter   = 3 * time.Second // Options.SuspectAfter
+	defaultListInterval   = 5 * time.Second // Options.ListInterval
+	defaultPingInterval   = 2 * time.Second // Options.PingInterval
+
+	// nonWatcherListFactor multiplies Options.ListInterval on the VMs that don't watch
+	// the platform.
 	nonWatcherListFactor = 12
 )
 
@@ -137,15 +139,15 @@
 	placeCache        map[int]objstore.VM  // result of Places; nil if it has to be recomputed
 	links             map[*link]struct{}   // connections to other VMs for the exchange
 	dialing           map[string]bool      // addresses of VMs to which a dial is in progress
-	suspectedSince    map[string]time.Time // by VM name: when this VM learned of the suspicion
+	suspectedSince    map[string]time.Time // by VM name: when the suspicion was first merged here
 	lastSuspected     map[string]time.Time // by VM name: when this VM itself last suspected it
 	lastRotation      time.Time            // when a dialled connection was last replaced
 	lastTick          time.Time            // start of the last call of tick
 	announcedRevision uint64               // last revision announced to peers
-	drainsChanged     chan struct{}        // closed and replaced when a drain is learned; see DrainsChanged
-	lastDrainTime     time.Time            // when this VM last learned of a drain
-	changedTargets    map[string]struct{}  // targets with changed health since TakeHealthChanges
-	lastHealthTime    time.Time            // when the health of a target last changed
+	drainsChanged     chan struct{}        // closed and replaced when a drain is added; see DrainsChanged
+	lastDrainTime     time.Time            // when a drain was last added; zero if none was
+	changedTargets    map[string]struct{}  // targets whose health has changed since the last call of TakeHealthChanges
+	lastHealthTime    time.Time            // when the health of a target last changed; zero if none did
 }
 
 // New returns an Exchange that isn't started. It returns an error if the VM's
@@ -223,7 +225,7 @@
 	x.AnnounceLeaving()
 	x.flush()
 	x.mu.Lock()
-	x.tomb.Kill(nil) // under mu: code that holds mu and sees the tomb alive may start a goroutine
+	x.tomb.Kill(nil) // under mu, since code that holds mu and sees the tomb alive may start a goroutine
 	for l := range x.links {
 		_ = l.conn.Notify(methodGoodbye, nil)
 		l.conn.Close()
@@ -241,8 +243,8 @@
 // Address returns the address at which this VM listens for peers.
 func (x *Exchange) Address() string { return x.server.Addr().String() }
 
-// PublishDrain records that an incarnation of a target takes no new work, and
-// sends this to the other VMs. A drain that is already known is ignored.
+// PublishDrain records that an incarnation of a target takes no new work, and sends
+// that to the other VMs. It does nothing if the drain is already known.
 func (x *Exchange) PublishDrain(d Drain) {
 	now := time.Now().Unix()
 	x.mu.Lock()
@@ -253,8 +255,8 @@
 	}
 }
 
-// Drains returns all known drains. Those of one target are in the order in which
-// they were learned, the newest last.
+// Drains returns all known drains. Those of one target are ordered from the oldest to
+// the newest.
 func (x *Exchange) Drains() []Drain {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -266,22 +268,24 @@
 	return list
 }
 
-// DrainsChanged returns a channel that is closed when a drain is learned after
-// this call. Once a channel is closed, DrainsChanged returns a new one.
+// DrainsChanged returns a channel that is closed when a drain is next added. Once a
+// channel is closed, DrainsChanged returns a new one.
 func (x *Exchange) DrainsChanged() <-chan struct{} {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.drainsChanged
 }
 
-// signalDrains closes the current channel of DrainsChanged. The caller must hold mu.
+// signalDrains records the time of a new drain, and closes and replaces the channel of
+// DrainsChanged. The caller must hold mu.
 func (x *Exchange) signalDrains() {
 	x.lastDrainTime = time.Now()
 	close(x.drainsChanged)
 	x.drainsChanged = make(chan struct{})
 }
 
-// AnnounceLeaving tells the other VMs that this VM is stopping.
+// AnnounceLeaving announces to the other VMs that this VM is leaving, so that they send
+// it no new work. It does nothing if that was announced already.
 func (x *Exchange) AnnounceLeaving() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -294,7 +298,7 @@
 
 // SetPlace announces to the other VMs which place this VM holds. Places are numbered
 // from 0; they decide which VMs own the connections to which targets. A negative number
-// means that this VM holds none. Member.Place, which is sent, is one higher.
+// means that this VM holds none. Member.Place counts from 1 instead, and 0 means none.
 func (x *Exchange) SetPlace(place int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -320,8 +324,8 @@
 // platform's list, after either has changed. The caller must hold mu.
 func (x *Exchange) invalidateCaches() { x.liveCache, x.placeCache = nil, nil }
 
-// Ended reports whether that incarnation of the named VM is known to have ended or to
-// have been replaced.
+// Ended reports whether an incarnation of the named VM is known to have ended: the VM is
+// lost, or another incarnation has replaced this one.
 func (x *Exchange) Ended(vm, incarnation string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -329,9 +333,9 @@
 	return known && (m.State == facts.Lost || m.Incarnation != incarnation)
 }
 
-// Live returns the VMs that are believed to be alive and not leaving, sorted by
-// name. It includes this VM unless this VM is leaving. The platform's list of VMs
-// lags, so what VMs have stated about themselves and each other corrects it.
+// Live returns the VMs that count as alive and aren't leaving, sorted by name. It
+// includes this VM unless this VM is leaving. The platform's list of VMs lags, so the
+// statements of VMs about themselves and each other override it.
 func (x *Exchange) Live() []objstore.VM {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -346,9 +350,9 @@
 	return x.liveCache
 }
 
-// Watching reports whether this VM is one of those that watch the platform for changes
-// and pass them on to the others. It returns true on every VM of a small fleet, and on
-// a VM without any connection to another one.
+// Watching reports whether this VM has to watch the platform for changes and pass them
+// on to the others. That holds on every VM of a small fleet, on some VMs of a large one
+// (see isWatcher), and on a VM without any connection to another one.
 func (x *Exchange) Watching() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/peer/exchange_test.go
+++ b/peer/exchange_test.go
@@ -6,8 +6,8 @@
 
 // TestRevisionAndDrainReachAllVMs: a revision and a drain, each known to one of 20 VMs,
 // must reach all of them. No VM is lost here, so the VMs have the default timeouts: with
-// the 200 ms between pings of newFleet, VMs in a process with little processor time took
-// each other for silent, and never were all connected.
+// newFleet's 200 ms between pings, VMs in a process with little processor time closed
+// connections as silent, and were never all connected.
 func TestRevisionAndDrainReachAllVMs(t *testing.T) {
 	f := newDefaultTimeoutFleet(t, 20)
 	f.waitConnected()
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -13,8 +13,8 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/facts"
 )
 
-// fleetWithLost returns a platform's list of n VMs, and their members, of which the
-// first ones are lost.
+// fleetWithLost returns a platform's list of n VMs, and the statements about them. The
+// first lost of them are in state Lost.
 func fleetWithLost(n, lost int) (listed []objstore.VM, members []facts.Member) {
 	for i := range n {
 		m := facts.Member{Name: fmt.Sprint("vm-", i)}
@@ -27,6 +27,7 @@
 	return listed, members
 }
 
+// names returns the names of VMs.
 func names(vms []objstore.VM) (list []string) {
 	for _, vm := range vms {
 		list = append(list, vm.Name)
@@ -34,8 +35,8 @@
 	return list
 }
 
-// halves divides a fleet into two groups, and returns their numbers by address for
-// network.split.
+// halves divides a fleet into two groups, and returns the number of each VM's group by
+// address for network.split. The left group has the number 0, the default.
 func (f *testFleet) halves() (left, right []*testVM, group map[string]int) {
 	group = map[string]int{}
 	for i, vm := range f.vms {
@@ -86,7 +87,7 @@
 	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == len(left) })
 	left[0].heads.set(2)
 	f.waitForAll(hasRevision(2), left...)
-	const longer = time.Hour
+	const longer = time.Hour // than lost VMs are kept in the table
 	for _, vm := range f.vms {
 		vm.mu.Lock()
 		f.g.Expect(vm.table.Expire(time.Now().Add(longer).Unix())).To(BeTrue())
@@ -119,11 +120,11 @@
 	f.waitForAll(func(vm *testVM) bool { return vm.heads.Revision() == 2 && len(vm.Live()) == 2 }, here, there)
 }
 
-// TestSuspicionCarriesListedAddress: a VM knows another only from the platform's list
-// when it can reach neither that VM nor the platform. It sends the loss to a new VM
-// and then stops. The new VM knew the name of the lost VM but not its address, so its
-// users kept an old bundle until the platform was back. The suspicion must carry the
-// address from the list.
+// TestSuspicionCarriesListedAddress: a VM knows another one only from the platform's
+// list, can't reach it, and counts it as lost. Then the platform fails. A new VM gets
+// the loss from the first VM, which then stops. If the new VM didn't know the address of
+// the lost VM, it could never dial it, and its users would keep an old bundle until the
+// platform is back. The suspicion must carry the address from the list.
 func TestSuspicionCarriesListedAddress(t *testing.T) {
 	f := newFleet(t, 0)
 	there := f.start("there", nil)
@@ -140,10 +141,10 @@
 	f.waitForAll(hasRevision(2), fresh)
 }
 
-// TestSplitCutsPendingDials: TestPartitionAndMerge failed sometimes, because every VM
-// still counted the other side as live: a dial that began before the split got its
-// connection after it, and all suspicions were refuted over that one link. The
-// simulated network must cut such a dial too.
+// TestSplitCutsPendingDials: a dial begins before a split of the simulated network and
+// gets its connection after it. Over that one connection all suspicions would be
+// refuted, and tests such as TestPartitionAndMerge would fail because every VM still
+// counts the other side as live. The split must cut such a dial too.
 func TestSplitCutsPendingDials(t *testing.T) {
 	g := NewWithT(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -160,10 +161,10 @@
 	g.Expect(n.open).To(BeEmpty())
 }
 
-// TestFleetStartsFromSeedWithPlatformDown: the VMs of a zone start while the platform is down, for
-// example after a power failure, so no VM can read the list of VMs. One VM has a
-// bundle. With that VM as seed, the others must connect to it and to each other, and
-// get the bundle.
+// TestFleetStartsFromSeedWithPlatformDown: the VMs of a zone start while the platform
+// is down, for example after a power failure, so no VM can read the list of VMs. One VM
+// has a bundle. With that VM as seed, the others must connect to it and to each other,
+// and get the bundle.
 func TestFleetStartsFromSeedWithPlatformDown(t *testing.T) {
 	f := newFleet(t, 0)
 	f.list.down = true
@@ -193,9 +194,9 @@
 	f.waitForAll(hasRevision(5))
 }
 
-// TestKilledVMIsNotLive: a VM is killed without a goodbye, and the platform's list still has
-// it. The others must drop it from the live VMs within seconds, or queries would
-// still be sent to it.
+// TestKilledVMIsNotLive: a VM is killed without a goodbye, and the platform's list
+// still has it. The others must drop it from the live VMs within seconds, or queries
+// would still be sent to it.
 func TestKilledVMIsNotLive(t *testing.T) {
 	f := newFleet(t, 6)
 	f.waitConnected()
@@ -212,10 +213,9 @@
 	vm.server.Stop()
 }
 
-// TestLeavingVMIsNeitherLiveNorLost: a VM announces that it is leaving while it still serves. The others
-// must not count it as live any more, even if the platform's list lags, and must not
-// mark it as lost.
-func TestLeavingVMIsNeitherLiveNorLost(t *testing.T) {
+// TestLeavingVMIsNotLive: a VM announces that it is leaving while it still serves. No VM
+// may count it as live any more, even if the platform's list lags.
+func TestLeavingVMIsNotLive(t *testing.T) {
 	f := newFleet(t, 5)
 	f.waitConnected()
 	f.vms[0].AnnounceLeaving()
@@ -223,9 +223,9 @@
 	f.g.Expect(names(f.vms[0].Live())).NotTo(ContainElement("vm-000"))
 }
 
-// TestIsolatedVMRefutesItsLoss: one VM can't be reached for a while and is marked as lost.
-// Meanwhile a new revision is rolled out. When the VM can be reached again, it must
-// state with a higher counter that it is alive, and get the new revision. Its
+// TestIsolatedVMRefutesItsLoss: one VM can't be reached for a while and is marked as
+// lost. Meanwhile a new revision is rolled out. When the VM can be reached again, it
+// must state with a higher counter that it is alive, and get the new revision. Its
 // outdated facts must not affect the others.
 func TestIsolatedVMRefutesItsLoss(t *testing.T) {
 	f := newFleet(t, 6)
@@ -241,9 +241,10 @@
 	f.waitForAll(func(vm *testVM) bool { return vm.heads.Revision() == 4 && len(vm.Live()) == 6 })
 }
 
-// TestVMReplacedWhileFrozenPublishesNothing: a VM is frozen, the platform starts a new one of the same
-// name, and then the old process continues. It must not claim the name again: it must
-// detect the later process and publish nothing more.
+// TestVMReplacedWhileFrozenPublishesNothing: a VM is frozen, the platform starts a new
+// one of the same name, and then the old process continues. It must not claim the name
+// again: it must detect the later process and publish nothing more. The test makes the
+// old process older than startupPeriod instead of freezing it.
 func TestVMReplacedWhileFrozenPublishesNothing(t *testing.T) {
 	f := newFleet(t, 5)
 	f.waitConnected()
@@ -265,8 +266,8 @@
 	}).WithTimeout(testTimeout).Should(BeTrue())
 }
 
-// TestSuccessorWithClockBehindIsKnown: a VM is replaced by one of the same name whose clock is
-// behind. Its first statement is older than the last of its predecessor, so the
+// TestSuccessorWithClockBehindIsKnown: a VM is replaced by one of the same name whose
+// clock is behind. Its first statement is older than the last of its predecessor, so the
 // others would ignore it permanently. It must detect this and state a later start.
 func TestSuccessorWithClockBehindIsKnown(t *testing.T) {
 	f := newFleet(t, 4)
@@ -284,8 +285,8 @@
 }
 
 // TestAllVMsReplaced: all VMs are replaced one after another, and the platform's list
-// still has the old ones. Drains and the revision must be kept although no VM is left
-// that had them first.
+// still has the old ones. Each new VM must get the drains and the revision, also after the
+// VMs that published them have stopped.
 func TestAllVMsReplaced(t *testing.T) {
 	const n = 5
 	f := newFleet(t, n)
@@ -339,10 +340,10 @@
 	g.Expect(ok).To(BeTrue())
 }
 
-// TestLostVMsHoldNoPlace: a call through a lost VM would fail, and a leaving VM should get
-// no new calls while another can be called. So lost VMs must hold no place, leaving
-// ones must be marked, and if two claim one place, the one that isn't leaving must
-// have it, or the one that started later.
+// TestLostVMsHoldNoPlace: a call through a lost VM would fail, and a leaving VM should
+// get no new calls while another can be called. So lost VMs must hold no place, leaving
+// ones must be marked, and if two claim one place, the one that isn't leaving must have
+// it, or the one that started later.
 func TestLostVMsHoldNoPlace(t *testing.T) {
 	g := NewWithT(t)
 	places := vmsByPlace([]facts.Member{
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -19,8 +19,8 @@
 
 var testKey = bytes.Repeat([]byte("k"), 32)
 
-// fakeHeads implements Heads. The head and the bundle of a revision are its eight
-// bytes.
+// fakeHeads implements Heads. The head of a revision, its bundle and the bundle's digest
+// are all the revision's number in eight bytes; see encodeRevision.
 type fakeHeads struct {
 	mu       sync.Mutex
 	revision uint64
@@ -67,7 +67,8 @@
 	}
 }
 
-// fakeList is a store that only has the platform's list of VMs, or fails.
+// fakeList is a store that has only the platform's list of VMs. Reading it fails while
+// down is set.
 type fakeList struct {
 	objstore.Store
 	mu   sync.Mutex
@@ -96,11 +97,13 @@
 	f.vms = append(f.vms, vm)
 }
 
+// testVM is the exchange of one VM, with its heads.
 type testVM struct {
 	*Exchange
 	heads *fakeHeads
 }
 
+// testFleet holds VMs in this process that share a platform's list and a simulated network.
 type testFleet struct {
 	g    *WithT
 	t    testing.TB
@@ -109,6 +112,8 @@
 	vms  []*testVM
 }
 
+// newFleet starts n VMs named vm-000 and up. Their intervals and timeouts are much
+// shorter than the defaults, so that lost VMs are detected soon.
 func newFleet(t *testing.T, n int) *testFleet {
 	f := &testFleet{g: NewWithT(t), t: t, list: &fakeList{}, net: newNetwork()}
 	for i := range n {
@@ -129,11 +134,13 @@
 	return f
 }
 
-// start adds a VM to the fleet and to the platform's list.
+// start starts a VM and adds it to the fleet and to the platform's list. change may change
+// its options; it may be nil.
 func (f *testFleet) start(name string, change func(*Options)) *testVM {
 	return f.startWith(name, change, func(*Exchange) {})
 }
 
+// startWith is start; beforeStart may also change the Exchange itself.
 func (f *testFleet) startWith(name string, change func(*Options), beforeStart func(*Exchange)) *testVM {
 	var address string
 	heads := &fakeHeads{changed: make(chan struct{})}
@@ -182,7 +189,8 @@
 	_ = vm.Stop(ctx)
 }
 
-// waitForAll waits until check holds on all VMs.
+// waitForAll waits until check holds on all of vms, or on the whole fleet if none are
+// given.
 func (f *testFleet) waitForAll(check func(*testVM) bool, vms ...*testVM) {
 	f.t.Helper()
 	if len(vms) == 0 {
@@ -198,6 +206,7 @@
 	}).WithTimeout(testTimeout).Should(BeEmpty())
 }
 
+// waitConnected waits until every VM has a connection and counts all VMs as live.
 func (f *testFleet) waitConnected() {
 	f.t.Helper()
 	n := len(f.vms)
@@ -208,18 +217,19 @@
 	return func(vm *testVM) bool { return vm.heads.Revision() == r }
 }
 
-// network lets tests partition VMs into groups.
+// network opens connections between VMs and lets tests partition the VMs into groups.
 type network struct {
 	mu    sync.Mutex
-	group map[string]int // by address
+	group map[string]int // number of the group by address; 0 for addresses that aren't in it
 	open  map[*cuttableConn]struct{}
 
-	onConnect func() // called when a dial has its connection; may be nil
+	onConnect func() // called when a dial has opened its connection; may be nil
 }
 
+// cuttableConn is a connection that network.split can close.
 type cuttableConn struct {
 	net.Conn
-	from, to string
+	from, to string // addresses of the VMs at its ends
 }
 
 func newNetwork() *network {
--- a/peer/heads.go
+++ b/peer/heads.go
@@ -13,8 +13,8 @@
 	pullRetryDelay = 100 * time.Millisecond
 )
 
-// announceRevisions announces each new revision of this VM to its peers, whatever
-// the source of the revision.
+// announceRevisions announces each new revision of this VM to its peers, whether it came
+// from a peer or from elsewhere, until the exchange stops.
 func (x *Exchange) announceRevisions() error {
 	for {
 		changed := x.opts.Heads.Changed()
@@ -27,8 +27,8 @@
 	}
 }
 
-// announceRevision has this VM's revision sent over all links if it is above the last
-// one that was announced.
+// announceRevision marks this VM's revision to be sent over all links if it is above the
+// last one that was announced.
 func (x *Exchange) announceRevision() {
 	revision := x.opts.Heads.Revision()
 	x.mu.Lock()
@@ -86,8 +86,7 @@
 		return
 	}
 	x.opts.Log.Warn("could not get the head of a peer", "peer", l.name, "error", err)
-	// The peer's next message may announce that revision again. Until then other
-	// peers are tried.
+	// Try other peers until this one announces its revision again.
 	x.mu.Lock()
 	l.peerRevision = 0
 	x.mu.Unlock()
--- a/peer/health.go
+++ b/peer/health.go
@@ -8,7 +8,7 @@
 
 // SetTargets sets the names of the targets whose health is kept and forwarded: those
 // of the bundle in force that not every VM has connections to. If the health of some
-// of them isn't known, it is requested from one peer.
+// of them isn't known, SetTargets starts a comparison with one peer to get it.
 func (x *Exchange) SetTargets(names []string) {
 	x.mu.Lock()
 	unknown := x.table.SetTargets(names)
--- a/peer/health_test.go
+++ b/peer/health_test.go
@@ -17,12 +17,14 @@
 	return list
 }
 
+// setTargets sets the first n of targetNames on all VMs.
 func (f *testFleet) setTargets(n int) {
 	for _, vm := range f.vms {
 		vm.SetTargets(targetNames(n))
 	}
 }
 
+// publishHealth publishes a statement about a new incarnation of a target.
 func (vm *testVM) publishHealth(target string, epoch uint64) {
 	base, _ := vm.Health(target)
 	vm.PublishHealth(facts.Health{Target: target, Stamp: facts.Stamp{Epoch: epoch, Incarnation: fmt.Sprint("i", epoch)}}, base.Stamp)
@@ -54,7 +56,8 @@
 
 // TestOutdatedHealthIsNotPublished: an owner reads a target, is frozen, and receives a
 // statement about a newer incarnation before it publishes what it read. Its own
-// statement is based on the earlier one, and must not be published.
+// statement replaces the earlier one, which is no longer current, and must not be
+// published.
 func TestOutdatedHealthIsNotPublished(t *testing.T) {
 	f := newFleet(t, 2)
 	f.waitConnected()
@@ -69,9 +72,8 @@
 }
 
 // TestNewVMSyncsHealth: a VM starts in a fleet that knows thousands of targets. It must
-// get their health from a peer in bulk. If it had to read all targets, or received them
-// one by one, callers would wait. If it forwarded them, the others would receive what
-// they already know.
+// get their health from a peer in bulk. If it had to read all targets, or received their
+// health one by one, callers would wait.
 func TestNewVMSyncsHealth(t *testing.T) {
 	const targets = 3 * maxDiffFacts
 	f := newFleet(t, 3)
--- a/peer/link.go
+++ b/peer/link.go
@@ -16,7 +16,7 @@
 	name          string                 // of the other VM
 	openedAt      time.Time              // when the link was registered
 	pending       map[facts.Key]struct{} // keys of the facts that are still to be sent
-	wakeScheduled bool                   // a delayed signal is scheduled for pending health
+	wakeScheduled bool                   // signalLater has scheduled a signal; reset when a message is built
 	sendRevision  bool                   // this VM's revision is to be sent
 	peerRevision  uint64                 // highest revision that the peer announced; 0 after a failed pull
 	goodbye       bool                   // one side closes the connection on purpose; the peer isn't suspected
@@ -28,10 +28,10 @@
 	// the same message.
 	batchDelay = 10 * time.Millisecond
 	// healthBatchDelay is how long a new fact about the health of a target waits before
-	// it wakes the sender of a link. Health is read at intervals of 1 s. An index switch
-	// causes thousands of statements. With more of them in one message, each takes fewer
-	// bytes. By then more of them have also arrived from the peer, and need not be sent
-	// to it.
+	// it wakes the sender of a link. An index switch causes thousands of such facts. The
+	// delay puts more of them into one message, in which each takes fewer bytes, and
+	// those that the peer sends in the meantime need not be sent to it. Health is read
+	// at intervals of 1 s, so the delay adds little to its age.
 	healthBatchDelay = 100 * time.Millisecond
 	// maxFactsPerMessage bounds the facts in one tellMessage.
 	maxFactsPerMessage = 256
@@ -41,8 +41,8 @@
 // included. It exceeds the number of VMs of the largest fleet.
 const maxConns = 2048
 
-// WireOptions returns the options of this VM's connections, for connections to
-// other VMs that serve another use than the exchange.
+// WireOptions returns the options for connections to other VMs that aren't used for the
+// exchange, such as calls to leaves. They are those of the exchange's own connections.
 func (x *Exchange) WireOptions() wire.Options { return x.wireOptions() }
 
 // wireOptions returns the options of all connections between this VM and others.
@@ -64,8 +64,8 @@
 
 // handleAccepted adds a connection that another VM opened. If more than MaxInbound
 // accepted connections serve the exchange, the oldest of them is closed: the VM that
-// opened it knows more VMs by then. This spreads the load of the VMs that all others
-// know first. A connection for another use than the exchange is served and isn't
+// opened it knows more VMs by then. This bounds the load of the VMs that many others
+// dial first. A connection for another use than the exchange is served and isn't
 // counted.
 func (x *Exchange) handleAccepted(conn *wire.Conn) {
 	x.mu.Lock()
@@ -157,8 +157,8 @@
 	}
 }
 
-// runLink sends pending facts and revisions each time it is woken, until the connection
-// ends or the exchange stops.
+// runLink sends the link's pending facts, and this VM's revision if it is to be
+// announced, each time it is woken, until the connection ends or the exchange stops.
 func (x *Exchange) runLink(l *link) error {
 	defer l.conn.Close()
 	for {
@@ -187,8 +187,8 @@
 	}
 }
 
-// nextMessage returns the next message for a link, or nil if nothing is pending,
-// and reports whether more is pending.
+// nextMessage returns the next message for a link, or nil if there is nothing to send,
+// and reports whether facts are left for a further message.
 func (x *Exchange) nextMessage(l *link) (*tellMessage, bool) {
 	revision := x.opts.Heads.Revision()
 	msg := &tellMessage{}
@@ -217,9 +217,9 @@
 	return msg, more
 }
 
-// handleLinkLoss handles the end of a connection. Unless it was closed on purpose,
-// the peer is dialled again, and suspected if that fails. This is skipped if the peer
-// is known to be suspected, lost or replaced.
+// handleLinkLoss handles the end of a connection. It dials the peer again, and the peer
+// is suspected if that fails. It doesn't dial if the connection was closed on purpose, or
+// if the peer is already suspected, lost or replaced by a later process.
 func (x *Exchange) handleLinkLoss(l *link) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -343,7 +343,7 @@
 	return false
 }
 
-// decode decodes the JSON parameters of a message. Empty parameters leave into as it is.
+// decode decodes the JSON parameters of a message. Empty parameters leave into unchanged.
 func decode(params json.RawMessage, into any) error {
 	if len(params) == 0 {
 		return nil
--- a/peer/live.go
+++ b/peer/live.go
@@ -65,7 +65,7 @@
 
 // isWatcher reports whether the named VM is one of those that watch the platform: in a
 // small fleet every VM, otherwise the watchersPerZone VMs of each availability zone with
-// the highest watchRank. While VMs differ in which others they count as live, a few more
+// the highest watchRank. While the VMs' views of which others are live differ, a few more
 // or fewer watch.
 func isWatcher(live []objstore.VM, name string) bool {
 	if len(live) <= maxAllWatchVMs {
@@ -91,11 +91,11 @@
 	return xxhash.Sum64String("watch\x00" + name)
 }
 
-// vmsByPlace returns the VMs that hold places, by place. A place is a number from 0
-// that decides to which targets its VM owns connections. While a place passes from one
-// VM to another, both may claim it; winsPlace decides which of them has it. A VM that is
-// leaving is marked as such: it still serves the requests that it receives, but it
-// should get new ones only if no other VM can serve them.
+// vmsByPlace returns the VMs that hold places and aren't lost, by place. A place is a
+// number from 0 that decides to which targets its VM owns connections. While a place
+// passes from one VM to another, both may claim it; winsPlace decides which of them has
+// it. A VM that is leaving has Leaving set: it still serves the requests that it
+// receives, but it should get new ones only if no other VM can serve them.
 func vmsByPlace(members []facts.Member) map[int]objstore.VM {
 	holders := map[int]facts.Member{}
 	for _, m := range members {
--- a/peer/members.go
+++ b/peer/members.go
@@ -9,14 +9,14 @@
 const (
 	// suspectAgainAfter is the least time between two suspicions of one VM that this VM
 	// publishes. If only this VM can't reach the other one, the two would otherwise flood
-	// the fleet with suspicions and refutations. suspectAgainAfter also bounds how long
-	// an isolated VM counts as live if its refutation of the first suspicion was its last
-	// message that arrived.
+	// the fleet with suspicions and refutations. A VM that is isolated just after it has
+	// refuted a suspicion may count as live that much longer.
 	suspectAgainAfter = 10 * time.Second
 	// startupPeriod is how long a process counts as just started. A process that then
 	// receives a statement of a later process of its name assumes that its own clock is
 	// behind. Afterwards it assumes that it has been replaced. A process that has just
-	// started also doesn't forward the health of targets that it gets by comparisons.
+	// started also doesn't forward the health of targets that it gets from comparisons of
+	// digests; see mergeDiff.
 	startupPeriod = 15 * time.Second
 )
 
@@ -53,8 +53,8 @@
 }
 
 // handleMemberFact handles a new statement about a VM. It answers a statement about this
-// VM. For another VM, it records since when that VM is suspected, or that it isn't any
-// more. The caller must hold mu.
+// VM; see handleSelfFact. For another VM it records when it became suspected, or deletes
+// that time if it no longer is. The caller must hold mu.
 func (x *Exchange) handleMemberFact(m facts.Member, now time.Time) {
 	if m.Name == x.self.Name {
 		x.handleSelfFact(m, now)
@@ -82,7 +82,7 @@
 		x.publishSelf(0)
 	case !x.replaced:
 		x.replaced = true
-		x.opts.Log.Error("another process has this VM's name", "incarnation", m.Incarnation)
+		x.opts.Log.Error("replaced by a later process with this VM's name; publishing nothing more", "incarnation", m.Incarnation)
 	}
 }
 
@@ -106,7 +106,6 @@
 // last suspicion of that VM. The caller must hold mu.
 func (x *Exchange) suspect(name string, now time.Time) {
 	m, known := x.table.Member(name)
-	// It is this VM itself, or already suspected or lost.
 	if name == x.self.Name || (known && m.State >= facts.Suspect) {
 		return
 	}
@@ -138,10 +137,10 @@
 	return m
 }
 
-// expireSuspects marks VMs as lost that have been suspected for SuspectAfter and didn't
-// refute it. Every VM does so by its own timer from the same fact, so the result isn't
-// sent. expireSuspects also removes entries of lastSuspected that have no effect any
-// more. The caller must hold mu.
+// expireSuspects marks VMs as lost that have been suspected for SuspectAfter and haven't
+// refuted it. Every VM has the suspicion and does the same by its own timer, so the
+// result isn't sent. expireSuspects also removes entries of lastSuspected that are older
+// than suspectAgainAfter and have no effect any more. The caller must hold mu.
 func (x *Exchange) expireSuspects(now time.Time) {
 	for name, since := range x.suspectedSince {
 		if now.Sub(since) < x.opts.SuspectAfter {
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -18,7 +18,7 @@
 const (
 	methodTell    = "exchange.tell"    // tellMessage: new facts
 	methodSync    = "exchange.sync"    // syncRequest -> syncAnswer: compares digests of two tables of facts
-	methodDiff    = "exchange.diff"    // diffRequest -> diffAnswer: exchanges facts of the buckets whose digests differ
+	methodDiff    = "exchange.diff"    // diffRequest -> diffAnswer: exchanges the facts that differ in some buckets
 	methodHead    = "exchange.head"    // no parameters -> headAnswer: the signed head in force
 	methodBundle  = "exchange.bundle"  // bundleRequest -> bundleAnswer: a bundle by its digest
 	methodGoodbye = "exchange.goodbye" // no parameters: the sender closes this connection on purpose
@@ -56,7 +56,7 @@
 	Entries []facts.Entry `json:"e"` // keys and hashes of all facts that the sender has in them
 }
 
-// diffAnswer carries the facts that the requesting VM doesn't have or has differently.
+// diffAnswer carries the facts that the requesting VM lacks or has in another version.
 type diffAnswer struct {
 	factPayload             // at most maxDiffFacts facts
 	Want        []facts.Key `json:"w,omitempty"` // keys of the facts that the answering VM wants from the requesting one
@@ -82,7 +82,8 @@
 // transfer of a bundle is bounded by pullTimeout instead.
 const syncTimeout = 2 * time.Second
 
-// handle serves requests and notifications from peers.
+// handle serves requests and notifications from peers. Connections for another use than
+// the exchange go to Options.CallHandler, if there is one.
 func (x *Exchange) handle(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
 	if conn.Use() != "" && x.opts.CallHandler != nil {
 		return x.opts.CallHandler(ctx, conn, method, params)
@@ -176,7 +177,8 @@
 }
 
 // handleDiff answers a peer's diffRequest with at most maxDiffFacts facts that the peer
-// lacks, and with the keys of those that this VM lacks.
+// lacks or has in another version, and with the keys of the facts that this VM lacks or
+// has in another version.
 func (x *Exchange) handleDiff(conn *wire.Conn, m *diffRequest) diffAnswer {
 	x.mu.Lock()
 	give, want := x.table.Compare(m.Buckets, m.Entries)
@@ -186,12 +188,12 @@
 	return diffAnswer{factPayload: given, Want: want, More: more}
 }
 
-// sync compares digests with a peer and exchanges the facts that differ. If the
-// peer doesn't answer in time, the connection is closed, since it may no longer
-// carry any data.
+// sync compares digests with a peer and exchanges the facts that differ. If that fails,
+// it closes the connection, since it may no longer carry any data, unless the peer
+// answered that it is busy.
 func (x *Exchange) sync(l *link) {
 	if err := x.trySync(l); err != nil {
-		x.opts.Log.Debug("comparison with a peer failed", "peer", l.name, "error", err)
+		x.opts.Log.Debug("comparison of facts with a peer failed", "peer", l.name, "error", err)
 		if result.CodeOf(err) != result.PeerBusy {
 			l.conn.Close()
 		}
@@ -264,14 +266,14 @@
 	for _, f := range given {
 		if f.Health != nil && starting {
 			// A VM that starts receives thousands of facts that the others
-			// already know. Forwarding would send them over each of its
-			// connections.
+			// already know. Forwarding would send all of them over each of
+			// its other connections.
 			x.merge(f, l, now)
 			continue
 		}
 		x.mergeAndForward(f, l, now)
 	}
-	if !differing.More { // otherwise the peer may list facts in Want that it is about to send
+	if !differing.More { // otherwise Want may list facts that the peer sends in its next answer
 		for _, key := range differing.Want {
 			l.pending[key] = struct{}{}
 		}
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -34,23 +34,23 @@
 	return float64(x.table.HealthCount())
 }
 
-// lastHealthSeconds returns the Unix time at which the health of a target last
-// changed on this VM, or 0 if none has.
+// lastHealthSeconds returns the Unix time in seconds at which the health of a target last
+// changed on this VM, or 0 if none did.
 func (x *Exchange) lastHealthSeconds() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return unixSeconds(x.lastHealthTime)
 }
 
-// lostCount returns the number of VMs that count as lost and are not forgotten yet.
+// lostCount returns the number of VMs that are lost and not yet forgotten.
 func (x *Exchange) lostCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.table.LostCount()
 }
 
-// lastDrainSeconds returns the Unix time at which this VM last learned of a
-// drain, or 0 if it has learned of none.
+// lastDrainSeconds returns the Unix time in seconds at which a drain was last added on
+// this VM, or 0 if none was.
 func (x *Exchange) lastDrainSeconds() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -46,8 +46,8 @@
 	return factPayload{Packed: packFacts(list)}
 }
 
-// decode returns the facts, whichever way they are encoded. More than limit facts are an
-// error.
+// decode returns the facts from whichever field holds them. It returns an error if there
+// are more than limit.
 func (s factPayload) decode(limit int) ([]facts.Fact, error) {
 	list := s.Facts
 	if len(s.Packed) > 0 {
@@ -57,7 +57,7 @@
 		}
 	}
 	if len(list) > limit {
-		return nil, result.Errorf(result.BadMessage, "%d facts, at most %d", len(list), limit)
+		return nil, result.Errorf(result.BadMessage, "%d facts in a message, at most %d allowed", len(list), limit)
 	}
 	return list, nil
 }
@@ -73,14 +73,15 @@
 	return buf.Bytes()
 }
 
-// unpack decompresses and decodes the facts, at most maxUnpackedBytes.
+// unpack decompresses and decodes the facts. It returns an error if they exceed
+// maxUnpackedBytes.
 func (p packedFacts) unpack() ([]facts.Fact, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p)), maxUnpackedBytes+1))
 	if err != nil {
 		return nil, result.Wrap(result.BadMessage, err, "packed facts")
 	}
 	if len(data) > maxUnpackedBytes {
-		return nil, result.Errorf(result.MessageTooBig, "facts of more than %d bytes", maxUnpackedBytes)
+		return nil, result.Errorf(result.MessageTooBig, "packed facts of more than %d bytes after decompression", maxUnpackedBytes)
 	}
 	var list []facts.Fact
 	if err := json.Unmarshal(data, &list); err != nil {
--- a/peer/spread_bench_test.go
+++ b/peer/spread_bench_test.go
@@ -18,6 +18,8 @@
 	}
 }
 
+// benchmarkSpread is BenchmarkSpread for n VMs. It reports the mean times, the bytes that a
+// VM sends per round, and the connections per VM.
 func benchmarkSpread(b *testing.B, n int) {
 	const limit = 2 * time.Minute
 	f := &testFleet{g: NewWithT(b), t: b, list: &fakeList{}, net: newNetwork()}
@@ -64,6 +66,7 @@
 	b.ReportMetric(float64(connections)/float64(n), "conns/VM")
 }
 
+// bytesOut returns the bytes that all VMs together have sent.
 func (f *testFleet) bytesOut() float64 {
 	sum := 0.0
 	for _, vm := range f.vms {
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -42,9 +42,10 @@
 	}
 }
 
-// maintainLinks dials random VMs until Fanout connections are dialled. It replaces one
-// dialled connection every RotateInterval, so that the connections stay random. It
-// sometimes dials a VM that counts as lost; see pickLost. The caller must hold mu.
+// maintainLinks dials as many random VMs as connections are missing for Fanout. It
+// replaces one dialled connection every RotateInterval, so that the connections stay
+// random. It sometimes dials a VM that counts as lost; see pickLost. The caller must hold
+// mu.
 func (x *Exchange) maintainLinks(now time.Time) {
 	// Dials in progress count as connections.
 	if missing := x.opts.Fanout - x.outbound() - len(x.dialing); missing > 0 {
@@ -67,11 +68,11 @@
 	}
 }
 
-// knownVMs returns the platform's list of VMs. A VM that never read the list,
-// because it started while the platform was down, uses the members known from its
-// peers. Otherwise two halves of a fleet whose VMs were all replaced in that time
-// would know each other only as lost, and neither would dial the other. The caller
-// must hold mu.
+// knownVMs returns the platform's list of VMs, or, on a VM that never read the list
+// because it started while the platform was down, the VMs known from peers. Without the
+// latter, two halves of a partitioned fleet whose VMs all started in that time would
+// know each other only as lost, and neither would dial the other. The caller must hold
+// mu.
 func (x *Exchange) knownVMs() []objstore.VM {
 	if x.listedVMs != nil {
 		return x.listedVMs
@@ -85,11 +86,10 @@
 	return known
 }
 
-// dialSeed dials a random one of the seeds, the addresses of VMs in the settings, that
-// this VM isn't connected to. This happens also if the VM has connections but knows no
-// further VMs: VMs that start together while the platform is down may connect to each
-// other first. If their connections kept them from dialling the seeds, they would stay
-// isolated without a bundle. The caller must hold mu.
+// dialSeed dials a random one of Options.Seeds that this VM isn't connected to. It is also
+// called if the VM has connections but knows no further VMs: VMs that start together
+// while the platform is down may connect to each other first. If they then didn't dial
+// the seeds, they would stay isolated without a bundle. The caller must hold mu.
 func (x *Exchange) dialSeed() {
 	linked := map[string]bool{}
 	for l := range x.links {
@@ -166,15 +166,16 @@
 	return vms[:min(n, len(vms))]
 }
 
-// lostDialsPerSecond is how often per second all VMs of the fleet together dial each VM
-// that the platform lists but that counts as lost.
+// lostDialsPerSecond is how often all VMs of the fleet together dial each VM that the
+// platform lists but that counts as lost: per Options.Interval, which is one second by
+// default.
 const lostDialsPerSecond = 2
 
 // pickLost chooses a VM to dial that counts as lost although the platform lists it,
 // and reports whether there is one. After a network partition each half counts the
-// other as lost. Some VMs have to dial the other half, but not all at once. So
-// chance, a random number from 0 to 1, decides: the whole fleet makes about 2 dials
-// per second to each such VM, whatever the fleet's size.
+// other as lost. Some VMs have to dial the other half, but not all at once. So draw, a
+// random number from 0 to 1, decides: the whole fleet makes about 2 dials per second
+// (lostDialsPerSecond) to each such VM, whatever the fleet's size.
 func pickLost(listed []objstore.VM, members []facts.Member, draw float64) (objstore.VM, bool) {
 	lost := map[string]bool{}
 	for _, m := range members {
