--- a/peer/health/check_calls.go
+++ b/peer/health/check_calls.go
@@ -46,8 +46,6 @@
 // call succeeded.
 func (r *Relay) checkCall(name string, err error) {
 	var failure *target.CallError
-	// Nothing to do: the call succeeded, its error doesn't contradict the known health, or
-	// this VM reads the target over its own connections.
 	if err == nil || !errors.As(err, &failure) || !contradicts(failure) || r.readsDirectly(name) {
 		return
 	}
@@ -55,9 +53,9 @@
 	r.monitor.ReadSoon(name)
 }
 
-// contradicts reports whether a failure of a call can't happen if the known health of the
-// target is correct. Shedding (a refusal because of load) and expired deadlines can
-// happen then.
+// contradicts reports whether the failure of a call shows that the known health of the
+// target is wrong. Shedding (a refusal because of load) and expired deadlines don't: they
+// also happen on a healthy target.
 func contradicts(e *target.CallError) bool {
 	switch e.Kind {
 	case target.ErrorUnreachable, target.ErrorUnknownTarget, target.ErrorMismatched:
--- a/peer/health/content.go
+++ b/peer/health/content.go
@@ -8,19 +8,20 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// maxLeafNumber bounds the numbers of a target's leaves in a statement about the health
-// of the target, where they are indexes of a list.
+// maxLeafNumber is the greatest number of a leaf that a statement can describe. The
+// numbers are indexes of Health.Leaves, so a high one would make a long list.
 const maxLeafNumber = 1024
 
-// maxContentBytes bounds the size in bytes of an encoded statement about a target, before
-// its stamp is complete. The 512 bytes that it leaves free are for the stamp and for the
-// list of the owners that can't read the target.
+// maxContentBytes bounds the size in bytes of an encoded statement that encode returns. The
+// 512 bytes up to facts.MaxHealthBytes are for the rest of the stamp and for the list of
+// the owners that can't read the target, both of which are added later.
 const maxContentBytes = facts.MaxHealthBytes - 512
 
 // encode returns the statement that describes a target's status. It leaves out the loads
 // of the leaves, and of the stamp it sets only Incarnation and Drained. If the status
-// doesn't fit in a statement, the statement is opaque: it doesn't say what the leaves
-// hold, but it replaces an earlier one, which no VM then continues to use.
+// doesn't fit in a statement, or has an unknown state, the statement is opaque: it doesn't
+// say what the leaves hold. It replaces the earlier statement nevertheless, so that no VM
+// continues to use that one.
 func encode(st target.Status) facts.Health {
 	h := facts.Health{Target: st.Target}
 	h.Incarnation = st.Incarnation
@@ -76,7 +77,7 @@
 }
 
 // holdingRuns returns the holdings of a leaf in the form of a statement. Neighbouring
-// shards of one partition map become one run, which saves the bytes of their numbers.
+// shards of one partition map become one run, which saves the bytes of the shard numbers.
 // maps has the partition maps of all holdings.
 func holdingRuns(maps []facts.Map, holdings []target.Holding) []facts.Holding {
 	type indexed struct {
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -5,7 +5,7 @@
 // or if something contradicts its statement. If every VM has connections to a
 // target, each reads it and no statements are published.
 //
-// docs/design/health.md has the reasons.
+// See docs/design/health.md for the reasons.
 package health
 
 import (
@@ -23,8 +23,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Exchange sends statements about the health of targets to the other VMs and receives
-// theirs. peer.Exchange implements it.
+// Exchange exchanges statements about the health of targets with the other VMs.
+// peer.Exchange implements it.
 type Exchange interface {
 	// SetTargets sets the targets about which statements are kept.
 	SetTargets(names []string)
@@ -40,11 +40,11 @@
 	HealthChanged() <-chan struct{}
 }
 
-// Router reads the status of targets and knows their owners. route.Router
-// implements it.
+// Router reads the status of targets and states who owns connections to them.
+// route.Router implements it.
 type Router interface {
 	target.StatusReader
-	// Ownership states which VMs own connections to a target.
+	// Ownership returns which VMs own connections to a target.
 	Ownership(target string) route.Ownership
 }
 
@@ -60,22 +60,22 @@
 	// SetReadInterval sets the time between reads of a target to which this VM has no
 	// connections. 0 means the health interval of the target's service.
 	SetReadInterval(target string, interval time.Duration)
-	// ReadSoon moves the next read of a target forward.
+	// ReadSoon moves the next read of a target to an earlier time.
 	ReadSoon(target string)
 }
 
 // Options configures a Relay. All fields are required.
 type Options struct {
-	Router  Router // reads targets and knows their owners
+	Router  Router // reads targets and states their owners
 	Sink    Sink   // receives what this VM reads and what other VMs state
 	Log     *slog.Logger
 	Metrics *metrics.Set // the counters of the Relay are added to it
 }
 
 // Relay connects the Monitor, the Exchange and the Sink. The Monitor reads targets
-// through it and reports to it as its sink. The Relay publishes what this VM reads
-// as an owner, and passes to the Sink what this VM read or received from other VMs.
-// It is safe for concurrent use.
+// through it and reports to it as its sink. The Relay publishes through the Exchange
+// what this VM reads as an owner, and passes to the Sink what this VM read or received
+// from other VMs. It is safe for concurrent use.
 type Relay struct {
 	opts     Options
 	exchange Exchange
@@ -90,10 +90,10 @@
 	mu               sync.Mutex             // guards the fields below; held during calls of the Sink, the Exchange and the Monitor, which never call back
 	reporter         *reporter              // decides what this VM, as an owner, publishes
 	timings          map[string]timing      // by target of the bundle in force
-	rereadInterval   time.Duration          // interval at which this VM reads a target through one of its owners while a statement describes its health; see adjustReadInterval
+	rereadInterval   time.Duration          // at which this VM reads a target through one of its owners while there is a statement about it; see adjustReadInterval
 	readBase         map[string]facts.Stamp // by target: stamp of the known statement when the current or last read began
 	appliedStamps    map[string]facts.Stamp // by target: stamp of the statement that the Sink last received, or that was known when the Sink received a read
-	partlyUnreadable map[string]bool        // by target that some owner can't read: whether the Sink was notified that the target is lost
+	partlyUnreadable map[string]bool        // by target that some owner can't read: whether the Sink was last notified that the target is lost
 }
 
 // New returns a Relay that isn't started.
@@ -126,18 +126,18 @@
 }
 
 const (
-	// minRereadInterval is the least time between two reads of one target by a VM that
-	// already has its health from a statement of an owner.
+	// minRereadInterval is the least time between two reads of one target through an
+	// owner by a VM that already has its health from a statement.
 	minRereadInterval = 20 * time.Second
 	// maxRereadsPerSecond bounds how many such reads one VM makes per second, of all
-	// targets together. An answer takes about 450 bytes, so with thousands of targets
-	// unbounded reads would cost more than everything else that a VM sends.
+	// targets together. An answer takes about 450 bytes. With thousands of targets,
+	// unbounded reads would take more bytes than everything else that a VM sends.
 	maxRereadsPerSecond = 2
 )
 
-// Apply sets the targets to those of the bundle in force. It has the Exchange keep
-// statements about those of them that some VMs call through owners. It must be called
-// before the Monitor gets the targets.
+// Apply sets the targets to those of the bundle in force. It makes the Exchange keep
+// statements about those that some VMs call through owners. It must be called before the
+// Monitor gets the targets.
 func (r *Relay) Apply(b *bundle.Bundle) {
 	known := map[string]timing{}
 	var shared []string // targets that some VMs call through owners
@@ -185,12 +185,11 @@
 	}
 }
 
-// recheckInterval is the time between checks of the targets that some owner can't read:
-// whether the owners that could still read them have been lost.
+// recheckInterval is the time between two calls of recheckLost.
 const recheckInterval = time.Second
 
-// run applies statements as they arrive, and checks partlyUnreadable targets at
-// sweepInterval, until the Relay stops.
+// run applies statements as they arrive, and calls recheckLost at recheckInterval, until
+// the Relay stops.
 func (r *Relay) run() error {
 	recheck := time.NewTicker(recheckInterval)
 	defer recheck.Stop()
@@ -211,8 +210,8 @@
 // apply handles a statement about a target. It does nothing if every VM has connections
 // to the target. If this VM is one of the target's owners, it doesn't use the statement
 // but may answer it with one of its own; see answerStatement. Otherwise it passes the
-// statement to the Sink, unless the Sink already has it, or has the result of a read that
-// began when the statement was known.
+// statement to the Sink, unless the Sink already has it or something newer: the result of
+// a read that began when the statement was already known.
 func (r *Relay) apply(h facts.Health) {
 	ownership := r.opts.Router.Ownership(h.Target)
 	if !ownership.Shared {
@@ -265,16 +264,15 @@
 	}
 }
 
-// recheckLost passes the statements about some targets to the Sink again: those that became
-// lost because an owner was lost, and those that aren't lost any more because an owner
-// was added.
+// recheckLost checks the targets that some owner can't read. It notifies the Sink of those
+// that have become lost because the last owner that could read them was lost, and of those
+// that are no longer lost because an owner was added. No new statement announces either.
 func (r *Relay) recheckLost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, wasLost := range r.partlyUnreadable {
 		ownership := r.opts.Router.Ownership(name)
-		// On a VM that isn't an owner: has the target become lost, or ceased to be lost,
-		// since the Sink was last notified?
+		// An owner uses its own reads instead of statements.
 		if h, known := r.exchange.Health(name); known && !ownership.Owner && lost(h, ownership.LiveOwners) != wasLost {
 			r.notifySink(h, ownership)
 		}
@@ -298,7 +296,7 @@
 }
 
 // Status reads a target's status for the Monitor. If this VM is one of the target's
-// owners, and other VMs depend on them, it publishes what has changed.
+// owners, and other VMs have no connections to the target, it publishes what has changed.
 func (r *Relay) Status(ctx context.Context, name string) (target.Status, error) {
 	base, _ := r.exchange.Health(name)
 	began := time.Now()
@@ -337,10 +335,9 @@
 	}
 }
 
-// TargetStatus implements target.Sink for the Monitor. The Monitor calls it
-// with each status that it has read, and TargetStatus passes the status to the Sink. A
-// status that was read through an owner is dropped if a newer statement arrived during
-// the read.
+// TargetStatus implements target.Sink for the Monitor. It passes a status that the Monitor
+// has read to the Sink. A status that was read through an owner is dropped if a newer
+// statement arrived during the read.
 func (r *Relay) TargetStatus(name string, status target.Status, at time.Time) {
 	direct := r.readsDirectly(name)
 	r.mu.Lock()
@@ -361,9 +358,9 @@
 }
 
 // TargetFailed implements target.Sink for the Monitor. It passes the error of a failed
-// read to the Sink. A failed read through an owner is ignored as long as a statement
-// describes the target and some live owner can read it: the owner that was used may be
-// frozen, or the network path to it cut.
+// read to the Sink. A failed read through an owner is ignored if a statement describes the
+// target and some live owner can read it: the owner that was used may be frozen, or the
+// network path to it cut.
 func (r *Relay) TargetFailed(name string, err error, at time.Time) {
 	if !r.readsDirectly(name) {
 		h, known := r.exchange.Health(name)
@@ -375,14 +372,14 @@
 	r.opts.Sink.TargetFailed(name, err, at)
 }
 
-// TargetState implements target.Sink for the Monitor. It passes the state in the headers
-// of an answer on to the Sink.
+// TargetState implements target.Sink for the Monitor. It passes on the state that the
+// headers of an answer contain.
 func (r *Relay) TargetState(name, incarnation string, state target.State, at time.Time) {
 	r.opts.Sink.TargetState(name, incarnation, state, at)
 }
 
-// readsDirectly reports whether this VM reads a target over its own connections: every VM
-// has some, or this VM is one of the owners.
+// readsDirectly reports whether this VM reads a target over its own connections: either
+// every VM has connections to it, or this VM is one of its owners.
 func (r *Relay) readsDirectly(name string) bool {
 	ownership := r.opts.Router.Ownership(name)
 	return !ownership.Shared || ownership.Owner
--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -15,22 +15,21 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// fakes implements all interfaces that a Relay uses. read is called during each read
-// of a target and may be nil.
+// fakes implements all interfaces that a Relay uses, for one target.
 type fakes struct {
-	known        facts.Health
+	known        facts.Health // the current statement
 	changes      []facts.Health
-	publications int
+	publications int // number of published statements
 	ownership    route.Ownership
-	status       target.Status
-	err          error
-	read         func()
+	status       target.Status // the result of each read
+	err          error         // the error of each read and call
+	read         func()        // called during each read of the target; may be nil
 
 	statuses     []target.Status // received by the sink
-	failed       int
-	lost         int
-	readInterval time.Duration // last set on the monitor
-	readSoon     int
+	failed       int             // calls of TargetFailed
+	lost         int             // calls of TargetLost
+	readInterval time.Duration   // last set on the monitor
+	readSoon     int             // calls of ReadSoon
 }
 
 func (f *fakes) SetTargets([]string)                              {}
@@ -72,6 +71,8 @@
 func (f *fakes) TargetState(string, string, target.State, time.Time) {}
 func (f *fakes) TargetLost(string)                                   { f.lost++ }
 
+// statement returns a statement that the owners at the places unreadableBy can't read the
+// target. The target serves in the epoch.
 func statement(epoch uint64, unreadableBy ...int) facts.Health {
 	return facts.Health{Target: testTarget, Stamp: facts.Stamp{Epoch: epoch, Incarnation: "i"}, UnreadableBy: unreadableBy}
 }
--- a/peer/health/reporter.go
+++ b/peer/health/reporter.go
@@ -10,17 +10,16 @@
 
 // readResult is the result of one read of a target's status by one of its owners.
 type readResult struct {
-	base   facts.Health   // the known statement when the read began; zero if there was none
+	base   facts.Health   // the statement that was known when the read began; zero if there was none
 	began  time.Time      // by this VM's clock
 	status *target.Status // the status that was read; nil if the read failed
 }
 
-// ownerOrder is the order in which the owners of a target publish what they read, and
-// this VM's place in it. Owners are known by their places, numbers that VMs claim so that
-// no two VMs hold the same one.
+// ownerOrder is the order in which the owners of a target publish what they read. Owners
+// are identified by their places: numbers that VMs claim, each held by one VM only.
 type ownerOrder struct {
 	place  int   // of this VM, which is an owner
-	owners []int // places of all live owners; the first one publishes at once
+	owners []int // places of all live owners, in their order; the first one publishes at once
 }
 
 // reporter decides which statements one owner publishes about targets. It does no
@@ -45,22 +44,23 @@
 // failed read is published.
 type timing struct {
 	interval     time.Duration // between reads
-	suspectAfter int           // failed reads in a row until this owner counts as unable to read a target
+	suspectAfter int           // number of consecutive failed reads after which this owner counts as unable to read a target
 }
 
-// propagationTime is long enough for a statement to reach all VMs of the fleet.
+// propagationTime is a time in which a statement reaches all VMs of the fleet.
 const propagationTime = 500 * time.Millisecond
 
-// rankDelay returns how long an owner waits for each owner that comes before it in the
-// order. That is long enough for the other owner's next read, which jitter may delay, and
-// for its statement to arrive.
+// rankDelay returns how long an owner waits, for each owner that comes before it in the
+// order, until it publishes. That is long enough for the other owner's next read, which
+// jitter may delay, and for its statement to arrive.
 func (t timing) rankDelay() time.Duration { return 2*t.interval + propagationTime }
 
 // newReporter returns a reporter that has recorded no reads yet.
 func newReporter() *reporter { return &reporter{targets: map[string]*targetState{}} }
 
 // handleRead returns the statement that this owner has to publish after its read of the
-// named target, and reports whether there is one. order is that of the target's owners.
+// named target, and reports whether there is one. order is the order of the target's live
+// owners.
 func (rep *reporter) handleRead(name string, r readResult, order ownerOrder, t timing, now time.Time) (facts.Health, bool) {
 	ts := rep.targets[name]
 	if ts == nil {
@@ -74,8 +74,8 @@
 	return ts.handleStatus(name, r, order, t, now)
 }
 
-// handleFailure is handleRead for a failed read. From the suspectAfter-th failure in a row
-// on, this owner counts as unable to read the target.
+// handleFailure is handleRead for a failed read. After suspectAfter consecutive failures,
+// this owner counts as unable to read the target.
 func (ts *targetState) handleFailure(name string, r readResult, order ownerOrder, t timing, now time.Time) (facts.Health, bool) {
 	ts.differsSince = time.Time{}
 	ts.failures++
@@ -87,17 +87,18 @@
 	}
 	base := r.base
 	if base.Target == "" {
-		// No owner has read it yet. Without a statement, all VMs would continue to
-		// try to read a target that was down when the bundle came into force.
+		// No owner has read the target yet, so there is no statement that could say
+		// that it is unreadable. Without one, all VMs would continue to try to read a
+		// target that was down when the bundle came into force.
 		base = facts.Health{Target: name, Opaque: true}
 	}
 	return ts.reportUnreadable(base, order, t, now)
 }
 
 // handleStatement returns the statement that this owner has to publish after the
-// statement h of another owner has arrived, and reports whether there is one. If the
-// owner before this one has just stated that it can't read the target, and this one
-// can't either, this one need not wait for its next read.
+// statement h of another owner has arrived, and reports whether there is one. If h says
+// that the owner before this one can't read the target, and this one can't either, this
+// one states it at once instead of after its next read.
 func (rep *reporter) handleStatement(h facts.Health, order ownerOrder, t timing, now time.Time) (facts.Health, bool) {
 	ts := rep.targets[h.Target]
 	if ts == nil || ts.failingSince.IsZero() {
@@ -115,7 +116,6 @@
 // to do so. Until then the target isn't lost, and most targets that one owner can't reach
 // can be reached by the others.
 func (ts *targetState) reportUnreadable(base facts.Health, order ownerOrder, t timing, now time.Time) (facts.Health, bool) {
-	// This owner has already stated it, or the owners before it still have time to.
 	if slices.Contains(base.UnreadableBy, order.place) || !due(ts.failingSince, rank(base, order), t, now) {
 		return facts.Health{}, false
 	}
@@ -133,7 +133,7 @@
 	if r.base.Drained && r.base.Incarnation == content.Incarnation {
 		content.State, content.Drained = facts.Draining, true // a drain is final
 	}
-	known := r.base.Target != "" // there is a statement about the target
+	known := r.base.Target != ""
 	statedUnreadable := slices.Contains(r.base.UnreadableBy, order.place)
 	// The known statement is correct, also about this owner.
 	if known && !statedUnreadable && r.base.SameContent(content) {
@@ -143,7 +143,8 @@
 	if ts.differsSince.IsZero() {
 		ts.differsSince = now
 	}
-	// Only this owner can revoke its statement that it can't read the target.
+	// Only this owner can revoke its own statement that it can't read the target, so it
+	// doesn't wait for the others.
 	if !statedUnreadable && !due(ts.differsSince, rank(r.base, order), t, now) {
 		return facts.Health{}, false
 	}
@@ -152,7 +153,7 @@
 	next.State, next.Drained, next.Opaque = content.State, content.Drained, content.Opaque
 	next.Maps, next.Leaves = content.Maps, content.Leaves
 	next.UnreadableBy = slices.DeleteFunc(next.UnreadableBy, func(p int) bool { return p == order.place })
-	// The first statement about this incarnation has a new stamp.
+	// The first statement about an incarnation starts a new epoch.
 	if !known || r.base.Incarnation != content.Incarnation {
 		next.Target = name
 		next.UnreadableBy = nil
@@ -166,8 +167,7 @@
 
 // nextStatement returns a copy of the statement base with the stamp of the next statement
 // about the same incarnation. read is the time of the read that the new statement is
-// based on. Of the owners that can't read the target, only live ones are kept, which
-// bounds their number.
+// based on. Owners that aren't live are removed from UnreadableBy, which bounds its length.
 func nextStatement(base facts.Health, order ownerOrder, read time.Time) facts.Health {
 	next := base
 	next.Seq++
@@ -192,15 +192,14 @@
 	return n
 }
 
-// due reports whether an owner may publish now what it has found since the given time. It
-// has to wait rankDelay for each owner before it, of which rank is the number.
+// due reports whether an owner may publish now what it found at the time since. It has to
+// wait rankDelay for each of the owners before it, whose number is rank.
 func due(since time.Time, rank int, t timing, now time.Time) bool {
 	return now.Sub(since) >= time.Duration(rank)*t.rankDelay()
 }
 
 // lost reports whether a target counts as lost: it has live owners, and the statement h
-// says of each that it can't read the target. owners holds their places, numbers that VMs
-// claim so that no two VMs hold the same one.
+// says of each that it can't read the target. owners holds the places of the live owners.
 func lost(h facts.Health, owners []int) bool {
 	for _, place := range owners {
 		if !slices.Contains(h.UnreadableBy, place) {
--- a/peer/health/reporter_test.go
+++ b/peer/health/reporter_test.go
@@ -16,7 +16,7 @@
 
 var testTiming = timing{interval: time.Second, suspectAfter: 2}
 
-// simulation simulates one target, its owners, one VM that owns nothing, and the time.
+// simulation simulates one target, its owners, another VM that owns nothing, and the time.
 type simulation struct {
 	now      time.Time
 	owners   []*owner
@@ -31,11 +31,12 @@
 	table      *facts.Table
 	place      int
 	cannotRead bool        // can't read the target
-	isolated   bool        // exchanges no facts
-	lost       bool        // known to all VMs to be lost
+	isolated   bool        // exchanges no facts with other VMs
+	lost       bool        // counts as lost on all VMs
 	pending    *readResult // a finished read that isn't handled yet, as in a frozen process
 }
 
+// newSimulation returns a simulation with n owners.
 func newSimulation(n int) *simulation {
 	sim := &simulation{now: time.Unix(1_000_000, 0), otherVM: newTable()}
 	for i := range n {
@@ -45,24 +46,29 @@
 	return sim
 }
 
+// newTable returns a table that keeps the health of testTarget.
 func newTable() *facts.Table {
 	t := facts.NewTable()
 	t.SetTargets([]string{testTarget})
 	return t
 }
 
+// restart starts a new incarnation of the target. Its name sorts before that of the
+// earlier one.
 func (sim *simulation) restart() {
 	sim.restarts++
 	sim.status = target.Status{Target: testTarget, Incarnation: fmt.Sprint("i", 1000-sim.restarts), State: target.StateServing}
 	sim.setHoldings("s1", 1)
 }
 
+// setHoldings makes the target hold another snapshot instead of the current one.
 func (sim *simulation) setHoldings(snapshot string, seq int64) {
 	sim.status.Leaves = []target.LeafStatus{{Holdings: []target.Holding{
 		{Snapshot: snapshot, Seq: seq, Shards: 8, Shard: int(seq) % 8, Records: 10 * seq},
 	}}}
 }
 
+// ownerOrder returns the order of the live owners for the owner at a place.
 func (sim *simulation) ownerOrder(place int) ownerOrder {
 	s := ownerOrder{place: place}
 	for _, o := range sim.owners {
@@ -73,7 +79,7 @@
 	return s
 }
 
-// beginRead reads the target; finishRead handles the result.
+// beginRead reads the target for an owner; finishRead handles the result.
 func (sim *simulation) beginRead(o *owner) {
 	base, _ := o.table.Health(testTarget)
 	r := &readResult{base: base, began: sim.now}
@@ -84,6 +90,8 @@
 	o.pending = r
 }
 
+// finishRead handles the result of beginRead, and publishes the statement that follows if
+// the one known before the read is still current.
 func (sim *simulation) finishRead(o *owner) {
 	r := o.pending
 	o.pending = nil
@@ -116,6 +124,8 @@
 	sim.now = sim.now.Add(testTiming.interval)
 }
 
+// syncAll exchanges facts between all owners that are neither isolated nor lost, through
+// the other VM.
 func (sim *simulation) syncAll() {
 	for range 2 {
 		for _, o := range sim.owners {
@@ -133,13 +143,14 @@
 	}
 }
 
+// known returns the statement that the other VM has.
 func (sim *simulation) known() facts.Health {
 	h, _ := sim.otherVM.Health(testTarget)
 	return h
 }
 
 // checkKnown returns an error unless the other VM knows the target's current status
-// and doesn't count the target as lost. It holds once all facts are exchanged.
+// and doesn't count the target as lost. Both must be so once all facts are exchanged.
 func (sim *simulation) checkKnown() error {
 	h := sim.known()
 	if !h.SameContent(encode(sim.status)) {
@@ -152,7 +163,7 @@
 }
 
 // TestOnlyFirstOwnerReports: if each owner published each change, the fleet would send
-// several statements for one. An unchanged target must cause none.
+// several statements for one change. An unchanged target must cause none.
 func TestOnlyFirstOwnerReports(t *testing.T) {
 	g := NewWithT(t)
 	sim := newSimulation(3)
@@ -296,6 +307,8 @@
 	})
 }
 
+// step does one of the things that may happen to an owner or to the target, by its number
+// from 0 to 7.
 func (sim *simulation) step(o *owner, action int) {
 	switch action {
 	case 0:
