--- a/peer/facts/facts.go
+++ b/peer/facts/facts.go
@@ -1,8 +1,8 @@
 // Package facts defines the facts that VMs exchange apart from the bundle in force:
 // which incarnations of targets drain, which VMs are alive, and the health of the
-// targets that not every VM reads. Its Table does no I/O. It merges facts in any
-// order and any number of times to the same state, and short digests show where two
-// tables differ.
+// targets that not every VM reads. A Table merges facts: their order and repetitions
+// don't affect the result. Short digests show where two tables differ. The package does
+// no I/O.
 package facts
 
 import (
@@ -18,13 +18,13 @@
 type Drain struct {
 	Target      string `json:"t"`
 	Incarnation string `json:"i"`
-	// Since orders the drains of one target. It is the time by the clock of the VM
-	// that first recorded the drain, in Unix seconds, or more: it exceeds the Since
-	// of every earlier drain of the target that this VM knew.
+	// Since orders the drains of one target. It is the time by the clock of the VM that
+	// first recorded the drain, in Unix seconds. If that VM knew a drain of the target
+	// with the same or a higher Since, it is one more than the highest of these.
 	Since int64 `json:"s"`
 }
 
-// State is the state of a VM.
+// State is the state of a VM in a Member.
 type State int
 
 // The states of a VM. Of two statements about one incarnation of a VM with the same
@@ -37,9 +37,9 @@
 	Lost          // it was suspected and didn't refute the suspicion in time
 )
 
-// Member is a statement about one VM. Only the VM itself raises Counter. Another VM may
-// state that it suspects this one, with the counter that it knows. The suspected VM
-// refutes the suspicion with a higher counter.
+// Member is a statement about one VM. Only the VM itself raises Counter. If another VM
+// can't reach it, that one states the suspicion with the counter that it knows. The
+// suspected VM refutes the suspicion with a higher counter.
 type Member struct {
 	Name        string `json:"n"`
 	Incarnation string `json:"i"` // of the VM's process
@@ -50,7 +50,7 @@
 	Address     string `json:"p"`           // of the protocol between VMs, IP and port
 	Ops         string `json:"o"`           // of the operators' page, IP and port
 	Zone        string `json:"z"`           // availability zone
-	Place       int    `json:"l,omitempty"` // number, counted from 1, that decides to which targets the VM owns connections; 0 means none
+	Place       int    `json:"l,omitempty"` // the place that the VM holds, counted from 1; 0 means none; it decides to which targets the VM owns connections
 }
 
 // Fact is one of the facts that VMs send to each other: a drain, a statement about a VM,
@@ -70,7 +70,7 @@
 	drainPrefix  = "d/"   // of the key of a Drain
 	memberPrefix = "m/"   // of the key of a Member
 	healthPrefix = "h/"   // of the key of a Health
-	keySeparator = "\x00" // between a target and its incarnation, and between the details of a Member
+	keySeparator = "\x00" // between a target and its incarnation in a key; also between the fields in Member.details
 )
 
 // Key returns the fact's key. It returns "" if the fact is malformed: if not exactly one
@@ -118,8 +118,8 @@
 	return bucket
 }
 
-// hash returns a hash over the whole fact. Tables whose facts have the same hashes count
-// as equal.
+// hash returns a hash over the whole fact. Two facts with the same key and hash count as
+// equal.
 func (f Fact) hash() uint64 {
 	data, _ := json.Marshal(f) // its types always marshal
 	return xxhash.Sum64(data)
@@ -144,8 +144,7 @@
 	}
 }
 
-// details returns the fields of a statement that Outranks doesn't compare one by one,
-// joined to one string. Outranks compares them last.
+// details returns the fields that Outranks compares last, joined to one string.
 func (m Member) details() string {
 	return strings.Join([]string{m.Address, m.Ops, m.Zone, strconv.Itoa(m.Place)}, keySeparator)
 }
--- a/peer/facts/health.go
+++ b/peer/facts/health.go
@@ -35,8 +35,8 @@
 	// UnreadableBy holds the places of the owners that can't read the target. A place is
 	// the number, counted from 0, of a VM among those that own connections to targets.
 	// Each owner adds only itself; it removes only itself and owners that are no longer
-	// live. The first statement about a new incarnation has none. A target that no live
-	// owner can read is lost.
+	// live. The first statement about a new incarnation has none. A target that has live
+	// owners, none of which can read it, is lost.
 	UnreadableBy []int       `json:"u,omitempty"`
 	Maps         []Map       `json:"m,omitempty"` // the partition maps of all holdings, each once
 	Leaves       [][]Holding `json:"l,omitempty"` // what each leaf holds, indexed by the number of the leaf
@@ -54,9 +54,9 @@
 //     incarnation. Otherwise the order would not be transitive.
 //   - Drained is final for an incarnation, whatever a later read returns.
 //   - Seq counts the statements about one incarnation. At, the time of the read,
-//     decides between two with the same number.
+//     decides between two with the same Seq.
 //
-// Times are in Unix milliseconds, by the clock of the VM that first published them.
+// Times are by the clock of the VM that first published them.
 type Stamp struct {
 	Epoch       uint64 `json:"e"`           // counts the incarnations of the target that its owners have found
 	FirstRead   int64  `json:"b"`           // when an owner first read this incarnation, in Unix milliseconds
@@ -127,12 +127,10 @@
 }
 
 // valid reports whether a statement can be merged: it names its target, it is within
-// MaxHealthBytes, its holdings refer to its maps, and Drained is set exactly if State is
-// Draining. It names an incarnation exactly if an owner has read the target.
+// MaxHealthBytes, its holdings refer to its maps, and Drained is set if and only if State
+// is Draining. It names an incarnation if and only if an owner has read the target.
 func (h Health) valid() bool {
 	neverRead := h.Epoch == 0 && h.Opaque
-	// Refused: no target; an incarnation although the target was never read, or none
-	// although it was; State and Drained that contradict each other.
 	if h.Target == "" || (h.Incarnation == "") != neverRead || (h.State == Draining) != h.Drained {
 		return false
 	}
@@ -155,9 +153,9 @@
 }
 
 // SetTargets sets the targets whose health is kept, which are targets of the bundle in
-// force, and forgets the health of all others. Statements about others aren't merged: a
-// VM that still had the earlier bundle could otherwise bring back what was forgotten.
-// unknown says that some of the named targets have no statement yet.
+// force, and removes the statements about all others. Merge then ignores statements about
+// others: a VM that still has an earlier bundle could otherwise bring back what was
+// removed. SetTargets reports whether some of the named targets have no statement yet.
 func (t *Table) SetTargets(names []string) (unknown bool) {
 	named := make(map[string]struct{}, len(names))
 	for _, name := range names {
@@ -176,14 +174,15 @@
 	return unknown
 }
 
-// mergeHealth adds a statement about a target and reports whether it changed the table.
+// mergeHealth adds a statement about a target and reports whether it changed the table. It
+// ignores targets that SetTargets didn't name.
 func (t *Table) mergeHealth(h Health) bool {
 	if _, kept := t.targets[h.Target]; !kept {
 		return false
 	}
 	old, known := t.health[h.Target]
-	// Ignored: a statement that doesn't outrank the known one about the target; one about
-	// a further target if the table is full; a malformed one.
+	// Ignored: a statement that doesn't outrank the known one; one about a further target
+	// if the table is full; a malformed one.
 	if known && !h.Outranks(old.Health) || !known && len(t.health) >= MaxHealthTargets || !h.valid() {
 		return false
 	}
--- a/peer/facts/health_test.go
+++ b/peer/facts/health_test.go
@@ -11,12 +11,14 @@
 
 var testTargets = []string{"t0", "t1", "t2"}
 
+// newTestTable returns a table that keeps the health of testTargets.
 func newTestTable() *Table {
 	t := NewTable()
 	t.SetTargets(testTargets)
 	return t
 }
 
+// drawHealth draws a statement from so few values that stamps are often equal in part.
 func drawHealth(t *rapid.T) *Health {
 	h := &Health{
 		Target: rapid.SampledFrom(testTargets).Draw(t, "target"),
@@ -38,6 +40,8 @@
 	return h
 }
 
+// mergeHealthChecked merges a Health fact. It fails if an older statement replaces a newer
+// one, if a drained incarnation is no longer drained, or if Merge returns the wrong result.
 func mergeHealthChecked(t *rapid.T, table *Table, f Fact) {
 	before, known := table.Health(f.Health.Target)
 	changed := table.Merge(f, now)
@@ -57,8 +61,9 @@
 	}
 }
 
-// TestHealthOrderIsTotal: of two different statements exactly one must win, and which
-// one must not depend on the statements that were merged in between.
+// TestHealthOrderIsTotal: of two different statements exactly one must outrank the other,
+// and Outranks must be transitive. Otherwise the state of a table would depend on the
+// order in which statements arrive, and VMs would not converge.
 func TestHealthOrderIsTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := *drawHealth(t), *drawHealth(t), *drawHealth(t)
@@ -87,6 +92,8 @@
 	g.Expect(table.Merge(Fact{Health: &h}, now)).To(BeFalse())
 }
 
+// TestMalformedHealthIsRefused: a peer sends statements that lack an incarnation, contradict
+// themselves or are too large. They must not be merged.
 func TestMalformedHealthIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	table := newTestTable()
--- a/peer/facts/table.go
+++ b/peer/facts/table.go
@@ -23,12 +23,13 @@
 )
 
 const (
-	// maxDrainsPerTarget is the number of drains of one target that are kept. Older ones
-	// are dropped.
+	// maxDrainsPerTarget is the greatest number of drains of one target that are kept.
+	// Older ones are dropped.
 	maxDrainsPerTarget = 4
 	// forgetAfter is how long the statement about a lost VM is kept after the VM was
 	// suspected. It is bounded so that the table doesn't grow with every VM that was
-	// ever replaced. It is far longer than the delay of a late message about that VM.
+	// ever replaced. It is far longer than a message about that VM can be delayed, so no
+	// late message adds the VM again.
 	forgetAfter = 10 * time.Minute
 )
 
@@ -125,8 +126,9 @@
 }
 
 // AddDrain records a drain that this VM found itself. If it is new, AddDrain returns
-// the fact to send, and true. The drain's Since exceeds all earlier ones of the target,
-// so that a VM with a fast clock can't suppress later drains. now is in Unix seconds.
+// the fact to send to other VMs, and true. The drain's Since exceeds all known ones of the
+// target. Otherwise the drains that a VM with a fast clock recorded would count as newer
+// than all later ones. now is in Unix seconds.
 func (t *Table) AddDrain(target, incarnation string, now int64) (Fact, bool) {
 	d := Drain{Target: target, Incarnation: incarnation, Since: now}
 	for _, old := range t.drains[target] {
@@ -139,8 +141,7 @@
 	return f, t.Merge(f, now)
 }
 
-// removeMember removes the statement about a VM, which must be the one that the table
-// holds.
+// removeMember removes a statement about a VM. It must be the one that the table holds.
 func (t *Table) removeMember(m Member) {
 	t.toggle(Fact{Member: &m})
 	delete(t.members, m.Name)
@@ -206,12 +207,11 @@
 	return list
 }
 
-// Root returns one digest over all buckets of a section. It depends on the order of the
-// buckets.
+// Root returns one digest over the digests of all buckets of a section.
 func (t *Table) Root(section Section) uint64 {
 	var root uint64
 	for i, d := range t.buckets(section) {
-		// Each bucket has a factor and a summand of its own, so that the order counts.
+		// A factor and a summand for each bucket make the root depend on their order.
 		root ^= d*uint64(2*i+1) + uint64(i)
 	}
 	return root
--- a/peer/facts/table_test.go
+++ b/peer/facts/table_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-const now = int64(1_000_000)
+const now = int64(1_000_000) // Unix seconds
 
+// drawFact draws a fact from so few values that many facts have the same key.
 func drawFact(t *rapid.T) Fact {
 	switch rapid.IntRange(0, 2).Draw(t, "kind") {
 	case 0:
@@ -43,9 +44,9 @@
 	}
 }
 
-// TestTablesConverge: whatever facts two VMs received, in whatever order and how often,
-// a few comparisons must make their tables equal, and no statement may be replaced by
-// an older one.
+// TestTablesConverge: two VMs received the same facts a different number of times, some not
+// at all. A few comparisons must make their tables equal, and no statement may be replaced
+// by an older one.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newTestTable(), newTestTable()
@@ -71,6 +72,8 @@
 	})
 }
 
+// mergeChecked merges a fact, and fails if an older statement replaces a newer one or if a
+// target has too many drains.
 func mergeChecked(t *rapid.T, table *Table, f Fact) {
 	if f.Health != nil {
 		mergeHealthChecked(t, table, f)
@@ -91,8 +94,9 @@
 	}
 }
 
-// TestDigestFollowsContent: a digest that was updated with each change must equal the
-// digest of a new table with the same content.
+// TestDigestFollowsContent: tables update their digests with each change. If a digest
+// differed from that of a new table with the same content, VMs with equal tables would
+// exchange their facts at each comparison.
 func TestDigestFollowsContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTestTable()
@@ -120,8 +124,8 @@
 }
 
 // TestFastClockDoesNotHideDrains: one VM's clock is a year ahead, and so are the times
-// of the drains that it records. Only the newest drains of a target are kept, but a
-// drain that another VM records later must still be kept.
+// of the drains that it records. Only the newest drains of a target are kept. A drain
+// that another VM records later must be among them.
 func TestFastClockDoesNotHideDrains(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable()
@@ -146,6 +150,8 @@
 	g.Expect(table.Drains()).To(HaveExactElements(HaveField("Incarnation", "first"), HaveField("Incarnation", "second")))
 }
 
+// TestMalformedFactsAreRefused: a peer sends malformed facts, digests and entries. They must
+// not change the table or cause a panic.
 func TestMalformedFactsAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable()
