--- a/peer/place/place.go
+++ b/peer/place/place.go
@@ -1,8 +1,9 @@
 // Package place gives each VM a place of its own in the fleet. A place is a number from
 // 0 to bundle.Fleet.MaxVMs-1 that a VM claims by a conditional write of an object of the
 // platform. Places decide which VMs own connections to which targets (package share),
-// so no two processes may hold one at a time. A claim costs an incarnation of a VM one
-// listing and one write, and another write for the release. Claims aren't renewed.
+// so no two processes may hold one at a time. Each incarnation of a VM makes one listing
+// and one write for its claim, and another write, the deletion, for its release. Claims
+// aren't renewed.
 package place
 
 import (
@@ -24,8 +25,8 @@
 // and the number of the place with four digits.
 const Kind = "vm-places"
 
-// ErrNoneFree means that no place could be claimed: each is claimed by a process that
-// isn't known to have ended, or was claimed by another VM at the same moment.
+// ErrNoneFree means that no place could be claimed: each is held by a process that isn't
+// known to have ended, or was claimed by another VM during the call.
 var ErrNoneFree = errors.New("place: no place is free")
 
 // Claim is the JSON value of a platform's object of this Kind. It says which process
@@ -51,7 +52,7 @@
 // and that decides to which targets this VM owns connections.
 type Held struct {
 	Place   int    // number of the place, counted from 0
-	version uint64 // of the object that holds the claim; another version means that the claim was lost
+	version uint64 // of the object that holds the claim, as this process wrote it; another version means that the claim was lost
 	opts    Options
 }
 
@@ -59,9 +60,9 @@
 const claimsPerPage = 1000
 
 // Acquire claims one of the places numbered 0 to placeCount-1 for this process, and
-// returns it. It takes a random place that no process has claimed, or whose holder is
-// known to have ended. If this process already holds a place, Acquire returns that one.
-// It returns ErrNoneFree if none is available now.
+// returns it. It claims a random place that no process holds, or whose holder is known to
+// have ended. If this process already holds a place, Acquire returns that one. It returns
+// ErrNoneFree if no place could be claimed.
 func Acquire(ctx context.Context, o Options, placeCount int) (*Held, error) {
 	claims, err := listClaims(ctx, o)
 	if err != nil {
@@ -69,7 +70,7 @@
 	}
 	for place, c := range claims {
 		if c.VM == o.VM && c.Incarnation == o.Incarnation && place < placeCount {
-			return &Held{Place: place, version: c.version, opts: o}, nil // an earlier answer was lost
+			return &Held{Place: place, version: c.version, opts: o}, nil // claimed by an earlier call whose answer was lost
 		}
 	}
 	for _, place := range rand.Perm(placeCount) {
@@ -95,9 +96,9 @@
 	return errors.Trace(err)
 }
 
-// Lost reads the claim from the platform and reports whether this process doesn't hold
-// the place any more. A VM that was frozen for a long time has to check that before it
-// opens connections to targets again.
+// Lost reads the claim from the platform and reports whether this process no longer holds
+// the place. A VM that was frozen for a long time has to check that before it opens
+// connections to targets again.
 func (h *Held) Lost(ctx context.Context) (bool, error) {
 	object, err := h.opts.Store.Get(ctx, Kind, h.opts.objectName(h.Place))
 	switch {
@@ -113,9 +114,9 @@
 // objectName returns the name of the platform's object that holds the claim to a place.
 func (o Options) objectName(place int) string { return fmt.Sprintf("%s-%04d", o.Deployment, place) }
 
-// putClaim writes this process's claim to a place if the object that holds the claim has
-// the version expect; 0 means that there is no such object. Otherwise it returns
-// objstore.ErrConflict.
+// putClaim writes this process's claim to a place if the object that holds the place's
+// claim has the version expect; 0 means that there must be no such object. If it has
+// another version, putClaim returns objstore.ErrConflict.
 func (o Options) putClaim(ctx context.Context, place int, expect uint64) (*Held, error) {
 	value, err := json.Marshal(Claim{VM: o.VM, Incarnation: o.Incarnation, At: time.Now().UTC()})
 	if err != nil {
@@ -149,7 +150,7 @@
 			number, sameDeployment := strings.CutPrefix(object.Name, prefix)
 			place, err := strconv.Atoi(number)
 			if !sameDeployment || err != nil {
-				continue // it belongs to another deployment
+				continue // it isn't a place of this deployment
 			}
 			c := storedClaim{version: object.Version}
 			if err := json.Unmarshal(object.Value, &c.Claim); err != nil {
--- a/peer/place/place_test.go
+++ b/peer/place/place_test.go
@@ -12,15 +12,18 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/platformsim"
 )
 
+// noneEnded is an Options.Ended that reports no process as ended.
 func noneEnded(string, string) bool { return false }
 
+// options returns the options of a VM's first process.
 func options(store *platformsim.Store, vm string) Options {
 	return Options{Store: store, Deployment: "d", VM: vm, Incarnation: vm + "-1", Ended: noneEnded}
 }
 
 // TestConcurrentClaims: a whole fleet starts at the same time, with as many places as
 // VMs. Two VMs with one place would together open more connections than a target
-// accepts. Each VM must get a place of its own, and one further VM none.
+// accepts. Each VM must get a place of its own, and one further VM none until a place is
+// released.
 func TestConcurrentClaims(t *testing.T) {
 	g := NewWithT(t)
 	store := platformsim.NewStore()
@@ -73,7 +76,7 @@
 }
 
 // TestClaimWithLostAnswer: the platform stores a claim and its answer is lost. The VM
-// tries again, and must find its own claim instead of claiming a second place.
+// tries again. It must find its own claim: a second one would take a place from another VM.
 func TestClaimWithLostAnswer(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
