--- a/peer/share/share.go
+++ b/peer/share/share.go
@@ -21,19 +21,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxOwners is the greatest number of VMs that own connections to a target which accepts
-// fewer connections than the fleet has places. With this many owners, some may be lost, and
-// yet each owner sees a large part of the target's load.
+// maxOwners is the greatest number of VMs that own connections to a target that accepts
+// fewer connections than the fleet has places. With this many owners, the target can still
+// be reached if some are lost, and yet each owner sees a large part of the target's load.
 const maxOwners = 8
 
 // spareShares is the number of shares of a target's connections that no VM owns, if the
-// target accepts fewer connections than the fleet has places. These shares are left free
-// for the following case: a VM that is frozen or isolated keeps its connections to the
-// target open, while another VM claims its place and opens connections of its own.
+// target accepts fewer connections than the fleet has places. They are left free because a
+// VM that is frozen or isolated may keep its connections open while another VM claims its
+// place and opens connections of its own.
 const spareShares = 1
 
-// Plan is the division of the connections that one target accepts. They are divided among
-// places, the numbers that VMs claim so that no two VMs hold the same one.
+// Plan is the division of the connections that one target accepts among places. A place is
+// a number that a VM claims, so that no two VMs hold the same one.
 type Plan struct {
 	Places   int // number of places of the fleet
 	Owners   int // number of places that own connections to the target
@@ -41,17 +41,16 @@
 }
 
 // NewPlan returns the plan for a target that accepts the given number of connections from
-// the whole fleet. placeCount is the number of places of the fleet, so the greatest
-// number of VMs that can own connections. If there are enough connections, every place
-// owns some. Otherwise there are up to wantedOwners owners, and the connections are
-// divided into spareShares more shares than owners.
+// the whole fleet. placeCount is the number of places of the fleet. If there are at least
+// as many connections as places, every place owns some. Otherwise there are up to maxOwners
+// owners, and the connections are divided into spareShares more shares than owners.
 func NewPlan(connections, placeCount int) Plan {
 	placeCount = max(placeCount, 1)
 	connections = max(connections, 0)
 	owners := placeCount
 	if connections < placeCount {
-		// At most wantedOwners, and one share is left free; but a target that accepts any
-		// connection has at least one owner.
+		// Spare shares are left free, but a target that accepts any connection has at
+		// least one owner.
 		owners = min(maxOwners, max(connections-spareShares, 1), connections)
 	}
 	switch {
--- a/peer/share/share_test.go
+++ b/peer/share/share_test.go
@@ -11,7 +11,8 @@
 
 // TestTotalStaysWithinLimit: whatever the limit and the number of places, and whichever
 // VMs hold them, all VMs together must not hold more connections than the target
-// accepts. One share must be left free for a frozen owner.
+// accepts. In a large fleet one share must be left free for a frozen owner, unless the
+// target accepts only one connection.
 func TestTotalStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 200).Draw(t, "limit")
@@ -54,16 +55,16 @@
 	g.Expect(owned[places-1]).To(BeNumerically("<", mean*2))
 }
 
-// ownersByList returns the owners of a target chosen from a list of VMs, which is the
-// rejected design.
+// ownersByList returns the n owners of a target if they are chosen from a list of VMs, which
+// the package doesn't do because such lists lag.
 func ownersByList(target string, vms []string, n int) []string {
 	return topByWeight(target, vms, func(s string) string { return s }, n)
 }
 
-// rollingPeak replaces every VM of a fleet one after another by a VM with a new
-// name. Each VM sees the list as it was some replacements ago, at most lag. It
-// returns the largest number of connections to one target at any time, if each VM
-// chooses the owners from the list that it sees.
+// rollingPeak simulates a fleet of which every VM is replaced, one after another, by a VM
+// with a new name. Each VM sees the list as it was some replacements ago, at most lag, and
+// chooses the owners from it. rollingPeak returns the largest number of connections to one
+// target at any time.
 func rollingPeak(vmCount, targets, lag int, plan Plan) int {
 	names := make([]string, vmCount)
 	for i := range names {
@@ -81,8 +82,9 @@
 	return peak
 }
 
-// countSelfDeclaredOwners counts the VMs that own a target according to the list that
-// they see.
+// countSelfDeclaredOwners counts the VMs that are owners of a target according to the list
+// that they see. names are the current VMs; history holds the lists after each replacement,
+// the current one last.
 func countSelfDeclaredOwners(target string, names []string, history [][]string, lag, owners int) int {
 	count := 0
 	for behind := range lag + 1 {
@@ -96,11 +98,10 @@
 	return count
 }
 
-// TestReplacementWithLaggingList: searches fail because a target refuses connections
-// of VMs. All VMs are replaced one after another, while each VM's list lags by up to
-// ten replacements. If VMs chose the owners from their own lists, too many would count
-// themselves as owners for a while. With fixed places they must not, whatever their
-// lists are.
+// TestReplacementWithLaggingList: all VMs are replaced one after another, while each VM's
+// list lags by up to ten replacements. If VMs chose the owners from their own lists, too
+// many would count themselves as owners for a while. The target would refuse connections,
+// and searches would fail. With fixed places the limit must hold, whatever the lists are.
 func TestReplacementWithLaggingList(t *testing.T) {
 	g := NewWithT(t)
 	const vmCount, targets, limit, lag = 100, 10, 25, 10
