--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -68,7 +68,7 @@
 	// platform or from peers. They let a fleet start while the platform is down.
 	Seeds []string
 	Store objstore.Store // of the platform; only its list of VMs is read
-	Heads Heads          // the head and bundles that are exchanged with other VMs
+	Heads Heads          // this VM's head and bundles, which are exchanged with other VMs
 	Log   *slog.Logger
 	// CallHandler serves the connections that other VMs open for calls to leaves.
 	// It may be nil.
@@ -324,8 +324,8 @@
 // platform's list, after either has changed. The caller must hold mu.
 func (x *Exchange) invalidateCaches() { x.liveCache, x.placeCache = nil, nil }
 
-// Ended reports whether an incarnation of the named VM is known to have ended: the VM is
-// lost, or another incarnation has replaced this one.
+// Ended reports whether an incarnation of the named VM counts as ended: the VM is lost, or
+// the known statement about it is of another incarnation.
 func (x *Exchange) Ended(vm, incarnation string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/peer/facts/facts.go
+++ b/peer/facts/facts.go
@@ -32,7 +32,7 @@
 // Member.Outranks.
 const (
 	Alive   State = iota
-	Leaving       // stated by the VM itself; final for its incarnation
+	Leaving       // stated by the VM itself; the same incarnation doesn't state Alive again
 	Suspect       // another VM could not reach it
 	Lost          // it was suspected and didn't refute the suspicion in time
 )
--- a/peer/members.go
+++ b/peer/members.go
@@ -12,11 +12,11 @@
 	// the fleet with suspicions and refutations. A VM that is isolated just after it has
 	// refuted a suspicion may count as live that much longer.
 	suspectAgainAfter = 10 * time.Second
-	// startupPeriod is how long a process counts as just started. A process that then
-	// receives a statement of a later process of its name assumes that its own clock is
-	// behind. Afterwards it assumes that it has been replaced. A process that has just
-	// started also doesn't forward the health of targets that it gets from comparisons of
-	// digests; see mergeDiff.
+	// startupPeriod is how long a process counts as just started. If a process receives a
+	// statement of a later process of its name in this period, it assumes that its own
+	// clock is behind. Afterwards it assumes that it has been replaced. A process that has
+	// just started also doesn't forward the health of targets that it gets from
+	// comparisons of digests; see mergeDiff.
 	startupPeriod = 15 * time.Second
 )
 
@@ -67,12 +67,12 @@
 	}
 }
 
-// handleSelfFact answers a statement about this VM that outranks this VM's own. It
-// refutes a statement about this process, which is a suspicion, with a higher counter. A
-// statement about a later process of the same name has one of two causes. Within
-// startupPeriod after the start, this VM's clock is taken to be behind, and the VM
-// states a later start time. After that, this process has been replaced, perhaps while
-// it was frozen, and must not publish anything more. The caller must hold mu.
+// handleSelfFact answers a statement about this VM that outranks this VM's own. If it is
+// about this process, it is a suspicion, which this VM refutes with a higher counter. If
+// it is about a later process of the same name, the answer depends on the time. Within
+// startupPeriod after the start, this VM's clock is taken to be behind, and the VM states
+// a later start time. After that, this process has been replaced, perhaps while it was
+// frozen, and must not publish anything more. The caller must hold mu.
 func (x *Exchange) handleSelfFact(m facts.Member, now time.Time) {
 	switch {
 	case m.Incarnation == x.self.Incarnation:
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -108,7 +108,7 @@
 }
 
 // serve decodes the JSON parameters of a request as an M and returns the result of f for
-// them. Parameters that can't be decoded are a result.BadMessage.
+// them. It returns result.BadMessage if they can't be decoded.
 func serve[M any](params json.RawMessage, f func(*M) (any, error)) (any, error) {
 	var m M
 	if err := decode(params, &m); err != nil {
