--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -15,22 +15,21 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// fakes implements all interfaces that a Relay uses. read is called during each read
-// of a target and may be nil.
+// fakes implements all interfaces that a Relay uses, for one target.
 type fakes struct {
-	known        facts.Health
+	known        facts.Health // the current statement
 	changes      []facts.Health
-	publications int
+	publications int // number of published statements
 	ownership    route.Ownership
-	status       target.Status
-	err          error
-	read         func()
+	status       target.Status // the result of each read
+	err          error         // the error of each read and call
+	read         func()        // called during each read of the target; may be nil
 
 	statuses     []target.Status // received by the sink
-	failed       int
-	lost         int
-	readInterval time.Duration // last set on the monitor
-	readSoon     int
+	failed       int             // calls of TargetFailed
+	lost         int             // calls of TargetLost
+	readInterval time.Duration   // last set on the monitor
+	readSoon     int             // calls of ReadSoon
 }
 
 func (f *fakes) SetTargets([]string)                              {}
@@ -72,8 +71,10 @@
 func (f *fakes) TargetState(string, string, target.State, time.Time) {}
 func (f *fakes) TargetLost(string)                                   { f.lost++ }
 
-func statement(epoch uint64, unread ...int) facts.Health {
-	return facts.Health{Target: testTarget, Stamp: facts.Stamp{Epoch: epoch, Incarnation: "i"}, UnreadableBy: unread}
+// statement returns a statement that the owners at the places unreadableBy can't read the
+// target. The target serves in the epoch.
+func statement(epoch uint64, unreadableBy ...int) facts.Health {
+	return facts.Health{Target: testTarget, Stamp: facts.Stamp{Epoch: epoch, Incarnation: "i"}, UnreadableBy: unreadableBy}
 }
 
 // newRelay returns the relay of a VM that owns no target. The test's target has two
@@ -170,14 +171,14 @@
 	r, f := newRelay()
 	f.known = statement(1, 3)
 	r.apply(f.known)
-	r.sweep()
+	r.recheckLost()
 	g.Expect(f.lost).To(BeZero())
 	f.ownership.LiveOwners = []int{3}
-	r.sweep()
-	r.sweep()
+	r.recheckLost()
+	r.recheckLost()
 	g.Expect(f.lost).To(Equal(1))
 	f.ownership.LiveOwners = []int{3, 4}
-	r.sweep()
+	r.recheckLost()
 	g.Expect(f.statuses).To(HaveLen(2))
 }
 
