--- a/policy/admission.go
+++ b/policy/admission.go
@@ -140,13 +140,13 @@
 // expectedWait returns the expected time until the n-th waiting query runs: n times the
 // interval at which queries end.
 func (a *Admission) expectedWait(n int) time.Duration {
-	per := a.endInterval
-	if per == 0 {
+	interval := a.endInterval
+	if interval == 0 {
 		// No query waited when the last one ended. While as many queries run as the limit
 		// allows, one of them ends in each meanDuration / limit.
-		per = time.Duration(float64(a.meanDuration) / max(a.limit, minQueryLimit))
+		interval = time.Duration(float64(a.meanDuration) / max(a.limit, minQueryLimit))
 	}
-	return time.Duration(n) * per
+	return time.Duration(n) * interval
 }
 
 // expectedDuration returns the time within which nearly every query ends once it
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -137,18 +137,18 @@
 // tried are excluded. If idle is set, replicas without a free slot are excluded
 // too, for attempts that should not wait in a queue. It returns false if no replica
 // remains.
-func (t *Table) Pick(now time.Time, snapshot string, shard int, tried []ReplicaID, idle bool) (ReplicaID, bool) {
+func (t *Table) Pick(now time.Time, snapshot string, shard int, tried []ReplicaID, idleOnly bool) (ReplicaID, bool) {
 	s := t.snapshots[snapshot]
 	if s == nil {
 		return ReplicaID{}, false
 	}
 	usable := t.usableReplicas(s.holders[shard], tried, func(r *replica) bool {
-		return !r.inCooldown(now) && t.hasCapacity(r, now, idle)
+		return !r.inCooldown(now) && t.hasCapacity(r, now, idleOnly)
 	})
-	if len(usable) == 0 && !idle {
+	if len(usable) == 0 && !idleOnly {
 		// All replicas are in cooldown after failures. Trying one is better than waiting.
 		usable = t.usableReplicas(s.holders[shard], tried, func(r *replica) bool {
-			return !r.refusing(now) && t.hasCapacity(r, now, idle)
+			return !r.refusing(now) && t.hasCapacity(r, now, idleOnly)
 		})
 	}
 	if len(usable) == 0 {
@@ -196,8 +196,8 @@
 // hasCapacity reports whether r has capacity for one more call of this VM. The calls of
 // this VM may wait for a slot, up to maxCallsPerSlot in flight per slot. If idle is set,
 // the call must find a free slot; then the calls of other VMs count too.
-func (t *Table) hasCapacity(r *replica, now time.Time, idle bool) bool {
-	if !idle {
+func (t *Table) hasCapacity(r *replica, now time.Time, idleOnly bool) bool {
+	if !idleOnly {
 		return r.outstanding < r.slots*maxCallsPerSlot
 	}
 	return t.otherVMsLoad(r, now)+float64(r.outstanding) < float64(r.slots)
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -6,7 +6,7 @@
 // only once at least half of the shards, or all but one, have answered: when all
 // shards are slow, the targets are overloaded, and hedges would add to the load.
 func (q *Query) sendHedges(now time.Time) []Action {
-	due, ok := q.hedgeDelay(now)
+	delay, ok := q.hedgeDelay(now)
 	if !ok || q.unanswered() > max(len(q.shards)/2, 1) {
 		return nil
 	}
@@ -14,7 +14,7 @@
 	for _, id := range sortedKeys(q.attempts) {
 		a := q.attempts[id]
 		s := &q.shards[a.shard]
-		if s.hedged || now.Sub(a.sentAt) < due || q.exhausted(s) {
+		if s.hedged || now.Sub(a.sentAt) < delay || q.exhausted(s) {
 			continue
 		}
 		acts = append(acts, q.tryHedge(now, a.shard)...)
--- a/policy/median_latency_test.go
+++ b/policy/median_latency_test.go
@@ -10,10 +10,10 @@
 
 // addSamples records n attempts with latency d, spread over windowMS milliseconds from
 // startMS on, and updates the baseline after each as queries do.
-func addSamples(p *MedianLatency, startMS, n int, windowMS int, d time.Duration, crowded bool) {
+func addSamples(m *MedianLatency, startMS, n int, windowMS int, d time.Duration, crowded bool) {
 	for i := range n {
-		p.Add(d)
-		p.UpdateBaseline(at(startMS+i*windowMS/n), crowded)
+		m.Add(d)
+		m.UpdateBaseline(at(startMS+i*windowMS/n), crowded)
 	}
 }
 
@@ -57,17 +57,17 @@
 func TestBaselineFollowsSlowerTargets(t *testing.T) {
 	g := NewWithT(t)
 	for _, crowded := range []bool{false, true} {
-		var p MedianLatency
-		addSamples(&p, 0, 500, 5000, 10*time.Millisecond, crowded)
-		addSamples(&p, 5000, 500, 100, 40*time.Millisecond, crowded)
-		g.Expect(p.Slow()).To(BeTrue())
+		var m MedianLatency
+		addSamples(&m, 0, 500, 5000, 10*time.Millisecond, crowded)
+		addSamples(&m, 5000, 500, 100, 40*time.Millisecond, crowded)
+		g.Expect(m.Slow()).To(BeTrue())
 		seconds := 10
 		if crowded {
-			g.Expect(p.baseline).To(BeNumerically("<", 11*time.Millisecond), "queues count as slower targets")
+			g.Expect(m.baseline).To(BeNumerically("<", 11*time.Millisecond), "queues count as slower targets")
 			seconds = 300
 		}
-		addSamples(&p, 6000, seconds*50, seconds*1000, 40*time.Millisecond, crowded)
-		g.Expect(p.Slow()).To(BeFalse())
+		addSamples(&m, 6000, seconds*50, seconds*1000, 40*time.Millisecond, crowded)
+		g.Expect(m.Slow()).To(BeFalse())
 	}
 }
 
@@ -75,20 +75,20 @@
 // within their range, and one attempt changes the median by a bounded share.
 func TestMedianLatencyInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var p MedianLatency
+		var m MedianLatency
 		ms := 0
 		least, most := time.Hour, time.Duration(0)
 		for range 300 {
 			d := time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond
 			least, most = min(least, d), max(most, d)
-			before := p.recentMedian
-			p.Add(d)
-			if before > 0 && (p.recentMedian-before).Abs().Seconds() > 1.01*medianStepShare*before.Seconds() {
-				t.Fatalf("one attempt moved the median from %v to %v", before, p.recentMedian)
+			before := m.recentMedian
+			m.Add(d)
+			if before > 0 && (m.recentMedian-before).Abs().Seconds() > 1.01*medianStepShare*before.Seconds() {
+				t.Fatalf("one attempt moved the median from %v to %v", before, m.recentMedian)
 			}
 			ms += rapid.IntRange(0, 2000).Draw(t, "pause")
-			p.UpdateBaseline(at(ms), rapid.Bool().Draw(t, "crowded"))
-			for _, value := range []time.Duration{p.recentMedian, p.baseline} {
+			m.UpdateBaseline(at(ms), rapid.Bool().Draw(t, "crowded"))
+			for _, value := range []time.Duration{m.recentMedian, m.baseline} {
 				if value > 0 && (value.Seconds() < (1-medianStepShare)*least.Seconds() || value.Seconds() > (1+medianStepShare)*most.Seconds()) {
 					t.Fatalf("median or baseline is %v, for attempts between %v and %v", value, least, most)
 				}
--- a/policy/query.go
+++ b/policy/query.go
@@ -214,11 +214,11 @@
 // is due before wakeAt.
 func (q *Query) scheduleWake(now time.Time, a *attempt) {
 	q.wakeAt = earlier(q.wakeAt, a.expiresAt)
-	due, hedging := q.hedgeDelay(now)
+	delay, hedging := q.hedgeDelay(now)
 	if hedging && !q.shards[a.shard].hedged {
 		// The hedge may be overdue because it could not be sent. It is then tried again only
 		// after hedgeRetryInterval.
-		q.wakeAt = earlier(q.wakeAt, later(a.sentAt.Add(due), now.Add(hedgeRetryInterval)))
+		q.wakeAt = earlier(q.wakeAt, later(a.sentAt.Add(delay), now.Add(hedgeRetryInterval)))
 	}
 }
 
--- a/policy/query_test.go
+++ b/policy/query_test.go
@@ -50,19 +50,19 @@
 
 // reportHoldings records a status of every target that holds its shard of the named
 // snapshot.
-func (f *testFleet) reportHoldings(ms int, name string, seq int64, shards int) {
-	f.eachTarget(func(tname string, shard int) {
-		f.table.ApplyStatus(tname, statusOf("i1", target.StateServing, target.Holding{
-			Snapshot: name, Seq: seq, Shards: shards, Shard: shard, Records: 100,
+func (f *testFleet) reportHoldings(ms int, snapshot string, seq int64, shards int) {
+	f.eachTarget(func(name string, shard int) {
+		f.table.ApplyStatus(name, statusOf("i1", target.StateServing, target.Holding{
+			Snapshot: snapshot, Seq: seq, Shards: shards, Shard: shard, Records: 100,
 		}), at(ms))
 	})
 }
 
-func statusOf(incarnation string, state target.State, list ...target.Holding) target.Status {
+func statusOf(incarnation string, state target.State, holdings ...target.Holding) target.Status {
 	return target.Status{
 		Incarnation: incarnation,
 		State:       state,
-		Leaves:      []target.LeafStatus{{Leaf: 0, Holdings: list}},
+		Leaves:      []target.LeafStatus{{Leaf: 0, Holdings: holdings}},
 	}
 }
 
@@ -127,9 +127,9 @@
 	inFlight map[AttemptID]Send
 	sent     map[int]int // attempts by shard in the current pass
 
-	refused map[int]int // attempts of sent that were refused by a target
-	pass    string      // snapshot of the current pass
-	out     *Outcome
+	refused  map[int]int // attempts of sent that were refused by a target
+	snapshot string      // snapshot of the current pass
+	out      *Outcome
 }
 
 func (d *queryDriver) step() {
@@ -142,11 +142,11 @@
 			d.t.Fatal("a tick at the deadline did not finish the query")
 		}
 	case "answer":
-		d.pick(func(s Send) { d.apply(d.q.HandleAnswer(at(d.ms), s.Attempt, answer(s))) })
+		d.withRandomAttempt(func(s Send) { d.apply(d.q.HandleAnswer(at(d.ms), s.Attempt, answer(s))) })
 	case "fail":
-		d.pick(func(s Send) { d.apply(d.q.HandleFailure(at(d.ms), s.Attempt, Failure{Reason: ReasonBroken})) })
+		d.withRandomAttempt(func(s Send) { d.apply(d.q.HandleFailure(at(d.ms), s.Attempt, Failure{Reason: ReasonBroken})) })
 	case "refuse":
-		d.pick(func(s Send) {
+		d.withRandomAttempt(func(s Send) {
 			d.refused[s.Shard]++
 			d.apply(d.q.HandleFailure(at(d.ms), s.Attempt, Failure{Reason: ReasonShed, Refused: true}))
 		})
@@ -164,7 +164,7 @@
 	return targetName(shard, rapid.IntRange(0, d.f.replicas-1).Draw(d.t, "replica"))
 }
 
-func (d *queryDriver) pick(do func(Send)) {
+func (d *queryDriver) withRandomAttempt(do func(Send)) {
 	if len(d.inFlight) == 0 {
 		return
 	}
@@ -191,13 +191,13 @@
 }
 
 func (d *queryDriver) checkSend(s Send) {
-	if s.Snapshot != d.pass {
+	if s.Snapshot != d.snapshot {
 		for _, old := range d.inFlight {
 			if old.Snapshot != s.Snapshot {
 				d.t.Fatalf("attempt on %s while one on %s is in flight", s.Snapshot, old.Snapshot)
 			}
 		}
-		d.pass = s.Snapshot
+		d.snapshot = s.Snapshot
 		d.sent = map[int]int{}
 		d.refused = map[int]int{}
 	}
--- a/policy/submit.go
+++ b/policy/submit.go
@@ -35,14 +35,14 @@
 // Next returns the attempt to send next. If ok is false and wait is not zero, all
 // replicas are busy or in cooldown, and Next must be called again at the time wait. If
 // wait is zero too, the request cannot or must not be sent again.
-func (s *Submission) Next(now time.Time) (send Send, wait time.Time, ok bool) {
+func (s *Submission) Next(now time.Time) (send Send, retryAt time.Time, ok bool) {
 	if s.inFlight || s.closed || len(s.tried) >= s.maxAttempts {
 		return Send{}, time.Time{}, false
 	}
 	id, ok := s.table.Pick(now, s.snapshot.Name, s.shard, s.tried, false)
 	if !ok {
-		wait, _ = s.table.ReadyAgain(now, s.snapshot.Name, s.shard, s.tried)
-		return Send{}, wait, false
+		retryAt, _ = s.table.ReadyAgain(now, s.snapshot.Name, s.shard, s.tried)
+		return Send{}, retryAt, false
 	}
 	s.tried = append(s.tried, id)
 	s.current = id
