--- a/policy/action.go
+++ b/policy/action.go
@@ -5,13 +5,13 @@
 // Spec holds the requirements and limits of a query.
 type Spec struct {
 	Deadline       time.Time     // the query finishes at this time at the latest
-	MinCoverage    float64       // least share of the shards read that the caller accepts, 0 to 1
+	MinCoverage    float64       // lowest Coverage.Ratio that the caller accepts, 0 to 1
 	Grace          time.Duration // wait for the remaining shards once MinCoverage is reached
 	PinnedSnapshot string        // name of the snapshot to read, from the caller's cursor; empty: any snapshot
 	HedgeQuantile  float64       // latency quantile after which to hedge, 0 to 1; 0: never
 	MinHedgeDelay  time.Duration // lower bound of the hedge delay
-	MaxAttempts    int           // per shard, hedges included
-	Plain          bool          // one attempt per shard, to a random replica
+	MaxAttempts    int           // upper bound of the attempts per shard that a target may have started, hedges included
+	Plain          bool          // plain policy: one attempt per shard, to a random replica
 }
 
 // AttemptID numbers the attempts of one query, starting at 1.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -11,8 +11,9 @@
 // allows and neither happens.
 //
 // Invariants: running <= ceiling rounded up; minQueryLimit <= limit <= ceiling;
-// without refused attempts the limit stays at its floor or above; a query that was told to
-// wait gets Admit or Refuse at the latest when its deadline passes.
+// without refused attempts the limit stays at its floor or above; the query at the
+// head of the queue gets Admit or Refuse in the first ProcessQueue after its deadline at the
+// latest.
 type Admission struct {
 	limit             float64       // queries that may run at once
 	share             float64       // queries that this VM may run so that all VMs together fill the targets' slots
@@ -21,7 +22,7 @@
 	running           int           // queries that were admitted and have not ended
 	queue             []*ticket     // waiting queries in order of arrival
 	lastID            TicketID      // of the latest query that arrived
-	endInterval       time.Duration // smoothed time between the ends of two queries while others wait; 0 if none waits
+	endInterval       time.Duration // smoothed time between the ends of two queries while others wait; 0 if none waited at the latest end
 	meanDuration      time.Duration // smoothed duration of a query
 	durationDeviation time.Duration // smoothed absolute deviation from meanDuration
 	lastEnd           time.Time     // when the latest query ended
@@ -54,19 +55,16 @@
 	RetryAfter time.Duration // with Refuse: how long the caller should wait before a retry
 }
 
-// Parameters of an Admission. Its limit is the number of queries that may run at once on
-// this VM. Its floor and its ceiling follow from the VM's share: the number of queries that
-// this VM may run so that all VMs together just fill the targets' slots. Only refused
-// attempts lower the limit below its floor.
+// Parameters of an Admission. Numbers of queries are per VM. The VM's share is
+// Admission.share.
 const (
 	minQueryLimit   = 1.0 // lower bound of the limit of queries in flight
 	minLimitCeiling = 8.0 // the limit may always rise to this number of queries, however small the VM's share is
-	// limitFloorPerShare is the floor of the limit, as a multiple of the number of queries
-	// that is this VM's share. With all VMs at their floors, a request waits for each slot
-	// most of the time.
+	// limitFloorPerShare is the floor of the limit as a multiple of the VM's share. With all
+	// VMs at their floors, each slot has a waiting request most of the time.
 	limitFloorPerShare = 4.5
-	// limitCeilingPerShare is the ceiling of the limit, as a multiple of the number of
-	// queries that is this VM's share. It allows bursts while attempts are fast.
+	// limitCeilingPerShare is the ceiling of the limit as a multiple of the VM's share. It
+	// allows bursts while attempts are fast.
 	limitCeilingPerShare    = 6.0
 	maxWaitPerQueryDuration = 0.6 // longest wait for admission, as a fraction of a query's expected duration
 	limitDecreaseFactor     = 0.8 // factor applied to the limit after a sign of overload
@@ -80,8 +78,8 @@
 	limitIncreaseBelowFloor = 0.1
 	minLimitReduceInterval  = 100 * time.Millisecond // least time between two reductions of the limit
 	durationSampleWeight    = 0.1                    // weight of a new sample in the smoothed durations of queries
-	maxRetryAfter           = 5 * time.Second        // upper bound of the time after which a refused caller is told to retry
-	minRetryAfter           = 50 * time.Millisecond  // lower bound of the time after which a refused caller is told to retry
+	maxRetryAfter           = 5 * time.Second        // upper bound of Verdict.RetryAfter
+	minRetryAfter           = 50 * time.Millisecond  // lower bound of Verdict.RetryAfter of a refused query
 	maxQueuedPerLimit       = 20                     // upper bound of waiting queries, as a multiple of the limit of queries in flight
 	maxDurationDeviations   = 2                      // nearly all queries end within the mean duration plus this many times the mean deviation from it
 	defaultQueryDuration    = 20 * time.Millisecond  // assumed duration of a query before the first one ends
@@ -123,9 +121,9 @@
 		return Verdict{Ticket: id, Decision: Admit}
 	}
 	// Refuse if the wait would be long compared with the query's duration, if the query
-	// would end after its deadline, or if the queue is full. Waiting queries keep the
-	// slots busy until the next query arrives. A longer queue uses no more of the slots:
-	// it only delays all callers.
+	// would end after its deadline, or if the queue is full. A short queue is enough to
+	// keep the slots busy until the next query arrives; a longer one only delays all
+	// callers.
 	wait := a.expectedWait(len(a.queue) + 1)
 	if float64(wait) > maxWaitPerQueryDuration*float64(a.expectedDuration()) || now.Add(wait+a.expectedDuration()).After(deadline) || float64(len(a.queue)) >= a.limit*maxQueuedPerLimit {
 		return Verdict{Ticket: id, Decision: Refuse, RetryAfter: a.retryAfter(wait)}
@@ -177,8 +175,8 @@
 }
 
 // recordDuration updates the smoothed durations with a query that has ended. While
-// queries wait, it also updates the time between two ends, which tells how fast the
-// queue moves.
+// queries wait, it also updates the time between two ends, from which expectedWait
+// predicts the wait in the queue.
 func (a *Admission) recordDuration(now time.Time, end QueryEnd) {
 	a.durationDeviation = smooth(a.durationDeviation, (end.Took - a.meanDuration).Abs())
 	a.meanDuration = smooth(a.meanDuration, end.Took)
@@ -192,8 +190,8 @@
 	a.lastEnd = now
 }
 
-// smooth returns a moving average after a new sample. old is the average before the
-// sample, or 0 before the first sample, which is taken as it is.
+// smooth returns the moving average old updated with a new sample. If old is 0, the
+// sample is the first one and is returned unchanged.
 func smooth(old, sample time.Duration) time.Duration {
 	if old == 0 {
 		return sample
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -39,7 +39,7 @@
 					waiting[v.Ticket] = deadline
 				case Refuse:
 					if v.RetryAfter <= 0 {
-						t.Fatal("a refusal without a time to come back")
+						t.Fatal("a refusal without RetryAfter")
 					}
 				}
 			case "done":
@@ -65,7 +65,7 @@
 				t.Fatalf("running is %d, want %d", a.running, running)
 			}
 			if float64(running) > math.Ceil(a.ceiling) {
-				t.Fatalf("%d running above the ceiling", running)
+				t.Fatalf("%d queries run, more than the ceiling", running)
 			}
 			if a.limit < minQueryLimit || a.limit > a.ceiling {
 				t.Fatalf("limit %v is outside of %v to %v", a.limit, minQueryLimit, a.ceiling)
@@ -74,7 +74,7 @@
 				t.Fatalf("limit %v below its floor without a refusal", a.limit)
 			}
 			if len(a.queue) != len(waiting) {
-				t.Fatalf("queue holds %d, want %d", len(a.queue), len(waiting))
+				t.Fatalf("%d queries wait, want %d", len(a.queue), len(waiting))
 			}
 		}
 	})
@@ -98,9 +98,8 @@
 }
 
 // Guards against answers that lack shards because the limit stays too high. A floor
-// that was calculated for few VMs kept the limit up while targets refused attempts, and
-// queries were admitted only to be given up. Refusals must lower the limit below the
-// floor.
+// calculated for too few VMs keeps the limit up while targets refuse attempts, and
+// admitted queries are given up. Refusals must lower the limit below the floor.
 func TestRefusalsLowerTheLimitBelowItsFloor(t *testing.T) {
 	g := NewWithT(t)
 	a := NewAdmission(1)
@@ -120,9 +119,9 @@
 	g.Expect(a.limit).To(Equal(minQueryLimit), "a lower limit is not raised by queues")
 }
 
-// Guards against long waits under lasting overload: every caller waited as long as a
-// query takes, and then for the query itself. Such a wait fills no slot that the next
-// caller would not fill.
+// Guards against long waits under lasting overload: every caller waits as long as a
+// query takes, and then for the query itself. Such a long queue is useless, since
+// callers that arrive later would keep the slots busy too.
 func TestAdmissionWaitIsShorterThanAQuery(t *testing.T) {
 	g := NewWithT(t)
 	a := NewAdmission(0)
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -46,15 +46,15 @@
 	s := &q.shards[shard]
 	id, ok := q.table.Pick(now, q.snapshot.Name, shard, s.tried, hedge)
 	if !ok && !hedge && s.inFlight == 0 {
-		// Every replica was tried. One that has recovered may be tried again.
+		// No untried replica can take the attempt, but a tried one may have recovered.
 		id, ok = q.table.Pick(now, q.snapshot.Name, shard, nil, false)
 	}
 	return id, ok
 }
 
 // waitForReplica schedules another check of a shard whose replicas are all busy or
-// in cooldown, if one of them may take attempts before the deadline. Otherwise the shard
-// waits no longer.
+// in cooldown, if one of them may take attempts before the deadline. Otherwise it
+// ends the shard's wait.
 func (q *Query) waitForReplica(now time.Time, shard int) {
 	s := &q.shards[shard]
 	if s.reason == "" {
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -13,11 +13,11 @@
 	Shards int   // number of shards
 }
 
-// ChooseSnapshot returns the snapshot that a new query reads: the newest complete
-// one, of which every shard has a usable replica. During an index switch the newest
-// one may have so few replicas that they would be overloaded; then an older complete
-// one is returned. If none is complete, it returns the one with the largest share of
-// readable shards. It returns false if no snapshot is readable.
+// ChooseSnapshot returns the snapshot that a new query reads: the newest complete one.
+// A snapshot is complete if every shard has a usable replica. During an index switch
+// the newest one may have so few replicas that they would be overloaded; then an older
+// complete one is returned. If none is complete, it returns the one with the largest
+// share of readable shards. It returns false if no snapshot is readable.
 func (t *Table) ChooseSnapshot(now time.Time) (Snapshot, bool) {
 	var best *candidate
 	for _, name := range sortedKeys(t.snapshots) {
@@ -45,7 +45,7 @@
 	return s.toSnapshot(), true
 }
 
-// toSnapshot returns what a query needs to know of the snapshot.
+// toSnapshot returns the form of the snapshot that queries use.
 func (s *snapshotState) toSnapshot() Snapshot {
 	return Snapshot{Name: s.name, Seq: s.seq, Shards: s.shards}
 }
@@ -120,23 +120,23 @@
 	return n, ok
 }
 
-// Parameters of a replica's cost, which is the expected time of one more call, and of the
-// calls that wait at a replica.
+// Parameters of the choice of a replica. The cost of a replica is the expected time of
+// one more call on it.
 const (
 	defaultReplicaLatency = 5 * time.Millisecond // assumed for a replica without a measured latency
 	otherZoneCost         = time.Millisecond     // added to the cost of a replica outside the VM's zone
 	maxLoadReportAge      = 2 * time.Second      // age from which a leaf's reported load is ignored
 	loadReportWeight      = 0.5                  // weight of a load that was reported just now; below 1 since reports lag and may mislead
-	reportedLoadCap       = 2                    // upper bound, per slot, of other VMs' calls that count in a replica's cost; loadReportWeight is applied to the calls and to this bound
+	reportedLoadCap       = 2                    // upper bound, per slot, of the reported calls of other VMs that count in a replica's cost, before loadReportWeight is applied
 	maxCallsPerSlot       = 2                    // upper bound of this VM's calls in flight on a replica, per slot
 )
 
 // Pick chooses the replica for an attempt on a shard. It draws two usable replicas at
 // random and returns the one with the lower expected time. The random draw keeps VMs
 // that read the same report from all sending to the same leaf. Replicas in
-// tried are excluded. If idle is set, replicas without a free slot are excluded
-// too, for attempts that should not wait in a queue. It returns false if no replica
-// remains.
+// tried are excluded. If idleOnly is set, replicas without a free slot or in a cooldown
+// are excluded too, for attempts that should not wait in a queue. It returns false if no
+// replica remains.
 func (t *Table) Pick(now time.Time, snapshot string, shard int, tried []ReplicaID, idleOnly bool) (ReplicaID, bool) {
 	s := t.snapshots[snapshot]
 	if s == nil {
@@ -194,7 +194,7 @@
 }
 
 // hasCapacity reports whether r has capacity for one more call of this VM. The calls of
-// this VM may wait for a slot, up to maxCallsPerSlot in flight per slot. If idle is set,
+// this VM may wait for a slot, up to maxCallsPerSlot in flight per slot. If idleOnly is set,
 // the call must find a free slot; then the calls of other VMs count too.
 func (t *Table) hasCapacity(r *replica, now time.Time, idleOnly bool) bool {
 	if !idleOnly {
@@ -236,8 +236,9 @@
 	return others * fresh * loadReportWeight
 }
 
-// warmupCost returns a random cost to add to a target that has just begun to serve, so
-// that its share of attempts rises gradually over the warm-up.
+// warmupCost returns a random addition to the cost of a replica whose target has just
+// begun to serve, so that its share of attempts rises gradually over the warm-up. It
+// returns 0 after the warm-up.
 func (t *Table) warmupCost(r *replica, now time.Time) time.Duration {
 	served := now.Sub(r.target.servingSince)
 	if t.warmup <= 0 || served >= t.warmup {
@@ -249,7 +250,7 @@
 }
 
 // ReadyAgain returns when to check a shard again whose replicas are all busy or in
-// cooldown: when the first of their cooldowns has ended, but not before
+// cooldown: when the first of them is out of cooldown, but not before
 // minRecheckInterval from now. Replicas in tried are excluded. It returns false if no
 // usable replica remains.
 func (t *Table) ReadyAgain(now time.Time, snapshot string, shard int, tried []ReplicaID) (time.Time, bool) {
--- a/policy/conclude.go
+++ b/policy/conclude.go
@@ -36,8 +36,8 @@
 }
 
 // sufficient reports whether a query that has not read all shards may finish: MinCoverage
-// was reached and the grace period after that has passed. It is called only while some
-// shard may still answer.
+// was reached and the grace period after that has passed. It records when MinCoverage was
+// reached. It is called only while some shard may still answer.
 func (q *Query) sufficient(now time.Time) bool {
 	if ratio(q.fullShards, q.partialShare, len(q.shards)) < q.spec.MinCoverage {
 		return false
--- a/policy/coverage.go
+++ b/policy/coverage.go
@@ -48,7 +48,7 @@
 	Shed     int // those of Refused that a target refused because no slot was free
 	Hedges   int // attempts sent because an earlier one on the shard was slow
 	Retries  int // attempts sent because an earlier one on the shard failed
-	Restarts int // passes after the first one, each on another snapshot
+	Restarts int // how often the query was restarted on another snapshot
 
 	LastAnswer LastAnswer
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -66,8 +66,8 @@
 
 // stalled reports whether an attempt without an answer took so long that its
 // replica may not answer at all. On a connection that went silent every attempt
-// ends like that: a hedge is answered, the first attempt is cancelled, and no
-// failure is ever reported. Unless these cancellations count as failures, the
+// ends in a cancellation: a hedge is answered, the first attempt is cancelled, and
+// no failure is ever reported. Unless these cancellations count as failures, the
 // replica keeps getting its share of attempts and uses up the hedge budget.
 func (t *Table) stalled(took time.Duration, now time.Time) bool {
 	slow, ok := t.Latency.Quantile(now, stallLatencyQuantile)
--- a/policy/median_latency_test.go
+++ b/policy/median_latency_test.go
@@ -18,8 +18,8 @@
 }
 
 // Guards against callers that are refused long after an overload has ended, although
-// slots are free. The latency of attempts was taken over the last 20 s, so each
-// successful query counted as another sign of overload.
+// slots are free. This happens if the latency of attempts is taken over the last 20 s:
+// each successful query then counts as another sign of overload.
 func TestPressureEndsSoonAfterOverload(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 1, 1)
@@ -39,9 +39,9 @@
 	g.Expect(f.table.Pressure(&Outcome{Sent: 1}, limit)).To(Equal(NoPressure))
 }
 
-// Guards against callers with a long time limit that wait most of it under overload:
-// queues at the targets were no sign of overload until attempts took a quarter of the
-// time limit.
+// Guards against callers with a long time limit that wait most of it under overload.
+// This happens if queues at the targets count as overload only once attempts take a
+// quarter of the time limit.
 func TestQueueingIsDetectedWithLongTimeLimit(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 1, 1)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -22,8 +22,8 @@
 
 // Guards against refused callers after the sudden loss of a zone. For seconds many
 // attempts find no connection to its targets, and their retries are answered by
-// replicas elsewhere that have free slots. The attempts counted as refused because no
-// slot was free, the admission limit fell to one query at a time, and callers were
+// replicas elsewhere that have free slots. If these attempts count as refused because
+// no slot was free, the admission limit falls to one query at a time, and callers are
 // refused long after that.
 func TestUnreachableTargetsDoNotCountAsOverload(t *testing.T) {
 	g := NewWithT(t)
@@ -49,7 +49,7 @@
 // Guards against single refusals that count as overload. A target that became silent
 // holds its owner's slots, so the owner refuses a call to it now and then, and the
 // retry is answered at once. In a search over four shards that is a fifth of the
-// attempts. It counted as overload, and callers of idle targets were refused.
+// attempts. If it counts as overload, callers of idle targets are refused.
 func TestSingleRefusalDoesNotCountAsOverload(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(4, 2, 1)
--- a/policy/query.go
+++ b/policy/query.go
@@ -9,8 +9,8 @@
 // Query is the state machine of one query. Call Start once, then HandleAnswer,
 // HandleFailure and Tick as events occur, and carry out the actions that each returns.
 //
-// A pass queries all shards of one snapshot. A query has a further pass, on another
-// snapshot, if replicas of the first one are lost.
+// A pass queries all shards of one snapshot. If replicas of that snapshot are lost, a
+// further pass on another snapshot may follow.
 //
 // Invariants: every attempt reads the snapshot of the query's current pass, and only
 // answers of that pass count; a shard is answered at most once; attempts per shard
@@ -91,7 +91,7 @@
 }
 
 // HandleAnswer records the answer of an attempt. The caller must have checked that the
-// answer's Echo, which identifies the attempt that it belongs to, matches.
+// answer's Echo matches the attempt.
 func (q *Query) HandleAnswer(now time.Time, id AttemptID, answer *target.LeafAnswer) []Action {
 	a := q.endAttempt(now, id, AttemptEnd{Answered: true})
 	if a == nil || q.done {
@@ -160,7 +160,7 @@
 	return q.finishOrRestart(now, acts)
 }
 
-// expireAttempts cancels attempts without an answer within their timeout.
+// expireAttempts cancels the attempts whose timeout has passed, and retries their shards.
 func (q *Query) expireAttempts(now time.Time) []Action {
 	var acts []Action
 	for _, id := range sortedKeys(q.attempts) {
--- a/policy/query_test.go
+++ b/policy/query_test.go
@@ -25,6 +25,7 @@
 	table            *Table
 }
 
+// newFleet returns a fleet in this VM's zone. Each target holds its shard of snapshot v1.
 func newFleet(shards, replicas int, seed uint64) *testFleet {
 	f := &testFleet{shards: shards, replicas: replicas, table: NewTable("a", rand.New(rand.NewPCG(seed, 1)))}
 	svc := &bundle.Service{Name: "s", Shards: shards, Drain: bundle.Drain{SuspectAfter: 2}}
@@ -119,19 +120,21 @@
 	})
 }
 
+// queryDriver passes random events to a Query and checks the actions that it returns.
 type queryDriver struct {
 	t        *rapid.T
 	f        *testFleet
 	q        *Query
 	ms       int
 	inFlight map[AttemptID]Send
-	sent     map[int]int // attempts by shard in the current pass
+	sent     map[int]int // by shard; attempts in the current pass
 
-	refused  map[int]int // attempts of sent that were refused by a target
+	refused  map[int]int // by shard; attempts counted in sent that a target refused
 	snapshot string      // snapshot of the current pass
 	out      *Outcome
 }
 
+// step passes one random event to the query.
 func (d *queryDriver) step() {
 	kinds := []string{"tick", "answer", "fail", "refuse", "switch", "drain", "lost"}
 	switch rapid.SampledFrom(kinds).Draw(d.t, "event") {
@@ -164,6 +167,8 @@
 	return targetName(shard, rapid.IntRange(0, d.f.replicas-1).Draw(d.t, "replica"))
 }
 
+// withRandomAttempt removes a random attempt from those in flight, if there is one, and
+// calls do with it.
 func (d *queryDriver) withRandomAttempt(do func(Send)) {
 	if len(d.inFlight) == 0 {
 		return
@@ -174,6 +179,7 @@
 	do(s)
 }
 
+// apply carries out the actions of the query.
 func (d *queryDriver) apply(acts []Action) {
 	for _, act := range acts {
 		if d.out != nil {
@@ -348,8 +354,8 @@
 }
 
 // Guards against repeatedly late searches while connections to one target are silent.
-// A hedge is answered in its place and the first attempt is cancelled, so no failure
-// is recorded, the target keeps its share of attempts and the hedge budget runs out.
+// Each time a hedge is answered and the first attempt is cancelled, so no failure is
+// recorded, the target keeps its share of attempts and the hedge budget runs out.
 func TestStalledReplicaEntersCooldown(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 2, 1)
@@ -431,15 +437,15 @@
 			picked++
 		}
 	}
-	g.Expect(picked).To(BeNumerically(">", 50), "one choice in four compares the same replica with itself")
+	g.Expect(picked).To(BeNumerically(">", 50), "one draw in four offers only the busy replica")
 	_, ok := f.table.Pick(at(1), "v1", 0, []ReplicaID{{Target: targetName(0, 1)}}, true)
 	g.Expect(ok).To(BeFalse(), "hedges still avoid a replica that reports load")
 }
 
 // Guards against an attempt, lost on a silent connection, that leaves no time for a
 // retry. Latencies are uneven, so that four times their 99th percentile is nearly the
-// time limit. The attempt was given up too late for another one, and the caller got
-// half an answer.
+// time limit. With that timeout the attempt is given up too late for another one, and
+// the caller gets half an answer.
 func TestLostAttemptTimesOutInTimeForRetry(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 2, 1)
@@ -463,10 +469,10 @@
 	g.Expect(again[0].Replica).NotTo(Equal(s[1].Replica))
 }
 
-// Guards against giving up attempts that only wait in a target's queue. When an attempt
-// was given up after half of its query's time, its slot was wasted and the next attempt
-// waited as long: at a load of twice the capacity a tenth less was served. Such an
-// attempt keeps its timeout.
+// Guards against giving up attempts that only wait in a target's queue. If an attempt is
+// given up after half of its query's time, its slot is wasted and the next attempt waits
+// as long: at a load of twice the capacity a tenth less is served. Such an attempt must
+// keep its timeout.
 func TestQueuedAttemptKeepsItsTimeout(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 2, 1)
--- a/policy/status.go
+++ b/policy/status.go
@@ -137,7 +137,7 @@
 }
 
 // ObserveState records the state that a target states in an answer's headers. It
-// reports whether this is the first report of a drain.
+// reports whether this is the first report of a drain of this incarnation.
 func (t *Table) ObserveState(name, incarnation string, state target.State) bool {
 	ts := t.targets[name]
 	if ts == nil || incarnation == "" || state != target.StateDraining {
@@ -146,8 +146,8 @@
 	return t.MarkDraining(name, incarnation)
 }
 
-// MarkDraining records that an incarnation of a target is draining, whatever the
-// source. It reports whether this was not known before.
+// MarkDraining records that an incarnation of a target is draining, as stated by its
+// status, by an answer or by another VM. It reports whether this was not known before.
 func (t *Table) MarkDraining(name, incarnation string) bool {
 	ts := t.targets[name]
 	if ts == nil || ts.drainedIncarnation == incarnation {
--- a/policy/submit.go
+++ b/policy/submit.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Submission chooses the replicas for a non-idempotent request. It returns another
-// replica only after the last one answered that it did not start the request, so
-// the request is started at most once.
+// replica only if it is certain that the target of the last one did not start the
+// request, so the request is started at most once.
 type Submission struct {
 	table       *Table
 	snapshot    Snapshot
@@ -32,9 +32,9 @@
 	}, true
 }
 
-// Next returns the attempt to send next. If ok is false and wait is not zero, all
-// replicas are busy or in cooldown, and Next must be called again at the time wait. If
-// wait is zero too, the request cannot or must not be sent again.
+// Next returns the attempt to send next. If ok is false and retryAt is not zero, all
+// replicas are busy or in cooldown, and Next must be called again at retryAt. If retryAt
+// is zero too, the request cannot or must not be sent again.
 func (s *Submission) Next(now time.Time) (send Send, retryAt time.Time, ok bool) {
 	if s.inFlight || s.closed || len(s.tried) >= s.maxAttempts {
 		return Send{}, time.Time{}, false
@@ -58,7 +58,7 @@
 }
 
 // HandleEnd records how the attempt in flight ended. Next may return another attempt only
-// after a refusal, which says that the target did not start the request.
+// if end.Refused says that the target did not start the request.
 func (s *Submission) HandleEnd(now time.Time, end AttemptEnd) {
 	if !s.inFlight {
 		return
--- a/policy/table.go
+++ b/policy/table.go
@@ -72,7 +72,7 @@
 	seq     int64              // a newer snapshot has a larger number
 	shards  int                // number of shards
 	records map[int]int64      // by shard; no entry until a replica reports the number
-	holders map[int][]*replica // replicas that hold each shard
+	holders map[int][]*replica // by shard; the replicas that hold it
 }
 
 // Table holds one VM's view of the targets of one service, and chooses snapshots
