--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -53,10 +53,10 @@
 			route.Split = append(route.Split, WeightedService{Service: string(rune('a' + i)), Weight: w})
 			total += w
 		}
-		r := NewSplitter()
+		s := NewSplitter()
 		counts := make(map[string]float64)
 		for n := 1; n <= 200; n++ {
-			counts[r.Next(route)]++
+			counts[s.Next(route)]++
 			for _, part := range route.Split {
 				g.Expect(counts[part.Service]).To(gomega.BeNumerically("~", part.Weight/total*float64(n), float64(len(weights))))
 			}
@@ -70,10 +70,10 @@
 	g := gomega.NewWithT(t)
 	split := []WeightedService{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
 	route := &Route{Name: "r", Split: split}
-	r := NewSplitter()
-	first := r.Next(route)
-	r.Prune(NewManifest(newDocument(2, &Route{Name: "r", Split: split})))
-	g.Expect(r.Next(route)).NotTo(gomega.Equal(first))
-	r.Prune(NewManifest(newDocument(3)))
-	g.Expect(r.routes).To(gomega.BeEmpty())
+	s := NewSplitter()
+	first := s.Next(route)
+	s.Prune(NewManifest(newDocument(2, &Route{Name: "r", Split: split})))
+	g.Expect(s.Next(route)).NotTo(gomega.Equal(first))
+	s.Prune(NewManifest(newDocument(3)))
+	g.Expect(s.routes).To(gomega.BeEmpty())
 }
--- a/routing/splitter.go
+++ b/routing/splitter.go
@@ -27,16 +27,16 @@
 
 // Next returns the service for the route's next request. If the route's split has
 // changed, its round-robin state is reset first.
-func (r *Splitter) Next(route *Route) string {
+func (s *Splitter) Next(route *Route) string {
 	if len(route.Split) == 0 {
 		return route.Service
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	state := r.routes[route.Name]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.routes[route.Name]
 	if state == nil || !slices.Equal(state.split, route.Split) {
 		state = &splitState{split: route.Split, credit: make([]float64, len(route.Split))}
-		r.routes[route.Name] = state
+		s.routes[route.Name] = state
 	}
 	return state.next()
 }
@@ -55,18 +55,18 @@
 }
 
 // Prune removes the state of routes that m no longer splits.
-func (r *Splitter) Prune(m *Manifest) {
+func (s *Splitter) Prune(m *Manifest) {
 	split := make(map[string]bool)
 	for _, route := range m.Routes {
 		if len(route.Split) > 0 {
 			split[route.Name] = true
 		}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for name := range r.routes {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for name := range s.routes {
 		if !split[name] {
-			delete(r.routes, name)
+			delete(s.routes, name)
 		}
 	}
 }
