--- a/routing/manifest.go
+++ b/routing/manifest.go
@@ -11,13 +11,13 @@
 // Kind says whether a request may run more than once.
 type Kind int
 
-// The kinds. Their order is encoded.
+// The kinds. Their numbers are encoded, so their order must not change.
 const (
 	Idempotent    Kind = iota // may run more than once
 	NonIdempotent             // must run at most once
 )
 
-// String returns the name used in logs.
+// String returns the name used in logs and metrics.
 func (k Kind) String() string {
 	if k == NonIdempotent {
 		return "non_idempotent"
@@ -38,17 +38,17 @@
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // the longest that a caller waits for its answer
+	Timeout     time.Duration // time limit of a request; a caller may state a shorter one
 	Aim         time.Duration // latency objective: an answer within it is worth most
-	MaxAttempts int           // leafs that may run one request, for each service
+	MaxAttempts int           // upper bound of the leafs that may run a request, for each service
 	Priority    int           // 0 is the most urgent
 
 	Service string            // serves all requests
 	Split   []WeightedService // share the requests by weight
 
 	Gather   []string // services that hold one shard each; all get each request
-	Top      int      // most records in the answer to a gathered request
-	MinShare float64  // least share of the shards that a successful answer needs
+	Top      int      // maximum number of records in the answer to a gathered request
+	MinShare float64  // least share of the shards that a successful answer needs, 0 to 1
 }
 
 // Gathered reports whether requests are sent to all shards and their answers merged.
@@ -73,13 +73,14 @@
 // Service holds the settings of a group of interchangeable leafs.
 type Service struct {
 	Name           string
-	MaxConnections int // connections that one leaf accepts from all VMs together
+	MaxConnections int // connections that one leaf accepts from all VMs together; 0: no limit
 }
 
-// Limits bound the requests and connections of callers.
+// Limits bound the requests and connections of callers. For one that is 0, the daemon's
+// own limit applies.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
+	HeaderBytes   int           // of a request line and its headers
+	BodyBytes     int64         // of a request's body
 	HeaderTimeout time.Duration // for a request's header to arrive
 	IdleTimeout   time.Duration // for a caller's connection without a request
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -41,8 +41,9 @@
 	})
 }
 
-// Guards against shares that hold only over many requests: a tenth of the callers should
-// try a new release, and a VM that receives few requests sends it none of them, or half.
+// Guards against shares that hold only over many requests: if a tenth of the requests
+// should go to a new release, a VM that receives few requests sends it none, or half of
+// them.
 func TestSplitMatchesWeightsInShortRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
@@ -64,8 +65,9 @@
 	})
 }
 
-// A split that a new manifest leaves unchanged keeps its state, and the state of a
-// removed route is deleted.
+// A split that is the same in a new manifest must keep its state. The state of a removed
+// route must be deleted. Guards against a service that gets the first request after each
+// new manifest, and against a leak of state.
 func TestSplitterPrunesRemovedRoutes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	split := []WeightedService{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
--- a/routing/splitter.go
+++ b/routing/splitter.go
@@ -6,11 +6,12 @@
 )
 
 // Splitter distributes the requests of split routes over their services by smooth
-// weighted round robin: over any run of requests each service's count differs from its
-// share by less than one request, so that the shares also hold on a VM that receives
-// few requests. A service that is short of leafs keeps its share; its requests are
-// refused and not moved to another service, since a split often tries a new release on
-// some of the callers. It is safe for concurrent use.
+// weighted round robin. With n services, the number of requests that a service gets after
+// a reset exceeds its share by less than 1 and falls short of it by at most n - 1, so
+// that the shares also hold on a VM that receives few requests. A service that has too few
+// leafs keeps its share; its requests are refused instead of being moved to another
+// service, since a split often tries a new release on some of the callers. A Splitter is
+// safe for concurrent use.
 type Splitter struct {
 	mu     sync.Mutex             // guards routes
 	routes map[string]*splitState // by the route's name
@@ -19,10 +20,10 @@
 // splitState is the round-robin state of one route.
 type splitState struct {
 	split  []WeightedService
-	credit []float64 // by service; the one with the highest is chosen next
+	credit []float64 // by service: the requests that it was due since the reset minus those it got, times the sum of the weights
 }
 
-// NewSplitter returns a splitter without state.
+// NewSplitter returns a Splitter without state of any route.
 func NewSplitter() *Splitter { return &Splitter{routes: make(map[string]*splitState)} }
 
 // Next returns the service for the route's next request. If the route's split has
@@ -41,6 +42,8 @@
 	return state.next()
 }
 
+// next returns the service for the next request: the one with the highest credit after
+// each service's credit has grown by its weight.
 func (s *splitState) next() string {
 	best, total := 0, 0.0
 	for i, part := range s.split {
