--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -41,8 +41,9 @@
 	})
 }
 
-// Guards against shares that hold only over many requests: a tenth of the callers should
-// try a new release, and a VM that receives few requests sends it none of them, or half.
+// Guards against shares that hold only over many requests: if a tenth of the requests
+// should go to a new release, a VM that receives few requests sends it none, or half of
+// them.
 func TestSplitMatchesWeightsInShortRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
@@ -53,10 +54,10 @@
 			route.Split = append(route.Split, WeightedService{Service: string(rune('a' + i)), Weight: w})
 			total += w
 		}
-		r := NewSplitter()
+		s := NewSplitter()
 		counts := make(map[string]float64)
 		for n := 1; n <= 200; n++ {
-			counts[r.Next(route)]++
+			counts[s.Next(route)]++
 			for _, part := range route.Split {
 				g.Expect(counts[part.Service]).To(gomega.BeNumerically("~", part.Weight/total*float64(n), float64(len(weights))))
 			}
@@ -64,16 +65,17 @@
 	})
 }
 
-// A split that a new manifest leaves unchanged keeps its state, and the state of a
-// removed route is deleted.
+// A split that is the same in a new manifest must keep its state. The state of a removed
+// route must be deleted. Guards against a service that gets the first request after each
+// new manifest, and against a leak of state.
 func TestSplitterPrunesRemovedRoutes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	split := []WeightedService{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
 	route := &Route{Name: "r", Split: split}
-	r := NewSplitter()
-	first := r.Next(route)
-	r.Prune(NewManifest(newDocument(2, &Route{Name: "r", Split: split})))
-	g.Expect(r.Next(route)).NotTo(gomega.Equal(first))
-	r.Prune(NewManifest(newDocument(3)))
-	g.Expect(r.routes).To(gomega.BeEmpty())
+	s := NewSplitter()
+	first := s.Next(route)
+	s.Prune(NewManifest(newDocument(2, &Route{Name: "r", Split: split})))
+	g.Expect(s.Next(route)).NotTo(gomega.Equal(first))
+	s.Prune(NewManifest(newDocument(3)))
+	g.Expect(s.routes).To(gomega.BeEmpty())
 }
--- a/routing/splitter.go
+++ b/routing/splitter.go
@@ -6,11 +6,12 @@
 )
 
 // Splitter distributes the requests of split routes over their services by smooth
-// weighted round robin: over any run of requests each service's count differs from its
-// share by less than one request, so that the shares also hold on a VM that receives
-// few requests. A service that is short of leafs keeps its share; its requests are
-// refused and not moved to another service, since a split often tries a new release on
-// some of the callers. It is safe for concurrent use.
+// weighted round robin. With n services, the number of requests that a service gets after
+// a reset exceeds its share by less than 1 and falls short of it by at most n - 1, so
+// that the shares also hold on a VM that receives few requests. A service that has too few
+// leafs keeps its share; its requests are refused instead of being moved to another
+// service, since a split often tries a new release on some of the callers. A Splitter is
+// safe for concurrent use.
 type Splitter struct {
 	mu     sync.Mutex             // guards routes
 	routes map[string]*splitState // by the route's name
@@ -19,28 +20,30 @@
 // splitState is the round-robin state of one route.
 type splitState struct {
 	split  []WeightedService
-	credit []float64 // by service; the one with the highest is chosen next
+	credit []float64 // by service: the requests that it was due since the reset minus those it got, times the sum of the weights
 }
 
-// NewSplitter returns a splitter without state.
+// NewSplitter returns a Splitter without state of any route.
 func NewSplitter() *Splitter { return &Splitter{routes: make(map[string]*splitState)} }
 
 // Next returns the service for the route's next request. If the route's split has
 // changed, its round-robin state is reset first.
-func (r *Splitter) Next(route *Route) string {
+func (s *Splitter) Next(route *Route) string {
 	if len(route.Split) == 0 {
 		return route.Service
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	state := r.routes[route.Name]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.routes[route.Name]
 	if state == nil || !slices.Equal(state.split, route.Split) {
 		state = &splitState{split: route.Split, credit: make([]float64, len(route.Split))}
-		r.routes[route.Name] = state
+		s.routes[route.Name] = state
 	}
 	return state.next()
 }
 
+// next returns the service for the next request: the one with the highest credit after
+// each service's credit has grown by its weight.
 func (s *splitState) next() string {
 	best, total := 0, 0.0
 	for i, part := range s.split {
@@ -55,18 +58,18 @@
 }
 
 // Prune removes the state of routes that m no longer splits.
-func (r *Splitter) Prune(m *Manifest) {
+func (s *Splitter) Prune(m *Manifest) {
 	split := make(map[string]bool)
 	for _, route := range m.Routes {
 		if len(route.Split) > 0 {
 			split[route.Name] = true
 		}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for name := range r.routes {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for name := range s.routes {
 		if !split[name] {
-			delete(r.routes, name)
+			delete(s.routes, name)
 		}
 	}
 }
