--- a/peer/hop/caller.go
+++ b/peer/hop/caller.go
@@ -118,7 +118,7 @@
 	if timeout < time.Millisecond {
 		return Answer{}, &target.CallError{Kind: target.ErrorDeadline, Target: call.Target, NotStarted: true}
 	}
-	*call.deadline() = timeout.Milliseconds()
+	*call.deadlineMS() = timeout.Milliseconds()
 	p := &pending{call: call, answer: make(chan Answer, 1)}
 	if !c.enqueue(p) {
 		return Answer{}, &target.CallError{Kind: target.ErrorUnreachable, Target: call.Target, NotStarted: true}
--- a/peer/hop/codec.go
+++ b/peer/hop/codec.go
@@ -76,11 +76,11 @@
 
 // unmarshal decodes a message that the peer sent in an envelope.
 func (jsonCodec) unmarshal(data []byte, message any) error {
-	var p envelope
-	if err := json.Unmarshal(data, &p); err != nil {
+	var e envelope
+	if err := json.Unmarshal(data, &e); err != nil {
 		return err
 	}
-	return json.Unmarshal(p.Data, message)
+	return json.Unmarshal(e.Data, message)
 }
 
 func (jsonCodec) call(ctx context.Context, conn *wire.Conn, method string, data []byte) error {
--- a/peer/hop/hop.go
+++ b/peer/hop/hop.go
@@ -49,9 +49,9 @@
 	Status *StatusRequest        `json:"a,omitempty"`
 }
 
-// deadline returns a pointer to the call's remaining time in milliseconds, or nil
+// deadlineMS returns a pointer to the call's remaining time in milliseconds, or nil
 // unless exactly one of Search, Submit and Status is set.
-func (c *Call) deadline() *int64 {
+func (c *Call) deadlineMS() *int64 {
 	switch {
 	case c.Search != nil && c.Submit == nil && c.Status == nil:
 		return &c.Search.DeadlineMS
--- a/peer/hop/owner.go
+++ b/peer/hop/owner.go
@@ -167,13 +167,13 @@
 // admit queues or starts one call, or returns the reason for its refusal; nil means that
 // the call was admitted. A refused call has not been sent to the target.
 func (o *Owner) admit(s *session, call *Call, now time.Time) *Failure {
-	timeLeft := call.deadline()
+	deadlineMS := call.deadlineMS()
 	slots, owned := o.opts.Slots(call.Target, call.Leaf)
 	// The call is malformed, or this VM doesn't own connections to the target.
-	if timeLeft == nil || !owned {
+	if deadlineMS == nil || !owned {
 		return &Failure{Kind: target.ErrorUnknownTarget, NotStarted: true}
 	}
-	timeout := time.Duration(*timeLeft) * time.Millisecond
+	timeout := time.Duration(*deadlineMS) * time.Millisecond
 	if call.Status != nil {
 		return o.admitStatus(s, call, timeout)
 	}
@@ -352,15 +352,15 @@
 		case <-s.wake:
 		}
 		s.mu.Lock()
-		done := s.answers
+		answers := s.answers
 		s.answers = nil
 		s.mu.Unlock()
-		if len(done) > 0 && s.sendAnswers(done) != nil {
+		if len(answers) > 0 && s.sendAnswers(answers) != nil {
 			s.conn.Close()
 			return
 		}
 		s.mu.Lock()
-		s.unsent -= len(done)
+		s.unsent -= len(answers)
 		s.mu.Unlock()
 	}
 }
@@ -373,8 +373,8 @@
 }
 
 // sendAnswers sends answers to the calling VM in one message.
-func (s *session) sendAnswers(done []Answer) error {
-	return notify(s.conn, MethodAnswers, Answers{Answers: done})
+func (s *session) sendAnswers(answers []Answer) error {
+	return notify(s.conn, MethodAnswers, Answers{Answers: answers})
 }
 
 // close removes the session of a connection that has ended and cancels its calls, since
--- a/peer/hop/status.go
+++ b/peer/hop/status.go
@@ -23,7 +23,7 @@
 // statusEntry holds the last status that was read of one target.
 type statusEntry struct {
 	mu     sync.Mutex // held during a query, so that other reads wait for its result
-	at     time.Time  // when status was read
+	readAt time.Time  // when status was read
 	status target.Status
 }
 
@@ -48,13 +48,13 @@
 	e := c.entry(name)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Since(e.at) < maxStatusAge {
+	if time.Since(e.readAt) < maxStatusAge {
 		return e.status, nil
 	}
 	status, err := leaves.Status(ctx, name)
 	if err != nil {
 		return target.Status{}, err
 	}
-	e.at, e.status = time.Now(), status
+	e.readAt, e.status = time.Now(), status
 	return status, nil
 }
