--- a/peer/hop/bench_test.go
+++ b/peer/hop/bench_test.go
@@ -16,7 +16,8 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// answerSearch immediately returns a sample answer of some 600 bytes.
+// answerSearch is the handler of a target that answers each search immediately, and also
+// serves its status.
 func answerSearch(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == target.PathStatus {
 		_ = json.NewEncoder(w).Encode(target.Status{Target: "owned", Incarnation: "1", State: target.StateServing})
@@ -30,6 +31,7 @@
 	_ = json.NewEncoder(w).Encode(sampleAnswer(req))
 }
 
+// sampleAnswer returns an answer with 5 items, about 600 bytes in JSON.
 func sampleAnswer(req target.LeafRequest) target.LeafAnswer {
 	answer := target.LeafAnswer{Echo: req.Echo, Complete: true, Records: 1000}
 	for i := range 5 {
@@ -116,6 +118,7 @@
 	b.ReportMetric(float64((cpuTime()-before).Nanoseconds())/float64(b.N)/float64(calls)/1000, "cpu-µs/call")
 }
 
+// runQuery makes the given number of leaf calls at the same time and waits for all of them.
 func runQuery(b *testing.B, leaves Leaves, calls int) {
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
--- a/peer/hop/caller.go
+++ b/peer/hop/caller.go
@@ -24,7 +24,7 @@
 
 	mu      sync.Mutex          // guards the fields below
 	lastID  uint64              // ID of the last call; IDs count up from 1
-	calls   map[uint64]*pending // by ID; neither answered nor cancelled
+	calls   map[uint64]*pending // calls that are neither answered nor cancelled, by ID
 	unsent  []*pending          // calls that sendLoop has not sent yet, including cancelled ones
 	cancels []uint64            // IDs of cancelled calls that the owner has to be notified of
 	ended   bool                // the connection has ended
@@ -43,7 +43,7 @@
 	c := &Caller{wake: make(chan struct{}, 1), calls: map[uint64]*pending{}}
 	o.Use = ConnUse
 	o.Handler = c.handle
-	o.WaitForCallSlot = true // a refused answer would be lost, and its call would wait until the deadline
+	o.WaitForCallSlot = true // answers in a refused message would be lost, and their calls would wait until the deadline
 	conn, err := wire.Dial(ctx, address, o, counters)
 	if err != nil {
 		return nil, err
@@ -171,8 +171,8 @@
 	}
 }
 
-// cancelCall removes a call whose answer is no longer needed. If the call had been sent,
-// cancelCall has the owner notified. It reports whether the call had been sent.
+// cancelCall removes a call whose answer is no longer needed. It reports whether the call
+// may have reached the owner, and in that case queues a notification for the owner.
 func (c *Caller) cancelCall(p *pending) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,8 +243,8 @@
 	}
 }
 
-// batchTimeout bounds the time until an owner answers a batch. The owner queues the
-// calls and answers without waiting for any of them.
+// batchTimeout bounds the time until an owner answers a batch. The owner starts, queues
+// or refuses the calls and answers without waiting for any of them.
 const batchTimeout = 2 * time.Second
 
 // handle receives the answers that the owner sends. It is the wire.Handler of the
@@ -275,11 +275,11 @@
 	}
 }
 
-// failPending fails all calls when the connection has ended. Those that were sent
-// may have been started. An owner that leaves sends its last answers and then
-// closes the connection. These answers may still be in handling when the end of the
-// connection is detected, so failPending waits for the handlers first. Otherwise
-// answered calls would fail with target.ErrorBroken.
+// failPending fails all pending calls when the connection has ended. Those that were
+// sent may have been started. An owner that stops sends its last answers and then
+// closes the connection. Handlers may still be processing these answers when the end
+// of the connection is detected, so failPending waits for the handlers first.
+// Otherwise answered calls would fail with target.ErrorBroken.
 func (c *Caller) failPending() {
 	c.conn.Close()
 	c.conn.Wait()
--- a/peer/hop/codec.go
+++ b/peer/hop/codec.go
@@ -12,8 +12,8 @@
 )
 
 // codec encodes, decodes and sends the messages of this package. marshal returns
-// the data that call and notify send. call waits for the peer's acceptance; notify
-// doesn't.
+// the data that call and notify send. call waits until the peer has accepted or
+// refused the message; notify doesn't.
 type codec interface {
 	marshal(message any) ([]byte, error)
 	unmarshal(data []byte, message any) error
@@ -51,8 +51,8 @@
 	return c.notify(conn, method, data)
 }
 
-// decode decodes the parameters of a message that was received on conn. Parameters that
-// can't be decoded are a result.BadMessage.
+// decode decodes the parameters of a message that was received on conn. Its errors have
+// the code result.BadMessage.
 func decode[M any](conn *wire.Conn, params []byte) (*M, error) {
 	m := new(M)
 	if err := codecOf(conn).unmarshal(params, m); err != nil {
@@ -67,7 +67,7 @@
 // envelope holds an encoded message as one base64 string. Each layer of the
 // JSON-RPC library scans the parameters of a message at least once, when sending
 // and when receiving, and a string costs far less to scan than nested objects.
-// docs/design/hop.md has the measurement.
+// docs/design/hop.md has the figures.
 type envelope struct {
 	Data []byte `json:"d"` // the JSON of the message
 }
@@ -124,8 +124,7 @@
 
 // The bounds on a CBOR message. The library checks that the whole message is well
 // formed before it allocates memory, so it refuses a length that exceeds the bytes
-// present. Beyond these bounds, the size of a message limits the memory it takes;
-// see MaxMessage in wire.Options.
+// present. The size of a message is bounded by wire.Options.MaxMessage.
 const (
 	maxNesting       = 16      // levels of arrays and maps in a message; Answers with a status have 8
 	maxArrayElements = 1 << 16 // elements of one array
@@ -148,8 +147,8 @@
 	}.DecMode())
 )
 
-// must returns mode, or panics if err is set. It is only for constant options: an invalid
-// one makes every test of the package fail.
+// must returns mode, or panics if err is set. Use it only with constant options, whose
+// errors any test of the package detects.
 func must[M any](mode M, err error) M {
 	if err != nil {
 		panic(err)
--- a/peer/hop/codec_test.go
+++ b/peer/hop/codec_test.go
@@ -78,7 +78,7 @@
 	g.Expect(cborCodec{}.unmarshal(data, out)).To(Succeed())
 }
 
-// TestCodecsAgree guards against a codec that loses or changes a member of a message.
+// TestCodecsAgree guards against a codec that loses or changes a field of a message.
 // During an upgrade, VMs of two releases serve one query, with some calls in JSON and
 // some in CBOR. The answer must not depend on the VM that forwarded it.
 func TestCodecsAgree(t *testing.T) {
@@ -97,9 +97,9 @@
 	})
 }
 
-// TestCodecsCarryEveryField sets every field of the messages, including fields that
-// are added later, and checks that both codecs preserve them. TestCodecsAgree only
-// covers the fields that its generators set.
+// TestCodecsCarryEveryField sets every field of the messages by reflection, so that it
+// includes fields that are added later, and checks that both codecs preserve them.
+// TestCodecsAgree only covers the fields that its generators set.
 func TestCodecsCarryEveryField(t *testing.T) {
 	g := NewWithT(t)
 	for _, message := range []any{&Batch{}, &Answers{}} {
@@ -163,10 +163,10 @@
 }
 
 // TestInvalidMessagesAreRefused: a faulty VM, or one with another protocol, sends
-// bytes that aren't a message, that state a length without containing as many bytes,
-// or that hold values which JSON can't represent. If accepted, they would exhaust the
-// memory of this VM, or a caller's complete answer could not be encoded. They must be
-// refused before memory is allocated for them.
+// bytes that aren't a message, a length that exceeds the bytes present, or values that
+// JSON can't represent. If accepted, they would exhaust the memory of this VM, or the
+// complete answer to a caller could not be encoded. They must be refused before much
+// memory is allocated for them.
 func TestInvalidMessagesAreRefused(t *testing.T) {
 	for name, text := range invalidMessages {
 		t.Run(name, func(t *testing.T) {
@@ -190,8 +190,8 @@
 	NewWithT(t).Expect(cborCodec{}.unmarshal(data, &Answers{})).NotTo(Succeed())
 }
 
-// FuzzDecode checks that decoding doesn't panic on any input, and that JSON can
-// represent what it accepts: both codecs preserve it.
+// FuzzDecode checks that decoding doesn't panic on any input, and that both codecs
+// preserve every message that it accepts.
 func FuzzDecode(f *testing.F) {
 	for _, text := range invalidMessages {
 		data, _ := hex.DecodeString(text)
--- a/peer/hop/hop.go
+++ b/peer/hop/hop.go
@@ -1,13 +1,14 @@
 // Package hop forwards calls to leaves through the VMs that own connections to
 // their targets. A VM that isn't an owner sends all calls of a query that go to
 // one owner in one message. The owner queues them for the leaves' slots, calls
-// the target and sends back the answers. Answers that are complete at the same
-// time share a message.
+// the target and sends back the answers. Answers that become ready while a
+// message is being written are sent together in the next one.
 //
-// Forwarding doesn't change the meaning of a call. The request, with its
-// snapshot, echo and deadline, is the one that the target receives on a direct
-// call. The calling VM checks the answer's echo again. A failure says "not
-// started" only if the owner or the target is certain of it.
+// Forwarding doesn't change the meaning of a call. The target receives the same
+// request as on a direct call, with the same snapshot and echo and with the time
+// that is left of the deadline. The calling VM checks the answer's echo again. A
+// failure has NotStarted set only if it is certain that the target didn't start
+// the call.
 package hop
 
 import (
@@ -24,7 +25,7 @@
 
 // The methods of the protocol.
 const (
-	MethodCalls   = "calls.begin"   // carries a Batch; answered once all its calls are queued or refused
+	MethodCalls   = "calls.begin"   // carries a Batch; answered once each call is started, queued or refused
 	MethodCancel  = "calls.cancel"  // carries a Cancel; a notification without an answer
 	MethodAnswers = "calls.answers" // carries Answers; a notification without an answer
 )
@@ -43,14 +44,14 @@
 type Call struct {
 	ID     uint64                `json:"id"`
 	Target string                `json:"t"`
-	Leaf   int                   `json:"l"` // number of the leaf; not used for a status
+	Leaf   int                   `json:"l"` // number of the leaf; 0 for a status
 	Search *target.LeafRequest   `json:"s,omitempty"`
 	Submit *target.SubmitRequest `json:"u,omitempty"`
 	Status *StatusRequest        `json:"a,omitempty"`
 }
 
-// deadlineMS returns a pointer to the call's remaining time in milliseconds, or nil
-// unless exactly one of Search, Submit and Status is set.
+// deadlineMS returns a pointer to the field that holds the call's remaining time in
+// milliseconds, or nil unless exactly one of Search, Submit and Status is set.
 func (c *Call) deadlineMS() *int64 {
 	switch {
 	case c.Search != nil && c.Submit == nil && c.Status == nil:
@@ -101,14 +102,14 @@
 	Reason       target.Reason    `json:"r,omitempty"` // of a refusal
 	NotStarted   bool             `json:"n,omitempty"` // the call is certain not to have been started
 	RetryAfterMS int64            `json:"a,omitempty"` // time to wait before a retry, in milliseconds; 0 if not known
-	Incarnation  string           `json:"i,omitempty"` // of the target
+	Incarnation  string           `json:"i,omitempty"` // of the target that answered; empty if none did
 }
 
 // MaxBatchCalls bounds the number of calls in one Batch.
 const MaxBatchCalls = 1024
 
 // failureOf encodes err. An error that isn't a *target.CallError becomes
-// target.ErrorBroken, which doesn't claim that the call was not started.
+// target.ErrorBroken without NotStarted, because the target may have started the call.
 func failureOf(err error) *Failure {
 	var call *target.CallError
 	if !errors.As(err, &call) {
--- a/peer/hop/hop_test.go
+++ b/peer/hop/hop_test.go
@@ -18,6 +18,7 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
+// testLimit bounds each wait of a test.
 const testLimit = 20 * time.Second
 
 // fakeLeaves answers immediately, with these exceptions: leaf 7 answers after release
@@ -69,11 +70,13 @@
 	counters *wire.Counters
 }
 
+// newPair returns a pair whose owner accepts at most maxCalls calls of other VMs at once, or
+// the default number if maxCalls is 0.
 func newPair(t *testing.T, maxCalls int) *testPair {
 	return newMixedPair(t, maxCalls, wire.Version, wire.Version)
 }
 
-// newMixedPair connects two VMs whose maximum protocol versions are as given.
+// newMixedPair is newPair with the newest protocol version that each end speaks.
 func newMixedPair(t *testing.T, maxCalls, ownerVersion, callerVersion int) *testPair {
 	p := &testPair{WithT: NewWithT(t), leaves: &fakeLeaves{release: make(chan struct{})}, counters: &wire.Counters{}}
 	p.owner = NewOwner(OwnerOptions{
@@ -144,9 +147,9 @@
 	p.Expect(err).NotTo(HaveOccurred())
 }
 
-// TestFailuresReachCallerUnchanged: a failure stated by the target, or by an owner that
-// didn't call the target, must reach the caller unchanged. NotStarted decides whether
-// a customer's request is answered with "not run".
+// TestFailuresReachCallerUnchanged: a failure reported by the target, or by an owner that
+// didn't call the target, must reach the caller unchanged. A customer's request is
+// answered as not run only if NotStarted is set.
 func TestFailuresReachCallerUnchanged(t *testing.T) {
 	p := newPair(t, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -255,7 +258,7 @@
 // TestSlotQueueInvariants applies random arrivals, completions and cancellations to a
 // queue. It checks that no more calls run than there are slots, that no call is lost
 // or run twice, that no slot is free while calls wait, and that each VM's calls run in
-// order.
+// the order of their arrival.
 func TestSlotQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
@@ -343,7 +346,7 @@
 }
 
 // TestLateCallIsRefusedImmediately: a call that can't be served in time must be refused
-// on arrival, with the time until a retry, and not when its deadline has passed.
+// on arrival, with the time to wait before a retry, and not when its deadline has passed.
 func TestLateCallIsRefusedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	q := newSlotQueue(1)
@@ -357,9 +360,9 @@
 	g.Expect(ok).To(BeTrue())
 }
 
-// TestDrainRefusesNewCalls: an owner leaves, and other VMs that know no other owner keep
-// sending calls. If the owner accepted them, Drain might never return. It must refuse
-// calls once it drains and report them as not started.
+// TestDrainRefusesNewCalls: an owner drains, and VMs that know no other owner keep sending
+// calls. If the owner accepted them, Drain might never return. It must refuse them and
+// report them as not started.
 func TestDrainRefusesNewCalls(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
--- a/peer/hop/owner.go
+++ b/peer/hop/owner.go
@@ -19,9 +19,9 @@
 	// returns false otherwise. It must be safe for concurrent use.
 	Slots func(target string, leaf int) (int, bool)
 	// MaxCalls bounds the number of calls accepted from other VMs, including those that
-	// wait for a slot; default 4096. It is separate from the bound on callers' requests,
-	// and a call accepted from another VM never waits for a third one. So VMs can't
-	// deadlock by waiting for each other.
+	// wait for a slot; default 4096. It is separate from the bound on callers'
+	// requests, and a call accepted from another VM is never forwarded to a third one,
+	// so VMs can't deadlock by waiting for each other.
 	MaxCalls int
 }
 
@@ -36,7 +36,7 @@
 	statuses statusCache // the statuses of targets that were read a short time ago
 
 	mu       sync.Mutex              // guards the fields below; locked before a session's mu
-	queues   map[leafKey]*slotQueue  // the calls that wait for a slot of each leaf
+	queues   map[leafKey]*slotQueue  // the slots of each leaf and the calls that wait for them
 	calls    int                     // number of calls of other VMs, waiting or in flight
 	sessions map[*wire.Conn]*session // of the connections of other VMs that call through this one
 	draining bool                    // Drain was called
@@ -54,7 +54,7 @@
 	conn    *wire.Conn
 	ctx     context.Context   // ends with the connection
 	wake    chan struct{}     // signals sendLoop; buffers one signal
-	cancels map[uint64]func() // cancel functions of waiting and running calls, by ID; guarded by Owner.mu
+	cancels map[uint64]func() // cancel functions of waiting and running calls other than status reads, by ID; guarded by Owner.mu
 
 	mu      sync.Mutex // guards the fields below
 	answers []Answer   // answers that sendLoop has not taken yet
@@ -187,7 +187,7 @@
 	}
 	q := o.queueFor(leafKey{call.Target, call.Leaf}, slots)
 	ctx, cancel := context.WithTimeout(s.ctx, timeout)
-	// slotQueue decides when the call runs or expires; these functions do it.
+	// q decides whether the call runs or expires; run and expire carry that out.
 	w := &waiter{peer: s.conn.Peer().VM, deadline: now.Add(timeout)}
 	w.run = func() { go o.runCall(ctx, s, q, call) }
 	w.expire = func() {
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// queueFor returns the queue of the calls that wait for a slot of a leaf. It creates the
-// queue on first use and sets its number of slots. The caller must hold mu.
+// queueFor returns the queue of a leaf. It creates the queue on first use and updates its
+// number of slots. The caller must hold mu.
 func (o *Owner) queueFor(key leafKey, slots int) *slotQueue {
 	q := o.queues[key]
 	if q == nil {
@@ -226,8 +226,8 @@
 }
 
 // releaseSlot passes the slot of a call that has ended to the next waiting call, and
-// fails waiting calls whose deadline has passed. took is the time that the ended call
-// took. The caller must hold mu.
+// fails waiting calls whose deadline has passed. took is how long the ended call held
+// the slot. The caller must hold mu.
 func (o *Owner) releaseSlot(q *slotQueue, took time.Duration, now time.Time) {
 	next, expired := q.release(took, now)
 	for _, w := range expired {
@@ -342,7 +342,8 @@
 }
 
 // sendLoop sends queued answers until the connection ends. Answers that are queued
-// while a message is being written go into the next message.
+// while a message is being written go into the next message. cancel ends the session's
+// context.
 func (s *session) sendLoop(cancel func()) {
 	defer s.close(cancel)
 	for {
--- a/peer/hop/queue.go
+++ b/peer/hop/queue.go
@@ -11,13 +11,13 @@
 }
 
 // slotQueue shares the slots of one leaf among the VMs that call through this owner, in
-// round-robin order. A slot is one of the calls that the leaf runs at once. slotQueue
-// only keeps the order and has no side effects: Owner runs or expires the calls that its
-// methods return. It isn't safe for concurrent use.
+// round-robin order. A leaf has as many slots as it runs calls at once. slotQueue only
+// decides which call gets a slot: Owner runs or expires the calls that its methods return.
+// It isn't safe for concurrent use.
 //
-// An owner handles nearly the whole load of its leaf, so it can estimate how long a call
-// will wait. It refuses a call immediately if the call can't be served in time, since
-// queueing such calls would make all calls late.
+// An owner handles a large part of a leaf's load, so it can estimate how long a call will
+// wait. It refuses a call immediately if the call can't be served in time, since queueing
+// such calls would make all calls late.
 type slotQueue struct {
 	slots       int                  // number of slots of the leaf, at least 1
 	running     int                  // number of slots in use
@@ -32,8 +32,8 @@
 // by meanServiceDivisor.
 const meanServiceDivisor = 8
 
-// newSlotQueue returns a queue without calls for a leaf with the given number of slots,
-// of which there is at least one.
+// newSlotQueue returns a queue without calls for a leaf with the given number of slots.
+// A number below 1 counts as 1.
 func newSlotQueue(slots int) *slotQueue {
 	return &slotQueue{slots: max(slots, 1), waiting: map[string][]*waiter{}}
 }
@@ -75,13 +75,12 @@
 	return false, true, wait
 }
 
-// release frees the slot of a call that has ended and that took the given time. next is
-// the waiting call that takes over the slot, or nil. expired holds the calls whose
-// deadline passed while they waited.
+// release frees the slot of a call that has ended. took is how long the call held it. next
+// is the waiting call that takes over the slot, or nil. expired holds the calls that are
+// removed because their deadline passed while they waited.
 func (q *slotQueue) release(took time.Duration, now time.Time) (next *waiter, expired []*waiter) {
 	q.meanService += (took - q.meanService) / meanServiceDivisor
-	// No call takes over the slot if the number of slots has shrunk below the number in
-	// use.
+	// No call takes over the slot if more slots are in use than the leaf now has.
 	for len(q.turns) > 0 && q.running <= q.slots {
 		w := q.pop()
 		if w.deadline.After(now) {
--- a/peer/hop/queue_test.go
+++ b/peer/hop/queue_test.go
@@ -7,9 +7,10 @@
 	"github.com/onsi/gomega"
 )
 
-// Searches through one VM permanently missed a shard. Its target had been unreachable for
-// some seconds, and calls to it lasted until their deadline. From then on, the moving
-// average made the owner refuse every call as too late, although the target had recovered.
+// TestIdleLeafAcceptsCallAfterTimeouts: a target was unreachable for some seconds, and
+// calls to it lasted until their deadline. From then on, the moving average made the owner
+// refuse every call as too late, although the target had recovered. Searches through this
+// owner permanently missed the target's shards.
 func TestIdleLeafAcceptsCallAfterTimeouts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const limit = 200 * time.Millisecond
@@ -32,8 +33,8 @@
 	g.Expect(q.meanService).To(gomega.BeNumerically("<", limit/2))
 }
 
-// A call that can't be served in time after the running calls must still be refused
-// immediately.
+// TestBusyLeafRefusesLateCall: the exception for an idle leaf must not apply to a busy one.
+// A call that can't be served in time after the running calls must be refused immediately.
 func TestBusyLeafRefusesLateCall(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000, 0)
--- a/peer/hop/queued_leaves.go
+++ b/peer/hop/queued_leaves.go
@@ -50,7 +50,7 @@
 func (o *Owner) withSlot(ctx context.Context, name string, leaf int, call func() error) error {
 	slots, owned := o.opts.Slots(name, leaf)
 	if !owned {
-		return call() // this VM ceased to be an owner a moment ago
+		return call() // this VM ceased to be an owner after the call was routed
 	}
 	q, err := o.acquireSlot(ctx, leafKey{name, leaf}, slots)
 	if err != nil {
@@ -73,7 +73,7 @@
 	if !hasDeadline {
 		deadline = now.Add(defaultCallTimeout)
 	}
-	granted := make(chan bool, 1) // receives false if the deadline passed before a slot was free
+	granted := make(chan bool, 1) // receives true with the slot, or false if the deadline passed before one was free
 	w := &waiter{peer: localPeer, deadline: deadline}
 	w.run = func() { granted <- true }
 	w.expire = func() { granted <- false }
@@ -111,6 +111,6 @@
 		return
 	}
 	if ok := <-granted; ok {
-		o.releaseSlot(q, q.meanService, time.Now())
+		o.releaseSlot(q, q.meanService, time.Now()) // the mean as duration leaves the average unchanged
 	}
 }
