--- a/peer/route/hold_place.go
+++ b/peer/route/hold_place.go
@@ -36,13 +36,13 @@
 	ticker := time.NewTicker(placeCheckInterval)
 	defer ticker.Stop()
 	var h heldPlace
-	last := time.Now()
+	lastCheck := time.Now()
 	for {
-		if time.Since(last) > frozenAfter {
+		if time.Since(lastCheck) > frozenAfter {
 			h.unverified = true
 		}
 		h = r.updatePlace(h)
-		last = time.Now()
+		lastCheck = time.Now()
 		select {
 		case <-r.tomb.Dying():
 			r.releasePlace(h.held)
--- a/peer/route/ownership.go
+++ b/peer/route/ownership.go
@@ -21,14 +21,14 @@
 		r.mu.Unlock()
 		return Ownership{}
 	}
-	s := Ownership{Shared: true, Owner: rt.connections > 0, Place: r.ownPlace}
+	o := Ownership{Shared: true, Owner: rt.connections > 0, Place: r.ownPlace}
 	owners := rt.owners
 	r.mu.Unlock()
 	vmByPlace := r.fleet.Places()
 	for _, place := range owners {
-		if vm, held := vmByPlace[place]; held && !vm.Leaving {
-			s.LiveOwners = append(s.LiveOwners, place)
+		if vm, live := vmByPlace[place]; live && !vm.Leaving {
+			o.LiveOwners = append(o.LiveOwners, place)
 		}
 	}
-	return s
+	return o
 }
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -148,11 +148,11 @@
 	r.tomb.Kill(nil)
 	err := r.tomb.Wait()
 	r.mu.Lock()
-	peers := r.ownerConns
+	conns := r.ownerConns
 	r.ownerConns = map[string]*ownerConn{}
 	r.mu.Unlock()
-	for _, p := range peers {
-		p.close()
+	for _, c := range conns {
+		c.close()
 	}
 	return err
 }
