--- a/peer/route/hold_place.go
+++ b/peer/route/hold_place.go
@@ -10,28 +10,26 @@
 )
 
 const (
-	// placeTimeout bounds the time of all requests to the platform, where places are
-	// claimed, in one call of updatePlace or releasePlace.
+	// placeTimeout bounds the time that one call of updatePlace or releasePlace spends on
+	// requests to the platform, which stores the claims to places.
 	placeTimeout = 5 * time.Second
-	// placeCheckInterval is the interval at which maintainPlace checks whether this VM
-	// needs a place, and tries to acquire one if it needs one and has none.
+	// placeCheckInterval is the interval at which maintainPlace calls updatePlace.
 	placeCheckInterval = time.Second
-	// frozenAfter is the time since the last such check after which the process is
-	// assumed to have been frozen. Another VM may have acquired its place in the meantime.
+	// frozenAfter is the time since the end of the last updatePlace after which the process
+	// is assumed to have been frozen. Another VM may have acquired its place in the meantime.
 	frozenAfter = 5 * time.Second
 )
 
-// heldPlace is the place that this process has claimed: a number that no other VM holds
-// and that decides to which targets this VM owns connections.
+// heldPlace is this VM's place, if it has one, as maintainPlace knows it. A place is a number
+// that no other VM holds; it decides to which targets this VM owns connections.
 type heldPlace struct {
 	held       *place.Held // the claim; nil if this process has no place
 	unverified bool        // another VM may have acquired the place; the platform has to be asked
 }
 
-// maintainPlace acquires a place for this VM as soon as some target doesn't accept
-// connections of all VMs, and keeps checking it. It releases the place when the router
-// stops. A place is a number that no other VM holds; it decides to which targets this VM
-// owns connections.
+// maintainPlace acquires a place for this VM once some target doesn't accept connections
+// of all VMs. After a time in which the process seems to have been frozen, it has the place
+// verified before it is used again. It releases the place when the router stops.
 func (r *Router) maintainPlace() error {
 	ticker := time.NewTicker(placeCheckInterval)
 	defer ticker.Stop()
@@ -53,16 +51,16 @@
 	}
 }
 
-// updatePlace does what is needed for this VM's place, and returns the new state. It asks
-// the platform whether an unverified place is still this VM's. It releases a place that
-// the bundle in force no longer has. It acquires a place if one is needed and there is
-// none.
+// updatePlace verifies, releases or acquires this VM's place, as needed, and returns the new
+// state. It asks the platform whether this VM still holds an unverified place. It releases
+// a place that the fleet no longer has under the bundle in force. It acquires a place if
+// this VM needs one and holds none.
 func (r *Router) updatePlace(h heldPlace) heldPlace {
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), placeTimeout)
 	defer cancel()
 	if h.held != nil && h.unverified {
-		// Connections to targets that not every VM connects to are closed until the
-		// platform has answered.
+		// Until the platform has answered, this VM closes its connections to targets that
+		// don't accept connections of all VMs.
 		r.setPlace(noPlace)
 		lost, err := h.held.Lost(ctx)
 		if err != nil {
@@ -102,7 +100,7 @@
 }
 
 // setPlace publishes this VM's place to the other VMs, and recomputes how many connections
-// this VM may hold to each target. newPlace is noPlace if it holds no place.
+// this VM may hold to each target. newPlace is noPlace if this VM holds no place.
 func (r *Router) setPlace(newPlace int) {
 	r.fleet.SetPlace(newPlace)
 	r.mu.Lock()
--- a/peer/route/order.go
+++ b/peer/route/order.go
@@ -61,8 +61,8 @@
 	return d.Sum64()
 }
 
-// compareLast returns the result of a comparison of two candidates, a and b, of which one
-// has to be tried after the other. That is a if aLast is set, otherwise b.
+// compareLast returns the result of comparing candidates a and b that sorts a after b if
+// aLast is set, and b after a otherwise.
 func compareLast(aLast bool) int {
 	if aLast {
 		return 1
@@ -72,9 +72,9 @@
 
 // sortCandidates sorts owners into the order in which they are tried. Owners in cooldown
 // come after the others, and leaving ones come last. Within each group the nearest is
-// first. A far owner costs milliseconds. An owner that refuses calls or doesn't answer
-// costs the attempt. A leaving owner should receive no new calls, unless there is no
-// other.
+// first. The reason for this order: a far owner costs milliseconds, and an owner that
+// refuses calls or doesn't answer costs the attempt. A leaving owner should receive no new
+// calls, unless there is no other.
 func sortCandidates(list []candidate) {
 	slices.SortFunc(list, func(a, b candidate) int {
 		if a.vm.Leaving != b.vm.Leaving {
--- a/peer/route/order_test.go
+++ b/peer/route/order_test.go
@@ -15,6 +15,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
+// names returns the VM names of candidates, in their order.
 func names(list []candidate) (out []string) {
 	for _, c := range list {
 		out = append(out, c.vm.Name)
@@ -143,7 +144,8 @@
 }
 
 // BenchmarkOrder reports how evenly the load is spread over the owners if each VM calls
-// each target equally often, and the time of one choice.
+// each target equally often, what part of the calls stays in the zone or the region, and
+// the time of one choice.
 func BenchmarkOrder(b *testing.B) {
 	f := newSelectionFixture()
 	for _, near := range []bool{false, true} {
--- a/peer/route/owner_conn.go
+++ b/peer/route/owner_conn.go
@@ -31,14 +31,14 @@
 	idleChecks = 5
 )
 
-// errClosed is the error of a call through an owner after the connection to the owner was
-// closed, as when the router stops.
+// errClosed is the error of a call through an owner whose connection was closed because the
+// router stopped.
 var errClosed = errors.New("route: the router has stopped")
 
-// ownerConn is the connection to one owner, a VM that has connections to targets which
-// this VM calls through it. Its dial doesn't use the context of any call. So a call that
-// is cancelled, like the slower one of two hedged calls, neither ends a dial that other
-// calls wait for nor marks the owner as unreachable.
+// ownerConn is the connection to one owner, a VM through which this VM calls targets. Its
+// dial doesn't use the context of any call. So a call that is cancelled, like the slower
+// one of two hedged calls, neither ends a dial that other calls wait for nor marks the
+// owner as unreachable.
 type ownerConn struct {
 	dial func(context.Context) (*hop.Caller, error) // connects to the owner
 
@@ -75,7 +75,7 @@
 // callerOrDial returns the connection to the owner if it is open. Otherwise it starts a
 // dial unless one is in progress, and returns a channel that is closed when the dial has
 // ended. If the last dial failed less than redialDelay ago, it returns the error of that
-// dial in place of a new one.
+// dial and starts no new one.
 func (c *ownerConn) callerOrDial() (*hop.Caller, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,8 +198,8 @@
 	return slowDial || c.health.inCooldown(target, now)
 }
 
-// acquireConn returns a lease on the connection to an owner. The call that uses it has
-// to release it. The error is that of the dial or of ctx.
+// acquireConn returns a lease on the connection to an owner, which it dials if necessary.
+// The caller must release the lease. The error is that of the dial or of ctx.
 func (r *Router) acquireConn(ctx context.Context, vm objstore.VM) (lease, error) {
 	c := r.reserveConn(vm)
 	caller, err := c.get(ctx)
@@ -226,10 +226,10 @@
 	return c
 }
 
-// closeIdle closes connections that no call has used for IdleAfter; otherwise a VM would
-// keep connections to nearly every other VM and ping them. A call can't use a connection
-// that is being closed: reserving a connection, and detecting and removing an idle one,
-// both happen under Router.mu. A later call opens a new connection.
+// closeIdle closes connections that no call has used for IdleAfter, until the router stops.
+// Otherwise a VM would keep connections to nearly every other VM and ping them. A call
+// can't use a connection that is being closed: reserving a connection, and detecting and
+// removing an idle one, both happen under Router.mu. A later call opens a new connection.
 func (r *Router) closeIdle() error {
 	ticker := time.NewTicker(r.opts.IdleAfter / idleChecks)
 	defer ticker.Stop()
--- a/peer/route/owner_conn_test.go
+++ b/peer/route/owner_conn_test.go
@@ -31,7 +31,7 @@
 	return vm, objstore.VM{Name: f.owners()[0].name, Address: proxy.Address()}, proxy
 }
 
-// isDialing reports whether an owner is being dialled.
+// isDialing reports whether the router is dialling the owner at an address.
 func (r *Router) isDialing(address string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/peer/route/owner_health.go
+++ b/peer/route/owner_health.go
@@ -39,7 +39,7 @@
 // takes the time as a parameter.
 type ownerHealth struct {
 	inFlight      int                  // number of calls in flight
-	waitingSince  time.Time            // time of the last answer, or start of the first call after it
+	waitingSince  time.Time            // the later of the last answer and the last start of a call while no other was in flight
 	meanLatency   time.Duration        // moving average of the time until an answer
 	unanswered    int                  // number of calls that ended without an answer since the last answer or the start of the last cooldown
 	cooldownUntil time.Time            // end of the cooldown for all targets
@@ -74,10 +74,10 @@
 	}
 }
 
-// record records the outcome of a call to the named target: err, after the time took. ctx
-// is the context of the call. connEnded says that the connection to the owner has ended.
-// An error counts as an answer of the owner only if neither ctx nor the connection has
-// ended.
+// record records that a call to the named target ended with err; nil means success. took is
+// the duration of the call, ctx its context, and connEnded says that the connection to the
+// owner has ended. An error counts as an answer of the owner only if neither ctx nor the
+// connection has ended.
 func (h *ownerHealth) record(ctx context.Context, name string, err error, connEnded bool, took time.Duration, now time.Time) {
 	call, _ := err.(*target.CallError)
 	switch {
@@ -98,7 +98,8 @@
 	}
 }
 
-// connectionLost records a call whose connection ended before the answer.
+// connectionLost records a call whose connection ended before the answer. It starts no
+// cooldown: the next call dials the owner, and a failed dial starts one.
 func (h *ownerHealth) connectionLost() { h.inFlight-- }
 
 // markUnreachable starts a cooldown of the owner for all targets.
--- a/peer/route/ownership.go
+++ b/peer/route/ownership.go
@@ -9,7 +9,7 @@
 	Shared     bool
 	Owner      bool  // this VM is one of the owners
 	Place      int   // the place that this VM holds, or -1 if it holds none
-	LiveOwners []int // places of the owners that are live and not leaving, in the order of preference
+	LiveOwners []int // places of the owners that are live and not leaving, in the order of share.Plan.OwnerPlaces
 }
 
 // Ownership returns the ownership of a target of the bundle in force. For a target that
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -2,7 +2,7 @@
 // another VM that owns connections to it. Which VMs own connections to a target follows
 // from their places: a place is a number that a VM claims so that no other VM holds it.
 // Where the connection limits of the targets allow every VM to own connections, all
-// calls are direct and the package costs one map lookup.
+// calls are direct, and the package adds only a map lookup to each.
 package route
 
 import (
@@ -92,7 +92,7 @@
 	connections int        // connections to the target that this VM may hold; 0 if it isn't an owner
 }
 
-// ownerCacheKey has all that the places of a target's owners depend on.
+// ownerCacheKey holds everything that the places of a target's owners depend on.
 type ownerCacheKey struct {
 	target                 string // name of the target
 	placeCount, ownerCount int    // numbers of places of the fleet and of owners of the target
@@ -126,9 +126,9 @@
 
 // Start starts the background work of the router. It acquires and maintains a place for
 // this VM if some target doesn't accept connections of all VMs. A place is a number that
-// no other VM holds; it decides to which of these targets this VM owns connections. Start
-// also has idle connections to owners closed. It must be called once, before the first
-// call to a target.
+// no other VM holds; it decides to which of these targets this VM owns connections. The
+// background work also closes idle connections to owners. Start must be called once,
+// before the first call to a target.
 func (r *Router) Start(fleet Fleet) {
 	r.fleet = fleet
 	r.opts.Place.Ended = fleet.Ended
@@ -140,10 +140,10 @@
 // have been answered, or until ctx ends. In the latter case it returns the error of ctx.
 func (r *Router) Drain(ctx context.Context) error { return r.owner.Drain(ctx) }
 
-// Stop stops the router. It releases this VM's place, the number by which this VM owns
-// connections to targets, and closes the connections to owners. This VM's connections to
-// targets must already be closed: another VM may acquire the place immediately and open
-// its own.
+// Stop stops the router. It releases this VM's place, the number that decides to which
+// targets this VM owns connections, and closes the connections to owners. This VM's
+// connections to targets must already be closed: another VM may acquire the place
+// immediately and open its own.
 func (r *Router) Stop() error {
 	r.tomb.Kill(nil)
 	err := r.tomb.Wait()
@@ -194,8 +194,7 @@
 }
 
 // ownerPlaces returns the places of the VMs that own connections to a target, from the
-// cache if possible. plan is the division of the target's connections. The caller must
-// hold mu.
+// cache if possible. plan and key must be those of the target. The caller must hold mu.
 func (r *Router) ownerPlaces(key ownerCacheKey, plan share.Plan) []int {
 	if places, known := r.ownerCache[key]; known {
 		return places
@@ -284,10 +283,10 @@
 }
 
 // callTarget makes a call to the named target over this VM's own connections, or through
-// the target's owners. call makes the call with the Leaves that it is given. Owners are
-// tried one after another: after a failure, callTarget tries the next owner only if the
-// call is certain not to have been started and the failure concerns the owner and not the
-// target. It doesn't repeat a call that may have been started.
+// one of the target's owners. call makes the call with the Leaves that it is given. Owners
+// are tried one after another: after a failure, callTarget tries the next owner only if the
+// target is certain not to have started the call and another owner may be able to make it;
+// see tryNextOwner.
 func (r *Router) callTarget(ctx context.Context, name string, call func(hop.Leaves) error) error {
 	owners, local := r.resolve(name)
 	if local != nil {
@@ -314,9 +313,10 @@
 	return lastErr
 }
 
-// tryNextOwner reports whether a call through an owner that ended with err can be made
-// again through another owner. It can if it was not started and this owner could not be
-// reached, takes no calls to the target (any more), or lost its connection.
+// tryNextOwner reports whether a call through an owner that ended with err should be made
+// again through another owner. That is so if the target has not started the call, and the
+// owner could not be reached, could not reach the target, doesn't accept calls to the
+// target, or the connection to the owner or from it to the target broke.
 func tryNextOwner(err error) bool {
 	call, ok := err.(*target.CallError)
 	return ok && call.NotStarted &&
@@ -325,8 +325,8 @@
 
 // resolve decides how the named target is called. If this VM has connections to it, or if
 // the bundle in force doesn't have the target, local is set: the Leaves that call it over
-// this VM's own connections. Otherwise owners has the live owners of the target in the
-// order in which this VM tries them.
+// this VM's own connections. Otherwise owners holds the live owners of the target, including
+// leaving ones, in the order in which this VM tries them.
 func (r *Router) resolve(name string) (owners []candidate, local hop.Leaves) {
 	r.mu.Lock()
 	rt := r.targets[name]
--- a/peer/route/route_test.go
+++ b/peer/route/route_test.go
@@ -18,9 +18,10 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
+// testLimit bounds each wait of a test.
 const testLimit = 20 * time.Second
 
-// noHeads implements the exchange's interface to heads without holding any.
+// noHeads implements peer.Heads for a VM without a head and without bundles.
 type noHeads struct{}
 
 func (noHeads) Revision() uint64                { return 0 }
@@ -31,15 +32,16 @@
 	return nil
 }
 
-// testVM is a VM with only an exchange, a router and a target client.
+// testVM is a VM that has only an exchange, a router and a target client.
 type testVM struct {
 	name   string
 	peers  *peer.Exchange
 	router *Router
 	client *target.Client
-	done   chan struct{}
+	done   chan struct{} // closed by stop
 }
 
+// testFleet is a fleet of VMs that call one target, "target-0".
 type testFleet struct {
 	*WithT
 	t      *testing.T
@@ -73,7 +75,7 @@
 	return f
 }
 
-// start starts another VM and adds it to the fleet.
+// start starts another VM and adds it to the fleet and to the platform's list of VMs.
 func (f *testFleet) start(name string) *testVM {
 	vm := &testVM{name: name, client: target.NewClient(target.Options{}), done: make(chan struct{})}
 	vm.router = New(Options{
@@ -104,8 +106,8 @@
 	return vm
 }
 
-// followConnections keeps the number of connections to the target at what the router
-// allows.
+// followConnections keeps the number of connections of the VM's target client at what the
+// router allows, until the VM is stopped.
 func (vm *testVM) followConnections(address string) {
 	for {
 		changed := vm.router.Changed()
@@ -118,6 +120,8 @@
 	}
 }
 
+// stop closes the VM's connections to the target before it stops the router, which releases
+// the VM's place. Further calls do nothing.
 func (vm *testVM) stop() {
 	select {
 	case <-vm.done:
@@ -134,6 +138,7 @@
 
 func (vm *testVM) search(f *testFleet) error { return vm.searchWithin(f, time.Second) }
 
+// searchWithin searches leaf 1 of the target through the VM and checks the answer.
 func (vm *testVM) searchWithin(f *testFleet, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -165,7 +170,7 @@
 }
 
 // TestDirectWhenLimitAllows: if a target accepts connections of all VMs, every VM must
-// call it directly and none claims a place.
+// call it directly and none may claim a place.
 func TestDirectWhenLimitAllows(t *testing.T) {
 	f := newFleet(t, 3, 7)
 	f.waitReachable(f.vms...)
@@ -176,8 +181,9 @@
 }
 
 // TestMoreVMsThanConnections: the fleet has more VMs than a target accepts connections.
-// Callers of VMs without a connection would get no answers from it. These VMs must call
-// it through its owners, and the target must never see more connections than it accepts.
+// Callers of VMs without a connection would get no answers from the target. These VMs must
+// call it through its owners, and together all VMs must never open more connections than
+// it accepts.
 func TestMoreVMsThanConnections(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	f.waitReachable(f.vms...)
@@ -223,9 +229,9 @@
 }
 
 // TestAllOwnersLeaving: all owners of a target are replaced at about the same time, and
-// each still serves during its lame-duck time. When leaving VMs no longer counted as
-// owners, callers of the other VMs immediately lost the target's part of their answers.
-// A leaving owner must be called as long as no owner that stays is known.
+// each still serves during its lame-duck time. When leaving VMs didn't count as owners,
+// callers of the other VMs immediately lost the target's part of their answers. A leaving
+// owner must be called as long as no owner that stays is known.
 func TestAllOwnersLeaving(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	f.waitReachable(f.vms...)
