--- a/wire/codec.go
+++ b/wire/codec.go
@@ -24,7 +24,7 @@
 // layers of JSON-RPC parse a message several times in each direction, and for a body of
 // leaf calls that costs more than all its other processing.
 type boundedCodec struct {
-	limit      *atomic.Int64 // largest frame that is read, in bytes; Conn raises it with the hello
+	maxRead    *atomic.Int64 // largest frame that is read, in bytes; Conn raises it with the hello
 	maxSend    int           // largest frame that is written, in bytes
 	bodies     *bodies       // binary bodies of the current messages
 	withBodies bool          // this end speaks VersionCBOR, so a message that it reads may have a body
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if limit := c.limit.Load(); size > uint64(limit) {
+	if limit := c.maxRead.Load(); size > uint64(limit) {
 		return nil, result.Errorf(result.MessageTooBig, "%d bytes, at most %d", size, limit)
 	}
 	buf := make([]byte, size)
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -25,7 +25,7 @@
 	opts      *Options
 	dialed    bool           // this end opened the connection
 	remote    string         // the other end's IP and port
-	limit     atomic.Int64   // largest message, or body, that is read, in bytes: maxHelloMessage, and Options.MaxMessage after the hello
+	maxRead   atomic.Int64   // largest message, or body, that is read, in bytes: maxHelloMessage, and Options.MaxMessage after the hello
 	callSlots chan struct{}  // one token for each running handler, except those of Options.InOrder; at most MaxCalls
 	bodies    bodies         // binary bodies of the message being written and of the one being read
 	handlers  sync.WaitGroup // the handlers that are running
@@ -60,9 +60,9 @@
 
 		serving: make(chan struct{}),
 	}
-	c.limit.Store(maxHelloMessage)
+	c.maxRead.Store(maxHelloMessage)
 	timed := &timedConn{Conn: raw, silenceTimeout: o.SilentAfter, counters: counters}
-	codec := boundedCodec{limit: &c.limit, maxSend: o.MaxMessage, bodies: &c.bodies, withBodies: o.MaxVersion >= VersionCBOR}
+	codec := boundedCodec{maxRead: &c.maxRead, maxSend: o.MaxMessage, bodies: &c.bodies, withBodies: o.MaxVersion >= VersionCBOR}
 	stream := jsonrpc2.NewBufferedStream(timed, codec)
 	gated := gatedStream{ObjectStream: stream, open: make(chan struct{}), onInvalid: c.reportInvalidMessage}
 	logger := jsonrpc2.SetLogger(rpcLogger{o.Log})
@@ -396,7 +396,7 @@
 	c.proven = true
 	c.hello, c.answer, c.key = nil, nil, nil
 	c.mu.Unlock()
-	c.limit.Store(int64(c.opts.MaxMessage))
+	c.maxRead.Store(int64(c.opts.MaxMessage))
 	c.tomb.Go(c.ping)
 	close(c.ready)
 }
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -47,7 +47,7 @@
 	}
 	// The peer may send calls as soon as it has sent its proof, before this end has
 	// checked the proof. Such calls wait until Serve.
-	c.limit.Store(int64(c.opts.MaxMessage))
+	c.maxRead.Store(int64(c.opts.MaxMessage))
 	var peerProof Proof
 	ownProof := Proof{Proof: computeProof(key, roleDialer, hello, &answer)}
 	if err := c.Call(ctx, MethodProve, ownProof, &peerProof); err != nil {
