--- a/wire/auth.go
+++ b/wire/auth.go
@@ -31,7 +31,7 @@
 	KeyIDs   []string `json:"key_ids"`       // of all keys that the sender holds, the newest first
 }
 
-// HelloAnswer is the acceptor's answer to a Hello: what it chose, and its own nonce.
+// HelloAnswer is the acceptor's answer to a Hello.
 type HelloAnswer struct {
 	Version int      `json:"version"` // the protocol version that the acceptor chose
 	From    Identity `json:"from"`    // of the acceptor
@@ -44,8 +44,8 @@
 	Proof []byte `json:"proof"` // HMAC-SHA256; see computeProof
 }
 
-// newNonce returns a random nonce in hex. Each end contributes one to a hello, so that no two
-// hellos have the same proofs.
+// newNonce returns a random nonce in hex. Each end contributes one to a hello, so that the
+// proofs of one hello are invalid for any other.
 func newNonce() string {
 	buf := make([]byte, nonceBytes)
 	rand.Read(buf) // never fails
@@ -79,7 +79,7 @@
 }
 
 // computeProof returns the proof of the end with the given role. It covers both messages
-// of the hello, with both nonces and identities, so that it is invalid for any other hello.
+// of the hello, with both nonces and identities, so that it is valid for this hello only.
 func computeProof(key []byte, role string, hello *Hello, answer *HelloAnswer) []byte {
 	mac := hmac.New(sha256.New, key)
 	enc := json.NewEncoder(mac)
--- a/wire/auth_bench_test.go
+++ b/wire/auth_bench_test.go
@@ -32,8 +32,8 @@
 	b.ReportMetric(float64(counters.BytesIn.Load()+counters.BytesOut.Load())/float64(b.N), "wire-B/op")
 }
 
-// BenchmarkConnectByTLS does the same with TLS 1.3 and certificates at both ends. One
-// byte is sent and returned after the handshake.
+// BenchmarkConnectByTLS does the same as BenchmarkConnectByProof with TLS 1.3 and
+// certificates at both ends. One byte is sent and returned after the handshake.
 func BenchmarkConnectByTLS(b *testing.B) {
 	config := testCertificates(b)
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", config)
@@ -75,6 +75,8 @@
 	b.ReportMetric(float64(counters.BytesIn.Load()+counters.BytesOut.Load())/float64(b.N), "wire-B/op")
 }
 
+// testCertificates returns a TLS configuration for both ends, with one self-signed certificate
+// that each end requires of the other.
 func testCertificates(b *testing.B) *tls.Config {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -21,10 +21,10 @@
 // connection could make this VM read an unlimited amount.
 //
 // A message may have a binary body, which is sent in a separate frame before it. The
-// layers of JSON-RPC parse a message several times in each direction, and for a body of
-// leaf calls that costs more than all its other processing.
+// layers of the JSON-RPC library parse a message several times in each direction. For leaf
+// calls inside the message, that would cost more than all their other processing.
 type boundedCodec struct {
-	maxRead    *atomic.Int64 // largest frame that is read, in bytes; Conn raises it with the hello
+	maxRead    *atomic.Int64 // largest frame that is read, in bytes; Conn raises it during the hello
 	maxSend    int           // largest frame that is written, in bytes
 	bodies     *bodies       // binary bodies of the current messages
 	withBodies bool          // this end speaks VersionCBOR, so a message that it reads may have a body
@@ -32,25 +32,25 @@
 
 // bodies holds the bodies of the message that is being written and of the one that is
 // being read. No lock is needed: the JSON-RPC library writes one message at a time and
-// calls OnSend just before, and it passes a message to the handler before it reads the
-// next.
+// calls onSend just before each, and it passes a message to Conn.Handle before it reads
+// the next.
 type bodies struct {
-	out, in []byte // of the message being written, and of the one being read; nil if it has no body
+	out, in []byte // of the message being written, and of the one being read; nil for a message without a body
 }
 
 // bodyMarker is the first byte of a frame that holds a body. JSON never begins with it, so
-// it distinguishes bodies from messages.
+// it distinguishes such frames from those of messages.
 const bodyMarker = 0
 
-// bodyAttachment is a binary body on its way through the JSON-RPC library, as the value of
-// an extra field of the message. onSend, which runs just before the message is written,
-// takes it out again.
+// bodyAttachment passes a binary body through the JSON-RPC library, as the value of an extra
+// field of the message. onSend removes the field before the message is written.
 type bodyAttachment []byte
 
 // bodyField is the name of the extra field that holds a bodyAttachment. It is not sent.
 const bodyField = "body"
 
-// onSend moves the body from the message's extra field to b.out.
+// onSend moves the body from the message's extra field to b.out. The JSON-RPC library calls
+// it just before it writes a message.
 func (b *bodies) onSend(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
 	b.out = nil
 	if req == nil || len(req.ExtraFields) == 0 {
@@ -62,15 +62,15 @@
 	}
 }
 
-// WriteObject implements jsonrpc2.ObjectCodec. A message that exceeds maxSend, which the
-// other end would refuse to read, fails with MessageTooBig before anything is written, and
-// the connection stays usable.
+// WriteObject implements jsonrpc2.ObjectCodec. A message or body that exceeds maxSend fails
+// with MessageTooBig before anything is written, so that the connection stays usable. The
+// other end would close the connection if it received such a message.
 func (c boundedCodec) WriteObject(stream io.Writer, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	// The message and its body are separate frames; the body's has bodyMarker in addition.
+	// The message and its body are separate frames. The body's frame also holds bodyMarker.
 	if size := max(len(data), len(c.bodies.out)+1); size > c.maxSend {
 		return result.Errorf(result.MessageTooBig, "%d bytes, at most %d", size, c.maxSend)
 	}
@@ -110,7 +110,7 @@
 }
 
 // readFrame reads one frame, a length and that many bytes, and returns the bytes. A frame
-// that exceeds c.limit fails before its bytes are read.
+// that exceeds c.maxRead fails before its bytes are read.
 func (c boundedCodec) readFrame(stream *bufio.Reader) ([]byte, error) {
 	size, err := binary.ReadUvarint(stream)
 	if err != nil {
@@ -124,12 +124,12 @@
 	return buf, err
 }
 
-// timedConn sets a deadline for each read and each write, and counts bytes. A connection
-// can become silent without FIN or RST while writes still succeed into the kernel's
-// buffer. Only a deadline on progress detects that.
+// timedConn sets a deadline for each read and each write, and counts traffic. A connection
+// can become silent without FIN or RST, while writes into the kernel's buffer still
+// succeed. Only a deadline for each read and write detects that.
 type timedConn struct {
 	net.Conn
-	silenceTimeout time.Duration // for each read and each write
+	silenceTimeout time.Duration // time limit of each read and each write
 	counters       *Counters
 }
 
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -17,20 +17,20 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Conn is one connection to another VM. Dial returns it, and a Server passes it to its
-// onConn function, when it is authenticated. It is safe for concurrent use.
+// Conn is one connection to another VM. Once it is authenticated, Dial returns it, or a
+// Server passes it to the function onConn of Listen. It is safe for concurrent use.
 type Conn struct {
 	tomb      tomb.Tomb
 	rpc       *jsonrpc2.Conn // the JSON-RPC library's connection
 	opts      *Options
 	dialed    bool           // this end opened the connection
 	remote    string         // the other end's IP and port
-	maxRead   atomic.Int64   // largest message, or body, that is read, in bytes: maxHelloMessage, and Options.MaxMessage after the hello
+	maxRead   atomic.Int64   // largest message or body that is read, in bytes: maxHelloMessage during the hello, then Options.MaxMessage
 	callSlots chan struct{}  // one token for each running handler, except those of Options.InOrder; at most MaxCalls
 	bodies    bodies         // binary bodies of the message being written and of the one being read
 	handlers  sync.WaitGroup // the handlers that are running
 	version   atomic.Int64   // protocol version agreed in the hello
-	lastSent  atomic.Int64   // when Call or Notify was last called, in Unix nanoseconds
+	lastSent  atomic.Int64   // when this end last sent a call or notification, in Unix nanoseconds
 
 	mu         sync.Mutex // guards the fields below
 	waitCalled bool       // Wait was called: no further handler may begin
@@ -49,7 +49,8 @@
 }
 
 // newConn starts the JSON-RPC protocol on a TCP connection. dialed states whether this end
-// opened it. The returned connection is not authenticated yet, and reads small messages only.
+// opened it. The returned connection is not authenticated yet, and reads messages of at
+// most maxHelloMessage.
 func newConn(raw net.Conn, o *Options, counters *Counters, dialed bool) *Conn {
 	c := &Conn{
 		opts:      o,
@@ -89,8 +90,9 @@
 	return err
 }
 
-// reportInvalidMessage notifies the other end why the connection is about to be closed. A
-// message that cannot be read has no id, so no answer to it can be sent.
+// reportInvalidMessage notifies the other end of the reason for which the connection is about
+// to be closed. The id of a message that cannot be read is not known, so that the message
+// cannot be answered.
 func (c *Conn) reportInvalidMessage(err error) {
 	c.opts.Log.Warn("message refused", "peer", c.remote, "error", err)
 	_ = c.rpc.Notify(context.Background(), methodRefused, Refused{Code: result.CodeOf(err)})
@@ -122,8 +124,9 @@
 // Done returns a channel that is closed when the connection is closed.
 func (c *Conn) Done() <-chan struct{} { return c.rpc.DisconnectNotify() }
 
-// Serve lets handlers run. Until it is called, messages for handlers wait, so that the
-// owner can register the connection before the first message is handled.
+// Serve lets handlers run. Until it is called, messages for handlers wait, so that the code
+// that opened or accepted the connection can register it before the first message is
+// handled.
 func (c *Conn) Serve() {
 	c.serveOnce.Do(func() { close(c.serving) })
 }
@@ -209,7 +212,8 @@
 	}
 }
 
-// isProven reports whether the connection is authenticated.
+// isProven reports whether the connection is authenticated, which means that the other end
+// has proved that it holds the key.
 func (c *Conn) isProven() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -234,8 +238,8 @@
 			return
 		}
 		c.reply(ctx, req, func(params json.RawMessage) (any, error) {
-			// The slot is released before the answer is sent: a peer that makes
-			// one call after another must not be refused because its last call
+			// The slot is released before the answer is sent. Otherwise a peer that
+			// makes one call after another could be refused because its last call
 			// still counts as running.
 			defer func() { <-c.callSlots }()
 			return c.callHandler(ctx, req.Method, params)
@@ -316,8 +320,9 @@
 // replyFunc handles a message with the given parameters and returns the result for the peer.
 type replyFunc func(params json.RawMessage) (any, error)
 
-// reply runs f, sends its result or error, and reports whether f succeeded. If fatal is
-// set, an error closes the connection.
+// reply runs f, answers the request with its result or error, and reports whether f
+// succeeded. A notification gets no answer. If fatal is set, an error of f closes the
+// connection.
 func (c *Conn) reply(ctx context.Context, req *jsonrpc2.Request, f replyFunc, fatal bool) bool {
 	var params json.RawMessage
 	if req.Params != nil {
@@ -374,7 +379,7 @@
 	case errors.As(err, &rpcErr):
 		var data errorData
 		if rpcErr.Data != nil {
-			_ = json.Unmarshal(*rpcErr.Data, &data) // zero if the peer sent none
+			_ = json.Unmarshal(*rpcErr.Data, &data) // stays zero if the peer sent no such data
 		}
 		coded := result.Errorf(result.Code(rpcErr.Code), "%s", rpcErr.Message)
 		return coded.WithRetryAfter(time.Duration(data.RetryAfterMS) * time.Millisecond)
@@ -401,9 +406,9 @@
 	close(c.ready)
 }
 
-// ping keeps an idle connection from being closed as silent by either end. The end that
-// dialled sends the pings. If the peer does not answer, the read of the connection
-// reaches its deadline (see timedConn), and the connection is closed.
+// ping keeps either end from closing an idle connection as silent. The end that dialled
+// sends the pings. If the peer does not answer, the read of the connection reaches its
+// deadline (see timedConn), and the connection is closed.
 func (c *Conn) ping() error {
 	ticker := time.NewTicker(c.opts.PingInterval)
 	defer ticker.Stop()
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -27,8 +27,8 @@
 }
 
 // sendHello authenticates a connection from the dialer's end. It offers versions and keys,
-// sends the proof that this end holds the key that the acceptor chose, and checks the
-// acceptor's proof.
+// proves that this end holds the key that the acceptor chose, and checks the acceptor's
+// proof.
 func (c *Conn) sendHello(ctx context.Context) error {
 	hello := &Hello{
 		Versions: supportedVersions(c.opts.MaxVersion),
@@ -45,8 +45,8 @@
 	if err != nil {
 		return err
 	}
-	// The peer may send calls as soon as it has sent its proof, before this end has
-	// checked the proof. Such calls wait until Serve.
+	// The peer may send calls, of any allowed size, as soon as it has sent its proof, before
+	// this end has checked the proof. Such calls wait until Serve.
 	c.maxRead.Store(int64(c.opts.MaxMessage))
 	var peerProof Proof
 	ownProof := Proof{Proof: computeProof(key, roleDialer, hello, &answer)}
@@ -54,7 +54,7 @@
 		return err
 	}
 	if !hmac.Equal(peerProof.Proof, computeProof(key, roleAcceptor, hello, &answer)) {
-		return result.Errorf(result.WrongKey, "the accepting end's proof is wrong")
+		return result.Errorf(result.WrongKey, "the acceptor's proof is wrong")
 	}
 	c.setAuthenticated(answer.From, c.opts.Use, answer.Version)
 	return nil
@@ -94,13 +94,13 @@
 		return nil, result.Errorf(result.BadHello, "proof without a hello")
 	}
 	if !hmac.Equal(peerProof.Proof, computeProof(key, roleDialer, hello, answer)) {
-		return nil, result.Errorf(result.WrongKey, "the proof is wrong")
+		return nil, result.Errorf(result.WrongKey, "the dialer's proof is wrong")
 	}
 	return Proof{Proof: computeProof(key, roleAcceptor, hello, answer)}, nil
 }
 
-// finishHello marks the acceptor's connection as authenticated. It is called after the
-// acceptor's proof was sent, so that no other message is sent before the proof.
+// finishHello marks the connection as authenticated at the acceptor's end. It is called after
+// the acceptor's proof was sent, so that no other message is sent before the proof.
 func (c *Conn) finishHello() {
 	c.mu.Lock()
 	hello, answer := c.hello, c.answer
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -2,12 +2,13 @@
 // 2.0 over TCP, with length-prefixed messages. VMs are addressed by IP address.
 // From VersionCBOR on, a message may have a binary body in place of parameters.
 //
-// A connection begins with two calls by the end that dialled. MethodHello carries
-// the versions, the deployment, the VM's incarnation and the ids of the keys that
-// it holds; the answer carries a nonce. MethodProve carries the proof that the
-// dialer holds the shared key; the answer carries the acceptor's proof. Until both
-// calls are done, messages must be small, the time is bounded, and no other method
-// is served. Afterwards either end may call the other.
+// A connection begins with the hello, two calls by the end that dialled. MethodHello
+// carries the dialer's identity, a nonce, and the versions and ids of the keys that
+// it offers; the answer carries the acceptor's identity, another nonce, and the version
+// and key that it chose. MethodProve carries the proof that the dialer holds this key;
+// the answer carries the acceptor's proof. During the hello, messages must be small, the
+// time is bounded, and no other method is served. Afterwards either end may call the
+// other.
 package wire
 
 import (
@@ -38,7 +39,7 @@
 	MethodProve = "prove" // second call of the dialer: proves that it holds the chosen key
 	MethodPing  = "ping"  // keeps an idle connection open; does nothing else
 
-	methodRefused = "refused" // has Refused as parameters; the connection is closed next
+	methodRefused = "refused" // carries a Refused; the sender then closes the connection
 )
 
 // Refused is the last message that an end sends on a connection from which it read an
@@ -54,10 +55,10 @@
 	Incarnation string `json:"incarnation"` // names one process of the VM
 }
 
-// Handler serves one call or notification of an authenticated peer. params is the
-// message's body if it has one. The result is sent as JSON. The peer gets an error's
-// result.Code. Handlers of one connection run concurrently, except for the methods of
-// Options.InOrder.
+// Handler serves one call or notification of an authenticated peer. params holds the
+// message's parameters, or its binary body if it has one. The result is sent as JSON. The
+// peer gets the result.Code and the detail of an error. Handlers of one connection run
+// concurrently, except for the methods of Options.InOrder.
 type Handler func(ctx context.Context, conn *Conn, method string, params json.RawMessage) (any, error)
 
 // Options configures connections. A field that is zero gets the default that its comment
@@ -73,12 +74,13 @@
 	// MinKeyBytes. A connection uses the first key of the dialer that both ends
 	// hold, so that two keys can be valid at once during a rotation.
 	Keys    [][]byte
-	Handler Handler // may be nil: no further methods are served
+	Handler Handler // may be nil; then only the methods of this package are served
 	// InOrder reports whether the messages of a method are handled one after another,
-	// in the order in which the peer sent them; nil means none are. Handlers of such
-	// methods must not wait for anything, since the connection reads nothing meanwhile.
+	// in the order in which the peer sent them; nil means that no method is. Handlers
+	// of such methods must not wait for anything, since the connection reads nothing
+	// while they run.
 	InOrder func(method string) bool
-	Log     *slog.Logger // discards all if nil
+	Log     *slog.Logger // if nil, nothing is logged
 	// DialContext opens TCP connections; the default is net.Dialer.DialContext.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -88,17 +90,17 @@
 	MaxMessage   int           // largest message, or largest body of one, in bytes; default 2 MiB
 	MaxCalls     int           // limit of handlers that run for one connection at once, except those of InOrder; default 16
 	// WaitForCallSlot makes a connection stop reading while MaxCalls handlers run,
-	// in place of refusing calls with PeerBusy. It is only for handlers that never
+	// instead of refusing calls with PeerBusy. It is only for handlers that never
 	// wait: a handler that waited for the same peer would block both ends.
 	WaitForCallSlot bool
-	PingInterval    time.Duration // between pings of the dialer on an idle connection; default 2 s
+	PingInterval    time.Duration // time between pings of the dialer on an idle connection; default 2 s
 	SilentAfter     time.Duration // time without a byte from the peer after which the connection is closed; default 3 ping intervals
 }
 
-// MinKeyBytes is the least length of a key, in bytes.
+// MinKeyBytes is the minimum length of a key, in bytes.
 const MinKeyBytes = 32
 
-// Limits of connections. A name that begins with default belongs to the default of a field
+// Limits of connections. A constant whose name begins with default is the default of a field
 // of Options.
 const (
 	maxHelloMessage = 4 << 10 // largest message that is read during the hello, in bytes
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -18,12 +18,13 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// testLimit bounds each wait of a test.
 const testLimit = 20 * time.Second
 
 var (
 	oldKey = bytes.Repeat([]byte("o"), MinKeyBytes)
 	newKey = bytes.Repeat([]byte("n"), MinKeyBytes)
-	badKey = bytes.Repeat([]byte("b"), MinKeyBytes)
+	badKey = bytes.Repeat([]byte("b"), MinKeyBytes) // no server holds it
 )
 
 // echo is the test handler. It answers "echo" with its params and "large" with a result
@@ -44,6 +45,7 @@
 	}
 }
 
+// options returns the options of a VM that holds the given keys and serves echo.
 func options(vm string, keys ...[]byte) Options {
 	return Options{
 		Self:    Identity{Deployment: "d", VM: vm, Incarnation: vm + "-1"},
@@ -52,6 +54,7 @@
 	}
 }
 
+// serve starts a server that is stopped when the test ends.
 func serve(t *testing.T, o Options) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", o, &Counters{}, func(c *Conn) { c.Serve() })
@@ -76,8 +79,8 @@
 }
 
 // Guards against hellos that are accepted or refused wrongly, by key, deployment, version
-// or identity. During a key rotation two keys are valid at once, whichever end gets the
-// new one first.
+// or identity. During a key rotation two keys are valid at once, and either end may get
+// the new one first.
 func TestHelloAcceptance(t *testing.T) {
 	foreign := options("b", oldKey)
 	foreign.Self.Deployment = "other"
@@ -114,8 +117,9 @@
 	}
 }
 
-// Guards against access by a process that knows a key's id, but not the key. Its hello is
-// answered with a nonce, but its proof must be refused and the connection closed.
+// Guards against access by a process that knows a key's id, but not the key. Its hello
+// succeeds, since it contains only ids, but its proof must be refused and the connection
+// closed.
 func TestKeyIDWithoutKeyIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, options("a", oldKey))
@@ -133,12 +137,14 @@
 	g.Eventually(c.Done()).WithTimeout(testLimit).Should(BeClosed())
 }
 
+// frame returns a message as it is sent: its length, then its bytes.
 func frame(body string) []byte {
 	return append(binary.AppendUvarint(nil, uint64(len(body))), body...)
 }
 
-// Guards against damage by a process that does not speak the protocol or states wrong
-// sizes. Its connection must be closed, and VMs must still be accepted and served.
+// Guards against a process that does not speak the protocol or states wrong sizes. Its
+// connection must be closed, after an error code where one is expected, and VMs must still
+// be accepted and served.
 func TestInvalidBytesCloseConnection(t *testing.T) {
 	for name, tc := range map[string]struct {
 		sent []byte
@@ -202,9 +208,9 @@
 	c.Wait()
 }
 
-// Guards against calls that wait forever because the network path to a peer lost its
-// state: no FIN and no RST arrives, and writes still succeed. The ping's deadline must
-// close the connection at both ends, and a new connection must work.
+// Guards against calls that wait forever because the network path to a peer lost its state
+// and drops all packets: no FIN and no RST arrives, and writes still succeed. The read
+// deadline must close the connection at both ends, and a new connection must work.
 func TestSilentConnectionIsClosed(t *testing.T) {
 	g := NewWithT(t)
 	o := options("a", oldKey)
@@ -231,8 +237,8 @@
 	again.Wait()
 }
 
-// Guards against wrong result codes, or a closed connection, after unknown methods, too
-// big messages, handlers' errors and too many calls at once.
+// Guards against wrong result codes, or a closed connection, after an unknown method, a
+// message that is too big, an error of a handler, or too many calls at once.
 func TestCallErrorsAndLimits(t *testing.T) {
 	g := NewWithT(t)
 	running := make(chan struct{})
@@ -305,6 +311,7 @@
 	dropping chan struct{}
 }
 
+// newBlackhole starts a proxy of one connection to an address.
 func newBlackhole(t *testing.T, to string) *blackhole {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
