--- a/target/failure_test.go
+++ b/target/failure_test.go
@@ -170,7 +170,7 @@
 	s := newFakeTarget(t, "a", 0)
 	c := newTestClient(t, Options{Protocol: HTTP1}, s.endpoint(1))
 	waitOpen(c, 1)
-	s.forEachConn(func(l *serverConn) { l.duplicateWrites.Store(true) })
+	s.forEachConn(func(sc *serverConn) { sc.duplicateWrites.Store(true) })
 	for n := range 5 {
 		g.Eventually(func() error {
 			answer, err := c.Search(testContext(t), "a", 0, request(n))
@@ -226,7 +226,7 @@
 
 // Answers that violate the protocol or a limit are errors. They must not reach a
 // caller as an empty but complete answer.
-func TestBadAnswers(t *testing.T) {
+func TestInvalidAnswersAreErrors(t *testing.T) {
 	echo := `"request":"r1","snapshot":"s1"`
 	cases := map[string]struct {
 		status int
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -105,7 +105,7 @@
 		// This VM has gained a share of connections and no longer relies on reports.
 		if e.Connections > 0 && p.readInterval > 0 {
 			p.readInterval = 0
-			p.nextRead = now.Add(jitter(firstReadSpread))
+			p.nextRead = now.Add(jitter(meanFirstReadDelay))
 		}
 		m.targets[e.Name] = p
 	}
@@ -118,20 +118,20 @@
 }
 
 const (
-	// firstReadSpread is the mean delay of a first read. The jitter around it keeps
+	// meanFirstReadDelay is the mean delay of a first read. The jitter around it keeps
 	// the first reads of all targets from starting at the same time.
-	firstReadSpread = 20 * time.Millisecond
-	// firstReadSpreadNoShare is the mean delay of a first read of an endpoint without a
+	meanFirstReadDelay = 20 * time.Millisecond
+	// meanFirstReadDelayNoShare is the mean delay of a first read of an endpoint without a
 	// share of connections. It leaves other VMs time to report the target's state.
-	firstReadSpreadNoShare = 400 * time.Millisecond
+	meanFirstReadDelayNoShare = 400 * time.Millisecond
 )
 
 // firstReadDelay returns the mean delay of the first read of an endpoint.
 func firstReadDelay(e Endpoint) time.Duration {
 	if e.Connections > 0 {
-		return firstReadSpread
+		return meanFirstReadDelay
 	}
-	return firstReadSpreadNoShare
+	return meanFirstReadDelayNoShare
 }
 
 // SetReadInterval sets a longer interval between reads of a target, because another
--- a/target/standin_test.go
+++ b/target/standin_test.go
@@ -40,41 +40,41 @@
 	once            sync.Once
 }
 
-func (l *serverConn) Read(p []byte) (int, error) {
-	n, err := l.Conn.Read(p)
-	if !l.silent.Load() {
+func (sc *serverConn) Read(p []byte) (int, error) {
+	n, err := sc.Conn.Read(p)
+	if !sc.silent.Load() {
 		return n, err
 	}
-	<-l.closed
+	<-sc.closed
 	return 0, net.ErrClosed
 }
 
-func (l *serverConn) Write(p []byte) (int, error) {
-	if l.silent.Load() {
+func (sc *serverConn) Write(p []byte) (int, error) {
+	if sc.silent.Load() {
 		return len(p), nil
 	}
-	if l.duplicateWrites.Load() {
+	if sc.duplicateWrites.Load() {
 		p = append(p[:len(p):len(p)], p...)
-		_, err := l.Conn.Write(p)
+		_, err := sc.Conn.Write(p)
 		return len(p) / 2, err
 	}
-	return l.Conn.Write(p)
+	return sc.Conn.Write(p)
 }
 
 // Close reduces the target's count of open connections after closeDelay, and closes
 // the connection to the client only then.
-func (l *serverConn) Close() error {
-	l.once.Do(func() {
-		close(l.closed)
-		time.Sleep(l.target.closeDelay)
-		l.target.mu.Lock()
-		l.target.open--
-		l.target.mu.Unlock()
+func (sc *serverConn) Close() error {
+	sc.once.Do(func() {
+		close(sc.closed)
+		time.Sleep(sc.target.closeDelay)
+		sc.target.mu.Lock()
+		sc.target.open--
+		sc.target.mu.Unlock()
 	})
-	if l.silent.Load() {
+	if sc.silent.Load() {
 		return nil // newFakeTarget's cleanup closes it
 	}
-	return l.Conn.Close()
+	return sc.Conn.Close()
 }
 
 // slowListener spends acceptDelay on each new connection, one at a time.
@@ -84,33 +84,33 @@
 	target      *fakeTarget
 }
 
-func (c *slowListener) Accept() (net.Conn, error) {
-	inner, err := c.Listener.Accept()
+func (l *slowListener) Accept() (net.Conn, error) {
+	inner, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	time.Sleep(c.acceptDelay)
-	l := &serverConn{Conn: inner, closed: make(chan struct{}), target: c.target}
-	c.target.mu.Lock()
-	defer c.target.mu.Unlock()
-	c.target.conns = append(c.target.conns, l)
-	c.target.accepts++
-	c.target.open++
-	c.target.maxOpen = max(c.target.maxOpen, c.target.open)
-	return l, nil
+	time.Sleep(l.acceptDelay)
+	sc := &serverConn{Conn: inner, closed: make(chan struct{}), target: l.target}
+	l.target.mu.Lock()
+	defer l.target.mu.Unlock()
+	l.target.conns = append(l.target.conns, sc)
+	l.target.accepts++
+	l.target.open++
+	l.target.maxOpen = max(l.target.maxOpen, l.target.open)
+	return sc, nil
 }
 
 // forEachConn calls f for each connection opened so far.
 func (s *fakeTarget) forEachConn(f func(*serverConn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.conns {
-		f(l)
+	for _, sc := range s.conns {
+		f(sc)
 	}
 }
 
-func silence(l *serverConn)   { l.silent.Store(true) }
-func breakConn(l *serverConn) { l.Conn.Close() }
+func silence(sc *serverConn)   { sc.silent.Store(true) }
+func breakConn(sc *serverConn) { sc.Conn.Close() }
 
 func newFakeTarget(t testing.TB, name string, connectCost time.Duration) *fakeTarget {
 	s := &fakeTarget{name: name, searchHandler: answerSearch}
