--- a/query/admit.go
+++ b/query/admit.go
@@ -66,7 +66,7 @@
 // release records the end of a query in the metrics and the policy, and notifies the
 // waiting queries that are decided by it. began is when the query was admitted. Plain
 // searches were never admitted, so release does nothing for them.
-func (e *Engine) release(svc *service, req *Request, began time.Time, out *policy.Outcome) {
+func (e *Engine) release(svc *service, req *Request, admittedAt time.Time, out *policy.Outcome) {
 	if req.plain() {
 		return
 	}
@@ -76,7 +76,7 @@
 	now := e.now()
 	svc.table.Median.UpdateBaseline(now, svc.admission.OverShare())
 	svc.finishQuery(now, policy.QueryEnd{
-		Took:     now.Sub(began),
+		Took:     now.Sub(admittedAt),
 		Pressure: svc.table.Pressure(out, req.TimeLimit),
 	})
 }
--- a/query/engine.go
+++ b/query/engine.go
@@ -46,7 +46,7 @@
 
 // Engine runs queries. It is safe for concurrent use.
 type Engine struct {
-	opt  Options
+	opts Options
 	pool *Pool            // runs the calls to leaves
 	now  func() time.Time // Options.Clock
 
@@ -67,26 +67,26 @@
 }
 
 // NewEngine returns an engine without services; Apply sets them. Close ends it.
-func NewEngine(opt Options) *Engine {
-	if opt.Workers == 0 {
-		opt.Workers = defaultWorkers
+func NewEngine(opts Options) *Engine {
+	if opts.Workers == 0 {
+		opts.Workers = defaultWorkers
 	}
-	if opt.Log == nil {
-		opt.Log = logging.Discard()
+	if opts.Log == nil {
+		opts.Log = logging.Discard()
 	}
-	if opt.Clock == nil {
-		opt.Clock = time.Now
+	if opts.Clock == nil {
+		opts.Clock = time.Now
 	}
-	if opt.Metrics == nil {
-		opt.Metrics = metrics.NewSet()
+	if opts.Metrics == nil {
+		opts.Metrics = metrics.NewSet()
 	}
-	if opt.OnDrain == nil {
-		opt.OnDrain = func(string, string) {}
+	if opts.OnDrain == nil {
+		opts.OnDrain = func(string, string) {}
 	}
 	return &Engine{
-		opt:      opt,
-		pool:     NewPool(opt.Workers),
-		now:      opt.Clock,
+		opts:     opts,
+		pool:     NewPool(opts.Workers),
+		now:      opts.Clock,
 		services: make(map[string]*service),
 		byTarget: make(map[string]*service),
 	}
@@ -122,11 +122,11 @@
 // the random seed, so services with names of different lengths make different random
 // choices.
 func (e *Engine) newService(name string) *service {
-	rng := rand.New(rand.NewPCG(e.opt.Seed, uint64(len(name))))
+	rng := rand.New(rand.NewPCG(e.opts.Seed, uint64(len(name))))
 	return &service{
 		name:    name,
-		metrics: newServiceMetrics(e.opt.Metrics, name),
-		table:   policy.NewTable(e.opt.Zone, rng),
+		metrics: newServiceMetrics(e.opts.Metrics, name),
+		table:   policy.NewTable(e.opts.Zone, rng),
 		waiting: make(map[policy.TicketID]chan policy.Verdict),
 	}
 }
@@ -219,7 +219,7 @@
 	isNew := st.State == target.StateDraining && svc.table.MarkDraining(name, st.Incarnation)
 	svc.mu.Unlock()
 	if isNew {
-		e.opt.OnDrain(name, st.Incarnation)
+		e.opts.OnDrain(name, st.Incarnation)
 	}
 }
 
@@ -229,7 +229,7 @@
 	if svc == nil {
 		return
 	}
-	e.opt.Log.Debug("reading a target's status failed", "target", name, "error", err)
+	e.opts.Log.Debug("reading a target's status failed", "target", name, "error", err)
 	svc.mu.Lock()
 	svc.table.StatusReadFailed(name)
 	svc.mu.Unlock()
@@ -262,7 +262,7 @@
 	isNew := svc.table.ObserveState(name, incarnation, state)
 	svc.mu.Unlock()
 	if isNew {
-		e.opt.OnDrain(name, incarnation)
+		e.opts.OnDrain(name, incarnation)
 	}
 }
 
--- a/query/run.go
+++ b/query/run.go
@@ -26,9 +26,9 @@
 	if refused := e.admit(ctx, svc, req); refused != nil {
 		return refused
 	}
-	began := e.now()
+	admittedAt := e.now()
 	out := e.run(ctx, svc, req)
-	e.release(svc, req, began, out)
+	e.release(svc, req, admittedAt, out)
 	return newAnswer(req, out)
 }
 
@@ -200,7 +200,7 @@
 // an event. The request states the time that is left until ctx's deadline.
 func (r *runner) call(ctx context.Context, s policy.Send) event {
 	deadline, _ := ctx.Deadline()
-	answer, err := r.engine.opt.Leaves.Search(ctx, s.Replica.Target, s.Replica.Leaf, target.LeafRequest{
+	answer, err := r.engine.opts.Leaves.Search(ctx, s.Replica.Target, s.Replica.Leaf, target.LeafRequest{
 		Echo: target.Echo{
 			Request:  r.req.ID,
 			Attempt:  int(s.Attempt),
--- a/query/submit.go
+++ b/query/submit.go
@@ -44,12 +44,12 @@
 	if refused := e.admitUntil(ctx, svc, deadline); refused != nil {
 		return nil, refused
 	}
-	began := e.now()
+	admittedAt := e.now()
 	return func() {
 		svc.mu.Lock()
 		defer svc.mu.Unlock()
 		now := e.now()
-		svc.finishQuery(now, policy.QueryEnd{Took: now.Sub(began)})
+		svc.finishQuery(now, policy.QueryEnd{Took: now.Sub(admittedAt)})
 	}, nil
 }
 
@@ -85,7 +85,7 @@
 			}
 			continue
 		}
-		answer, err := e.callTarget(ctx, req, send)
+		answer, err := e.callLeaf(ctx, req, send)
 		svc.mu.Lock()
 		sub.HandleEnd(e.now(), endOfAttempt(err))
 		svc.mu.Unlock()
@@ -95,7 +95,7 @@
 		if !endOfAttempt(err).Refused {
 			return SubmitResult{Code: result.OutcomeUnknown, Detail: err.Error()}
 		}
-		e.opt.Log.Debug("target did not start the request", "request", req.ID, "error", err)
+		e.opts.Log.Debug("target did not start the request", "request", req.ID, "error", err)
 	}
 }
 
@@ -109,12 +109,12 @@
 	}
 }
 
-// callTarget sends the request to the leaf that send names and waits for the answer until the
+// callLeaf sends the request to the leaf that send names and waits for the answer until the
 // request's deadline.
-func (e *Engine) callTarget(ctx context.Context, req *Submission, send policy.Send) (target.SubmitAnswer, error) {
+func (e *Engine) callLeaf(ctx context.Context, req *Submission, send policy.Send) (target.SubmitAnswer, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	return e.opt.Leaves.Submit(ctx, send.Replica.Target, send.Replica.Leaf, target.SubmitRequest{
+	return e.opts.Leaves.Submit(ctx, send.Replica.Target, send.Replica.Leaf, target.SubmitRequest{
 		Echo: target.Echo{
 			Request:  req.ID,
 			Attempt:  int(send.Attempt),
