--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		// Only malformed raw JSON from a target can cause this. target.Client
 		// checks such JSON, so this is a bug in this program.
-		g.opt.Log.Error("encoding an answer failed", "request", req.id, "error", err)
+		g.opts.Log.Error("encoding an answer failed", "request", req.id, "error", err)
 		http.Error(w, "internal fault", http.StatusInternalServerError)
 		return
 	}
@@ -107,14 +107,14 @@
 	}
 	w.WriteHeader(result.Code(a.Code).Info().HTTP)
 	if _, err := w.Write(body); err != nil {
-		g.opt.Log.Debug("sending an answer failed", "request", req.id, "error", err)
+		g.opts.Log.Debug("sending an answer failed", "request", req.id, "error", err)
 	}
 }
 
 // updateMetrics counts an answer under the name of its code, its duration, and the calls to
 // leaves that were made for it.
 func (g *Gateway) updateMetrics(a *Answer, took time.Duration) {
-	g.opt.Metrics.GetOrCreateCounter(fmt.Sprintf(`bramley_requests_total{code="%s"}`, a.Name)).Inc()
-	g.opt.Metrics.GetOrCreateHistogram("bramley_request_seconds").Update(took.Seconds())
-	g.opt.Metrics.GetOrCreateCounter("bramley_leaf_calls_total").Add(a.Attempts)
+	g.opts.Metrics.GetOrCreateCounter(fmt.Sprintf(`bramley_requests_total{code="%s"}`, a.Name)).Inc()
+	g.opts.Metrics.GetOrCreateHistogram("bramley_request_seconds").Update(took.Seconds())
+	g.opts.Metrics.GetOrCreateCounter("bramley_leaf_calls_total").Add(a.Attempts)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -67,19 +67,19 @@
 
 // Gateway serves callers' requests over HTTP. It is safe for concurrent use.
 type Gateway struct {
-	opt     Options
+	opts    Options
 	leaving atomic.Bool // Leave was called
 }
 
 // New returns a gateway. It serves requests through Handler or Server.
-func New(opt Options) *Gateway {
-	if opt.Log == nil {
-		opt.Log = logging.Discard()
+func New(opts Options) *Gateway {
+	if opts.Log == nil {
+		opts.Log = logging.Discard()
 	}
-	if opt.Metrics == nil {
-		opt.Metrics = metrics.NewSet()
+	if opts.Metrics == nil {
+		opts.Metrics = metrics.NewSet()
 	}
-	return &Gateway{opt: opt}
+	return &Gateway{opts: opts}
 }
 
 // Leave makes the gateway send "Connection: close" with each answer, so that callers
@@ -95,7 +95,7 @@
 		WriteTimeout:      maxTimeLimit + writeMargin,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    MaxHeaderBytes,
-		ErrorLog:          logging.StdLogger(g.opt.Log),
+		ErrorLog:          logging.StdLogger(g.opts.Log),
 	}
 }
 
@@ -128,7 +128,7 @@
 		req := &request{
 			id:      uuid.NewString(),
 			arrived: time.Now(),
-			inForce: g.opt.Config.Current(),
+			inForce: g.opts.Config.Current(),
 			http:    r,
 		}
 		answer := g.handle(w, req, h)
--- a/gateway/search.go
+++ b/gateway/search.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return errorAnswer(err)
 	}
-	out := g.opt.Engine.Search(req.http.Context(), q)
+	out := g.opts.Engine.Search(req.http.Context(), q)
 	a := newAnswer(out.Code)
 	a.Detail = out.Detail
 	a.Ran = out.Ran.String()
--- a/gateway/submit.go
+++ b/gateway/submit.go
@@ -22,7 +22,7 @@
 		return errorAnswer(err)
 	}
 	deadline := req.arrived.Add(limit)
-	done, refused := g.opt.Engine.Admit(req.http.Context(), s.Service, deadline)
+	done, refused := g.opts.Engine.Admit(req.http.Context(), s.Service, deadline)
 	if refused != nil {
 		a := newAnswer(refused.Code)
 		a.RetryAfterMS = ceilMillis(refused.RetryAfter)
@@ -40,13 +40,13 @@
 	defer cancel()
 	sum := sha256.Sum256(req.body)
 	claim := once.Request{
-		Deployment: g.opt.Deployment,
+		Deployment: g.opts.Deployment,
 		Search:     s.Name,
 		Key:        key,
 		Digest:     hex.EncodeToString(sum[:]),
 	}
-	out := g.opt.Claims.Run(ctx, claim, func(ctx context.Context) once.Outcome {
-		got := g.opt.Engine.Submit(ctx, &query.Submission{
+	out := g.opts.Claims.Run(ctx, claim, func(ctx context.Context) once.Outcome {
+		got := g.opts.Engine.Submit(ctx, &query.Submission{
 			ID:       req.id,
 			Search:   s,
 			Key:      key.String(),
