--- a/topk/topk.go
+++ b/topk/topk.go
@@ -67,20 +67,20 @@
 type minHeap []record
 
 // Len implements heap.Interface.
-func (r minHeap) Len() int { return len(r) }
+func (h minHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (r minHeap) Less(i, j int) bool { return r[i].less(r[j]) }
+func (h minHeap) Less(i, j int) bool { return h[i].less(h[j]) }
 
 // Swap implements heap.Interface.
-func (r minHeap) Swap(i, j int) { r[i], r[j] = r[j], r[i] }
+func (h minHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (r *minHeap) Push(x any) { *r = append(*r, x.(record)) }
+func (h *minHeap) Push(x any) { *h = append(*h, x.(record)) }
 
 // Pop implements heap.Interface.
-func (r *minHeap) Pop() any {
-	last := (*r)[len(*r)-1]
-	*r = (*r)[:len(*r)-1]
+func (h *minHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
