--- a/query/admit.go
+++ b/query/admit.go
@@ -63,9 +63,9 @@
 	return <-decided // no longer queued: the verdict was sent under svc.mu when the ticket left the queue
 }
 
-// release records the end of a query in the metrics and the policy, and notifies the
-// waiting queries that are decided by it. began is when the query was admitted. Plain
-// searches were never admitted, so release does nothing for them.
+// release records the end of a query in the metrics and the policy, and sends the verdicts
+// on waiting queries that follow from it. Plain searches skip admission, so release does
+// nothing for them.
 func (e *Engine) release(svc *service, req *Request, admittedAt time.Time, out *policy.Outcome) {
 	if req.plain() {
 		return
--- a/query/answer.go
+++ b/query/answer.go
@@ -38,7 +38,7 @@
 // and otherwise the reason of the failure.
 func resultCode(req *Request, out *policy.Outcome) result.Code {
 	switch {
-	case out.End == policy.EndNoSnapshot && req.Snapshot != "": // the one that a cursor names
+	case out.End == policy.EndNoSnapshot && req.Snapshot != "": // a cursor named the snapshot
 		return result.CursorGone
 	case out.End == policy.EndNoSnapshot:
 		return result.NoReplica
--- a/query/engine.go
+++ b/query/engine.go
@@ -118,9 +118,9 @@
 	e.byTarget = byTarget
 }
 
-// newService returns a service without targets. The length of its name is the second half of
-// the random seed, so services with names of different lengths make different random
-// choices.
+// newService returns a service without targets. Its random choices are seeded with
+// Options.Seed and the length of its name, so services with names of different lengths make
+// different choices.
 func (e *Engine) newService(name string) *service {
 	rng := rand.New(rand.NewPCG(e.opts.Seed, uint64(len(name))))
 	return &service{
@@ -147,10 +147,10 @@
 	s.table.Retries.SetShare(retry)
 }
 
-// fairShare returns how many whole queries this VM may run at once so that all VMs
-// together just fill the slots of the service's targets. A query takes one slot on each
-// shard, so slots divided by shards is the number for all VMs. Each VM gets an equal part
-// of it, as if the fleet had its maximum size.
+// fairShare returns how many queries this VM may run at once so that all VMs together just
+// fill the slots of the service's targets. A query takes one slot on each shard, so slots
+// divided by shards is the number for all VMs. Each VM gets an equal part of it, as if the
+// fleet had its maximum size.
 func fairShare(b *bundle.Bundle, spec *bundle.Service) float64 {
 	slots := 0
 	for i := range spec.Targets {
@@ -159,9 +159,9 @@
 	return float64(slots) / float64(max(spec.Shards, 1)) / float64(max(b.Fleet.MaxVMs, 1))
 }
 
-// budgets returns the largest hedge and retry budgets, as shares of first attempts,
-// that a service's searches allow. The searches use the same targets, so they also
-// share the extra load that the targets may get.
+// budgets returns the largest hedge and retry budgets, as shares of first attempts, that
+// any search of a service allows. All searches of a service share one budget of each kind,
+// because they load the same targets.
 func budgets(b *bundle.Bundle, service string) (hedge, retry float64) {
 	for i := range b.Searches {
 		if s := &b.Searches[i]; s.Service == service {
@@ -248,8 +248,8 @@
 }
 
 // TargetState records that the headers of an answer state that a target is draining, and
-// calls OnDrain if that is new. It ignores all other states: they are learned from status
-// reads. It implements target.Sink.
+// calls OnDrain if that is new. It ignores all other states: only status reads update them.
+// It implements target.Sink.
 func (e *Engine) TargetState(name, incarnation string, state target.State, _ time.Time) {
 	if state != target.StateDraining {
 		return
--- a/query/metrics.go
+++ b/query/metrics.go
@@ -32,7 +32,8 @@
 	admitted *metrics.Counter // queries and submissions that admission let run
 }
 
-// newServiceMetrics returns the metrics of a service and adds those to set that it lacks.
+// newServiceMetrics returns the metrics of a service. It registers those in set that are not
+// registered yet.
 func newServiceMetrics(set *metrics.Set, service string) *serviceMetrics {
 	name := func(metric string) string { return fmt.Sprintf("bramley_query_%s{service=%q}", metric, service) }
 	m := &serviceMetrics{
--- a/query/pool.go
+++ b/query/pool.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Stop ends the workers and waits until their running jobs are done. Jobs that no
-// worker has taken are dropped.
+// Stop ends the workers and waits until their running jobs are done. Jobs that are still
+// queued are dropped.
 func (p *Pool) Stop() {
 	p.tomb.Kill(nil)
 	_ = p.tomb.Wait()
--- a/query/reason.go
+++ b/query/reason.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// refusalReason returns the same as missingReason for a call that the target refused with
-// reason r.
+// refusalReason returns the reason for which a shard is missing if the target refused its
+// call with reason r.
 func refusalReason(r target.Reason) policy.Reason {
 	switch r {
 	case target.ReasonNoSnapshot:
--- a/query/request.go
+++ b/query/request.go
@@ -27,7 +27,7 @@
 type Answer struct {
 	Code       result.Code
 	Detail     string          // more about Code, for the caller; may be empty
-	RetryAfter time.Duration   // when the caller may retry; for codes whose Retry is RetryLater
+	RetryAfter time.Duration   // wait before the caller may retry; for codes whose Retry is RetryLater
 	Ran        result.Ran      // whether a target ran the request
 	Snapshot   policy.Snapshot // the one that was read
 	Coverage   policy.Coverage // how much of the snapshot the answer is based on
--- a/query/run.go
+++ b/query/run.go
@@ -11,9 +11,9 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// defaultRetryAfter is the retry time that an answer states if its failure has none of its
-// own, for example for lack of replicas. It is about the time in which changes of targets'
-// health become known.
+// defaultRetryAfter is the wait before a retry that an answer states if its failure has none
+// of its own, as with a lack of replicas. Changes of targets' health become known within
+// about this time.
 const defaultRetryAfter = time.Second
 
 // Search runs a query to its end. It returns as soon as the outcome is decided. It
@@ -71,8 +71,8 @@
 }
 
 // loop runs the query until its outcome is decided. In each round it executes the policy's
-// actions, and then waits for the end of an attempt, for the time at which the policy wants
-// to be called (wake), or for the caller to disconnect.
+// actions and then waits for the end of an attempt, for wake (the time at which the policy
+// is to be called next), or for the caller to disconnect.
 func (r *runner) loop() *policy.Outcome {
 	wake, acts := r.start()
 	timer := time.NewTimer(time.Until(wake))
@@ -104,8 +104,8 @@
 	return r.query.NextTick(), acts
 }
 
-// handleEvents passes ev and all events that are queued by now to the policy, under one
-// lock. Its results are the same as those of start.
+// handleEvents passes ev and all other queued events to the policy under one lock. It
+// returns the same as start.
 func (r *runner) handleEvents(ev event) (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -130,8 +130,7 @@
 	return r.query.HandleFailure(now, ev.attempt, ev.failure)
 }
 
-// tick calls the policy at the time that it asked for. Its results are the same as those of
-// start.
+// tick calls the policy at the time that it asked for. It returns the same as start.
 func (r *runner) tick() (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
--- a/query/submit.go
+++ b/query/submit.go
@@ -14,8 +14,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Submission is a non-idempotent request: no target may run it a second time. Before it is
-// submitted, its key must be claimed, so that no other VM submits the same request.
+// Submission is a non-idempotent request: it must not run twice. Before it is submitted,
+// its key must be claimed, so that no other VM submits the same request.
 type Submission struct {
 	ID       string // id of the caller's request
 	Search   *bundle.Search
@@ -30,12 +30,12 @@
 	Code       result.Code
 	Result     json.RawMessage // the target's result; only if Code is Accepted
 	Detail     string          // more about Code, for the caller; may be empty
-	RetryAfter time.Duration   // when the caller may retry; 0 if Code is Accepted or OutcomeUnknown
+	RetryAfter time.Duration   // wait before the caller may retry; 0 if Code is Accepted or OutcomeUnknown
 }
 
 // Admit admits or refuses a non-idempotent request for a service, before its key is
-// claimed. It may wait until deadline. If refused is nil, done must be called once
-// when the request ends.
+// claimed. It may wait until deadline. If refused is nil, the request is admitted and done
+// must be called once when it ends.
 func (e *Engine) Admit(ctx context.Context, service string, deadline time.Time) (done func(), refused *Answer) {
 	svc := e.service(service)
 	if svc == nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// callLeaf sends the request to the leaf that send names and waits for the answer until the
+// callLeaf sends the request to the leaf that send names, and waits for the answer up to the
 // request's deadline.
 func (e *Engine) callLeaf(ctx context.Context, req *Submission, send policy.Send) (target.SubmitAnswer, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
@@ -127,9 +127,9 @@
 	})
 }
 
-// endOfAttempt describes the end of a call to the policy. The end is answered if err is nil,
-// and refused if it is certain that the target did not start the request. Otherwise both
-// are false: the target may have run it.
+// endOfAttempt converts the result of a call to the form that the policy takes: Answered if
+// err is nil, Refused if it is certain that the target did not start the request, and
+// neither if the target may have run it.
 func endOfAttempt(err error) policy.AttemptEnd {
 	if err == nil {
 		return policy.AttemptEnd{Answered: true}
