--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -99,7 +99,7 @@
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	h.Set(HeaderRequest, req.id)
 	if a.RetryAfterMS > 0 {
-		// In whole seconds, rounded up.
+		// Rounded up to whole seconds, so that a caller does not retry too early.
 		h.Set(HeaderRetryAfter, strconv.FormatInt((a.RetryAfterMS+msPerSecond-1)/msPerSecond, 10))
 	}
 	if g.leaving.Load() {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -25,8 +25,8 @@
 	MaxHeaderBytes = 16 << 10         // size of a request's header, in bytes
 	readTimeout    = 10 * time.Second // longest time for reading a request, and for reading its header
 	idleTimeout    = 2 * time.Minute  // after which an unused connection of a caller is closed
-	writeMargin    = 10 * time.Second // for writing the answer, beyond the longest time limit of a request
-	maxTimeLimit   = time.Minute      // longest time limit of a request
+	writeMargin    = 10 * time.Second // for writing the answer, beyond maxTimeLimit
+	maxTimeLimit   = time.Minute      // longest time limit that WriteTimeout allows for; package bundle accepts longer ones
 )
 
 // Config gives access to the bundle in force: the configuration that this VM uses now.
@@ -109,7 +109,7 @@
 	return mux
 }
 
-// request is one caller's request while the gateway handles it.
+// request is a caller's request that the gateway is handling.
 type request struct {
 	id      string // assigned by this VM; the answer repeats it
 	arrived time.Time
@@ -122,7 +122,7 @@
 type handler func(req *request) *Answer
 
 // serve returns an HTTP handler that does what all requests have in common: it assigns
-// an id and the revision in force to the request, reads its body and writes the answer.
+// an id and the bundle in force to the request, reads its body and writes the answer.
 func (g *Gateway) serve(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := &request{
@@ -148,7 +148,8 @@
 	return h(req)
 }
 
-// noBundleRetryAfter is the retry time that a VM states while it has no bundle in force.
+// noBundleRetryAfter is the wait before a retry that a VM states while it has no bundle in
+// force.
 const noBundleRetryAfter = time.Second
 
 // unknownPath answers a request whose path or method the gateway does not serve.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -21,13 +21,13 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// fake implements Config, Engine and Claims.
+// fake implements Config, Engine and Claims with fixed results.
 type fake struct {
-	inForce     *rollout.InForce
-	answer      query.Answer
-	lastSearch  *query.Request
-	refusal     *query.Answer
-	submissions int
+	inForce     *rollout.InForce // returned by Current
+	answer      query.Answer     // returned by Search
+	lastSearch  *query.Request   // argument of the last call of Search
+	refusal     *query.Answer    // returned by Admit; nil if it admits
+	submissions int              // calls of Submit
 }
 
 func (f *fake) Current() *rollout.InForce { return f.inForce }
@@ -50,6 +50,8 @@
 	return run(ctx)
 }
 
+// newFake returns a fake whose bundle has one search of each kind, and which admits and answers
+// all requests.
 func newFake() *fake {
 	search := func(name string, kind bundle.SearchKind) bundle.Search {
 		return bundle.Search{
@@ -71,6 +73,8 @@
 	}
 }
 
+// post sends one request to a gateway that uses f, and returns the decoded answer and the
+// response. header lists names of headers, each followed by its value.
 func (f *fake) post(t *testing.T, path, body string, header ...string) (Answer, *http.Response) {
 	t.Helper()
 	g := NewWithT(t)
@@ -93,8 +97,8 @@
 
 const validKey = "1700000000-abcdefgh"
 
-// Guards against requests that are outside the bounds and reach the engine, or that are
-// refused with the wrong code.
+// Guards against invalid requests that reach the engine, or that are refused with the wrong
+// code.
 func TestInvalidRequestCodes(t *testing.T) {
 	cases := []struct {
 		path, body string
--- a/gateway/search.go
+++ b/gateway/search.go
@@ -125,9 +125,9 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// applyCursor sets the snapshot and the first key of a browse page to those that the caller's
-// cursor states. Without a cursor it does nothing. A cursor of another search, or with a
-// request that isn't a browse request, is an error.
+// applyCursor sets the snapshot of a browse page, and the key after which the page begins, to
+// those in the caller's cursor. Without a cursor it does nothing. A cursor of another search,
+// or in a request that isn't a browse request, is an error.
 func applyCursor(q *query.Request, encoded string) error {
 	if encoded == "" {
 		return nil
--- a/gateway/submit.go
+++ b/gateway/submit.go
@@ -33,8 +33,8 @@
 }
 
 // runOnce claims the idempotency key and runs the request, unless the key was claimed
-// before. The request is not cancelled if the caller disconnects: once it was sent to a
-// target, this VM waits for the outcome, up to the deadline.
+// before. The request is not cancelled if the caller disconnects: this VM waits for its
+// outcome, up to the deadline.
 func (g *Gateway) runOnce(req *request, s *bundle.Search, key once.Key, deadline time.Time) *Answer {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(req.http.Context()), deadline)
 	defer cancel()
