--- a/topk/topk.go
+++ b/topk/topk.go
@@ -11,7 +11,7 @@
 // answer is ignored.
 const RecordBytes = 16
 
-// record is a record as two big-endian numbers, which compare in the same order as its
+// record is a record's bytes as two big-endian numbers, which sort in the same order as the
 // bytes.
 type record struct{ high, low uint64 }
 
@@ -19,6 +19,7 @@
 	return r.high < o.high || r.high == o.high && r.low < o.low
 }
 
+// recordAt decodes the record at the start of b.
 func recordAt(b []byte) record {
 	return record{high: binary.BigEndian.Uint64(b), low: binary.BigEndian.Uint64(b[8:])}
 }
--- a/topk/topk_test.go
+++ b/topk/topk_test.go
@@ -35,6 +35,7 @@
 	})
 }
 
+// BenchmarkMerge merges 20 parts of 62 random records each and keeps the 50 greatest.
 func BenchmarkMerge(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	parts := make([][]byte, 20)
