--- a/latency/latency.go
+++ b/latency/latency.go
@@ -11,19 +11,19 @@
 	windowCount        = 4               // windows kept, the current one included
 	windowLength       = 5 * time.Second // of each window
 	maxLatency         = time.Minute     // longer latencies are recorded as this
-	significantFigures = 2               // precision of the histogram
+	significantFigures = 2               // precision of recorded latencies, in decimal digits
 	minSamples         = 50              // with fewer, a quantile is meaningless
 )
 
 // Recorder estimates quantiles of recent latencies. Samples are dropped with their
-// window, so that the quantiles follow a change of the targets' speed within seconds.
-// It is not safe for concurrent use.
+// window, at most windowCount*windowLength after they were recorded, so that the quantiles
+// follow a change of the targets' speed within seconds. It is not safe for concurrent use.
 type Recorder struct {
-	hist        *hdrhistogram.WindowedHistogram
-	windowStart time.Time               // of the current window
-	merged      *hdrhistogram.Histogram // sum of all windows; nil before the first merge
-	mergedAt    time.Time
-	quantiles   map[float64]time.Duration // quantiles of merged, cached by q
+	hist        *hdrhistogram.WindowedHistogram // of latencies in microseconds
+	windowStart time.Time                       // of the current window
+	merged      *hdrhistogram.Histogram         // sum of all windows; nil before the first merge
+	mergedAt    time.Time                       // time of the last merge
+	quantiles   map[float64]time.Duration       // quantiles of merged, cached by q
 }
 
 // New returns an empty recorder.
@@ -61,6 +61,7 @@
 // too much to be done for each shard of a query.
 const mergeInterval = 100 * time.Millisecond
 
+// merge updates merged and drops the cached quantiles, at most once per mergeInterval.
 func (r *Recorder) merge(now time.Time) {
 	if r.merged != nil && now.Sub(r.mergedAt) < mergeInterval {
 		return
@@ -70,7 +71,7 @@
 	r.quantiles = make(map[float64]time.Duration)
 }
 
-// rotate starts new windows for the time that has passed.
+// rotate starts a new window for each windowLength that has passed, and drops the oldest ones.
 func (r *Recorder) rotate(now time.Time) {
 	if r.windowStart.IsZero() {
 		r.windowStart = now
