--- a/target/check.go
+++ b/target/check.go
@@ -18,8 +18,8 @@
 // checkEcho rejects answers that were swapped with another request's, or that
 // arrive late or twice. Such an answer is well formed and would otherwise be
 // merged into another caller's result. Request, attempt, shard and snapshot
-// together identify one call, so an answer with the same four values was made
-// for that call.
+// together identify one call, so an answer with the same four values belongs to
+// that call.
 func checkEcho(want, got Echo) error {
 	if want == got {
 		return nil
@@ -28,7 +28,7 @@
 }
 
 // checkAnswer checks that an answer belongs to req, has no more items than req allows, and
-// states record counts that can be true.
+// states possible record counts.
 func checkAnswer(req *LeafRequest, answer *LeafAnswer) error {
 	if err := checkEcho(req.Echo, answer.Echo); err != nil {
 		return err
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// checkStatus checks that a status is that of the target that was asked for it.
+// checkStatus checks that a status describes target, from which it was requested.
 func checkStatus(target string, status *Status) error {
 	if status.Target != target {
 		return fmt.Errorf("%w: sent to %q, got the status of %q", errMismatched, target, status.Target)
--- a/target/conn.go
+++ b/target/conn.go
@@ -25,11 +25,11 @@
 }
 
 // isSuspect reports whether a call has waited for longer than suspectAfter while
-// nothing at all was received. This is what happens if a device between the two
-// ends, such as a firewall, has lost the state of the connection: writes succeed,
-// and no FIN or RST ever arrives. A connection whose only call is slow looks the
-// same. A probe distinguishes the two cases, and it does no harm that other calls
-// avoid the connection until its next byte arrives.
+// nothing at all was received. This happens if a device between the two ends, such
+// as a firewall, has lost the state of the connection: writes succeed, and no FIN or
+// RST ever arrives. A connection whose only call is slow looks the same. A probe
+// distinguishes the two cases, and it does no harm that other calls avoid the
+// connection until its next byte arrives.
 func (c *conn) isSuspect(now time.Time, suspectAfter time.Duration) bool {
 	return c.awaitsData() && now.Sub(c.waitingSince) > suspectAfter
 }
--- a/target/failure_test.go
+++ b/target/failure_test.go
@@ -57,9 +57,9 @@
 }
 
 // Guards against a submit that runs twice. The target runs the submit, and the
-// connection breaks before the answer. net/http takes this for a connection that
+// connection breaks before the answer. net/http mistakes this for a connection that
 // was closed while idle, and resends the request by itself. The control shows that
-// net/http does this to a request whose body can be rewound.
+// net/http resends a request whose body can be rewound.
 func TestSubmitIsNeverReplayed(t *testing.T) {
 	forProtocols(t, 2, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		s.setAfterSubmit(func() { s.forEachConn(breakConn) })
@@ -117,9 +117,9 @@
 }
 
 // Guards against a caller that gets another request's result. A leaf's answer that
-// was swapped or came late is taken for the answer to a different request. The
-// first call here gets an answer made for another attempt. It must fail, and the
-// connection that delivered the answer must not carry another call.
+// was swapped or came late is mistaken for the answer to a different request. The
+// first call here gets an answer to another attempt. It must fail, and the connection
+// that delivered the answer must not carry another call.
 func TestMismatchedAnswersAreRejected(t *testing.T) {
 	forProtocols(t, 1, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		s.setSearchHandler(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
@@ -162,9 +162,8 @@
 	}
 }
 
-// Guards against a duplicated answer over HTTP/1.1 that is taken for the answer to
-// the next request. The copy is already in the connection when the next request is
-// sent.
+// Guards against a duplicated answer over HTTP/1.1 that is mistaken for the answer to
+// the next request. The copy has already arrived when the next request is sent.
 func TestDuplicateAnswerIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeTarget(t, "a", 0)
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -89,7 +89,7 @@
 
 // Apply puts the endpoints in force. New ones are read after a short random delay.
 // Endpoints without a share of connections are read too, because the Reader may
-// reach them through another VM. Their first reads come a little later, so that
+// reach them through another VM. Their first reads are delayed longer, so that
 // reports from other VMs can make these reads unnecessary; see SetReadInterval.
 func (m *Monitor) Apply(endpoints []Endpoint) {
 	m.mu.Lock()
--- a/target/options.go
+++ b/target/options.go
@@ -58,8 +58,8 @@
 	MaxBackoff  time.Duration // upper bound of the pause after repeated failures to connect to a target; default 1 s
 
 	// A connection is suspect if a call has waited on it for SuspectAfter (default 100 ms)
-	// while nothing at all was received. Other connections are preferred to it,
-	// and it is probed with a status read. If nothing is received within
+	// while nothing at all was received. Calls prefer other connections to it, and
+	// it is probed with a status read. If nothing is received within
 	// ProbeTimeout (default 500 ms) either, the connection is silent and is closed.
 	SuspectAfter time.Duration
 	ProbeTimeout time.Duration
--- a/target/transport_bench_test.go
+++ b/target/transport_bench_test.go
@@ -50,7 +50,7 @@
 	return c, set
 }
 
-// waitOpen waits until that many connections to target "a" are open and warmed up.
+// waitOpen waits until the given number of connections to target "a" are open and warmed up.
 func waitOpen(c *Client, connections int) {
 	p := c.pool("a")
 	for open := 0; open < connections; time.Sleep(time.Millisecond) {
@@ -124,9 +124,9 @@
 	}
 }
 
-// BenchmarkSilent makes all open connections silent and measures the time until ten
-// consecutive calls succeed. A call is started every 10 ms, with a time limit of
-// 100 ms.
+// BenchmarkSilent makes all open connections silent. It reports the time until ten
+// consecutive calls succeed, and the calls that failed before. A call is started
+// every 10 ms, with a time limit of 100 ms.
 func BenchmarkSilent(b *testing.B) {
 	for _, k := range transportCases {
 		for _, ping := range []time.Duration{0, 500 * time.Millisecond} {
