--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -25,8 +25,8 @@
 	MaxHeaderBytes = 16 << 10         // size of a request's header, in bytes
 	readTimeout    = 10 * time.Second // longest time for reading a request, and for reading its header
 	idleTimeout    = 2 * time.Minute  // after which an unused connection of a caller is closed
-	writeMargin    = 10 * time.Second // for writing the answer, beyond the longest time limit of a request
-	maxTimeLimit   = time.Minute      // longest time limit of a request
+	writeMargin    = 10 * time.Second // for writing the answer, beyond maxTimeLimit
+	maxTimeLimit   = time.Minute      // longest time limit that WriteTimeout allows for; package bundle accepts longer ones
 )
 
 // Config gives access to the bundle in force: the configuration that this VM uses now.
@@ -67,19 +67,19 @@
 
 // Gateway serves callers' requests over HTTP. It is safe for concurrent use.
 type Gateway struct {
-	opt     Options
+	opts    Options
 	leaving atomic.Bool // Leave was called
 }
 
 // New returns a gateway. It serves requests through Handler or Server.
-func New(opt Options) *Gateway {
-	if opt.Log == nil {
-		opt.Log = logging.Discard()
+func New(opts Options) *Gateway {
+	if opts.Log == nil {
+		opts.Log = logging.Discard()
 	}
-	if opt.Metrics == nil {
-		opt.Metrics = metrics.NewSet()
+	if opts.Metrics == nil {
+		opts.Metrics = metrics.NewSet()
 	}
-	return &Gateway{opt: opt}
+	return &Gateway{opts: opts}
 }
 
 // Leave makes the gateway send "Connection: close" with each answer, so that callers
@@ -95,7 +95,7 @@
 		WriteTimeout:      maxTimeLimit + writeMargin,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    MaxHeaderBytes,
-		ErrorLog:          logging.StdLogger(g.opt.Log),
+		ErrorLog:          logging.StdLogger(g.opts.Log),
 	}
 }
 
@@ -109,7 +109,7 @@
 	return mux
 }
 
-// request is one caller's request while the gateway handles it.
+// request is a caller's request that the gateway is handling.
 type request struct {
 	id      string // assigned by this VM; the answer repeats it
 	arrived time.Time
@@ -122,13 +122,13 @@
 type handler func(req *request) *Answer
 
 // serve returns an HTTP handler that does what all requests have in common: it assigns
-// an id and the revision in force to the request, reads its body and writes the answer.
+// an id and the bundle in force to the request, reads its body and writes the answer.
 func (g *Gateway) serve(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := &request{
 			id:      uuid.NewString(),
 			arrived: time.Now(),
-			inForce: g.opt.Config.Current(),
+			inForce: g.opts.Config.Current(),
 			http:    r,
 		}
 		answer := g.handle(w, req, h)
@@ -148,7 +148,8 @@
 	return h(req)
 }
 
-// noBundleRetryAfter is the retry time that a VM states while it has no bundle in force.
+// noBundleRetryAfter is the wait before a retry that a VM states while it has no bundle in
+// force.
 const noBundleRetryAfter = time.Second
 
 // unknownPath answers a request whose path or method the gateway does not serve.
--- a/query/run.go
+++ b/query/run.go
@@ -11,9 +11,9 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// defaultRetryAfter is the retry time that an answer states if its failure has none of its
-// own, for example for lack of replicas. It is about the time in which changes of targets'
-// health become known.
+// defaultRetryAfter is the wait before a retry that an answer states if its failure has none
+// of its own, as with a lack of replicas. Changes of targets' health become known within
+// about this time.
 const defaultRetryAfter = time.Second
 
 // Search runs a query to its end. It returns as soon as the outcome is decided. It
@@ -26,9 +26,9 @@
 	if refused := e.admit(ctx, svc, req); refused != nil {
 		return refused
 	}
-	began := e.now()
+	admittedAt := e.now()
 	out := e.run(ctx, svc, req)
-	e.release(svc, req, began, out)
+	e.release(svc, req, admittedAt, out)
 	return newAnswer(req, out)
 }
 
@@ -71,8 +71,8 @@
 }
 
 // loop runs the query until its outcome is decided. In each round it executes the policy's
-// actions, and then waits for the end of an attempt, for the time at which the policy wants
-// to be called (wake), or for the caller to disconnect.
+// actions and then waits for the end of an attempt, for wake (the time at which the policy
+// is to be called next), or for the caller to disconnect.
 func (r *runner) loop() *policy.Outcome {
 	wake, acts := r.start()
 	timer := time.NewTimer(time.Until(wake))
@@ -104,8 +104,8 @@
 	return r.query.NextTick(), acts
 }
 
-// handleEvents passes ev and all events that are queued by now to the policy, under one
-// lock. Its results are the same as those of start.
+// handleEvents passes ev and all other queued events to the policy under one lock. It
+// returns the same as start.
 func (r *runner) handleEvents(ev event) (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -130,8 +130,7 @@
 	return r.query.HandleFailure(now, ev.attempt, ev.failure)
 }
 
-// tick calls the policy at the time that it asked for. Its results are the same as those of
-// start.
+// tick calls the policy at the time that it asked for. It returns the same as start.
 func (r *runner) tick() (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -200,7 +199,7 @@
 // an event. The request states the time that is left until ctx's deadline.
 func (r *runner) call(ctx context.Context, s policy.Send) event {
 	deadline, _ := ctx.Deadline()
-	answer, err := r.engine.opt.Leaves.Search(ctx, s.Replica.Target, s.Replica.Leaf, target.LeafRequest{
+	answer, err := r.engine.opts.Leaves.Search(ctx, s.Replica.Target, s.Replica.Leaf, target.LeafRequest{
 		Echo: target.Echo{
 			Request:  r.req.ID,
 			Attempt:  int(s.Attempt),
--- a/target/failure_test.go
+++ b/target/failure_test.go
@@ -51,15 +51,15 @@
 	return done, finish
 }
 
-// counter returns the getter of a metric, whose name lacks the prefix.
+// counter returns the getter of the counter bramley_target_<name>.
 func counter(c *Client, name string) func() uint64 {
 	return c.opts.Metrics.GetOrCreateCounter("bramley_target_" + name).Get
 }
 
 // Guards against a submit that runs twice. The target runs the submit, and the
-// connection breaks before the answer. net/http takes this for a connection that
+// connection breaks before the answer. net/http mistakes this for a connection that
 // was closed while idle, and resends the request by itself. The control shows that
-// net/http does this to a request whose body can be rewound.
+// net/http resends a request whose body can be rewound.
 func TestSubmitIsNeverReplayed(t *testing.T) {
 	forProtocols(t, 2, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		s.setAfterSubmit(func() { s.forEachConn(breakConn) })
@@ -117,9 +117,9 @@
 }
 
 // Guards against a caller that gets another request's result. A leaf's answer that
-// was swapped or came late is taken for the answer to a different request. The
-// first call here gets an answer made for another attempt. It must fail, and the
-// connection that delivered the answer must not carry another call.
+// was swapped or came late is mistaken for the answer to a different request. The
+// first call here gets an answer to another attempt. It must fail, and the connection
+// that delivered the answer must not carry another call.
 func TestMismatchedAnswersAreRejected(t *testing.T) {
 	forProtocols(t, 1, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		s.setSearchHandler(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
@@ -162,15 +162,14 @@
 	}
 }
 
-// Guards against a duplicated answer over HTTP/1.1 that is taken for the answer to
-// the next request. The copy is already in the connection when the next request is
-// sent.
+// Guards against a duplicated answer over HTTP/1.1 that is mistaken for the answer to
+// the next request. The copy has already arrived when the next request is sent.
 func TestDuplicateAnswerIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeTarget(t, "a", 0)
 	c := newTestClient(t, Options{Protocol: HTTP1}, s.endpoint(1))
 	waitOpen(c, 1)
-	s.forEachConn(func(l *serverConn) { l.duplicateWrites.Store(true) })
+	s.forEachConn(func(sc *serverConn) { sc.duplicateWrites.Store(true) })
 	for n := range 5 {
 		g.Eventually(func() error {
 			answer, err := c.Search(testContext(t), "a", 0, request(n))
@@ -206,7 +205,8 @@
 	})
 }
 
-// A call that can't be sent fails at once, as not started.
+// Guards against a submit whose outcome counts as unknown although it was never sent. A
+// call that can't be sent must fail at once, as not started.
 func TestCallsWithoutConnectionAreNotStarted(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -224,9 +224,9 @@
 	g.Expect(err).To(HaveField("NotStarted", true))
 }
 
-// Answers that violate the protocol or a limit are errors. They must not reach a
-// caller as an empty but complete answer.
-func TestBadAnswers(t *testing.T) {
+// Guards against an invalid answer that reaches a caller as an empty but complete one.
+// Answers that violate the protocol or a limit must be errors.
+func TestInvalidAnswersAreErrors(t *testing.T) {
 	echo := `"request":"r1","snapshot":"s1"`
 	cases := map[string]struct {
 		status int
@@ -262,8 +262,8 @@
 	})
 }
 
-// A bundle removes a target or changes its address. Its connections must close only
-// once they are idle, so that a call on one of them is still answered.
+// Guards against calls that fail when a bundle removes a target or changes its address.
+// The target's connections must close only once they are idle.
 func TestRemovedEndpointFinishesItsCalls(t *testing.T) {
 	forProtocols(t, 2, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		done, finish := s.startBlockedSearch(g, c)
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -89,7 +89,7 @@
 
 // Apply puts the endpoints in force. New ones are read after a short random delay.
 // Endpoints without a share of connections are read too, because the Reader may
-// reach them through another VM. Their first reads come a little later, so that
+// reach them through another VM. Their first reads are delayed longer, so that
 // reports from other VMs can make these reads unnecessary; see SetReadInterval.
 func (m *Monitor) Apply(endpoints []Endpoint) {
 	m.mu.Lock()
@@ -105,7 +105,7 @@
 		// This VM has gained a share of connections and no longer relies on reports.
 		if e.Connections > 0 && p.readInterval > 0 {
 			p.readInterval = 0
-			p.nextRead = now.Add(jitter(firstReadSpread))
+			p.nextRead = now.Add(jitter(meanFirstReadDelay))
 		}
 		m.targets[e.Name] = p
 	}
@@ -118,20 +118,20 @@
 }
 
 const (
-	// firstReadSpread is the mean delay of a first read. The jitter around it keeps
-	// the first reads of all targets from starting at the same time.
-	firstReadSpread = 20 * time.Millisecond
-	// firstReadSpreadNoShare is the mean delay of a first read of an endpoint without a
-	// share of connections. It leaves other VMs time to report the target's state.
-	firstReadSpreadNoShare = 400 * time.Millisecond
+	// meanFirstReadDelay is the mean delay of the first read of an endpoint. The jitter
+	// around it keeps the first reads of all endpoints from starting at the same time.
+	meanFirstReadDelay = 20 * time.Millisecond
+	// meanFirstReadDelayNoShare is the same for an endpoint without a share of
+	// connections. It leaves other VMs time to report the target's state.
+	meanFirstReadDelayNoShare = 400 * time.Millisecond
 )
 
 // firstReadDelay returns the mean delay of the first read of an endpoint.
 func firstReadDelay(e Endpoint) time.Duration {
 	if e.Connections > 0 {
-		return firstReadSpread
+		return meanFirstReadDelay
 	}
-	return firstReadSpreadNoShare
+	return meanFirstReadDelayNoShare
 }
 
 // SetReadInterval sets a longer interval between reads of a target, because another
@@ -152,9 +152,9 @@
 	p.readInterval = interval
 }
 
-// ReadSoon moves the next read of a target forward, because something contradicts its
-// known state. The target is still read no more often than at its health interval.
-// ReadSoon has no effect while a read of the target is in progress.
+// ReadSoon schedules the next read of a target one health interval, with jitter, after the
+// end of the last one, unless it is due earlier. It is for targets whose known state
+// something contradicts. ReadSoon has no effect while a read of the target is in progress.
 func (m *Monitor) ReadSoon(name string) {
 	m.mu.Lock()
 	p := m.targets[name]
--- a/topk/topk.go
+++ b/topk/topk.go
@@ -11,7 +11,7 @@
 // answer is ignored.
 const RecordBytes = 16
 
-// record is a record as two big-endian numbers, which compare in the same order as its
+// record is a record's bytes as two big-endian numbers, which sort in the same order as the
 // bytes.
 type record struct{ high, low uint64 }
 
@@ -19,6 +19,7 @@
 	return r.high < o.high || r.high == o.high && r.low < o.low
 }
 
+// recordAt decodes the record at the start of b.
 func recordAt(b []byte) record {
 	return record{high: binary.BigEndian.Uint64(b), low: binary.BigEndian.Uint64(b[8:])}
 }
@@ -67,20 +68,20 @@
 type minHeap []record
 
 // Len implements heap.Interface.
-func (r minHeap) Len() int { return len(r) }
+func (h minHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (r minHeap) Less(i, j int) bool { return r[i].less(r[j]) }
+func (h minHeap) Less(i, j int) bool { return h[i].less(h[j]) }
 
 // Swap implements heap.Interface.
-func (r minHeap) Swap(i, j int) { r[i], r[j] = r[j], r[i] }
+func (h minHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (r *minHeap) Push(x any) { *r = append(*r, x.(record)) }
+func (h *minHeap) Push(x any) { *h = append(*h, x.(record)) }
 
 // Pop implements heap.Interface.
-func (r *minHeap) Pop() any {
-	last := (*r)[len(*r)-1]
-	*r = (*r)[:len(*r)-1]
+func (h *minHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
