--- a/operator/app.go
+++ b/operator/app.go
@@ -28,7 +28,7 @@
 // stdout, progress and errors to stderr; with -o json errors go to stdout, too.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	app := newApp(stdout, stderr)
-	err := app.command().Run(ctx, args)
+	err := app.rootCommand().Run(ctx, args)
 	if err == nil {
 		return 0
 	}
@@ -51,7 +51,7 @@
 	return &app{out: stdout, err: stderr, format: formatText}
 }
 
-func (a *app) command() *cli.Command {
+func (a *app) rootCommand() *cli.Command {
 	root := &cli.Command{
 		Name:                  "bramleyctl",
 		Usage:                 "manage a bramleybarrow deployment by its bundles",
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -159,7 +159,7 @@
 }
 
 func auditTable(output AuditOutput) table {
-	t := table{head: []string{"REVISION", "AT", "PERSON", "ACTION", "DIGEST", "IN FORCE", "REASON"}}
+	t := table{header: []string{"REVISION", "AT", "PERSON", "ACTION", "DIGEST", "IN FORCE", "REASON"}}
 	for _, r := range output.Rows {
 		if !r.Accepted {
 			t.add("refused", formatTime(r.At), r.Person, string(r.Action), shortDigest(r.Digest), "", r.Reason+" ("+r.Code.String()+")")
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	t := table{head: []string{"DIGEST", "DEPLOYMENT", "NAME", "AUTHOR", "BYTES", "FAULT"}}
+	t := table{header: []string{"DIGEST", "DEPLOYMENT", "NAME", "AUTHOR", "BYTES", "FAULT"}}
 	for _, b := range list {
 		t.add(shortDigest(b.Digest), b.Deployment, b.Name, b.Author, strconv.Itoa(b.Bytes), b.Fault)
 	}
@@ -196,8 +196,8 @@
 // resolveDigest returns the full digest for argHead or the first digits of a digest. A
 // full digest is returned unchecked.
 func (s *session) resolveDigest(ctx context.Context, arg string) (string, error) {
-	const whole = 64
-	if len(arg) == whole {
+	const digestLen = 64
+	if len(arg) == digestLen {
 		return arg, nil
 	}
 	if arg == argHead {
@@ -217,11 +217,11 @@
 	if err != nil {
 		return "", result.Wrap(result.PlatformDown, err, "listing bundles")
 	}
-	return uniquePrefix(page.Objects, arg)
+	return uniqueMatch(page.Objects, arg)
 }
 
-// uniquePrefix returns the only name among objects that has the prefix.
-func uniquePrefix(objects []objstore.Object, prefix string) (string, error) {
+// uniqueMatch returns the only name among objects that has the prefix.
+func uniqueMatch(objects []objstore.Object, prefix string) (string, error) {
 	var found []string
 	for _, obj := range objects {
 		if len(obj.Name) >= len(prefix) && obj.Name[:len(prefix)] == prefix {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -56,14 +56,14 @@
 		return nil, err
 	}
 	rows := make([]VMRow, len(vms))
-	slots := make(chan struct{}, maxStatusReads)
-	var wait sync.WaitGroup
+	sem := make(chan struct{}, maxStatusReads)
+	var wg sync.WaitGroup
 	for i, vm := range vms {
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
-			slots <- struct{}{}
-			defer func() { <-slots }()
+			defer wg.Done()
+			sem <- struct{}{}
+			defer func() { <-sem }()
 			rows[i] = VMRow{VM: vm.Name, ListedLeaving: vm.Leaving}
 			status, err := readStatus(ctx, vm.Ops)
 			if err != nil {
@@ -73,7 +73,7 @@
 			rows[i].Status = status
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 	sort.Slice(rows, func(i, j int) bool { return rows[i].VM < rows[j].VM })
 	return rows, nil
 }
@@ -191,7 +191,7 @@
 }
 
 func statusTable(output StatusOutput) table {
-	t := table{head: []string{"VM", "REVISION", "DIGEST", "SINCE", "READY", "LEAVING", "PLATFORM", "PEERS"}}
+	t := table{header: []string{"VM", "REVISION", "DIGEST", "SINCE", "READY", "LEAVING", "PLATFORM", "PEERS"}}
 	switch h := output.Head; {
 	case output.HeadError != "":
 		t.add("(head)", "unknown", output.HeadError)
--- a/operator/keys.go
+++ b/operator/keys.go
@@ -73,7 +73,7 @@
 				return err
 			}
 			keys := ring.Keys()
-			t := table{head: []string{"ID", "PERSON", "STATE", "PUBLIC"}}
+			t := table{header: []string{"ID", "PERSON", "STATE", "PUBLIC"}}
 			for _, k := range keys {
 				state := "active"
 				if k.Retired {
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -29,56 +29,56 @@
 // newTestCLI makes a key for each person with keygen and writes settings that list them.
 func newTestCLI(t *testing.T) *testCLI {
 	t.Helper()
-	d := &testCLI{t: t, dir: t.TempDir(), store: platformsim.NewStore()}
-	server := httptest.NewServer(d.store.Handler())
+	ctl := &testCLI{t: t, dir: t.TempDir(), store: platformsim.NewStore()}
+	server := httptest.NewServer(ctl.store.Handler())
 	t.Cleanup(server.Close)
-	set := Settings{Platform: strings.TrimPrefix(server.URL, "http://"), Deployment: "vatnsleit", Key: "asta.json"}
+	settings := Settings{Platform: strings.TrimPrefix(server.URL, "http://"), Deployment: "vatnsleit", Key: "asta.json"}
 	for _, person := range []string{"sigrun", "jon", "asta"} {
 		var key OperatorKey
-		d.mustRun(&key, "keygen", "--id", person+"-1", "--person", person, "--out", d.path(person+".json"))
-		set.OperatorKeys = append(set.OperatorKeys, key)
+		ctl.mustRun(&key, "keygen", "--id", person+"-1", "--person", person, "--out", ctl.path(person+".json"))
+		settings.OperatorKeys = append(settings.OperatorKeys, key)
 	}
-	data, err := json.Marshal(set)
+	data, err := json.Marshal(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.config = d.path("ctl.json")
-	if err := os.WriteFile(d.config, data, 0o600); err != nil {
+	ctl.config = ctl.path("ctl.json")
+	if err := os.WriteFile(ctl.config, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return ctl
 }
 
-func (d *testCLI) path(name string) string { return filepath.Join(d.dir, name) }
+func (ctl *testCLI) path(name string) string { return filepath.Join(ctl.dir, name) }
 
 // run executes a command line and returns the exit status, stdout and stderr.
-func (d *testCLI) run(args ...string) (int, string, string) {
+func (ctl *testCLI) run(args ...string) (int, string, string) {
 	var stdout, stderr bytes.Buffer
 	all := []string{"bramleyctl"}
-	if d.config != "" {
-		all = append(all, "-c", d.config)
+	if ctl.config != "" {
+		all = append(all, "-c", ctl.config)
 	}
 	status := Run(context.Background(), append(all, args...), &stdout, &stderr)
 	return status, stdout.String(), stderr.String()
 }
 
 // mustRun runs a command that has to succeed and decodes its JSON output.
-func (d *testCLI) mustRun(into any, args ...string) {
-	d.t.Helper()
-	status, stdout, stderr := d.run(append([]string{"-o", "json"}, args...)...)
+func (ctl *testCLI) mustRun(into any, args ...string) {
+	ctl.t.Helper()
+	status, stdout, stderr := ctl.run(append([]string{"-o", "json"}, args...)...)
 	if status != 0 {
-		d.t.Fatalf("%v: status %d\n%s%s", args, status, stdout, stderr)
+		ctl.t.Fatalf("%v: status %d\n%s%s", args, status, stdout, stderr)
 	}
 	if err := json.Unmarshal([]byte(stdout), into); err != nil {
-		d.t.Fatalf("%v: %v\n%s", args, err, stdout)
+		ctl.t.Fatalf("%v: %v\n%s", args, err, stdout)
 	}
 }
 
 // mustFail runs a command that has to fail with the code, and returns its error output.
-func (d *testCLI) mustFail(code result.Code, args ...string) errorJSON {
-	d.t.Helper()
-	g := NewWithT(d.t)
-	status, stdout, stderr := d.run(append([]string{"-o", "json"}, args...)...)
+func (ctl *testCLI) mustFail(code result.Code, args ...string) errorJSON {
+	ctl.t.Helper()
+	g := NewWithT(ctl.t)
+	status, stdout, stderr := ctl.run(append([]string{"-o", "json"}, args...)...)
 	g.Expect(status).To(Equal(int(code.Class())), "%v: %s%s", args, stdout, stderr)
 	var e errorJSON
 	g.Expect(json.Unmarshal([]byte(stdout), &e)).To(Succeed(), stdout)
@@ -90,10 +90,10 @@
 const exampleFile = "../examples/vatnsleit.json"
 
 // pushExample pushes the example bundle as its author and returns its digest.
-func (d *testCLI) pushExample() string {
-	d.t.Helper()
+func (ctl *testCLI) pushExample() string {
+	ctl.t.Helper()
 	var answer struct{ Digest string }
-	d.mustRun(&answer, "bundle", "push", exampleFile, "--key", d.path("sigrun.json"))
+	ctl.mustRun(&answer, "bundle", "push", exampleFile, "--key", ctl.path("sigrun.json"))
 	return answer.Digest
 }
 
@@ -101,48 +101,48 @@
 // of each command that must be refused on the way.
 func TestBundleLifecycle(t *testing.T) {
 	g := NewWithT(t)
-	d := newTestCLI(t)
-	d.mustFail(result.NotFound, "bundle", "show", "head")
-	digest := d.pushExample()
+	ctl := newTestCLI(t)
+	ctl.mustFail(result.NotFound, "bundle", "show", "head")
+	digest := ctl.pushExample()
 	short := digest[:10]
-	d.mustFail(result.NotSigned, "rollout", short, "--reason", "first")
-	d.mustFail(result.SelfSigned, "sign", short, "--reason", "mine", "--key", d.path("sigrun.json"))
+	ctl.mustFail(result.NotSigned, "rollout", short, "--reason", "first")
+	ctl.mustFail(result.SelfSigned, "sign", short, "--reason", "mine", "--key", ctl.path("sigrun.json"))
 	var signOff struct{ Person string }
-	d.mustRun(&signOff, "sign", short, "--reason", "checked", "--key", d.path("jon.json"))
+	ctl.mustRun(&signOff, "sign", short, "--reason", "checked", "--key", ctl.path("jon.json"))
 	g.Expect(signOff.Person).To(Equal("jon"))
 
 	var change ChangeOutput
-	d.mustRun(&change, "rollout", short, "--reason", "first", "--dry-run")
+	ctl.mustRun(&change, "rollout", short, "--reason", "first", "--dry-run")
 	g.Expect(change.DryRun).To(BeTrue())
-	d.mustFail(result.NotFound, "bundle", "show", "head")
-	d.mustRun(&change, "rollout", short, "--reason", "first")
+	ctl.mustFail(result.NotFound, "bundle", "show", "head")
+	ctl.mustRun(&change, "rollout", short, "--reason", "first")
 	g.Expect(change.Revision).To(Equal(uint64(1)))
 	var again ChangeOutput
-	d.mustRun(&again, "rollout", short, "--reason", "first", "--op", string(change.Op))
+	ctl.mustRun(&again, "rollout", short, "--reason", "first", "--op", string(change.Op))
 	g.Expect(again.Revision).To(Equal(uint64(1)), "the same operation takes effect once")
-	d.mustFail(result.NothingBefore, "recall", "head", "--reason", "faulty")
-	d.mustFail(result.Conflict, "rollout", short, "--reason", "late", "--expect", "9")
+	ctl.mustFail(result.NothingBefore, "recall", "head", "--reason", "faulty")
+	ctl.mustFail(result.Conflict, "rollout", short, "--reason", "late", "--expect", "9")
 
-	_, shown, _ := d.run("bundle", "show", "head")
+	_, shown, _ := ctl.run("bundle", "show", "head")
 	file, err := os.ReadFile(exampleFile)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(shown).To(Equal(string(file)))
 	var differences []Difference
-	d.mustRun(&differences, "bundle", "diff", exampleFile, "head")
+	ctl.mustRun(&differences, "bundle", "diff", exampleFile, "head")
 	g.Expect(differences).To(BeEmpty())
 	var list []struct{ Digest, Author string }
-	d.mustRun(&list, "bundle", "list")
+	ctl.mustRun(&list, "bundle", "list")
 	g.Expect(list).To(HaveLen(1))
 
 	var audit AuditOutput
-	d.mustRun(&audit, "audit", "--refused")
+	ctl.mustRun(&audit, "audit", "--refused")
 	g.Expect(audit.Rows).To(HaveLen(4), "one accepted; not signed, nothing before, conflict")
-	d.mustRun(&audit, "audit", "--person", "asta", "--action", "rollout", "--last", "1")
+	ctl.mustRun(&audit, "audit", "--person", "asta", "--action", "rollout", "--last", "1")
 	g.Expect(audit.Rows).To(HaveLen(1))
 	g.Expect(audit.Rows[0].Reason).To(Equal("first"))
-	d.mustRun(&audit, "audit", "--person", "jon")
+	ctl.mustRun(&audit, "audit", "--person", "jon")
 	g.Expect(audit.Rows).To(BeEmpty())
-	_, text, _ := d.run("audit")
+	_, text, _ := ctl.run("audit")
 	g.Expect(text).To(ContainSubstring("unbroken up to revision 1"))
 }
 
@@ -150,34 +150,34 @@
 // audit has to report that a change is missing.
 func TestAuditReportsMissingEntry(t *testing.T) {
 	g := NewWithT(t)
-	d := newTestCLI(t)
-	digest := d.pushExample()
-	d.mustRun(&struct{}{}, "sign", digest, "--reason", "checked", "--key", d.path("jon.json"))
+	ctl := newTestCLI(t)
+	digest := ctl.pushExample()
+	ctl.mustRun(&struct{}{}, "sign", digest, "--reason", "checked", "--key", ctl.path("jon.json"))
 	for range 3 {
-		d.mustRun(&ChangeOutput{}, "rollout", digest, "--reason", "again")
+		ctl.mustRun(&ChangeOutput{}, "rollout", digest, "--reason", "again")
 	}
 	name := "vatnsleit.00000000000000000002"
-	obj, err := d.store.Get(context.Background(), "bramley-audit", name)
+	obj, err := ctl.store.Get(context.Background(), "bramley-audit", name)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(d.store.Delete(context.Background(), "bramley-audit", name, obj.Version)).To(Succeed())
-	d.mustFail(result.BrokenAudit, "audit")
+	g.Expect(ctl.store.Delete(context.Background(), "bramley-audit", name, obj.Version)).To(Succeed())
+	ctl.mustFail(result.BrokenAudit, "audit")
 }
 
 // Guards against a status that omits VMs which don't answer, and against a status that
 // fails while the platform is down although the addresses of VMs are given.
 func TestStatusReportsUnreachableVMs(t *testing.T) {
 	g := NewWithT(t)
-	d := newTestCLI(t)
+	ctl := newTestCLI(t)
 	page := httptest.NewServer(ops.NewHTTPServer(ops.Options{Status: func() ops.Status {
 		return ops.Status{VM: "vm-1", Revision: 4, Digest: "abc", Ready: true, PlatformReachable: true}
 	}}).Handler)
 	t.Cleanup(page.Close)
-	d.store.SetVMs([]objstore.VM{
+	ctl.store.SetVMs([]objstore.VM{
 		{Name: "vm-1", Ops: strings.TrimPrefix(page.URL, "http://")},
 		{Name: "vm-2", Ops: "127.0.0.1:1"},
 	}, 0)
 	var answer StatusOutput
-	d.mustRun(&answer, "status")
+	ctl.mustRun(&answer, "status")
 	g.Expect(answer.VMs).To(HaveLen(2))
 	g.Expect(answer.VMs[0].Status.Revision).To(Equal(uint64(4)))
 	g.Expect(answer.VMs[1].Error).NotTo(BeEmpty())
@@ -185,13 +185,13 @@
 		text: "1 of 2 VMs have revision 4 in force; waiting for vm-2 (no answer)",
 	}))
 	g.Expect(fleetProgress(answer.VMs[:1], 5).text).To(ContainSubstring("vm-1 (at 4)"))
-	_, text, _ := d.run("status")
+	_, text, _ := ctl.run("status")
 	g.Expect(text).To(ContainSubstring("vm-2"))
 
-	d.store.SetFaults(platformsim.Faults{Outage: true})
+	ctl.store.SetFaults(platformsim.Faults{Outage: true})
 	t.Setenv("BRAMLEY_PATIENCE", "50ms")
-	d.mustFail(result.PlatformDown, "status")
-	d.mustRun(&answer, "status", "--vm", strings.TrimPrefix(page.URL, "http://"))
+	ctl.mustFail(result.PlatformDown, "status")
+	ctl.mustRun(&answer, "status", "--vm", strings.TrimPrefix(page.URL, "http://"))
 	g.Expect(answer.HeadError).NotTo(BeEmpty())
 	g.Expect(answer.VMs[0].Status.Revision).To(Equal(uint64(4)), "also while the platform is down")
 }
@@ -200,42 +200,42 @@
 // appear healthy until one is replaced or the next rollout doesn't reach them.
 func TestStatusWarnsOfHiddenFaults(t *testing.T) {
 	g := NewWithT(t)
-	d := newTestCLI(t)
-	digest := d.pushExample()
-	d.mustRun(&struct{}{}, "sign", digest, "--reason", "checked", "--key", d.path("jon.json"))
-	d.mustRun(&ChangeOutput{}, "rollout", digest, "--reason", "first")
+	ctl := newTestCLI(t)
+	digest := ctl.pushExample()
+	ctl.mustRun(&struct{}{}, "sign", digest, "--reason", "checked", "--key", ctl.path("jon.json"))
+	ctl.mustRun(&ChangeOutput{}, "rollout", digest, "--reason", "first")
 	page := httptest.NewServer(ops.NewHTTPServer(ops.Options{Status: func() ops.Status { return ops.Status{Revision: 4} }}).Handler)
 	t.Cleanup(page.Close)
 	var answer StatusOutput
-	d.mustRun(&answer, "status")
+	ctl.mustRun(&answer, "status")
 	g.Expect(answer.Warnings).To(BeEmpty())
 
-	d.store.SetVMs([]objstore.VM{{Name: "vm-1", Ops: strings.TrimPrefix(page.URL, "http://")}}, 0)
-	data, err := os.ReadFile(d.config)
+	ctl.store.SetVMs([]objstore.VM{{Name: "vm-1", Ops: strings.TrimPrefix(page.URL, "http://")}}, 0)
+	data, err := os.ReadFile(ctl.config)
 	g.Expect(err).NotTo(HaveOccurred())
 	retired := strings.Replace(string(data), `"person":"jon"`, `"retired":true,"person":"jon"`, 1)
-	g.Expect(os.WriteFile(d.config, []byte(retired), 0o600)).To(Succeed())
-	d.mustRun(&answer, "status")
+	g.Expect(os.WriteFile(ctl.config, []byte(retired), 0o600)).To(Succeed())
+	ctl.mustRun(&answer, "status")
 	g.Expect(answer.Warnings).To(ConsistOf(ContainSubstring("jon-1"), ContainSubstring("past the head")))
 }
 
 // Flags take precedence over the environment, and the environment over the settings file.
 func TestSettingsPrecedence(t *testing.T) {
-	d := newTestCLI(t)
-	d.pushExample()
-	d.store.SetFaults(platformsim.Faults{Outage: true})
+	ctl := newTestCLI(t)
+	ctl.pushExample()
+	ctl.store.SetFaults(platformsim.Faults{Outage: true})
 	t.Setenv("BRAMLEY_PATIENCE", "50ms")
-	d.mustFail(result.PlatformDown, "bundle", "list")
-	t.Setenv("BRAMLEY_KEY", d.path("none.json"))
-	d.mustFail(result.BadSettings, "bundle", "list")
-	d.mustFail(result.PlatformDown, "bundle", "list", "--key", d.path("jon.json"))
+	ctl.mustFail(result.PlatformDown, "bundle", "list")
+	t.Setenv("BRAMLEY_KEY", ctl.path("none.json"))
+	ctl.mustFail(result.BadSettings, "bundle", "list")
+	ctl.mustFail(result.PlatformDown, "bundle", "list", "--key", ctl.path("jon.json"))
 }
 
 // Guards against invalid arguments, settings or key files that are accepted, or refused
 // with the wrong result code.
 func TestInvalidCommandLines(t *testing.T) {
-	d := newTestCLI(t)
-	bad := d.path("bad.json")
+	ctl := newTestCLI(t)
+	bad := ctl.path("bad.json")
 	if err := os.WriteFile(bad, []byte(`{"platfrom": "x"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -254,7 +254,7 @@
 		{result.BadSettings, []string{"--key", bad, "status"}},
 		{result.BadRequest, []string{"keygen", "--id", "a", "--person", "a", "--out", bad}},
 	} {
-		d.mustFail(c.code, c.args...)
+		ctl.mustFail(c.code, c.args...)
 	}
 }
 
--- a/operator/output.go
+++ b/operator/output.go
@@ -17,8 +17,8 @@
 
 // table is the text form of a command's output.
 type table struct {
-	head []string // column names; may be empty
-	rows [][]string
+	header []string // column names; may be empty
+	rows   [][]string
 }
 
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
@@ -29,8 +29,8 @@
 		return a.printJSON(value)
 	}
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
-	if len(t.head) > 0 {
-		printRow(w, t.head)
+	if len(t.header) > 0 {
+		printRow(w, t.header)
 	}
 	for _, row := range t.rows {
 		printRow(w, row)
@@ -85,6 +85,6 @@
 // shortDigest returns the first digits of a digest, for display. Commands accept them in
 // place of the digest.
 func shortDigest(digest string) string {
-	const shown = 12
-	return digest[:min(len(digest), shown)]
+	const shownDigits = 12
+	return digest[:min(len(digest), shownDigits)]
 }
