--- a/operator/app.go
+++ b/operator/app.go
@@ -61,7 +61,9 @@
 		ErrWriter:             a.err,
 		Flags:                 commonFlags(),
 		Before:                a.setFormat,
-		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
+		// Run prints the error and returns the exit status; the default handler may
+		// end the process.
+		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Commands: []*cli.Command{
 			a.keygenCommand(),
 			a.keysCommand(),
@@ -128,7 +130,7 @@
 }
 
 // singleArg returns the only argument of a command. The error for any other number of
-// arguments names the argument.
+// arguments contains argument, a description of the expected one.
 func singleArg(c *cli.Command, argument string) (string, error) {
 	if c.Args().Len() != 1 {
 		return "", result.Errorf(result.BadRequest, "found %d arguments, allowed is one: %s", c.Args().Len(), argument)
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// timestamps are the accepted formats of times.
+// timestamps lists the accepted formats of --since and --until.
 var timestamps = cli.TimestampConfig{Layouts: []string{time.RFC3339, "2006-01-02 15:04:05", time.DateOnly}}
 
 func (a *app) audit(ctx context.Context, c *cli.Command) error {
@@ -126,7 +126,7 @@
 type auditFilter struct {
 	person, action, digest string
 	since, until           time.Time
-	last                   int // maximum number of rows, the last ones are kept
+	last                   int // maximum number of rows; the latest are kept
 }
 
 func newAuditFilter(c *cli.Command) auditFilter {
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -193,10 +193,10 @@
 // minDigestPrefix is the least number of digits that may abbreviate a digest.
 const minDigestPrefix = 6
 
-// resolveDigest returns the full digest for argHead or the first digits of a digest. A
-// full digest is returned unchecked.
+// resolveDigest returns the full digest for argHead or the first digits of a digest. It
+// returns a full digest as it is, without checking that the platform has the bundle.
 func (s *session) resolveDigest(ctx context.Context, arg string) (string, error) {
-	const digestLen = 64
+	const digestLen = 64 // hex digits of a SHA-256 digest
 	if len(arg) == digestLen {
 		return arg, nil
 	}
@@ -213,6 +213,7 @@
 	if len(arg) < minDigestPrefix {
 		return "", result.Errorf(result.BadRequest, "found %q, allowed is a digest or at least its first %d digits", arg, minDigestPrefix)
 	}
+	// Two names are enough to find out whether more than one starts with arg.
 	page, err := s.store.List(ctx, rollout.KindBundle, arg, 2)
 	if err != nil {
 		return "", result.Wrap(result.PlatformDown, err, "listing bundles")
--- a/operator/changes.go
+++ b/operator/changes.go
@@ -90,13 +90,13 @@
 // ChangeOutput is the output of rollout and recall.
 type ChangeOutput struct {
 	DryRun   bool           `json:"dry_run,omitempty"`
-	Outcome  string         `json:"outcome"` // accepted, or would be written
+	Outcome  string         `json:"outcome"` // "accepted", or "would be written" with --dry-run
 	Op       rollout.OpID   `json:"op"`
 	Revision uint64         `json:"revision"`
 	Action   rollout.Action `json:"action"`
-	InForce  string         `json:"in_force"`           // digest of the new bundle
-	Name     string         `json:"name"`               // of the new bundle
-	Before   string         `json:"before"`             // digest of the bundle before
+	InForce  string         `json:"in_force"`           // digest that the change put into force
+	Name     string         `json:"name"`               // of the bundle that the change put into force
+	Before   string         `json:"before"`             // digest in force before the change
 	Recalled string         `json:"recalled,omitempty"` // digest of the recalled bundle
 }
 
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -16,9 +16,9 @@
 	To   string `json:"to"`   // JSON text; empty if the second bundle lacks the path
 }
 
-// Diff compares two JSON documents and returns their differences sorted by path. Items
-// of arrays are matched by their field name, so that an inserted target does not change
-// the paths of those after it.
+// Diff compares two JSON documents and returns their differences sorted by path. Array
+// items are matched by their "name" field, or by index if they have none, so that an
+// inserted target does not change the paths of the targets after it.
 func Diff(from, to []byte) ([]Difference, error) {
 	before, err := flatten(from)
 	if err != nil {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -35,8 +35,8 @@
 	Status        *ops.Status `json:"status,omitempty"` // nil if it could not be read
 }
 
-// listVMs returns the platform's list of VMs, or the VMs of the settings if the platform
-// can't be read, which is when operators need the status most.
+// listVMs returns the platform's list of VMs. If the platform can't be read, it returns the
+// VMs of the settings, if there are any: operators need the status most during an outage.
 func (s *session) listVMs(ctx context.Context) ([]objstore.VM, error) {
 	vms, err := s.store.VMs(ctx)
 	if err == nil || len(s.settings.VMs) == 0 {
@@ -142,13 +142,13 @@
 
 // StatusOutput is the output of status.
 type StatusOutput struct {
-	Head      *rollout.Entry `json:"head"`                 // nil if nothing was rolled out, or with HeadError
+	Head      *rollout.Entry `json:"head"`                 // nil if nothing was rolled out or HeadError is set
 	HeadError string         `json:"head_error,omitempty"` // why the head could not be read
 	VMs       []VMRow        `json:"vms"`
 	Warnings  []string       `json:"warnings"`
 }
 
-// warnings reports faults that the rest of the status doesn't show but that will cause
+// warnings describes faults that the rest of the status doesn't show but that will cause
 // failures later.
 func (s *session) warnings(output StatusOutput) []string {
 	list := []string{}
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -26,7 +26,8 @@
 	config string // path of the settings file
 }
 
-// newTestCLI makes a key for each person with keygen and writes settings that list them.
+// newTestCLI makes a key for each person with keygen and writes settings that list the
+// keys. Commands use asta's key unless --key names another.
 func newTestCLI(t *testing.T) *testCLI {
 	t.Helper()
 	ctl := &testCLI{t: t, dir: t.TempDir(), store: platformsim.NewStore()}
@@ -146,7 +147,7 @@
 	g.Expect(text).To(ContainSubstring("unbroken up to revision 1"))
 }
 
-// An entry of the audit trail is deleted on the platform. Nothing else shows this, so
+// An entry of the audit trail is deleted on the platform. No other command shows this, so
 // audit has to report that a change is missing.
 func TestAuditReportsMissingEntry(t *testing.T) {
 	g := NewWithT(t)
@@ -196,8 +197,10 @@
 	g.Expect(answer.VMs[0].Status.Revision).To(Equal(uint64(4)), "also while the platform is down")
 }
 
-// A key is retired before its sign-off was replaced, and a VM is past the head. The VMs
-// appear healthy until one is replaced or the next rollout doesn't reach them.
+// Guards against a status without warnings while all VMs appear healthy but a failure is
+// due. The key that signed off the bundle in force is retired, so a VM that starts later
+// rejects the bundle. A VM is at a revision past the head, so the next rollout has no
+// effect on it.
 func TestStatusWarnsOfHiddenFaults(t *testing.T) {
 	g := NewWithT(t)
 	ctl := newTestCLI(t)
--- a/operator/output.go
+++ b/operator/output.go
@@ -83,7 +83,7 @@
 }
 
 // shortDigest returns the first digits of a digest, for display. Commands accept them in
-// place of the digest.
+// place of the whole digest.
 func shortDigest(digest string) string {
 	const shownDigits = 12
 	return digest[:min(len(digest), shownDigits)]
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -95,8 +95,8 @@
 	client   *rollout.Client
 }
 
-// open creates a session from a command's settings. Its store is never closed; it ends
-// with the process.
+// open creates a session from a command's settings. The session's store is never closed:
+// its connections end with the process.
 func (a *app) open(c *cli.Command) (*session, error) {
 	s, err := readSettings(c)
 	if err != nil {
@@ -118,8 +118,8 @@
 			return nil, err
 		}
 	}
-	// The rollout client has its own, longer timeout than daemons use: a new process has
-	// no open connection whose other end may have stopped responding.
+	// The timeout is longer than the default, which is meant for daemons: a new process
+	// has no open connection whose other end may have stopped responding.
 	store := objstore.NewClient(s.Platform, objstore.ClientOptions{CallTimeout: rollout.DefaultCallTimeout})
 	client := rollout.NewClient(rollout.ClientOptions{
 		Deployment: s.Deployment, Keys: keys, Store: store, Key: private,
