--- a/cmd/bramley-lab/demo.go
+++ b/cmd/bramley-lab/demo.go
@@ -118,11 +118,11 @@
 func startDemoTargets(f *fleet.Fleet) ([]*fleet.Target, error) {
 	index := targetsim.Index{Service: "inspector-desk", Snapshot: "2026-12-01", Seq: 1, Shards: demoShards, Records: demoRecords}
 	var targets []*fleet.Target
-	for i, holder := range targetsim.PlaceReplicas(index, demoTargets, demoLeaves, demoReplicas) {
+	for i, placement := range targetsim.PlaceReplicas(index, demoTargets, demoLeaves, demoReplicas) {
 		t, err := f.StartTarget(targetsim.Options{
 			Name: fmt.Sprintf("inspector-desk-%d", i+1), Service: index.Service,
 			Leaves: demoLeaves, Slots: 2, Seed: uint64(i), Timing: targetsim.Timing{BaseMS: 2},
-			Snapshots: []targetsim.SnapshotPlacement{holder},
+			Snapshots: []targetsim.SnapshotPlacement{placement},
 		})
 		if err != nil {
 			return nil, errors.Trace(err)
@@ -204,8 +204,8 @@
 	return nil
 }
 
-func printAnswer(d *fleet.Daemon, what string, answer *gateway.Answer) {
-	fmt.Printf("\n%s: %s -> %d %s in %.1f ms\n", d.Name, what, answer.Code, answer.Name, answer.TookMS)
+func printAnswer(d *fleet.Daemon, request string, answer *gateway.Answer) {
+	fmt.Printf("\n%s: %s -> %d %s in %.1f ms\n", d.Name, request, answer.Code, answer.Name, answer.TookMS)
 	if c := answer.Coverage; c != nil {
 		fmt.Printf("  snapshot %s, revision %d, %d of %d shards, %d records read, %d missing\n",
 			answer.Snapshot, answer.Revision, c.ShardsAnswered, c.Shards, c.Records, c.Missing)
--- a/cmd/bramleyd/edge.go
+++ b/cmd/bramleyd/edge.go
@@ -12,7 +12,7 @@
 	"github.com/bramleybarrow/bramleybarrow/platform"
 )
 
-func loadEdge(cmd *cli.Command) (*edge.Settings, error) {
+func loadEdgeSettings(cmd *cli.Command) (*edge.Settings, error) {
 	path, err := settingsPath(cmd)
 	if err != nil {
 		return nil, err
@@ -21,30 +21,30 @@
 }
 
 func checkEdge(_ context.Context, cmd *cli.Command) error {
-	settings, err := loadEdge(cmd)
+	cfg, err := loadEdgeSettings(cmd)
 	if err != nil {
 		return err
 	}
 	fmt.Println("settings are valid")
-	fmt.Printf("VM %s in zone %s serves callers at %s and uses the store at %s\n", settings.Name, settings.Zone, settings.Listen.Callers, settings.Store)
-	fmt.Printf("extra arrivals at a service, by all VMs together: %g per request and %g more in %g s\n", settings.Budget.Ratio, settings.Budget.Floor, settings.Budget.WindowS)
+	fmt.Printf("VM %s in zone %s serves callers at %s and uses the store at %s\n", cfg.Name, cfg.Zone, cfg.Listen.Callers, cfg.Store)
+	fmt.Printf("extra arrivals at a service, by all VMs together: %g per request and %g more in %g s\n", cfg.Budget.Ratio, cfg.Budget.Floor, cfg.Budget.WindowS)
 	return nil
 }
 
 func runEdge(_ context.Context, cmd *cli.Command) error {
-	set, err := loadEdge(cmd)
+	cfg, err := loadEdgeSettings(cmd)
 	if err != nil {
 		return err
 	}
-	level, err := logging.ParseLevel(set.LogLevel)
+	level, err := logging.ParseLevel(cfg.LogLevel)
 	if err != nil {
 		return err
 	}
 	log, flush := logging.New(os.Stdout, logging.Options{Level: level, JSON: true})
 	defer flush()
 	return edge.NewNode(edge.Options{
-		Settings:    set,
-		Store:       platform.NewStore(set.Store),
+		Settings:    cfg,
+		Store:       platform.NewStore(cfg.Store),
 		HeaderCodec: platform.HeaderCodec{},
 		ReadyPath:   platform.ReadyPath,
 		Log:         log,
--- a/cmd/bramleyd/main.go
+++ b/cmd/bramleyd/main.go
@@ -61,17 +61,17 @@
 }
 
 func run(ctx context.Context, cmd *cli.Command) error {
-	set, err := loadSettings(cmd)
+	cfg, err := loadSettings(cmd)
 	if err != nil {
 		return err
 	}
-	level, err := logging.ParseLevel(set.Log.Level)
+	level, err := logging.ParseLevel(cfg.Log.Level)
 	if err != nil {
 		return err
 	}
-	log, flush := logging.New(os.Stdout, logging.Options{Level: level, JSON: set.Log.JSON})
+	log, flush := logging.New(os.Stdout, logging.Options{Level: level, JSON: cfg.Log.JSON})
 	defer flush()
-	n, err := node.New(set, log.With("vm", set.Name))
+	n, err := node.New(cfg, log.With("vm", cfg.Name))
 	if err != nil {
 		return err
 	}
