--- a/logging/writer_test.go
+++ b/logging/writer_test.go
@@ -17,11 +17,11 @@
 	written bytes.Buffer
 }
 
-func (r *blockedWriter) Write(p []byte) (int, error) {
-	<-r.release
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.written.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.release
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.Write(p)
 }
 
 // Guards against requests that block because the process that reads the log has stopped
@@ -53,12 +53,12 @@
 	writes  int
 }
 
-func (r *slowWriter) Write(p []byte) (int, error) {
+func (w *slowWriter) Write(p []byte) (int, error) {
 	time.Sleep(5 * time.Millisecond)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.writes++
-	return r.written.Write(p)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.writes++
+	return w.written.Write(p)
 }
 
 // Guards against the loss of the last lines of a process, which say why it stops: the
