--- a/explain/explain.go
+++ b/explain/explain.go
@@ -203,8 +203,8 @@
 		}
 	}
 	parts := make([]string, 0, len(counts))
-	for what, n := range counts {
-		parts = append(parts, fmt.Sprintf("%d %s", n, what))
+	for kind, n := range counts {
+		parts = append(parts, fmt.Sprintf("%d %s", n, kind))
 	}
 	slices.Sort(parts)
 	return strings.Join(parts, ", ")
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-const log = `  9.1 vm-2 {"level":"INFO","msg":"attempt failed","time":"2026-01-01T00:00:01.5Z","end":"broken","leaf":"i-1","request":"aa","service":"s","why":"first"}
+const sampleLog = `  9.1 vm-2 {"level":"INFO","msg":"attempt failed","time":"2026-01-01T00:00:01.5Z","end":"broken","leaf":"i-1","request":"aa","service":"s","why":"first"}
 not a line of ours
 {"level":"INFO","msg":"request","time":"2026-01-01T00:00:01.6Z","missing":0,"ms":90,"request":"aa","status":502,"verdict":"unknown"}
 {"level":"INFO","msg":"request","time":"2026-01-01T00:00:01.7Z","request":"bb","verdict":"answered"}
@@ -19,7 +19,7 @@
 func TestRequestIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("aa")
-	g.Expect(r.Read("one", strings.NewReader(log))).To(gomega.Succeed())
+	g.Expect(r.Read("one", strings.NewReader(sampleLog))).To(gomega.Succeed())
 	report := r.Report()
 	g.Expect(report.Lines).To(gomega.HaveLen(2))
 	g.Expect(report.Lines[0].Message).To(gomega.Equal("attempt failed"))
