--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -56,8 +56,8 @@
 		err = expectEOF(dec)
 	}
 	if err != nil {
-		where := fmt.Sprintf("%v near byte %d", err, dec.InputOffset())
-		return []Finding{{Path: "$", Found: where, Allowed: "one JSON document"}}
+		found := fmt.Sprintf("%v near byte %d", err, dec.InputOffset())
+		return []Finding{{Path: "$", Found: found, Allowed: "one JSON document"}}
 	}
 	d := &decoder{}
 	d.decode("$", tree, reflect.ValueOf(into).Elem())
@@ -229,16 +229,16 @@
 	fields, names := fieldsOf(v.Type())
 	seen := map[string]bool{}
 	for _, m := range obj {
-		at := path + "." + m.name
+		memberPath := path + "." + m.name
 		field, known := fields[m.name]
 		switch {
 		case !known:
-			d.add(at, "an unknown field", "one of "+strings.Join(names, ", "))
+			d.add(memberPath, "an unknown field", "one of "+strings.Join(names, ", "))
 		case seen[m.name]:
-			d.add(at, "the field twice", "the field once")
+			d.add(memberPath, "the field twice", "the field once")
 		default:
 			seen[m.name] = true
-			d.decode(at, m.value, v.Field(field.index))
+			d.decode(memberPath, m.value, v.Field(field.index))
 		}
 	}
 	for _, name := range names {
