--- a/cmd/bramley-lab/demo.go
+++ b/cmd/bramley-lab/demo.go
@@ -20,13 +20,13 @@
 // Sizes and limits of the demo.
 const (
 	demoTargets  = 4
-	demoLeaves   = 2
+	demoLeaves   = 2 // of each target
 	demoShards   = 4
-	demoReplicas = 2
+	demoReplicas = 2 // of each shard
 	demoRecords  = 400
 	demoVMs      = 2
 	demoTimeout  = time.Minute // bounds the start and all requests together
-	demoPort     = 8001        // for callers of the first VM, the next ones follow; docs/API.md refers to it
+	demoPort     = 8001        // where the first VM serves callers; each further VM uses the next port. docs/API.md refers to it
 )
 
 func demoCommand() *cli.Command {
--- a/cmd/bramley-lab/main.go
+++ b/cmd/bramley-lab/main.go
@@ -1,6 +1,7 @@
-// Command bramley-lab runs the stand-ins that tests and benchmarks use, each as a
-// separate process, and the benchmarks and the demo. A stand-in prints a
-// labhttp.Ready as one line of JSON once it serves.
+// Command bramley-lab runs the stand-ins that tests and benchmarks use: a platform, a
+// target or a proxy that injects faults, each as a separate process. A stand-in prints a
+// labhttp.Ready as one line of JSON when it is ready to serve. The command also runs the
+// benchmarks and the demo.
 package main
 
 import (
@@ -124,7 +125,8 @@
 	}
 }
 
-// readTargetOptions reads a JSON file without unknown fields.
+// readTargetOptions reads the options of a target from a JSON file. It returns an error if
+// the file has unknown fields.
 func readTargetOptions(path string) (targetsim.Options, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -162,7 +164,7 @@
 	}
 }
 
-// printReady prints the Ready line of a stand-in to standard output.
+// printReady prints a stand-in's labhttp.Ready as a line of JSON to standard output.
 func printReady(role, listen, control string) error {
 	return errors.Trace(json.NewEncoder(os.Stdout).Encode(labhttp.Ready{Role: role, Listen: listen, Control: control}))
 }
--- a/cmd/bramleyd/edge.go
+++ b/cmd/bramleyd/edge.go
@@ -12,6 +12,7 @@
 	"github.com/bramleybarrow/bramleybarrow/platform"
 )
 
+// loadEdgeSettings loads the settings file of a daemon on the users' platform.
 func loadEdgeSettings(cmd *cli.Command) (*edge.Settings, error) {
 	path, err := settingsPath(cmd)
 	if err != nil {
