--- a/node/follow.go
+++ b/node/follow.go
@@ -19,6 +19,7 @@
 			n.applyRevision(inForce)
 			applied = inForce
 		}
+		// Get the channel before the shares are read, so that no change of them is missed.
 		shares := n.router.Changed() // signals that this VM's shares of connections changed
 		if applied != nil {
 			endpoints := n.endpoints(applied.Bundle)
@@ -69,8 +70,7 @@
 	}
 }
 
-// watchingCheckInterval is how often this VM checks whether it is one of the VMs that
-// watch the platform.
+// watchingCheckInterval is the time between two checks by updateWatching.
 const watchingCheckInterval = time.Second
 
 // updateWatching checks every watchingCheckInterval whether this VM is one of those that
--- a/node/node.go
+++ b/node/node.go
@@ -40,7 +40,7 @@
 	warmedUp    atomic.Bool // set when isWarmedUp first returned true
 
 	store    objstore.Store    // the platform's objects, for all parts but follower
-	follower *rollout.Follower // knows the bundle in force
+	follower *rollout.Follower // follows the platform and keeps the bundle in force
 	client   *target.Client    // this VM's own connections to targets
 	monitor  *target.Monitor   // reads the status of targets
 	engine   *query.Engine     // runs queries and submissions
--- a/node/status.go
+++ b/node/status.go
@@ -6,8 +6,8 @@
 	"github.com/bramleybarrow/bramleybarrow/ops"
 )
 
-// maxPlatformSilence bounds the time since the last successful read from the platform. When
-// that read is this old, this VM reports the platform as unreachable.
+// maxPlatformSilence is the time since the last successful read from the platform after
+// which this VM reports the platform as unreachable.
 const maxPlatformSilence = 5 * time.Second
 
 // Status returns the state of this VM for the operators' status page.
@@ -36,12 +36,12 @@
 }
 
 // warmupTimeout bounds how long readiness waits for targets, counted from when the
-// bundle came into force. If one service has lost all its targets, the other services
-// must still be served.
+// bundle came into force on this VM. If one service has lost all its targets, the other
+// services must still be served.
 const warmupTimeout = 3 * time.Second
 
-// isWarmedUp reports whether this VM has learned the state of its targets since it
-// started, or warmupTimeout has passed since inForceSince. A VM that accepted requests as
+// isWarmedUp reports whether this VM has known a readable snapshot of every service since
+// it started, or warmupTimeout has passed since inForceSince. A VM that accepted requests as
 // soon as a bundle is in force would answer that no replica is alive. Once true, the result
 // stays true: a rollout that adds a service must not make all VMs unavailable at the same
 // time.
