--- a/explain/explain.go
+++ b/explain/explain.go
@@ -20,7 +20,7 @@
 	Fields  map[string]any `json:"fields"` // without message, time, level and request
 }
 
-// Report says how a request ended, and has the log lines about it.
+// Report says how a request ended and why, and contains the log lines about it.
 type Report struct {
 	Request string `json:"request"` // id
 	Cause   string `json:"cause"`   // one sentence
@@ -34,7 +34,7 @@
 	messageRequest = "request"             // end of a request
 	messageRefused = "request refused"     // answered without being sent to a leaf
 	messageAttempt = "attempt failed"      // of a request at a leaf
-	messageCall    = "call to a VM failed" // delegation of shards to another VM
+	messageCall    = "call to a VM failed" // a call that delegates shards to another VM
 	messageGather  = "gathered for a VM"   // end of such a call, at the VM that was called
 )
 
@@ -124,7 +124,8 @@
 	"short":       "Too few shards could be had for an answer",
 }
 
-// requestCause returns the cause from the line that reports the end of the request.
+// requestCause returns the cause from line, which reports the end of the request, and from
+// the report's other lines.
 func (r *Reader) requestCause(line *Line) string {
 	text := verdictTexts[fmt.Sprint(line.Fields["verdict"])]
 	if missing, _ := line.Fields["missing"].(float64); missing > 0 {
@@ -143,7 +144,7 @@
 	return text + "."
 }
 
-// gapTexts maps the cause of a gap, a shard without an answer, to its meaning.
+// gapTexts maps the cause of a gap to its meaning. A gap is a shard without an answer.
 var gapTexts = map[string]string{
 	"slow":     "asked, and not answered in time",
 	"room":     "not asked, since leafs were full or in cooldown after failures",
@@ -191,7 +192,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// failureSummary counts the failed attempts and calls by kind.
+// failureSummary counts the failed attempts by how they ended, and the failed calls by VM.
 func (r *Reader) failureSummary() string {
 	counts := make(map[string]int)
 	for _, line := range r.report.Lines {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -14,8 +14,9 @@
 {broken
 `
 
-// An on-call engineer has a request's id and the logs of all machines, some lines of
-// which can't be parsed.
+// Guards against a report that breaks on lines which can't be parsed, or that contains
+// lines of other requests. The log is a mix of both and of the request's own lines, one of
+// them after a log collector's prefix.
 func TestRequestIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("aa")
@@ -27,11 +28,14 @@
 	g.Expect(report.Cause).To(gomega.Equal("A leaf may have run it, but gave no answer that proves it after 90 ms; 1 attempts at leafs ended broken."))
 }
 
+// Guards against an empty report for a request that no log contains.
 func TestUnknownRequestIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(NewReader("cc").Report().Cause).To(gomega.Equal("No line speaks of it."))
 }
 
+// A request is refused before it is sent to a leaf, so its only log line is the refusal's.
+// The report has to state the status and the reason.
 func TestRefusalIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("dd")
@@ -41,8 +45,8 @@
 	g.Expect(r.Report().Cause).To(gomega.ContainSubstring("no_manifest"))
 }
 
-// A gathered request fails. Its missing shards and their causes are in the log lines of
-// the VM that received it and of the VM that it called.
+// A request over all shards fails. Which shards are missing, and why, is in the log lines
+// of the VM that received it and of the VM that it called; the report has to have both.
 func TestMissingShardsAreExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("ee")
@@ -55,7 +59,8 @@
 		"shards missing: 2 asked, and not answered in time (s1 s2), 1 not asked again, since the budget for that was spent (s3)."))
 }
 
-// A request is refused at once because of a forecast, which is in the log line.
+// A request is refused at once, since a shard's forecast wait exceeds the limit. The report
+// has to state both times.
 func TestRefusalByForecastIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("ff")
