--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -17,9 +17,9 @@
 	return slog.StringValue("costly")
 }
 
-// Guards against the cost of dropped lines. When leafs fail by the hundred, each failure
-// logs a line. A VM with a fifth of a core spent its time on formatting lines that were
-// then dropped, and its answers were late.
+// Guards against the cost of dropped lines. When hundreds of leafs fail, each failure logs
+// a line. A VM with a fifth of a core spent its time on formatting lines that were then
+// dropped, and its answers were late.
 func TestDroppedLinesAreNotFormatted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	formatted := 0
@@ -48,6 +48,8 @@
 	g.Expect(out.String()).To(gomega.ContainSubstring("log lines dropped"))
 }
 
+// Lines below the level are not written, those of libraries included. The others are JSON
+// with the name of their component.
 func TestJSONLinesRespectLevel(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
