--- a/ops/server.go
+++ b/ops/server.go
@@ -16,8 +16,8 @@
 // has to fit.
 const requestTimeout = 70 * time.Second
 
-// Options configure the operators' page. Status is required. All functions are called
-// concurrently.
+// Options configure the operators' page. Status is required. The functions must be safe for
+// concurrent use.
 type Options struct {
 	Status  func() Status
 	Metrics []func(io.Writer) // each writes metrics in the Prometheus text format
--- a/ops/status.go
+++ b/ops/status.go
@@ -9,8 +9,8 @@
 	PathHealth  = "/healthz" // 200 while the process runs
 	PathReady   = "/readyz"  // 200 while it should receive callers' requests, else 503
 	PathMetrics = "/metrics" // Prometheus text format
-	PathProfile = "/profile" // CPU profile over ?seconds=N, by runtime/pprof
-	PathHeap    = "/heap"    // heap profile, by runtime/pprof
+	PathProfile = "/profile" // CPU profile of runtime/pprof over ?seconds=N
+	PathHeap    = "/heap"    // heap profile of runtime/pprof
 	PathStatus  = "/status"  // Status as JSON
 )
 
@@ -30,6 +30,6 @@
 	Refused  string    `json:"refused,omitempty"` // why the last offered head was refused; empty if one came into force since
 
 	PlatformReachable bool      `json:"platform_reachable"`
-	PlatformContact   time.Time `json:"platform_contact"` // last successful read
+	PlatformContact   time.Time `json:"platform_contact"` // last successful read from the platform
 	Peers             int       `json:"peers"`            // other VMs that sent a message recently
 }
