--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry keeps the list of leafs that the platform reports, regardless of how
-// it is read. It reads no clock and does no I/O: its inputs are listings, single changes
-// and the time, its outputs changes of the leafs to use.
+// Package registry keeps the list of leafs that the platform reports. It reads no clock and
+// does no I/O: callers pass in complete listings, single changes and the current time, and
+// get the changes to the leafs in use.
 package registry
 
 import (
@@ -10,7 +10,7 @@
 
 // Leaf is one incarnation of a leaf.
 type Leaf struct {
-	ID       string // a later incarnation may have the same one
+	ID       string // a later incarnation may have the same id
 	Born     int64  // start of this incarnation, in Unix milliseconds
 	Service  string
 	Address  string // IP and port; another leaf may reuse it after this one is removed
@@ -71,13 +71,13 @@
 	return changes
 }
 
-// Put adds or updates a leaf and returns the change, if there is one. An entry of an
+// Put adds or updates a leaf and returns the change, if there is one. A delayed entry of an
 // earlier incarnation is ignored.
 func (r *Registry) Put(l Leaf) []Change {
 	delete(r.heldUntil, l.ID)
 	old, known := r.leafs[l.ID]
 	if known && old.Born > l.Born {
-		return nil // a delayed entry of an earlier incarnation
+		return nil
 	}
 	r.leafs[l.ID] = l
 	if known && old == l {
@@ -86,8 +86,9 @@
 	return []Change{{Leaf: l}}
 }
 
-// Remove records that the platform no longer lists a leaf. The leaf is removed, or held
-// if the store has just recovered and the leaf was not draining.
+// Remove records that the platform no longer lists a leaf, and returns the change, if there
+// is one. The leaf is held if the store has just recovered and the leaf is not draining;
+// otherwise it is removed.
 func (r *Registry) Remove(now time.Time, id string) []Change {
 	l, known := r.leafs[id]
 	if !known {
@@ -102,7 +103,7 @@
 	return r.drop(l)
 }
 
-// ExpireHeld removes the leafs whose hold has ended.
+// ExpireHeld removes the leafs whose hold has ended and returns the changes.
 func (r *Registry) ExpireHeld(now time.Time) []Change {
 	var changes []Change
 	for _, id := range r.sortedIDs() {
