--- a/result/code.go
+++ b/result/code.go
@@ -98,7 +98,7 @@
 type Error struct {
 	Code       Code
 	Detail     string        // what was found and what is allowed
-	RetryAfter time.Duration // how long to wait before a retry; 0 unless the code is of RetryLater
+	RetryAfter time.Duration // how long to wait before a retry; 0 unless the code's Retry is RetryLater
 	cause      error
 }
 
--- a/result/table.go
+++ b/result/table.go
@@ -1,6 +1,6 @@
 package result
 
-// The codes. A number is never reused for another meaning.
+// The codes; Table states their meanings. A number is never reused for another meaning.
 const (
 	Complete Code = 100
 	Partial  Code = 101
@@ -61,7 +61,7 @@
 	PositionGone   Code = 713
 )
 
-// Table lists every code in order.
+// Table lists every code in ascending order.
 var Table = []Info{
 	{Complete, "Complete", 200, RanYes, RetryNo, "Every shard of the snapshot answered in full."},
 	{Partial, "Partial", 200, RanYes, RetryNo, "Records are missing; the coverage stated with the answer meets what the caller asked for."},
--- a/result/table_test.go
+++ b/result/table_test.go
@@ -9,8 +9,8 @@
 
 const docFile = "../docs/RESULT-CODES.md"
 
-// TestDocTableMatchesCode checks that docs/RESULT-CODES.md equals the page generated
-// from Table. Run it with UPDATE_DOCS=1 to write the file.
+// Guards against docs/RESULT-CODES.md that differs from Table. With UPDATE_DOCS=1 in the
+// environment the test first writes the file.
 func TestDocTableMatchesCode(t *testing.T) {
 	want := docPage()
 	if os.Getenv("UPDATE_DOCS") != "" {
@@ -40,7 +40,7 @@
 func TestCodeOfUnwrapsErrors(t *testing.T) {
 	err := fmt.Errorf("outer: %w", Errorf(Conflict, "revision %d", 7))
 	if got := CodeOf(err); got != Conflict {
-		t.Errorf("Of = %v, want %v", got, Conflict)
+		t.Errorf("CodeOf = %v, want %v", got, Conflict)
 	}
 }
 
