--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -18,7 +18,7 @@
 const MaxDepth = 32
 
 // MaxFindings bounds the findings that are reported one by one. A large document
-// of another kind can have hundreds of thousands.
+// that is passed by mistake can have hundreds of thousands.
 const MaxFindings = 100
 
 // Finding is one error in a document.
@@ -46,8 +46,8 @@
 // Decode reads data into the struct that into points to and returns the errors
 // found, at most MaxFindings and one that counts the rest. Only fields with a json
 // tag are decoded; those without omitempty are required. Fields may be strings,
-// bools, numbers, structs and slices; Decode panics on other types. If there are
-// findings, the content of into is undefined.
+// bools, numbers, structs and slices of these; Decode may panic on other types. If
+// there are findings, the content of into is undefined.
 func Decode(data []byte, into any) []Finding {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -248,9 +248,10 @@
 	}
 }
 
+// field is a struct field that a member of an object is decoded into.
 type field struct {
-	index    int
-	optional bool
+	index    int  // in the struct
+	optional bool // has omitempty; the member may be missing
 }
 
 // fieldsOf returns the fields of a struct that have a json tag by their names, and the
