--- a/operator/app.go
+++ b/operator/app.go
@@ -40,15 +40,15 @@
 
 // app is one execution of a command line.
 type app struct {
-	out    io.Writer
-	err    io.Writer
+	stdout io.Writer
+	stderr io.Writer
 	format string // formatText or formatJSON
 	// errorPrinted means that the command's output already contains its error.
 	errorPrinted bool
 }
 
 func newApp(stdout, stderr io.Writer) *app {
-	return &app{out: stdout, err: stderr, format: formatText}
+	return &app{stdout: stdout, stderr: stderr, format: formatText}
 }
 
 func (a *app) rootCommand() *cli.Command {
@@ -57,8 +57,8 @@
 		Usage:                 "manage a bramleybarrow deployment by its bundles",
 		EnableShellCompletion: true,
 		Suggest:               true,
-		Writer:                a.out,
-		ErrWriter:             a.err,
+		Writer:                a.stdout,
+		ErrWriter:             a.stderr,
 		Flags:                 commonFlags(),
 		Before:                a.setFormat,
 		// Run prints the error and returns the exit status; the default handler may
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = a.out.Write(data)
+	_, err = a.stdout.Write(data)
 	return err
 }
 
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -135,7 +135,7 @@
 // printProgress prints text and stores it in last, unless last already equals it.
 func (a *app) printProgress(last *string, text string) {
 	if *last != text {
-		fmt.Fprintln(a.err, text)
+		fmt.Fprintln(a.stderr, text)
 		*last = text
 	}
 }
--- a/operator/output.go
+++ b/operator/output.go
@@ -28,7 +28,7 @@
 	if a.format == formatJSON {
 		return a.printJSON(value)
 	}
-	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(a.stdout, 0, 0, 2, ' ', 0)
 	if len(t.header) > 0 {
 		printRow(w, t.header)
 	}
@@ -49,7 +49,7 @@
 }
 
 func (a *app) printJSON(value any) error {
-	enc := json.NewEncoder(a.out)
+	enc := json.NewEncoder(a.stdout)
 	enc.SetIndent("", "  ")
 	enc.SetEscapeHTML(false)
 	return enc.Encode(value)
@@ -69,9 +69,9 @@
 		_ = a.printJSON(errorJSON{Code: code, Name: code.String(), Detail: err.Error(), Next: nextSteps[code]})
 		return
 	}
-	fmt.Fprintf(a.err, "bramleyctl: %v\n", err)
+	fmt.Fprintf(a.stderr, "bramleyctl: %v\n", err)
 	if next := nextSteps[code]; next != "" {
-		fmt.Fprintf(a.err, "next: %s\n", next)
+		fmt.Fprintf(a.stderr, "next: %s\n", next)
 	}
 }
 
