--- a/node/claims.go
+++ b/node/claims.go
@@ -33,7 +33,7 @@
 
 // handlePeerCall serves the calls that other VMs make over connections opened for such
 // calls: claims that this VM is to commit, and calls to leaves of targets that this VM
-// owns, which means that it holds connections to them.
+// owns. An owner of a target holds connections to it.
 func (n *Node) handlePeerCall(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
 	if strings.HasPrefix(method, relay.Prefix) {
 		return relay.Handle(ctx, n.claims, method, params)
--- a/operator/explain_request.go
+++ b/operator/explain_request.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// readLogs reads the log files, or standard input if there are none.
+// readLogs returns the report on the request with this id from the log files, or from
+// standard input if there are none.
 func readLogs(request string, paths []string) (explain.Report, error) {
 	reader := explain.NewReader(request)
 	if len(paths) == 0 {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -29,7 +29,7 @@
 
 // VMRow is the state of one VM.
 type VMRow struct {
-	VM            string      `json:"vm"`             // name, or address if given by --vm
+	VM            string      `json:"vm"`             // name; or address if it is from --vm or the settings
 	ListedLeaving bool        `json:"listed_leaving"` // the platform lists it as leaving
 	Error         string      `json:"error,omitempty"`
 	Status        *ops.Status `json:"status,omitempty"` // nil if it could not be read
