--- a/operator/app.go
+++ b/operator/app.go
@@ -28,7 +28,7 @@
 // stdout, progress and errors to stderr; with -o json errors go to stdout, too.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	app := newApp(stdout, stderr)
-	err := app.command().Run(ctx, args)
+	err := app.rootCommand().Run(ctx, args)
 	if err == nil {
 		return 0
 	}
@@ -40,28 +40,30 @@
 
 // app is one execution of a command line.
 type app struct {
-	out    io.Writer
-	err    io.Writer
+	stdout io.Writer
+	stderr io.Writer
 	format string // formatText or formatJSON
 	// errorPrinted means that the command's output already contains its error.
 	errorPrinted bool
 }
 
 func newApp(stdout, stderr io.Writer) *app {
-	return &app{out: stdout, err: stderr, format: formatText}
+	return &app{stdout: stdout, stderr: stderr, format: formatText}
 }
 
-func (a *app) command() *cli.Command {
+func (a *app) rootCommand() *cli.Command {
 	root := &cli.Command{
 		Name:                  "bramleyctl",
 		Usage:                 "manage a bramleybarrow deployment by its bundles",
 		EnableShellCompletion: true,
 		Suggest:               true,
-		Writer:                a.out,
-		ErrWriter:             a.err,
+		Writer:                a.stdout,
+		ErrWriter:             a.stderr,
 		Flags:                 commonFlags(),
 		Before:                a.setFormat,
-		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
+		// Run prints the error and returns the exit status; the default handler may
+		// end the process.
+		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Commands: []*cli.Command{
 			a.keygenCommand(),
 			a.keysCommand(),
@@ -128,7 +130,7 @@
 }
 
 // singleArg returns the only argument of a command. The error for any other number of
-// arguments names the argument.
+// arguments contains argument, a description of the expected one.
 func singleArg(c *cli.Command, argument string) (string, error) {
 	if c.Args().Len() != 1 {
 		return "", result.Errorf(result.BadRequest, "found %d arguments, allowed is one: %s", c.Args().Len(), argument)
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	t := table{head: []string{"DIGEST", "DEPLOYMENT", "NAME", "AUTHOR", "BYTES", "FAULT"}}
+	t := table{header: []string{"DIGEST", "DEPLOYMENT", "NAME", "AUTHOR", "BYTES", "FAULT"}}
 	for _, b := range list {
 		t.add(shortDigest(b.Digest), b.Deployment, b.Name, b.Author, strconv.Itoa(b.Bytes), b.Fault)
 	}
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = a.out.Write(data)
+	_, err = a.stdout.Write(data)
 	return err
 }
 
@@ -193,11 +193,11 @@
 // minDigestPrefix is the least number of digits that may abbreviate a digest.
 const minDigestPrefix = 6
 
-// resolveDigest returns the full digest for argHead or the first digits of a digest. A
-// full digest is returned unchecked.
+// resolveDigest returns the full digest for argHead or the first digits of a digest. It
+// returns a full digest as it is, without checking that the platform has the bundle.
 func (s *session) resolveDigest(ctx context.Context, arg string) (string, error) {
-	const whole = 64
-	if len(arg) == whole {
+	const digestLen = 64 // hex digits of a SHA-256 digest
+	if len(arg) == digestLen {
 		return arg, nil
 	}
 	if arg == argHead {
@@ -213,15 +213,16 @@
 	if len(arg) < minDigestPrefix {
 		return "", result.Errorf(result.BadRequest, "found %q, allowed is a digest or at least its first %d digits", arg, minDigestPrefix)
 	}
+	// Two names are enough to find out whether more than one starts with arg.
 	page, err := s.store.List(ctx, rollout.KindBundle, arg, 2)
 	if err != nil {
 		return "", result.Wrap(result.PlatformDown, err, "listing bundles")
 	}
-	return uniquePrefix(page.Objects, arg)
+	return uniqueMatch(page.Objects, arg)
 }
 
-// uniquePrefix returns the only name among objects that has the prefix.
-func uniquePrefix(objects []objstore.Object, prefix string) (string, error) {
+// uniqueMatch returns the only name among objects that has the prefix.
+func uniqueMatch(objects []objstore.Object, prefix string) (string, error) {
 	var found []string
 	for _, obj := range objects {
 		if len(obj.Name) >= len(prefix) && obj.Name[:len(prefix)] == prefix {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -29,14 +29,14 @@
 
 // VMRow is the state of one VM.
 type VMRow struct {
-	VM            string      `json:"vm"`             // name, or address if given by --vm
+	VM            string      `json:"vm"`             // name; or address if it is from --vm or the settings
 	ListedLeaving bool        `json:"listed_leaving"` // the platform lists it as leaving
 	Error         string      `json:"error,omitempty"`
 	Status        *ops.Status `json:"status,omitempty"` // nil if it could not be read
 }
 
-// listVMs returns the platform's list of VMs, or the VMs of the settings if the platform
-// can't be read, which is when operators need the status most.
+// listVMs returns the platform's list of VMs. If the platform can't be read, it returns the
+// VMs of the settings, if there are any: operators need the status most during an outage.
 func (s *session) listVMs(ctx context.Context) ([]objstore.VM, error) {
 	vms, err := s.store.VMs(ctx)
 	if err == nil || len(s.settings.VMs) == 0 {
@@ -56,14 +56,14 @@
 		return nil, err
 	}
 	rows := make([]VMRow, len(vms))
-	slots := make(chan struct{}, maxStatusReads)
-	var wait sync.WaitGroup
+	sem := make(chan struct{}, maxStatusReads)
+	var wg sync.WaitGroup
 	for i, vm := range vms {
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
-			slots <- struct{}{}
-			defer func() { <-slots }()
+			defer wg.Done()
+			sem <- struct{}{}
+			defer func() { <-sem }()
 			rows[i] = VMRow{VM: vm.Name, ListedLeaving: vm.Leaving}
 			status, err := readStatus(ctx, vm.Ops)
 			if err != nil {
@@ -73,7 +73,7 @@
 			rows[i].Status = status
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 	sort.Slice(rows, func(i, j int) bool { return rows[i].VM < rows[j].VM })
 	return rows, nil
 }
@@ -135,20 +135,20 @@
 // printProgress prints text and stores it in last, unless last already equals it.
 func (a *app) printProgress(last *string, text string) {
 	if *last != text {
-		fmt.Fprintln(a.err, text)
+		fmt.Fprintln(a.stderr, text)
 		*last = text
 	}
 }
 
 // StatusOutput is the output of status.
 type StatusOutput struct {
-	Head      *rollout.Entry `json:"head"`                 // nil if nothing was rolled out, or with HeadError
+	Head      *rollout.Entry `json:"head"`                 // nil if nothing was rolled out or HeadError is set
 	HeadError string         `json:"head_error,omitempty"` // why the head could not be read
 	VMs       []VMRow        `json:"vms"`
 	Warnings  []string       `json:"warnings"`
 }
 
-// warnings reports faults that the rest of the status doesn't show but that will cause
+// warnings describes faults that the rest of the status doesn't show but that will cause
 // failures later.
 func (s *session) warnings(output StatusOutput) []string {
 	list := []string{}
@@ -191,7 +191,7 @@
 }
 
 func statusTable(output StatusOutput) table {
-	t := table{head: []string{"VM", "REVISION", "DIGEST", "SINCE", "READY", "LEAVING", "PLATFORM", "PEERS"}}
+	t := table{header: []string{"VM", "REVISION", "DIGEST", "SINCE", "READY", "LEAVING", "PLATFORM", "PEERS"}}
 	switch h := output.Head; {
 	case output.HeadError != "":
 		t.add("(head)", "unknown", output.HeadError)
--- a/operator/output.go
+++ b/operator/output.go
@@ -17,8 +17,8 @@
 
 // table is the text form of a command's output.
 type table struct {
-	head []string // column names; may be empty
-	rows [][]string
+	header []string // column names; may be empty
+	rows   [][]string
 }
 
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
@@ -28,9 +28,9 @@
 	if a.format == formatJSON {
 		return a.printJSON(value)
 	}
-	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
-	if len(t.head) > 0 {
-		printRow(w, t.head)
+	w := tabwriter.NewWriter(a.stdout, 0, 0, 2, ' ', 0)
+	if len(t.header) > 0 {
+		printRow(w, t.header)
 	}
 	for _, row := range t.rows {
 		printRow(w, row)
@@ -49,7 +49,7 @@
 }
 
 func (a *app) printJSON(value any) error {
-	enc := json.NewEncoder(a.out)
+	enc := json.NewEncoder(a.stdout)
 	enc.SetIndent("", "  ")
 	enc.SetEscapeHTML(false)
 	return enc.Encode(value)
@@ -69,9 +69,9 @@
 		_ = a.printJSON(errorJSON{Code: code, Name: code.String(), Detail: err.Error(), Next: nextSteps[code]})
 		return
 	}
-	fmt.Fprintf(a.err, "bramleyctl: %v\n", err)
+	fmt.Fprintf(a.stderr, "bramleyctl: %v\n", err)
 	if next := nextSteps[code]; next != "" {
-		fmt.Fprintf(a.err, "next: %s\n", next)
+		fmt.Fprintf(a.stderr, "next: %s\n", next)
 	}
 }
 
@@ -83,8 +83,8 @@
 }
 
 // shortDigest returns the first digits of a digest, for display. Commands accept them in
-// place of the digest.
+// place of the whole digest.
 func shortDigest(digest string) string {
-	const shown = 12
-	return digest[:min(len(digest), shown)]
+	const shownDigits = 12
+	return digest[:min(len(digest), shownDigits)]
 }
