--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return entry, err
 	}
-	c.archiveNow(ctx, accepted)
+	c.tryArchiveEntry(ctx, accepted)
 	return accepted.Entry, want.checkMatches(accepted)
 }
 
@@ -222,8 +222,8 @@
 	}
 	// The head may have advanced since it was read. In that case the conditional
 	// write fails.
-	now, err := c.readState(ctx)
-	if err != nil || now.version != s.version {
+	current, err := c.readState(ctx)
+	if err != nil || current.version != s.version {
 		return err
 	}
 	return result.Errorf(result.BrokenAudit, "the head is at revision %d, but revision %d is archived already; the store was reverted to an earlier state", s.revision(), archived.Entry.Revision)
@@ -273,11 +273,11 @@
 // or if the platform can't be read, it returns nil and no error. The accepted entry
 // may differ from e in At, if an earlier run with the same operation id wrote it.
 func (c *Client) resolveWrite(ctx context.Context, e Entry) (*Head, error) {
-	now, err := c.readState(ctx)
+	current, err := c.readState(ctx)
 	if err != nil {
 		return nil, nil
 	}
-	outcome, accepted, err := c.resolve(ctx, e.Op, e.Revision, now.head)
+	outcome, accepted, err := c.resolve(ctx, e.Op, e.Revision, current.head)
 	switch {
 	case result.CodeOf(err) == result.BrokenAudit:
 		return nil, err
@@ -286,11 +286,11 @@
 	case outcome == OutcomeAccepted:
 		return accepted, nil
 	}
-	return nil, conflictError(accepted, now.head)
+	return nil, conflictError(accepted, current.head)
 }
 
-// archiveNow archives an accepted entry at once. Failures are ignored: the
+// tryArchiveEntry archives an accepted entry at once. Failures are ignored: the
 // operator who advances the head next archives it.
-func (c *Client) archiveNow(ctx context.Context, h *Head) {
+func (c *Client) tryArchiveEntry(ctx context.Context, h *Head) {
 	_ = c.put(ctx, KindAudit, AuditName(c.opts.Deployment, h.Entry.Revision), 0, h.Signed.Bytes())
 }
--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -90,14 +90,14 @@
 	}
 	list := make([]BundleInfo, 0, len(objects))
 	for _, obj := range objects {
-		row := BundleInfo{Digest: obj.Name, Bytes: len(obj.Value)}
+		info := BundleInfo{Digest: obj.Name, Bytes: len(obj.Value)}
 		b, err := c.opts.Keys.OpenBundle(obj.Value, obj.Name)
 		if err != nil {
-			row.Fault = err.Error()
+			info.Fault = err.Error()
 		} else {
-			row.Deployment, row.Name, row.Author = b.Deployment, b.Name, b.Author
+			info.Deployment, info.Name, info.Author = b.Deployment, b.Name, b.Author
 		}
-		list = append(list, row)
+		list = append(list, info)
 	}
 	return list, nil
 }
@@ -158,11 +158,11 @@
 	}
 	best := Approved{Digest: digest, Name: b.Name}
 	found := false
-	refused := error(result.Errorf(result.NotSigned, "bundle %s has no sign-off; another person than %s signs it with sign", digest, b.Author))
+	lastErr := error(result.Errorf(result.NotSigned, "bundle %s has no sign-off; another person than %s signs it with sign", digest, b.Author))
 	for _, obj := range objects {
 		signed, err := bundle.ParseSigned(obj.Value)
 		if err != nil {
-			refused = err
+			lastErr = err
 			continue
 		}
 		signOff, err := c.opts.Keys.OpenSignOff(signed)
@@ -170,7 +170,7 @@
 			err = b.CheckSignOff(signOff, digest)
 		}
 		if err != nil {
-			refused = err
+			lastErr = err
 			continue
 		}
 		if !found || signOff.After >= best.After {
@@ -178,7 +178,7 @@
 		}
 	}
 	if !found {
-		return best, refused
+		return best, lastErr
 	}
 	return best, nil
 }
--- a/rollout/client.go
+++ b/rollout/client.go
@@ -80,8 +80,8 @@
 // not exist, it returns objstore.ErrNotFound without retry.
 func (c *Client) get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	for try := 0; ; try++ {
-		call, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
-		obj, err := c.opts.Store.Get(call, kind, name)
+		callCtx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
+		obj, err := c.opts.Store.Get(callCtx, kind, name)
 		cancel()
 		if err == nil || errors.Is(err, objstore.ErrNotFound) {
 			return obj, err
@@ -131,8 +131,8 @@
 // after. It retries failed calls until ctx ends.
 func (c *Client) listPage(ctx context.Context, kind, after string, limit int) (objstore.Page, error) {
 	for try := 0; ; try++ {
-		call, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
-		page, err := c.opts.Store.List(call, kind, after, limit)
+		callCtx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
+		page, err := c.opts.Store.List(callCtx, kind, after, limit)
 		cancel()
 		if err == nil {
 			return page, nil
@@ -181,10 +181,10 @@
 
 // put writes one object, in one call without retry, on condition that the object
 // has the version expect; 0 means that it must not exist.
-func (c *Client) put(ctx context.Context, kind, name string, expect uint64, value []byte) error {
-	call, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
+func (c *Client) put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) error {
+	callCtx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
-	_, err := c.opts.Store.Put(call, kind, name, expect, value)
+	_, err := c.opts.Store.Put(callCtx, kind, name, expectedVersion, value)
 	return err
 }
 
--- a/rollout/faulty_store_test.go
+++ b/rollout/faulty_store_test.go
@@ -41,13 +41,13 @@
 	return s.Store.Get(ctx, kind, name)
 }
 
-func (s *faultyStore) Put(ctx context.Context, kind, name string, expect uint64, value []byte) (uint64, error) {
+func (s *faultyStore) Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error) {
 	s.pause()
 	switch s.randIntN(6) {
 	case 0:
 		return 0, errLost
 	case 1:
-		_, _ = s.Store.Put(ctx, kind, name, expect, value)
+		_, _ = s.Store.Put(ctx, kind, name, expectedVersion, value)
 		return 0, errLost
 	case 2:
 		s.lateWrites.Add(1)
@@ -55,11 +55,11 @@
 			defer s.lateWrites.Done()
 			s.pause()
 			s.pause()
-			_, _ = s.Store.Put(context.Background(), kind, name, expect, value)
+			_, _ = s.Store.Put(context.Background(), kind, name, expectedVersion, value)
 		}()
 		return 0, errLost
 	}
-	return s.Store.Put(ctx, kind, name, expect, value)
+	return s.Store.Put(ctx, kind, name, expectedVersion, value)
 }
 
 // crashStore simulates an operator who is stopped at a write: that write and all
@@ -78,17 +78,17 @@
 	return s.Store.Get(ctx, kind, name)
 }
 
-func (s *crashStore) Put(ctx context.Context, kind, name string, expect uint64, value []byte) (uint64, error) {
+func (s *crashStore) Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error) {
 	if s.down {
 		return 0, errLost
 	}
 	if s.writesLeft > 0 {
 		s.writesLeft--
-		return s.Store.Put(ctx, kind, name, expect, value)
+		return s.Store.Put(ctx, kind, name, expectedVersion, value)
 	}
 	s.down = true
 	if s.applyLast {
-		_, _ = s.Store.Put(ctx, kind, name, expect, value)
+		_, _ = s.Store.Put(ctx, kind, name, expectedVersion, value)
 	}
 	return 0, errLost
 }
--- a/rollout/follower_test.go
+++ b/rollout/follower_test.go
@@ -79,22 +79,22 @@
 	env := newTestEnv(t)
 	heads := env.rollOutAll(env.pushSignedOff(1), env.pushSignedOff(2), env.pushSignedOff(3))
 	f := NewFollower(Options{Deployment: "vatnsleit", Keys: env.keys, Store: env.store})
-	all := env.fetchFrom(env.packages(1, 2, 3))
+	fetch := env.fetchFrom(env.packages(1, 2, 3))
 	started, finish := make(chan struct{}), make(chan struct{})
-	slow := make(chan error)
+	slowErr := make(chan error)
 	go func() {
-		slow <- f.OfferHead(ctx, heads[1], func(ctx context.Context, digest string) ([]byte, error) {
+		slowErr <- f.OfferHead(ctx, heads[1], func(ctx context.Context, digest string) ([]byte, error) {
 			close(started)
 			<-finish
-			return all(ctx, digest)
+			return fetch(ctx, digest)
 		})
 	}()
 	<-started
-	g.Expect(f.OfferHead(ctx, heads[2], all)).To(Succeed())
+	g.Expect(f.OfferHead(ctx, heads[2], fetch)).To(Succeed())
 	close(finish)
-	g.Expect(<-slow).To(Succeed())
+	g.Expect(<-slowErr).To(Succeed())
 	g.Expect(f.Revision()).To(Equal(uint64(3)))
-	g.Expect(result.CodeOf(f.OfferHead(ctx, heads[0], all))).To(Equal(result.StaleExchange))
+	g.Expect(result.CodeOf(f.OfferHead(ctx, heads[0], fetch))).To(Equal(result.StaleExchange))
 	g.Expect(f.Revision()).To(Equal(uint64(3)))
 }
 
@@ -114,8 +114,8 @@
 	inForce := f.Current()
 
 	store.setHead(&old)
-	read := f.PlatformContact()
-	g.Eventually(func() bool { return f.PlatformContact().After(read.Add(30 * time.Millisecond)) }, eventTimeout).Should(BeTrue())
+	lastRead := f.PlatformContact()
+	g.Eventually(func() bool { return f.PlatformContact().After(lastRead.Add(30 * time.Millisecond)) }, eventTimeout).Should(BeTrue())
 	g.Expect(f.Current()).To(BeIdenticalTo(inForce))
 
 	other := newTestEnv(t)
@@ -130,15 +130,15 @@
 // An operator makes a change on a restored store whose audit chain is ahead of its
 // head. The change would never come into force, since VMs have a higher revision
 // in force. So the operator must get an error instead of "accepted".
-func TestRolloutOnRevertedStoreIsRefused(t *testing.T) {
+func TestRolloutOnRevertedStoreIsRefusedUntilRestore(t *testing.T) {
 	g := NewWithT(t)
 	env := newTestEnv(t)
 	first, second := env.pushSignedOff(1), env.pushSignedOff(2)
 	env.rollOutAll(first)
 	old := env.head()
 	env.rollOutAll(second)
-	now := env.head()
-	_, err := env.store.Put(context.Background(), KindHead, "vatnsleit", now.Version, old.Value)
+	current := env.head()
+	_, err := env.store.Put(context.Background(), KindHead, "vatnsleit", current.Version, old.Value)
 	g.Expect(err).NotTo(HaveOccurred())
 	asta := env.client("asta", env.store)
 	_, err = asta.Rollout(context.Background(), second, Request{Reason: "again"})
@@ -151,7 +151,7 @@
 		restored, err := asta.RestoreHead(context.Background())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(restored.Revision).To(Equal(uint64(2)))
-		g.Expect(env.head().Value).To(Equal(now.Value))
+		g.Expect(env.head().Value).To(Equal(current.Value))
 	}
 	e, err := asta.Rollout(context.Background(), second, Request{Reason: "again"})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -166,18 +166,18 @@
 	env := newTestEnv(t)
 	digest := env.pushSignedOff(1)
 	head := env.rollOutAll(digest)[0]
-	next, bytesOf := bundle.Digest(env.bundleVersion(2)), env.packages(1, 2)
+	nextDigest, bytesOf := bundle.Digest(env.bundleVersion(2)), env.packages(1, 2)
 	stranger, err := bundle.NewPrivateKey("eve-1", "eve")
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := bundle.SignOff{Deployment: "vatnsleit", Digest: next, Person: "jon", After: 1}
-	bySelf, byOther := good, good
-	bySelf.Person, byOther.Deployment = "sigrun", "pletenica"
+	good := bundle.SignOff{Deployment: "vatnsleit", Digest: nextDigest, Person: "jon", After: 1}
+	bySelf, otherDeployment := good, good
+	bySelf.Person, otherDeployment.Deployment = "sigrun", "pletenica"
 	changed := good.Sign(env.priv["jon"])
 	changed.Payload = []byte(strings.Replace(string(changed.Payload), `"after":1`, `"after":9`, 1))
 	entry := Entry{
-		Deployment: "vatnsleit", Revision: 2, Action: ActionRollout, Digest: next,
+		Deployment: "vatnsleit", Revision: 2, Action: ActionRollout, Digest: nextDigest,
 		Person: "asta", SignOff: good.Sign(env.priv["jon"]),
 	}
 	edited := func(edit func(e *Entry)) Entry {
@@ -193,18 +193,18 @@
 		raw   []byte
 		code  result.Code
 	}{
-		{"good", entry, env.priv["asta"], bytesOf[next], result.Complete},
-		{"entry by an unknown key", entry, stranger, bytesOf[next], result.UnknownKey},
-		{"entry by a retired key", edited(func(e *Entry) { e.Person = "olaf" }), env.priv["olaf"], bytesOf[next], result.UnknownKey},
-		{"entry in another's name", entry, env.priv["jon"], bytesOf[next], result.NotSigned},
-		{"another deployment", edited(func(e *Entry) { e.Deployment = "pletenica" }), env.priv["asta"], bytesOf[next], result.NotSigned},
-		{"no sign-off", edited(func(e *Entry) { e.SignOff = bundle.Signed{} }), env.priv["asta"], bytesOf[next], result.NotSigned},
-		{"sign-off by the author", edited(func(e *Entry) { e.SignOff = bySelf.Sign(env.priv["sigrun"]) }), env.priv["asta"], bytesOf[next], result.SelfSigned},
-		{"sign-off for another deployment", edited(func(e *Entry) { e.SignOff = byOther.Sign(env.priv["jon"]) }), env.priv["asta"], bytesOf[next], result.NotSigned},
-		{"sign-off changed", edited(func(e *Entry) { e.SignOff = changed }), env.priv["asta"], bytesOf[next], result.NotSigned},
-		{"sign-off by a retired key", edited(func(e *Entry) { e.SignOff = good.Sign(env.priv["olaf"]) }), env.priv["asta"], bytesOf[next], result.UnknownKey},
-		{"recalled since", edited(func(e *Entry) { e.Recalls = []Recall{{Digest: next, Revision: 2}} }), env.priv["asta"], bytesOf[next], result.Recalled},
-		{"recalls no longer listed", edited(func(e *Entry) { e.RecallFloor = 2 }), env.priv["asta"], bytesOf[next], result.Recalled},
+		{"good", entry, env.priv["asta"], bytesOf[nextDigest], result.Complete},
+		{"entry by an unknown key", entry, stranger, bytesOf[nextDigest], result.UnknownKey},
+		{"entry by a retired key", edited(func(e *Entry) { e.Person = "olaf" }), env.priv["olaf"], bytesOf[nextDigest], result.UnknownKey},
+		{"entry in another's name", entry, env.priv["jon"], bytesOf[nextDigest], result.NotSigned},
+		{"another deployment", edited(func(e *Entry) { e.Deployment = "pletenica" }), env.priv["asta"], bytesOf[nextDigest], result.NotSigned},
+		{"no sign-off", edited(func(e *Entry) { e.SignOff = bundle.Signed{} }), env.priv["asta"], bytesOf[nextDigest], result.NotSigned},
+		{"sign-off by the author", edited(func(e *Entry) { e.SignOff = bySelf.Sign(env.priv["sigrun"]) }), env.priv["asta"], bytesOf[nextDigest], result.SelfSigned},
+		{"sign-off for another deployment", edited(func(e *Entry) { e.SignOff = otherDeployment.Sign(env.priv["jon"]) }), env.priv["asta"], bytesOf[nextDigest], result.NotSigned},
+		{"sign-off changed", edited(func(e *Entry) { e.SignOff = changed }), env.priv["asta"], bytesOf[nextDigest], result.NotSigned},
+		{"sign-off by a retired key", edited(func(e *Entry) { e.SignOff = good.Sign(env.priv["olaf"]) }), env.priv["asta"], bytesOf[nextDigest], result.UnknownKey},
+		{"recalled since", edited(func(e *Entry) { e.Recalls = []Recall{{Digest: nextDigest, Revision: 2}} }), env.priv["asta"], bytesOf[nextDigest], result.Recalled},
+		{"recalls no longer listed", edited(func(e *Entry) { e.RecallFloor = 2 }), env.priv["asta"], bytesOf[nextDigest], result.Recalled},
 		{"other bytes than signed", entry, env.priv["asta"], bytesOf[digest], result.NotSigned},
 		{"malformed", edited(func(e *Entry) { e.Digest = bundle.Digest([]byte("{")) }), env.priv["asta"], notJSON.Bytes(), result.BadBundle},
 		{"too large", entry, env.priv["asta"], make([]byte, objstore.MaxValue+1), result.BundleTooLarge},
--- a/rollout/next_test.go
+++ b/rollout/next_test.go
@@ -92,7 +92,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-func TestRecallWithoutAnEarlierBundle(t *testing.T) {
+func TestRecallWithoutEarlierBundleIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	_, err := NextRecall(nil, Change{}, "d1", nil)
 	g.Expect(result.CodeOf(err)).To(Equal(result.NothingBefore))
@@ -102,7 +102,7 @@
 	g.Expect(result.CodeOf(err)).To(Equal(result.NothingBefore))
 }
 
-func TestOperationIDs(t *testing.T) {
+func TestMalformedOperationIDIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	op, err := NewOpID(7)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/rollout/race_test.go
+++ b/rollout/race_test.go
@@ -123,13 +123,13 @@
 func changeUntilResolved(c *Client, rng *rand.Rand, digests []string) (changeResult, error) {
 	ctx := context.Background()
 	digest := digests[rng.IntN(len(digests))]
-	do := c.Rollout
+	change := c.Rollout
 	if rng.IntN(4) == 0 {
-		do = c.Recall
+		change = c.Recall
 	}
 	req := Request{Reason: "race"}
 	for {
-		e, err := do(ctx, digest, req)
+		e, err := change(ctx, digest, req)
 		switch code := result.CodeOf(err); code {
 		case result.Complete:
 			return changeResult{op: e.Op, revision: e.Revision, accepted: true}, nil
@@ -142,9 +142,9 @@
 			if _, err := c.SignOff(ctx, digest, "good again"); err != nil && result.CodeOf(err) != result.SelfSigned {
 				return changeResult{}, err
 			}
-			req, do = Request{Reason: "race"}, c.Recall
+			req, change = Request{Reason: "race"}, c.Recall
 		case result.NothingBefore, result.PlatformDown:
-			req, do = Request{Reason: "race"}, c.Rollout
+			req, change = Request{Reason: "race"}, c.Rollout
 		default:
 			return changeResult{}, err
 		}
@@ -161,8 +161,8 @@
 func recordRevisions(t *testing.T, f *Follower) *revisionHistory {
 	h := &revisionHistory{}
 	done := make(chan struct{})
-	var wait sync.WaitGroup
-	wait.Go(func() {
+	var wg sync.WaitGroup
+	wg.Go(func() {
 		for {
 			changed := f.Changed()
 			h.mu.Lock()
@@ -175,7 +175,7 @@
 			}
 		}
 	})
-	t.Cleanup(func() { close(done); wait.Wait() })
+	t.Cleanup(func() { close(done); wg.Wait() })
 	return h
 }
 
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -70,11 +70,11 @@
 			return nil
 		}
 		if errors.Is(err, objstore.ErrConflict) {
-			now, err := c.readStateIfValid(ctx)
+			current, err := c.readStateIfValid(ctx)
 			if err != nil {
 				return err
 			}
-			if now.head != nil && now.head.Hash == h.Hash {
+			if current.head != nil && current.head.Hash == h.Hash {
 				return nil
 			}
 			return result.Errorf(result.Conflict, "the head changed meanwhile; look at it with status and decide again")
--- a/rollout/rotation_test.go
+++ b/rollout/rotation_test.go
@@ -15,36 +15,36 @@
 // starts after the old key was retired must refuse a sign-off made with only the
 // old key, and accept one made with the new key. If the steps are done in another
 // order than in the runbook, new VMs never become ready.
-func TestKeyRotation(t *testing.T) {
+func TestVMRefusesSignOffByRetiredKey(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	env := newTestEnv(t)
 	digest := env.pushSignedOff(1)
 	byOldKey := env.rollOutAll(digest)[0]
-	next, err := bundle.NewPrivateKey("jon-2", "jon")
+	newKey, err := bundle.NewPrivateKey("jon-2", "jon")
 	g.Expect(err).NotTo(HaveOccurred())
-	both, err := bundle.NewKeyring(append(env.keys.Keys(), next.Public())...)
+	bothActive, err := bundle.NewKeyring(append(env.keys.Keys(), newKey.Public())...)
 	g.Expect(err).NotTo(HaveOccurred())
-	retired := both.Keys()
-	for i := range retired {
-		retired[i].Retired = retired[i].Retired || retired[i].ID == "jon-1"
+	keys := bothActive.Keys()
+	for i := range keys {
+		keys[i].Retired = keys[i].Retired || keys[i].ID == "jon-1"
 	}
-	after, err := bundle.NewKeyring(retired...)
+	oldRetired, err := bundle.NewKeyring(keys...)
 	g.Expect(err).NotTo(HaveOccurred())
 
-	env.keys = both
+	env.keys = bothActive
 	_, err = env.client("jon", env.store).SignOff(ctx, digest, "old key, still valid")
 	g.Expect(err).NotTo(HaveOccurred())
-	env.priv["jon"] = next
+	env.priv["jon"] = newKey
 	_, err = env.client("jon", env.store).SignOff(ctx, digest, "new key")
 	g.Expect(err).NotTo(HaveOccurred())
 
-	f := NewFollower(Options{Deployment: "vatnsleit", Keys: after, Store: env.store})
-	all := env.fetchFrom(env.packages(1))
-	g.Expect(result.CodeOf(f.OfferHead(ctx, byOldKey, all))).To(Equal(result.UnknownKey))
-	env.keys = after
+	f := NewFollower(Options{Deployment: "vatnsleit", Keys: oldRetired, Store: env.store})
+	fetch := env.fetchFrom(env.packages(1))
+	g.Expect(result.CodeOf(f.OfferHead(ctx, byOldKey, fetch))).To(Equal(result.UnknownKey))
+	env.keys = oldRetired
 	byNewKey := env.rollOutAll(digest)[0]
-	g.Expect(f.OfferHead(ctx, byNewKey, all)).To(Succeed())
+	g.Expect(f.OfferHead(ctx, byNewKey, fetch)).To(Succeed())
 	audit, err := env.client("asta", env.store).Audit(ctx)
 	g.Expect(err).NotTo(HaveOccurred(), "the audit chain is still verified with the retired key")
 	g.Expect(audit.Entries).To(HaveLen(2))
