--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -33,13 +33,13 @@
 	digest string // of the bundle
 }
 
-// entryBuilder builds the entry that follows the given head, which is nil before
-// the first rollout. change holds what the operator contributes.
+// entryBuilder builds the entry that follows head and makes the given change. head
+// is nil before the first rollout.
 type entryBuilder func(ctx context.Context, head *Head, change Change) (Entry, error)
 
 // makeChange makes one change and returns its entry. If req names an operation of
-// an earlier run, makeChange resolves the outcome of that operation instead. After
-// an error, the entry may contain the id of the operation only.
+// an earlier run, makeChange resumes that operation instead. With an error, the
+// entry may have no field set but Op.
 func (c *Client) makeChange(ctx context.Context, req Request, want intent, buildEntry entryBuilder) (Entry, error) {
 	if c.opts.Key == nil {
 		return Entry{}, result.Errorf(result.BadSettings, "a change needs your private key; pass --key or make one with keygen")
@@ -65,12 +65,12 @@
 	return c.commitChange(ctx, req, want, s, buildEntry)
 }
 
-// commitChange makes the change on top of the head as read, s. The integrity of the
+// commitChange makes the change on top of s, the head as read. The integrity of the
 // audit chain depends on the order of writes. First the entry in the head is
 // archived under its own name. Then the head is replaced, on condition that it is
-// still the version that was read. An operator who stops in between leaves one of
-// three states: nothing, an archived entry that is still the head's, or a complete
-// change. The next operator can continue from each of them.
+// still the version that was read. If the operator's program stops in between,
+// either nothing was written, or the entry in the head is archived already, or the
+// change is complete. The next operator can continue from each of these states.
 func (c *Client) commitChange(ctx context.Context, req Request, want intent, s headState, buildEntry entryBuilder) (Entry, error) {
 	entry, err := buildEntry(ctx, s.head, Change{
 		Op: req.Op, Person: c.opts.Key.Person, Reason: req.Reason, At: c.opts.Now().UTC(),
@@ -94,8 +94,9 @@
 
 // resumeChange finds the outcome of an operation of an earlier run. s and readErr
 // are the result of reading the head. If the operation was not accepted and its
-// revision is still the next one, it continues as if it were new: the earlier write
-// and the new one expect the same version, so only one can take effect.
+// revision is still the next one, resumeChange makes the change again. That is safe:
+// the earlier write and the new one expect the same version of the head, so only one
+// can take effect.
 func (c *Client) resumeChange(ctx context.Context, req Request, want intent, s headState, readErr error, buildEntry entryBuilder) (Entry, error) {
 	revision, err := req.Op.Revision()
 	if err != nil {
@@ -114,7 +115,7 @@
 		return Entry{Op: req.Op}, conflictError(accepted, s.head)
 	case s.revision()+1 != revision:
 		return Entry{Op: req.Op}, result.Errorf(result.BrokenAudit,
-			"operation %s is for revision %d and the head is at %d only; the store was reverted to an earlier state", req.Op, revision, s.revision())
+			"operation %s is for revision %d, but the head is only at revision %d; the store was reverted to an earlier state", req.Op, revision, s.revision())
 	}
 	e, err := c.commitChange(ctx, req, want, s, buildEntry)
 	if err != nil {
@@ -123,9 +124,10 @@
 	return e, err
 }
 
-// outcomeUnknown returns err if it is about the operation itself, and WriteUnknown
-// otherwise. The write of an earlier run may still take effect, so an error that
-// says that nothing was changed would be wrong.
+// outcomeUnknown returns err if its code states the outcome of the operation or that
+// it is unknown, and otherwise wraps it in an error with code WriteUnknown. The write
+// of an earlier run may still take effect, so an error that says that nothing was
+// changed would be wrong.
 func outcomeUnknown(op OpID, err error) error {
 	switch result.CodeOf(err) {
 	case result.Conflict, result.KeyReused, result.BrokenAudit, result.WriteUnknown:
@@ -134,8 +136,9 @@
 	return result.Wrap(result.WriteUnknown, err, fmt.Sprintf("run the same command again with --op %s to learn the outcome", op))
 }
 
-// checkMatches returns KeyReused if the operator resumed an operation that made
-// another change than the requested one.
+// checkMatches returns an error with code KeyReused if the accepted entry makes
+// another change than the requested one: the operator resumed the operation with
+// another command.
 func (want intent) checkMatches(accepted *Head) error {
 	e := &accepted.Entry
 	if e.Action == want.action && e.Subject() == want.digest {
@@ -144,10 +147,10 @@
 	return result.Errorf(result.KeyReused, "operation %s is revision %d: %s of %s; leave --op out for another change", e.Op, e.Revision, e.Action, e.Subject())
 }
 
-// resolve finds the outcome of the operation op, which was to become the given
+// resolve finds the outcome of the operation op, whose entry was to get the given
 // revision. It calls Resolve and reads the archived entry of that revision if
-// needed. The returned Head is the entry that became the revision, unless the
-// outcome is OutcomeOpen.
+// needed. The returned Head is the entry that got the revision, unless the outcome
+// is OutcomeOpen.
 func (c *Client) resolve(ctx context.Context, op OpID, revision uint64, head *Head) (Outcome, *Head, error) {
 	outcome := Resolve(op, revision, head, nil)
 	if outcome != OutcomeNeedArchived {
@@ -158,7 +161,7 @@
 		return outcome, nil, err
 	}
 	if archived == nil {
-		return outcome, nil, result.Errorf(result.BrokenAudit, "the head is at revision %d and revision %d is not archived", head.Entry.Revision, revision)
+		return outcome, nil, result.Errorf(result.BrokenAudit, "the head is at revision %d, but revision %d is not archived", head.Entry.Revision, revision)
 	}
 	return Resolve(op, revision, head, archived), archived, nil
 }
@@ -194,8 +197,9 @@
 	return e.Digest
 }
 
-// archiveEntry stores the head's entry under its own name in the audit chain. It
-// does nothing if the entry is archived already, or if h is nil.
+// archiveEntry stores the entry in the head h under its own name in the audit chain.
+// It retries until ctx ends, and does nothing if the entry is archived already, or
+// if h is nil.
 func (c *Client) archiveEntry(ctx context.Context, h *Head) error {
 	if h == nil {
 		return nil
@@ -212,16 +216,17 @@
 	return err == nil && s.Hash() == hash
 }
 
-// checkHeadNotReverted returns BrokenAudit if the audit chain has entries beyond
-// the head. That happens when the store was restored from an earlier copy. VMs
-// would ignore the new revision, since they have a higher one in force.
+// checkHeadNotReverted returns an error with code BrokenAudit if the audit chain has
+// entries beyond the head. That happens when the store was restored from an earlier
+// copy. VMs would refuse the new entry, since its revision or a higher one is
+// already in force there.
 func (c *Client) checkHeadNotReverted(ctx context.Context, s headState) error {
 	archived, err := c.readArchived(ctx, s.revision()+1)
 	if err != nil || archived == nil {
 		return err
 	}
-	// The head may have advanced since it was read. In that case the conditional
-	// write fails.
+	// The head may have advanced since s was read. That is no fault of the chain,
+	// and the conditional write then fails.
 	current, err := c.readState(ctx)
 	if err != nil || current.version != s.version {
 		return err
@@ -229,7 +234,7 @@
 	return result.Errorf(result.BrokenAudit, "the head is at revision %d, but revision %d is archived already; the store was reverted to an earlier state", s.revision(), archived.Entry.Revision)
 }
 
-// writeHead replaces the head as read, base, by the entry e and returns the head
+// writeHead replaces base, the head as read, by the entry e and returns the head
 // with the accepted entry. The response to a write may be lost, and a write may
 // conflict with an earlier try of the same operation. In both cases writeHead reads
 // the head and finds the outcome by the operation id in it.
@@ -243,7 +248,7 @@
 			return &Head{Entry: e, Signed: signed, Hash: signed.Hash()}, nil
 		case errors.Is(err, objstore.ErrTooLarge):
 			return nil, result.Wrap(result.BundleTooLarge, err, "nothing was written")
-		case errors.Is(err, objstore.ErrBusy):
+		case errors.Is(err, objstore.ErrBusy): // the write did not run
 		default:
 			maybeSent = true
 			accepted, err := c.resolveWrite(ctx, e)
@@ -289,8 +294,8 @@
 	return nil, conflictError(accepted, current.head)
 }
 
-// tryArchiveEntry archives an accepted entry at once. Failures are ignored: the
-// operator who advances the head next archives it.
+// tryArchiveEntry archives an accepted entry, in one call without retry. It ignores
+// failures: the operator who advances the head next archives the entry.
 func (c *Client) tryArchiveEntry(ctx context.Context, h *Head) {
 	_ = c.put(ctx, KindAudit, AuditName(c.opts.Deployment, h.Entry.Revision), 0, h.Signed.Bytes())
 }
--- a/rollout/audit.go
+++ b/rollout/audit.go
@@ -21,7 +21,8 @@
 func (c *Client) Audit(ctx context.Context) (Audit, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
-	// The head is read first: entries that are archived meanwhile are beyond it.
+	// The head is read first, so that entries accepted between the two reads only
+	// extend the chain beyond it, which VerifyChain allows.
 	s, err := c.readState(ctx)
 	if err != nil {
 		return Audit{}, err
@@ -47,8 +48,9 @@
 	return a, nil
 }
 
-// readChain reads the archived entries of the audit chain, oldest first, and
-// verifies each by itself. VerifyChain checks that they follow each other.
+// readChain reads the archived entries of the audit chain, oldest first. It verifies
+// each entry's signature and name; VerifyChain checks that the entries follow each
+// other.
 func (c *Client) readChain(ctx context.Context) ([]*Head, error) {
 	objects, err := c.list(ctx, KindAudit, c.opts.Deployment+".")
 	if err != nil {
@@ -58,10 +60,10 @@
 	for _, obj := range objects {
 		h, err := openHead(obj.Value, c.opts.Deployment, c.opts.Keys, true)
 		if err != nil {
-			return nil, result.Wrap(result.BrokenAudit, err, "entry "+obj.Name)
+			return nil, result.Wrap(result.BrokenAudit, err, "archived entry "+obj.Name)
 		}
 		if obj.Name != AuditName(c.opts.Deployment, h.Entry.Revision) {
-			return nil, result.Errorf(result.BrokenAudit, "entry %s holds revision %d", obj.Name, h.Entry.Revision)
+			return nil, result.Errorf(result.BrokenAudit, "archived entry %s holds revision %d", obj.Name, h.Entry.Revision)
 		}
 		archived = append(archived, h)
 	}
@@ -75,7 +77,7 @@
 func VerifyChain(head *Head, archived []*Head) ([]*Head, error) {
 	if head == nil {
 		if len(archived) > 0 {
-			return nil, result.Errorf(result.BrokenAudit, "%d entries are archived and there is no head", len(archived))
+			return nil, result.Errorf(result.BrokenAudit, "%d entries are archived, but there is no head", len(archived))
 		}
 		return nil, nil
 	}
@@ -85,7 +87,7 @@
 		all = append(append([]*Head{}, archived...), head)
 	}
 	if uint64(len(all)) < head.Entry.Revision {
-		return nil, result.Errorf(result.BrokenAudit, "the head is at revision %d and %d entries are archived", head.Entry.Revision, len(archived))
+		return nil, result.Errorf(result.BrokenAudit, "the head is at revision %d, but only %d entries are archived", head.Entry.Revision, len(archived))
 	}
 	prev := ""
 	for i, h := range all {
@@ -98,7 +100,7 @@
 		prev = h.Hash
 	}
 	if all[head.Entry.Revision-1].Hash != head.Hash {
-		return nil, result.Errorf(result.BrokenAudit, "revision %d as archived is not the head's", head.Entry.Revision)
+		return nil, result.Errorf(result.BrokenAudit, "the archived entry of revision %d differs from the head", head.Entry.Revision)
 	}
 	return all[:head.Entry.Revision], nil
 }
--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return "", err
 	}
-	b, _ := bundle.Parse(data)
+	b, _ := bundle.Parse(data) // Package found no fault
 	if b.Deployment != c.opts.Deployment {
 		return "", result.Errorf(result.BadBundle, "$.deployment: found %q, allowed is %q", b.Deployment, c.opts.Deployment)
 	}
@@ -70,7 +70,7 @@
 }
 
 // BundleInfo describes one bundle on the platform. Deployment, Name and Author are
-// those of the bundle's content, and empty if the bundle has a fault.
+// taken from the bundle's content, and are empty if the bundle has a fault.
 type BundleInfo struct {
 	Digest     string `json:"digest"`
 	Deployment string `json:"deployment"`
@@ -142,8 +142,8 @@
 	return signOff, err
 }
 
-// loadApproved reads the bundle and its newest valid sign-off. If there is no valid
-// one, the error says that there is none at all, or why the last one was refused.
+// loadApproved reads the bundle and its newest valid sign-off. If no sign-off is
+// valid, the error says that there is none at all, or why the last one is invalid.
 func (c *Client) loadApproved(ctx context.Context, digest string) (Approved, error) {
 	b, err := c.LoadBundle(ctx, digest)
 	if err != nil {
@@ -158,7 +158,7 @@
 	}
 	best := Approved{Digest: digest, Name: b.Name}
 	found := false
-	lastErr := error(result.Errorf(result.NotSigned, "bundle %s has no sign-off; another person than %s signs it with sign", digest, b.Author))
+	lastErr := error(result.Errorf(result.NotSigned, "bundle %s has no sign-off; another person than %s has to sign it with sign", digest, b.Author))
 	for _, obj := range objects {
 		signed, err := bundle.ParseSigned(obj.Value)
 		if err != nil {
@@ -217,7 +217,8 @@
 
 // findFallback returns the bundle that replaces the recalled bundle with the given
 // digest: the latest earlier one that VMs would accept, or nil if there is none. It
-// skips a bundle whose sign-off is by a key that was retired since.
+// skips bundles whose sign-off is by a key that was retired since, and bundles that
+// can't be loaded for another reason than an outage of the platform.
 func (c *Client) findFallback(ctx context.Context, head *Head, digest string) (*Approved, error) {
 	for _, past := range Fallbacks(head, digest) {
 		archived, err := c.readArchived(ctx, past.Revision)
--- a/rollout/client.go
+++ b/rollout/client.go
@@ -17,15 +17,15 @@
 	Deployment string
 	Keys       *bundle.Keyring
 	Store      objstore.Store
-	Key        *bundle.PrivateKey // the operator's key; needed for pushes, sign-offs and changes only
-	// Patience bounds the time of one operation of the Client, such as a rollout:
-	// until then it retries failed calls to the platform; default 30 s.
+	Key        *bundle.PrivateKey // the operator's private key; needed only for pushes, sign-offs and changes
+	// Patience bounds the time of one operation of the Client, such as a rollout.
+	// Until it has passed, failed calls to the platform are retried; default 30 s.
 	Patience time.Duration
 	// CallTimeout bounds one call to the platform; default 5 s.
 	CallTimeout time.Duration
-	// Backoff waits after the failed call to the platform with the number try,
-	// counted from 0. It returns early when ctx ends. The default sleeps with
-	// jitter. Tests replace it.
+	// Backoff waits before a failed call to the platform is retried. try is the
+	// number of the failed call, counted from 0. Backoff returns early when ctx
+	// ends. The default sleeps with jitter. Tests replace it.
 	Backoff func(ctx context.Context, try int)
 	// Now is the operator's clock, default time.Now.
 	Now func() time.Time
@@ -33,7 +33,7 @@
 
 // The defaults of ClientOptions.
 const (
-	DefaultPatience    = 30 * time.Second // time for which one operation retries failed calls to the platform
+	DefaultPatience    = 30 * time.Second // limit of one operation with all its calls to the platform
 	DefaultCallTimeout = 5 * time.Second  // limit of one call to the platform
 )
 
@@ -145,9 +145,10 @@
 }
 
 // createOnce creates an object that is never overwritten. If the object exists
-// already, same has to report whether its content is equivalent; if it is not, the
-// error has code BrokenAudit. Repeating the write has no effect, so a lost response
-// is handled by a retry. createOnce retries until ctx ends.
+// already, it calls same, which reports whether the existing content is equivalent
+// to value; if it is not, the error has code BrokenAudit. Repeating the write has no
+// effect, so a lost response is handled by a retry. createOnce retries until ctx
+// ends.
 func (c *Client) createOnce(ctx context.Context, kind, name string, value []byte, same func(existing []byte) bool) error {
 	if len(value) > objstore.MaxValue {
 		return result.Errorf(result.BundleTooLarge, "%s/%s has %d bytes, allowed are %d; nothing was written", kind, name, len(value), objstore.MaxValue)
@@ -180,7 +181,7 @@
 }
 
 // put writes one object, in one call without retry, on condition that the object
-// has the version expect; 0 means that it must not exist.
+// has the expected version; 0 means that it must not exist.
 func (c *Client) put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) error {
 	callCtx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -203,8 +204,9 @@
 	return s.head.Entry.Revision
 }
 
-// readState reads the head. It accepts a signature by a retired key, since the
-// operator is about to replace the head.
+// readState reads the head. If there is none, it returns the zero headState. It
+// accepts a signature by a retired key, so that operators can replace a head whose
+// key was retired after the change.
 func (c *Client) readState(ctx context.Context) (headState, error) {
 	obj, err := c.get(ctx, KindHead, c.opts.Deployment)
 	if errors.Is(err, objstore.ErrNotFound) {
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -1,6 +1,6 @@
-// Package rollout brings bundles into force. It has the head object, which names
-// the bundle in force and its revision; the audit chain, whose last entry is the
-// head; the operators' changes to the head; and the Follower, which applies the
+// Package rollout brings bundles into force. It contains the head object, which
+// names the bundle in force and its revision; the audit chain, whose last entry is
+// the head; the operators' changes to the head; and the Follower, which applies the
 // head on each VM.
 //
 // The head object holds the latest entry of the audit chain, signed by the
@@ -23,14 +23,14 @@
 	KindHead    = "bramley-heads"    // latest accepted change; name: the deployment
 	KindAudit   = "bramley-audit"    // archived entry of the audit chain; name: AuditName
 	KindBundle  = "bramley-bundles"  // signed bundle, written once; name: the digest
-	KindSignOff = "bramley-signoffs" // approval of a bundle; name: digest, '.', key id, '.', revision
-	KindRefusal = "bramley-refusals" // record of a refused change; name: deployment, '.', time, '.', start of the refusal's hash
+	KindSignOff = "bramley-signoffs" // approval of a bundle; name: digest, '.', signer's key id, '.', revision in force when it was signed
+	KindRefusal = "bramley-refusals" // record of a refused change; name: deployment, '.', Unix time in nanoseconds, '.', start of the record's hash
 )
 
 // Bounds of the lists in a head, which keep its size at a few kilobytes.
 const (
-	MaxHistory = 8  // length of Entry.History: earlier bundles that a recall can fall back to
-	MaxRecalls = 32 // length of Entry.Recalls; Entry.RecallFloor stands for older recalls
+	MaxHistory = 8  // maximum length of Entry.History: earlier bundles that a recall can fall back to
+	MaxRecalls = 32 // maximum length of Entry.Recalls; Entry.RecallFloor stands for older recalls
 )
 
 // AuditName returns the name of the archived entry with that revision. Names sort
@@ -51,7 +51,7 @@
 // PastBundle is a bundle that was in force earlier and was not recalled since.
 type PastBundle struct {
 	Digest   string `json:"digest"`
-	Revision uint64 `json:"revision"` // revision of an entry that put the bundle into force
+	Revision uint64 `json:"revision"` // last revision with this bundle in force
 }
 
 // Recall is a recalled bundle. Sign-offs of the bundle that were made before the
@@ -70,24 +70,24 @@
 	Action     Action    `json:"action"`             // kind of the change
 	Digest     string    `json:"digest"`             // digest of the bundle in force from this revision on
 	Name       string    `json:"name"`               // name of that bundle
-	Before     string    `json:"before"`             // digest of the bundle in force before; empty for the first
+	Before     string    `json:"before"`             // digest of the bundle in force before this revision; empty for revision 1
 	Recalled   string    `json:"recalled,omitempty"` // digest of the recalled bundle, for ActionRecall
 	Reason     string    `json:"reason"`             // given by the operator
 	Person     string    `json:"person"`             // operator who made the change
 	At         time.Time `json:"at"`                 // by the operator's clock
-	Prev       string    `json:"prev"`               // hash of the entry before; empty for the first
+	Prev       string    `json:"prev"`               // hash of the previous entry, see Head.Hash; empty for revision 1
 
 	SignOff bundle.Signed `json:"sign_off"` // approval of the bundle in force
 	History []PastBundle  `json:"history"`  // earlier bundles, newest first, without the bundle in force
 	Recalls []Recall      `json:"recalls"`  // newest first, at most MaxRecalls
 	// RecallFloor is the highest revision of a recall that is no longer listed in
-	// Recalls, or 0. A rollout needs a sign-off that is not older, because it is no
-	// longer known which bundles these recalls were about.
+	// Recalls, or 0. A rollout needs a sign-off made at this revision or later,
+	// because it is no longer known which bundles these recalls were about.
 	RecallFloor uint64 `json:"recall_floor"`
 }
 
-// Head is a verified entry with the signed object that it came in: the latest entry
-// of a deployment, or an archived one.
+// Head is a verified entry together with the signed object that contains it. It is
+// the latest entry of a deployment, or an archived one that was the head earlier.
 type Head struct {
 	Entry  Entry
 	Signed bundle.Signed
@@ -103,9 +103,9 @@
 	return bundle.Sign(bundle.PurposeEntry, payload, key)
 }
 
-// openHead decodes raw and verifies that it is an entry of the deployment, signed
-// by the person that it names. Signatures by retired keys are accepted only if
-// allowRetired is set.
+// openHead decodes raw, a signed object, and verifies that it is an entry of the
+// deployment, signed by the person that the entry names. Signatures by retired keys
+// are accepted only if allowRetired is set.
 func openHead(raw []byte, deployment string, keys *bundle.Keyring, allowRetired bool) (*Head, error) {
 	s, err := bundle.ParseSigned(raw)
 	if err != nil {
@@ -125,7 +125,7 @@
 	}
 	switch {
 	case h.Entry.Deployment != deployment:
-		return nil, result.Errorf(result.NotSigned, "the entry is of deployment %q, not %q", h.Entry.Deployment, deployment)
+		return nil, result.Errorf(result.NotSigned, "the entry belongs to deployment %q, not %q", h.Entry.Deployment, deployment)
 	case h.Entry.Person != key.Person:
 		return nil, result.Errorf(result.NotSigned, "key %q belongs to %s, the entry names %q", key.ID, key.Person, h.Entry.Person)
 	case h.Entry.Revision == 0:
--- a/rollout/faulty_store_test.go
+++ b/rollout/faulty_store_test.go
@@ -12,8 +12,8 @@
 
 var errLost = errors.New("response lost")
 
-// faultyStore is a store whose writes lose their response, never arrive or arrive
-// late, and that delays each call at random.
+// faultyStore is a store that delays each call at random, and whose writes may not
+// arrive, lose their response or arrive late.
 type faultyStore struct {
 	objstore.Store
 	mu         sync.Mutex // guards rng
@@ -44,12 +44,12 @@
 func (s *faultyStore) Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error) {
 	s.pause()
 	switch s.randIntN(6) {
-	case 0:
+	case 0: // the write does not arrive
 		return 0, errLost
-	case 1:
+	case 1: // the response is lost
 		_, _ = s.Store.Put(ctx, kind, name, expectedVersion, value)
 		return 0, errLost
-	case 2:
+	case 2: // the write arrives late
 		s.lateWrites.Add(1)
 		go func() {
 			defer s.lateWrites.Done()
@@ -62,13 +62,13 @@
 	return s.Store.Put(ctx, kind, name, expectedVersion, value)
 }
 
-// crashStore simulates an operator who is stopped at a write: that write and all
-// calls after it fail. With applyLast set, the write still takes effect.
+// crashStore simulates an operator's program that is stopped at a write: that write
+// and all calls after it fail.
 type crashStore struct {
 	objstore.Store
-	writesLeft int // number of writes that succeed before the failure
-	applyLast  bool
-	down       bool
+	writesLeft int  // number of writes that succeed before the failure
+	applyLast  bool // the write that fails still takes effect
+	down       bool // all calls fail
 }
 
 func (s *crashStore) Get(ctx context.Context, kind, name string) (objstore.Object, error) {
@@ -96,8 +96,8 @@
 // staleStore returns a head that the test sets, like a lagging or restored store.
 type staleStore struct {
 	objstore.Store
-	mu   sync.Mutex // guards head
-	head *objstore.Object
+	mu   sync.Mutex       // guards head
+	head *objstore.Object // returned instead of the store's head; nil for the store's
 }
 
 func (s *staleStore) setHead(obj *objstore.Object) {
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -10,9 +10,9 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// maxConcurrentReads bounds how many reads of the head one VM has in flight. If the
-// platform takes longer than the interval between reads, reads still complete, with
-// delay.
+// maxConcurrentReads bounds how many reads of the head one VM has in flight. On a
+// platform that takes longer for a read than the interval between reads, several
+// are in flight, and each still completes.
 const maxConcurrentReads = 4
 
 // Bounds of the delay after a watch of the head that failed.
@@ -21,10 +21,11 @@
 	maxWatchRetryDelay = 2 * time.Second        // upper bound of the doubled delay
 )
 
-// readLoop reads the head periodically until the follower stops, independent of
-// watches: a watch that loses or withholds an event looks the same as a platform
-// where nothing changed. It reads at once when a watch reports a change of the
-// head, or when SetWatching changes the mode.
+// readLoop reads the head at the start and then periodically until the follower
+// stops. It does so even while a watch is active, because a watch that loses or
+// withholds an event looks the same as a platform where nothing changed. It reads at
+// once when a watch reports a change of the head, or when SetWatching changes the
+// mode.
 func (f *Follower) readLoop() error {
 	f.startRead()
 	for {
@@ -90,7 +91,7 @@
 
 // get reads one object, within ReadTimeout. Each call has a timeout of its own: on
 // a platform that takes long for each call, a common timeout for head and bundle
-// would expire before every bundle is read.
+// could expire each time before the bundle is read.
 func (f *Follower) get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.opts.ReadTimeout)
 	defer cancel()
@@ -113,7 +114,7 @@
 // watchLoop watches the platform until the follower stops, and triggers a read when
 // the head changed. While watching is switched off, it only waits.
 func (f *Follower) watchLoop() error {
-	var since uint64 // revision of the store up to which changes were reported
+	var since uint64 // revision of the store up to which watches reported changes
 	delay := minWatchRetryDelay
 	for f.tomb.Alive() {
 		if !f.watching.Load() {
@@ -124,11 +125,11 @@
 		}
 		start := time.Now()
 		change, err := f.watch(since)
-		// After a failure the next watch starts from the beginning, in case the
-		// store was reverted to an earlier revision meanwhile.
+		// After a failure change.Revision is 0, so the next watch starts from the
+		// beginning: the store may have been reverted to an earlier revision.
 		since = change.Revision
-		// The delay applies after an error, and after a watch that returned at once
-		// without events: the loop must not call the platform without delay.
+		// A watch that failed, or that returned at once without events, is followed
+		// by a delay, so that the loop does not call the platform continuously.
 		if err != nil || len(change.Events) == 0 && time.Since(start) < minWatchRetryDelay {
 			if !f.sleep(delay) {
 				return nil
--- a/rollout/follower.go
+++ b/rollout/follower.go
@@ -25,7 +25,7 @@
 	Bundle   *bundle.Bundle
 	Since    time.Time // when Revision came into force on this VM
 
-	head *Head  // the latest change that this VM applied
+	head *Head  // the head that names the bundle
 	raw  []byte // the bundle as packaged and signed, for other VMs
 }
 
@@ -38,7 +38,8 @@
 	Metrics    *metrics.Set // may be nil
 	// Watch makes the VM watch the platform for changes of the head, the object
 	// that names the bundle in force. A VM that doesn't watch relies on other VMs
-	// to pass on a new head early. SetWatching changes it later.
+	// to pass on a new head before it reads the head itself. SetWatching switches
+	// watching on and off later.
 	Watch          bool
 	RereadInterval time.Duration // time between two reads of the head while the VM watches; default 1 s
 	IdleInterval   time.Duration // time between two reads of the head while the VM does not watch; default 30 s
@@ -89,8 +90,8 @@
 	lastRefused refusedHead   // zero if a head came into force since
 }
 
-// refusedHead is the last head that this VM refused to put into force. It is
-// remembered so that a bad head is logged once and not at each read.
+// refusedHead is the last head that this VM refused to put into force. It is kept
+// so that a bad head is logged once and not at each read.
 type refusedHead struct {
 	hash string // of the refused head
 	err  error  // why it was refused
@@ -187,15 +188,15 @@
 	return f.lastRefused.err
 }
 
-// SetWatching selects between watching the platform (true) and relying on other
-// VMs, with rare reads of the platform (false).
+// SetWatching selects between watching the platform (true) and relying on other VMs
+// with a read of the platform each IdleInterval (false).
 func (f *Follower) SetWatching(on bool) {
 	if f.watching.Swap(on) != on {
 		wake(f.modeChanged)
 	}
 }
 
-// wake sends a signal on c, which holds one, unless a signal is pending already.
+// wake sends a signal on c unless one is pending already. c has a buffer of one.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -216,9 +217,9 @@
 }
 
 // applyHead verifies a head and puts it into force if its revision is higher than
-// the one in force. It returns nil if the same head is in force already. fetch
-// returns the head's bundle, if this VM does not hold it. A refused head is
-// recorded for LastRefusal, unless it just has a lower revision.
+// the one in force. It returns nil if the same head is in force already. If this VM
+// does not hold the head's bundle, it calls fetch for it. A refused head is recorded
+// for LastRefusal, unless the only reason is its lower revision.
 func (f *Follower) applyHead(ctx context.Context, raw []byte, fetch FetchFunc) error {
 	h, err := openHead(raw, f.opts.Deployment, f.opts.Keys, false)
 	if err != nil {
@@ -271,9 +272,10 @@
 	return &InForce{Revision: h.Entry.Revision, Digest: digest, Bundle: b, head: h, raw: raw}, nil
 }
 
-// verifyInForce checks everything that a bundle needs to come into force: its
-// bytes, its author's signature, its content, its deployment and a sign-off by
-// another person that is not invalidated by a recall.
+// verifyInForce decodes raw, the packaged bundle that the head h names, and checks
+// everything that it needs to come into force: its bytes, its author's signature,
+// its content, its deployment and a sign-off by another person that no recall
+// invalidates.
 func verifyInForce(keys *bundle.Keyring, h *Head, raw []byte) (*bundle.Bundle, error) {
 	b, err := keys.OpenBundle(raw, h.Entry.Digest)
 	if err != nil {
@@ -293,8 +295,8 @@
 }
 
 // install puts next into force unless the same or a higher revision came into
-// force meanwhile: two concurrent calls may load their bundles and finish in any
-// order.
+// force meanwhile: concurrent calls of applyHead may finish loading their bundles in
+// any order.
 func (f *Follower) install(next *InForce) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -314,8 +316,8 @@
 	f.opts.Log.Info("bundle in force", "revision", next.Revision, "digest", next.Digest, "name", next.Bundle.Name)
 }
 
-// recordRefusal counts and remembers a refused head. It logs the refusal unless the
-// same head was refused with the same error just before.
+// recordRefusal counts a refused head and records it for LastRefusal. It logs the
+// refusal unless the previous one was of the same head with the same error.
 func (f *Follower) recordRefusal(hash string, err error) {
 	f.metrics.countRefused(result.CodeOf(err))
 	f.mu.Lock()
--- a/rollout/follower_test.go
+++ b/rollout/follower_test.go
@@ -24,7 +24,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// rollOutAll rolls the digests out in order and returns the signed heads.
+// rollOutAll rolls out the bundles with the given digests, in order, and returns the
+// signed head after each.
 func (env *testEnv) rollOutAll(digests ...string) [][]byte {
 	env.t.Helper()
 	var heads [][]byte
@@ -57,6 +58,7 @@
 	}
 }
 
+// packages returns the packaged bundles of the given versions, by digest.
 func (env *testEnv) packages(versions ...int) map[string][]byte {
 	env.t.Helper()
 	all := map[string][]byte{}
@@ -98,10 +100,10 @@
 	g.Expect(f.Revision()).To(Equal(uint64(3)))
 }
 
-// The platform answers from a copy that lags, or its store is restored from an old
-// copy and then holds another entry under the revision in force. The test guards
-// against VMs that revert to an earlier revision, and against two VMs with
-// different bundles under one revision.
+// The platform returns an old head from a copy that lags, or its store is restored
+// from an old copy and then holds another entry under the revision in force. The
+// test guards against VMs that revert to an earlier revision, and against two VMs
+// with different bundles under one revision.
 func TestRevertedStoreDoesNotDowngradeVMs(t *testing.T) {
 	g := NewWithT(t)
 	env := newTestEnv(t)
@@ -128,8 +130,10 @@
 }
 
 // An operator makes a change on a restored store whose audit chain is ahead of its
-// head. The change would never come into force, since VMs have a higher revision
-// in force. So the operator must get an error instead of "accepted".
+// head. The change would never come into force, since VMs already have its revision
+// in force with other content. So the operator must get an error instead of
+// "accepted". RestoreHead must repair the head, also if it is not a valid entry, and
+// the change must then be accepted.
 func TestRolloutOnRevertedStoreIsRefusedUntilRestore(t *testing.T) {
 	g := NewWithT(t)
 	env := newTestEnv(t)
@@ -160,8 +164,8 @@
 
 // A VM gets a head or bundle that was changed after its sign-off, was signed with
 // an unknown or retired key, was signed off by its author, was recalled, or is not
-// a valid bundle. It must not come into force: the bundle in force must stay, and
-// the VM must report the reason.
+// a valid bundle. The VM must refuse it, keep the bundle in force and report the
+// reason.
 func TestVMRejectsInvalidHeadsAndBundles(t *testing.T) {
 	env := newTestEnv(t)
 	digest := env.pushSignedOff(1)
@@ -263,10 +267,10 @@
 	g.Expect(f.Current().Digest).To(Equal(bundle.Digest(env.bundleVersion(1))))
 }
 
-// The platform goes down. One VM has revision 2, one was disconnected before it
-// and has 1, and one starts only now. VMs that reach a peer must get revision 2
-// from it. A VM without a peer must continue with revision 1, and a VM that never
-// reached the platform must report no contact.
+// The platform goes down. One VM has revision 2. Two get no head after revision 1
+// from the platform, and one starts only now. VMs that reach a peer must get
+// revision 2 from it. A VM without a peer must continue with revision 1, and a VM
+// that never reached the platform must report no contact.
 func TestPeersForwardHeadDuringOutage(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
--- a/rollout/next.go
+++ b/rollout/next.go
@@ -32,8 +32,8 @@
 	return OpID(fmt.Sprintf("%d-%s", revision, hex.EncodeToString(b[:]))), nil
 }
 
-// Revision returns the revision that the operation's change is to get. The error
-// has code BadRequest.
+// Revision returns the revision that the operation's change is to get. If the id is
+// malformed, the error has code BadRequest.
 func (o OpID) Revision() (uint64, error) {
 	text, random, _ := strings.Cut(string(o), "-")
 	n, err := strconv.ParseUint(text, 10, 64)
@@ -46,16 +46,17 @@
 // HeadRelation is the relation of an offered head to the one in force.
 type HeadRelation int
 
-// The relations. Only a HeadNewer is put into force.
+// The relations. An offered head is put into force only if it is HeadNewer.
 const (
 	HeadNewer HeadRelation = iota // higher revision, or nothing is in force
 	HeadSame                      // equal to the head in force
 	HeadStale                     // lower revision, from a lagging peer or a reverted store
-	HeadFork                      // the revision in force, but with different content
+	HeadFork                      // same revision, but different content
 )
 
-// CompareHeads compares a verified head with the one in force. A lower revision
-// never replaces a higher one, whoever offers it, and one revision never has two
+// CompareHeads returns the relation of the verified head offered to current, the
+// head in force, which is nil before the first. A lower revision never replaces a
+// higher one, whichever peer or store offers it, and one revision never has two
 // different contents.
 func CompareHeads(current, offered *Head) HeadRelation {
 	switch {
@@ -70,7 +71,7 @@
 	}
 }
 
-// Change holds what the operator contributes to an entry.
+// Change holds the fields of an entry that come from the operator.
 type Change struct {
 	Op     OpID
 	Person string // the operator
@@ -103,10 +104,10 @@
 }
 
 // NextRecall returns the entry that follows head and recalls the bundle with the
-// given digest. If that bundle is in force, fallback replaces it, which has to be
-// one of Fallbacks; without a fallback, the error has code NothingBefore. A recall
-// that no longer fits into Recalls is dropped. RecallFloor then keeps the highest
-// revision of the dropped recalls: a rollout needs a sign-off that is not older.
+// given digest. If that bundle is in force, it is replaced by fallback, one of the
+// bundles that Fallbacks returns; if fallback is nil, the error has code
+// NothingBefore. The oldest recall is dropped if Recalls would become too long.
+// RecallFloor then keeps the highest revision of the dropped recalls.
 func NextRecall(head *Head, c Change, digest string, fallback *Approved) (Entry, error) {
 	if head == nil {
 		return Entry{}, result.Errorf(result.NothingBefore, "no bundle was rolled out yet")
@@ -116,7 +117,7 @@
 	e.Recalled = digest
 	if digest == head.Entry.Digest {
 		if fallback == nil {
-			return e, result.Errorf(result.NothingBefore, "no earlier bundle of the last %d is left; push, sign and roll out another", MaxHistory)
+			return e, result.Errorf(result.NothingBefore, "none of the last %d bundles can replace the recalled one; push, sign and roll out another", MaxHistory)
 		}
 		e.Digest, e.Name, e.SignOff = fallback.Digest, fallback.Name, fallback.SignOff
 	} else {
@@ -138,8 +139,8 @@
 	return withoutDigest(head.Entry.History, digest)
 }
 
-// nextEntry returns an entry that follows head, with the head's lists and without
-// an action. head is nil before the first rollout.
+// nextEntry returns an entry that follows head, with copies of the head's lists. It
+// sets neither the action nor the bundle. head is nil before the first rollout.
 func nextEntry(deployment string, head *Head, c Change) Entry {
 	e := Entry{
 		Deployment: deployment, Revision: 1,
@@ -152,7 +153,7 @@
 	e.Revision = head.Entry.Revision + 1
 	e.Before = head.Entry.Digest
 	e.Prev = head.Hash
-	// No digest is empty: these two calls copy the whole lists.
+	// No digest is empty, so these two calls copy the whole lists.
 	e.History = withoutDigest(head.Entry.History, "")
 	e.Recalls = withoutRecall(head.Entry.Recalls, "")
 	e.RecallFloor = head.Entry.RecallFloor
@@ -161,11 +162,11 @@
 
 // CheckRecalls returns an error with code Recalled if the sign-off of the bundle
 // that e puts into force was made before the bundle's last recall. after is the
-// revision that was in force at the time of the sign-off. Recalls that e no longer
-// lists count for every bundle: RecallFloor is the highest revision of such a
-// recall. So dropping one from the list never lets a recalled bundle back in.
-// Bundles that a recall falls back to are exempt: they are known not to be
-// recalled.
+// revision that was in force at the time of the sign-off. A recall that e no longer
+// lists counts against every bundle, because RecallFloor keeps only its revision. So
+// a bundle does not become valid again when its recall is dropped from the list.
+// RecallFloor does not apply to a bundle that a recall falls back to: it is known
+// not to be recalled.
 func CheckRecalls(e *Entry, after uint64) error {
 	for _, r := range e.Recalls {
 		if r.Digest == e.Digest && after < r.Revision {
@@ -175,7 +176,7 @@
 	}
 	if e.Action == ActionRollout && after < e.RecallFloor {
 		return result.Errorf(result.Recalled,
-			"the sign-off dates from revision %d, before revision %d to which recalls are no longer listed; sign it again", after, e.RecallFloor)
+			"the sign-off dates from revision %d, but recalls up to revision %d are no longer listed; sign the bundle again", after, e.RecallFloor)
 	}
 	return nil
 }
@@ -211,13 +212,13 @@
 	OutcomeOpen         Outcome = iota // not accepted so far; a write in flight may still be accepted
 	OutcomeAccepted                    // the operation's entry is part of the audit chain
 	OutcomeConflict                    // the entry of another operation got that revision
-	OutcomeNeedArchived                // the head has a higher revision; the archived entry, not read yet, decides
+	OutcomeNeedArchived                // not known before the archived entry of that revision is read, since the head has a higher one
 )
 
 // Resolve returns the outcome of the operation op, whose entry was to get the given
-// revision. It looks at the head or, if the head has a higher revision, at the
-// archived entry of the given revision. archived may be nil if it was not read yet.
-// Only one entry can have got a revision, so its operation id decides.
+// revision. Each revision has exactly one entry, so the operation id in that entry
+// decides. The entry is the head or, if the head has a higher revision, archived:
+// the archived entry of the given revision, or nil if it was not read yet.
 func Resolve(op OpID, revision uint64, head, archived *Head) Outcome {
 	if head == nil || head.Entry.Revision < revision {
 		return OutcomeOpen
--- a/rollout/next_test.go
+++ b/rollout/next_test.go
@@ -19,8 +19,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		digests := rapid.IntRange(2, 60).Draw(t, "digests")
 		var head *Head
-		recalled := map[string]uint64{} // the model: revision of the last recall
-		signed := map[string]uint64{}   // revision at the last sign-off
+		recalled := map[string]uint64{} // revision of each bundle's last recall
+		signed := map[string]uint64{}   // revision at each bundle's last sign-off
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			d := fmt.Sprint("d", rapid.IntRange(1, digests).Draw(t, "digest"))
 			if rapid.Bool().Draw(t, "sign") && head != nil {
@@ -39,6 +39,8 @@
 	})
 }
 
+// applyChange returns the entry that rolls out or recalls the bundle with digest d.
+// signed holds the revision at each bundle's last sign-off.
 func applyChange(head *Head, d string, signed map[string]uint64, recall bool) (Entry, error) {
 	if !recall {
 		return NextRollout("vatnsleit", head, Change{}, Approved{Digest: d, After: signed[d]})
@@ -52,6 +54,8 @@
 	return NextRecall(head, Change{}, d, fallback)
 }
 
+// checkEntry compares the entry e, which follows head, with the model: recalled holds
+// the revision of each bundle's last recall, signed that at its last sign-off.
 func checkEntry(t *rapid.T, head *Head, e Entry, recalled, signed map[string]uint64) {
 	g := NewWithT(t)
 	before := uint64(0)
@@ -92,6 +96,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
+// A recall of the only bundle would leave VMs without one. It must be refused.
 func TestRecallWithoutEarlierBundleIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	_, err := NextRecall(nil, Change{}, "d1", nil)
@@ -102,6 +107,7 @@
 	g.Expect(result.CodeOf(err)).To(Equal(result.NothingBefore))
 }
 
+// An operator resumes an operation with a mistyped id. The id must be refused.
 func TestMalformedOperationIDIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	op, err := NewOpID(7)
--- a/rollout/race_test.go
+++ b/rollout/race_test.go
@@ -16,19 +16,21 @@
 )
 
 const (
-	raceOperators = 4
-	raceChanges   = 5
-	raceFollowers = 3
+	raceOperators = 4 // operators that make changes at the same time
+	raceChanges   = 5 // changes by each operator
+	raceFollowers = 3 // VMs that follow the head
 )
 
 // changeResult is the result that an operator got for one operation.
 type changeResult struct {
 	op       OpID
-	revision uint64 // that the operation was to become
+	revision uint64 // that the operation's change was to get
 	accepted bool
 }
 
-// headModel models the head as a register that holds the revision.
+// headModel models the head as a register that holds the revision. A change is
+// accepted only if the register holds the revision before it, and is refused only if
+// its revision is taken already.
 var headModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -119,7 +121,8 @@
 }
 
 // changeUntilResolved makes one random change. While the outcome is unknown, it
-// runs the change again with the same operation id.
+// runs the change again with the same operation id. If the change is not possible
+// for another reason, it tries another one.
 func changeUntilResolved(c *Client, rng *rand.Rand, digests []string) (changeResult, error) {
 	ctx := context.Background()
 	digest := digests[rng.IntN(len(digests))]
--- a/rollout/refusal.go
+++ b/rollout/refusal.go
@@ -17,8 +17,8 @@
 	Op         OpID        `json:"op,omitempty"` // empty if the change was refused before it had an operation id
 	Action     Action      `json:"action"`
 	Digest     string      `json:"digest"` // of the bundle to roll out or recall
-	Reason     string      `json:"reason"` // that the operator gave for the change
-	Person     string      `json:"person"` // the operator
+	Reason     string      `json:"reason"` // why the operator wanted the change
+	Person     string      `json:"person"` // operator who requested the change
 	At         time.Time   `json:"at"`     // by the operator's clock
 	Code       result.Code `json:"code"`   // why the change was refused
 	Detail     string      `json:"detail"` // text of the error
@@ -29,9 +29,9 @@
 const refusalTimeout = 2 * time.Second
 
 // recordIfRefused records a change that was refused with err, and returns its
-// arguments e and err. r holds the action and the digest. It records nothing if the
-// outcome is unknown, for a dry run, which attempts no change, without a key to
-// sign the record, and if the platform is down, since the record can't be written
+// arguments e and err. r holds the action and the digest. Nothing is recorded if the
+// outcome is unknown; after a dry run, which attempts no change; without a key to
+// sign the record; or if the platform is down, since the record can't be written
 // either.
 func (c *Client) recordIfRefused(ctx context.Context, e Entry, err error, r Refusal, req Request) (Entry, error) {
 	if err == nil {
@@ -52,7 +52,7 @@
 	defer cancel()
 	signed := bundle.Sign(bundle.PurposeRefusal, payload, c.opts.Key)
 	name := fmt.Sprintf("%s.%020d.%s", r.Deployment, r.At.UnixNano(), signed.Hash()[:16])
-	// The response to the operator does not depend on the record.
+	// The operator gets err whether or not the record is written.
 	_ = c.createOnce(ctx, KindRefusal, name, signed.Bytes(), func([]byte) bool { return true })
 	return e, err
 }
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -36,14 +36,13 @@
 	}
 	// A head that is older than the archive has to be an earlier entry of the chain.
 	if s.head != nil && archived[s.revision()-1].Hash != s.head.Hash {
-		return Entry{}, result.Errorf(result.BrokenAudit, "revision %d as archived is not the head's", s.revision())
+		return Entry{}, result.Errorf(result.BrokenAudit, "the archived entry of revision %d differs from the head", s.revision())
 	}
 	return last.Entry, c.replaceHead(ctx, s, last)
 }
 
-// readStateIfValid reads the head of the deployment. It is like readState, but
-// treats a head that is not a valid signed entry as missing, and returns its object
-// version all the same.
+// readStateIfValid is like readState, but treats a head that is not a valid signed
+// entry as missing. It returns the object version of such a head too.
 func (c *Client) readStateIfValid(ctx context.Context) (headState, error) {
 	obj, err := c.get(ctx, KindHead, c.opts.Deployment)
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -59,10 +58,9 @@
 	return s, nil
 }
 
-// replaceHead writes h to the head object, on condition that it still has the
-// version in s. It retries until ctx ends. A retry is safe: the write depends on
-// the version that was read, and after a conflict with an earlier try of its own
-// the head already equals h.
+// replaceHead writes h to the head object, on condition that the object still has
+// the version in s. It retries until ctx ends. A retry is safe: if an earlier try
+// took effect, the next one fails with a conflict, and the head then equals h.
 func (c *Client) replaceHead(ctx context.Context, s headState, h *Head) error {
 	for try := 0; ; try++ {
 		err := c.put(ctx, KindHead, c.opts.Deployment, s.version, h.Signed.Bytes())
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -24,8 +24,8 @@
 	t     *testing.T
 	store *platformsim.Store
 	keys  *bundle.Keyring
-	priv  map[string]*bundle.PrivateKey
-	data  []byte // bundle written by sigrun
+	priv  map[string]*bundle.PrivateKey // by person
+	data  []byte                        // bundle written by sigrun
 }
 
 // newTestEnv returns an environment with four people who have one key each:
@@ -62,7 +62,7 @@
 	})
 }
 
-// bundleVersion returns the bundle with another name, which depends on n.
+// bundleVersion returns version n of the bundle: it differs in the name only.
 func (env *testEnv) bundleVersion(n int) []byte {
 	return []byte(strings.Replace(string(env.data), "vatnsleit-2026-12", fmt.Sprintf("version-%d", n), 1))
 }
@@ -85,6 +85,7 @@
 	}
 }
 
+// follower starts a follower that watches the store and reads the head often.
 func (env *testEnv) follower(store objstore.Store) *Follower {
 	env.t.Helper()
 	return env.followerWith(Options{Store: store, Watch: true, RereadInterval: 10 * time.Millisecond})
@@ -106,6 +107,9 @@
 	return f
 }
 
+// A rollout and a recall must reach a VM, and the recall must bring the earlier
+// bundle back. The recalled bundle must not be rolled out again before it is signed
+// off anew.
 func TestRolloutAndRecallReachFollower(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
--- a/rollout/rotation_test.go
+++ b/rollout/rotation_test.go
@@ -11,10 +11,10 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Jon's key is replaced. While both keys are valid, either can sign. A VM that
-// starts after the old key was retired must refuse a sign-off made with only the
-// old key, and accept one made with the new key. If the steps are done in another
-// order than in the runbook, new VMs never become ready.
+// Jon's key is replaced. While both keys are active, either can sign. A VM that
+// starts after the old key was retired must refuse a bundle that only the old key
+// signed off, and accept it with a sign-off by the new key. If the steps are done in
+// another order than in the runbook, new VMs never become ready.
 func TestVMRefusesSignOffByRetiredKey(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
@@ -50,9 +50,9 @@
 	g.Expect(audit.Entries).To(HaveLen(2))
 }
 
-// In a large fleet most VMs get heads from peers. If they read the platform as
-// often as the VMs that watch it, 950 of them would use half of the platform's
-// reads.
+// In a large fleet most VMs get heads from peers and read the head rarely. If they
+// read it as often as the VMs that watch the platform, 950 of them would use half
+// of the platform's reads.
 func TestIdleFollowerDoesNotRereadOften(t *testing.T) {
 	g := NewWithT(t)
 	env := newTestEnv(t)
