--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -15,7 +15,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-func example(t *testing.T, name string) []byte {
+func readExample(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile("../examples/" + name + ".json")
 	if err != nil {
@@ -33,7 +33,7 @@
 	return key
 }
 
-func testRing(t *testing.T, keys ...PublicKey) *Keyring {
+func testKeyring(t *testing.T, keys ...PublicKey) *Keyring {
 	t.Helper()
 	ring, err := NewKeyring(keys...)
 	if err != nil {
@@ -45,7 +45,7 @@
 func TestExamplesPassAllChecks(t *testing.T) {
 	for _, name := range []string{"vatnsleit", "pletenica"} {
 		g := NewWithT(t)
-		b, findings := Parse(example(t, name))
+		b, findings := Parse(readExample(t, name))
 		g.Expect(findings).To(BeEmpty(), name)
 		g.Expect(b.Warnings()).To(BeEmpty(), name)
 		g.Expect(b.Services).To(HaveLen(4))
@@ -78,7 +78,7 @@
 		{"cut off", "\n}\n", "", "$", "one JSON document"},
 		{"too deep", `"format": 1,`, `"format": ` + strings.Repeat("[", 50) + strings.Repeat("]", 50) + `,`, "$", "one JSON document"},
 	}
-	data := string(example(t, "vatnsleit"))
+	data := string(readExample(t, "vatnsleit"))
 	for _, c := range cases {
 		g := NewWithT(t)
 		g.Expect(data).To(ContainSubstring(c.old), c.name)
@@ -96,7 +96,7 @@
 
 func TestAllFindingsAreReturnedTogether(t *testing.T) {
 	g := NewWithT(t)
-	text := string(example(t, "pletenica"))
+	text := string(readExample(t, "pletenica"))
 	text = strings.Replace(text, `"max_vms": 8`, `"max_vms": 0`, 1)
 	text = strings.Replace(text, `"kind": "browse"`, `"kind": "peruse"`, 1)
 	text = strings.Replace(text, `"leaves": 2`, `"leaves": 0`, 1)
@@ -104,25 +104,25 @@
 	g.Expect(findings).To(HaveLen(3))
 }
 
-func TestFewerConnectionsThanVMsIsAWarning(t *testing.T) {
+func TestFewerConnectionsThanVMsYieldsWarning(t *testing.T) {
 	g := NewWithT(t)
-	b, _ := Parse(example(t, "vatnsleit"))
+	b, _ := Parse(readExample(t, "vatnsleit"))
 	b.Fleet.MaxVMs = 26
 	g.Expect(b.Check()).To(BeEmpty())
 	g.Expect(b.Warnings()).To(HaveLen(50), "one for each target with 25 connections")
 }
 
-func TestPackageSurvivesAStoreThatReformatsJSON(t *testing.T) {
+func TestSignatureStaysValidAfterJSONIsReformatted(t *testing.T) {
 	g := NewWithT(t)
 	key := testKey(t, "sigrun-1", "sigrun")
-	data := example(t, "vatnsleit")
+	data := readExample(t, "vatnsleit")
 	signed, err := Package(data, key)
 	g.Expect(err).NotTo(HaveOccurred())
-	var anything any
-	g.Expect(json.Unmarshal(signed.Bytes(), &anything)).To(Succeed())
-	reformatted, err := json.MarshalIndent(anything, "", "\t")
+	var decoded any
+	g.Expect(json.Unmarshal(signed.Bytes(), &decoded)).To(Succeed())
+	reformatted, err := json.MarshalIndent(decoded, "", "\t")
 	g.Expect(err).NotTo(HaveOccurred())
-	b, err := testRing(t, key.Public()).OpenBundle(reformatted, Digest(data))
+	b, err := testKeyring(t, key.Public()).OpenBundle(reformatted, Digest(data))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(b.Deployment).To(Equal("vatnsleit"))
 }
@@ -133,9 +133,9 @@
 func TestOversizedBundleIsRejectedBeforeWrite(t *testing.T) {
 	g := NewWithT(t)
 	key := testKey(t, "sigrun-1", "sigrun")
-	most := make([]byte, MaxBytes)
-	g.Expect(len(Sign(PurposeBundle, most, key).Bytes())).To(BeNumerically("<=", objstore.MaxValue))
-	_, err := Package(append(most, ' '), key)
+	largest := make([]byte, MaxBytes)
+	g.Expect(len(Sign(PurposeBundle, largest, key).Bytes())).To(BeNumerically("<=", objstore.MaxValue))
+	_, err := Package(append(largest, ' '), key)
 	g.Expect(result.CodeOf(err)).To(Equal(result.BundleTooLarge))
 }
 
@@ -146,15 +146,15 @@
 	alice, old, eve := testKey(t, "alice-2", "alice"), testKey(t, "alice-1", "alice"), testKey(t, "eve-1", "eve")
 	retired := old.Public()
 	retired.Retired = true
-	ring := testRing(t, alice.Public(), retired)
-	off := SignOff{Deployment: "d", Digest: "x", Person: "alice"}
-	good := off.Sign(alice)
+	ring := testKeyring(t, alice.Public(), retired)
+	signOff := SignOff{Deployment: "d", Digest: "x", Person: "alice"}
+	good := signOff.Sign(alice)
 	changed := good
 	changed.Payload = []byte(strings.Replace(string(good.Payload), `"x"`, `"y"`, 1))
-	swapped := good
-	swapped.Purpose = PurposeEntry
-	asEve := off
-	asEve.Person = "eve"
+	otherPurpose := good
+	otherPurpose.Purpose = PurposeEntry
+	inEvesName := signOff
+	inEvesName.Person = "eve"
 	cases := []struct {
 		name   string
 		signed Signed
@@ -162,26 +162,26 @@
 	}{
 		{"good", good, result.Complete},
 		{"changed after signing", changed, result.NotSigned},
-		{"unknown key", off.Sign(eve), result.UnknownKey},
-		{"retired key", off.Sign(old), result.UnknownKey},
-		{"in another's name", asEve.Sign(alice), result.NotSigned},
-		{"for another purpose", swapped, result.NotSigned},
+		{"unknown key", signOff.Sign(eve), result.UnknownKey},
+		{"retired key", signOff.Sign(old), result.UnknownKey},
+		{"in another's name", inEvesName.Sign(alice), result.NotSigned},
+		{"for another purpose", otherPurpose, result.NotSigned},
 		{"empty", Signed{}, result.NotSigned},
 	}
 	for _, c := range cases {
 		_, err := ring.OpenSignOff(c.signed)
 		NewWithT(t).Expect(result.CodeOf(err)).To(Equal(c.code), c.name)
 	}
-	_, err := ring.Verify(swapped, PurposeEntry)
+	_, err := ring.Verify(otherPurpose, PurposeEntry)
 	NewWithT(t).Expect(result.CodeOf(err)).To(Equal(result.NotSigned), "a sign-off is no entry")
 }
 
-func TestAnAuthorCannotSignOff(t *testing.T) {
+func TestAuthorCannotSignOff(t *testing.T) {
 	g := NewWithT(t)
-	b, _ := Parse(example(t, "vatnsleit"))
+	b, _ := Parse(readExample(t, "vatnsleit"))
 	err := b.CheckSignOff(SignOff{Deployment: "vatnsleit", Digest: "x", Person: "sigrun"}, "x")
 	g.Expect(result.CodeOf(err)).To(Equal(result.SelfSigned))
-	_, err = Package(example(t, "vatnsleit"), testKey(t, "jon-1", "jon"))
+	_, err = Package(readExample(t, "vatnsleit"), testKey(t, "jon-1", "jon"))
 	g.Expect(result.CodeOf(err)).To(Equal(result.BadBundle), "only the author can push a bundle")
 }
 
@@ -197,7 +197,7 @@
 // panic, and a document without findings must decode to the same value with
 // encoding/json.
 func TestParseAgreesWithEncodingJSON(t *testing.T) {
-	data := example(t, "pletenica")
+	data := readExample(t, "pletenica")
 	rapid.Check(t, func(t *rapid.T) {
 		mutated := bytes.Clone(data)
 		for range rapid.IntRange(1, 4).Draw(t, "mutations") {
@@ -208,9 +208,9 @@
 		if len(findings) > 0 {
 			return
 		}
-		var same Bundle
+		var decoded Bundle
 		g := NewWithT(t)
-		g.Expect(json.Unmarshal(mutated, &same)).To(Succeed())
-		g.Expect(&same).To(Equal(b))
+		g.Expect(json.Unmarshal(mutated, &decoded)).To(Succeed())
+		g.Expect(&decoded).To(Equal(b))
 	})
 }
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -51,8 +51,8 @@
 // signedMessage returns the bytes that a signature is over: signatureDomain and the
 // purpose in one line, then the payload.
 func signedMessage(purpose Purpose, payload []byte) []byte {
-	text := []byte(signatureDomain + string(purpose) + "\n")
-	return append(text, payload...)
+	message := []byte(signatureDomain + string(purpose) + "\n")
+	return append(message, payload...)
 }
 
 // ParseSigned decodes the JSON form of a signed object. It does not verify the
