--- a/objstore/objstoretest/objstoretest.go
+++ b/objstore/objstoretest/objstoretest.go
@@ -106,9 +106,9 @@
 }
 
 func testTooLarge(ctx context.Context, g *gomega.WithT, s objstore.Store) {
-	most := `"` + strings.Repeat("x", objstore.MaxValue-2) + `"`
-	put(ctx, g, s, "most", 0, most)
-	_, err := s.Put(ctx, "k", "more", 0, []byte(`"x`+most[1:]))
+	largest := `"` + strings.Repeat("x", objstore.MaxValue-2) + `"`
+	put(ctx, g, s, "most", 0, largest)
+	_, err := s.Put(ctx, "k", "more", 0, []byte(`"x`+largest[1:]))
 	g.Expect(err).To(gomega.MatchError(objstore.ErrTooLarge))
 	_, err = s.Get(ctx, "k", "more")
 	g.Expect(err).To(gomega.MatchError(objstore.ErrNotFound))
@@ -116,17 +116,17 @@
 
 func testConcurrentPuts(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	version := put(ctx, g, s, "a", 0, `1`)
-	var won atomic.Int32
+	var succeeded atomic.Int32
 	var wg sync.WaitGroup
 	for range 16 {
 		wg.Go(func() {
 			if _, err := s.Put(ctx, "k", "a", version, []byte(`2`)); err == nil {
-				won.Add(1)
+				succeeded.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	g.Expect(won.Load()).To(gomega.Equal(int32(1)))
+	g.Expect(succeeded.Load()).To(gomega.Equal(int32(1)))
 }
 
 func testListPages(ctx context.Context, g *gomega.WithT, s objstore.Store) {
