--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -39,9 +39,9 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	path := filepath.Join(t.TempDir(), "settings.json")
 	g.Expect(os.WriteFile(path, data, 0o600)).To(Succeed())
-	set, err := Load(path)
+	s, err := Load(path)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(set.FleetKeyBytes()).To(HaveLen(1))
+	g.Expect(s.FleetKeyBytes()).To(HaveLen(1))
 	_, err = Load(path + ".absent")
 	g.Expect(result.CodeOf(err)).To(Equal(result.BadSettings))
 }
