--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -8,12 +8,12 @@
 const Format = 1
 
 // Bundle is the whole configuration of a deployment. It is immutable once written,
-// and identified by the digest of its bytes.
+// and is identified by the digest of its bytes, see Digest.
 type Bundle struct {
 	Format     int       `json:"format"`     // version of the bundle format; must be Format
 	Deployment string    `json:"deployment"` // name of the deployment that the bundle is for
 	Name       string    `json:"name"`       // a label chosen by the operators
-	Author     string    `json:"author"`     // the person who wrote it, who may not sign it off
+	Author     string    `json:"author"`     // person who wrote the bundle and so may not sign it off
 	Zones      []Zone    `json:"zones"`
 	Fleet      Fleet     `json:"fleet"`
 	Services   []Service `json:"services"`
@@ -46,7 +46,7 @@
 type Drain struct {
 	HealthIntervalMS int `json:"health_interval_ms"` // milliseconds between two reads of a target's status
 	HealthTimeoutMS  int `json:"health_timeout_ms"`  // milliseconds; a read of a target's status that takes longer has failed
-	SuspectAfter     int `json:"suspect_after"`      // number of failed reads after which a target counts as lost
+	SuspectAfter     int `json:"suspect_after"`      // number of reads that fail in a row until a target counts as lost
 	WarmupMS         int `json:"warmup_ms"`          // milliseconds over which a new target's share of the load increases
 }
 
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -15,6 +15,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// readExample returns the bundle of that name in the folder examples.
 func readExample(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile("../examples/" + name + ".json")
@@ -42,6 +43,7 @@
 	return ring
 }
 
+// An operator starts from an example. It must be valid and cause no warning.
 func TestExamplesPassAllChecks(t *testing.T) {
 	for _, name := range []string{"vatnsleit", "pletenica"} {
 		g := NewWithT(t)
@@ -54,8 +56,7 @@
 
 // A bundle with a fault would misconfigure every VM. So unknown fields, values out
 // of range and references to missing names must be found before the bundle is
-// pushed, and all of them at once: an operator who gets one finding at a time
-// needs many pushes.
+// pushed.
 func TestEachFaultYieldsFinding(t *testing.T) {
 	cases := []struct{ name, old, new, path, allowed string }{
 		{"unknown field", `"format": 1,`, `"format": 1, "colour": 2,`, "$.colour", "one of format"},
@@ -94,6 +95,8 @@
 	}
 }
 
+// A bundle has several faults. They must be reported all at once: an operator who
+// gets one finding at a time needs many pushes.
 func TestAllFindingsAreReturnedTogether(t *testing.T) {
 	g := NewWithT(t)
 	text := string(readExample(t, "pletenica"))
@@ -104,6 +107,8 @@
 	g.Expect(findings).To(HaveLen(3))
 }
 
+// A target accepts fewer connections than there may be VMs. Such a bundle is valid,
+// but the operator must get a warning for each such target.
 func TestFewerConnectionsThanVMsYieldsWarning(t *testing.T) {
 	g := NewWithT(t)
 	b, _ := Parse(readExample(t, "vatnsleit"))
@@ -112,6 +117,8 @@
 	g.Expect(b.Warnings()).To(HaveLen(50), "one for each target with 25 connections")
 }
 
+// A store may decode the JSON of a signed object and encode it in another way. The
+// signature must stay valid, or no VM could use the bundle.
 func TestSignatureStaysValidAfterJSONIsReformatted(t *testing.T) {
 	g := NewWithT(t)
 	key := testKey(t, "sigrun-1", "sigrun")
@@ -128,8 +135,9 @@
 }
 
 // An operator pushes a generated bundle that is too large for the platform. It
-// must be refused before the first write, so that no partial data stays. The bound
-// is on the encoded size, not on the size of the operator's file.
+// must be refused before the first write, so that no partial data stays. A bundle
+// of MaxBytes must fit into the platform's largest value once it is signed and
+// encoded.
 func TestOversizedBundleIsRejectedBeforeWrite(t *testing.T) {
 	g := NewWithT(t)
 	key := testKey(t, "sigrun-1", "sigrun")
@@ -140,8 +148,8 @@
 }
 
 // A sign-off was changed after it was signed, or was signed with an unknown key,
-// with a retired key or in another person's name. A VM must reject it, whichever
-// way it was received, with the code that names the reason.
+// with a retired key, in another person's name or for another purpose. It must be
+// rejected with the code that names the reason.
 func TestInvalidSignaturesAreRejected(t *testing.T) {
 	alice, old, eve := testKey(t, "alice-2", "alice"), testKey(t, "alice-1", "alice"), testKey(t, "eve-1", "eve")
 	retired := old.Public()
@@ -176,6 +184,8 @@
 	NewWithT(t).Expect(result.CodeOf(err)).To(Equal(result.NotSigned), "a sign-off is no entry")
 }
 
+// A single person must not be able to bring a bundle into force: neither the author
+// by signing it off, nor another person by pushing it in the author's name.
 func TestAuthorCannotSignOff(t *testing.T) {
 	g := NewWithT(t)
 	b, _ := Parse(readExample(t, "vatnsleit"))
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -13,15 +13,13 @@
 // found and the values allowed.
 type Finding = strictjson.Finding
 
-// namePattern matches the names, persons and key ids that are allowed. nameRule
-// describes it to users.
+// namePattern matches the names, persons and key ids that are allowed.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 // nameRule describes namePattern in findings and error messages.
 const nameRule = "1 to 63 lower-case letters, digits, '.', '_' or '-', starting with a letter or digit"
 
-// Upper bounds of the numbers in a bundle. The number of zones, services and
-// searches is bounded by maxTargets too.
+// Upper bounds of the numbers in a bundle.
 const (
 	maxVMs           = 5000   // VMs of the deployment
 	maxShards        = 10000  // shards of a service
@@ -31,7 +29,7 @@
 	maxConnections   = 100000 // connections that a target accepts
 	maxConnectCostMS = 60000  // milliseconds that a target needs to accept one connection
 	maxTimeMS        = 600000 // milliseconds of any other time: 10 minutes
-	maxSuspectAfter  = 100    // failed reads of a target's status until the target counts as lost
+	maxSuspectAfter  = 100    // reads of a target's status that fail in a row until the target counts as lost
 	maxAttempts      = 10     // attempts per shard
 	maxItems         = 10000  // result items that a caller may request
 )
@@ -45,8 +43,8 @@
 	return b, b.Check()
 }
 
-// Check returns all findings: values out of range, duplicate names and addresses,
-// and references to names that do not exist.
+// Check returns all findings in the decoded bundle: values out of range, duplicate
+// names and addresses, and references to names that do not exist.
 func (b *Bundle) Check() []Finding {
 	c := &checker{bundle: b}
 	c.equal("$.format", b.Format, Format)
@@ -60,8 +58,8 @@
 	return c.findings
 }
 
-// checker checks one bundle and collects the findings. The methods that take a path
-// add a finding with that path unless the found value is allowed.
+// checker checks one bundle and collects the findings. Its methods that take the
+// path of a value add a finding with that path unless the value is allowed.
 type checker struct {
 	bundle   *Bundle
 	findings []Finding
@@ -105,7 +103,7 @@
 // of its first use; unique records the use of a new value there.
 func (c *checker) unique(seen map[string]string, path, value string) {
 	if first, duplicate := seen[value]; duplicate {
-		c.add(path, fmt.Sprintf("%q, which is already used at %s", value, first), "each name once")
+		c.add(path, fmt.Sprintf("%q, which is already used at %s", value, first), "each value once")
 		return
 	}
 	seen[value] = path
@@ -149,8 +147,8 @@
 			c.unique(addresses, targetPath+".address", t.Address)
 			leaves += t.Leaves
 		}
-		// Each leaf holds at least one shard, so a service with fewer shards than
-		// leaves just has replicas. Without a leaf nothing is served.
+		// More leaves than shards are allowed: each leaf holds at least one shard, so
+		// some shards then have replicas. Without a leaf, nothing is served.
 		if leaves == 0 {
 			c.add(path+".targets", "0 leaves in all", "at least 1 leaf")
 		}
--- a/bundle/docs_test.go
+++ b/bundle/docs_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestDocNamesEveryField checks that docs/BUNDLES.md describes each field of
-// Bundle.
+// TestDocNamesEveryField checks that docs/BUNDLES.md names each field of a bundle,
+// so that no field is added without its description.
 func TestDocNamesEveryField(t *testing.T) {
 	page, err := os.ReadFile("../docs/BUNDLES.md")
 	if err != nil {
@@ -21,8 +21,8 @@
 	})
 }
 
-// forEachField calls do with the JSON name of each field that is not a struct or a
-// list of structs.
+// forEachField calls do with the JSON name of each field of typ. It replaces a field
+// that is a struct or a list of structs by the fields of that struct.
 func forEachField(typ reflect.Type, do func(name string)) {
 	for i := range typ.NumField() {
 		field := typ.Field(i)
--- a/bundle/key.go
+++ b/bundle/key.go
@@ -9,14 +9,15 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// PublicKey is a person's Ed25519 public key. A retired key still proves who wrote
-// a bundle or made an earlier change, but it can't sign a new change or sign-off.
-// A person may have several keys; two of them are active during a rotation.
+// PublicKey is a person's Ed25519 public key. A signature by a retired key still
+// proves who wrote a bundle or made an earlier change, but VMs accept no head and no
+// sign-off signed with it. A person may have several keys; two of them are active
+// during a rotation.
 type PublicKey struct {
 	ID      string `json:"id"`                // unique in a Keyring; signatures name it
 	Person  string `json:"person"`            // name of the key's owner
 	Public  string `json:"public"`            // the key's bytes in base64
-	Retired bool   `json:"retired,omitempty"` // no longer signs new changes and sign-offs
+	Retired bool   `json:"retired,omitempty"` // no longer accepted on heads and sign-offs
 }
 
 // PrivateKey is a person's Ed25519 private key, which signs bundles, sign-offs and
@@ -85,8 +86,8 @@
 	return list
 }
 
-// Check validates a key that was read from a file. Its errors have code
-// BadSettings.
+// Check validates a key that was read from a file: its id, person and seed length.
+// Its errors have code BadSettings.
 func (k *PrivateKey) Check() error {
 	if !namePattern.MatchString(k.ID) || !namePattern.MatchString(k.Person) {
 		return result.Errorf(result.BadSettings, "private key: found id %q and person %q, allowed is %s", k.ID, k.Person, nameRule)
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -12,8 +12,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Purpose is what a signature is for. It is part of the signed message, so that a
-// signature made for one purpose is invalid for any other.
+// Purpose is the kind of statement that a signature makes. It is part of the signed
+// message, so that a signature made for one purpose is invalid for any other.
 type Purpose string
 
 // The purposes of signatures.
@@ -60,7 +60,7 @@
 func ParseSigned(raw []byte) (Signed, error) {
 	var s Signed
 	if len(raw) > objstore.MaxValue {
-		return s, result.Errorf(result.BundleTooLarge, "found %d bytes, allowed are %d", len(raw), objstore.MaxValue)
+		return s, result.Errorf(result.BundleTooLarge, "signed object: found %d bytes, allowed are %d", len(raw), objstore.MaxValue)
 	}
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return s, result.Wrap(result.NotSigned, err, "not a signed object")
@@ -122,13 +122,12 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// SignOff is the statement of a person other than the author that approves a
-// bundle.
+// SignOff states that a person other than the author approves a bundle.
 type SignOff struct {
 	Deployment string    `json:"deployment"`
 	Digest     string    `json:"digest"` // of the approved bundle
 	Person     string    `json:"person"` // who approves the bundle
-	After      uint64    `json:"after"`  // revision in force when it was signed; a later recall of the bundle voids it
+	After      uint64    `json:"after"`  // revision in force when it was signed; a recall of the bundle in a later revision invalidates it
 	At         time.Time `json:"at"`     // by the person's clock
 	Reason     string    `json:"reason"` // why the person approves the bundle
 }
@@ -159,22 +158,22 @@
 	return o, nil
 }
 
-// maxEnvelopeBytes is the number of bytes that are reserved for the purpose, key
-// and signature in the JSON of a signed object, beside its payload.
+// maxEnvelopeBytes is the number of bytes that are reserved for the purpose, key id
+// and signature in the JSON of a signed object, in addition to its payload.
 const maxEnvelopeBytes = 1 << 10
 
-// MaxBytes is the size of the largest bundle, in bytes as the author wrote it.
-// Signed and encoded as base64, which makes 4 bytes of 3, it still fits into one
-// value of the platform.
+// MaxBytes is the size of the largest bundle, in bytes as the author wrote it. Such
+// a bundle still fits into one value of the platform when it is signed and encoded
+// as base64, which turns each 3 into 4 bytes.
 const MaxBytes = (objstore.MaxValue - maxEnvelopeBytes) / 4 * 3
 
-// Package signs a bundle's bytes with the author's key. The result is what the
-// platform stores and VMs pass on to each other. It fails with BundleTooLarge for a
-// bundle that would exceed the platform's largest value, and with BadBundle for an
-// invalid bundle or an author who does not own the key.
+// Package signs a bundle's bytes with the author's key. The result, the packaged
+// bundle, is what the platform stores and VMs pass on to each other. The error has
+// code BundleTooLarge if the bundle would exceed the platform's largest value, and
+// BadBundle if the bundle is invalid or names an author who does not own the key.
 func Package(data []byte, key *PrivateKey) (Signed, error) {
 	if len(data) > MaxBytes {
-		return Signed{}, result.Errorf(result.BundleTooLarge, "found %d bytes, allowed are %d", len(data), MaxBytes)
+		return Signed{}, result.Errorf(result.BundleTooLarge, "bundle: found %d bytes, allowed are %d", len(data), MaxBytes)
 	}
 	s := Sign(PurposeBundle, data, key)
 	b, findings := Parse(data)
@@ -188,8 +187,8 @@
 }
 
 // OpenBundle verifies a packaged bundle and returns its content. It checks the
-// digest, the author's signature, for which the key may be retired, and the content
-// itself. It does not verify sign-offs.
+// digest, the author's signature and the content itself. The author's key may be
+// retired. It does not verify sign-offs.
 func (r *Keyring) OpenBundle(raw []byte, digest string) (*Bundle, error) {
 	s, err := ParseSigned(raw)
 	if err != nil {
@@ -217,10 +216,10 @@
 // deployment, and SelfSigned if o is by the bundle's author.
 func (b *Bundle) CheckSignOff(o SignOff, digest string) error {
 	if o.Digest != digest || o.Deployment != b.Deployment {
-		return result.Errorf(result.NotSigned, "the sign-off is for bundle %s of %s", o.Digest, o.Deployment)
+		return result.Errorf(result.NotSigned, "the sign-off is for bundle %s of deployment %s", o.Digest, o.Deployment)
 	}
 	if o.Person == b.Author {
-		return result.Errorf(result.SelfSigned, "%s is the author", o.Person)
+		return result.Errorf(result.SelfSigned, "%s is the bundle's author and may not sign it off", o.Person)
 	}
 	return nil
 }
