--- a/objstore/api.go
+++ b/objstore/api.go
@@ -46,11 +46,11 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// WatchResultJSON is the answer to a watch. Events is empty if the platform's own
-// wait limit passed without a change.
+// WatchResultJSON is the answer to a watch. Events is empty if no object changed
+// within the platform's own wait limit.
 type WatchResultJSON struct {
 	Events   []EventJSON `json:"events"`
-	Revision uint64      `json:"revision"` // of the store; the next watch begins after it
+	Revision uint64      `json:"revision"` // of the store; the next watch reports the changes after it
 }
 
 // VMsJSON is the answer to a request for the list of VMs.
--- a/objstore/client.go
+++ b/objstore/client.go
@@ -17,23 +17,24 @@
 
 // Defaults of the fields of ClientOptions.
 const (
-	DefaultCallTimeout  = 2 * time.Second  // of one call other than a watch, with its whole answer
-	DefaultWatchTimeout = 15 * time.Second // of one watch
-	DefaultIdleTimeout  = 20 * time.Second // after which an unused connection is closed
-	DefaultConnections  = 16               // open connections to the platform
+	DefaultCallTimeout  = 2 * time.Second  // limit of one call other than a watch, including the read of its answer
+	DefaultWatchTimeout = 15 * time.Second // limit of one watch
+	DefaultIdleTimeout  = 20 * time.Second // time after which an unused connection is closed
+	DefaultConnections  = 16               // maximum number of open connections to the platform
 )
 
 // maxListBytes is the largest size, in bytes, of an answer other than a single object.
 const maxListBytes = 16 * MaxValue
 
-// ClientOptions configure a Client. A field that is 0 or less means its default.
+// ClientOptions configures a Client. Fields that are 0 or less take the defaults.
 type ClientOptions struct {
-	CallTimeout  time.Duration // of every call except a watch, including the read of its answer
-	WatchTimeout time.Duration // of a watch; must be longer than the platform's own wait limit
-	IdleTimeout  time.Duration // after which an unused connection is closed
-	Connections  int           // limit of open connections to the platform
+	CallTimeout  time.Duration // limit of one call other than a watch, including the read of its answer
+	WatchTimeout time.Duration // limit of one watch; must be longer than the platform's own wait limit
+	IdleTimeout  time.Duration // time after which an unused connection is closed
+	Connections  int           // maximum number of open connections to the platform
 }
 
+// withDefaults returns the options with defaults for those that are not set.
 func (o ClientOptions) withDefaults() ClientOptions {
 	if o.CallTimeout <= 0 {
 		o.CallTimeout = DefaultCallTimeout
@@ -59,9 +60,9 @@
 // first copy has already changed the version. So the Client gives net/http bodies
 // that can't be rewound.
 //
-// A call on a connection that has gone silent times out. net/http then closes that
-// HTTP/1.1 connection, and the Client closes all idle ones too, because a network device
-// that has lost the state of one connection has often lost that of all.
+// A call on a connection over which nothing arrives anymore times out. net/http then
+// closes that HTTP/1.1 connection, and the Client closes all idle ones too, because a
+// network device that has lost the state of one connection has often lost that of all.
 type Client struct {
 	base      string // "http://" with the platform's IP and port
 	opts      ClientOptions
@@ -153,8 +154,8 @@
 }
 
 // Watch implements Store. It returns an error if the platform has not answered
-// within WatchTimeout, because a silent connection looks like a platform on which
-// nothing changes.
+// within WatchTimeout, because a connection over which nothing arrives anymore looks
+// like a platform on which nothing changes.
 func (c *Client) Watch(ctx context.Context, kind string, since uint64) (WatchResult, error) {
 	var ans WatchResultJSON
 	path := PathWatch + url.PathEscape(kind) + "?since=" + strconv.FormatUint(since, 10)
@@ -207,8 +208,7 @@
 	return v, nil
 }
 
-// callJSON makes a call and decodes the JSON answer; result is a pointer to the value that
-// receives it.
+// callJSON makes a call and decodes the JSON answer into the value that result points to.
 func (c *Client) callJSON(ctx context.Context, req request, result any) error {
 	ans, err := c.call(ctx, req)
 	if err != nil {
@@ -218,7 +218,7 @@
 }
 
 // call sends a request with its timeout and returns the answer. If the request times
-// out, call closes all idle connections, because they may be silent too.
+// out, call closes all idle connections, because nothing may arrive over them either.
 func (c *Client) call(ctx context.Context, req request) (answer, error) {
 	timeout := req.timeout
 	if timeout == 0 {
@@ -233,8 +233,8 @@
 	return ans, err
 }
 
-// send sends a request and reads the whole answer. An answer with an error status, or
-// above the request's limit, is returned as an error.
+// send sends a request and reads the whole answer. If the answer has an error status or
+// a body larger than the request's limit, send returns an error.
 func (c *Client) send(ctx context.Context, req request) (answer, error) {
 	hreq, err := req.httpRequest(ctx, c.base)
 	if err != nil {
--- a/objstore/client_test.go
+++ b/objstore/client_test.go
@@ -35,9 +35,9 @@
 	return client, store, proxy
 }
 
-// Guards against calls to the platform that time out one after another, so that a
-// rollout hangs. A device between a VM and the platform has lost the state of all
-// open connections: they stay open, but nothing arrives on them. The first call on
+// Guards against a rollout that hangs because calls to the platform time out one
+// after another. A device between a VM and the platform has lost the state of all
+// open connections: they stay open, but nothing arrives over them. The first call on
 // one of them times out. Later calls must not use the other idle connections.
 func TestTimeoutClosesAllIdleConnections(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -58,8 +58,8 @@
 }
 
 // Guards against a VM that stays on an old bundle permanently. Its watch waits on a
-// connection that has gone silent, which looks like a platform on which nothing
-// changes. The watch must time out.
+// connection over which nothing arrives anymore, which looks like a platform on
+// which nothing changes. The watch must time out.
 func TestSilentWatchTimesOut(t *testing.T) {
 	g := gomega.NewWithT(t)
 	client, store, _ := newProxiedClient(t, objstore.ClientOptions{WatchTimeout: 100 * time.Millisecond})
@@ -70,8 +70,9 @@
 }
 
 // Guards against a VM that reports that another VM holds a claim, although it holds
-// the claim itself. The connection breaks after the platform has executed a write,
-// net/http sends the write again, and the second write conflicts with the first.
+// the claim itself. This happens if the connection breaks after the platform has
+// executed a write, net/http sends the write again, and the second write conflicts
+// with the first.
 func TestWriteOnBrokenConnectionIsSentOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	client, store, _ := newProxiedClient(t, objstore.ClientOptions{})
--- a/objstore/objstore.go
+++ b/objstore/objstore.go
@@ -45,10 +45,10 @@
 // VM is an entry of the platform's list of VMs. The list may be out of date.
 type VM struct {
 	Name    string `json:"name"`
-	Address string `json:"address"` // of the protocol between VMs, IP and port
-	Ops     string `json:"ops"`     // of the operators' page, IP and port
+	Address string `json:"address"` // IP and port for connections from other VMs
+	Ops     string `json:"ops"`     // IP and port of the operators' page
 	Zone    string `json:"zone"`
-	Leaving bool   `json:"leaving"`
+	Leaving bool   `json:"leaving"` // the VM is about to stop
 }
 
 // The errors of a Store. After any other error, including a timeout, it is unknown
@@ -66,9 +66,9 @@
 	ErrBusy = errors.New("object store: rate limit reached")
 )
 
-// Store is the platform's object store. Implementations are safe for
-// concurrent use. Each call counts against the platform's rate limits; a watch
-// counts as one call, however long it waits.
+// Store is the platform's object store, with its list of VMs. Implementations are
+// safe for concurrent use. Each call counts against the platform's rate limits; a
+// watch counts as one call, however long it waits.
 type Store interface {
 	// Get returns the object, or ErrNotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
--- a/objstore/objstoretest/objstoretest.go
+++ b/objstore/objstoretest/objstoretest.go
@@ -18,8 +18,7 @@
 // testTimeout bounds each wait for an event that must happen.
 const testTimeout = 20 * time.Second
 
-// Run runs each test on a store of its own, which open returns and which must be
-// empty.
+// Run runs all tests. Each calls open for a store of its own, which must be empty.
 func Run(t *testing.T, open func(t *testing.T) objstore.Store) {
 	tests := []struct {
 		name string
@@ -74,6 +73,8 @@
 	g.Expect(err).To(gomega.MatchError(objstore.ErrNotFound))
 }
 
+// An object is deleted and created again. If its version were reused, a conditional
+// write that expects the deleted object could overwrite the new one.
 func testVersionIncreases(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	last := uint64(0)
 	for range 3 {
@@ -200,6 +201,7 @@
 	g.Eventually(ended, testTimeout).Should(gomega.Receive(gomega.HaveOccurred()))
 }
 
+// put writes an object of kind "k", which must succeed, and returns its new version.
 func put(ctx context.Context, g *gomega.WithT, s objstore.Store, name string, expectedVersion uint64, value string) uint64 {
 	v, err := s.Put(ctx, "k", name, expectedVersion, []byte(value))
 	g.Expect(err).NotTo(gomega.HaveOccurred(), name)
