--- a/settings/load.go
+++ b/settings/load.go
@@ -13,14 +13,15 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// MinFleetKeyBytes is the least length of a decoded fleet key, in bytes.
+// MinFleetKeyBytes is the minimum length of a decoded fleet key, in bytes. The maximum
+// is twice as long.
 const MinFleetKeyBytes = 32
 
 // MaxLameDuckMS is the largest value of lame_duck_ms, in milliseconds.
 const MaxLameDuckMS = 300_000
 
-// Load reads and validates a settings file. The error has code BadSettings. It names
-// each invalid field, what was found and what is allowed.
+// Load reads and validates a settings file. Errors have code BadSettings. For invalid
+// settings, the error names each invalid field, what was found and what is allowed.
 func Load(path string) (*Settings, error) {
 	s := &Settings{}
 	return s, LoadInto(path, s, s.validate)
@@ -32,9 +33,9 @@
 	return s, ParseInto(data, s, s.validate)
 }
 
-// LoadInto reads a settings file and decodes its JSON into a struct; into is the pointer to
-// it. Then it calls check, which returns a finding for each invalid field. Errors are the
-// same as those of Load.
+// LoadInto reads a settings file and decodes its JSON into the struct that into points to.
+// If that succeeds, it calls check, which returns a finding for each invalid field. Errors
+// are the same as those of Load.
 func LoadInto(path string, into any, check func() []strictjson.Finding) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -96,7 +97,8 @@
 	return c.findings
 }
 
-// validator collects the findings on a settings file.
+// validator collects the findings on a settings file. Its methods take the JSON path of a
+// field and the value found there.
 type validator struct{ findings []strictjson.Finding }
 
 // add adds a finding: the path of the field, what was found there and what is allowed.
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -12,6 +12,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// validSettings returns settings that pass all checks.
 func validSettings(t *testing.T) *Settings {
 	key, err := bundle.NewPrivateKey("ana-1", "ana")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -26,6 +27,7 @@
 	}
 }
 
+// parse encodes s as a settings file, parses that and returns the error.
 func parse(t *testing.T, s *Settings) error {
 	data, err := json.Marshal(s)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings holds the settings of a daemon: what a process must know before it
-// can reach the platform. Everything else is in the bundle.
+// Package settings defines the settings file of a daemon. It contains what a process must
+// know before it has a bundle, such as the platform's address. Everything else is in the
+// bundle.
 package settings
 
 import (
@@ -15,8 +16,9 @@
 	Zone       string   `json:"zone"`       // availability zone of this VM
 	Listen     Listen   `json:"listen"`
 	Platform   Platform `json:"platform"`
-	// OperatorKeys are the public keys whose signatures are accepted. One person may
-	// have two valid keys during a rotation.
+	// OperatorKeys are the public keys of the persons whose signatures on bundles,
+	// sign-offs and changes are accepted. One person may have two active keys during a
+	// rotation.
 	OperatorKeys []bundle.PublicKey `json:"operator_keys"`
 	// FleetKeys are the base64 keys that the VMs of the deployment share, newest
 	// first. Holding one of them proves that a VM belongs to the deployment. A connection
@@ -27,14 +29,14 @@
 	// start while the platform is down.
 	Seeds      []string `json:"seeds,omitempty"`
 	Log        Log      `json:"log"`
-	LameDuckMS int      `json:"lame_duck_ms"` // time in ms for which requests are still served after SIGTERM; should exceed the load balancer's lag
+	LameDuckMS int      `json:"lame_duck_ms"` // milliseconds for which requests are still served after SIGTERM; should exceed the load balancer's lag
 }
 
 // Listen holds the IP addresses and ports that a daemon listens on.
 type Listen struct {
 	Callers string `json:"callers"` // for callers' requests
 	Ops     string `json:"ops"`     // for the operators' page
-	Peers   string `json:"peers"`   // for other VMs
+	Peers   string `json:"peers"`   // for connections from other VMs
 	// PeersAt is the address at which other VMs reach Peers, if it differs from Peers:
 	// behind address translation, or if Peers is a wildcard address.
 	PeersAt string `json:"peers_at,omitempty"`
