--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -276,7 +276,8 @@
 // resolveWrite finds out whether the entry e was accepted. It returns the accepted
 // head, or an error with code Conflict or BrokenAudit. While the outcome is open,
 // or if the platform can't be read, it returns nil and no error. The accepted entry
-// may differ from e in At, if an earlier run with the same operation id wrote it.
+// may differ from e, for instance in At, if an earlier run with the same operation
+// id wrote it.
 func (c *Client) resolveWrite(ctx context.Context, e Entry) (*Head, error) {
 	current, err := c.readState(ctx)
 	if err != nil {
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -72,7 +72,7 @@
 	Name       string    `json:"name"`               // name of that bundle
 	Before     string    `json:"before"`             // digest of the bundle in force before this revision; empty for revision 1
 	Recalled   string    `json:"recalled,omitempty"` // digest of the recalled bundle, for ActionRecall
-	Reason     string    `json:"reason"`             // given by the operator
+	Reason     string    `json:"reason"`             // why the operator made the change
 	Person     string    `json:"person"`             // operator who made the change
 	At         time.Time `json:"at"`                 // by the operator's clock
 	Prev       string    `json:"prev"`               // hash of the previous entry, see Head.Hash; empty for revision 1
@@ -121,7 +121,7 @@
 	}
 	h := &Head{Signed: s, Hash: s.Hash()}
 	if err := json.Unmarshal(s.Payload, &h.Entry); err != nil {
-		return nil, result.Wrap(result.NotSigned, err, "entry")
+		return nil, result.Wrap(result.NotSigned, err, "decoding the entry")
 	}
 	switch {
 	case h.Entry.Deployment != deployment:
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -103,10 +103,10 @@
 func (f *Follower) fetchBundle(ctx context.Context, digest string) ([]byte, error) {
 	obj, err := f.get(ctx, KindBundle, digest)
 	if errors.Is(err, objstore.ErrNotFound) {
-		return nil, result.Wrap(result.NotFound, err, "bundle "+digest)
+		return nil, result.Wrap(result.NotFound, err, "reading bundle "+digest)
 	}
 	if err != nil {
-		return nil, result.Wrap(result.PlatformDown, err, "bundle "+digest)
+		return nil, result.Wrap(result.PlatformDown, err, "reading bundle "+digest)
 	}
 	return obj.Value, nil
 }
