--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -150,7 +150,7 @@
 		return o, err
 	}
 	if err := json.Unmarshal(s.Payload, &o); err != nil {
-		return o, result.Wrap(result.NotSigned, err, "sign-off")
+		return o, result.Wrap(result.NotSigned, err, "decoding the sign-off")
 	}
 	if o.Person != key.Person {
 		return o, result.Errorf(result.NotSigned, "key %q belongs to %s, the sign-off names %q", s.Key, key.Person, o.Person)
