--- a/objstore/objstoretest/objstoretest.go
+++ b/objstore/objstoretest/objstoretest.go
@@ -18,7 +18,7 @@
 // testTimeout bounds each wait for an event that must happen.
 const testTimeout = 20 * time.Second
 
-// Run runs all tests. Each calls open for a store of its own, which must be empty.
+// Run runs all tests, each on a store of its own. open must return an empty store.
 func Run(t *testing.T, open func(t *testing.T) objstore.Store) {
 	tests := []struct {
 		name string
