--- a/objstore/objstoretest/objstoretest.go
+++ b/objstore/objstoretest/objstoretest.go
@@ -18,8 +18,7 @@
 // testTimeout bounds each wait for an event that must happen.
 const testTimeout = 20 * time.Second
 
-// Run runs each test on a store of its own, which open returns and which must be
-// empty.
+// Run runs all tests, each on a store of its own. open must return an empty store.
 func Run(t *testing.T, open func(t *testing.T) objstore.Store) {
 	tests := []struct {
 		name string
@@ -74,6 +73,8 @@
 	g.Expect(err).To(gomega.MatchError(objstore.ErrNotFound))
 }
 
+// An object is deleted and created again. If its version were reused, a conditional
+// write that expects the deleted object could overwrite the new one.
 func testVersionIncreases(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	last := uint64(0)
 	for range 3 {
@@ -106,9 +107,9 @@
 }
 
 func testTooLarge(ctx context.Context, g *gomega.WithT, s objstore.Store) {
-	most := `"` + strings.Repeat("x", objstore.MaxValue-2) + `"`
-	put(ctx, g, s, "most", 0, most)
-	_, err := s.Put(ctx, "k", "more", 0, []byte(`"x`+most[1:]))
+	largest := `"` + strings.Repeat("x", objstore.MaxValue-2) + `"`
+	put(ctx, g, s, "most", 0, largest)
+	_, err := s.Put(ctx, "k", "more", 0, []byte(`"x`+largest[1:]))
 	g.Expect(err).To(gomega.MatchError(objstore.ErrTooLarge))
 	_, err = s.Get(ctx, "k", "more")
 	g.Expect(err).To(gomega.MatchError(objstore.ErrNotFound))
@@ -116,17 +117,17 @@
 
 func testConcurrentPuts(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	version := put(ctx, g, s, "a", 0, `1`)
-	var won atomic.Int32
+	var succeeded atomic.Int32
 	var wg sync.WaitGroup
 	for range 16 {
 		wg.Go(func() {
 			if _, err := s.Put(ctx, "k", "a", version, []byte(`2`)); err == nil {
-				won.Add(1)
+				succeeded.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	g.Expect(won.Load()).To(gomega.Equal(int32(1)))
+	g.Expect(succeeded.Load()).To(gomega.Equal(int32(1)))
 }
 
 func testListPages(ctx context.Context, g *gomega.WithT, s objstore.Store) {
@@ -200,6 +201,7 @@
 	g.Eventually(ended, testTimeout).Should(gomega.Receive(gomega.HaveOccurred()))
 }
 
+// put writes an object of kind "k", which must succeed, and returns its new version.
 func put(ctx context.Context, g *gomega.WithT, s objstore.Store, name string, expectedVersion uint64, value string) uint64 {
 	v, err := s.Put(ctx, "k", name, expectedVersion, []byte(value))
 	g.Expect(err).NotTo(gomega.HaveOccurred(), name)
--- a/rollout/race_test.go
+++ b/rollout/race_test.go
@@ -16,19 +16,21 @@
 )
 
 const (
-	raceOperators = 4
-	raceChanges   = 5
-	raceFollowers = 3
+	raceOperators = 4 // operators that make changes at the same time
+	raceChanges   = 5 // changes by each operator
+	raceFollowers = 3 // VMs that follow the head
 )
 
 // changeResult is the result that an operator got for one operation.
 type changeResult struct {
 	op       OpID
-	revision uint64 // that the operation was to become
+	revision uint64 // that the operation's change was to get
 	accepted bool
 }
 
-// headModel models the head as a register that holds the revision.
+// headModel models the head as a register that holds the revision. A change is
+// accepted only if the register holds the revision before it, and is refused only if
+// its revision is taken already.
 var headModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -119,17 +121,18 @@
 }
 
 // changeUntilResolved makes one random change. While the outcome is unknown, it
-// runs the change again with the same operation id.
+// runs the change again with the same operation id. If the change is not possible
+// for another reason, it tries another one.
 func changeUntilResolved(c *Client, rng *rand.Rand, digests []string) (changeResult, error) {
 	ctx := context.Background()
 	digest := digests[rng.IntN(len(digests))]
-	do := c.Rollout
+	change := c.Rollout
 	if rng.IntN(4) == 0 {
-		do = c.Recall
+		change = c.Recall
 	}
 	req := Request{Reason: "race"}
 	for {
-		e, err := do(ctx, digest, req)
+		e, err := change(ctx, digest, req)
 		switch code := result.CodeOf(err); code {
 		case result.Complete:
 			return changeResult{op: e.Op, revision: e.Revision, accepted: true}, nil
@@ -142,9 +145,9 @@
 			if _, err := c.SignOff(ctx, digest, "good again"); err != nil && result.CodeOf(err) != result.SelfSigned {
 				return changeResult{}, err
 			}
-			req, do = Request{Reason: "race"}, c.Recall
+			req, change = Request{Reason: "race"}, c.Recall
 		case result.NothingBefore, result.PlatformDown:
-			req, do = Request{Reason: "race"}, c.Rollout
+			req, change = Request{Reason: "race"}, c.Rollout
 		default:
 			return changeResult{}, err
 		}
@@ -161,8 +164,8 @@
 func recordRevisions(t *testing.T, f *Follower) *revisionHistory {
 	h := &revisionHistory{}
 	done := make(chan struct{})
-	var wait sync.WaitGroup
-	wait.Go(func() {
+	var wg sync.WaitGroup
+	wg.Go(func() {
 		for {
 			changed := f.Changed()
 			h.mu.Lock()
@@ -175,7 +178,7 @@
 			}
 		}
 	})
-	t.Cleanup(func() { close(done); wait.Wait() })
+	t.Cleanup(func() { close(done); wg.Wait() })
 	return h
 }
 
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -12,6 +12,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// validSettings returns settings that pass all checks.
 func validSettings(t *testing.T) *Settings {
 	key, err := bundle.NewPrivateKey("ana-1", "ana")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -26,6 +27,7 @@
 	}
 }
 
+// parse encodes s as a settings file, parses that and returns the error.
 func parse(t *testing.T, s *Settings) error {
 	data, err := json.Marshal(s)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -39,9 +41,9 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	path := filepath.Join(t.TempDir(), "settings.json")
 	g.Expect(os.WriteFile(path, data, 0o600)).To(Succeed())
-	set, err := Load(path)
+	s, err := Load(path)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(set.FleetKeyBytes()).To(HaveLen(1))
+	g.Expect(s.FleetKeyBytes()).To(HaveLen(1))
 	_, err = Load(path + ".absent")
 	g.Expect(result.CodeOf(err)).To(Equal(result.BadSettings))
 }
