--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -140,10 +140,10 @@
 			q.omitShard(now, s)
 		}
 	}
-	left := float64(q.spec.Deadline.Sub(now))
+	timeLeft := float64(q.spec.Deadline.Sub(now))
 	randomShare := minRetryDelayShare + (maxRetryDelayShare-minRetryDelayShare)*q.table.rng.Float64()
-	after := min(refusal.Wait-refusal.Limit+time.Duration(randomShare*left), time.Duration(maxRetryDelayShare*left))
-	q.retryAfter = min(max(after, minRetryAfter), maxRetryAfter)
+	delay := min(refusal.Wait-refusal.Limit+time.Duration(randomShare*timeLeft), time.Duration(maxRetryDelayShare*timeLeft))
+	q.retryAfter = min(max(delay, minRetryAfter), maxRetryAfter)
 }
 
 // Parameters of a forecast.
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -26,11 +26,11 @@
 	leafs := q.candidates(s)
 	filter := leafFilter{exclude: s.tried, idleOnly: reason == Hedge}
 	if q.spec.Gathered {
-		filter.answerBy = q.usefulUntil(now)
+		filter.usefulUntil = q.usefulUntil(now)
 		// late: an answer can no longer be expected before AnswerBy. If enough other
 		// shards are answered, the request does not wait for this one. Otherwise only
 		// an idle leaf gets the attempt.
-		late := filter.answerBy.After(q.spec.AnswerBy)
+		late := filter.usefulUntil.After(q.spec.AnswerBy)
 		if late && q.enough(q.answered()) {
 			if s.inFlight == 0 {
 				s.close(GapLate)
@@ -147,8 +147,8 @@
 	if now.Add(typical).Before(q.spec.AnswerBy) {
 		return earlier(q.spec.AnswerBy, q.spec.Deadline)
 	}
-	late := now.Add(time.Duration(latePartShare * float64(q.spec.LatencyObjective)))
-	return earlier(late, q.spec.Deadline)
+	lateUntil := now.Add(time.Duration(latePartShare * float64(q.spec.LatencyObjective)))
+	return earlier(lateUntil, q.spec.Deadline)
 }
 
 // waitForLeaf is called for a shard for which no leaf takes a request at the moment. It schedules
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -183,9 +183,9 @@
 			q.table.service(now, s.service).budget.countRequest(now, q.spec.BudgetWeight*delegatedWeight)
 		}
 	}
-	left := q.spec.AnswerBy.Sub(now)
-	interim := now.Add(time.Duration(interimAnswerShare * float64(left)))
-	failoverAt := q.failoverTime(now, interim)
+	timeLeft := q.spec.AnswerBy.Sub(now)
+	interimBy := now.Add(time.Duration(interimAnswerShare * float64(timeLeft)))
+	failoverAt := q.failoverTime(now, interimBy)
 	q.calls[id] = &call{
 		vm: v.Name, partition: d.partition, redelegated: redelegated, shards: shards, sentAt: now,
 		failoverAt: failoverAt,
@@ -201,8 +201,8 @@
 		Views:       views,
 		Required:    max(len(shards)-q.omissionsLeft, 0),
 		Redelegated: redelegated,
-		InterimBy:   interim,
-		AnswerBy:    now.Add(max(time.Duration(minDelegateTimeShare*float64(left)), left-callRoundTrip)),
+		InterimBy:   interimBy,
+		AnswerBy:    now.Add(max(time.Duration(minDelegateTimeShare*float64(timeLeft)), timeLeft-callRoundTrip)),
 	}
 }
 
@@ -212,8 +212,8 @@
 // been received. It fails over at the latest after latestFailoverShare of the time until AnswerBy,
 // by when this VM answers its caller. A call that is not acknowledged in time fails over earlier
 // (see call.ackDue).
-func (q *Query) failoverTime(now, interim time.Time) time.Time {
-	due := interim.Add(callRoundTrip)
+func (q *Query) failoverTime(now, interimBy time.Time) time.Time {
+	due := interimBy.Add(callRoundTrip)
 	if d, known := q.table.durationsOf(q.callDurationKey()).Quantile(now, failoverDurationQuantile); known {
 		due = later(due, now.Add(time.Duration(failoverDurationFactor*float64(d))))
 	}
--- a/scatter/failover_test.go
+++ b/scatter/failover_test.go
@@ -154,8 +154,8 @@
 			}
 			spec.RequestID, spec.Delegated, spec.Views, spec.Redelegated = "request", true, call.Views, call.Redelegated
 			spec.MaxAttempts = q.spec.MaxAttempts
-			served := NewQuery(spec, peer.table)
-			for _, acts := range [][]Action{served.Start(peer.now), served.Tick(peer.now.Add(60 * time.Millisecond))} {
+			peerQuery := NewQuery(spec, peer.table)
+			for _, acts := range [][]Action{peerQuery.Start(peer.now), peerQuery.Tick(peer.now.Add(60 * time.Millisecond))} {
 				for _, s := range sends(acts) {
 					name := spec.Services[s.Shard]
 					if ran[name] == nil {
--- a/scatter/load_test.go
+++ b/scatter/load_test.go
@@ -44,7 +44,7 @@
 type simulatedEvent struct {
 	at     time.Time
 	serial int // keeps events of the same time in order
-	do     func()
+	fn     func()
 }
 
 // simulatedEvents is a heap of events, the earliest first.
@@ -90,9 +90,9 @@
 }
 
 // after schedules a call of do in d from now.
-func (sim *simulation) after(d time.Duration, do func()) {
+func (sim *simulation) after(d time.Duration, fn func()) {
 	sim.serial++
-	heap.Push(&sim.events, simulatedEvent{at: sim.now.Add(d), serial: sim.serial, do: do})
+	heap.Push(&sim.events, simulatedEvent{at: sim.now.Add(d), serial: sim.serial, fn: fn})
 }
 
 // run simulates callers, perSecond of them per second for the given time, each with a request.
@@ -110,7 +110,7 @@
 	for len(sim.events) > 0 {
 		ev := heap.Pop(&sim.events).(simulatedEvent)
 		sim.now = ev.at
-		ev.do()
+		ev.fn()
 	}
 }
 
@@ -179,15 +179,15 @@
 	for l.running < l.slots && len(l.queue) > 0 {
 		part := l.queue[0]
 		l.queue = l.queue[1:]
-		left := part.send.Until.Sub(sim.now)
-		if left <= 0 {
+		timeLeft := part.send.Until.Sub(sim.now)
+		if timeLeft <= 0 {
 			sim.after(0, func() { part.finish(EndExpired) })
 			continue
 		}
 		took := time.Duration(float64(l.work) * l.slowdown * (0.7 + 0.6*sim.rng.Float64()))
 		end := EndAnswered
-		if took > left {
-			took, end = left, EndExpired
+		if took > timeLeft {
+			took, end = timeLeft, EndExpired
 		}
 		l.running++
 		sim.after(took, func() {
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -267,12 +267,12 @@
 	for _, d := range calls {
 		acts = append(acts, q.callVM(now, d, false))
 	}
-	delay := q.delaysOwnShards(now, calls)
+	delayOwnShards := q.delaysOwnShards(now, calls)
 	for i := range q.shards {
 		s := &q.shards[i]
 		switch {
 		case s.call != 0 || s.closed:
-		case delay:
+		case delayOwnShards:
 			q.setPollAt(s, now.Add(ownShardsDelay))
 		default:
 			acts = append(acts, q.trySend(now, i, FirstAttempt)...)
--- a/scatter/query_test.go
+++ b/scatter/query_test.go
@@ -291,19 +291,19 @@
 // the latency objective.
 func TestNearLeafIsKeptWhileItIsInTime(t *testing.T) {
 	for _, c := range []struct {
-		near time.Duration
-		far  bool
+		nearDuration time.Duration
+		farUsed      bool
 	}{{10 * time.Millisecond, false}, {18 * time.Millisecond, false}, {30 * time.Millisecond, false}, {40 * time.Millisecond, true}} {
 		w := newWorld(t)
 		names := w.shards(1, homeZone, "other")
 		for _, zone := range []string{homeZone, "other"} {
 			l := w.table.leafs["shard-00@"+zone]
 			if zone == homeZone {
-				l.slowdown.recordReported(w.now, float64(c.near)/(defaultTypicalDurationShare*float64(100*time.Millisecond)))
+				l.slowdown.recordReported(w.now, float64(c.nearDuration)/(defaultTypicalDurationShare*float64(100*time.Millisecond)))
 			}
 		}
 		first := sends(NewQuery(w.gathered(names), w.table).Start(w.now))
-		w.Expect(first[0].OtherZone).To(gomega.Equal(c.far), "leaf in this zone takes %v of a latency objective of 100 ms", c.near)
+		w.Expect(first[0].OtherZone).To(gomega.Equal(c.farUsed), "leaf in this zone takes %v of a latency objective of 100 ms", c.nearDuration)
 	}
 }
 
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -12,9 +12,9 @@
 // requests to one leaf or VM is mostly longer than the longest cooldown, so nearly every request
 // would detect the failure again. A probe, which makes a new connection, costs only a handshake.
 type suspicion struct {
-	raised    bool      // the leaf or VM is suspect: it gets no requests
-	probes    int       // consecutive failed probes
-	nextProbe time.Time // when the next probe is due, if raised
+	raised       bool      // the leaf or VM is suspect: it gets no requests
+	failedProbes int       // consecutive failed probes
+	nextProbe    time.Time // when the next probe is due, if raised
 }
 
 // Pauses between two probes of a suspect leaf or VM. They double with each failed probe. A leaf
@@ -33,9 +33,9 @@
 }
 
 // probeFailed schedules the next probe after a failed one. longest is the longest pause.
-func (s *suspicion) probeFailed(now time.Time, longest time.Duration) {
-	s.probes++
-	s.nextProbe = now.Add(min(firstProbePause<<min(s.probes, maxPauseDoublings), longest))
+func (s *suspicion) probeFailed(now time.Time, maxPause time.Duration) {
+	s.failedProbes++
+	s.nextProbe = now.Add(min(firstProbePause<<min(s.failedProbes, maxPauseDoublings), maxPause))
 }
 
 // due reports whether a probe is due now. If not, next is when the next probe is due. It is zero
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -218,9 +218,9 @@
 
 // leafFilter restricts the leafs that may be picked for a request.
 type leafFilter struct {
-	exclude  []LeafID  // leafs that were already tried
-	idleOnly bool      // only leafs that would start the request at once
-	answerBy time.Time // only leafs that are expected to answer by then, or not much later; zero for no limit
+	exclude     []LeafID  // leafs that were already tried
+	idleOnly    bool      // only leafs that would start the request at once
+	usefulUntil time.Time // only leafs that are expected to answer by then, or not much later; zero for no limit
 }
 
 // pickLeaf returns the leaf for a request: the one with the lowest cost, which is the expected
@@ -238,7 +238,7 @@
 			continue
 		}
 		// A leaf may take latenessTolerance times the time that is left.
-		if !filter.answerBy.IsZero() && now.Add(l.eta(now, typical)/latenessTolerance).After(filter.answerBy) {
+		if !filter.usefulUntil.IsZero() && now.Add(l.eta(now, typical)/latenessTolerance).After(filter.usefulUntil) {
 			continue
 		}
 		cost := l.cost(now, kind.objective, typical)
