--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -119,8 +119,12 @@
 // callers wait no longer than the upper bound, and the remaining time is enough for another
 // attempt.
 const (
-	minRetryDelayShare = 0.1  // shortest random part, as a share of the time until the caller's deadline
-	maxRetryDelayShare = 0.33 // longest random part and longest delay, as a share of the time until the caller's deadline
+	// minRetryDelayShare is the shortest random part of the delay before a refused caller
+	// retries, as a share of the time until the caller's deadline.
+	minRetryDelayShare = 0.1
+	// maxRetryDelayShare is the longest random part of that delay, and also the longest delay,
+	// as a share of the time until the caller's deadline.
+	maxRetryDelayShare = 0.33
 )
 
 // Refusal is the forecast that led to refusing a request.
@@ -174,8 +178,8 @@
 func (q *Query) eta(now time.Time, s *shard) time.Duration {
 	typical, _ := q.table.typicalDuration(now, q.durationKey())
 	best := time.Duration(never)
-	slots := 0.0 // of all leafs, where a slot of a leaf that is twice as slow counts half
-	var work time.Duration
+	slots := 0.0           // of all leafs, where a slot of a leaf that is twice as slow counts half
+	var work time.Duration // longest typical duration of the recent requests to one leaf
 	for _, l := range q.candidates(s) {
 		if l.suspicion.raised {
 			continue
@@ -219,7 +223,8 @@
 
 // othersRemaining returns the estimated number of requests of other VMs at the leaf: those in its
 // last load report, less those that it is assumed to have completed since. It is 0 if the report
-// is older than reportedLoadLifetime.
+// is older than reportedLoadLifetime. Forecasts use it; the choice between leafs uses
+// othersEstimate.
 func (l *leaf) othersRemaining(now time.Time) float64 {
 	age := now.Sub(l.reportedAt)
 	if age >= reportedLoadLifetime || l.othersReported == 0 {
--- a/scatter/admission_test.go
+++ b/scatter/admission_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-// partWork is how long a leaf works on a part.
+// partWork is how long a leaf of usual speed works on a part of a gathered request, on average.
 const partWork = 28 * time.Millisecond
 
 // newScarceSimulation returns a simulation of five VMs with 20 shards, and a function that returns
@@ -35,8 +35,8 @@
 const maxFailedPercent = 4
 
 // Guards against failed requests where the slots of four shards suffice for four fifths of the
-// requests. Without admission, one request in five is started, occupies slots of all shards,
-// and fails when its time is over.
+// requests. Without admission, the other fifth is started too, occupies slots of all shards, and
+// fails when its time is over.
 func TestScarceShardsServeNearTheirCapacity(t *testing.T) {
 	const length = 10 * time.Second
 	sim, request := newScarceSimulation(t)
@@ -47,8 +47,9 @@
 	sim.Expect(sim.longestRefusal).To(gomega.BeZero())
 }
 
-// Shows the failure that the test above guards against: the same load with all requests
-// admitted.
+// Shows why requests need admission. The slots of four shards suffice for four fifths of the
+// requests, and all requests are admitted. Then callers fail or get a late answer more than twice
+// as often as maxFailedPercent allows.
 func TestScarceShardsFailCallersWithoutAdmission(t *testing.T) {
 	sim, request := newScarceSimulation(t)
 	for _, table := range sim.tables {
@@ -72,7 +73,8 @@
 
 // Guards against a request that can't be reported as not run, although the called VM refused it.
 // The shards that only the called VM queries are short of slots. Meanwhile leafs already work on
-// the shards that this VM queries itself, for nothing, and the caller gets status 502.
+// the shards that this VM queries itself, for nothing, and the caller gets status 502. Once a call
+// was refused, this VM delays its own shards until a called VM has had time to refuse.
 func TestOwnShardsWaitWhereCallsAreRefused(t *testing.T) {
 	w := newWorld(t)
 	names := append(w.shards(8, "other"), "own-1", "own-2")
@@ -103,7 +105,7 @@
 }
 
 // Guards against an inconsistent count of waiting requests when queries wait for a service
-// before its first leaf is known. If they were subtracted from a count to which they were not
+// before its first leaf is known. If a query were subtracted from a count to which it was not
 // added, the count would be negative, and shards would be forecast to answer before they are
 // queried.
 func TestWaitingRequestsAreCountedOnce(t *testing.T) {
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -18,18 +18,20 @@
 	leafWaitShare = 0.2
 )
 
-// trySend sends an attempt on the shard with index i. If no leaf takes it or the budget does
-// not allow it, no action is returned. The shard then waits for a leaf or is closed, unless the
-// attempt is a hedge or another attempt on the shard is in flight.
+// trySend makes an attempt on the shard with index i and returns the action that sends it. It
+// returns no action if no leaf takes the attempt, the budget does not allow it, or it would be too
+// late. The shard then waits for a leaf or is closed, unless the attempt is a hedge or another
+// attempt on the shard is in flight.
 func (q *Query) trySend(now time.Time, i int, reason AttemptReason) []Action {
 	s := &q.shards[i]
 	leafs := q.candidates(s)
 	filter := leafFilter{exclude: s.tried, idleOnly: reason == Hedge}
 	if q.spec.Gathered {
 		filter.usefulUntil = q.usefulUntil(now)
-		// late: an answer can no longer be expected before AnswerBy. If enough other
-		// shards are answered, the request does not wait for this one. Otherwise only
-		// an idle leaf gets the attempt.
+		// usefulUntil is after AnswerBy for a late attempt: one whose answer can't be
+		// expected before AnswerBy, when the request is answered with the parts received
+		// so far. A late attempt is made only if too few shards are answered so far, and
+		// only at an idle leaf.
 		late := filter.usefulUntil.After(q.spec.AnswerBy)
 		if late && q.enough(q.answered()) {
 			if s.inFlight == 0 {
@@ -133,8 +135,8 @@
 // usefulUntil returns the time from which the answer to an attempt that is sent now is useless.
 // For a request to a single service it is the deadline. For a gathered request it is AnswerBy,
 // when the request is answered with the parts received so far. If a typical attempt would end
-// after AnswerBy, it is a short time from now instead (see latePartShare). It is never after the
-// deadline.
+// after AnswerBy, the result is latePartShare of the latency objective from now instead. It is
+// never after the deadline.
 //
 // Parts of a gathered answer are useless once the answer was sent. The time until the caller's
 // deadline may be many times the latency objective. If leafs were given all of it, those short of
@@ -166,8 +168,9 @@
 		return
 	}
 	if !q.table.HasUsableLeaf(s.service) && (!q.spec.Gathered || q.spec.Delegated) {
-		// A caller that gets the error at once can turn elsewhere. So can another VM,
-		// which may know leafs that this one does not if it has just started.
+		// A caller that gets the error at once can turn elsewhere. So can a VM that
+		// delegated the request to this one. It may know leafs that this VM does not
+		// know, since this VM may have just started.
 		s.close(GapNoLeaf)
 		return
 	}
@@ -203,9 +206,9 @@
 }
 
 // retryShard sends an attempt on the shard with index i. It does nothing if the shard has an
-// answer, is closed or has an attempt in flight. It closes the shard if it is too late, or if the
-// request allows no further attempt. It is called when an attempt ended without an answer, and
-// when a shard that waited for a leaf is checked again.
+// answer, is closed or has an attempt in flight. It closes the shard if a gathered request has
+// reached AnswerBy, or if the request allows no further attempt. It is called when an attempt ended
+// without an answer, and when a shard that waited for a leaf is checked again.
 func (q *Query) retryShard(now time.Time, i int) []Action {
 	s := &q.shards[i]
 	if s.answered() || s.closed || s.inFlight > 0 {
--- a/scatter/conclude.go
+++ b/scatter/conclude.go
@@ -15,8 +15,8 @@
 	return append(acts, q.finish(out)...)
 }
 
-// finish ends the query with an outcome, which it completes with the gaps (shards without an
-// answer) and the counters of the query.
+// finish ends the query and returns the Finish action. The action has the given outcome, completed
+// with the gaps (shards without an answer) and the counters of the query.
 func (q *Query) finish(out Outcome) []Action {
 	q.done = true
 	if q.spec.Gathered {
@@ -30,7 +30,8 @@
 	return []Action{Finish{Outcome: out}}
 }
 
-// decide returns the outcome of the query, and false while there is none yet.
+// decide returns the outcome of the query and whether it is decided. While it is not, the returned
+// outcome is empty, and the query goes on.
 func (q *Query) decide(now time.Time) (Outcome, bool) {
 	if q.spec.Gathered {
 		return q.decideGathered(now)
@@ -38,7 +39,9 @@
 	return q.decideSingle()
 }
 
-// decideSingle is decide for a request to a single service, which has one shard.
+// decideSingle returns the outcome of a request to a single service, which has one shard, and
+// whether the outcome is decided. It is not decided while an attempt is in flight, or while the
+// shard waits for a leaf: pollAt is then the time at which the query looks for a leaf again.
 func (q *Query) decideSingle() (Outcome, bool) {
 	s := &q.shards[0]
 	switch {
@@ -86,7 +89,8 @@
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// decideGathered is decide for a gathered request. The query ends
+// decideGathered returns the outcome of a gathered request and whether it is decided. It is
+// decided, and the query ends,
 //   - when all shards are answered;
 //   - when enough shards are answered and no other one can be answered any more;
 //   - when too few shards can be answered, which is a failure;
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -208,7 +208,7 @@
 
 // failoverTime returns when a call that is sent now fails over if it has no answer by then. That
 // is when the call has taken longer than most calls take until their first answer. The called VM
-// sends an interim answer at interim, so the call does not fail over before that answer can have
+// sends an interim answer at interimBy, so the call does not fail over before that answer can have
 // been received. It fails over at the latest after latestFailoverShare of the time until AnswerBy,
 // by when this VM answers its caller. A call that is not acknowledged in time fails over earlier
 // (see call.ackDue).
@@ -286,11 +286,11 @@
 	return q.conclude(now, append(acts, q.sendDirectly(now, id)...))
 }
 
-// callRefused handles the refusal of a call: no leaf has run any of its shards for the called VM,
-// and none will. retryAfter is the delay after which the caller should retry. The shards of the
-// call are closed: the called VM refuses if too few of them could be answered in time, and the
-// request's other shards can't make up for them. Shards that this VM has meanwhile sent to a leaf
-// itself stay open.
+// callRefused handles the refusal of call c, which has the given id: no leaf has run any of its
+// shards for the called VM, and none will. retryAfter is the delay after which the caller should
+// retry. The shards of the call are closed: the called VM refuses if too few of them could be
+// answered in time, and the request's other shards can't make up for them. Shards that this VM has
+// meanwhile sent to a leaf itself stay open.
 func (q *Query) callRefused(now time.Time, c *call, id CallID, retryAfter time.Duration) []Action {
 	c.finished, c.resolved = true, true
 	q.table.callRefusalRate.add(now, 1)
--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -42,9 +42,9 @@
 	return list
 }
 
-// Guards against three leafs working on one shard of a request that allows two: the called VM sent
-// the shard to two leafs and then froze, and this VM sent it to a third one directly. Both VMs
-// together use at most two leafs, whichever leafs the called VM can't reach.
+// Guards against three leafs working on one shard of a request that allows two. The called VM sends
+// the shard to two leafs and then freezes, and this VM sends it to a third one directly. Both VMs
+// together must use at most two leafs, whichever leafs the called VM can't reach.
 func TestTwoVMsUseNoMoreLeafsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request := rapid.StringMatching("[0-9a-f]{16}").Draw(t, "request")
@@ -62,6 +62,8 @@
 		calls := vmCalls(q.Start(w.now))
 		w.Expect(calls).To(gomega.HaveLen(1))
 		ran := make(map[int]map[LeafID]bool)
+		// record adds the leafs to which requests are sent to ran. shard returns the calling
+		// VM's index of a shard.
 		record := func(list []Send, shard func(int) int) {
 			for _, s := range list {
 				i := shard(s.Shard)
@@ -103,9 +105,9 @@
 }
 
 // Guards against three leafs working on one shard of a request that allows two, while leafs are
-// replaced. The called VM can't reach the store and still knows removed leafs; it would use one of
-// these, and the calling VM two others. The called VM declines shards for which its view differs,
-// and both together use no more leafs than the request allows.
+// replaced. The called VM can't reach the store and still knows removed leafs. It would use one of
+// these, and the calling VM two others. The called VM declines shards for which its view, a hash of
+// the leafs that it knows, differs. Both together then use no more leafs than the request allows.
 func TestVMsWithDifferentViewsUseNoMoreLeafsThanAllowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const shards = 6
@@ -134,6 +136,8 @@
 		q := NewQuery(spec, w.table)
 		acts := q.Start(w.now)
 		ran := make([]map[LeafID]bool, shards)
+		// record adds the leafs to which the actions send requests to ran. shard returns the
+		// calling VM's index of a shard.
 		record := func(acts []Action, shard func(int) int) {
 			for _, s := range sends(acts) {
 				i := shard(s.Shard)
@@ -403,6 +407,8 @@
 	w := newWorld(t)
 	q, call := newDelegatedQuery(w, 10)
 	var out *Outcome
+	// unreachable lets each attempt of the actions find its leaf unreachable, and each attempt
+	// that follows. It sets out if the query ends.
 	unreachable := func(acts []Action) {
 		for len(acts) > 0 && out == nil {
 			out = outcome(acts)
--- a/scatter/failover_test.go
+++ b/scatter/failover_test.go
@@ -139,6 +139,8 @@
 		q, call := newQueryWithTwoOwners(w, 6)
 		names := q.spec.Services
 		ran := make(map[string]map[LeafID]bool)
+		// serve runs the query of the called VM, and records the leafs to which it sends
+		// requests.
 		serve := func(call CallVM) {
 			peer := newWorld(t)
 			peer.becomeVM(call.VM.Name, call.VM.Zone, ampleBudget)
--- a/scatter/failure_rate.go
+++ b/scatter/failure_rate.go
@@ -26,9 +26,9 @@
 	// failureRateSurcharge is what is added to the expected duration at a leaf that fails
 	// every request, as a share of the latency objective. With a lower failure rate the
 	// surcharge is proportionally lower. Requests go to the leaf with the lowest sum of
-	// expected duration and surcharges. Leafs in another zone have a surcharge too
-	// (crossZoneSurcharge). So they replace a failing leaf after three consecutive failures,
-	// not after one.
+	// expected duration and surcharges. A leaf in another zone has a surcharge too
+	// (crossZoneSurcharge). It therefore replaces a failing leaf after three consecutive
+	// failures, not after one.
 	failureRateSurcharge = 0.8
 )
 
--- a/scatter/floor_test.go
+++ b/scatter/floor_test.go
@@ -32,9 +32,9 @@
 	return t
 }
 
-// Guards against more extra arrivals at a shard's leafs than allowed. 80 VMs each spend their share
-// of the floor, and are restarted and spend a share again within the same window. The sum of the
-// shares before and after the restart stays below the floor.
+// Guards against more extra arrivals at a shard's leafs than allowed. Up to 80 VMs each spend their
+// share of the floor, are restarted, and spend a share again within the same window. The sum of
+// the shares before and after the restart stays below the floor.
 func TestFloorSharesStayBelowFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
@@ -53,9 +53,9 @@
 	}
 }
 
-// Guards against an answer that lacks a shard although another leaf has it. The shard's leaf
-// pauses, and the VM that owns it can hedge only once in ten seconds, if the floor is divided
-// equally among 80 VMs of which 20 use that leaf.
+// Guards against an answer that lacks a shard although another leaf could answer it. The shard's
+// leaf pauses. If the floor were divided equally among 80 VMs, a VM that owns the leaf could hedge
+// only once in ten seconds, although no more than 20 of the VMs use the leaf.
 func TestOwnersOfAShardMayHedgeItMoreThanOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
--- a/scatter/harness_test.go
+++ b/scatter/harness_test.go
@@ -30,14 +30,14 @@
 	return w
 }
 
-// becomeVM replaces the table by that of another VM, which started more than a budget window
-// ago and knows no other VMs.
+// becomeVM replaces the table by that of another VM, which started one budget window ago and knows
+// no other VMs.
 func (w *world) becomeVM(name, zone string, config BudgetConfig) {
 	w.table = NewTable(VM{Name: name, Zone: zone, Power: 1}, config, w.now.Add(-config.Window), rand.New(rand.NewPCG(1, 2)))
 	w.table.SetVMs(w.now, nil)
 }
 
-// leaf adds a leaf with two slots and returns its id.
+// leaf adds a leaf of the service with two slots in the zone, and returns its id.
 func (w *world) leaf(service, zone string) LeafID {
 	id := fmt.Sprintf("%s@%s", service, zone)
 	w.table.Apply(w.now, registry.Change{Leaf: registry.Leaf{
@@ -46,7 +46,7 @@
 	return LeafID{ID: id, Born: 1}
 }
 
-// shards adds n services with a leaf in each of the zones, and returns their names.
+// shards adds n services with a leaf in each of the zones, and returns the names of the services.
 func (w *world) shards(n int, zones ...string) []string {
 	names := make([]string, n)
 	for i := range names {
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -24,7 +24,8 @@
 	// defaultHedgeDelayShare is the hedge delay while too few durations are known, as a
 	// share of the latency objective.
 	defaultHedgeDelayShare = 0.35
-	minHedgeDelay          = 4 * time.Millisecond // shortest hedge delay computed from durations
+	// minHedgeDelay is the shortest hedge delay that is computed from recent durations.
+	minHedgeDelay = 4 * time.Millisecond
 
 	// hedgeAnswerTimeFactor is the time that a hedge of a gathered request is given for its
 	// answer, as a multiple of the hedgeDurationQuantile of recent durations. AnswerBy is
--- a/scatter/hedge_test.go
+++ b/scatter/hedge_test.go
@@ -8,9 +8,9 @@
 	"github.com/onsi/gomega"
 )
 
-// runGathered runs n gathered requests. The leafs of the services in slow answer after took, the
-// others after 8 ms. If reported is set, the slow leafs report the corresponding slowdown of their
-// machines.
+// runGathered runs n gathered requests. The leafs of the services in slow answer later than the
+// others by the time took; the others answer after 8 ms. If reported is set, the slow leafs report
+// that work on their machines takes longer by the factor took / 8 ms.
 func (w *world) runGathered(names []string, n int, slow map[string]bool, took time.Duration, reported bool) {
 	for range n {
 		q := NewQuery(w.gathered(names), w.table)
@@ -37,9 +37,9 @@
 }
 
 // Guards against a hedge that comes too late. A fifth of the leafs is slow, and then one leaf does
-// not answer. If the hedge is due only after the time in which nine of ten leafs answer, slow ones
-// included, the request is over by then, and its answer, if any, lacks the shard of the silent
-// leaf.
+// not answer. If the hedge were due only after the time in which nine of ten leafs answer, slow
+// ones included, the request would be over by then. Its answer, if any, would lack the shard of the
+// silent leaf.
 func TestSilentLeafIsHedgedWhileOthersAreSlow(t *testing.T) {
 	for _, reported := range []bool{true, false} {
 		t.Run(fmt.Sprintf("stated %v", reported), func(t *testing.T) {
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -36,8 +36,8 @@
 	suspicion suspicion        // after silence, keeps requests away until a new connection can be made
 
 	othersReported float64       // requests of other VMs that ran or waited at the leaf, by its latest load report
-	reportedAt     time.Time     // when that report was received
-	freeSlots      int           // slots without a request, by that report
+	reportedAt     time.Time     // when the latest load report was received
+	freeSlots      int           // slots without a request, by the latest load report
 	halfOpen       bool          // the leaf stopped a request that took too long; it gets one request at a time until it answers one
 	typicalWork    time.Duration // smoothed time that requests like those sent here take at a leaf of usual speed
 }
@@ -71,7 +71,8 @@
 	stalledLeafDelay = 80 * time.Millisecond
 )
 
-// available reports whether requests may be sent to the leaf, as far as this VM knows.
+// available reports whether the leaf is neither suspect nor in cooldown. An unavailable leaf gets a
+// request only if no available leaf takes it.
 func (l *leaf) available(now time.Time) bool { return !l.suspicion.raised && !l.cooldown.active(now) }
 
 // preferredTo reports whether l is a better choice than other if neither is available. A leaf
@@ -104,7 +105,7 @@
 }
 
 // removeInFlight removes one request that was sent at sentAt from those in flight, and returns
-// it. If there is none, it returns a request whose typical duration is not known.
+// it. If none was sent at that time, it returns a request whose typical duration is not known.
 func (l *leaf) removeInFlight(sentAt time.Time) pendingRequest {
 	i := slices.IndexFunc(l.inFlight, func(req pendingRequest) bool { return req.sentAt.Equal(sentAt) })
 	if i < 0 {
@@ -115,7 +116,7 @@
 	return req
 }
 
-// recordAnswer records that the leaf answered request f now, with whatever result.
+// recordAnswer records that the leaf answered the request req now, with whatever result.
 func (l *leaf) recordAnswer(now time.Time, req pendingRequest) {
 	l.cooldown.recordAnswer()
 	l.halfOpen = false
@@ -148,7 +149,8 @@
 }
 
 // othersEstimate returns the estimated number of requests of other VMs at the leaf: those in
-// its last load report, with a weight that decreases with the report's age.
+// its last load report, with a weight that decreases with the report's age. The choice between
+// leafs uses it; forecasts use othersRemaining.
 func (l *leaf) othersEstimate(now time.Time) float64 {
 	age := now.Sub(l.reportedAt)
 	if age >= reportedLoadLifetime {
--- a/scatter/load_test.go
+++ b/scatter/load_test.go
@@ -26,12 +26,12 @@
 
 // simulatedLeaf is a leaf that takes work times slowdown on average to finish an attempt.
 type simulatedLeaf struct {
-	slots     int
-	work      time.Duration
-	slowdown  float64
-	shedShare float64 // share of the attempts that it refuses
-	running   int
-	queue     []simulatedPart
+	slots     int             // attempts that it can run at the same time
+	work      time.Duration   // average time for an attempt at usual speed
+	slowdown  float64         // factor by which it takes longer than usual
+	shedShare float64         // share of the attempts that it refuses, from 0 to 1
+	running   int             // attempts that it is running
+	queue     []simulatedPart // attempts that wait for a slot
 }
 
 // simulatedPart is an attempt at a simulated leaf.
@@ -76,7 +76,8 @@
 	return sim
 }
 
-// shards adds services with a leaf in each of the zones, known to all VMs.
+// shards adds n services with a leaf in each of the zones, known to all VMs, and returns the names
+// of the services. work is how long a leaf of usual speed works on an attempt, on average.
 func (sim *simulation) shards(n int, work time.Duration, zones ...string) []string {
 	var names []string
 	for _, t := range sim.tables {
@@ -89,13 +90,14 @@
 	return names
 }
 
-// after schedules a call of do in d from now.
+// after schedules a call of fn at the time d from now.
 func (sim *simulation) after(d time.Duration, fn func()) {
 	sim.serial++
 	heap.Push(&sim.events, simulatedEvent{at: sim.now.Add(d), serial: sim.serial, fn: fn})
 }
 
-// run simulates callers, perSecond of them per second for the given time, each with a request.
+// run simulates callers that arrive for the time length, perSecond of them per second on average.
+// Each sends a request that request returns. run returns once all queries have ended.
 func (sim *simulation) run(length time.Duration, perSecond float64, request func() Spec) {
 	end := sim.now.Add(length)
 	var arrive func()
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -52,10 +52,10 @@
 // Send sends the request to a leaf.
 type Send struct {
 	Attempt AttemptID
-	Shard   int    // index of the shard in the query
-	Leaf    LeafID // the leaf to send it to
-	Address string // the leaf's address
-	SentAt  time.Time
+	Shard   int       // index of the shard in the query
+	Leaf    LeafID    // the leaf to send it to
+	Address string    // the leaf's address
+	SentAt  time.Time // when the query decided to send it
 	// Until is when the leaf has to stop its work, since a later answer is useless.
 	Until          time.Time
 	OtherZone      bool // the leaf is in another availability zone
@@ -67,11 +67,11 @@
 type CallVM struct {
 	Call        CallID
 	VM          VM
-	SentAt      time.Time
-	Shards      []int  // indexes of the shards in the query
-	Views       []View // for each of Shards, a hash of the leafs that the calling VM knows
-	Required    int    // how many of Shards have to be answered so that the whole answer is sufficient
-	Redelegated bool   // another VM was called for the shards before and may have queried them
+	SentAt      time.Time // when the query decided to make the call
+	Shards      []int     // indexes of the shards in the query
+	Views       []View    // for each of Shards, a hash of the leafs that the calling VM knows
+	Required    int       // how many of Shards have to be answered so that the whole answer is sufficient
+	Redelegated bool      // another VM was called for the shards before and may have queried them
 	// InterimBy is when the called VM sends a first answer with the shards answered so far.
 	InterimBy time.Time
 	// AnswerBy is when the called VM stops waiting for the other shards and sends its last
@@ -92,9 +92,9 @@
 
 // The reasons for an attempt.
 const (
-	FirstAttempt AttemptReason = iota // the first one on a shard
-	Retry                             // after a failure
-	Hedge                             // in parallel to a slow attempt
+	FirstAttempt AttemptReason = iota // the shard had no attempt before
+	Retry                             // an earlier attempt failed, or a call to another VM gave no answer for the shard
+	Hedge                             // another attempt on the shard is slow and still in flight
 )
 
 // String returns the word used in logs and metrics.
@@ -107,12 +107,12 @@
 
 // The verdicts.
 const (
-	Answered     Verdict = iota // by a leaf, or, for a gathered request, by enough shards
+	Answered     Verdict = iota // a leaf answered, or, for a gathered request, enough shards are answered
 	LeafFailed                  // a leaf ran the request and failed; its answer is passed on
 	NotRun                      // no leaf ran the request or ever will
 	Unknown                     // a leaf may have run the request; there will be no answer
 	TimedOut                    // a leaf may have run the request; the deadline passed
-	Abandoned                   // the caller left
+	Abandoned                   // the caller cancelled the request or disconnected
 	TooFewShards                // leafs may have run the request, but too few shards answered
 )
 
@@ -156,11 +156,11 @@
 	startedAt time.Time
 	done      bool
 
-	attempts      map[AttemptID]*attempt // those in flight
-	calls         map[CallID]*call       // all, also those that have ended
+	attempts      map[AttemptID]*attempt // attempts in flight
+	calls         map[CallID]*call       // all calls to other VMs, also those that have ended
 	callAnswers   []callAnswer           // answers of other VMs, in the order of arrival
-	lastAttempt   AttemptID              // the newest one; 0 for none
-	failedAttempt AttemptID              // the latest one that a leaf answered with a failure; 0 for none
+	lastAttempt   AttemptID              // the newest attempt; 0 for none
+	failedAttempt AttemptID              // the latest attempt that a leaf answered with a failure; 0 for none
 	hedgeRetryAt  time.Time              // no hedge is sent before this time, since one found no idle leaf or no budget
 
 	omissionsLeft int           // number of shards that the answer may leave out, besides those omitted at the start
@@ -181,10 +181,10 @@
 	budgetCounted  bool      // the service's budget has counted the request
 	hedged         bool      // a hedge was sent
 	hedgeAt        time.Time // when the latest attempt is slow enough for a hedge
-	pollAt         time.Time // when to look for a leaf again; zero if not waiting
+	pollAt         time.Time // when to look for a leaf again; zero if the shard does not wait for one
 	waitingOn      *service  // the service, while it counts the shard as waiting for a leaf; nil otherwise
 	closed         bool      // no further attempt will be made
-	gap            GapCause  // why it was closed
+	gap            GapCause  // if closed: why
 	declined       bool      // left to the calling VM, which knows other leafs than this VM
 	answer         AttemptID // the attempt that answered the shard; 0 for none
 	call           CallID    // the latest call for the shard; 0 for none
@@ -220,7 +220,9 @@
 	writtenAt, ackDue time.Time
 	answered          bool // the VM has answered, perhaps in part
 	finished          bool // no further answer will arrive
-	resolved          bool // no failover is pending: answered in full, failed over, or sent directly
+	// resolved says that the call does not fail over any more. It was answered in full, was
+	// refused, has failed over, or this VM has sent its shards to leafs itself.
+	resolved bool
 }
 
 // overdueTime returns when the call becomes overdue: at the earlier of the times by which it has
@@ -230,7 +232,7 @@
 // callAnswer is one answer of another VM. It can't be split: all of its shards are used or none.
 type callAnswer struct {
 	shards []int // indexes of the shards that it includes
-	used   bool  // it is part of the result
+	used   bool  // it is part of the answer to the caller
 }
 
 // NewQuery returns a query that has not started.
@@ -411,7 +413,7 @@
 	return ids
 }
 
-// Abandon ends the query since the caller left.
+// Abandon ends the query since the caller cancelled the request or disconnected.
 func (q *Query) Abandon() []Action {
 	if q.done {
 		return nil
--- a/scatter/query_bench_test.go
+++ b/scatter/query_bench_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// BenchmarkGatheredQuery measures the decisions for one request over 90 shards with three
-// leafs each, where all answers arrive one after another. A VM with a fifth of a core has
-// about 16 ms of processor time within the latency objective for everything that it does.
+// BenchmarkGatheredQuery measures the time and the allocations of the decisions for one request
+// over 90 shards with three leafs each, where all answers arrive one after another. A VM with a
+// fifth of a core has about 16 ms of processor time within the latency objective for everything
+// that it does.
 func BenchmarkGatheredQuery(b *testing.B) {
 	w := newWorld(b)
 	names := w.shards(90, homeZone, "other", "third")
--- a/scatter/query_test.go
+++ b/scatter/query_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards against a caller that waits for its whole time limit for the verdict that nothing ran,
-// although no leaf of the service is known from the start.
+// Guards against a caller that waits for its whole time limit until it gets the verdict that
+// nothing ran, although from the start no leaf of the service is known.
 func TestRequestWithoutLeafsIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t)
 	q := NewQuery(w.single("ledger", true), w.table)
@@ -180,9 +180,9 @@
 	w.Expect(w.table.findLeaf(renewed).cooldown.active(w.now)).To(gomega.BeFalse())
 }
 
-// Whatever leafs do and when, a query ends exactly once and by its deadline, and sends a shard to no
-// more leafs than allowed. A request that is not idempotent is not sent again after it may have
-// run.
+// Guards against a query that ends twice or after its deadline, or sends a shard to more leafs than
+// allowed, because of an order of events that was not foreseen. It also guards against sending a
+// request that is not idempotent again after it may have run.
 func TestQueryInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
--- a/scatter/speed_test.go
+++ b/scatter/speed_test.go
@@ -92,9 +92,9 @@
 }
 
 // Guards against mistaking a slow kind of request for a pause of the leaf. A VM has just started and
-// knows no durations. If it assumed that all kinds were as fast as parts of a search, requests that
-// take 60 ms of a latency objective of 250 ms would count as paused after 24 ms, and the next
-// requests would go to another zone.
+// knows no durations. If it assumed that all kinds were as fast as parts of a search, a leaf with
+// requests that take 60 ms of a latency objective of 250 ms would count as stalled after 24 ms, and
+// the next requests would go to another zone.
 func TestSlowRequestKindIsNotMistakenForPauseAtStartup(t *testing.T) {
 	w := newWorld(t)
 	local := w.leaf("ledger", homeZone)
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -17,12 +17,16 @@
 	nextProbe    time.Time // when the next probe is due, if raised
 }
 
-// Pauses between two probes of a suspect leaf or VM. They double with each failed probe. A leaf
-// or VM that has recovered is found within the longest pause.
+// Pauses before the probes of a suspect leaf or VM. The pause doubles with each failed probe, up to
+// a maximum. A leaf or VM that has recovered is found within the longest pause.
 const (
-	firstProbePause   = 250 * time.Millisecond // pause before the first probe
-	maxVMProbePause   = 2 * time.Second        // longest pause, for a VM
-	maxLeafProbePause = time.Second            // longest pause, for a leaf: a disconnected one should be found within 2 s
+	// firstProbePause is the time from when a leaf or VM becomes suspect until its first probe.
+	firstProbePause = 250 * time.Millisecond
+	// maxVMProbePause is the longest time between two probes of a suspect VM.
+	maxVMProbePause = 2 * time.Second
+	// maxLeafProbePause is the longest time between two probes of a suspect leaf. A leaf that
+	// was only disconnected should be found within 2 s.
+	maxLeafProbePause = time.Second
 )
 
 // raise makes the leaf or VM suspect, unless it already is.
@@ -32,7 +36,7 @@
 	}
 }
 
-// probeFailed schedules the next probe after a failed one. longest is the longest pause.
+// probeFailed schedules the next probe after a failed one. maxPause is the longest time until then.
 func (s *suspicion) probeFailed(now time.Time, maxPause time.Duration) {
 	s.failedProbes++
 	s.nextProbe = now.Add(min(firstProbePause<<min(s.failedProbes, maxPauseDoublings), maxPause))
@@ -64,7 +68,8 @@
 	return list, next
 }
 
-// RecordVMProbe records whether a suspect VM proved, on a new connection, that it is alive.
+// RecordVMProbe records whether a suspect VM proved, on a new connection, that it is alive. If so,
+// the VM may be called again at once. Otherwise the next probe is scheduled.
 func (t *Table) RecordVMProbe(now time.Time, name string, alive bool) {
 	v := t.vms[name]
 	switch {
@@ -84,7 +89,7 @@
 // is lost may get no answers for the shards of that call. Since a VM calls many others, this would
 // happen to many requests. The check finds the other lost VMs before requests do.
 type livenessRound struct {
-	requested bool      // a check of all VMs has to be made
+	requested bool      // a check of all VMs that this one calls has to be started
 	lastAt    time.Time // when the latest check was started
 }
 
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -19,9 +19,9 @@
 	budgetConfig  BudgetConfig
 	leafs         map[string]*leaf                  // by id
 	services      map[string]*service               // by name
-	vms           map[string]*vm                    // by name: the other VMs
+	vms           map[string]*vm                    // by name: the other VMs that are listed now
 	members       map[string]memberInfo             // by name: the other VMs, including those that left recently
-	zones         map[string]*zoneMembers           // by zone: members and this VM
+	zones         map[string]*zoneMembers           // by zone: its VMs, which are members or this VM
 	leafOwners    int                               // number of VMs that normally use one leaf: the owners of one leaf partition, summed over the zones
 	maxShards     int                               // number of shards of the gathered request that has the most shards
 	shardsPerZone int                               // how many of those maxShards shards have a leaf in one zone, on average
@@ -123,7 +123,7 @@
 	s.leafs = slices.DeleteFunc(s.leafs, func(o *leaf) bool { return o == l })
 }
 
-// service returns the named service, which it adds if it is unknown.
+// service returns the named service. It adds an unknown one, whose budget starts empty.
 func (t *Table) service(now time.Time, name string) *service {
 	s := t.services[name]
 	if s == nil {
@@ -218,9 +218,12 @@
 
 // leafFilter restricts the leafs that may be picked for a request.
 type leafFilter struct {
-	exclude     []LeafID  // leafs that were already tried
-	idleOnly    bool      // only leafs that would start the request at once
-	usefulUntil time.Time // only leafs that are expected to answer by then, or not much later; zero for no limit
+	exclude  []LeafID // leafs that were already tried
+	idleOnly bool     // only leafs that would start the request at once
+	// usefulUntil is the time from which the answer is useless. A leaf is left out if the
+	// expected time until its answer is more than latenessTolerance times the time until
+	// usefulUntil. Zero means no limit.
+	usefulUntil time.Time
 }
 
 // pickLeaf returns the leaf for a request: the one with the lowest cost, which is the expected
@@ -237,7 +240,7 @@
 		if filter.idleOnly && !l.idle(now) {
 			continue
 		}
-		// A leaf may take latenessTolerance times the time that is left.
+		// A leaf may take latenessTolerance times the time until the answer is useless.
 		if !filter.usefulUntil.IsZero() && now.Add(l.eta(now, typical)/latenessTolerance).After(filter.usefulUntil) {
 			continue
 		}
@@ -334,7 +337,7 @@
 
 // The possible ends.
 const (
-	EndAnswered    End = iota // answered, with any status
+	EndAnswered    End = iota // answered, with a status that does not count as a failure of the leaf
 	EndUnreachable            // no connection: nothing reached the leaf
 	EndRefused                // the leaf reports that it did not run the request
 	EndBroken                 // the request may have run: the connection was cut or reset, or the answer was corrupt
@@ -408,7 +411,8 @@
 }
 
 // RecordLoad records the load that a leaf reported with an answer. It has to be called before
-// AttemptEnded, with the same time.
+// AttemptEnded and with the same time. From the equal times, AttemptEnded concludes that a refusal
+// came with this load.
 func (t *Table) RecordLoad(now time.Time, id LeafID, load Load) {
 	if l := t.findLeaf(id); l != nil {
 		l.recordLoad(now, load)
--- a/scatter/view.go
+++ b/scatter/view.go
@@ -45,10 +45,10 @@
 	return s.view
 }
 
-// viewVersion is the version of the rule that determines which VM may use which leafs. Each
-// release that changes the rule changes it. It is part of every view, so VMs of two versions
-// have different views and decline each other's shards during a rolling upgrade. Otherwise they
-// might together use one leaf more than a request allows.
+// viewVersion is the version of the rule that determines which VM may use which leafs. A release
+// that changes the rule has to increase the version. The version is part of every view, so VMs of
+// two versions have different views and decline each other's shards during a rolling upgrade.
+// Otherwise they might together use one leaf more than a request allows.
 const viewVersion = 3
 
 // viewOf returns the hash of the ids and start times of the given leafs. Draining leafs are left
--- a/scatter/vm.go
+++ b/scatter/vm.go
@@ -18,9 +18,9 @@
 // vm is what this VM knows of another VM.
 type vm struct {
 	VM
-	cooldown  cooldown
-	inFlight  int // calls of this VM to it that have not ended
-	suspicion suspicion
+	cooldown  cooldown  // after failures, keeps calls away for a while
+	inFlight  int       // calls of this VM to it that have not ended
+	suspicion suspicion // after silence, keeps calls away until a probe shows that the VM is alive
 }
 
 // available reports whether calls may be sent to the VM: it is neither suspect nor in cooldown.
--- a/scatter/zone.go
+++ b/scatter/zone.go
@@ -28,8 +28,8 @@
 // index i of the list owns partition i modulo the number of partitions. A small zone has one
 // partition, which all of its VMs own.
 type zoneMembers struct {
-	ranked     []zoneMember // the VMs of the zone, in this order
-	self       int          // index of this VM in the list, -1 in other zones
+	ranked     []zoneMember // the VMs of the zone, by descending power and then by name
+	self       int          // index of this VM in ranked, -1 in other zones
 	partitions int          // number of leaf partitions
 	owners     int          // number of VMs that own a partition: the first ones in ranked
 }
