--- a/scatter/failover_test.go
+++ b/scatter/failover_test.go
@@ -139,6 +139,8 @@
 		q, call := newQueryWithTwoOwners(w, 6)
 		names := q.spec.Services
 		ran := make(map[string]map[LeafID]bool)
+		// serve runs the query of the called VM, and records the leafs to which it sends
+		// requests.
 		serve := func(call CallVM) {
 			peer := newWorld(t)
 			peer.becomeVM(call.VM.Name, call.VM.Zone, ampleBudget)
@@ -154,8 +156,8 @@
 			}
 			spec.RequestID, spec.Delegated, spec.Views, spec.Redelegated = "request", true, call.Views, call.Redelegated
 			spec.MaxAttempts = q.spec.MaxAttempts
-			served := NewQuery(spec, peer.table)
-			for _, acts := range [][]Action{served.Start(peer.now), served.Tick(peer.now.Add(60 * time.Millisecond))} {
+			peerQuery := NewQuery(spec, peer.table)
+			for _, acts := range [][]Action{peerQuery.Start(peer.now), peerQuery.Tick(peer.now.Add(60 * time.Millisecond))} {
 				for _, s := range sends(acts) {
 					name := spec.Services[s.Shard]
 					if ran[name] == nil {
--- a/scatter/suspicion.go
+++ b/scatter/suspicion.go
@@ -12,17 +12,21 @@
 // requests to one leaf or VM is mostly longer than the longest cooldown, so nearly every request
 // would detect the failure again. A probe, which makes a new connection, costs only a handshake.
 type suspicion struct {
-	raised    bool      // the leaf or VM is suspect: it gets no requests
-	probes    int       // consecutive failed probes
-	nextProbe time.Time // when the next probe is due, if raised
+	raised       bool      // the leaf or VM is suspect: it gets no requests
+	failedProbes int       // consecutive failed probes
+	nextProbe    time.Time // when the next probe is due, if raised
 }
 
-// Pauses between two probes of a suspect leaf or VM. They double with each failed probe. A leaf
-// or VM that has recovered is found within the longest pause.
+// Pauses before the probes of a suspect leaf or VM. The pause doubles with each failed probe, up to
+// a maximum. A leaf or VM that has recovered is found within the longest pause.
 const (
-	firstProbePause   = 250 * time.Millisecond // pause before the first probe
-	maxVMProbePause   = 2 * time.Second        // longest pause, for a VM
-	maxLeafProbePause = time.Second            // longest pause, for a leaf: a disconnected one should be found within 2 s
+	// firstProbePause is the time from when a leaf or VM becomes suspect until its first probe.
+	firstProbePause = 250 * time.Millisecond
+	// maxVMProbePause is the longest time between two probes of a suspect VM.
+	maxVMProbePause = 2 * time.Second
+	// maxLeafProbePause is the longest time between two probes of a suspect leaf. A leaf that
+	// was only disconnected should be found within 2 s.
+	maxLeafProbePause = time.Second
 )
 
 // raise makes the leaf or VM suspect, unless it already is.
@@ -32,10 +36,10 @@
 	}
 }
 
-// probeFailed schedules the next probe after a failed one. longest is the longest pause.
-func (s *suspicion) probeFailed(now time.Time, longest time.Duration) {
-	s.probes++
-	s.nextProbe = now.Add(min(firstProbePause<<min(s.probes, maxPauseDoublings), longest))
+// probeFailed schedules the next probe after a failed one. maxPause is the longest time until then.
+func (s *suspicion) probeFailed(now time.Time, maxPause time.Duration) {
+	s.failedProbes++
+	s.nextProbe = now.Add(min(firstProbePause<<min(s.failedProbes, maxPauseDoublings), maxPause))
 }
 
 // due reports whether a probe is due now. If not, next is when the next probe is due. It is zero
@@ -64,7 +68,8 @@
 	return list, next
 }
 
-// RecordVMProbe records whether a suspect VM proved, on a new connection, that it is alive.
+// RecordVMProbe records whether a suspect VM proved, on a new connection, that it is alive. If so,
+// the VM may be called again at once. Otherwise the next probe is scheduled.
 func (t *Table) RecordVMProbe(now time.Time, name string, alive bool) {
 	v := t.vms[name]
 	switch {
@@ -84,7 +89,7 @@
 // is lost may get no answers for the shards of that call. Since a VM calls many others, this would
 // happen to many requests. The check finds the other lost VMs before requests do.
 type livenessRound struct {
-	requested bool      // a check of all VMs has to be made
+	requested bool      // a check of all VMs that this one calls has to be started
 	lastAt    time.Time // when the latest check was started
 }
 
