--- a/internal/lab/targetsim/handler.go
+++ b/internal/lab/targetsim/handler.go
@@ -29,7 +29,7 @@
 }
 
 func (t *Target) serveSearch(w http.ResponseWriter, r *http.Request) {
-	number, l := t.leafFromPath(r)
+	leafNumber, l := t.leafFromPath(r)
 	req, err := labhttp.ReadJSON[target.LeafRequest](w, r)
 	if l == nil || err != nil {
 		http.Error(w, "unknown leaf or malformed request", http.StatusBadRequest)
@@ -37,7 +37,7 @@
 	}
 	ctx, cancel := withDeadline(r.Context(), req.DeadlineMS)
 	defer cancel()
-	sh, found := t.findShard(number, req.Echo)
+	sh, found := t.findShard(leafNumber, req.Echo)
 	if !found {
 		t.writeRefusal(w, req.Echo, target.ReasonNoSnapshot, true)
 		return
@@ -45,7 +45,7 @@
 	if !t.admit(ctx, w, l, req.Echo) {
 		return
 	}
-	t.recorder.recordSearch(StartedRequest{Echo: req.Echo, Leaf: number})
+	t.recorder.recordSearch(StartedRequest{Echo: req.Echo, Leaf: leafNumber})
 	timing, cold := t.currentTiming()
 	finished := sleep(ctx, l.serviceTime(timing, cold))
 	l.release()
@@ -54,7 +54,7 @@
 		t.writeRefusal(w, req.Echo, target.ReasonDeadline, false)
 		return
 	}
-	t.writeSearchAnswer(ctx, w, number, searchShard(sh, req))
+	t.writeSearchAnswer(ctx, w, leafNumber, searchShard(sh, req))
 }
 
 // searchShard returns the answer to a search of the shard.
@@ -70,15 +70,15 @@
 }
 
 // writeSearchAnswer writes the answer, changed by the faults that apply to it.
-func (t *Target) writeSearchAnswer(ctx context.Context, w http.ResponseWriter, number int, ans target.LeafAnswer) {
+func (t *Target) writeSearchAnswer(ctx context.Context, w http.ResponseWriter, leafNumber int, ans target.LeafAnswer) {
 	t.mu.Lock()
 	fault := t.faults.consumeAnswerFault()
 	omitRecords(&ans, fault.missingRecords)
 	correct := ans
 	if fault.mismatched {
-		ans = t.mismatchedAnswer(number, correct)
+		ans = t.mismatchedAnswer(leafNumber, correct)
 	}
-	t.lastAnswers[number] = &correct
+	t.lastAnswers[leafNumber] = &correct
 	t.mu.Unlock()
 	sleep(ctx, fault.delay)
 	t.writeAnswer(w, http.StatusOK, ans)
@@ -90,8 +90,8 @@
 
 // mismatchedAnswer returns an answer that belongs to another request: the leaf's last answer,
 // or else the correct one with another request id. The caller must hold mu.
-func (t *Target) mismatchedAnswer(number int, correct target.LeafAnswer) target.LeafAnswer {
-	if last := t.lastAnswers[number]; last != nil && last.Echo != correct.Echo {
+func (t *Target) mismatchedAnswer(leafNumber int, correct target.LeafAnswer) target.LeafAnswer {
+	if last := t.lastAnswers[leafNumber]; last != nil && last.Echo != correct.Echo {
 		return *last
 	}
 	other := correct
@@ -100,7 +100,7 @@
 }
 
 func (t *Target) serveSubmit(w http.ResponseWriter, r *http.Request) {
-	number, l := t.leafFromPath(r)
+	leafNumber, l := t.leafFromPath(r)
 	req, err := labhttp.ReadJSON[target.SubmitRequest](w, r)
 	if l == nil || err != nil || req.Key == "" {
 		http.Error(w, "unknown leaf, malformed request or missing key", http.StatusBadRequest)
@@ -112,7 +112,7 @@
 		return
 	}
 	// A submit that has started runs to completion, even if its caller disconnects.
-	t.recorder.recordSubmit(StartedRequest{Echo: req.Echo, Leaf: number, Key: req.Key, Payload: req.Payload})
+	t.recorder.recordSubmit(StartedRequest{Echo: req.Echo, Leaf: leafNumber, Key: req.Key, Payload: req.Payload})
 	timing, cold := t.currentTiming()
 	time.Sleep(l.serviceTime(timing, cold))
 	l.release()
@@ -174,14 +174,14 @@
 }
 
 // findShard returns the shard that echo names, and whether the leaf holds it.
-func (t *Target) findShard(number int, echo target.Echo) (shard, bool) {
+func (t *Target) findShard(leafNumber int, echo target.Echo) (shard, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.placements {
-		if p.Snapshot != echo.Snapshot || number >= len(p.LeafShards) {
+		if p.Snapshot != echo.Snapshot || leafNumber >= len(p.LeafShards) {
 			continue
 		}
-		for _, s := range p.LeafShards[number] {
+		for _, s := range p.LeafShards[leafNumber] {
 			if s == echo.Shard {
 				return p.buildShards()[s], true
 			}
--- a/internal/lab/targetsim/leaf.go
+++ b/internal/lab/targetsim/leaf.go
@@ -23,16 +23,16 @@
 
 	mu          sync.Mutex // guards the fields below
 	rng         *rand.Rand
-	maxWaiting  int // limit of waiting
-	waiting     int // requests that wait for a slot
+	maxQueued   int // limit of waiting
+	queued      int // requests that wait for a slot
 	peakRunning int // highest number of requests that ran at once
 }
 
-func newLeaf(slots, queue int, seed uint64, number int) *leaf {
+func newLeaf(slots, maxQueued int, seed uint64, leafNumber int) *leaf {
 	return &leaf{
-		slots:      make(chan struct{}, slots),
-		maxWaiting: queue,
-		rng:        rand.New(rand.NewPCG(seed, uint64(number))),
+		slots:     make(chan struct{}, slots),
+		maxQueued: maxQueued,
+		rng:       rand.New(rand.NewPCG(seed, uint64(leafNumber))),
 	}
 }
 
@@ -63,7 +63,7 @@
 func (l *leaf) load() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.slots) + l.waiting
+	return len(l.slots) + l.queued
 }
 
 // serviceTime returns a random service time for the next request.
@@ -95,17 +95,17 @@
 func (l *leaf) enqueue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.waiting >= l.maxWaiting {
+	if l.queued >= l.maxQueued {
 		return false
 	}
-	l.waiting++
+	l.queued++
 	return true
 }
 
 func (l *leaf) dequeue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting--
+	l.queued--
 }
 
 func (l *leaf) updatePeak() {
--- a/internal/lab/targetsim/target_test.go
+++ b/internal/lab/targetsim/target_test.go
@@ -103,13 +103,13 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestRefusalsStateReasonAndStartNothing(t *testing.T) {
 	tests := []struct {
-		name   string
-		change func(*Options)
-		set    func(*Target)
-		req    func(*target.LeafRequest)
-		want   target.Reason
+		name          string
+		configure     func(*Options)
+		changeTarget  func(*Target)
+		changeRequest func(*target.LeafRequest)
+		want          target.Reason
 	}{
 		{"draining", nil, func(tg *Target) { tg.SetDraining(true) }, nil, target.ReasonDraining},
 		{"cold", func(o *Options) { o.ColdMS = 60000 }, nil, nil, target.ReasonCold},
@@ -120,13 +120,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			tg := startTarget(t, tt.change)
-			if tt.set != nil {
-				tt.set(tg)
+			tg := startTarget(t, tt.configure)
+			if tt.changeTarget != nil {
+				tt.changeTarget(tg)
 			}
 			req := searchRequest(0)
-			if tt.req != nil {
-				tt.req(&req)
+			if tt.changeRequest != nil {
+				tt.changeRequest(&req)
 			}
 			r, err := post(t.Context(), newClient(t, false), tg, 0, req, "search")
 			g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -155,7 +155,7 @@
 	g.Expect(tg.Counters().PeakRunning).To(gomega.Equal(1))
 }
 
-func TestConnectionLimit(t *testing.T) {
+func TestConnectionsAboveLimitAreClosed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, func(o *Options) { o.MaxConnections = 1 })
 	_, err := post(t.Context(), newClient(t, false), tg, 0, searchRequest(0), "search")
@@ -167,7 +167,7 @@
 	g.Expect(c.Refused).To(gomega.BeNumerically(">=", 1))
 }
 
-func TestAnswerFaults(t *testing.T) {
+func TestFaultsChangeSearchAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, nil)
 	client := newClient(t, false)
