--- a/internal/lab/platformsim/faults.go
+++ b/internal/lab/platformsim/faults.go
@@ -147,11 +147,11 @@
 	if f.Outage {
 		return 0, errOutage
 	}
-	limit := f.readLimiter
+	limiter := f.readLimiter
 	if c.isWrite() {
-		limit = f.writeLimiter
+		limiter = f.writeLimiter
 	}
-	if limit != nil && !limit.Allow() {
+	if limiter != nil && !limiter.Allow() {
 		f.counters.Refused++
 		return 0, objstore.ErrBusy
 	}
