--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -68,8 +68,8 @@
 // endpoint is the address of a stand-in's control endpoint.
 type endpoint string
 
-// set sends body to path and returns an error unless the status is 204.
-func (e endpoint) set(method, path string, body any) error {
+// send sends body to path and returns an error unless the status is 204.
+func (e endpoint) send(method, path string, body any) error {
 	status, err := call(context.Background(), method, "http://"+string(e)+path, nil, body, nil)
 	if err == nil && status != http.StatusNoContent {
 		err = errors.Errorf("%s %s: status %d", method, path, status)
@@ -93,7 +93,7 @@
 // StartPlatform starts the fleet's platform. Its watches wait up to watchWait for a
 // change.
 func (f *Fleet) StartPlatform(watchWait time.Duration) (*Platform, error) {
-	p, ready, err := f.startStandIn("platform", "platform", "--watch-wait", watchWait.String())
+	p, ready, err := f.startSimulator("platform", "platform", "--watch-wait", watchWait.String())
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 
 // SetFaults replaces the platform's faults.
 func (p *Platform) SetFaults(faults platformsim.Faults) error {
-	return p.control.set(http.MethodPut, "/control/faults", faults)
+	return p.control.send(http.MethodPut, "/control/faults", faults)
 }
 
 // Counters returns the numbers of calls that the platform has served, by kind.
@@ -114,7 +114,7 @@
 
 // SetVMs replaces the list of VMs; readers see it after lag.
 func (p *Platform) SetVMs(vms []objstore.VM, lag time.Duration) error {
-	return p.control.set(http.MethodPut, "/control/vms", platformsim.VMsRequest{VMs: vms, LagMS: int(lag.Milliseconds())})
+	return p.control.send(http.MethodPut, "/control/vms", platformsim.VMsRequest{VMs: vms, LagMS: int(lag.Milliseconds())})
 }
 
 // Target is a stand-in for a target, as a process.
@@ -136,7 +136,7 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return nil, errors.Trace(err)
 	}
-	p, ready, err := f.startStandIn(o.Name, "target", "--options", path)
+	p, ready, err := f.startSimulator(o.Name, "target", "--options", path)
 	if err != nil {
 		return nil, err
 	}
@@ -145,22 +145,22 @@
 
 // SetFaults replaces the target's faults.
 func (t *Target) SetFaults(faults targetsim.Faults) error {
-	return t.control.set(http.MethodPut, "/control/faults", faults)
+	return t.control.send(http.MethodPut, "/control/faults", faults)
 }
 
 // SetTiming replaces the target's service times.
 func (t *Target) SetTiming(timing targetsim.Timing) error {
-	return t.control.set(http.MethodPut, "/control/timing", timing)
+	return t.control.send(http.MethodPut, "/control/timing", timing)
 }
 
 // SetSnapshots replaces the snapshots that the target's leaves hold.
-func (t *Target) SetSnapshots(holders []targetsim.SnapshotPlacement) error {
-	return t.control.set(http.MethodPut, "/control/snapshots", holders)
+func (t *Target) SetSnapshots(placements []targetsim.SnapshotPlacement) error {
+	return t.control.send(http.MethodPut, "/control/snapshots", placements)
 }
 
 // SetDraining makes the target drain or serve normally again.
 func (t *Target) SetDraining(draining bool) error {
-	return t.control.set(http.MethodPut, "/control/draining", targetsim.DrainingRequest{Draining: draining})
+	return t.control.send(http.MethodPut, "/control/draining", targetsim.DrainingRequest{Draining: draining})
 }
 
 // Ran returns the requests that the target's leaves really started.
@@ -195,7 +195,7 @@
 }
 
 func (f *Fleet) startProxy(name string, args ...string) (*Proxy, error) {
-	p, ready, err := f.startStandIn(name, append([]string{"proxy"}, args...)...)
+	p, ready, err := f.startSimulator(name, append([]string{"proxy"}, args...)...)
 	if err != nil {
 		return nil, err
 	}
@@ -204,14 +204,14 @@
 
 // SetFaults replaces the proxy's faults.
 func (p *Proxy) SetFaults(faults faultproxy.Faults) error {
-	return p.control.set(http.MethodPut, "/control/faults", faults)
+	return p.control.send(http.MethodPut, "/control/faults", faults)
 }
 
 // Cut closes every open connection.
-func (p *Proxy) Cut() error { return p.control.set(http.MethodPost, "/control/cut", nil) }
+func (p *Proxy) Cut() error { return p.control.send(http.MethodPost, "/control/cut", nil) }
 
 // Silence makes every open connection permanently silent; new ones work.
-func (p *Proxy) Silence() error { return p.control.set(http.MethodPost, "/control/silence", nil) }
+func (p *Proxy) Silence() error { return p.control.send(http.MethodPost, "/control/silence", nil) }
 
 // Daemon is a bramleyd process.
 type Daemon struct {
@@ -280,8 +280,8 @@
 	return d.post(ctx, "submit", name, header, payload)
 }
 
-func (d *Daemon) post(ctx context.Context, verb, name string, header http.Header, body any) (gateway.Answer, int, error) {
+func (d *Daemon) post(ctx context.Context, operation, name string, header http.Header, body any) (gateway.Answer, int, error) {
 	var answer gateway.Answer
-	status, err := call(ctx, http.MethodPost, "http://"+d.Callers+"/v1/"+verb+"/"+name, header, body, &answer)
+	status, err := call(ctx, http.MethodPost, "http://"+d.Callers+"/v1/"+operation+"/"+name, header, body, &answer)
 	return answer, status, err
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -232,7 +232,7 @@
 // start.
 const (
 	firstPort = 10000
-	lastPort  = 32000
+	endPort   = 32000
 )
 
 // nextPort, modulo the number of ports, is the offset from firstPort of the port that
@@ -241,7 +241,7 @@
 // at different ports and seldom try the same ones.
 var nextPort atomic.Uint32
 
-func init() { nextPort.Store(uint32(os.Getpid()*portStride) % (lastPort - firstPort)) }
+func init() { nextPort.Store(uint32(os.Getpid()*portStride) % (endPort - firstPort)) }
 
 const portStride = 997 // distance between the first ports of consecutive process ids; larger than the number of ports that one test program uses
 
@@ -257,8 +257,8 @@
 // freeAddresses returns n loopback addresses with ports that were free when checked.
 func freeAddresses(n int) ([]string, error) {
 	var out []string
-	for tries := 0; len(out) < n && tries < lastPort-firstPort; tries++ {
-		port := firstPort + nextPort.Add(1)%(lastPort-firstPort)
+	for tries := 0; len(out) < n && tries < endPort-firstPort; tries++ {
+		port := firstPort + nextPort.Add(1)%(endPort-firstPort)
 		address := fmt.Sprintf("127.0.0.1:%d", port)
 		l, err := net.Listen("tcp", address)
 		if err != nil {
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -95,9 +95,9 @@
 	return f.launch(name, nil, program, args...)
 }
 
-// startStandIn starts a stand-in of bramley-lab and waits for its Ready line on
+// startSimulator starts a stand-in of bramley-lab and waits for its Ready line on
 // standard output.
-func (f *Fleet) startStandIn(name string, args ...string) (*Process, labhttp.Ready, error) {
+func (f *Fleet) startSimulator(name string, args ...string) (*Process, labhttp.Ready, error) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		return nil, labhttp.Ready{}, errors.Trace(err)
