--- a/internal/lab/bench/deployment.go
+++ b/internal/lab/bench/deployment.go
@@ -85,8 +85,8 @@
 func (d *deployment) startTargets(svc Service) (*serviceTargets, error) {
 	g := &serviceTargets{Service: svc, index: svc.index(1, svc.Shards), stoppedCounters: map[string]targetsim.Counters{}}
 	d.expected.addIndex(g.index)
-	for i, holder := range targetsim.PlaceReplicas(g.index, svc.Targets, svc.Leaves, svc.Replicas) {
-		t, err := d.fleet.StartTarget(svc.targetOptions(i, d.shape.healthyTiming(), holder))
+	for i, placement := range targetsim.PlaceReplicas(g.index, svc.Targets, svc.Leaves, svc.Replicas) {
+		t, err := d.fleet.StartTarget(svc.targetOptions(i, d.shape.healthyTiming(), placement))
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
@@ -185,8 +185,8 @@
 	opts.ColdMS = coldMS
 	// PlaceReplicas returns one placement per target. The slice keeps only that of
 	// target i, so the loop runs once.
-	for _, holder := range targetsim.PlaceReplicas(g.index, g.Targets, g.Leaves, g.Replicas)[i : i+1] {
-		opts.Snapshots = []targetsim.SnapshotPlacement{holder}
+	for _, placement := range targetsim.PlaceReplicas(g.index, g.Targets, g.Leaves, g.Replicas)[i : i+1] {
+		opts.Snapshots = []targetsim.SnapshotPlacement{placement}
 	}
 	t, err := d.fleet.StartTarget(opts)
 	if err != nil {
@@ -280,23 +280,23 @@
 		return 0, errors.Trace(err)
 	}
 	const (
-		afterName  = ") "
-		userField  = 11 // index of the user time among the fields after the name
-		ticksASec  = 100
-		fieldCount = 13
+		nameEnd             = ") "
+		userTimeField       = 11 // index of the user time among the fields after the name
+		clockTicksPerSecond = 100
+		fieldCount          = 13
 	)
-	_, afterComm, _ := strings.Cut(string(data), afterName)
+	_, afterComm, _ := strings.Cut(string(data), nameEnd)
 	fields := strings.Fields(afterComm)
 	if len(fields) < fieldCount {
 		return 0, errors.Errorf("/proc/%d/stat has %d fields", pid, len(fields))
 	}
 	var ticks int64
-	for _, f := range fields[userField:fieldCount] {
+	for _, f := range fields[userTimeField:fieldCount] {
 		n, err := strconv.ParseInt(f, 10, 64)
 		if err != nil {
 			return 0, errors.Trace(err)
 		}
 		ticks += n
 	}
-	return time.Duration(ticks) * time.Second / ticksASec, nil
+	return time.Duration(ticks) * time.Second / clockTicksPerSecond, nil
 }
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -48,10 +48,10 @@
 
 func newSample() *Sample {
 	const (
-		longest = int64(60 * time.Second / time.Microsecond)
-		digits  = 3
+		longest           = int64(60 * time.Second / time.Microsecond)
+		significantDigits = 3
 	)
-	return &Sample{Latency: hdrhistogram.New(1, longest, digits), Codes: map[int]int{}}
+	return &Sample{Latency: hdrhistogram.New(1, longest, significantDigits), Codes: map[int]int{}}
 }
 
 func (s *Sample) add(other *Sample) {
--- a/internal/lab/bench/scenario.go
+++ b/internal/lab/bench/scenario.go
@@ -58,8 +58,8 @@
 		Name: "one slow target", Load: normalLoad,
 		Begin: func(d *deployment) error {
 			t := d.shape.healthyTiming()
-			const slower = 5
-			t.BaseMS *= slower
+			const slowFactor = 5
+			t.BaseMS *= slowFactor
 			return d.groups[0].targets[1].SetTiming(t)
 		},
 		End: restoreTiming,
--- a/internal/lab/bench/shapes.go
+++ b/internal/lab/bench/shapes.go
@@ -85,8 +85,8 @@
 // run with a mean service time of serviceMS.
 func (s Service) capacity(serviceMS float64) float64 {
 	slots := float64(s.Targets * s.Leaves * s.Slots)
-	const second = 1000
-	return slots * second / serviceMS / float64(s.Shards)
+	const msPerSecond = 1000
+	return slots * msPerSecond / serviceMS / float64(s.Shards)
 }
 
 // index returns the service's index with the given sequence number and shards.
@@ -97,12 +97,12 @@
 }
 
 // targetOptions returns the options of the service's target i, counted from 0.
-func (s Service) targetOptions(i int, timing targetsim.Timing, holder targetsim.SnapshotPlacement) targetsim.Options {
+func (s Service) targetOptions(i int, timing targetsim.Timing, placement targetsim.SnapshotPlacement) targetsim.Options {
 	return targetsim.Options{
 		Name: fmt.Sprintf("%s-%02d", s.Name, i+1), Service: s.Name,
 		Leaves: s.Leaves, Slots: s.Slots, MaxQueued: queueLength, MaxConnections: s.Connections,
 		ConnectCostMS: s.ConnectCostMS, Seed: uint64(i + 1), Timing: timing,
-		Snapshots: []targetsim.SnapshotPlacement{holder}, DrainMS: drainMS, IdleMS: idleMS,
+		Snapshots: []targetsim.SnapshotPlacement{placement}, DrainMS: drainMS, IdleMS: idleMS,
 	}
 }
 
