--- a/internal/lab/rolloutbench/scenario.go
+++ b/internal/lab/rolloutbench/scenario.go
@@ -48,13 +48,13 @@
 // outageTime is the length of the platform's outage after it has accepted a rollout.
 const outageTime = 3 * time.Second
 
-var clearFaults = setPlatformFaults(platformsim.Faults{})
+var clearPlatformFaults = setPlatformFaults(platformsim.Faults{})
 
 var scenarios = []scenario{
 	{name: "healthy"},
-	{name: "watches silent", begin: setPlatformFaults(platformsim.Faults{WatchesSilent: true}), end: clearFaults},
-	{name: "platform slow, 200 ms each call", begin: setPlatformFaults(platformsim.Faults{SlowMS: 200}), end: clearFaults},
-	{name: "answer to the head's write lost", beforeEach: setPlatformFaults(platformsim.Faults{LoseAnswers: 1, LoseKind: rollout.KindHead}), end: clearFaults},
+	{name: "watches silent", begin: setPlatformFaults(platformsim.Faults{WatchesSilent: true}), end: clearPlatformFaults},
+	{name: "platform slow, 200 ms each call", begin: setPlatformFaults(platformsim.Faults{SlowMS: 200}), end: clearPlatformFaults},
+	{name: "answer to the head's write lost", beforeEach: setPlatformFaults(platformsim.Faults{LoseAnswers: 1, LoseKind: rollout.KindHead}), end: clearPlatformFaults},
 	{name: "all open connections silent", beforeEach: func(b *bench) error {
 		for _, p := range b.proxies {
 			if err := p.Silence(); err != nil {
@@ -72,7 +72,7 @@
 			}
 			return b.platform.SetFaults(platformsim.Faults{WatchesSilent: true, SlowMS: 200})
 		},
-		end: func(b *bench) error { return errors.Trace(goerrors.Join(cutOffFirst(0)(b), clearFaults(b))) }},
+		end: func(b *bench) error { return errors.Trace(goerrors.Join(cutOffFirst(0)(b), clearPlatformFaults(b))) }},
 	{name: fmt.Sprintf("platform down for %s after acceptance", outageTime),
 		afterEach: func(b *bench) error {
 			if err := b.platform.SetFaults(platformsim.Faults{Outage: true}); err != nil {
@@ -167,7 +167,7 @@
 }
 
 // printRow prints the table's row of one scenario. It sorts times.
-func (b *bench) printRow(s scenario, times []time.Duration, calls float64) {
+func (b *bench) printRow(s scenario, times []time.Duration, callsPerRollout float64) {
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 	overObjective := 0
 	for _, t := range times {
@@ -178,5 +178,5 @@
 	quantile := func(q float64) time.Duration { return times[int(math.Ceil(q*float64(len(times))))-1] }
 	ms := func(d time.Duration) string { return fmt.Sprintf("%.0f", float64(d.Microseconds())/1000) }
 	fmt.Fprintf(b.opts.Out, "| %s | %s | %s | %s | %.0f | %d of %d |\n",
-		s.name, ms(quantile(0.5)), ms(quantile(0.99)), ms(times[len(times)-1]), calls, overObjective, len(times))
+		s.name, ms(quantile(0.5)), ms(quantile(0.99)), ms(times[len(times)-1]), callsPerRollout, overObjective, len(times))
 }
