--- a/internal/lab/targetsim/faults.go
+++ b/internal/lab/targetsim/faults.go
@@ -7,24 +7,24 @@
 )
 
 // Faults are the faults that a target simulates. The zero value is a healthy target. A field
-// that counts the next searches or submits goes down with each one that the fault affects.
+// that says how many of the next searches or submits are affected is decremented by each one.
 type Faults struct {
 	ShedShare float64 `json:"shed_share"` // fraction of requests, from 0 to 1, refused although a slot is free
 
-	MismatchedAnswers int `json:"crossed_answers"`   // the next searches get an answer to another request
-	DuplicateAnswers  int `json:"duplicate_answers"` // the next searches get their answer twice in one body
-	LateAnswers       int `json:"late_answers"`      // the next searches are answered LateMS after their slot was freed
+	MismatchedAnswers int `json:"crossed_answers"`   // this many searches get an answer to another request
+	DuplicateAnswers  int `json:"duplicate_answers"` // this many searches get their answer twice in one body
+	LateAnswers       int `json:"late_answers"`      // this many searches are answered LateMS after their slot was freed
 	LateMS            int `json:"late_ms"`
-	// MissingRecords makes each search omit that many of the shard's records and report
-	// them as missing.
+	// MissingRecords is the number of the shard's records that each search omits and reports
+	// as missing.
 	MissingRecords int `json:"incomplete_records"`
 
-	CutSubmits  int  `json:"cut_submits"`  // the next submits run, then their connection is closed without an answer
+	CutSubmits  int  `json:"cut_submits"`  // this many submits run, then their connection is closed without an answer
 	HoldSubmits bool `json:"hold_submits"` // submits run, and their answers are delayed until this is unset
 
 	LoadLagMS    int      `json:"load_lag_ms"`  // how old the reported load may be
 	ReportedLoad *float64 `json:"load_shown"`   // if set, reported in place of the true load
-	StateLagMS   int      `json:"state_lag_ms"` // for how long a change of draining is not reported
+	StateLagMS   int      `json:"state_lag_ms"` // how long Status reports the state before SetDraining was called
 }
 
 // answerFault describes the faults of one answer to a search.
@@ -61,8 +61,8 @@
 	return true
 }
 
-// omitRecords marks n records of the shard as missing from an answer, as if they could not be
-// read. It removes up to n items, the first ones of the answer.
+// omitRecords reports n records of the shard as missing from an answer, as if they could not be
+// read, and removes the answer's first n items.
 func omitRecords(ans *target.LeafAnswer, n int) {
 	if n <= 0 {
 		return
--- a/internal/lab/targetsim/handler.go
+++ b/internal/lab/targetsim/handler.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// writeSearchAnswer writes the answer, changed by the faults that apply to it.
+// writeSearchAnswer writes the answer with the faults that apply to it.
 func (t *Target) writeSearchAnswer(ctx context.Context, w http.ResponseWriter, leafNumber int, ans target.LeafAnswer) {
 	t.mu.Lock()
 	fault := t.faults.consumeAnswerFault()
@@ -88,8 +88,9 @@
 	}
 }
 
-// mismatchedAnswer returns an answer that belongs to another request: the leaf's last answer,
-// or else the correct one with another request id. The caller must hold mu.
+// mismatchedAnswer returns an answer to another request: the leaf's last answer, or the correct one
+// with another request id if there is no last answer or it has the same Echo. The caller must hold
+// mu.
 func (t *Target) mismatchedAnswer(leafNumber int, correct target.LeafAnswer) target.LeafAnswer {
 	if last := t.lastAnswers[leafNumber]; last != nil && last.Echo != correct.Echo {
 		return *last
@@ -128,8 +129,9 @@
 	t.writeAnswer(w, http.StatusOK, target.SubmitAnswer{Echo: req.Echo, Key: req.Key, Result: result})
 }
 
-// consumeSubmitFault reports whether to close the connection without an answer. Otherwise the
-// answer has to wait until the channel is closed, unless that is nil.
+// consumeSubmitFault reports whether to close the connection of a submit without an answer, and
+// decrements the count of such submits. It also returns a channel that is closed when answers may be
+// sent, or nil if they are not held.
 func (t *Target) consumeSubmitFault() (bool, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lab/targetsim/leaf.go
+++ b/internal/lab/targetsim/leaf.go
@@ -23,7 +23,7 @@
 
 	mu          sync.Mutex // guards the fields below
 	rng         *rand.Rand
-	maxQueued   int // limit of waiting
+	maxQueued   int // upper bound of queued
 	queued      int // requests that wait for a slot
 	peakRunning int // highest number of requests that ran at once
 }
@@ -70,7 +70,7 @@
 func (l *leaf) serviceTime(t Timing, cold bool) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	const spread = 0.3
+	const spread = 0.3 // largest deviation from BaseMS, as a fraction of it
 	ms := t.BaseMS * (1 - spread + 2*spread*l.rng.Float64())
 	if l.rng.Float64() < t.StragglerProb {
 		ms *= t.StragglerFactor
@@ -91,7 +91,7 @@
 	return l.rng.Float64() < probability
 }
 
-// enqueue counts a waiting request. It returns false if the queue is full.
+// enqueue counts a request as queued. It returns false if the queue is full.
 func (l *leaf) enqueue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/targetsim/ledger.go
+++ b/internal/lab/targetsim/ledger.go
@@ -28,11 +28,11 @@
 // Counters are a target's counts since its start.
 type Counters struct {
 	Searches    int                   `json:"searches"`  // started
-	Cancelled   int                   `json:"cancelled"` // searches stopped after their start
+	Cancelled   int                   `json:"cancelled"` // searches whose deadline passed or whose caller disconnected while they ran
 	Submits     int                   `json:"submits"`   // started
-	Refused     map[target.Reason]int `json:"refused"`
+	Refused     map[target.Reason]int `json:"refused"`   // searches and submits
 	Connections ConnectionCounts      `json:"connections"`
-	PeakRunning int                   `json:"peak_running"` // on one leaf
+	PeakRunning int                   `json:"peak_running"` // most requests that one leaf ran at once
 	Incarnation string                `json:"incarnation"`
 }
 
--- a/internal/lab/targetsim/listener.go
+++ b/internal/lab/targetsim/listener.go
@@ -8,14 +8,15 @@
 
 // ConnectionCounts counts the connections to a target.
 type ConnectionCounts struct {
-	Current int `json:"current"`
-	Peak    int `json:"peak"`
+	Current int `json:"current"` // open now
+	Peak    int `json:"peak"`    // most open at once
 	Total   int `json:"total"`   // accepted since the start
 	Refused int `json:"refused"` // closed at once because the limit was reached
 }
 
-// limitListener closes connections above a limit. Accepting a connection takes some time, and
-// one goroutine accepts them all, so that a burst of new connections delays all of the burst.
+// limitListener closes connections above a limit. Each connection that it accepts takes
+// acceptDelay of the one goroutine that accepts them, so in a burst of new connections each one
+// also waits for those before it.
 type limitListener struct {
 	net.Listener
 	maxConns    int
--- a/internal/lab/targetsim/options.go
+++ b/internal/lab/targetsim/options.go
@@ -20,10 +20,10 @@
 
 	Leaves         int     `json:"leaves"`
 	Slots          int     `json:"slots"`           // requests that each leaf runs at once
-	MaxQueued      int     `json:"queue"`           // requests that may wait for a slot of each leaf; it sheds further ones
-	MaxConnections int     `json:"connections"`     // at once; further ones are closed
+	MaxQueued      int     `json:"queue"`           // requests that may wait for a slot of each leaf, which sheds further ones
+	MaxConnections int     `json:"connections"`     // open at once; further ones are closed
 	ConnectCostMS  float64 `json:"connect_cost_ms"` // time that the target's single acceptor spends on each connection
-	IdleMS         int     `json:"idle_ms"`         // after which an idle connection is closed; 0 means never
+	IdleMS         int     `json:"idle_ms"`         // time after which an idle connection is closed; 0 means never
 
 	Seed      uint64              `json:"seed"` // of the random numbers for service times and ShedShare
 	Timing    Timing              `json:"timing"`
@@ -32,12 +32,12 @@
 	DrainMS   int                 `json:"drain_ms"` // how long the target drains after SIGTERM before it exits
 }
 
-// Timing is the distribution of service times.
+// Timing is the distribution of service times: how long a request occupies its slot.
 type Timing struct {
-	BaseMS          float64 `json:"base_ms"`          // mean of a request that is no straggler, distributed uniformly within ±30 %
+	BaseMS          float64 `json:"base_ms"`          // mean of requests that are not stragglers; uniform within ±30 %
 	StragglerProb   float64 `json:"straggler_prob"`   // share of requests that are stragglers
 	StragglerFactor float64 `json:"straggler_factor"` // how many times longer a straggler runs
-	ColdFactor      float64 `json:"cold_factor"`      // how many times longer a request runs on a cold target; 0 means that it refuses
+	ColdFactor      float64 `json:"cold_factor"`      // how many times longer a request runs on a cold target; 0 means that a cold target refuses requests
 }
 
 // SnapshotPlacement describes which shards of a snapshot each leaf of a target holds.
--- a/internal/lab/targetsim/place_test.go
+++ b/internal/lab/targetsim/place_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Each shard must have the requested number of replicas, each on another target.
+// Each shard must have the requested number of replicas, each on a different target.
+// Otherwise a test that stops one target could lose every replica of a shard.
 func TestPlaceSpreadsReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := rapid.IntRange(1, 8).Draw(t, "targets")
--- a/internal/lab/targetsim/records.go
+++ b/internal/lab/targetsim/records.go
@@ -12,7 +12,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// matchOneIn is the inverse of the share of records that a query matches on average.
+// matchOneIn sets the share of records that a query matches: on average one in matchOneIn.
 const matchOneIn = 4
 
 // Index describes one snapshot of a service's index. Its records are a pure function of its
@@ -20,7 +20,7 @@
 type Index struct {
 	Service  string `json:"service"`
 	Snapshot string `json:"snapshot"`
-	Seq      int64  `json:"seq"` // orders snapshots, newest last
+	Seq      int64  `json:"seq"` // orders the snapshots; the newest has the largest
 	Shards   int    `json:"shards"`
 	Records  int    `json:"records"` // in all shards together
 }
@@ -111,12 +111,13 @@
 // scoreFromHash maps a hash to a number from 0 to 1 with 6 decimal places, which JSON represents
 // without loss.
 func scoreFromHash(hash uint64) float64 {
-	const steps = 1 << 20
+	const steps = 1 << 20 // hash>>44 has 20 bits
 	v, _ := strconv.ParseFloat(strconv.FormatFloat(float64(hash>>44)/steps, 'f', 6, 64), 64)
 	return v
 }
 
-// sortItems sorts items by score, best first, for a search, and by key otherwise.
+// sortItems sorts the items of a search by score, highest first, and then by key. It sorts those of
+// a browse by key.
 func sortItems(kind target.Kind, items []target.Item) {
 	sort.Slice(items, func(i, j int) bool {
 		a, b := items[i], items[j]
--- a/internal/lab/targetsim/target.go
+++ b/internal/lab/targetsim/target.go
@@ -26,7 +26,7 @@
 	control     net.Listener
 	tomb        tomb.Tomb
 
-	mu          sync.Mutex // guards the fields below; never held while a leaf's or the recorder's mutex is locked
+	mu          sync.Mutex // guards the fields below; never held together with a leaf's or the recorder's mutex
 	faults      Faults
 	timing      Timing
 	placements  []SnapshotPlacement
@@ -34,15 +34,16 @@
 	draining    bool
 	submitHold  chan struct{} // closed when submits are no longer held; nil while they aren't
 	reported    reportedStatus
-	lastAnswers []*target.LeafAnswer // by leaf: the last answer to a search, before it was mismatched
+	lastAnswers []*target.LeafAnswer // by leaf: the last answer to a search, as it was before MismatchedAnswers replaced it
 }
 
-// reportedStatus is what Status reports instead of the current state and load while they lag.
+// reportedStatus is what Status reports in place of the current state and loads during
+// Faults.StateLagMS and Faults.LoadLagMS.
 type reportedStatus struct {
 	state        target.State // before the last call of SetDraining
 	stateChanged time.Time    // when SetDraining was last called
 	loads        []float64    // by leaf
-	loadsSampled time.Time    // when loads was read
+	loadsSampled time.Time    // when loads was set
 }
 
 // Start opens the listeners and returns a target that serves until Close.
@@ -124,7 +125,7 @@
 	})
 }
 
-// SetFaults replaces the faults. Without HoldSubmits it releases the answers that are held.
+// SetFaults replaces the faults. If HoldSubmits is unset, it releases the answers that are held.
 func (t *Target) SetFaults(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,7 +163,7 @@
 	return nil
 }
 
-// SetDraining makes the target drain, so that it refuses new requests, or serve again.
+// SetDraining makes the target drain, which means that it refuses new requests, or ends its drain.
 func (t *Target) SetDraining(draining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,8 +188,8 @@
 	return c
 }
 
-// Status returns the status that the target reports, with the lags and the wrong load that the
-// faults ask for.
+// Status returns the status that the target reports. It can be out of date or state a wrong load, as
+// the faults require.
 func (t *Target) Status() target.Status {
 	loads := make([]float64, len(t.leaves))
 	for i, l := range t.leaves {
@@ -217,7 +218,7 @@
 	return status
 }
 
-// currentState returns the state without any lag. The caller must hold mu.
+// currentState returns the true state, whatever the faults are. The caller must hold mu.
 func (t *Target) currentState(now time.Time) target.State {
 	switch {
 	case t.draining:
--- a/internal/lab/targetsim/target_test.go
+++ b/internal/lab/targetsim/target_test.go
@@ -79,6 +79,8 @@
 	return &http.Client{Transport: tr}
 }
 
+// Tests compare daemons' answers with Index.ExpectedAnswer. If the leaves' answers differed from it,
+// these tests would report faults that the daemons don't have.
 func TestShardAnswersAddUpToExpectedAnswer(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		g := gomega.NewWithT(t)
@@ -103,6 +105,8 @@
 	}
 }
 
+// A refusal with NotStarted allows the caller to run the request on another replica, so a request
+// that gets one must not have been started.
 func TestRefusalsStateReasonAndStartNothing(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -138,6 +142,8 @@
 	}
 }
 
+// A leaf must refuse requests beyond its slots and queue, and free the slot and the place in the
+// queue when a caller disconnects. Otherwise it would stay full after its callers have given up.
 func TestFullQueueShedsAndCancelFreesSlots(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, func(o *Options) { o.Timing.BaseMS = 60000 })
@@ -155,6 +161,7 @@
 	g.Expect(tg.Counters().PeakRunning).To(gomega.Equal(1))
 }
 
+// A target that accepted any number of connections would hide daemons that open too many.
 func TestConnectionsAboveLimitAreClosed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, func(o *Options) { o.MaxConnections = 1 })
@@ -167,6 +174,7 @@
 	g.Expect(c.Refused).To(gomega.BeNumerically(">=", 1))
 }
 
+// A fault that is set but doesn't reach the answer would make tests of the daemons pass without it.
 func TestFaultsChangeSearchAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, nil)
@@ -180,6 +188,7 @@
 	g.Expect(r.ans.Missing).To(gomega.Equal(int64(5)))
 }
 
+// CutSubmits simulates an answer that is lost after the submit took effect, so the submit must run.
 func TestSubmitRunsDespiteCutConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, nil)
