--- a/internal/lab/edgesim/address.go
+++ b/internal/lab/edgesim/address.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// The range of ports for processes that will listen later. It lies below the range from which the
-// kernel chooses the local ports of outgoing connections. An outgoing connection could otherwise
-// take a port between the call of FreeAddress and the start of the process, which would then fail
-// to listen.
+// The range of ports that FreeAddress returns. It lies below the range from which the kernel chooses
+// the local ports of outgoing connections. Otherwise an outgoing connection could get a port between
+// the call of FreeAddress and the start of the process that is to listen on it, which would then
+// fail.
 const (
 	firstPort = 20000
 	portCount = 12000
--- a/internal/lab/edgesim/doc.go
+++ b/internal/lab/edgesim/doc.go
@@ -1,3 +1,3 @@
 // Package edgesim simulates the users' platform for tests: its metadata store and its leafs, with
-// fault injection in both. They use the platform's wire format.
+// fault injection in both. Store and leafs use the platform's HTTP interface.
 package edgesim
--- a/internal/lab/edgesim/leaf.go
+++ b/internal/lab/edgesim/leaf.go
@@ -17,7 +17,7 @@
 // LeafFaults are the faults that a leaf simulates. The zero value is a healthy leaf.
 type LeafFaults struct {
 	Delay           time.Duration // how long a request runs
-	Hold            chan struct{} // if not nil, a request runs until this is closed, after Delay
+	Hold            chan struct{} // if not nil, a request runs on after Delay until this is closed
 	Refuse          bool          // requests are answered with status 503 and not run
 	Fail            bool          // requests are run and answered with status 500
 	LoseAnswers     bool          // requests are run, and their connection is closed without an answer
@@ -39,8 +39,8 @@
 
 	mu         sync.Mutex // guards the fields below
 	faults     LeafFaults
-	arrivals   map[string]int // by request id
-	runs       map[string]int // by request id
+	arrivals   map[string]int // how often a request arrived, by its id
+	runs       map[string]int // how often a request ran, by its id
 	conns      int            // opened so far
 	lastHeader http.Header    // of the latest request, as are the next two
 	lastBody   []byte
@@ -113,7 +113,7 @@
 	return l.lastURI
 }
 
-// InFlight returns how many requests the leaf works on.
+// InFlight returns how many requests are running.
 func (l *Leaf) InFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,11 +132,11 @@
 		l.Service, l.Address(), l.Zone, state, l.Born)
 }
 
-// Receipt returns the receipt of the leaf's answer to a request.
+// Receipt returns the receipt of the leaf's answer to the request with that id.
 func (l *Leaf) Receipt(id string) string { return l.ID + "." + id }
 
-// Answer returns the body of the leaf's answer to a request: records of 16 bytes that depend on
-// the ids of the leaf and the request.
+// Answer returns the body of the leaf's answer to the request with that id: records of 16 bytes that
+// depend on the ids of the leaf and the request.
 func (l *Leaf) Answer(id string) []byte {
 	n := l.Records
 	if n == 0 {
@@ -207,6 +207,7 @@
 		return
 	}
 	w.Header().Set("Bramleybarrow-Attempt-Id", id)
+	// Running and waiting requests, slots, and the pace in hundredths of the usual time.
 	w.Header().Set("Bramleybarrow-Server-Load", "1,0,2,100")
 	if !f.NoReceipt {
 		w.Header().Set("Bramleybarrow-Response-Stamp", l.Receipt(id))
@@ -219,7 +220,7 @@
 	_, _ = w.Write(body)
 }
 
-// writeRawAnswer writes an answer that net/http's server can't produce.
+// writeRawAnswer writes an answer that net/http's server can't produce, and closes the connection.
 func (l *Leaf) writeRawAnswer(w http.ResponseWriter, id string, body []byte, f LeafFaults) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/internal/lab/edgesim/store.go
+++ b/internal/lab/edgesim/store.go
@@ -19,7 +19,7 @@
 	SilentWatches bool          // watches get no answer, and wait until the caller disconnects
 	Delay         time.Duration // before each answer
 	LoseAnswers   bool          // writes take effect, and their connection is closed without an answer
-	StaleListings bool          // listings that may be stale have a revision before the last compaction
+	StaleListings bool          // listings with allow-stale have a revision before the last compaction
 }
 
 // Store simulates a metadata store. Create it with NewStore. It is safe for concurrent use.
@@ -27,14 +27,14 @@
 	server   *httptest.Server
 	pageSize int
 
-	mu                sync.Mutex // guards the fields below
-	revision          int64
+	mu                sync.Mutex                          // guards the fields below
+	revision          int64                               // number of the last change
 	objects           map[string]map[string]*storedObject // by kind and name
 	history           []storedEvent
 	compactedRevision int64         // the history up to this revision was discarded
 	changed           chan struct{} // closed, and replaced, at each change and by SetFaults
 	faults            StoreFaults
-	calls             map[string]int // by method and kind
+	calls             map[string]int // numbers of calls received, by HTTP method and kind
 }
 
 // storedObject is one version of an object.
@@ -70,7 +70,7 @@
 
 // Close stops the store.
 func (s *Store) Close() {
-	s.SetFaults(StoreFaults{Status: http.StatusServiceUnavailable})
+	s.SetFaults(StoreFaults{Status: http.StatusServiceUnavailable}) // ends the calls held by StoreFaults.Silent
 	s.server.CloseClientConnections()
 	s.server.Close()
 }
@@ -84,8 +84,8 @@
 	s.server.CloseClientConnections()
 }
 
-// Put writes an object as the operator or a leaf does. Spec is any JSON text. An existing object
-// keeps its created revision.
+// Put creates or replaces an object, like a write by the operator or a leaf. Spec is any JSON text.
+// An existing object keeps its created revision.
 func (s *Store) Put(kind, name, spec string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 	s.server.CloseClientConnections()
 }
 
-// Calls returns how many calls with that HTTP method were received for that kind.
+// Calls returns how many calls with that HTTP method were received for objects of that kind.
 func (s *Store) Calls(method, kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -286,7 +286,8 @@
 	}
 }
 
-// eventsAfter returns the kind's events after that revision. The caller must hold mu.
+// eventsAfter returns the events of the kind after the revision since, as a watch returns them. The
+// caller must hold mu.
 func (s *Store) eventsAfter(kind string, since int64) []any {
 	var events []any
 	for i := range s.history {
@@ -324,8 +325,9 @@
 	writeJSON(w, status, objectJSON(o))
 }
 
-// apply performs a write. It returns the HTTP status of the response and the object in its body, or
-// nil for an empty body. The caller must hold mu.
+// apply performs a write: a POST creates the object newName, a PUT replaces the object name and a
+// DELETE removes it. It returns the HTTP status of the response and the object in its body, or nil
+// for an empty body. The caller must hold mu.
 func (s *Store) apply(method, kind, name, newName string, spec json.RawMessage) (int, *storedObject) {
 	switch method {
 	case http.MethodPost:
--- a/internal/lab/edgesim/store_proxy.go
+++ b/internal/lab/edgesim/store_proxy.go
@@ -15,8 +15,8 @@
 	server       *httptest.Server
 	storeAddress string
 
-	watches atomic.Int64 // watches of leafs in progress
-	reads   atomic.Int64 // calls for leafs or the manifest so far, rejected ones included
+	watches atomic.Int64 // watches of leafs (kind "servers") in progress
+	reads   atomic.Int64 // calls so far for leafs or the manifest (kind "config"), rejected ones included
 
 	mu           sync.Mutex // guards rejectStatus
 	rejectStatus int        // HTTP status of the response to every call; 0 while calls are forwarded
--- a/internal/lab/edgesim/store_test.go
+++ b/internal/lab/edgesim/store_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Close must not wait forever for a silent call whose caller has disconnected. The server does not
-// detect the disconnection while the body of the call is unread.
+// Close must not wait forever for a call that is held by StoreFaults.Silent. The server does not
+// detect that the caller has disconnected while the body of the call is unread.
 func TestSilentStoreCanBeClosed(t *testing.T) {
 	s := NewStore(10)
 	s.SetFaults(StoreFaults{Silent: true})
