--- a/internal/lab/platformsim/faults.go
+++ b/internal/lab/platformsim/faults.go
@@ -10,29 +10,29 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// Errors of a faulty platform. After either of them a caller doesn't know whether its write
-// took effect.
+// Errors of calls that a fault makes fail. After either of them a caller doesn't know whether
+// its write took effect.
 var (
 	errOutage     = errors.New("platformsim: simulated outage")
 	errAnswerLost = errors.New("platformsim: simulated loss of the answer")
 )
 
 // Faults are the faults that the platform simulates. The zero value is a healthy platform. A
-// field that counts the next writes goes down with each one that the fault affects.
+// field that says how many of the next writes are affected is decremented by each one.
 type Faults struct {
 	Outage        bool `json:"outage"`         // every call fails
 	SlowMS        int  `json:"slow_ms"`        // delay of each call
 	WatchesSilent bool `json:"watches_silent"` // watches wait without an answer
-	// LoseAnswers makes the next writes take effect and loses their answers. LoseWrites
-	// makes the next writes fail with the same error without taking effect.
+	// LoseAnswers is how many of the next writes take effect and lose their answer.
+	// LoseWrites is how many fail with the same error without taking effect.
 	LoseAnswers int `json:"lose_answers"`
 	LoseWrites  int `json:"lose_writes"`
-	// LateWrites makes the next writes fail like LoseWrites. They take effect LateMS later
-	// if their condition holds then.
+	// LateWrites is how many of the next writes fail like LoseWrites and take effect LateMS
+	// later, if their condition holds then.
 	LateWrites int `json:"late_writes"`
 	LateMS     int `json:"late_ms"`
-	// LoseKind limits the lost and late writes above to objects of one kind; empty means
-	// all kinds.
+	// LoseKind limits LoseAnswers, LoseWrites and LateWrites to writes of objects of one
+	// kind; empty means all kinds.
 	LoseKind string `json:"lose_kind"`
 	// WritesPerSecond and ReadsPerSecond limit the rates of calls; calls above them are
 	// refused, and 0 means no limit. A watch counts as a read.
@@ -47,11 +47,11 @@
 	Put     int `json:"put"`
 	Delete  int `json:"delete"`
 	Watch   int `json:"watch"`
-	VMs     int `json:"vms"`
-	Refused int `json:"refused"` // above the rate limits; also counted by type above
+	VMs     int `json:"vms"`     // reads of the list of VMs
+	Refused int `json:"refused"` // above the rate limits; also counted by type of call above
 }
 
-// call is a type of call.
+// call is a type of call to the platform.
 type call int
 
 const (
@@ -65,13 +65,13 @@
 
 func (c call) isWrite() bool { return c == callPut || c == callDelete }
 
-// writeOutcome says how a call that is carried out takes effect and is answered.
+// writeOutcome says when a write takes effect and whether it is answered.
 type writeOutcome int
 
 const (
-	outcomeAnswered   writeOutcome = iota
-	outcomeAnswerLost              // takes effect; its answer is lost
-	outcomeDelayed                 // takes effect later; its answer is lost
+	outcomeAnswered   writeOutcome = iota // takes effect and is answered
+	outcomeAnswerLost                     // takes effect; its answer is lost
+	outcomeDelayed                        // takes effect later; its answer is lost
 )
 
 // faultState holds a store's faults and counts. It is guarded by Store.mu.
@@ -107,7 +107,8 @@
 	return s.faults.counters
 }
 
-// newLimiter returns a limiter whose burst is one second's calls, at least 1, or nil for no limit.
+// newLimiter returns a limiter that allows a burst of one second's calls, at least 1. It returns
+// nil, which means no limit, for a rate of 0.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -115,8 +116,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// beginCall counts a call and applies the faults that act before it is carried out: it delays the
-// call, returns an error, or returns the outcome that the call is to have.
+// beginCall counts a call and applies the faults that precede its execution: it delays the call,
+// and returns an error if the call must fail. For a write it returns the outcome to apply.
 func (s *Store) beginCall(ctx context.Context, c call, kind string) (writeOutcome, error) {
 	delay, err := s.admit(c)
 	if err != nil {
@@ -137,8 +138,8 @@
 	return s.consumeWriteFault(kind)
 }
 
-// admit counts a call and returns the delay before it is carried out, or an error if it is
-// refused.
+// admit counts a call and returns the delay before its execution, or an error if an outage or a
+// rate limit makes it fail.
 func (s *Store) admit(c call) (delay time.Duration, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/platformsim/handler.go
+++ b/internal/lab/platformsim/handler.go
@@ -177,8 +177,8 @@
 	return version, errors.Annotate(err, "If-Match")
 }
 
-// writeError writes a response with the status that stands for err. For a lost answer it closes
-// the connection without a response.
+// writeError writes a response with the HTTP status for err. For a lost answer it closes the
+// connection without a response.
 func writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, errAnswerLost):
--- a/internal/lab/platformsim/store.go
+++ b/internal/lab/platformsim/store.go
@@ -1,7 +1,7 @@
 // Package platformsim simulates the platform: an object store in memory with versions,
-// conditional updates, watches and a list of VMs that lags. Tests can inject faults. A Store can
-// be used directly as an objstore.Store, or be served over the platform's HTTP interface by its
-// Handler.
+// conditional updates, watches and a list of VMs that can be out of date. Tests can inject faults.
+// A Store can be used directly as an objstore.Store, or be served over the platform's HTTP
+// interface by its Handler.
 package platformsim
 
 import (
@@ -19,7 +19,7 @@
 
 const (
 	maxPage          = 1000                  // upper bound of the objects in a page of a listing
-	maxPageBytes     = 8 * objstore.MaxValue // upper bound of the total size of a page's values; the first one is returned whatever its size
+	maxPageBytes     = 8 * objstore.MaxValue // upper bound of the total size of a page's values; a larger first value is a page of its own
 	defaultWatchWait = 10 * time.Second      // time after which a watch that saw no change is answered
 )
 
@@ -29,10 +29,10 @@
 // Store simulates the platform in memory. Create it with NewStore. Its methods are safe for
 // concurrent use.
 type Store struct {
-	mu        sync.Mutex // guards the fields below
-	revision  uint64
-	kinds     map[string]*kindObjects
-	watchWait time.Duration
+	mu        sync.Mutex              // guards the fields below
+	revision  uint64                  // number of changes so far
+	kinds     map[string]*kindObjects // by kind
+	watchWait time.Duration           // time after which a watch without a change is answered
 	vms       vmList
 	faults    faultState
 }
@@ -200,8 +200,8 @@
 	}
 }
 
-// compareAndSet replaces an entry if its version is expect, where 0 stands for an object that
-// doesn't exist. It returns the new version.
+// compareAndSet replaces the entry of an object if the object's version is expect, where 0 means
+// that the object doesn't exist. It returns the new version.
 func (s *Store) compareAndSet(kind, name string, expect uint64, updated *entry) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,7 +234,7 @@
 	return objs
 }
 
-// entry returns the entry, or nil if there is none. The caller must hold mu.
+// entry returns the entry of an object, or nil if there is none. The caller must hold mu.
 func (s *Store) entry(kind, name string) *entry { return s.objectsOf(kind).byName[name] }
 
 // namesAfter returns the names of the kind's objects that sort after the given name, in order.
--- a/internal/lab/platformsim/store_test.go
+++ b/internal/lab/platformsim/store_test.go
@@ -10,6 +10,8 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore/objstoretest"
 )
 
+// Tests use the store directly and over HTTP. Both must behave as objstore.Store requires, so that
+// a test fails only for faults of the code that it tests.
 func TestStoreConforms(t *testing.T) {
 	objstoretest.Run(t, func(*testing.T) objstore.Store { return NewStore() })
 }
@@ -49,6 +51,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
+// A write that failed with an error can still take effect after the writer received the error.
 func TestLateWriteTakesEffectAfterError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewStore()
@@ -58,6 +61,8 @@
 	g.Eventually(func() error { _, err := s.Get(t.Context(), "k", "a"); return err }, "20s").Should(gomega.Succeed())
 }
 
+// A call that fails because of a fault must not look like one that found no object, and a lost
+// write must not take effect.
 func TestRateLimitsOutageAndLostWrites(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewStore()
--- a/internal/lab/platformsim/vms.go
+++ b/internal/lab/platformsim/vms.go
@@ -14,8 +14,8 @@
 	pendingAt time.Time     // zero if there is no pending change
 }
 
-// SetVMs replaces the list of VMs. VMs returns the new list after lag. A change that is pending
-// already is discarded.
+// SetVMs replaces the list of VMs. VMs returns the new list after lag. An earlier change that is
+// still pending is discarded.
 func (s *Store) SetVMs(vms []objstore.VM, lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +35,7 @@
 	return append([]objstore.VM(nil), s.vms.visible...), nil
 }
 
-// applyPending makes the pending change visible if its time has come.
+// applyPending makes the pending change visible if pendingAt has passed.
 func (l *vmList) applyPending(now time.Time) {
 	if !l.pendingAt.IsZero() && !now.Before(l.pendingAt) {
 		l.visible, l.pending, l.pendingAt = l.pending, nil, time.Time{}
