--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -32,8 +32,9 @@
 	Timeout:   callTimeout,
 }
 
-// call sends body as JSON unless it is nil and decodes the answer into out unless
-// that is nil. It returns the HTTP status, whatever it is; 0 if there is no answer.
+// call sends body as JSON unless it is nil, and decodes the answer into out unless
+// that is nil. It returns the HTTP status, or 0 without an answer; it returns no error
+// for a status of 400 or more.
 func call(ctx context.Context, method, url string, header http.Header, body, out any) (int, error) {
 	var reader io.Reader
 	if body != nil {
@@ -65,10 +66,11 @@
 	return resp.StatusCode, errors.Annotatef(json.Unmarshal(data, out), "%s %s: %.200s", method, url, data)
 }
 
-// endpoint is the address of a stand-in's control endpoint.
+// endpoint is the address (IP and port) of a simulator's control endpoint.
 type endpoint string
 
-// send sends body to path and returns an error unless the status is 204.
+// send sends a request with body to path. It returns an error unless the status is
+// 204.
 func (e endpoint) send(method, path string, body any) error {
 	status, err := call(context.Background(), method, "http://"+string(e)+path, nil, body, nil)
 	if err == nil && status != http.StatusNoContent {
@@ -77,21 +79,21 @@
 	return err
 }
 
-// get decodes the answer from path into out.
+// get requests path and decodes the answer into out.
 func (e endpoint) get(path string, out any) error {
 	_, err := call(context.Background(), http.MethodGet, "http://"+string(e)+path, nil, nil, out)
 	return err
 }
 
-// Platform is a stand-in for the platform, as a process.
+// Platform is a process that simulates the platform; see package platformsim.
 type Platform struct {
 	*Process
-	Address string
+	Address string // IP and port of its HTTP interface
 	control endpoint
 }
 
-// StartPlatform starts the fleet's platform. Its watches wait up to watchWait for a
-// change.
+// StartPlatform starts the fleet's platform. It answers a watch after watchWait if
+// nothing has changed.
 func (f *Fleet) StartPlatform(watchWait time.Duration) (*Platform, error) {
 	p, ready, err := f.startSimulator("platform", "platform", "--watch-wait", watchWait.String())
 	if err != nil {
@@ -106,27 +108,28 @@
 	return p.control.send(http.MethodPut, "/control/faults", faults)
 }
 
-// Counters returns the numbers of calls that the platform has served, by kind.
+// Counters returns the numbers of calls to the platform, by type of call.
 func (p *Platform) Counters() (platformsim.Counters, error) {
 	var c platformsim.Counters
 	return c, p.control.get("/control/counters", &c)
 }
 
-// SetVMs replaces the list of VMs; readers see it after lag.
+// SetVMs replaces the platform's list of VMs. Reads of the list return the new one
+// after lag.
 func (p *Platform) SetVMs(vms []objstore.VM, lag time.Duration) error {
 	return p.control.send(http.MethodPut, "/control/vms", platformsim.VMsRequest{VMs: vms, LagMS: int(lag.Milliseconds())})
 }
 
-// Target is a stand-in for a target, as a process.
+// Target is a process that simulates a target; see package targetsim.
 type Target struct {
 	*Process
 	Options targetsim.Options
-	Address string
+	Address string // IP and port where it serves
 	control endpoint
 }
 
-// StartTarget starts a target and waits until it serves. To restart one at the same
-// address, set Listen in its options.
+// StartTarget starts a target and waits until it serves. To start a stopped target
+// again at the same address, set Listen in its options.
 func (f *Fleet) StartTarget(o targetsim.Options) (*Target, error) {
 	data, err := json.Marshal(o)
 	if err != nil {
@@ -148,12 +151,12 @@
 	return t.control.send(http.MethodPut, "/control/faults", faults)
 }
 
-// SetTiming replaces the target's service times.
+// SetTiming replaces the distribution of the target's service times.
 func (t *Target) SetTiming(timing targetsim.Timing) error {
 	return t.control.send(http.MethodPut, "/control/timing", timing)
 }
 
-// SetSnapshots replaces the snapshots that the target's leaves hold.
+// SetSnapshots replaces the shards that the target's leaves hold.
 func (t *Target) SetSnapshots(placements []targetsim.SnapshotPlacement) error {
 	return t.control.send(http.MethodPut, "/control/snapshots", placements)
 }
@@ -163,7 +166,7 @@
 	return t.control.send(http.MethodPut, "/control/draining", targetsim.DrainingRequest{Draining: draining})
 }
 
-// Ran returns the requests that the target's leaves really started.
+// Ran returns the requests that the target's leaves started.
 func (t *Target) Ran() (targetsim.StartedRequests, error) {
 	var r targetsim.StartedRequests
 	return r, t.control.get("/control/ran", &r)
@@ -175,21 +178,21 @@
 	return c, t.control.get("/control/counters", &c)
 }
 
-// Proxy is a fault proxy, as a process.
+// Proxy is a process that runs a fault proxy; see package faultproxy.
 type Proxy struct {
 	*Process
-	Address string
+	Address string // IP and port where it listens
 	control endpoint
 }
 
-// StartProxy starts a fault proxy in front of the target address.
+// StartProxy starts a fault proxy that forwards connections to the IP and port target.
 func (f *Fleet) StartProxy(name, target string) (*Proxy, error) {
 	return f.startProxy(name, "--target", target)
 }
 
-// StartPeerProxy starts a fault proxy in front of a daemon's listener for peers.
-// It identifies each client by the VM name in its hello, so Faults.Partitioned lists
-// the VM names of daemons.
+// StartPeerProxy starts a fault proxy that forwards connections to target, a daemon's
+// listener for peers. The proxy reads the VM name of each client from its hello, so
+// that Faults.Partitioned can list VMs.
 func (f *Fleet) StartPeerProxy(name, target string) (*Proxy, error) {
 	return f.startProxy(name, "--target", target, "--peers")
 }
@@ -207,7 +210,7 @@
 	return p.control.send(http.MethodPut, "/control/faults", faults)
 }
 
-// Cut closes every open connection.
+// Cut closes every open connection through the proxy.
 func (p *Proxy) Cut() error { return p.control.send(http.MethodPost, "/control/cut", nil) }
 
 // Silence makes every open connection permanently silent; new ones work.
@@ -217,7 +220,7 @@
 type Daemon struct {
 	*Process
 	Zone         string
-	SettingsPath string
+	SettingsPath string // file with its settings
 	Callers      string // address for callers' requests
 	Ops          string // address for operators: status, metrics, readiness
 	Peers        string // address that other VMs dial
@@ -236,7 +239,7 @@
 }
 
 // Metrics reads the daemon's metrics. The keys are names with labels, as written in
-// the text format.
+// the Prometheus text format.
 func (d *Daemon) Metrics() (map[string]float64, error) {
 	resp, err := controlClient.Get("http://" + d.Ops + ops.PathMetrics)
 	if err != nil {
@@ -269,12 +272,13 @@
 	return d.post(ctx, "search", name, nil, body)
 }
 
-// Browse requests one page of a browse search.
+// Browse requests one page of a browse and returns it with its HTTP status.
 func (d *Daemon) Browse(ctx context.Context, name string, body gateway.SearchBody) (gateway.Answer, int, error) {
 	return d.post(ctx, "browse", name, nil, body)
 }
 
-// Submit sends a non-idempotent request with an idempotency key.
+// Submit sends a non-idempotent request with an idempotency key. It returns the answer
+// with its HTTP status.
 func (d *Daemon) Submit(ctx context.Context, name, key string, payload any) (gateway.Answer, int, error) {
 	header := http.Header{gateway.HeaderKey: {key}}
 	return d.post(ctx, "submit", name, header, payload)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -37,14 +37,14 @@
 	Deployment string
 }
 
-// Fleet runs the processes of one deployment. Its methods are safe for
-// concurrent use.
+// Fleet runs the processes of one deployment. Its methods are safe for concurrent
+// use after StartPlatform.
 type Fleet struct {
 	opts     Options
 	keys     map[string]*bundle.PrivateKey // by person
 	keyring  *bundle.Keyring
-	fleetKey string
-	platform *Platform
+	fleetKey string    // base64; shared by the daemons, which authenticate each other with it
+	platform *Platform // nil before StartPlatform
 
 	mu        sync.Mutex // guards processes
 	processes []*Process
@@ -80,7 +80,7 @@
 	}
 }
 
-// Logs returns the last lines of each process's log.
+// Logs returns the last lines of each process's log, as many as lines says.
 func (f *Fleet) Logs(lines int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,7 +157,7 @@
 	EditSettings func(*settings.Settings) // applied to the finished settings; may be nil
 }
 
-// StartDaemon writes the settings and starts bramleyd. It does not wait until the
+// StartDaemon writes the daemon's settings and starts it. It does not wait until the
 // daemon is ready.
 func (f *Fleet) StartDaemon(o DaemonOptions) (*Daemon, error) {
 	set, err := f.settings(o)
@@ -232,13 +232,12 @@
 // start.
 const (
 	firstPort = 10000
-	endPort   = 32000
+	endPort   = 32000 // one more than the last port
 )
 
 // nextPort, modulo the number of ports, is the offset from firstPort of the port that
-// was tried last. It starts at the process id times portStride, modulo that number.
-// Test programs that run at the same time have different process ids, so they begin
-// at different ports and seldom try the same ones.
+// was tried last. Its initial value depends on the process id: test programs that run
+// at the same time begin at different ports and seldom try the same ones.
 var nextPort atomic.Uint32
 
 func init() { nextPort.Store(uint32(os.Getpid()*portStride) % (endPort - firstPort)) }
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -1,6 +1,6 @@
-// Package fleet runs daemons and stand-ins as processes, for tests and benchmarks.
-// It starts them, calls their control endpoints and rolls out bundles. It stops
-// only processes that it started, by their id.
+// Package fleet runs daemons and the simulators of bramley-lab as processes, for
+// tests and benchmarks. It starts them, calls their control endpoints and rolls out
+// bundles. It stops only processes that it started, by their id.
 package fleet
 
 import (
@@ -26,7 +26,7 @@
 // Process is a child process.
 type Process struct {
 	Name    string
-	LogPath string // standard error, and standard output except of a stand-in, which writes a Ready line there
+	LogPath string // file with the standard error and, except for a simulator, the standard output
 
 	cmd  *exec.Cmd
 	done chan struct{} // closed when the process has exited
@@ -38,7 +38,7 @@
 // Terminate sends SIGTERM, which makes the process shut down gracefully.
 func (p *Process) Terminate() error { return p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Pause stops the process until Resume, like a virtual machine during a migration.
+// Pause suspends the process until Resume, like a VM during a live migration.
 func (p *Process) Pause() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
 
 // Resume continues a paused process.
@@ -66,10 +66,10 @@
 	return string(text)
 }
 
-// spawner returns a channel of functions that run on one thread, which exists as
-// long as this process. Children are started on it because the kernel sends the
-// parent-death signal when the thread that started a child exits. With it, the
-// children end with this process, also when a test reaches its time limit and no
+// spawner returns a channel of functions to run on one thread, which exists as long
+// as this process. Children are started on that thread because the kernel sends them
+// the parent-death signal when the thread that started them exits. The signal ends
+// the children with this process, also when a test exceeds its time limit and no
 // cleanup runs.
 var spawner = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
@@ -82,7 +82,7 @@
 	return work
 })
 
-// startChild starts cmd so that the kernel kills it when this process exits.
+// startChild starts cmd so that the kernel kills the child when this process exits.
 func startChild(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
@@ -95,8 +95,8 @@
 	return f.launch(name, nil, program, args...)
 }
 
-// startSimulator starts a stand-in of bramley-lab and waits for its Ready line on
-// standard output.
+// startSimulator starts bramley-lab with args, of which the first names the
+// simulator, and waits for its Ready line on standard output.
 func (f *Fleet) startSimulator(name string, args ...string) (*Process, labhttp.Ready, error) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -112,7 +112,7 @@
 	return p, ready, errors.Annotatef(err, "start %s, log: %s", name, p.Log())
 }
 
-// readReady reads a Ready line for startTimeout at most.
+// readReady reads and decodes a Ready line. It waits for startTimeout at most.
 func readReady(r *os.File) (labhttp.Ready, error) {
 	var ready labhttp.Ready
 	if err := r.SetReadDeadline(time.Now().Add(startTimeout)); err != nil {
