--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -27,7 +27,7 @@
 	Frozen   bool `json:"frozen"`    // no bytes pass in either direction, on new connections too
 	LoseUp   bool `json:"lose_up"`   // bytes from the client are dropped
 	LoseDown bool `json:"lose_down"` // bytes to the client are dropped
-	DelayMS  int  `json:"delay_ms"`  // delay of each chunk that is read, in each direction
+	DelayMS  int  `json:"delay_ms"`  // delay of each chunk of bytes that is read, in each direction
 
 	// Partitioned names the clients for which the network is Frozen. It needs Options.ReadHello.
 	Partitioned []string `json:"apart,omitempty"`
@@ -50,9 +50,9 @@
 
 	mu            sync.Mutex // guards the fields below
 	faults        Faults
-	faultsChanged chan struct{} // closed, and replaced, when the faults change
-	links         map[*link]struct{}
-	total         int
+	faultsChanged chan struct{}      // closed, and replaced, when the faults change
+	links         map[*link]struct{} // open connections
+	total         int                // connections that reached the server since the start
 }
 
 // link is one connection through the proxy.
@@ -67,8 +67,8 @@
 	Listen  string // IP and port; empty for a free port on the loopback
 	Control string // the same for the control endpoint
 	Target  string // IP and port to forward to
-	// ReadHello says that the connections are those between VMs. The proxy then reads the
-	// client's name from the first message on each connection.
+	// ReadHello says that the connections are between VMs. The proxy then reads the name of
+	// the VM that connects from the first message on each connection.
 	ReadHello bool
 }
 
@@ -198,10 +198,10 @@
 // frozen.
 const holdPollInterval = 20 * time.Millisecond
 
-// holdWhileFrozen delays a new connection as long as the network is frozen for it, as lost
-// packets would. It returns the bytes received, followed by those that the client sent
-// meanwhile. It returns false if the client closed the connection, which then never reaches
-// the server, or if the proxy is closing.
+// holdWhileFrozen delays a new connection while the network is frozen for it, as lost packets
+// would. It returns received followed by the bytes that the client sent meanwhile. It returns
+// false if the client closed the connection or the proxy is closing; the connection must then
+// not reach the server.
 func (p *Proxy) holdWhileFrozen(l *link, received []byte) (all []byte, ok bool) {
 	defer l.client.SetReadDeadline(time.Time{})
 	buf := make([]byte, 4<<10)
@@ -260,9 +260,9 @@
 	}
 }
 
-// propagateClose closes both ends of the link once the faults let a close pass in this
-// direction. An end of a silent link does not learn that the other end has closed: both are
-// closed with the proxy.
+// propagateClose closes both ends of the link as soon as the faults let a close pass in this
+// direction. A silent link does not pass on that one end has closed: the other one stays open
+// until Cut or Close.
 func (p *Proxy) propagateClose(l *link, upstream bool) {
 	defer l.close()
 	for {
@@ -278,8 +278,8 @@
 	}
 }
 
-// linkState returns the faults that apply to the link, a channel that is closed when the faults
-// change, and whether the link is silent.
+// linkState returns the faults that apply to the link, a channel that is closed when the proxy's
+// faults change, and whether the link is silent.
 func (p *Proxy) linkState(l *link) (Faults, <-chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -70,6 +70,8 @@
 	return err
 }
 
+// A connection that is open at Silence must stay silent, and one that is opened later must work.
+// Tests of daemons that replace silent connections rely on both.
 func TestSilentConnectionStaysSilentWhileNewOnesWork(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := startProxy(t)
@@ -81,6 +83,8 @@
 	g.Expect(roundTrip(old, silenceTimeout)).To(gomega.MatchError(gomega.ContainSubstring("timeout")))
 }
 
+// A frozen connection must work again when the network is no longer frozen. A new connection must
+// not reach the server while it is frozen.
 func TestFrozenConnectionsResumeAfterwards(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := startProxy(t)
@@ -94,6 +98,8 @@
 	g.Expect(roundTrip(old, timeout)).To(gomega.Succeed())
 }
 
+// With bytes lost in either direction a connection must stay open without an answer. After Cut and
+// with Refuse it must be closed instead.
 func TestLossCutAndRefusal(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := startProxy(t)
@@ -110,9 +116,11 @@
 	g.Expect(roundTrip(conn, timeout)).NotTo(gomega.Succeed())
 	p.SetFaults(Faults{Refuse: true})
 	g.Expect(roundTrip(dial(t, p), timeout)).NotTo(gomega.Succeed())
+	// The connections of the loop are still open.
 	g.Eventually(func() int { return p.Counters().Open }, timeout).Should(gomega.BeNumerically("<=", 2))
 }
 
+// Partitioned must freeze the connections of the named VMs and of no other.
 func TestPartitionedClients(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := startProxyWith(t, Options{ReadHello: true})
@@ -121,7 +129,8 @@
 	for _, name := range []string{"vm-0", "vm-1"} {
 		hello := `{"from":{"vm":"` + name + `"}}`
 		conns[name] = dial(t, p)
-		// In two pieces, as the protocol between VMs sends the length first.
+		// In two pieces, because the protocol between VMs sends a message's length first: the
+		// first read may not contain the name.
 		for _, piece := range []string{hello[:3], hello[3:]} {
 			_, err := io.WriteString(conns[name], piece)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
