--- a/internal/lab/labhttp/labhttp.go
+++ b/internal/lab/labhttp/labhttp.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// ListenAddress returns addr, or the loopback address with port 0, which makes the system
-// choose a free port, if addr is empty.
+// ListenAddress returns addr. If addr is empty, it returns the loopback address with port 0,
+// for which the system chooses a free port.
 func ListenAddress(addr string) string {
 	if addr == "" {
 		return "127.0.0.1:0"
@@ -69,8 +69,8 @@
 	Control string `json:"control"` // IP and port of its control endpoint
 }
 
-// Listen opens a simulator's two TCP listeners. An empty address stands for a free port on
-// the loopback; see ListenAddress.
+// Listen opens a simulator's two TCP listeners: the one where it serves and that of its control
+// endpoint. An empty address stands for a free port on the loopback; see ListenAddress.
 func Listen(serve, control string) (serving, controlling net.Listener, err error) {
 	if serving, err = net.Listen("tcp", ListenAddress(serve)); err != nil {
 		return nil, nil, err
