--- a/internal/lab/bench/deployment.go
+++ b/internal/lab/bench/deployment.go
@@ -16,7 +16,7 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// readyTimeout bounds the wait until all daemons return complete answers.
+// readyTimeout bounds each wait until all daemons return complete answers.
 const readyTimeout = 60 * time.Second
 
 // deployment is a running Shape: the platform, the targets, the fault proxies and
@@ -25,7 +25,7 @@
 	shape    Shape
 	fleet    *fleet.Fleet
 	daemons  []*fleet.Daemon
-	groups   []*serviceTargets
+	groups   []*serviceTargets // by service, in the order of the shape
 	expected *expectedAnswers
 }
 
@@ -145,7 +145,7 @@
 }
 
 // waitComplete waits until each daemon has returned two complete answers in a row
-// for every service, for readyTimeout at most.
+// for every service. It returns an error if that takes longer than readyTimeout.
 func (d *deployment) waitComplete(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -177,8 +177,8 @@
 	return s.sample
 }
 
-// restartTarget starts a stopped target again at its old address with its part of
-// the current index. It is cold for coldMS.
+// restartTarget starts target i of a service, which has stopped, again at its old
+// address with its part of the current index. It is cold for coldMS milliseconds.
 func (d *deployment) restartTarget(g *serviceTargets, i int, coldMS int) error {
 	opts := g.targets[i].Options
 	opts.Listen = g.targets[i].Address
@@ -201,7 +201,7 @@
 	searches           int // leaf calls started
 	connections        int // connections accepted
 	refusedConnections int // connections closed at once because of the target's limit
-	peakConnections    int // the most open connections at one target
+	peakConnections    int // most connections open at once at one target
 }
 
 // minus returns the usage since before. The peak is that of the whole run.
@@ -219,8 +219,8 @@
 	}
 }
 
-// usage adds up the counters of all processes that the service's targets have had.
-// saveCounters keeps those of a target before it stops, so that the sum never
+// usage adds up the counters of the service's targets, including the processes that
+// have stopped. saveCounters keeps the counters of these, so that the sum never
 // decreases.
 func (g *serviceTargets) usage() usage {
 	var u usage
@@ -280,10 +280,10 @@
 		return 0, errors.Trace(err)
 	}
 	const (
-		nameEnd             = ") "
-		userTimeField       = 11 // index of the user time among the fields after the name
+		nameEnd             = ") " // ends the name, which is in parentheses and may contain spaces
+		userTimeField       = 11   // index of the user time among the fields after the name
 		clockTicksPerSecond = 100
-		fieldCount          = 13
+		fieldCount          = 13 // fields up to the system time, which follows the user time
 	)
 	_, afterComm, _ := strings.Cut(string(data), nameEnd)
 	fields := strings.Fields(afterComm)
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -20,12 +20,12 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Bounds of the generated load.
+// Parameters of the generated load.
 const (
-	maxInFlight     = 6000 // requests without an answer yet; a request beyond these is dropped and counted
-	distinctQueries = 40   // number of different query texts
-	itemLimit       = 10   // items requested per query
-	callTimeout     = 20 * time.Second
+	maxInFlight     = 6000             // requests without an answer yet; a request beyond these is dropped and counted
+	distinctQueries = 40               // number of different query texts
+	itemLimit       = 10               // items requested per query
+	callTimeout     = 20 * time.Second // for each query
 )
 
 // Sample holds the results of one or several windows of load on one service.
@@ -100,7 +100,7 @@
 }
 
 // run sends the queries of all streams for one window and waits for the answers.
-// The arrivals of each stream are a Poisson process drawn with the seed. The load
+// The arrivals of each stream are a Poisson process generated from the seed. The load
 // is open-loop: an arrival does not wait for earlier answers.
 func (l *loader) run(ctx context.Context, streams []stream, policy string, window time.Duration, seed uint64) {
 	inFlight := make(chan struct{}, maxInFlight)
@@ -138,8 +138,8 @@
 	}
 }
 
-// sendQuery sends one query and adds its result to the stream's sample. The
-// latency counts from the intended time of sending.
+// sendQuery sends one query and adds its result to the stream's sample. The latency is
+// measured from intended, the time at which the schedule was to send the query.
 func (l *loader) sendQuery(ctx context.Context, s stream, policy, daemon string, query int, intended time.Time) {
 	svc := s.service
 	text := queryText(query)
@@ -174,7 +174,7 @@
 	})
 }
 
-// update calls f on the sample under the lock.
+// update calls f on the sample while it holds mu.
 func (l *loader) update(s *Sample, f func(*Sample)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -224,8 +224,8 @@
 // indexes. It is safe for concurrent use.
 type expectedAnswers struct {
 	mu      sync.Mutex                    // guards both maps
-	indexes map[answerKey]targetsim.Index // with an empty query in the key
-	items   map[answerKey][]target.Item   // cached results of Index.Truth
+	indexes map[answerKey]targetsim.Index // keys have an empty query
+	items   map[answerKey][]target.Item   // cached results of Index.ExpectedAnswer
 }
 
 type answerKey struct{ service, snapshot, query string }
@@ -241,8 +241,9 @@
 	e.indexes[answerKey{index.Service, index.Snapshot, ""}] = index
 }
 
-// matches reports whether a complete answer equals the expected answer from the
-// snapshot that it names: number of shards and records, item keys and fields.
+// matches reports whether a complete answer has the content that is expected from the
+// snapshot that it names: the numbers of shards and records, and the items' keys and
+// fields.
 func (e *expectedAnswers) matches(service, query string, answer gateway.Answer) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/bench/phases.go
+++ b/internal/lab/bench/phases.go
@@ -14,14 +14,14 @@
 // phaseNames are the phases of a query that daemons measure, in their order.
 var phaseNames = []string{"admission", "held", "attempt"}
 
-// phases holds the time that the queries of one service spent in each phase, by the
-// phase's name. It adds up the metrics of all daemons, which measure the phases
-// under the adaptive policy.
+// phases holds the distribution of the time that the queries of one service spent in
+// each phase, by the phase's name. It adds up the metrics of all daemons, which
+// measure the phases under the adaptive policy.
 type phases map[string]phaseHistogram
 
 // phaseHistogram is the distribution of the time that queries spent in one phase.
 type phaseHistogram struct {
-	seconds, count float64
+	seconds, count float64             // total time, and number of queries
 	buckets        map[float64]float64 // cumulative number of queries by upper bound in seconds
 }
 
@@ -93,7 +93,7 @@
 	return sum
 }
 
-// addDelta adds the difference of two readings.
+// addDelta adds what was measured between two readings.
 func (p phases) addDelta(before, after phases) {
 	for _, name := range phaseNames {
 		p[name] = p[name].plusScaled(after[name], 1).plusScaled(before[name], -1)
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -24,11 +24,11 @@
 	Seed      uint64        // of arrivals and queries
 	Slowdown  int           // factor on service times and time limits; 1 if less
 	Out       io.Writer     // for the tables
-	Progress  io.Writer
+	Progress  io.Writer     // for a line at the start of each scenario
 }
 
-// windowPause is the pause after a window, in which requests that the window
-// started, such as late leaf calls, can complete.
+// windowPause is the pause after a window. Requests that started in the window, such
+// as late leaf calls, can complete in it.
 const windowPause = 1500 * time.Millisecond
 
 // Result holds the results of one policy in one scenario.
@@ -37,7 +37,7 @@
 	Policy    string
 	Rows      []*Row        // by service, in the order of the shape
 	DaemonCPU time.Duration // processor time of all daemons in the windows
-	LoadAvg   string        // load average of the machine over the last minute, after the last window
+	LoadAvg   string        // load average of the machine over one minute, read after the last window
 }
 
 // Row holds the results of one service in a Result; it is one line of the table.
@@ -151,7 +151,7 @@
 	if err := runLoad(ctx, o, d, l, s, streams, r.Policy, round); err != nil {
 		return err
 	}
-	sleep(ctx, windowPause/3)
+	sleep(ctx, windowPause/3) // late leaf calls that end within it count in the window
 	after, err := d.readTotals()
 	if err != nil {
 		return err
@@ -206,6 +206,7 @@
 	return t, errors.Trace(err)
 }
 
+// add adds the samples of one window and the increase of the counters in it.
 func (r *Result) add(streams []stream, before, after totals) {
 	for i, row := range r.Rows {
 		row.Sample.add(streams[i].sample)
--- a/internal/lab/bench/scenario.go
+++ b/internal/lab/bench/scenario.go
@@ -19,12 +19,13 @@
 	// baseServiceMS.
 	ServiceTimeMS float64
 	// Warmup is how long the normal load runs in the scenario's state before each
-	// window, without being counted. In production, too, daemons have measured
-	// targets under normal load before an overload begins.
+	// window, without being counted. It lets the daemons measure the targets under
+	// normal load before an overload begins, as they do in production.
 	Warmup time.Duration
 	// Begin sets up the state before a window.
 	Begin func(d *deployment) error
-	// During runs in parallel to the load and returns within the window.
+	// During runs concurrently with the load and returns within the window. Round counts
+	// the windows of the scenario and policy from 0.
 	During func(ctx context.Context, d *deployment, window time.Duration, round int) error
 	// End restores the healthy state after a window.
 	End func(d *deployment) error
@@ -36,10 +37,10 @@
 	stragglerFactor   = 20
 	overloadServiceMS = 16  // mean service time of a leaf in scenarios with a high load; longer than baseServiceMS to limit the calls per second
 	busyLoad          = 0.7 // rate of queries as a fraction of the capacity
-	reportedLoad      = 20  // running and queued requests that every other target reports for each of its leafs; the true number is much lower
+	reportedLoad      = 20  // running and queued requests that every other target reports for each of its leaves; the true number is much lower
 	overloadWarmup    = 5 * time.Second
 	restartDivisor    = 4 // one in 4 targets is restarted in a window
-	extraShards       = 5 // additional shards of the new index in two of every four switches
+	extraShards       = 5 // additional shards of the new snapshot in two of every four switches
 )
 
 // Scenarios are all scenarios in the order of the table.
@@ -98,7 +99,8 @@
 	return d.setTiming(t)
 }
 
-// misreportLoad makes every other target report a heavy load and the others none.
+// misreportLoad makes every other target report a heavy load and the others none, and
+// slows all targets.
 func misreportLoad(d *deployment) error {
 	for _, g := range d.groups {
 		for i, target := range g.targets {
@@ -151,7 +153,7 @@
 		if err := t.Terminate(); err != nil {
 			return errors.Trace(err)
 		}
-		sleep(ctx, drainMS*time.Millisecond*9/10)
+		sleep(ctx, drainMS*time.Millisecond*9/10) // the counters can't be read after the target exits
 		g.saveCounters(t)
 		<-t.Done()
 		if err := d.restartTarget(g, i, coldMS); err != nil {
@@ -210,7 +212,7 @@
 	return nil
 }
 
-// sleep returns after d or when ctx is done.
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/bench/shapes.go
+++ b/internal/lab/bench/shapes.go
@@ -1,6 +1,6 @@
-// Package bench measures the query path with real processes in the shapes of the
-// two deployments. It generates an open-loop load and compares the adaptive policy
-// with the plain one, which run in turn.
+// Package bench measures the query path with daemons and simulated targets as
+// processes, in the shapes of the two deployments. It generates an open-loop load and
+// compares the adaptive policy with the plain one. The two run in turn.
 package bench
 
 import (
@@ -22,8 +22,9 @@
 }
 
 // slowed returns the shape with service times and time limits multiplied by factor.
-// The rate of queries falls in the same proportion, which reduces the share of the
-// delays that a busy machine adds. Pauses and intervals of the daemons stay the same.
+// The rate of queries falls in the same proportion. Delays that a busy machine adds
+// are then a smaller share of the latencies. Times in the bundle other than the time
+// limits, such as health intervals and hedge delays, stay the same.
 func (s Shape) slowed(factor int) Shape {
 	s.slowdown = factor
 	s.TimeLimitMS *= factor
@@ -42,7 +43,7 @@
 	Leaves        int     // per target
 	Slots         int     // requests that one leaf runs at once
 	Connections   int     // limit per target
-	ConnectCostMS float64 // of each new connection
+	ConnectCostMS float64 // time that a target needs to accept a connection
 	Shards        int
 	Replicas      int // of each shard
 }
@@ -59,9 +60,9 @@
 	idleMS          = 5000 // time after which a target closes an unused connection
 )
 
-// Shapes are the deployments that can be measured. Each one runs the larger of the
-// deployment's services with many instances and one of its small services; the
-// other services have the same shape.
+// Shapes are the deployments that can be measured. Each one has two of the
+// deployment's services: the larger one of those with many instances, and a small one.
+// The deployment's other services resemble one of these.
 var Shapes = []Shape{
 	{
 		Name: "vatnsleit", Daemons: 7, TimeLimitMS: 200,
@@ -89,7 +90,8 @@
 	return slots * msPerSecond / serviceMS / float64(s.Shards)
 }
 
-// index returns the service's index with the given sequence number and shards.
+// index returns the service's index with the given sequence number and number of
+// shards.
 func (s Service) index(seq, shards int) targetsim.Index {
 	return targetsim.Index{
 		Service: s.Name, Snapshot: fmt.Sprintf("s%d", seq), Seq: int64(seq), Shards: shards, Records: recordsPerIndex,
--- a/internal/lab/bench/table.go
+++ b/internal/lab/bench/table.go
@@ -47,9 +47,8 @@
 		percent*float64(row.usage.peakConnections)/float64(row.Service.Connections), row.usage.refusedConnections)
 }
 
-// median returns the median of the windows' values, or 0 without values. It is used
-// so that a single window in which the machine stalled does not decide the
-// comparison.
+// median returns the median of the windows' values, or 0 if there are none. With it, a
+// single window in which the machine stalled does not decide the comparison.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	if len(sorted) == 0 {
