--- a/internal/lab/rolloutbench/bench.go
+++ b/internal/lab/rolloutbench/bench.go
@@ -1,7 +1,7 @@
 // Package rolloutbench measures the time of a rollout from the write of its head
-// until it is in force on the last VM, and the number of calls that VMs and operators
-// make to the platform. Daemons run as processes, with a healthy platform and under
-// faults.
+// until it is in force on the last VM, and the number of calls of VMs and operators to
+// the platform. Daemons run as processes. The scenarios are a healthy platform and
+// several faults.
 package rolloutbench
 
 import (
@@ -25,10 +25,10 @@
 	zone       = "zone-a"
 	service    = "desk"
 
-	statusInterval = 10 * time.Millisecond
-	idleTime       = 10 * time.Second // period over which calls without any change are counted
-	rolloutTimeout = 60 * time.Second // a rollout that takes longer fails the run
-	watchWait      = 10 * time.Second // time for which the platform holds a watch without a change
+	statusInterval = 10 * time.Millisecond // between reads of a daemon's status
+	idleTime       = 10 * time.Second      // time for which calls are counted while nothing changes
+	rolloutTimeout = 60 * time.Second      // a rollout that takes longer fails the run
+	watchWait      = 10 * time.Second      // time after which the platform answers a watch without a change
 )
 
 // Options configure a run of the benchmark.
@@ -50,17 +50,17 @@
 	daemons  []*fleet.Daemon
 	store    *timedStore
 	client   *rollout.Client
-	digests  [3]string // rolled out in turn; VMs keep two bundles and have to fetch the third
+	digests  [3]string // of the bundles, which are rolled out in turn; VMs keep two and have to fetch the third
 
 	mu              sync.Mutex        // guards the fields below
-	highestRevision map[string]uint64 // observed, by VM
-	regressions     int               // observations of a lower revision than an earlier one
+	highestRevision map[string]uint64 // highest revision that each VM has reported, by VM
+	regressions     int               // reports of a lower revision than that
 }
 
 // timedStore records when the last write of a head was sent.
 type timedStore struct {
 	objstore.Store
-	headSentAt time.Time // without a lock: one operator makes one change at a time
+	headSentAt time.Time // needs no lock: the only operator makes one change at a time
 }
 
 // Put implements objstore.Store.
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// start starts the processes and rolls out each bundle once.
+// start starts the processes and rolls out each of the three bundles once.
 func (b *bench) start(ctx context.Context) error {
 	var err error
 	if b.platform, err = b.fleet.StartPlatform(watchWait); err != nil {
--- a/internal/lab/rolloutbench/scenario.go
+++ b/internal/lab/rolloutbench/scenario.go
@@ -32,8 +32,8 @@
 	return func(b *bench) error { return b.platform.SetFaults(f) }
 }
 
-// cutOffFirst returns a function that cuts off exactly the first n VMs from the
-// platform; 0 reconnects all.
+// cutOffFirst returns a function that cuts off the first n VMs from the platform and
+// reconnects the others; with 0 it reconnects all.
 func cutOffFirst(n int) func(*bench) error {
 	return func(b *bench) error {
 		for i, p := range b.proxies {
@@ -82,7 +82,7 @@
 			return nil
 		},
 		beforeEach: func(b *bench) error {
-			time.Sleep(outageTime)
+			time.Sleep(outageTime) // until the outage after the previous rollout has ended
 			return nil
 		},
 		end: func(b *bench) error {
@@ -100,7 +100,8 @@
 // outage after each one.
 const maxOutageRollouts = 20
 
-// measure rolls out under one scenario, prints its row and clears the fault.
+// measure performs the rollouts of one scenario, prints its row of the table, clears the
+// fault and pauses.
 func (b *bench) measure(ctx context.Context, s scenario) error {
 	rollouts := b.opts.Rollouts
 	if s.afterEach != nil {
@@ -144,8 +145,8 @@
 	return f(b)
 }
 
-// rollOut makes rollout i and returns the time from the write of its head until it
-// was in force on the last VM.
+// rollOut performs rollout i of a scenario. It returns the time from the write of the
+// head until the revision was in force on the last VM.
 func (b *bench) rollOut(ctx context.Context, s scenario, i int) (time.Duration, error) {
 	if err := b.callIfSet(s.beforeEach); err != nil {
 		return 0, errors.Trace(err)
