--- a/internal/lab/bench/deployment.go
+++ b/internal/lab/bench/deployment.go
@@ -82,6 +82,8 @@
 	return d.waitComplete(ctx)
 }
 
+// startTargets starts the targets of a service, and a fault proxy in front of one in
+// proxyEvery of them.
 func (d *deployment) startTargets(svc Service) (*serviceTargets, error) {
 	g := &serviceTargets{Service: svc, index: svc.index(1, svc.Shards), stoppedCounters: map[string]targetsim.Counters{}}
 	d.expected.addIndex(g.index)
@@ -102,6 +104,8 @@
 	return g, nil
 }
 
+// bundleService returns the service for the bundle. A target behind a fault proxy has the
+// proxy's address.
 func (d *deployment) bundleService(g *serviceTargets) bundle.Service {
 	svc := bundle.Service{
 		Name: g.Name, Shards: g.Shards,
@@ -204,7 +208,7 @@
 	peakConnections    int // most connections open at once at one target
 }
 
-// minus returns the usage since before. The peak is that of the whole run.
+// minus returns the usage since before. The peak is that since the targets' start.
 func (u usage) minus(before usage) usage {
 	return usage{
 		searches: u.searches - before.searches, connections: u.connections - before.connections,
@@ -282,8 +286,8 @@
 	const (
 		nameEnd             = ") " // ends the name, which is in parentheses and may contain spaces
 		userTimeField       = 11   // index of the user time among the fields after the name
-		clockTicksPerSecond = 100
-		fieldCount          = 13 // fields up to the system time, which follows the user time
+		clockTicksPerSecond = 100  // unit of the times in the file
+		fieldCount          = 13   // fields up to the system time, which follows the user time
 	)
 	_, afterComm, _ := strings.Cut(string(data), nameEnd)
 	fields := strings.Fields(afterComm)
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -67,6 +67,7 @@
 	return nil
 }
 
+// selected reports whether names contains name or is empty, which selects all.
 func selected(names []string, name string) bool {
 	for _, n := range names {
 		if n == name {
--- a/internal/lab/bench/scenario.go
+++ b/internal/lab/bench/scenario.go
@@ -15,8 +15,8 @@
 	Name string
 	// Load is the rate of queries as a fraction of the capacity.
 	Load float64
-	// ServiceTimeMS is the mean service time of a leaf in milliseconds; 0 means
-	// baseServiceMS.
+	// ServiceTimeMS is the mean service time of a leaf in milliseconds, without the
+	// slowdown of the shape; 0 means baseServiceMS.
 	ServiceTimeMS float64
 	// Warmup is how long the normal load runs in the scenario's state before each
 	// window, without being counted. It lets the daemons measure the targets under
@@ -39,7 +39,7 @@
 	busyLoad          = 0.7 // rate of queries as a fraction of the capacity
 	reportedLoad      = 20  // running and queued requests that every other target reports for each of its leaves; the true number is much lower
 	overloadWarmup    = 5 * time.Second
-	restartDivisor    = 4 // one in 4 targets is restarted in a window
+	restartDivisor    = 4 // at most one in 4 targets is restarted in a window
 	extraShards       = 5 // additional shards of the new snapshot in two of every four switches
 )
 
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// slowTargets sets the service time of all targets to overloadServiceMS.
+// slowTargets sets the service time of all targets to overloadServiceMS times the
+// slowdown of the shape.
 func slowTargets(d *deployment) error {
 	t := d.shape.healthyTiming()
 	t.BaseMS *= overloadServiceMS / baseServiceMS
--- a/internal/lab/edgesim/store.go
+++ b/internal/lab/edgesim/store.go
@@ -198,6 +198,7 @@
 	}
 }
 
+// objectJSON returns the object as the store's HTTP interface encodes it.
 func objectJSON(o *storedObject) map[string]any {
 	return map[string]any{
 		"meta":   map[string]any{"name": o.name, "revision": o.revision, "created-rev": o.createdRevision, "finalizers": []string{}, "deleting": false},
--- a/internal/lab/rolloutbench/bench.go
+++ b/internal/lab/rolloutbench/bench.go
@@ -162,6 +162,8 @@
 	return errors.Trace(b.platform.SetVMs(vms, 0))
 }
 
+// testBundle returns a bundle with one search of a service whose only target has that
+// address.
 func testBundle(name, address string, vms int) *bundle.Bundle {
 	return &bundle.Bundle{
 		Name:  name,
--- a/internal/lab/targetsim/handler.go
+++ b/internal/lab/targetsim/handler.go
@@ -220,6 +220,7 @@
 	labhttp.WriteJSON(w, status, value)
 }
 
+// withDeadline returns a context that ends after ms milliseconds.
 func withDeadline(ctx context.Context, ms int64) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond)
 }
