--- a/internal/lab/bench/deployment.go
+++ b/internal/lab/bench/deployment.go
@@ -16,7 +16,7 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// readyTimeout bounds the wait until all daemons return complete answers.
+// readyTimeout bounds each wait until all daemons return complete answers.
 const readyTimeout = 60 * time.Second
 
 // deployment is a running Shape: the platform, the targets, the fault proxies and
@@ -25,7 +25,7 @@
 	shape    Shape
 	fleet    *fleet.Fleet
 	daemons  []*fleet.Daemon
-	groups   []*serviceTargets
+	groups   []*serviceTargets // by service, in the order of the shape
 	expected *expectedAnswers
 }
 
@@ -82,11 +82,13 @@
 	return d.waitComplete(ctx)
 }
 
+// startTargets starts the targets of a service, and a fault proxy in front of one in
+// proxyEvery of them.
 func (d *deployment) startTargets(svc Service) (*serviceTargets, error) {
 	g := &serviceTargets{Service: svc, index: svc.index(1, svc.Shards), stoppedCounters: map[string]targetsim.Counters{}}
 	d.expected.addIndex(g.index)
-	for i, holder := range targetsim.PlaceReplicas(g.index, svc.Targets, svc.Leaves, svc.Replicas) {
-		t, err := d.fleet.StartTarget(svc.targetOptions(i, d.shape.healthyTiming(), holder))
+	for i, placement := range targetsim.PlaceReplicas(g.index, svc.Targets, svc.Leaves, svc.Replicas) {
+		t, err := d.fleet.StartTarget(svc.targetOptions(i, d.shape.healthyTiming(), placement))
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
@@ -102,6 +104,8 @@
 	return g, nil
 }
 
+// bundleService returns the service for the bundle. A target behind a fault proxy has the
+// proxy's address.
 func (d *deployment) bundleService(g *serviceTargets) bundle.Service {
 	svc := bundle.Service{
 		Name: g.Name, Shards: g.Shards,
@@ -145,7 +149,7 @@
 }
 
 // waitComplete waits until each daemon has returned two complete answers in a row
-// for every service, for readyTimeout at most.
+// for every service. It returns an error if that takes longer than readyTimeout.
 func (d *deployment) waitComplete(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -177,16 +181,16 @@
 	return s.sample
 }
 
-// restartTarget starts a stopped target again at its old address with its part of
-// the current index. It is cold for coldMS.
+// restartTarget starts target i of a service, which has stopped, again at its old
+// address with its part of the current index. It is cold for coldMS milliseconds.
 func (d *deployment) restartTarget(g *serviceTargets, i int, coldMS int) error {
 	opts := g.targets[i].Options
 	opts.Listen = g.targets[i].Address
 	opts.ColdMS = coldMS
 	// PlaceReplicas returns one placement per target. The slice keeps only that of
 	// target i, so the loop runs once.
-	for _, holder := range targetsim.PlaceReplicas(g.index, g.Targets, g.Leaves, g.Replicas)[i : i+1] {
-		opts.Snapshots = []targetsim.SnapshotPlacement{holder}
+	for _, placement := range targetsim.PlaceReplicas(g.index, g.Targets, g.Leaves, g.Replicas)[i : i+1] {
+		opts.Snapshots = []targetsim.SnapshotPlacement{placement}
 	}
 	t, err := d.fleet.StartTarget(opts)
 	if err != nil {
@@ -201,10 +205,10 @@
 	searches           int // leaf calls started
 	connections        int // connections accepted
 	refusedConnections int // connections closed at once because of the target's limit
-	peakConnections    int // the most open connections at one target
+	peakConnections    int // most connections open at once at one target
 }
 
-// minus returns the usage since before. The peak is that of the whole run.
+// minus returns the usage since before. The peak is that since the targets' start.
 func (u usage) minus(before usage) usage {
 	return usage{
 		searches: u.searches - before.searches, connections: u.connections - before.connections,
@@ -219,8 +223,8 @@
 	}
 }
 
-// usage adds up the counters of all processes that the service's targets have had.
-// saveCounters keeps those of a target before it stops, so that the sum never
+// usage adds up the counters of the service's targets, including the processes that
+// have stopped. saveCounters keeps the counters of these, so that the sum never
 // decreases.
 func (g *serviceTargets) usage() usage {
 	var u usage
@@ -280,23 +284,23 @@
 		return 0, errors.Trace(err)
 	}
 	const (
-		afterName  = ") "
-		userField  = 11 // index of the user time among the fields after the name
-		ticksASec  = 100
-		fieldCount = 13
+		nameEnd             = ") " // ends the name, which is in parentheses and may contain spaces
+		userTimeField       = 11   // index of the user time among the fields after the name
+		clockTicksPerSecond = 100  // unit of the times in the file
+		fieldCount          = 13   // fields up to the system time, which follows the user time
 	)
-	_, afterComm, _ := strings.Cut(string(data), afterName)
+	_, afterComm, _ := strings.Cut(string(data), nameEnd)
 	fields := strings.Fields(afterComm)
 	if len(fields) < fieldCount {
 		return 0, errors.Errorf("/proc/%d/stat has %d fields", pid, len(fields))
 	}
 	var ticks int64
-	for _, f := range fields[userField:fieldCount] {
+	for _, f := range fields[userTimeField:fieldCount] {
 		n, err := strconv.ParseInt(f, 10, 64)
 		if err != nil {
 			return 0, errors.Trace(err)
 		}
 		ticks += n
 	}
-	return time.Duration(ticks) * time.Second / ticksASec, nil
+	return time.Duration(ticks) * time.Second / clockTicksPerSecond, nil
 }
--- a/internal/lab/rolloutbench/scenario.go
+++ b/internal/lab/rolloutbench/scenario.go
@@ -32,8 +32,8 @@
 	return func(b *bench) error { return b.platform.SetFaults(f) }
 }
 
-// cutOffFirst returns a function that cuts off exactly the first n VMs from the
-// platform; 0 reconnects all.
+// cutOffFirst returns a function that cuts off the first n VMs from the platform and
+// reconnects the others; with 0 it reconnects all.
 func cutOffFirst(n int) func(*bench) error {
 	return func(b *bench) error {
 		for i, p := range b.proxies {
@@ -48,13 +48,13 @@
 // outageTime is the length of the platform's outage after it has accepted a rollout.
 const outageTime = 3 * time.Second
 
-var clearFaults = setPlatformFaults(platformsim.Faults{})
+var clearPlatformFaults = setPlatformFaults(platformsim.Faults{})
 
 var scenarios = []scenario{
 	{name: "healthy"},
-	{name: "watches silent", begin: setPlatformFaults(platformsim.Faults{WatchesSilent: true}), end: clearFaults},
-	{name: "platform slow, 200 ms each call", begin: setPlatformFaults(platformsim.Faults{SlowMS: 200}), end: clearFaults},
-	{name: "answer to the head's write lost", beforeEach: setPlatformFaults(platformsim.Faults{LoseAnswers: 1, LoseKind: rollout.KindHead}), end: clearFaults},
+	{name: "watches silent", begin: setPlatformFaults(platformsim.Faults{WatchesSilent: true}), end: clearPlatformFaults},
+	{name: "platform slow, 200 ms each call", begin: setPlatformFaults(platformsim.Faults{SlowMS: 200}), end: clearPlatformFaults},
+	{name: "answer to the head's write lost", beforeEach: setPlatformFaults(platformsim.Faults{LoseAnswers: 1, LoseKind: rollout.KindHead}), end: clearPlatformFaults},
 	{name: "all open connections silent", beforeEach: func(b *bench) error {
 		for _, p := range b.proxies {
 			if err := p.Silence(); err != nil {
@@ -72,7 +72,7 @@
 			}
 			return b.platform.SetFaults(platformsim.Faults{WatchesSilent: true, SlowMS: 200})
 		},
-		end: func(b *bench) error { return errors.Trace(goerrors.Join(cutOffFirst(0)(b), clearFaults(b))) }},
+		end: func(b *bench) error { return errors.Trace(goerrors.Join(cutOffFirst(0)(b), clearPlatformFaults(b))) }},
 	{name: fmt.Sprintf("platform down for %s after acceptance", outageTime),
 		afterEach: func(b *bench) error {
 			if err := b.platform.SetFaults(platformsim.Faults{Outage: true}); err != nil {
@@ -82,7 +82,7 @@
 			return nil
 		},
 		beforeEach: func(b *bench) error {
-			time.Sleep(outageTime)
+			time.Sleep(outageTime) // until the outage after the previous rollout has ended
 			return nil
 		},
 		end: func(b *bench) error {
@@ -100,7 +100,8 @@
 // outage after each one.
 const maxOutageRollouts = 20
 
-// measure rolls out under one scenario, prints its row and clears the fault.
+// measure performs the rollouts of one scenario, prints its row of the table, clears the
+// fault and pauses.
 func (b *bench) measure(ctx context.Context, s scenario) error {
 	rollouts := b.opts.Rollouts
 	if s.afterEach != nil {
@@ -144,8 +145,8 @@
 	return f(b)
 }
 
-// rollOut makes rollout i and returns the time from the write of its head until it
-// was in force on the last VM.
+// rollOut performs rollout i of a scenario. It returns the time from the write of the
+// head until the revision was in force on the last VM.
 func (b *bench) rollOut(ctx context.Context, s scenario, i int) (time.Duration, error) {
 	if err := b.callIfSet(s.beforeEach); err != nil {
 		return 0, errors.Trace(err)
@@ -167,7 +168,7 @@
 }
 
 // printRow prints the table's row of one scenario. It sorts times.
-func (b *bench) printRow(s scenario, times []time.Duration, calls float64) {
+func (b *bench) printRow(s scenario, times []time.Duration, callsPerRollout float64) {
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 	overObjective := 0
 	for _, t := range times {
@@ -178,5 +179,5 @@
 	quantile := func(q float64) time.Duration { return times[int(math.Ceil(q*float64(len(times))))-1] }
 	ms := func(d time.Duration) string { return fmt.Sprintf("%.0f", float64(d.Microseconds())/1000) }
 	fmt.Fprintf(b.opts.Out, "| %s | %s | %s | %s | %.0f | %d of %d |\n",
-		s.name, ms(quantile(0.5)), ms(quantile(0.99)), ms(times[len(times)-1]), calls, overObjective, len(times))
+		s.name, ms(quantile(0.5)), ms(quantile(0.99)), ms(times[len(times)-1]), callsPerRollout, overObjective, len(times))
 }
--- a/internal/lab/targetsim/leaf.go
+++ b/internal/lab/targetsim/leaf.go
@@ -23,16 +23,16 @@
 
 	mu          sync.Mutex // guards the fields below
 	rng         *rand.Rand
-	maxWaiting  int // limit of waiting
-	waiting     int // requests that wait for a slot
+	maxQueued   int // upper bound of queued
+	queued      int // requests that wait for a slot
 	peakRunning int // highest number of requests that ran at once
 }
 
-func newLeaf(slots, queue int, seed uint64, number int) *leaf {
+func newLeaf(slots, maxQueued int, seed uint64, leafNumber int) *leaf {
 	return &leaf{
-		slots:      make(chan struct{}, slots),
-		maxWaiting: queue,
-		rng:        rand.New(rand.NewPCG(seed, uint64(number))),
+		slots:     make(chan struct{}, slots),
+		maxQueued: maxQueued,
+		rng:       rand.New(rand.NewPCG(seed, uint64(leafNumber))),
 	}
 }
 
@@ -63,14 +63,14 @@
 func (l *leaf) load() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.slots) + l.waiting
+	return len(l.slots) + l.queued
 }
 
 // serviceTime returns a random service time for the next request.
 func (l *leaf) serviceTime(t Timing, cold bool) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	const spread = 0.3
+	const spread = 0.3 // largest deviation from BaseMS, as a fraction of it
 	ms := t.BaseMS * (1 - spread + 2*spread*l.rng.Float64())
 	if l.rng.Float64() < t.StragglerProb {
 		ms *= t.StragglerFactor
@@ -91,21 +91,21 @@
 	return l.rng.Float64() < probability
 }
 
-// enqueue counts a waiting request. It returns false if the queue is full.
+// enqueue counts a request as queued. It returns false if the queue is full.
 func (l *leaf) enqueue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.waiting >= l.maxWaiting {
+	if l.queued >= l.maxQueued {
 		return false
 	}
-	l.waiting++
+	l.queued++
 	return true
 }
 
 func (l *leaf) dequeue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting--
+	l.queued--
 }
 
 func (l *leaf) updatePeak() {
--- a/internal/lab/targetsim/target_test.go
+++ b/internal/lab/targetsim/target_test.go
@@ -79,6 +79,8 @@
 	return &http.Client{Transport: tr}
 }
 
+// Tests compare daemons' answers with Index.ExpectedAnswer. If the leaves' answers differed from it,
+// these tests would report faults that the daemons don't have.
 func TestShardAnswersAddUpToExpectedAnswer(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		g := gomega.NewWithT(t)
@@ -103,13 +105,15 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+// A refusal with NotStarted allows the caller to run the request on another replica, so a request
+// that gets one must not have been started.
+func TestRefusalsStateReasonAndStartNothing(t *testing.T) {
 	tests := []struct {
-		name   string
-		change func(*Options)
-		set    func(*Target)
-		req    func(*target.LeafRequest)
-		want   target.Reason
+		name          string
+		configure     func(*Options)
+		changeTarget  func(*Target)
+		changeRequest func(*target.LeafRequest)
+		want          target.Reason
 	}{
 		{"draining", nil, func(tg *Target) { tg.SetDraining(true) }, nil, target.ReasonDraining},
 		{"cold", func(o *Options) { o.ColdMS = 60000 }, nil, nil, target.ReasonCold},
@@ -120,13 +124,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			tg := startTarget(t, tt.change)
-			if tt.set != nil {
-				tt.set(tg)
+			tg := startTarget(t, tt.configure)
+			if tt.changeTarget != nil {
+				tt.changeTarget(tg)
 			}
 			req := searchRequest(0)
-			if tt.req != nil {
-				tt.req(&req)
+			if tt.changeRequest != nil {
+				tt.changeRequest(&req)
 			}
 			r, err := post(t.Context(), newClient(t, false), tg, 0, req, "search")
 			g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -138,6 +142,8 @@
 	}
 }
 
+// A leaf must refuse requests beyond its slots and queue, and free the slot and the place in the
+// queue when a caller disconnects. Otherwise it would stay full after its callers have given up.
 func TestFullQueueShedsAndCancelFreesSlots(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, func(o *Options) { o.Timing.BaseMS = 60000 })
@@ -155,7 +161,8 @@
 	g.Expect(tg.Counters().PeakRunning).To(gomega.Equal(1))
 }
 
-func TestConnectionLimit(t *testing.T) {
+// A target that accepted any number of connections would hide daemons that open too many.
+func TestConnectionsAboveLimitAreClosed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, func(o *Options) { o.MaxConnections = 1 })
 	_, err := post(t.Context(), newClient(t, false), tg, 0, searchRequest(0), "search")
@@ -167,7 +174,8 @@
 	g.Expect(c.Refused).To(gomega.BeNumerically(">=", 1))
 }
 
-func TestAnswerFaults(t *testing.T) {
+// A fault that is set but doesn't reach the answer would make tests of the daemons pass without it.
+func TestFaultsChangeSearchAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, nil)
 	client := newClient(t, false)
@@ -180,6 +188,7 @@
 	g.Expect(r.ans.Missing).To(gomega.Equal(int64(5)))
 }
 
+// CutSubmits simulates an answer that is lost after the submit took effect, so the submit must run.
 func TestSubmitRunsDespiteCutConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, nil)
