--- a/policy/admission.go
+++ b/policy/admission.go
@@ -225,11 +225,11 @@
 
 // reduceLimit lowers the limit by one step, but not below bound, unless the last
 // reduction was less than minLimitReduceInterval ago.
-func (a *Admission) reduceLimit(now time.Time, bound float64) {
+func (a *Admission) reduceLimit(now time.Time, lowerBound float64) {
 	if now.Sub(a.reducedAt) < minLimitReduceInterval {
 		return
 	}
-	a.limit = max(a.limit*limitDecreaseFactor, bound)
+	a.limit = max(a.limit*limitDecreaseFactor, lowerBound)
 	a.reducedAt = now
 }
 
@@ -239,12 +239,12 @@
 	var out []Verdict
 	for len(a.queue) > 0 {
 		head := a.queue[0]
-		late := now.Add(a.expectedDuration()).After(head.deadline)
-		if !late && !a.hasCapacity() {
+		missesDeadline := now.Add(a.expectedDuration()).After(head.deadline)
+		if !missesDeadline && !a.hasCapacity() {
 			break
 		}
 		a.queue = a.queue[1:]
-		if late {
+		if missesDeadline {
 			out = append(out, Verdict{
 				Ticket:     head.id,
 				Decision:   Refuse,
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -60,14 +60,14 @@
 	if s.reason == "" {
 		s.reason = ReasonNoReplica
 	}
-	at, ok := q.table.ReadyAgain(now, q.snapshot.Name, shard, nil)
-	if q.spec.Plain || !ok || !at.Before(q.spec.Deadline) {
+	readyAt, ok := q.table.ReadyAgain(now, q.snapshot.Name, shard, nil)
+	if q.spec.Plain || !ok || !readyAt.Before(q.spec.Deadline) {
 		s.retryAt = time.Time{}
 		return
 	}
 	s.reason = ReasonBusy
-	s.retryAt = at
-	q.wakeAt = earlier(q.wakeAt, at)
+	s.retryAt = readyAt
+	q.wakeAt = earlier(q.wakeAt, readyAt)
 }
 
 // Parameters of the timeout of one attempt. Each attempt has its own timeout so that a
@@ -82,13 +82,13 @@
 // than the time left for the query. It equals that time with the plain policy, and while
 // the latency of attempts is not known.
 func (q *Query) attemptTimeout(now time.Time) time.Duration {
-	left := q.spec.Deadline.Sub(now)
+	timeLeft := q.spec.Deadline.Sub(now)
 	if q.spec.Plain {
-		return left
+		return timeLeft
 	}
 	slow, ok := q.table.Latency.Quantile(now, attemptTimeoutQuantile)
 	if !ok {
-		return left
+		return timeLeft
 	}
 	limit := max(slow*attemptTimeoutFactor, attemptTimeoutMin)
 	if q.table.Median.NearBaseline() {
@@ -97,9 +97,9 @@
 		// quantile so far that the timeout exceeds the deadline. Then no retry would be
 		// sent. While targets have queues, the bound does not apply: an attempt in a queue
 		// may still be answered, and a retry would wait as long.
-		limit = min(limit, max(left/2, attemptTimeoutMin))
+		limit = min(limit, max(timeLeft/2, attemptTimeoutMin))
 	}
-	return min(left, limit)
+	return min(timeLeft, limit)
 }
 
 // afterFailure records the reason for the failure of an attempt, and retries the shard
@@ -173,18 +173,18 @@
 
 // endAttempt records the end of an attempt and returns it, or nil if the attempt is
 // not in flight.
-func (q *Query) endAttempt(now time.Time, id AttemptID, e AttemptEnd) *attempt {
+func (q *Query) endAttempt(now time.Time, id AttemptID, end AttemptEnd) *attempt {
 	a := q.attempts[id]
 	if a == nil {
 		return nil
 	}
 	delete(q.attempts, id)
-	if e.Refused {
+	if end.Refused {
 		q.refused++
 		q.shards[a.shard].refused++
 	}
-	e.Took = now.Sub(a.sentAt)
-	q.table.EndAttempt(a.replica, e, now)
+	end.Took = now.Sub(a.sentAt)
+	q.table.EndAttempt(a.replica, end, now)
 	q.shards[a.shard].inFlight--
 	q.updatePhase(a.shard)
 	return a
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -240,13 +240,13 @@
 // begun to serve, so that its share of attempts rises gradually over the warm-up. It
 // returns 0 after the warm-up.
 func (t *Table) warmupCost(r *replica, now time.Time) time.Duration {
-	served := now.Sub(r.target.servingSince)
-	if t.warmup <= 0 || served >= t.warmup {
+	servingFor := now.Sub(r.target.servingSince)
+	if t.warmup <= 0 || servingFor >= t.warmup {
 		return 0
 	}
-	left := 1 - float64(served)/float64(t.warmup) // share of the warm-up that is left
+	remaining := 1 - float64(servingFor)/float64(t.warmup) // share of the warm-up that is left
 	// The upper bound of the cost falls from ten times defaultReplicaLatency to 0.
-	return time.Duration(left * float64(t.rng.Int64N(int64(10*defaultReplicaLatency))))
+	return time.Duration(remaining * float64(t.rng.Int64N(int64(10*defaultReplicaLatency))))
 }
 
 // ReadyAgain returns when to check a shard again whose replicas are all busy or in
@@ -258,17 +258,17 @@
 	if s == nil {
 		return time.Time{}, false
 	}
-	var first time.Time
+	var earliest time.Time
 	for _, r := range s.holders[shard] {
 		if !r.target.usable() || slices.Contains(tried, r.id) {
 			continue
 		}
-		at := later(later(r.cooldown.end(), r.target.cooldown.end()), now.Add(minRecheckInterval))
-		if first.IsZero() || at.Before(first) {
-			first = at
+		readyAt := later(later(r.cooldown.end(), r.target.cooldown.end()), now.Add(minRecheckInterval))
+		if earliest.IsZero() || readyAt.Before(earliest) {
+			earliest = readyAt
 		}
 	}
-	return first, !first.IsZero()
+	return earliest, !earliest.IsZero()
 }
 
 // minRecheckInterval is the least time between two checks of a shard whose replicas
--- a/policy/cooldown.go
+++ b/policy/cooldown.go
@@ -6,7 +6,7 @@
 type cooldown struct {
 	failures     int       // failures in a row
 	failedAt     time.Time // when the latest failure was counted
-	until        time.Time // end of the cooldown after failures; until then attempts are sent only if no other replica is available
+	failedUntil  time.Time // end of the cooldown after failures; until then attempts are sent only if no other replica is available
 	refusedUntil time.Time // end of the cooldown after a refusal; until then no attempts are sent
 }
 
@@ -33,7 +33,7 @@
 		return
 	}
 	d := baseCooldown << min(c.failures-failuresToCooldown, maxCooldownDoublings)
-	c.until = later(c.until, now.Add(min(d, maxCooldown)))
+	c.failedUntil = later(c.failedUntil, now.Add(min(d, maxCooldown)))
 }
 
 // recordRefusal starts a cooldown of at least d, the time after which the refusal allows a
@@ -47,10 +47,10 @@
 func (c *cooldown) recordAnswer() { c.failures = 0 }
 
 // active reports whether a cooldown after failures or a refusal has not ended.
-func (c *cooldown) active(now time.Time) bool { return now.Before(c.until) || c.refusing(now) }
+func (c *cooldown) active(now time.Time) bool { return now.Before(c.failedUntil) || c.refusing(now) }
 
 // refusing reports whether a cooldown after a refusal has not ended.
 func (c *cooldown) refusing(now time.Time) bool { return now.Before(c.refusedUntil) }
 
 // end returns when the last cooldown ends or ended; zero if there was none.
-func (c *cooldown) end() time.Time { return later(c.until, c.refusedUntil) }
+func (c *cooldown) end() time.Time { return later(c.failedUntil, c.refusedUntil) }
--- a/policy/median_latency_test.go
+++ b/policy/median_latency_test.go
@@ -77,10 +77,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var m MedianLatency
 		ms := 0
-		least, most := time.Hour, time.Duration(0)
+		shortest, longest := time.Hour, time.Duration(0)
 		for range 300 {
 			d := time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond
-			least, most = min(least, d), max(most, d)
+			shortest, longest = min(shortest, d), max(longest, d)
 			before := m.recentMedian
 			m.Add(d)
 			if before > 0 && (m.recentMedian-before).Abs().Seconds() > 1.01*medianStepShare*before.Seconds() {
@@ -89,8 +89,8 @@
 			ms += rapid.IntRange(0, 2000).Draw(t, "pause")
 			m.UpdateBaseline(at(ms), rapid.Bool().Draw(t, "crowded"))
 			for _, value := range []time.Duration{m.recentMedian, m.baseline} {
-				if value > 0 && (value.Seconds() < (1-medianStepShare)*least.Seconds() || value.Seconds() > (1+medianStepShare)*most.Seconds()) {
-					t.Fatalf("median or baseline is %v, for attempts between %v and %v", value, least, most)
+				if value > 0 && (value.Seconds() < (1-medianStepShare)*shortest.Seconds() || value.Seconds() > (1+medianStepShare)*longest.Seconds()) {
+					t.Fatalf("median or baseline is %v, for attempts between %v and %v", value, shortest, longest)
 				}
 			}
 		}
--- a/policy/query.go
+++ b/policy/query.go
@@ -230,8 +230,8 @@
 		q.scheduleWake(now, a)
 	}
 	for i := range q.shards {
-		if at := q.shards[i].retryAt; !at.IsZero() {
-			q.wakeAt = earlier(q.wakeAt, at)
+		if retryAt := q.shards[i].retryAt; !retryAt.IsZero() {
+			q.wakeAt = earlier(q.wakeAt, retryAt)
 		}
 	}
 	return q.wakeAt
--- a/policy/query_test.go
+++ b/policy/query_test.go
@@ -39,10 +39,10 @@
 	return f
 }
 
-func (f *testFleet) eachTarget(do func(name string, shard int)) {
+func (f *testFleet) eachTarget(visit func(name string, shard int)) {
 	for s := range f.shards {
 		for r := range f.replicas {
-			do(targetName(s, r), s)
+			visit(targetName(s, r), s)
 		}
 	}
 }
@@ -169,14 +169,14 @@
 
 // withRandomAttempt removes a random attempt from those in flight, if there is one, and
 // calls do with it.
-func (d *queryDriver) withRandomAttempt(do func(Send)) {
+func (d *queryDriver) withRandomAttempt(handle func(Send)) {
 	if len(d.inFlight) == 0 {
 		return
 	}
 	id := rapid.SampledFrom(sortedKeys(d.inFlight)).Draw(d.t, "attempt")
 	s := d.inFlight[id]
 	delete(d.inFlight, id)
-	do(s)
+	handle(s)
 }
 
 // apply carries out the actions of the query.
