--- a/policy/action.go
+++ b/policy/action.go
@@ -24,7 +24,7 @@
 type Send struct {
 	Attempt  AttemptID
 	Replica  ReplicaID
-	Shard    int
+	Shard    int           // number of the shard, from 0
 	Snapshot string        // name of the snapshot to read
 	Hedge    bool          // sent because an earlier attempt on the shard is slow
 	Timeout  time.Duration // of this attempt; 0 from a Submission
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,8 +7,8 @@
 // order of arrival, and refuses at once those that could not be served in time.
 //
 // The limit of queries in flight adapts to the targets. It falls when attempts wait in
-// the targets' queues or are refused. It rises slowly while as many queries run as it
-// allows and neither happens.
+// the targets' queues or are refused. While neither happens and as many queries run as the
+// limit allows, it rises slowly.
 //
 // Invariants: running <= ceiling rounded up; minQueryLimit <= limit <= ceiling;
 // without refused attempts the limit stays at its floor or above; the query at the
@@ -59,24 +59,25 @@
 // Admission.share.
 const (
 	minQueryLimit   = 1.0 // lower bound of the limit of queries in flight
-	minLimitCeiling = 8.0 // the limit may always rise to this number of queries, however small the VM's share is
-	// limitFloorPerShare is the floor of the limit as a multiple of the VM's share. With all
-	// VMs at their floors, each slot has a waiting request most of the time.
+	minLimitCeiling = 8.0 // the limit of queries in flight may always rise to this number, however small the VM's share is
+	// limitFloorPerShare is the floor of the limit of queries in flight, as a multiple of
+	// the VM's share. With all VMs at their floors, each slot has a waiting request most of
+	// the time.
 	limitFloorPerShare = 4.5
-	// limitCeilingPerShare is the ceiling of the limit as a multiple of the VM's share. It
-	// allows bursts while attempts are fast.
+	// limitCeilingPerShare is the ceiling of the limit of queries in flight, as a multiple
+	// of the VM's share. It allows bursts while attempts are fast.
 	limitCeilingPerShare    = 6.0
 	maxWaitPerQueryDuration = 0.6 // longest wait for admission, as a fraction of a query's expected duration
-	limitDecreaseFactor     = 0.8 // factor applied to the limit after a sign of overload
-	// limitIncreasePerQuery is what the end of one query adds to a limit that is at its
-	// floor or above, in queries. It is added only if the query's end shows no overload and
-	// as many queries ran as the limit allows.
+	limitDecreaseFactor     = 0.8 // factor applied to the limit of queries in flight after a sign of overload
+	// limitIncreasePerQuery is what the end of one query adds to the limit of queries in
+	// flight while the limit is at its floor or above. It is added only if the query's end
+	// shows no overload and as many queries ran as the limit allows.
 	limitIncreasePerQuery = 0.2
 	// limitIncreaseBelowFloor replaces limitIncreasePerQuery while the limit is below its
 	// floor. It is divided by the limit: with a limit of n queries, the ends of n queries
 	// together add 0.1. A faster rise would outweigh the reductions by refusals.
 	limitIncreaseBelowFloor = 0.1
-	minLimitReduceInterval  = 100 * time.Millisecond // least time between two reductions of the limit
+	minLimitReduceInterval  = 100 * time.Millisecond // least time between two reductions of the limit of queries in flight
 	durationSampleWeight    = 0.1                    // weight of a new sample in the smoothed durations of queries
 	maxRetryAfter           = 5 * time.Second        // upper bound of Verdict.RetryAfter
 	minRetryAfter           = 50 * time.Millisecond  // lower bound of Verdict.RetryAfter of a refused query
@@ -166,7 +167,8 @@
 	Pressure Pressure
 }
 
-// Done records the end of an admitted query and returns verdicts on waiting ones.
+// Done records the end of an admitted query. It returns the verdicts on the waiting
+// queries that leave the queue because of it.
 func (a *Admission) Done(now time.Time, end QueryEnd) []Verdict {
 	a.running--
 	a.recordDuration(now, end)
@@ -234,7 +236,8 @@
 }
 
 // ProcessQueue goes through the waiting queries in order of arrival. It admits them
-// while the limit allows and refuses those that can no longer be served in time.
+// while the limit allows and refuses those that can no longer be served in time. It
+// returns the verdicts; queries without one stay in the queue.
 func (a *Admission) ProcessQueue(now time.Time) []Verdict {
 	var out []Verdict
 	for len(a.queue) > 0 {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -119,16 +119,16 @@
 	g.Expect(a.limit).To(Equal(minQueryLimit), "a lower limit is not raised by queues")
 }
 
-// Guards against long waits under lasting overload: every caller waits as long as a
-// query takes, and then for the query itself. Such a long queue is useless, since
-// callers that arrive later would keep the slots busy too.
+// Guards against callers that wait for long under lasting overload: with a long queue,
+// each of them waits as long as a query takes, and then for the query itself. A short
+// queue keeps the slots busy too, because further callers arrive.
 func TestAdmissionWaitIsShorterThanAQuery(t *testing.T) {
 	g := NewWithT(t)
 	a := NewAdmission(0)
 	a.ceiling, a.limit = 2, 2
 	a.Arrive(at(0), at(1000))
 	a.Arrive(at(0), at(1000))
-	for i := range 200 { // queries of 60 ms, two at a time, far more callers
+	for i := range 200 { // queries of 60 ms run two at a time, and more callers arrive than can run
 		ms := i * 30
 		a.Done(at(ms), QueryEnd{Took: 60 * time.Millisecond})
 		for range 3 {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -117,10 +117,10 @@
 	return q.retry(now, a.shard)
 }
 
-// retry sends a further attempt on a shard. If the budget is empty, the shard waits
-// briefly for it to refill: if the shard were given up at once, the answers of all
-// other shards could be lost with it. The wait is short, since a query in progress
-// keeps others from being admitted.
+// retry sends a further attempt on a shard. If the retry budget is empty, the shard waits
+// briefly until it refills: a shard given up at once could make the coverage too low, and
+// then the answers of all other shards are lost too. The wait is short, since a query in
+// progress keeps others from being admitted.
 func (q *Query) retry(now time.Time, shard int) []Action {
 	s := &q.shards[shard]
 	if q.exhausted(s) {
@@ -148,7 +148,7 @@
 	return q.send(now, shard, false)
 }
 
-// budgetRetryDelay is the time after which a retry that found the budget empty is
+// budgetRetryDelay is the time after which a retry that found the retry budget empty is
 // tried again.
 const budgetRetryDelay = 10 * time.Millisecond
 
@@ -171,8 +171,8 @@
 	return s.sent-s.refused >= q.spec.MaxAttempts || s.sent >= q.spec.MaxAttempts*maxRefusedFactor
 }
 
-// endAttempt records the end of an attempt and returns it, or nil if the attempt is
-// not in flight.
+// endAttempt records how an attempt ended and returns the attempt, or nil if it was not in
+// flight.
 func (q *Query) endAttempt(now time.Time, id AttemptID, end AttemptEnd) *attempt {
 	a := q.attempts[id]
 	if a == nil {
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -57,7 +57,8 @@
 	minReplicas int // usable replicas of the shard that has the fewest
 }
 
-// candidate counts the usable replicas of each shard of a snapshot.
+// candidate counts the usable replicas of each shard of a snapshot. It returns the snapshot
+// with these counts.
 func (t *Table) candidate(s *snapshotState) *candidate {
 	c := &candidate{snapshot: s, minReplicas: -1}
 	for shard := range s.shards {
@@ -123,11 +124,11 @@
 // Parameters of the choice of a replica. The cost of a replica is the expected time of
 // one more call on it.
 const (
-	defaultReplicaLatency = 5 * time.Millisecond // assumed for a replica without a measured latency
-	otherZoneCost         = time.Millisecond     // added to the cost of a replica outside the VM's zone
+	defaultReplicaLatency = 5 * time.Millisecond // latency assumed for a replica on which this VM has measured none
+	otherZoneCost         = time.Millisecond     // added to the expected time of a call on a replica outside this VM's zone
 	maxLoadReportAge      = 2 * time.Second      // age from which a leaf's reported load is ignored
-	loadReportWeight      = 0.5                  // weight of a load that was reported just now; below 1 since reports lag and may mislead
-	reportedLoadCap       = 2                    // upper bound, per slot, of the reported calls of other VMs that count in a replica's cost, before loadReportWeight is applied
+	loadReportWeight      = 0.5                  // weight of a call of another VM in a load reported just now; a call of this VM counts 1, reports less since they lag and may mislead
+	reportedLoadCap       = 2                    // upper bound of the reported calls of other VMs, per slot of a replica, that count in its cost; applies before loadReportWeight
 	maxCallsPerSlot       = 2                    // upper bound of this VM's calls in flight on a replica, per slot
 )
 
@@ -162,8 +163,8 @@
 	return first.id, true
 }
 
-// PickRandom chooses a random replica whose target is usable. The plain policy
-// uses it.
+// PickRandom chooses a random replica of a shard whose target is usable. It returns false
+// if there is none. The plain policy uses it.
 func (t *Table) PickRandom(snapshot string, shard int) (ReplicaID, bool) {
 	s := t.snapshots[snapshot]
 	if s == nil {
@@ -181,8 +182,8 @@
 	return usable[t.rng.IntN(len(usable))].id, true
 }
 
-// usableReplicas returns the usable replicas that match and are not in tried. The
-// slice is valid until the next call.
+// usableReplicas returns those of holders whose target is usable, for which match returns
+// true, and which are not in tried. The slice is valid until the next call.
 func (t *Table) usableReplicas(holders []*replica, tried []ReplicaID, match func(*replica) bool) []*replica {
 	t.scratch = t.scratch[:0]
 	for _, r := range holders {
@@ -244,7 +245,7 @@
 	if t.warmup <= 0 || servingFor >= t.warmup {
 		return 0
 	}
-	remaining := 1 - float64(servingFor)/float64(t.warmup) // share of the warm-up that is left
+	remaining := 1 - float64(servingFor)/float64(t.warmup) // share of the warm-up
 	// The upper bound of the cost falls from ten times defaultReplicaLatency to 0.
 	return time.Duration(remaining * float64(t.rng.Int64N(int64(10*defaultReplicaLatency))))
 }
--- a/policy/conclude.go
+++ b/policy/conclude.go
@@ -29,8 +29,8 @@
 	return acts
 }
 
-// reachableCoverage returns the share of shards, 0 to 1, that is read if all but the lost
-// shards answer.
+// reachableCoverage returns the share of shards, 0 to 1, that is read if all shards but
+// lost of them answer.
 func (q *Query) reachableCoverage(lost int) float64 {
 	return float64(len(q.shards)-lost) / float64(len(q.shards))
 }
@@ -48,8 +48,8 @@
 	return !now.Before(q.sufficientAt.Add(q.spec.Grace))
 }
 
-// mayRestart reports whether the query may start another pass and the median latency
-// of an attempt fits before its deadline.
+// mayRestart reports whether the query may start another pass, and an attempt with the
+// median latency would end before the query's deadline.
 func (q *Query) mayRestart(now time.Time) bool {
 	if q.spec.PinnedSnapshot != "" || q.spec.Plain || q.restarts >= maxRestarts {
 		return false
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// finish ends the query: it cancels the attempts in flight and reports the outcome.
+// finish ends the query: it cancels the attempts in flight and returns Finish, with the
+// outcome, as the last action.
 func (q *Query) finish(now time.Time, reason EndReason) []Action {
 	acts := q.cancelWhere(now, func(*attempt) bool { return true })
 	q.done = true
--- a/policy/median_latency_test.go
+++ b/policy/median_latency_test.go
@@ -9,7 +9,7 @@
 )
 
 // addSamples records n attempts with latency d, spread over windowMS milliseconds from
-// startMS on, and updates the baseline after each as queries do.
+// startMS on. It updates the baseline after each attempt, as the end of a query does.
 func addSamples(m *MedianLatency, startMS, n int, windowMS int, d time.Duration, crowded bool) {
 	for i := range n {
 		m.Add(d)
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Pressure is the sign of overload that the end of a query shows.
+// Pressure is the degree of overload of the targets, as judged at the end of a query.
 type Pressure int
 
 // The levels of pressure.
@@ -22,14 +22,15 @@
 const (
 	maxShedShare     = 0.1  // targets count as refusing if more than this share of recent attempts was refused because no slot was free
 	shedSampleWeight = 0.02 // weight of one attempt in the smoothed share of refused attempts
-	// slowMedianShareOfTimeLimit is a share of the query's time limit. Attempts count as
-	// waiting in queues if their median latency exceeds it, even if they are as slow without
+	// slowMedianShareOfTimeLimit is a share of a query's time limit. Attempts with a median
+	// latency above that share count as waiting in queues, even if they are as slow without
 	// queues.
 	slowMedianShareOfTimeLimit = 0.25
 )
 
-// Pressure returns the pressure that the end of a query shows. limit is the query's
-// time limit.
+// Pressure returns the targets' pressure at the end of a query. It depends on the recent
+// attempts of all queries, and on the shards without an answer in out, the query's outcome.
+// limit is the query's time limit.
 func (t *Table) Pressure(out *Outcome, limit time.Duration) Pressure {
 	if t.shedShare > maxShedShare {
 		return TargetsRefusing
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -8,7 +8,7 @@
 )
 
 // runWithRetry runs a query of two shards, in which one attempt ends with the given
-// failure and its retry is answered.
+// failure and its retry is answered. It returns the outcome. ms is the start of the query.
 func (f *testFleet) runWithRetry(g *WithT, ms int, failure Failure) *Outcome {
 	q := NewQuery(spec(), f.table)
 	first := sends(q.Start(at(ms)))
@@ -62,8 +62,9 @@
 	}
 }
 
-// runFourShards runs a query of four shards. If shed is set, the target of one attempt
-// refuses it because no slot is free.
+// runFourShards runs a query of four shards and returns its outcome. ms is the start of the
+// query. If shed is set, the target of one attempt refuses it because no slot is free, and
+// the retry is answered.
 func (f *testFleet) runFourShards(g *WithT, ms int, shed bool) *Outcome {
 	q := NewQuery(spec(), f.table)
 	attempts := sends(q.Start(at(ms)))
@@ -79,8 +80,9 @@
 	return out
 }
 
-// A shard has no answer because all of its replicas are in cooldown after failures.
-// That is no lack of slots, unless an attempt of the query was refused for that reason.
+// Guards against callers that are refused although slots are free. A shard has no answer
+// because all of its replicas are in cooldown after failures. This counts as overload only
+// if a target also refused an attempt of the query because no slot was free.
 func TestReplicasInCooldownDoNotCountAsOverload(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 1, 1)
--- a/policy/query_test.go
+++ b/policy/query_test.go
@@ -13,19 +13,21 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
+// epoch is the time that at counts from. Its value does not matter.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// at returns a time n milliseconds after the tests' epoch.
+// at returns the time n milliseconds after epoch.
 func at(n int) time.Time { return epoch.Add(time.Duration(n) * time.Millisecond) }
 
 // testFleet is a table of targets with one leaf each. Target t-S-R holds replica R of
 // shard S.
 type testFleet struct {
-	shards, replicas int
+	shards, replicas int // number of shards, and of replicas of each shard
 	table            *Table
 }
 
 // newFleet returns a fleet in this VM's zone. Each target holds its shard of snapshot v1.
+// seed is the seed of the table's random choices.
 func newFleet(shards, replicas int, seed uint64) *testFleet {
 	f := &testFleet{shards: shards, replicas: replicas, table: NewTable("a", rand.New(rand.NewPCG(seed, 1)))}
 	svc := &bundle.Service{Name: "s", Shards: shards, Drain: bundle.Drain{SuspectAfter: 2}}
@@ -39,6 +41,8 @@
 	return f
 }
 
+// eachTarget calls visit with the name of each target and the number of the shard that it
+// holds.
 func (f *testFleet) eachTarget(visit func(name string, shard int)) {
 	for s := range f.shards {
 		for r := range f.replicas {
@@ -47,10 +51,11 @@
 	}
 }
 
+// targetName returns the name of the target with one replica of a shard.
 func targetName(shard, replica int) string { return fmt.Sprintf("t-%d-%d", shard, replica) }
 
-// reportHoldings records a status of every target that holds its shard of the named
-// snapshot.
+// reportHoldings records, ms milliseconds after epoch, a status of every target: it serves
+// and holds only its shard of the named snapshot.
 func (f *testFleet) reportHoldings(ms int, snapshot string, seq int64, shards int) {
 	f.eachTarget(func(name string, shard int) {
 		f.table.ApplyStatus(name, statusOf("i1", target.StateServing, target.Holding{
@@ -59,6 +64,7 @@
 	})
 }
 
+// statusOf returns the status of a target whose one leaf has the given holdings.
 func statusOf(incarnation string, state target.State, holdings ...target.Holding) target.Status {
 	return target.Status{
 		Incarnation: incarnation,
@@ -67,10 +73,12 @@
 	}
 }
 
+// spec returns a Spec that needs full coverage within 200 ms after epoch.
 func spec() Spec {
 	return Spec{Deadline: at(200), MinCoverage: 1, HedgeQuantile: 0.95, MaxAttempts: 3}
 }
 
+// sends returns the attempts that acts start.
 func sends(acts []Action) []Send {
 	var out []Send
 	for _, a := range acts {
@@ -81,6 +89,7 @@
 	return out
 }
 
+// outcome returns the outcome that acts report, or nil if they don't finish the query.
 func outcome(acts []Action) *Outcome {
 	for _, a := range acts {
 		if f, ok := a.(Finish); ok {
@@ -90,6 +99,7 @@
 	return nil
 }
 
+// answer returns a complete answer to an attempt, from a shard of 100 records.
 func answer(s Send) *target.LeafAnswer {
 	return &target.LeafAnswer{
 		Echo:     target.Echo{Attempt: int(s.Attempt), Shard: s.Shard, Snapshot: s.Snapshot},
@@ -125,13 +135,13 @@
 	t        *rapid.T
 	f        *testFleet
 	q        *Query
-	ms       int
+	ms       int // time of the latest event, in ms after epoch
 	inFlight map[AttemptID]Send
 	sent     map[int]int // by shard; attempts in the current pass
 
 	refused  map[int]int // by shard; attempts counted in sent that a target refused
 	snapshot string      // snapshot of the current pass
-	out      *Outcome
+	out      *Outcome    // nil until the query finishes
 }
 
 // step passes one random event to the query.
@@ -162,6 +172,7 @@
 	}
 }
 
+// anyTarget returns the name of a random target.
 func (d *queryDriver) anyTarget() string {
 	shard := rapid.IntRange(0, d.f.shards-1).Draw(d.t, "shard")
 	return targetName(shard, rapid.IntRange(0, d.f.replicas-1).Draw(d.t, "replica"))
@@ -179,7 +190,8 @@
 	handle(s)
 }
 
-// apply carries out the actions of the query.
+// apply carries out the actions of the query: it updates inFlight and out. It fails the
+// test if an action follows Finish.
 func (d *queryDriver) apply(acts []Action) {
 	for _, act := range acts {
 		if d.out != nil {
@@ -196,6 +208,9 @@
 	}
 }
 
+// checkSend adds an attempt to those in flight. It fails the test if the attempt breaks an
+// invariant: one snapshot per pass, the bounds of attempts per shard, and no attempt to a
+// target that is draining.
 func (d *queryDriver) checkSend(s Send) {
 	if s.Snapshot != d.snapshot {
 		for _, old := range d.inFlight {
@@ -217,6 +232,8 @@
 	d.inFlight[s.Attempt] = s
 }
 
+// checkOutcome fails the test if the outcome's coverage and snapshot don't match its
+// answers, or if an attempt is still in flight or counted as outstanding.
 func (d *queryDriver) checkOutcome() {
 	c := d.out.Coverage
 	if len(d.inFlight) != 0 {
@@ -399,9 +416,9 @@
 	g.Expect(sends(q.Tick(at(20)))).To(HaveLen(1))
 }
 
-// A search is slow because its first attempt on one shard failed, and the operator
-// would see only a fast last attempt. The time before that attempt must be reported
-// separately.
+// Guards against slow searches whose cause the operator can't see: the first attempt on a
+// shard failed, and the last one, which was answered, is fast. The time before the last
+// attempt was sent must be reported separately.
 func TestLastAnswerSeparatesSendDelayFromLatency(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2, 2, 1)
--- a/policy/status.go
+++ b/policy/status.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// startIncarnation resets the state that belongs to the previous incarnation.
+// startIncarnation records that the target runs as a new process. It drops the cooldowns
+// and latencies, which belong to the previous process.
 func (ts *targetState) startIncarnation(incarnation string) {
 	ts.incarnation = incarnation
 	ts.cooldown = cooldown{}
@@ -136,8 +137,9 @@
 	}
 }
 
-// ObserveState records the state that a target states in an answer's headers. It
-// reports whether this is the first report of a drain of this incarnation.
+// ObserveState records that an answer's headers state that a target is draining. It
+// ignores other states. It returns true if this incarnation was not yet marked as
+// draining; an incarnation is one process of the target.
 func (t *Table) ObserveState(name, incarnation string, state target.State) bool {
 	ts := t.targets[name]
 	if ts == nil || incarnation == "" || state != target.StateDraining {
@@ -146,8 +148,9 @@
 	return t.MarkDraining(name, incarnation)
 }
 
-// MarkDraining records that an incarnation of a target is draining, as stated by its
-// status, by an answer or by another VM. It reports whether this was not known before.
+// MarkDraining records that an incarnation (one process) of a target is draining, as
+// stated by its status, by an answer or by another VM. It returns false if the incarnation
+// was already marked as draining, or if the target is unknown.
 func (t *Table) MarkDraining(name, incarnation string) bool {
 	ts := t.targets[name]
 	if ts == nil || ts.drainedIncarnation == incarnation {
--- a/policy/submit.go
+++ b/policy/submit.go
@@ -69,5 +69,5 @@
 	s.closed = !end.Refused
 }
 
-// Tried returns the number of replicas that the request was sent to.
+// Tried returns the number of replicas for which Next returned an attempt.
 func (s *Submission) Tried() int { return len(s.tried) }
--- a/policy/table.go
+++ b/policy/table.go
@@ -11,8 +11,8 @@
 
 // ReplicaID identifies a leaf of a target. It is comparable.
 type ReplicaID struct {
-	Target string
-	Leaf   int
+	Target string // name of the target
+	Leaf   int    // number of the leaf within its target, from 0
 }
 
 // replica is what this VM knows of one leaf of a target.
@@ -65,8 +65,8 @@
 	return t.statusRead && !t.lost && !t.draining() && t.state == target.StateServing
 }
 
-// snapshotState is the partition map of one snapshot, with the known sizes of
-// its shards.
+// snapshotState is the partition map of one snapshot: its number of shards and the
+// replicas that hold each of them. It also has the known sizes of the shards.
 type snapshotState struct {
 	name    string
 	seq     int64              // a newer snapshot has a larger number
@@ -80,7 +80,7 @@
 type Table struct {
 	zone         string        // availability zone of this VM
 	rng          *rand.Rand    // source of random choices
-	suspectAfter int           // status reads of a target that fail in a row until it is lost
+	suspectAfter int           // status reads of a target that fail in a row until it counts as lost
 	warmup       time.Duration // time over which the share of attempts of a target rises after it began to serve
 	targets      map[string]*targetState
 	snapshots    map[string]*snapshotState
