--- a/target/body.go
+++ b/target/body.go
@@ -32,21 +32,20 @@
 	return &requestBody{data: bytes.NewReader(data)}
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It fails if the body is sealed.
 func (b *requestBody) Read(p []byte) (int, error) {
-	// The first read marks the body as read. A read fails only if the body was sealed
-	// before it.
+	// The first read marks the body as read, so that it can't be sealed later.
 	if !b.state.CompareAndSwap(bodyUnread, bodyRead) && b.state.Load() == bodySealed {
 		return 0, errors.New("the call has ended")
 	}
 	return b.data.Read(p)
 }
 
-// Close implements io.Closer.
+// Close implements io.Closer. It does nothing.
 func (b *requestBody) Close() error { return nil }
 
-// seal must be called when the call ends. It reports whether the transport has never
-// read from the body. If so, the body is sealed: later reads fail, so it is never sent.
+// seal must be called when the call ends. It returns true if the transport has never read
+// from the body. The body is then sealed: later reads fail, so it is never sent.
 func (b *requestBody) seal() bool {
 	// True if this call of seal sealed the body, or an earlier one did.
 	return b.state.CompareAndSwap(bodyUnread, bodySealed) || b.state.Load() == bodySealed
--- a/target/call.go
+++ b/target/call.go
@@ -19,7 +19,7 @@
 	request    any          // nil if the call has no body
 	echo       Echo         // of request; the zero value if it has none
 	answer     any          // pointer that the answer is decoded into
-	probe      bool         // use the connection that has received nothing for longest, to test whether it is silent
+	probe      bool         // use the connection that has received nothing for longest; the call tests whether that one is silent
 	deadlineMS *int64       // field of request that is set to the time left, in ms; nil if request is nil
 	validate   func() error // checks the decoded answer against the request
 }
@@ -160,6 +160,7 @@
 
 // transportError returns the error of a call that ended without an answer. Its kind states
 // whether the call was cancelled, reached its deadline, or broke for another cause.
+// notStarted says that the target certainly did not start the call.
 func transportError(ctx context.Context, cause error, notStarted bool) *CallError {
 	kind := ErrorBroken
 	switch {
--- a/target/client_test.go
+++ b/target/client_test.go
@@ -41,6 +41,7 @@
 	return ctx
 }
 
+// protocols holds the protocols that a Client can use, by the name of their subtests.
 var protocols = map[string]Protocol{"HTTP1": HTTP1, "HTTP2": HTTP2}
 
 // Guards against a client that can't exchange searches and submits with a target over
@@ -100,12 +101,14 @@
 	entries []string
 }
 
+// record adds an entry: parts, joined by spaces.
 func (s *recordingSink) record(parts ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entries = append(s.entries, strings.Join(parts, " "))
 }
 
+// recorded returns a copy of the entries so far.
 func (s *recordingSink) recorded() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +124,8 @@
 }
 
 // Guards against a VM that does not notice that a target drains or fails. The Sink must
-// receive the result of each status read, failed ones included, and the state in the
-// headers of an answer.
+// receive the results of status reads, failed ones included, and the state in the headers
+// of an answer.
 func TestMonitorReportsStatusAndFailure(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeTarget(t, "a", 0)
--- a/target/conn.go
+++ b/target/conn.go
@@ -19,7 +19,7 @@
 	calls        int       // calls and probes in progress on this connection
 	retiring     bool      // accepts no new call and is closed once no call uses it
 	probing      bool      // a status read that tests whether the connection is silent is in progress
-	silent       bool      // found silent: a probe received nothing at all; is closed at once
+	silent       bool      // a probe received nothing at all; the connection is closed at once
 	closing      bool      // being closed; counts against the share until the target has closed its end
 	waitingSince time.Time // start of the first call since the last byte was received
 }
@@ -57,7 +57,7 @@
 // lastRead returns when data was last received, or when the connection was opened.
 func (w *wireConn) lastRead() time.Time { return time.Unix(0, w.lastReadNanos.Load()) }
 
-// Read implements net.Conn.
+// Read implements net.Conn. It records the time if it received data.
 func (w *wireConn) Read(p []byte) (int, error) {
 	n, err := w.Conn.Read(p)
 	if n > 0 {
--- a/target/errors.go
+++ b/target/errors.go
@@ -33,7 +33,7 @@
 	NotStarted  bool
 	RetryAfter  time.Duration // wait before the next try; 0 if not known
 	Incarnation string        // of the target process that answered; empty if none did
-	cause       error         // may be nil
+	cause       error         // more about the failure; may be nil
 }
 
 // Error implements error.
--- a/target/failure_test.go
+++ b/target/failure_test.go
@@ -35,8 +35,9 @@
 	return c.Search(ctx, "a", 0, request(n))
 }
 
-// startBlockedSearch sends a search that the target runs until finish is closed.
-// Its result is sent to done. Later searches are answered at once.
+// startBlockedSearch sends a search and returns when the target has begun to run it. The
+// target runs the search until the caller closes finish; the search's error, or nil, is
+// then sent to done. Later searches are answered at once.
 func (s *fakeTarget) startBlockedSearch(g *WithT, c *Client) (done chan error, finish chan struct{}) {
 	began := make(chan struct{}, 1)
 	done, finish = make(chan error, 1), make(chan struct{})
@@ -51,7 +52,7 @@
 	return done, finish
 }
 
-// counter returns the getter of the counter bramley_target_<name>.
+// counter returns a function that reads the client's counter bramley_target_<name>.
 func counter(c *Client, name string) func() uint64 {
 	return c.opts.Metrics.GetOrCreateCounter("bramley_target_" + name).Get
 }
@@ -91,9 +92,9 @@
 	})
 }
 
-// Guards against a call that fails as not started although the target runs it. The
-// call ends while a goroutine of net/http is about to write the request, which is
-// then sent. A body must either be read before it is sealed, or never be read.
+// Guards against a call that fails as not started although the target runs it: the call
+// ends while a goroutine of net/http is about to write the request, and the request is
+// still sent. A body that was read must not be sealed, and a sealed one must not be read.
 func TestBodyIsReadOrSealed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := newRequestBody([]byte("report"))
@@ -116,10 +117,10 @@
 	})
 }
 
-// Guards against a caller that gets another request's result. A leaf's answer that
-// was swapped or came late is mistaken for the answer to a different request. The
-// first call here gets an answer to another attempt. It must fail, and the connection
-// that delivered the answer must not carry another call.
+// Guards against a caller that gets another request's result, because a leaf's answer was
+// swapped with another one or came late. The first call in this test gets an answer to
+// another attempt. The call must fail, and the connection that delivered the answer must
+// not carry another call.
 func TestMismatchedAnswersAreRejected(t *testing.T) {
 	forProtocols(t, 1, Options{}, func(g *WithT, s *fakeTarget, c *Client) {
 		s.setSearchHandler(func(w http.ResponseWriter, r *http.Request, req LeafRequest) {
--- a/target/metrics.go
+++ b/target/metrics.go
@@ -18,6 +18,8 @@
 	statusReads *metrics.Counter // calls of Client.Status
 }
 
+// newClientMetrics returns the metrics of a Client. It registers those in set that are not
+// registered yet.
 func newClientMetrics(set *metrics.Set) *clientMetrics {
 	return &clientMetrics{
 		set:         set,
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -32,8 +32,8 @@
 
 // Defaults of the fields that an Endpoint leaves unset.
 const (
-	defaultHealthInterval = time.Second            // between status reads of one endpoint
-	defaultHealthTimeout  = 500 * time.Millisecond // after which one status read fails
+	defaultHealthInterval = time.Second            // time between status reads of one endpoint
+	defaultHealthTimeout  = 500 * time.Millisecond // time after which one status read fails
 )
 
 // Monitor regularly reads the status of each endpoint, at the interval that the Endpoint
@@ -88,8 +88,8 @@
 }
 
 // Apply puts the endpoints in force. New ones are read after a short random delay.
-// Endpoints without a share of connections are read too, because the Reader may
-// reach them through another VM. Their first reads are delayed longer, so that
+// Endpoints of whose connections this VM has no share are read too, because the Reader
+// may reach them through another VM. Their first reads are delayed longer, so that
 // reports from other VMs can make these reads unnecessary; see SetReadInterval.
 func (m *Monitor) Apply(endpoints []Endpoint) {
 	m.mu.Lock()
@@ -121,8 +121,9 @@
 	// meanFirstReadDelay is the mean delay of the first read of an endpoint. The jitter
 	// around it keeps the first reads of all endpoints from starting at the same time.
 	meanFirstReadDelay = 20 * time.Millisecond
-	// meanFirstReadDelayNoShare is the same for an endpoint without a share of
-	// connections. It leaves other VMs time to report the target's state.
+	// meanFirstReadDelayNoShare is the mean delay of the first read of an endpoint of
+	// whose connections this VM has no share. It leaves other VMs time to report the
+	// target's state.
 	meanFirstReadDelayNoShare = 400 * time.Millisecond
 )
 
@@ -153,8 +154,9 @@
 }
 
 // ReadSoon schedules the next read of a target one health interval, with jitter, after the
-// end of the last one, unless it is due earlier. It is for targets whose known state
-// something contradicts. ReadSoon has no effect while a read of the target is in progress.
+// end of the last one, unless it is due earlier. It is for a target whose known state may
+// be out of date, because the error of a call to the target contradicts that state.
+// ReadSoon has no effect while a read of the target is in progress.
 func (m *Monitor) ReadSoon(name string) {
 	m.mu.Lock()
 	p := m.targets[name]
@@ -176,7 +178,7 @@
 	return e
 }
 
-// wake makes the scheduler look for due endpoints again. It never blocks.
+// wake makes the scheduler look again for endpoints that are due. It never blocks.
 func (m *Monitor) wake() {
 	select {
 	case m.wakeup <- struct{}{}:
@@ -262,8 +264,9 @@
 	m.opts.Sink.TargetStatus(e.Name, status, now)
 }
 
-// finishRead sets the time of the next read and reports whether the result of this
-// one is to be passed on.
+// finishRead records the end of a read and sets the time of the next one. It returns false
+// if the result must be dropped, because the endpoint is no longer in force or the Monitor
+// is stopping.
 func (m *Monitor) finishRead(p *polledEndpoint) bool {
 	m.mu.Lock()
 	p.reading = false
--- a/target/monitor_test.go
+++ b/target/monitor_test.go
@@ -20,9 +20,10 @@
 func (countingReader) TargetFailed(string, error, time.Time)        {}
 func (countingReader) TargetState(string, string, State, time.Time) {}
 
-// Guards against every VM reading every target. Other VMs report a target that this
-// VM has no connections to. This VM must not read it again until something
-// contradicts the reports, or until it gets connections of its own.
+// Guards against targets that are loaded by status reads of every VM. While other VMs
+// report a target to which this VM has no connections, this VM must not read its status,
+// unless ReadSoon asks for it. Once this VM has connections to the target, it must read
+// the status at the health interval again.
 func TestReportedTargetsAreReadRarely(t *testing.T) {
 	g := NewWithT(t)
 	c := countingReader{make(chan string, 100)}
--- a/target/options.go
+++ b/target/options.go
@@ -17,8 +17,8 @@
 	Address        string        // IP and port
 	Connections    int           // this VM's share: a hard limit of its open connections to the target; 0 means that all calls fail
 	ConnectCost    time.Duration // time that the target spends on a new connection
-	HealthInterval time.Duration // between status reads
-	HealthTimeout  time.Duration // after which a status read fails
+	HealthInterval time.Duration // time between status reads
+	HealthTimeout  time.Duration // time after which a status read fails
 }
 
 // Protocol is the version of HTTP that a Client uses.
@@ -42,9 +42,10 @@
 	// MaxOpen is the number of connections kept open to one target over HTTP/2
 	// (default 3), within the share. The rest of the share is reserved for the
 	// replacement of silent connections (see SuspectAfter): a target never sees the
-	// close of a silent connection, so it counts the old and the new one. A silent
-	// connection counts against the share for SilentHold (default 2 min).
-	MaxOpen    int
+	// close of a silent connection, so it counts the old and the new one.
+	MaxOpen int
+	// SilentHold is the time for which a connection that was found silent counts against
+	// the share (default 2 min).
 	SilentHold time.Duration
 
 	MaxStreams int           // limit of concurrent calls on one HTTP/2 connection; default 100
@@ -52,16 +53,18 @@
 	MaxWait    time.Duration // longest wait of a call for a connection; default 250 ms
 	MaxDials   int           // limit of connections being opened at once, over all targets; default 8
 
-	DialTimeout time.Duration // for opening one connection and warming it up; default 1 s
+	DialTimeout time.Duration // limit of the time for opening one connection and warming it up; default 1 s
 	PaceFactor  float64       // pause between new connections to a target, as a multiple of ConnectCost; default 2
 	MinPace     time.Duration // lower bound of the pause between new connections; default 5 ms
 	MaxBackoff  time.Duration // upper bound of the pause after repeated failures to connect to a target; default 1 s
 
-	// A connection is suspect if a call has waited on it for SuspectAfter (default 100 ms)
-	// while nothing at all was received. Calls prefer other connections to it, and
-	// it is probed with a status read. If nothing is received within
-	// ProbeTimeout (default 500 ms) either, the connection is silent and is closed.
+	// A connection is suspect once a call has waited on it for SuspectAfter (default
+	// 100 ms) while nothing at all was received. Calls prefer other connections to it, and
+	// it is probed with a status read.
 	SuspectAfter time.Duration
+	// ProbeTimeout (default 500 ms) is the time after which the probe of a connection
+	// fails. If nothing at all was received until then, the connection is silent and is
+	// closed.
 	ProbeTimeout time.Duration
 
 	// PingAfter is the time without a received frame after which HTTP/2 pings are
@@ -80,14 +83,15 @@
 	defaultMaxWaiters     = 64                     // calls that wait for a connection to one target
 	defaultMaxWait        = 250 * time.Millisecond // longest wait of a call for a connection
 	defaultMaxDials       = 8                      // connections being opened at once, over all targets
-	defaultDialTimeout    = time.Second            // for opening one connection and warming it up
+	defaultDialTimeout    = time.Second            // limit of the time for opening one connection and warming it up
 	defaultPaceFactor     = 2                      // pause between new connections to a target, as a multiple of ConnectCost
 	defaultMinPace        = 5 * time.Millisecond   // lower bound of the pause between new connections to a target
 	defaultMaxBackoff     = time.Second            // upper bound of the pause after repeated failures to connect to a target
 	defaultSuspectAfter   = 100 * time.Millisecond // wait of a call without any data after which its connection is suspect
-	defaultProbeTimeout   = 500 * time.Millisecond // for a probe, after which a connection that received nothing is silent
+	defaultProbeTimeout   = 500 * time.Millisecond // time after which the probe of a connection fails; if nothing was received, the connection is silent
 )
 
+// withDefaults returns o with the default of each field that is not set.
 func (o Options) withDefaults() Options {
 	if o.Log == nil {
 		o.Log = logging.Discard()
--- a/target/pacer.go
+++ b/target/pacer.go
@@ -7,11 +7,11 @@
 
 // pacer determines when the next connection to a target may be opened. A new
 // connection costs the target milliseconds, and after a fault all VMs need new
-// ones at the same time. Because each VM opens one at a time, with pauses, new
+// ones at the same time. Each VM opens one at a time, with pauses, so that new
 // connections take a bounded part of the target's time.
 type pacer struct {
 	notBefore time.Time     // earliest time for the next connection
-	pause     time.Duration // mean wait after a connection was opened or closed
+	pause     time.Duration // mean wait before the next connection after one was opened or closed
 	maxPause  time.Duration // upper bound of the mean wait after repeated failures
 	failures  int           // failures in a row to open a connection
 }
--- a/target/pool.go
+++ b/target/pool.go
@@ -34,6 +34,8 @@
 	lastDialErr   error        // error of the last try to open a connection; nil if it succeeded
 }
 
+// newPool returns an empty pool for an endpoint. The caller must call update with the
+// endpoint's settings, and run maintain, which opens the connections.
 func newPool(c *Client, e Endpoint) *pool {
 	return &pool{
 		client:  c,
@@ -62,7 +64,7 @@
 	p.wake()
 }
 
-// reactivate undoes retire. It reports false, and does nothing, if the maintainer
+// reactivate undoes retire. It returns false, and does nothing, if the maintainer
 // has stopped.
 func (p *pool) reactivate() bool {
 	p.mu.Lock()
@@ -87,10 +89,10 @@
 	}
 }
 
-// acquire returns a connection for one call, which must be released afterwards. If none
-// is free, it waits up to MaxWait for one, or fails at once if none can be expected to
-// become free. If it fails, nothing was sent. A probe gets the connection that has
-// received nothing for longest.
+// acquire returns a connection for one call. The caller must release the connection
+// afterwards. If none is free, acquire waits up to MaxWait for one, or fails at once if
+// none can be expected to become free. If it fails, nothing was sent. If probe is set, it
+// returns the connection that has received nothing for longest.
 func (p *pool) acquire(ctx context.Context, probe bool) (*conn, *CallError) {
 	p.mu.Lock()
 	now := time.Now()
@@ -167,8 +169,8 @@
 	return nil, p.unreachableError(time.Now())
 }
 
-// leaveQueue removes waiter from the queue. It reports false if waiter is no longer
-// queued, because it has received its result.
+// leaveQueue removes waiter from the queue of waiting calls. It returns false if waiter is
+// no longer queued, because it has received its result.
 func (p *pool) leaveQueue(waiter chan *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/target/probe.go
+++ b/target/probe.go
@@ -70,9 +70,9 @@
 	p.release(cn)
 }
 
-// probeTimedOut handles the timeout of a status read that began at start. If nothing
-// at all was received since then, the connection is silent. It is closed even if
-// calls still wait on it, because none of them would ever be answered.
+// probeTimedOut handles the timeout of a status read that began at start. If the connection
+// has received nothing at all since then, it is silent. It is closed even if calls still
+// wait on it, because none of them would ever be answered.
 func (p *pool) probeTimedOut(cn *conn, start time.Time) {
 	if cn.wire.lastRead().After(start) {
 		return
--- a/target/standin_test.go
+++ b/target/standin_test.go
@@ -34,12 +34,14 @@
 type serverConn struct {
 	net.Conn
 	silent          atomic.Bool
-	duplicateWrites atomic.Bool // each write is sent twice
-	closed          chan struct{}
+	duplicateWrites atomic.Bool   // each write is sent twice
+	closed          chan struct{} // closed by the first call of Close
 	target          *fakeTarget
-	once            sync.Once
+	once            sync.Once // for the first call of Close
 }
 
+// Read reads data from the client. If the connection is silent when data arrives, Read
+// drops the data and blocks until Close is called.
 func (sc *serverConn) Read(p []byte) (int, error) {
 	n, err := sc.Conn.Read(p)
 	if !sc.silent.Load() {
@@ -49,6 +51,8 @@
 	return 0, net.ErrClosed
 }
 
+// Write sends data to the client. It drops the data if the connection is silent, and sends
+// it twice if duplicateWrites is set.
 func (sc *serverConn) Write(p []byte) (int, error) {
 	if sc.silent.Load() {
 		return len(p), nil
@@ -84,6 +88,8 @@
 	target      *fakeTarget
 }
 
+// Accept returns the next connection as a serverConn and counts it in the target's accepts,
+// open and maxOpen.
 func (l *slowListener) Accept() (net.Conn, error) {
 	inner, err := l.Listener.Accept()
 	if err != nil {
@@ -109,7 +115,10 @@
 	}
 }
 
-func silence(sc *serverConn)   { sc.silent.Store(true) }
+// silence makes a connection go silent.
+func silence(sc *serverConn) { sc.silent.Store(true) }
+
+// breakConn closes a connection at once, without closeDelay.
 func breakConn(sc *serverConn) { sc.Conn.Close() }
 
 // newFakeTarget starts a target that spends connectCost on each new connection. It is
@@ -155,6 +164,7 @@
 	s.afterSubmit = f
 }
 
+// writeAnswer sends an answer as JSON, with the headers of a target that is serving.
 func writeAnswer(w http.ResponseWriter, answer any) {
 	w.Header().Set(HeaderIncarnation, "one")
 	w.Header().Set(HeaderState, string(StateServing))
@@ -166,6 +176,7 @@
 	writeAnswer(w, LeafAnswer{Echo: req.Echo, Records: 10, Complete: true, Items: []Item{{Key: req.Request}}})
 }
 
+// serveSearch answers a search with searchHandler.
 func (s *fakeTarget) serveSearch(w http.ResponseWriter, r *http.Request) {
 	var req LeafRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -178,6 +189,7 @@
 	f(w, r, req)
 }
 
+// serveSubmit runs a submit: it counts the submit, calls afterSubmit and then answers.
 func (s *fakeTarget) serveSubmit(w http.ResponseWriter, r *http.Request) {
 	var req SubmitRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -194,6 +206,7 @@
 	writeAnswer(w, SubmitAnswer{Echo: req.Echo, Key: req.Key})
 }
 
+// serveStatus answers a status read: the target is serving and reports no leaves.
 func (s *fakeTarget) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	writeAnswer(w, Status{Target: s.name, Incarnation: "one", State: StateServing})
 }
--- a/target/transport_bench_test.go
+++ b/target/transport_bench_test.go
@@ -38,7 +38,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// benchClient returns a client with all connections of its share open.
+// benchClient returns a client with all connections of its share open, and its metrics.
 func benchClient(b *testing.B, s *fakeTarget, protocol Protocol, connections int) (*Client, *metrics.Set) {
 	set := metrics.NewSet()
 	c := NewClient(Options{Protocol: protocol, Metrics: set, MaxWait: testTimeout, MaxWaiters: 10000})
@@ -60,6 +60,7 @@
 	}
 }
 
+// openedCount returns how many connections the client with the metrics in set has opened.
 func openedCount(set *metrics.Set) uint64 {
 	return set.GetOrCreateCounter("bramley_target_connections_opened_total").Get()
 }
@@ -148,8 +149,9 @@
 	}
 }
 
-// silentTrial returns the time until ten consecutive calls succeeded, and the number
-// of calls that failed before.
+// silentTrial makes all open connections silent and starts a call every 10 ms, with a time
+// limit of 100 ms. It returns the time until ten consecutive calls succeeded, and the
+// number of calls that failed before. ping is the client's PingAfter.
 func silentTrial(b *testing.B, protocol Protocol, connections int, ping time.Duration) (time.Duration, int) {
 	s := newFakeTarget(b, "a", connectCost)
 	c := NewClient(Options{Protocol: protocol, Metrics: metrics.NewSet(), PingAfter: ping})
@@ -191,7 +193,7 @@
 }
 
 // BenchmarkIdlePings reports the processor time that 150 idle connections cost both
-// ends together, as a percentage of one core.
+// ends together, as a percentage of one core, for several intervals of HTTP/2 pings.
 func BenchmarkIdlePings(b *testing.B) {
 	for _, ping := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second} {
 		b.Run(fmt.Sprintf("ping=%s", ping), func(b *testing.B) {
