--- a/query/admit.go
+++ b/query/admit.go
@@ -63,9 +63,9 @@
 	return <-decided // no longer queued: the verdict was sent under svc.mu when the ticket left the queue
 }
 
-// release records the end of a query in the metrics and the policy, and sends the verdicts
-// on waiting queries that follow from it. Plain searches skip admission, so release does
-// nothing for them.
+// release records the end of a query in the metrics and the policy, and sends the resulting
+// verdicts to waiting queries. Plain searches skip admission, so release does nothing for
+// them.
 func (e *Engine) release(svc *service, req *Request, admittedAt time.Time, out *policy.Outcome) {
 	if req.plain() {
 		return
@@ -81,8 +81,8 @@
 	})
 }
 
-// finishQuery records the end of an admitted query and sends the verdicts on waiting
-// queries that follow from it. The caller must hold s.mu.
+// finishQuery records the end of an admitted query in the admission policy, and sends the
+// resulting verdicts to waiting queries. The caller must hold s.mu.
 func (s *service) finishQuery(now time.Time, end policy.QueryEnd) {
 	for _, verdict := range s.admission.Done(now, end) {
 		if decided := s.waiting[verdict.Ticket]; decided != nil {
--- a/query/engine.go
+++ b/query/engine.go
@@ -48,7 +48,7 @@
 type Engine struct {
 	opts Options
 	pool *Pool            // runs the calls to leaves
-	now  func() time.Time // Options.Clock
+	now  func() time.Time // returns the current time; from Options.Clock
 
 	mu       sync.RWMutex        // guards the two maps, not the services in them
 	services map[string]*service // by service name
@@ -63,7 +63,7 @@
 	mu        sync.Mutex                              // guards the fields below
 	table     *policy.Table                           // what is known of the service's targets, and its hedge and retry budgets
 	admission *policy.Admission                       // decides which queries run, wait or are refused
-	waiting   map[policy.TicketID]chan policy.Verdict // queries that wait for admission
+	waiting   map[policy.TicketID]chan policy.Verdict // one channel for each query that waits for admission, which receives its verdict
 }
 
 // NewEngine returns an engine without services; Apply sets them. Close ends it.
--- a/query/metrics.go
+++ b/query/metrics.go
@@ -12,12 +12,12 @@
 // phase is a section of a query's time, named as in the metric's label.
 type phase string
 
-// The phases of a query, in order. Together they are the time from its arrival to the
-// answer that arrived last.
+// The phases of a query, in order. Together they are the time from the query's arrival to
+// the arrival of its last answer.
 const (
-	phaseAdmission phase = "admission" // until the query was admitted
-	phaseHeld      phase = "held"      // from then until the attempt that answered last was sent
-	phaseAttempt   phase = "attempt"   // that attempt, including its wait at the target
+	phaseAdmission phase = "admission" // from the query's arrival until its admission
+	phaseHeld      phase = "held"      // from the query's admission until the attempt with the last answer was sent
+	phaseAttempt   phase = "attempt"   // of the attempt with the last answer, from its sending to the answer; its wait at the target included
 )
 
 // phaseBuckets are the bucket upper bounds of the phase histograms, in seconds.
@@ -53,9 +53,9 @@
 // observePhase adds the duration of one query's phase to the phase's histogram.
 func (m *serviceMetrics) observePhase(p phase, d time.Duration) { m.phases[p].Update(d.Seconds()) }
 
-// recordEnd counts the hedges and retries of an admitted query that ended. It records
-// phases only for queries that every shard answered, because only those end when the last
-// answer arrives.
+// recordEnd counts the hedges and retries of an admitted query that ended. It records the
+// phases after admission only if every shard answered, because only such a query ends when
+// its last answer arrives.
 func (m *serviceMetrics) recordEnd(out *policy.Outcome) {
 	m.hedges.Add(out.Hedges)
 	m.retries.Add(out.Retries)
--- a/query/metrics_test.go
+++ b/query/metrics_test.go
@@ -14,7 +14,7 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// fakeLeaves answers every search completely.
+// fakeLeaves answers every search completely and without items.
 type fakeLeaves struct{}
 
 func (fakeLeaves) Search(_ context.Context, _ string, _ int, req target.LeafRequest) (target.LeafAnswer, error) {
--- a/query/reason.go
+++ b/query/reason.go
@@ -5,8 +5,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// missingReason returns the reason for which a shard is missing if its call failed with e.
-// The coverage in the caller's answer states this reason.
+// missingReason returns the reason for which a shard has no answer if the call to its leaf
+// failed with e. The coverage in the caller's answer states this reason.
 func missingReason(e *target.CallError) policy.Reason {
 	switch e.Kind {
 	case target.ErrorUnknownTarget:
@@ -26,8 +26,8 @@
 	}
 }
 
-// refusalReason returns the reason for which a shard is missing if the target refused its
-// call with reason r.
+// refusalReason returns the reason for which a shard has no answer if the target refused
+// the call with reason r.
 func refusalReason(r target.Reason) policy.Reason {
 	switch r {
 	case target.ReasonNoSnapshot:
--- a/query/request.go
+++ b/query/request.go
@@ -14,13 +14,13 @@
 type Request struct {
 	ID          string         // id of the caller's request
 	Search      *bundle.Search // from the bundle in force when the request arrived
-	Arrived     time.Time
-	TimeLimit   time.Duration // how long the caller waits, from Arrived
-	MinCoverage float64       // coverage that the caller needs, 0 to 1
-	Query       string        // passed to the leaves unchanged
-	MaxItems    int           // maximum number of items to return
-	Snapshot    string        // name of the snapshot to read, from a cursor; empty if any may be read
-	After       string        // browse only: return keys greater than this one
+	Arrived     time.Time      // when the request arrived at this VM
+	TimeLimit   time.Duration  // how long the caller waits, from Arrived
+	MinCoverage float64        // coverage that the caller needs, 0 to 1
+	Query       string         // passed to the leaves unchanged
+	MaxItems    int            // maximum number of items to return
+	Snapshot    string         // name of the snapshot to read, from a cursor; empty if any may be read
+	After       string         // browse only: return keys greater than this one
 }
 
 // Answer is the outcome of a Request.
@@ -29,21 +29,20 @@
 	Detail     string          // more about Code, for the caller; may be empty
 	RetryAfter time.Duration   // wait before the caller may retry; for codes whose Retry is RetryLater
 	Ran        result.Ran      // whether a target ran the request
-	Snapshot   policy.Snapshot // the one that was read
+	Snapshot   policy.Snapshot // the snapshot that was read
 	Coverage   policy.Coverage // how much of the snapshot the answer is based on
-	Items      []target.Item
-	More       bool // further matches exist beyond Items
-	Sent       int  // attempts sent, hedges and retries included
-	Hedges     int  // how many of the attempts sent were hedges
-	Retries    int  // how many of the attempts sent were retries
+	Items      []target.Item   // the records found: best score first, or in key order for a browse page
+	More       bool            // further matches exist beyond Items
+	Sent       int             // attempts sent, hedges and retries included
+	Hedges     int             // how many of the attempts sent were hedges
+	Retries    int             // how many of the attempts sent were retries
 }
 
-// The part of the time limit that is reserved for merging and sending the answer: one
-// part in reserveDivisor, within minReserve and maxReserve.
+// The part of the time limit that is reserved for merging and sending the answer.
 const (
-	reserveDivisor = 20                    // the reserve is the time limit divided by this
-	minReserve     = 2 * time.Millisecond  // least reserve of a request
-	maxReserve     = 20 * time.Millisecond // largest reserve of a request
+	reserveDivisor = 20                    // the reserved time is the request's time limit divided by this, within minReserve and maxReserve
+	minReserve     = 2 * time.Millisecond  // least time reserved for merging and sending an answer
+	maxReserve     = 20 * time.Millisecond // longest time reserved for merging and sending an answer
 )
 
 // deadline returns when the outcome must be decided for the answer to arrive in time: the
--- a/query/run.go
+++ b/query/run.go
@@ -105,7 +105,8 @@
 }
 
 // handleEvents passes ev and all other queued events to the policy under one lock. It
-// returns the same as start.
+// returns the time at which the policy is to be called next, and the actions to execute
+// now.
 func (r *runner) handleEvents(ev event) (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -130,7 +131,8 @@
 	return r.query.HandleFailure(now, ev.attempt, ev.failure)
 }
 
-// tick calls the policy at the time that it asked for. It returns the same as start.
+// tick calls the policy at the time that the policy asked for. It returns the time of the
+// next such call, and the actions to execute now.
 func (r *runner) tick() (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -139,7 +141,7 @@
 	return r.query.NextTick(), acts
 }
 
-// abandon ends a query whose caller disconnected.
+// abandon ends a query whose caller disconnected, and returns its outcome.
 func (r *runner) abandon() *policy.Outcome {
 	r.svc.mu.Lock()
 	acts := r.query.Abandon(r.engine.now())
--- a/query/submit.go
+++ b/query/submit.go
@@ -17,11 +17,11 @@
 // Submission is a non-idempotent request: it must not run twice. Before it is submitted,
 // its key must be claimed, so that no other VM submits the same request.
 type Submission struct {
-	ID       string // id of the caller's request
-	Search   *bundle.Search
+	ID       string          // id of the caller's request
+	Search   *bundle.Search  // the search that the caller named, of kind bundle.KindSubmit
 	Key      string          // idempotency key
 	Payload  json.RawMessage // passed to the target unchanged
-	Deadline time.Time
+	Deadline time.Time       // when the caller's time limit ends
 }
 
 // SubmitResult is the outcome of a Submission. Code is Accepted if a target ran it,
@@ -53,8 +53,8 @@
 	}, nil
 }
 
-// Submit sends a claimed request to one target. It sends the request to another one
-// only after the first has answered that it did not start it.
+// Submit sends a claimed request to one target. It sends the request to a further target
+// only if it is certain that no earlier one started it.
 func (e *Engine) Submit(ctx context.Context, req *Submission) SubmitResult {
 	svc := e.service(req.Search.Service)
 	if svc == nil {
