--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -14,7 +14,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// readBody reads the request's body into req.body. The body may have up to MaxBodyBytes.
+// readBody reads the request's body into req.body. A body of more than MaxBodyBytes is an
+// error.
 func (req *request) readBody(w http.ResponseWriter) error {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.http.Body, MaxBodyBytes))
 	var tooBig *http.MaxBytesError
@@ -28,8 +29,8 @@
 	return nil
 }
 
-// newAnswer returns an answer with the given code, and with the name, text and ran state
-// that belong to the code.
+// newAnswer returns an answer with the given code and the code's name and text. Ran states
+// what the code says on whether a target ran the request.
 func newAnswer(code result.Code) *Answer {
 	info := code.Info()
 	return &Answer{
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,9 +24,9 @@
 	MaxBodyBytes   = 64 << 10         // size of a request's body, in bytes
 	MaxHeaderBytes = 16 << 10         // size of a request's header, in bytes
 	readTimeout    = 10 * time.Second // longest time for reading a request, and for reading its header
-	idleTimeout    = 2 * time.Minute  // after which an unused connection of a caller is closed
-	writeMargin    = 10 * time.Second // for writing the answer, beyond maxTimeLimit
-	maxTimeLimit   = time.Minute      // longest time limit that WriteTimeout allows for; package bundle accepts longer ones
+	idleTimeout    = 2 * time.Minute  // time after which an unused connection of a caller is closed
+	writeMargin    = 10 * time.Second // time for writing an answer; the server's WriteTimeout is maxTimeLimit plus this
+	maxTimeLimit   = time.Minute      // longest time limit of a request for which the server's WriteTimeout is long enough; package bundle accepts longer ones
 )
 
 // Config gives access to the bundle in force: the configuration that this VM uses now.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -95,6 +95,7 @@
 	return a, res
 }
 
+// validKey is an idempotency key in the form that callers must use.
 const validKey = "1700000000-abcdefgh"
 
 // Guards against invalid requests that reach the engine, or that are refused with the wrong
@@ -154,8 +155,8 @@
 	g.Expect(f.lastSearch.After).To(Equal("b"))
 }
 
-// Guards against refusals without a retry time: callers would retry immediately and
-// increase the overload.
+// Guards against refusals that don't state when to retry: callers would retry immediately
+// and increase the overload.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	g := NewWithT(t)
 	f := newFake()
@@ -171,7 +172,7 @@
 }
 
 // FuzzCursor decodes arbitrary strings. Each must be refused with BadRequest, or give a
-// cursor of the right search with a snapshot.
+// cursor of the right search with a snapshot. The empty string stands for no cursor.
 func FuzzCursor(f *testing.F) {
 	f.Add(cursor{Search: "list", Snapshot: "v1", After: "b"}.encode())
 	f.Add("")
--- a/gateway/messages.go
+++ b/gateway/messages.go
@@ -15,7 +15,7 @@
 	HeaderRetryAfter = "Retry-After"     // of an answer: wait before a retry, in whole seconds, rounded up
 )
 
-// SearchBody is the body of a search or a browse page.
+// SearchBody is the body of a request for a search or a browse page.
 type SearchBody struct {
 	Query       string  `json:"query"`                   // passed to the targets unchanged
 	Limit       int     `json:"limit,omitempty"`         // maximum number of items; the bundle's max_items if 0
