--- a/policy/admission.go
+++ b/policy/admission.go
@@ -43,8 +43,8 @@
 
 // The decisions.
 const (
-	Admit  Decision = iota // run it now
-	Wait                   // queued; a later Verdict with the same ticket decides
+	Admit  Decision = iota // run the query now
+	Wait                   // the query is queued; a later Verdict with the same ticket decides
 	Refuse                 // final: the query cannot be served in time
 )
 
--- a/policy/median_latency.go
+++ b/policy/median_latency.go
@@ -15,10 +15,10 @@
 
 // Parameters of MedianLatency.
 const (
-	medianStepShare    = 0.01 // one attempt moves the median by this share of it
-	minMedianSamples   = 50   // with fewer recorded attempts the median is unknown
-	nearBaselineFactor = 1.5  // multiple of the baseline; with a median below it hardly any attempt waits in a queue
-	slowBaselineFactor = 3    // multiple of the baseline; with a median above it about two requests wait for each one that runs
+	medianStepShare    = 0.01 // share of the median latency by which one attempt moves the median
+	minMedianSamples   = 50   // number of recorded attempts below which the median latency is unknown
+	nearBaselineFactor = 1.5  // multiple of the baseline (the median latency without queues); with a median below it hardly any attempt waits in a queue
+	slowBaselineFactor = 3    // multiple of the baseline (the median latency without queues); with a median above it about two requests wait for each one that runs
 
 	baselineFallTime        = time.Second     // time constant with which the baseline follows a lower median
 	baselineRiseTime        = 3 * time.Second // time constant with which the baseline follows a higher median
--- a/policy/query.go
+++ b/policy/query.go
@@ -222,8 +222,8 @@
 	}
 }
 
-// recomputeWake sets wakeAt to the earliest time at which Tick has work, and returns
-// it.
+// recomputeWake sets wakeAt to the earliest time at which Tick has work, and returns that
+// time.
 func (q *Query) recomputeWake(now time.Time) time.Time {
 	q.wakeAt = q.spec.Deadline
 	for _, a := range q.attempts {
--- a/policy/query_test.go
+++ b/policy/query_test.go
@@ -370,9 +370,9 @@
 	g.Expect(hedges).To(BeNumerically("<=", 0.05*float64(first)+budgetBurst))
 }
 
-// Guards against repeatedly late searches while connections to one target are silent.
-// Each time a hedge is answered and the first attempt is cancelled, so no failure is
-// recorded, the target keeps its share of attempts and the hedge budget runs out.
+// Guards against searches that stay slow while the connections to one target are silent.
+// Each time a hedge is answered and the first attempt is cancelled. If that counts as no
+// failure, the target keeps its share of attempts and the hedge budget runs out.
 func TestStalledReplicaEntersCooldown(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 2, 1)
--- a/policy/shard.go
+++ b/policy/shard.go
@@ -33,10 +33,10 @@
 type phase int
 
 const (
-	phaseOpen     phase = iota // may still answer
-	phaseAnswered              // an answer arrived
-	phaseLost                  // can no longer answer
-	phaseNoHolder              // can no longer answer: no usable replica holds the shard, or the one that got the last attempt no longer holds the snapshot
+	phaseOpen     phase = iota // the shard may still answer
+	phaseAnswered              // the shard has an answer
+	phaseLost                  // the shard can no longer answer, for another reason than phaseNoHolder
+	phaseNoHolder              // the shard can no longer answer: no usable replica holds it, or the one that got the last attempt no longer holds the snapshot
 	phaseCount                 // number of phases
 )
 
--- a/policy/submit.go
+++ b/policy/submit.go
@@ -8,13 +8,13 @@
 type Submission struct {
 	table       *Table
 	snapshot    Snapshot
-	shard       int // chosen by the hash of the request's key
-	tried       []ReplicaID
-	maxAttempts int
-	current     ReplicaID // replica of the latest attempt
-	sentAt      time.Time // when the latest attempt was sent
-	inFlight    bool      // the end of the latest attempt is not known yet
-	closed      bool      // a target may have started the request, so it must not be sent again
+	shard       int         // chosen by the hash of the request's key
+	tried       []ReplicaID // replicas for which Next returned an attempt
+	maxAttempts int         // upper bound of the number of attempts
+	current     ReplicaID   // replica of the latest attempt
+	sentAt      time.Time   // when the latest attempt was sent
+	inFlight    bool        // the end of the latest attempt is not known yet
+	closed      bool        // a target may have started the request, so it must not be sent again
 }
 
 // NewSubmission returns a Submission for a request whose key hashes to hash. It
