--- a/target/api.go
+++ b/target/api.go
@@ -37,8 +37,8 @@
 
 // The kinds of idempotent requests.
 const (
-	KindSearch Kind = "search" // best score first
-	KindBrowse Kind = "browse" // in key order, after a given key
+	KindSearch Kind = "search" // returns the items with the best scores, best first
+	KindBrowse Kind = "browse" // returns items in key order, from after a given key
 )
 
 // Echo identifies one attempt. Each answer repeats it. An answer whose Echo
@@ -73,8 +73,8 @@
 	Items    []Item `json:"items"`
 	More     bool   `json:"more"`     // Limit cut off further matches
 	Records  int64  `json:"records"`  // records that the shard holds in this snapshot
-	Complete bool   `json:"complete"` // false: the leaf could not read all of them
-	Missing  int64  `json:"missing"`  // records that it could not read; only valid if not Complete
+	Complete bool   `json:"complete"` // false: the leaf could not read all of these records
+	Missing  int64  `json:"missing"`  // records that the leaf could not read; only valid if not Complete
 }
 
 // SubmitRequest is a non-idempotent request. A target runs every one that it
--- a/target/body.go
+++ b/target/body.go
@@ -10,9 +10,9 @@
 
 // The states of a requestBody. It changes once, from unread to read or sealed.
 const (
-	bodyUnread int32 = iota // the transport has not read from it, and the call has not ended
-	bodyRead                // the transport has read from it
-	bodySealed              // the call ended before the transport read from it; every later read fails
+	bodyUnread int32 = iota // the transport has not read from the body, and the call has not ended
+	bodyRead                // the transport has read from the body
+	bodySealed              // the call ended before the transport read from the body; every later read fails
 )
 
 // requestBody is the body of one call. It can be read once and can't be
--- a/target/client.go
+++ b/target/client.go
@@ -126,9 +126,10 @@
 	return c.pools[target]
 }
 
-// noPoolError returns the error for a target without a pool: ErrorBusy if it is in force but
-// this VM has no share of its connections, and ErrorUnknownTarget otherwise. Targets without
-// a share have no pool, because in a large deployment a VM owns few of the targets.
+// noPoolError returns the error for a target without a pool: ErrorBusy if the target is in
+// force but this VM has no share of its connections, and ErrorUnknownTarget otherwise.
+// Targets without a share have no pool, because in a large deployment a VM owns few of the
+// targets.
 func (c *Client) noPoolError(target string) *CallError {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// Start starts the reads. It must be called at most once.
+// Start begins to read the status of each endpoint in force. It must be called at most once.
 func (m *Monitor) Start() {
 	m.tomb.Go(m.schedule)
 	for range m.opts.Workers {
--- a/target/options.go
+++ b/target/options.go
@@ -26,7 +26,7 @@
 
 // The protocols. docs/design/target-transport.md explains why HTTP2 is the default.
 const (
-	HTTP2 Protocol = iota // without TLS, with prior knowledge
+	HTTP2 Protocol = iota // HTTP/2 without TLS, with prior knowledge
 	HTTP1                 // HTTP/1.1, without TLS
 )
 
