--- a/query/engine.go
+++ b/query/engine.go
@@ -267,7 +267,7 @@
 }
 
 // MarkDraining records a report of another VM: this incarnation (one process) of the
-// target is draining, which means that it is about to leave.
+// target is draining, which means that it is about to leave. It does not call OnDrain.
 func (e *Engine) MarkDraining(name, incarnation string) {
 	svc := e.serviceOf(name)
 	if svc == nil {
--- a/query/run.go
+++ b/query/run.go
@@ -220,10 +220,10 @@
 	return event{attempt: s.Attempt, answer: &answer}
 }
 
-// failureOf describes the error of a call to a leaf to the policy: the reason for which the
-// shard is missing, whether the target is certain not to have started the request, and
-// whether no connection was available. An error that is not a *target.CallError counts as
-// ReasonBroken.
+// failureOf converts the error of a call to a leaf to the form that the policy takes: the
+// reason for which the shard has no answer, whether it is certain that the target did not
+// start the request, and whether no connection was available. An error that is not a
+// *target.CallError counts as ReasonBroken.
 func failureOf(err error) policy.Failure {
 	var call *target.CallError
 	if !errors.As(err, &call) {
