--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// newAnswer returns an answer with the given code and the code's name and text. Ran states
-// what the code says on whether a target ran the request.
+// newAnswer returns an answer with the given code and the code's name and text. Its Ran
+// states whether a target ran the request, as far as the code shows it.
 func newAnswer(code result.Code) *Answer {
 	info := code.Info()
 	return &Answer{
@@ -112,8 +112,8 @@
 	}
 }
 
-// updateMetrics counts an answer under the name of its code, its duration, and the calls to
-// leaves that were made for it.
+// updateMetrics counts an answer by the name of its code. It also records the time that the
+// answer took and the number of calls to leaves that were made for it.
 func (g *Gateway) updateMetrics(a *Answer, took time.Duration) {
 	g.opts.Metrics.GetOrCreateCounter(fmt.Sprintf(`bramley_requests_total{code="%s"}`, a.Name)).Inc()
 	g.opts.Metrics.GetOrCreateHistogram("bramley_request_seconds").Update(took.Seconds())
--- a/gateway/cursor.go
+++ b/gateway/cursor.go
@@ -12,7 +12,7 @@
 type cursor struct {
 	Search   string `json:"search"`   // name of the search
 	Snapshot string `json:"snapshot"` // name of the snapshot
-	After    string `json:"after"`    // key of the last item of the page before
+	After    string `json:"after"`    // key of the last item of the previous page
 }
 
 // encode returns the cursor as base64 of its JSON form, without padding.
--- a/gateway/messages.go
+++ b/gateway/messages.go
@@ -21,7 +21,7 @@
 	Limit       int     `json:"limit,omitempty"`         // maximum number of items; the bundle's max_items if 0
 	TimeLimitMS int     `json:"time_limit_ms,omitempty"` // how long the caller waits; the bundle's default if 0
 	Coverage    float64 `json:"coverage,omitempty"`      // least coverage, 0 to 1; the bundle's default if 0
-	Cursor      string  `json:"cursor,omitempty"`        // from the answer with the page before; browse only
+	Cursor      string  `json:"cursor,omitempty"`        // from the answer with the previous page; browse only
 	Explain     bool    `json:"explain,omitempty"`       // list the shards with missing records
 }
 
