--- a/gateway/messages.go
+++ b/gateway/messages.go
@@ -15,13 +15,13 @@
 	HeaderRetryAfter = "Retry-After"     // of an answer: wait before a retry, in whole seconds, rounded up
 )
 
-// SearchBody is the body of a search or a browse page.
+// SearchBody is the body of a request for a search or a browse page.
 type SearchBody struct {
 	Query       string  `json:"query"`                   // passed to the targets unchanged
 	Limit       int     `json:"limit,omitempty"`         // maximum number of items; the bundle's max_items if 0
 	TimeLimitMS int     `json:"time_limit_ms,omitempty"` // how long the caller waits; the bundle's default if 0
 	Coverage    float64 `json:"coverage,omitempty"`      // least coverage, 0 to 1; the bundle's default if 0
-	Cursor      string  `json:"cursor,omitempty"`        // from the answer with the page before; browse only
+	Cursor      string  `json:"cursor,omitempty"`        // from the answer with the previous page; browse only
 	Explain     bool    `json:"explain,omitempty"`       // list the shards with missing records
 }
 
--- a/policy/median_latency_test.go
+++ b/policy/median_latency_test.go
@@ -9,7 +9,7 @@
 )
 
 // addSamples records n attempts with latency d, spread over windowMS milliseconds from
-// startMS on, and updates the baseline after each as queries do.
+// startMS on. It updates the baseline after each attempt, as the end of a query does.
 func addSamples(m *MedianLatency, startMS, n int, windowMS int, d time.Duration, crowded bool) {
 	for i := range n {
 		m.Add(d)
@@ -77,10 +77,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var m MedianLatency
 		ms := 0
-		least, most := time.Hour, time.Duration(0)
+		shortest, longest := time.Hour, time.Duration(0)
 		for range 300 {
 			d := time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond
-			least, most = min(least, d), max(most, d)
+			shortest, longest = min(shortest, d), max(longest, d)
 			before := m.recentMedian
 			m.Add(d)
 			if before > 0 && (m.recentMedian-before).Abs().Seconds() > 1.01*medianStepShare*before.Seconds() {
@@ -89,8 +89,8 @@
 			ms += rapid.IntRange(0, 2000).Draw(t, "pause")
 			m.UpdateBaseline(at(ms), rapid.Bool().Draw(t, "crowded"))
 			for _, value := range []time.Duration{m.recentMedian, m.baseline} {
-				if value > 0 && (value.Seconds() < (1-medianStepShare)*least.Seconds() || value.Seconds() > (1+medianStepShare)*most.Seconds()) {
-					t.Fatalf("median or baseline is %v, for attempts between %v and %v", value, least, most)
+				if value > 0 && (value.Seconds() < (1-medianStepShare)*shortest.Seconds() || value.Seconds() > (1+medianStepShare)*longest.Seconds()) {
+					t.Fatalf("median or baseline is %v, for attempts between %v and %v", value, shortest, longest)
 				}
 			}
 		}
--- a/policy/query.go
+++ b/policy/query.go
@@ -222,16 +222,16 @@
 	}
 }
 
-// recomputeWake sets wakeAt to the earliest time at which Tick has work, and returns
-// it.
+// recomputeWake sets wakeAt to the earliest time at which Tick has work, and returns that
+// time.
 func (q *Query) recomputeWake(now time.Time) time.Time {
 	q.wakeAt = q.spec.Deadline
 	for _, a := range q.attempts {
 		q.scheduleWake(now, a)
 	}
 	for i := range q.shards {
-		if at := q.shards[i].retryAt; !at.IsZero() {
-			q.wakeAt = earlier(q.wakeAt, at)
+		if retryAt := q.shards[i].retryAt; !retryAt.IsZero() {
+			q.wakeAt = earlier(q.wakeAt, retryAt)
 		}
 	}
 	return q.wakeAt
--- a/query/run.go
+++ b/query/run.go
@@ -105,7 +105,8 @@
 }
 
 // handleEvents passes ev and all other queued events to the policy under one lock. It
-// returns the same as start.
+// returns the time at which the policy is to be called next, and the actions to execute
+// now.
 func (r *runner) handleEvents(ev event) (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -130,7 +131,8 @@
 	return r.query.HandleFailure(now, ev.attempt, ev.failure)
 }
 
-// tick calls the policy at the time that it asked for. It returns the same as start.
+// tick calls the policy at the time that the policy asked for. It returns the time of the
+// next such call, and the actions to execute now.
 func (r *runner) tick() (time.Time, []policy.Action) {
 	r.svc.mu.Lock()
 	defer r.svc.mu.Unlock()
@@ -139,7 +141,7 @@
 	return r.query.NextTick(), acts
 }
 
-// abandon ends a query whose caller disconnected.
+// abandon ends a query whose caller disconnected, and returns its outcome.
 func (r *runner) abandon() *policy.Outcome {
 	r.svc.mu.Lock()
 	acts := r.query.Abandon(r.engine.now())
@@ -218,10 +220,10 @@
 	return event{attempt: s.Attempt, answer: &answer}
 }
 
-// failureOf describes the error of a call to a leaf to the policy: the reason for which the
-// shard is missing, whether the target is certain not to have started the request, and
-// whether no connection was available. An error that is not a *target.CallError counts as
-// ReasonBroken.
+// failureOf converts the error of a call to a leaf to the form that the policy takes: the
+// reason for which the shard has no answer, whether it is certain that the target did not
+// start the request, and whether no connection was available. An error that is not a
+// *target.CallError counts as ReasonBroken.
 func failureOf(err error) policy.Failure {
 	var call *target.CallError
 	if !errors.As(err, &call) {
