--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -206,7 +206,7 @@
 	}
 	r := e.newRunner(req, spec)
 	reported := make(map[scatter.AttemptID]bool) // attempts whose results were sent
-	r.interim = fromNow(call.InterimUS)
+	r.interimAt = fromNow(call.InterimUS)
 	r.onInterim = func(ids []scatter.AttemptID) {
 		if ans := r.partialAnswer(ids, reported); len(ans.Included) > 0 {
 			ans.Key = call.Key
--- a/edge/elapsed_test.go
+++ b/edge/elapsed_test.go
@@ -41,10 +41,10 @@
 		path := callerPathOf(ctx, arrived)
 		return path.answerBy(arrived.Add(-path.elapsed(0, objective)), objective).Sub(arrived)
 	}
-	toConnect := 2 * oneWay
-	g.Expect(toConnect + oneWay + timeToAnswer(now) + oneWay).To(gomega.BeNumerically("<", objective))
+	connectTime := 2 * oneWay
+	g.Expect(connectTime + oneWay + timeToAnswer(now) + oneWay).To(gomega.BeNumerically("<", objective))
 	g.Expect(oneWay + timeToAnswer(now.Add(time.Second)) + oneWay).To(gomega.BeNumerically("<", objective))
-	g.Expect(timeToAnswer(now.Add(time.Second))).To(gomega.Equal(timeToAnswer(now) + toConnect))
+	g.Expect(timeToAnswer(now.Add(time.Second))).To(gomega.Equal(timeToAnswer(now) + connectTime))
 	trackCallerState(conn, http.StateIdle)
 	g.Expect(timeToAnswer(now)).To(gomega.Equal(timeToAnswer(now.Add(time.Second))), "the connection was already open")
 }
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -18,7 +18,7 @@
 	headerCodec      HeaderCodec
 	pool             *leafhttp.Pool    // connections to leafs
 	inForce          routing.InForce   // holds the manifest in force
-	rotation         *routing.Splitter // chooses the service of each request that is not gathered
+	splitter         *routing.Splitter // chooses the service of each request that is not gathered
 	elapsed          *elapsedTimes     // estimates the time that callers spent before their requests arrived
 	log              *slog.Logger
 	stats            *stats // counters
@@ -50,7 +50,7 @@
 	return &Engine{
 		headerCodec:      opt.HeaderCodec,
 		pool:             leafhttp.NewPool(),
-		rotation:         routing.NewSplitter(),
+		splitter:         routing.NewSplitter(),
 		elapsed:          newElapsedTimes(),
 		log:              opt.Log,
 		stats:            newStats(),
@@ -70,7 +70,7 @@
 	if !e.inForce.Offer(m) {
 		return false
 	}
-	e.rotation.Prune(m)
+	e.splitter.Prune(m)
 	e.elapsed.prune(m)
 	e.feed.setManifest(m)
 	e.mu.Lock()
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -22,7 +22,7 @@
 
 	mu          sync.Mutex               // guards the fields below
 	position    int64                    // position of the latest change of the leafs; 0 before the first
-	log         []feedChange             // the latest changes of the leafs, at most maxFeedLog
+	changeLog   []feedChange             // the latest changes of the leafs, at most maxFeedLog
 	leafs       map[string]registry.Leaf // by leaf id
 	manifest    *routing.Manifest        // in force; nil before the first
 	changed     chan struct{}            // closed and replaced at each change of the feed
@@ -61,15 +61,15 @@
 	f.packedList = nil
 	for _, c := range changes {
 		f.position++
-		f.log = append(f.log, feedChange{position: f.position, change: c})
+		f.changeLog = append(f.changeLog, feedChange{position: f.position, change: c})
 		if c.Gone {
 			delete(f.leafs, c.Leaf.ID)
 		} else {
 			f.leafs[c.Leaf.ID] = c.Leaf
 		}
 	}
-	if extra := len(f.log) - maxFeedLog; extra > 0 {
-		f.log = append([]feedChange(nil), f.log[extra:]...)
+	if extra := len(f.changeLog) - maxFeedLog; extra > 0 {
+		f.changeLog = append([]feedChange(nil), f.changeLog[extra:]...)
 	}
 	f.notifyWaiters()
 }
@@ -108,10 +108,10 @@
 }
 
 // isFresh reports whether the store answered about a resource within the given time.
-func (f *feed) isFresh(resource string, within time.Duration) bool {
+func (f *feed) isFresh(resource string, maxStaleness time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Since(f.lastSuccess[resource]) < within
+	return time.Since(f.lastSuccess[resource]) < maxStaleness
 }
 
 // list returns all leafs, encoded by pack, and the position of the latest change that the list
@@ -150,11 +150,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	// The position was never issued, or a change after it is older than the log.
-	if position > f.position || len(f.log) > 0 && position < f.log[0].position-1 {
+	if position > f.position || len(f.changeLog) > 0 && position < f.changeLog[0].position-1 {
 		return nil, 0, false
 	}
 	var changes []registry.Change
-	for _, c := range f.log {
+	for _, c := range f.changeLog {
 		if c.position > position {
 			changes = append(changes, c.change)
 		}
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -166,14 +166,14 @@
 	return resource{
 		name: "manifest",
 		read: func(ctx context.Context) (Revision, error) {
-			m, at, err := f.store.Manifest(ctx)
+			m, revision, err := f.store.Manifest(ctx)
 			apply(m)
-			return at, err
+			return revision, err
 		},
 		watch: func(ctx context.Context, since Revision) (Revision, bool, error) {
-			m, at, err := f.store.WatchManifest(ctx, since, f.watchTimeout(f.settings.Bounds.ManifestMS))
+			m, revision, err := f.store.WatchManifest(ctx, since, f.watchTimeout(f.settings.Bounds.ManifestMS))
 			apply(m)
-			return at, m != nil, err
+			return revision, m != nil, err
 		},
 		pause: manifestChangePause,
 	}
--- a/edge/follow_vms.go
+++ b/edge/follow_vms.go
@@ -45,7 +45,7 @@
 	known := make(map[string]scatter.VM) // VMs in the list, by name
 	announcedEarly := false              // announced before this VM was ready, at the first start of the system
 	// apply passes the other VMs to the engine.
-	apply := func(at Revision) {
+	apply := func(revision Revision) {
 		others := make([]scatter.VM, 0, len(known))
 		for name, vm := range known {
 			if name != f.self.Name {
@@ -53,7 +53,7 @@
 			}
 		}
 		f.e.setVMs(others)
-		f.log.Info("other VMs", "count", len(others), "revision", at)
+		f.log.Info("other VMs", "count", len(others), "revision", revision)
 	}
 	// announce announces this VM if it is ready and not in the list.
 	announce := func(ctx context.Context) error {
@@ -64,7 +64,7 @@
 	}
 	// list reads the list of VMs and starts accepting their calls.
 	list := func(ctx context.Context) (Revision, error) {
-		vms, at, err := f.store.VMs(ctx)
+		vms, revision, err := f.store.VMs(ctx)
 		if err != nil {
 			return 0, err
 		}
@@ -72,12 +72,12 @@
 		for _, vm := range vms {
 			known[vm.Name] = vm
 		}
-		return at, f.openToPeers(known[f.self.Name])
+		return revision, f.openToPeers(known[f.self.Name])
 	}
 	return resource{
 		name: "vms",
 		read: func(ctx context.Context) (Revision, error) {
-			at, err := list(ctx)
+			revision, err := list(ctx)
 			if err != nil {
 				return 0, err
 			}
@@ -90,13 +90,13 @@
 					return 0, err
 				}
 				sleep(ctx, firstStartPause)
-				if at, err = list(ctx); err != nil {
+				if revision, err = list(ctx); err != nil {
 					return 0, err
 				}
 			}
-			apply(at)
+			apply(revision)
 			f.followLeafsAndManifest()
-			return at, announce(ctx)
+			return revision, announce(ctx)
 		},
 		watch: func(ctx context.Context, since Revision) (Revision, bool, error) {
 			c, err := f.store.WatchVMs(ctx, since, vmsWatchTimeout)
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -180,7 +180,7 @@
 		BudgetWeight:     1,
 	}
 	if !spec.Gathered {
-		spec.Services = []string{e.rotation.Next(route)}
+		spec.Services = []string{e.splitter.Next(route)}
 	}
 	run := e.newRunner(req, spec)
 	out := run.run(r.Context())
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -200,12 +200,12 @@
 	if !r.mayReadStore() {
 		return nil, 0, errReadDeferred
 	}
-	m, at, err := r.Store.Manifest(ctx)
+	m, revision, err := r.Store.Manifest(ctx)
 	r.recordListing(followedManifest, err)
 	if err == nil {
 		r.manifestUpstream = upstream{}
 	}
-	return m, at, err
+	return m, revision, err
 }
 
 // WatchManifest implements Store. If the VM to follow has changed since Manifest was called, it
@@ -217,9 +217,9 @@
 		return nil, 0, ErrHistoryCompacted
 	}
 	if r.manifestUpstream.vm == "" {
-		m, at, err := r.Store.WatchManifest(ctx, since, wait)
+		m, revision, err := r.Store.WatchManifest(ctx, since, wait)
 		r.recordWatch(followedManifest, err)
-		return m, at, err
+		return m, revision, err
 	}
 	call := &followCall{WaitMS: wait.Milliseconds()}
 	if m := r.e.inForce.Get(); m != nil {
@@ -287,8 +287,8 @@
 // followed for avoidPeriod.
 func (r *relay) callReader(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
 	call.MaxStalenessMS = r.maxStaleness.Milliseconds()
-	wait := time.Duration(call.WaitMS)*time.Millisecond + readerAnswerTimeout
-	ctx, cancel := context.WithTimeout(ctx, wait)
+	timeout := time.Duration(call.WaitMS)*time.Millisecond + readerAnswerTimeout
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := r.e.currentPeerClient().follow(ctx, vm, method, call, into)
 	r.e.stats.store(method, err)
--- a/edge/relay_serve.go
+++ b/edge/relay_serve.go
@@ -51,8 +51,8 @@
 // the store has not answered this VM recently, and errPositionUnknown if the caller must read
 // the whole list.
 func (e *Engine) serveFollowLeafs(ctx context.Context, call *followCall) (*leafsAnswer, error) {
-	within := time.Duration(call.MaxStalenessMS) * time.Millisecond
-	if !e.feed.isFresh(followedLeafs, within) {
+	maxStaleness := time.Duration(call.MaxStalenessMS) * time.Millisecond
+	if !e.feed.isFresh(followedLeafs, maxStaleness) {
 		return nil, errStoreStale
 	}
 	if call.List {
@@ -69,7 +69,7 @@
 	defer cancel()
 	var changes []registry.Change
 	position, kept := call.Position, true // kept: all changes after call.Position are still known
-	fresh := func() bool { return e.feed.isFresh(followedLeafs, within) }
+	fresh := func() bool { return e.feed.isFresh(followedLeafs, maxStaleness) }
 	// The wait ends when there are changes, when some changes are no longer kept, or when the
 	// store has not answered this VM recently.
 	e.feed.waitFor(ctx, func() bool {
--- a/edge/run.go
+++ b/edge/run.go
@@ -29,7 +29,7 @@
 	callAnswers []*ShardsAnswer              // in the order in which they were passed to the query
 
 	// Set for a query on behalf of another VM, zero for a caller's query.
-	interim    time.Time                 // when to pass the results so far to onInterim; zero after that
+	interimAt  time.Time                 // when to pass the results so far to onInterim; zero after that
 	onInterim  func([]scatter.AttemptID) // receives the attempts answered so far
 	onDeclined func(shards []int)        // receives the shards that are not queried
 }
@@ -124,11 +124,11 @@
 		if out, ended := r.execute(acts); ended {
 			return out
 		}
-		if !r.interim.IsZero() && !time.Now().Before(r.interim) {
+		if !r.interimAt.IsZero() && !time.Now().Before(r.interimAt) {
 			r.onInterim(r.query.AnsweredAttempts())
-			r.interim = time.Time{}
+			r.interimAt = time.Time{}
 		}
-		timer.Reset(max(time.Until(earlier(wake, r.interim)), 0))
+		timer.Reset(max(time.Until(earlier(wake, r.interimAt)), 0))
 		select {
 		case ev := <-r.events:
 			acts, wake = r.handleEvent(ev)
--- a/edge/store.go
+++ b/edge/store.go
@@ -88,7 +88,7 @@
 	CallerTimeout(h http.Header) (time.Duration, bool)
 	// AttemptHeaders returns the headers that differ from one attempt to the next.
 	// left is the time that remains for the attempt.
-	AttemptHeaders(leaf scatter.LeafID, left time.Duration) http.Header
+	AttemptHeaders(leaf scatter.LeafID, remaining time.Duration) http.Header
 	// ReplacedHeaders returns the names of those caller headers that AttemptHeaders replaces.
 	ReplacedHeaders() []string
 	// ParseLeafHeaders parses the status and the headers of a leaf's answer.
