--- a/edge/announce.go
+++ b/edge/announce.go
@@ -65,9 +65,9 @@
 }
 
 // observeChange records this VM's entry after a change of the list; entry is empty if it was
-// removed. If the entry is missing or different, ensureListed writes it again. That happens
-// if a withdrawal by an earlier incarnation of this VM is carried out late, after the next
-// incarnation has announced itself.
+// removed. If the entry is missing or different, ensureListed writes it again. The entry can be
+// missing because a withdrawal by an earlier incarnation of this VM is carried out late, after
+// this incarnation has announced itself.
 func (a *announcer) observeChange(entry scatter.VM) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/edge/callers.go
+++ b/edge/callers.go
@@ -14,9 +14,9 @@
 // Limits of connections. For callers' connections the timeouts apply unless the manifest
 // states others.
 const (
-	headerTimeout  = 10 * time.Second  // time for reading the header of a request
-	idleTimeout    = 120 * time.Second // how long a connection may wait for the next request
-	maxHeaderBytes = 64 << 10          // size of the header of a caller's request, in bytes; the manifest can only lower it
+	headerTimeout  = 10 * time.Second  // longest time for reading the header of a request, unless the manifest states another
+	idleTimeout    = 120 * time.Second // how long a connection may wait for its next request, unless the manifest states another time
+	maxHeaderBytes = 64 << 10          // upper bound of the header of a caller's request, in bytes; the manifest can only lower it
 )
 
 // idleTimeoutSlack is added to the manifest's idle timeout of callers' connections. A caller
@@ -25,7 +25,7 @@
 const idleTimeoutSlack = 30 * time.Second
 
 // callerListener applies the timeouts of the manifest in force to callers' connections. The
-// timeouts of a net/http server are fixed while it runs, so without this a caller that reuses
+// timeouts of a net/http server are fixed while it runs. With these alone, a caller that reuses
 // a connection for as long as the manifest allows would find it closed.
 type callerListener struct {
 	net.Listener
--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -19,8 +19,8 @@
 	// connect opens a connection if there is none, and reports whether it did. A new
 	// connection proves that the VM is alive.
 	connect(ctx context.Context, vm scatter.VM) (opened bool, err error)
-	// ping checks that a VM is alive if there is a connection to it. If the check fails, the
-	// connection is closed.
+	// ping checks that a VM is alive, on the connection to it. If the check fails, the
+	// connection is closed. Without a connection, ping returns nil.
 	ping(ctx context.Context, vm scatter.VM) error
 	// follow sends a call to a VM that reads the store for others, and stores the decoded answer
 	// in into. method is methodFollowLeafs or methodFollowManifest.
@@ -91,7 +91,7 @@
 }
 
 // newGatherCall returns the message for a call that delegates some shards to another VM. Its
-// times count from now.
+// times, except for the latency objective, count from now.
 func (r *runner) newGatherCall(call scatter.CallVM) *gatherCall {
 	services := make([]string, len(call.Shards))
 	for i, shard := range call.Shards {
@@ -116,8 +116,9 @@
 	}
 }
 
-// endOfCall classifies a call that failed: EndSilent if its time ran out, EndUnreachable if
-// the connection could not be opened or broke.
+// endOfCall classifies a call that failed. ctx is the context of the call. The result is
+// EndSilent if ctx has ended, so that the VM did not answer in time, and EndUnreachable if the
+// connection could not be opened or broke.
 func endOfCall(ctx context.Context) scatter.End {
 	if ctx.Err() != nil {
 		return scatter.EndSilent
@@ -166,11 +167,13 @@
 	return shards, nil
 }
 
-// serveGather serves another VM's call. It acknowledges the call at once, and never calls a
-// third VM, so that no two VMs wait for each other. At the interim time, which the call
-// states, it sends the answers of the shards so far. This shows the calling VM that this one is
-// alive, and leaves it the results of most shards if this VM fails later. Shards for which this
-// VM and the calling VM know different leafs are declined at once.
+// serveGather serves another VM's call, and sends each answer to that VM by calling answer. It
+// acknowledges the call at once, and never calls a third VM, so that no two VMs wait for each
+// other. Shards for which this VM and the calling VM know different leafs are declined at once.
+//
+// At the interim time, which the call states, serveGather sends the results of the shards that
+// have answered so far. The calling VM then knows that this one is alive, and has the results
+// of most shards even if this VM fails later.
 func (e *Engine) serveGather(ctx context.Context, call *gatherCall, answer func(*gatherAnswer)) {
 	answer(&gatherAnswer{Key: call.Key}) // acknowledges the call
 	now := time.Now()
@@ -224,8 +227,9 @@
 	e.logGather(req, spec, outcome, time.Since(now))
 }
 
-// partialAnswer returns an answer with the results of these attempts, merged into one list
-// of records. It leaves out the attempts in reported, and adds the others to reported.
+// partialAnswer returns an answer with the results of the given attempts, merged into one list
+// of records. reported holds the attempts whose results were sent before: partialAnswer leaves
+// these out, and adds the others to reported.
 func (r *runner) partialAnswer(ids []scatter.AttemptID, reported map[scatter.AttemptID]bool) *gatherAnswer {
 	ans := &gatherAnswer{}
 	var bodies [][]byte
--- a/edge/elapsed.go
+++ b/edge/elapsed.go
@@ -8,9 +8,9 @@
 )
 
 // elapsedTimes estimates how much time a caller had spent before its request arrived. The
-// latency objective counts from when the caller started. Opening a connection to a VM takes
-// the caller one or two round trips, and an answer that is sent just before the objective by
-// the VM's own clock arrives late.
+// latency objective counts from when the caller started, and opening a connection to a VM takes
+// the caller one or two round trips. An answer that this VM sends just before the objective,
+// counted from the request's arrival, would reach the caller late.
 //
 // Callers state the time that they have left. Most callers of a route use the same timeout,
 // so the difference between the longest stated time and a caller's own is what the caller has
@@ -21,15 +21,16 @@
 }
 
 // longestTimeout is the longest remaining time that callers of a route stated, in the present
-// period of length timeoutPeriod and in the one before.
+// period and in the one before. A period takes timeoutPeriod or longer.
 type longestTimeout struct {
 	periodStart       time.Time     // start of the present period
 	current, previous time.Duration // longest time stated in the present period and in the one before
 }
 
-// timeoutPeriod is the least length of a period: it ends with the first request of the route
-// after this time. The longest remaining time that callers of a route stated in a period is
-// kept until the end of the next period. It expires because callers change their timeouts.
+// timeoutPeriod is the least length of the periods in which the longest remaining time that
+// callers of a route state is determined. A period ends with the first request of the route
+// after this time. The longest time of a period is kept until the end of the next one. It
+// expires because callers change their timeouts.
 const timeoutPeriod = 10 * time.Second
 
 func newElapsedTimes() *elapsedTimes { return &elapsedTimes{routes: make(map[string]*longestTimeout)} }
--- a/edge/elapsed_test.go
+++ b/edge/elapsed_test.go
@@ -49,8 +49,8 @@
 	g.Expect(timeToAnswer(now)).To(gomega.Equal(timeToAnswer(now.Add(time.Second))), "the connection was already open")
 }
 
-// Guards against a round-trip time that can't be read from the kernel and is then assumed: the
-// time of a real connection is available.
+// Guards against a round-trip time that is not read from the kernel: a default would then be
+// assumed for every caller. The round trip of a real connection is measured.
 func TestConnectionRoundTripIsMeasured(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ln, err := listen("127.0.0.1:0")
--- a/edge/engine.go
+++ b/edge/engine.go
@@ -21,7 +21,7 @@
 	splitter         *routing.Splitter // chooses the service of each request that is not gathered
 	elapsed          *elapsedTimes     // estimates the time that callers spent before their requests arrived
 	log              *slog.Logger
-	stats            *stats // counters
+	stats            *stats // counters and histograms
 	feed             *feed  // read by the VMs that follow this one
 	livenessCheckDue wakeup // wakes checkVMs after a failed call to another VM
 	suspectVMs       wakeup // wakes probeVMs after a failed call to another VM or a failed liveness check
@@ -39,7 +39,7 @@
 	Self        string               // name of this VM
 	Zone        string               // availability zone of this VM
 	Power       float64              // processor capacity of this VM, in cores
-	Budget      scatter.BudgetConfig // bounds the extra load on leafs
+	Budget      scatter.BudgetConfig // bounds the extra load that retries and hedges put on leafs
 	Seed        uint64               // seed of random choices
 	Log         *slog.Logger
 }
@@ -84,8 +84,9 @@
 	return true
 }
 
-// applyLeafChanges runs update to change the list of leafs, applies the resulting changes,
-// and closes the idle connections to removed leafs. It returns the changes.
+// applyLeafChanges changes the list of leafs by update, which is called with e.mu held and
+// returns the changes made. It applies them to the table and the feed, closes the idle
+// connections to removed leafs, and returns the changes.
 func (e *Engine) applyLeafChanges(update func(now time.Time, r *registry.Registry) []registry.Change) []registry.Change {
 	e.mu.Lock()
 	now := time.Now()
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -83,7 +83,7 @@
 	f.notifyWaiters()
 }
 
-// notifyWaiters wakes all waiters. The caller must hold f.mu.
+// notifyWaiters wakes all calls of waitFor. The caller must hold f.mu.
 func (f *feed) notifyWaiters() {
 	close(f.changed)
 	f.changed = make(chan struct{})
@@ -97,9 +97,9 @@
 	f.lastSuccess[resource] = time.Now()
 }
 
-// recordFailure records that a store call about a resource failed. Calls of VMs that follow
-// this one stop waiting and fail, so that these VMs can read from elsewhere at once: the store
-// may be rejecting this VM alone.
+// recordFailure records that a store call about a resource, which is followedLeafs or
+// followedManifest, failed. Calls of VMs that follow this one stop waiting and fail, so that
+// these VMs can read from elsewhere at once: the store may be rejecting this VM alone.
 func (f *feed) recordFailure(resource string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +107,8 @@
 	f.notifyWaiters()
 }
 
-// isFresh reports whether the store answered about a resource within the given time.
+// isFresh reports whether the store last answered about a resource, which is followedLeafs or
+// followedManifest, less than maxStaleness ago.
 func (f *feed) isFresh(resource string, maxStaleness time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,8 +116,8 @@
 }
 
 // list returns all leafs, encoded by pack, and the position of the latest change that the list
-// includes. The packed list is kept, because the VMs that follow a starting VM request the same
-// list at the same time.
+// includes. The packed list is kept, because after a start of this VM, all VMs that follow it
+// request the same list at the same time.
 func (f *feed) list() ([]byte, int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,12 +145,13 @@
 	return f.packedManifest, nil
 }
 
-// changesSince returns the changes of the leafs after a position, and the latest position. It
-// returns false if the position is unknown or some of the changes are no longer kept.
+// changesSince returns the changes of the leafs after a position, and the latest position. The
+// last result is false if the position was never issued, or if some of the changes are no
+// longer kept.
 func (f *feed) changesSince(position int64) ([]registry.Change, int64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// The position was never issued, or a change after it is older than the log.
+	// The position was never issued, or a change after it is no longer in changeLog.
 	if position > f.position || len(f.changeLog) > 0 && position < f.changeLog[0].position-1 {
 		return nil, 0, false
 	}
@@ -163,7 +165,7 @@
 }
 
 // current returns the manifest, nil if there is none, and a channel that is closed at the next
-// change.
+// change of the feed.
 func (f *feed) current() (*routing.Manifest, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -25,13 +25,16 @@
 	vmsWatchTimeout = 20 * time.Second
 	// Pauses after a watch that returned changes, so that the next call returns all changes
 	// that follow shortly after. A drain or a manifest must be known within 3 s.
-	manifestChangePause = 250 * time.Millisecond // a new manifest
-	leafsChangePause    = 500 * time.Millisecond // changes of the list of leafs
-	vmsChangePause      = 2 * time.Second        // changes of the list of VMs
-	// The pause before the next try has an upper bound, which is minRetryPause without a
-	// failure and doubles with each failure in a row, up to maxRetryPause. The pause is random,
-	// at least half of the bound, because all VMs lose the store at the same time.
+	manifestChangePause = 250 * time.Millisecond // pause after a watch that returned a new manifest
+	leafsChangePause    = 500 * time.Millisecond // pause after a watch that returned changes of the list of leafs
+	vmsChangePause      = 2 * time.Second        // pause after a watch that returned changes of the list of VMs
+	// minRetryPause is the upper bound of the pause before the next try of a store call if no
+	// try has failed. The bound doubles with each failure in a row, up to maxRetryPause. The
+	// pause is random, at least half of the bound, because all VMs lose the store at the same
+	// time.
 	minRetryPause = 100 * time.Millisecond
+	// maxRetryPause is the longest pause before the next try of a store call, after any number
+	// of failures.
 	maxRetryPause = 1500 * time.Millisecond
 	// vmsRetryPause is the longest pause before the list of VMs is read again after a watch
 	// of it failed. The pause is random, at least half as long. The list rarely changes, and
@@ -53,7 +56,7 @@
 	self        scatter.VM // this VM
 	log         *slog.Logger
 	leafsListed chan struct{} // receives a value when the leafs have been listed
-	// ready reports whether this VM knows enough to answer calls of other VMs, which begin
+	// ready reports whether this VM knows enough to answer calls of other VMs. They call it
 	// once it is announced.
 	ready     func() bool
 	announcer *announcer // writes this VM's entry in the list of VMs
@@ -64,8 +67,9 @@
 	followLeafsAndManifest func()
 }
 
-// backoff waits before the next try, for the time that minRetryPause describes, or until ctx
-// ends. failures is the number of failures in a row.
+// backoff waits before the next try of a store call, or until ctx ends. failures is the number
+// of failures in a row. The wait is random, between half and all of an upper bound. The bound
+// is minRetryPause without a failure and doubles with each one, up to maxRetryPause.
 func backoff(ctx context.Context, failures int) {
 	d := min(minRetryPause<<min(failures, 4), maxRetryPause)
 	sleep(ctx, d/2+rand.N(d/2))
@@ -90,7 +94,7 @@
 // resource is something in the store that is followed: it is read as a whole, and then
 // watched for changes.
 type resource struct {
-	name string // in log lines and metrics
+	name string // name of the resource in log lines and metrics
 	// read reads the resource and applies it to the engine. It returns the revision of the
 	// store from which to watch.
 	read func(ctx context.Context) (Revision, error)
@@ -231,27 +235,29 @@
 	}
 }
 
-// listAge records how old this VM's list of leafs is. This determines how long leafs that are
-// missing from the next list are held after a failed read.
+// listAge records how old this VM's list of leafs is. The age determines how long leafs that
+// are missing from the next list are held after a failed read, that is, kept in use.
 type listAge struct {
 	failed  bool      // a read of the list failed since freshAt
 	freshAt time.Time // when the list was last known to be up to date; zero if never
 }
 
-// maxHoldShare bounds how long a leaf that is missing from the list of leafs is held. It is a
-// share of the time within which a leaf that left must get no more requests, and counts from
-// when the list was last known to be up to date.
+// maxHoldShare bounds how long a leaf that is missing from the list of leafs is held, that is,
+// kept in use, if no outage of the store is known. The bound counts from when the list was last
+// known to be up to date. It is a share of the time within which a leaf that left must get no
+// more requests.
 const maxHoldShare = 0.85
 
 // missingLeafHold returns for how long leafs that are missing from a list just read are held,
-// and marks the list as fresh. It returns 0 if nothing failed since the previous list.
+// that is, kept in use, and marks the list as fresh. It returns 0 if nothing failed since the
+// previous list.
 //
 // After an outage of the store, the entries of healthy leafs may have expired, so missing
 // leafs are held for registry.OutageHold. If reads failed but no outage of the store is known,
 // as when the followed VM failed, the entries may have expired too, and missing leafs are held
 // as well. But such a leaf may instead have left, possibly just after the list was last known
-// to be fresh, and must get no more requests once bound has passed since then. So in this case
-// the hold ends earlier than that.
+// to be fresh. It must get no more requests once bound has passed since then, so in this case
+// the hold ends before.
 func (a *listAge) missingLeafHold(now time.Time, afterOutage bool, bound time.Duration) time.Duration {
 	hold := time.Duration(0)
 	switch {
@@ -265,11 +271,13 @@
 	return max(hold, 0)
 }
 
-// maxChangeLines is the number of changes up to which each change gets a log line of its own.
+// maxChangeLines is the number of changes of the list of leafs up to which each change gets a
+// log line of its own.
 const maxChangeLines = 12
 
-// logLeafChanges logs each change of the list of leafs, or a summary if there are many, as at
-// the start.
+// logLeafChanges logs each change of the list of leafs, or a summary if there are more than
+// maxChangeLines, as at the start. revision is the one that was returned with the changes, 0 at
+// the end of a hold.
 func (f *follower) logLeafChanges(changes []registry.Change, revision Revision) {
 	if len(changes) > maxChangeLines {
 		f.log.Info("leafs changed", "count", len(changes), "leafs", f.e.Leafs(), "revision", revision)
@@ -282,8 +290,8 @@
 	}
 }
 
-// expireHeldLeafs removes the held leafs that are still missing from the list when their hold
-// ends.
+// expireHeldLeafs removes the leafs that were held, that is, kept in use although missing from
+// the list, and are still missing. It is called when the hold ends.
 func (f *follower) expireHeldLeafs() {
 	f.logLeafChanges(f.e.applyLeafChanges(func(now time.Time, r *registry.Registry) []registry.Change {
 		return r.ExpireHeld(now)
--- a/edge/follow_vms.go
+++ b/edge/follow_vms.go
@@ -44,7 +44,7 @@
 func (f *follower) vms() resource {
 	known := make(map[string]scatter.VM) // VMs in the list, by name
 	announcedEarly := false              // announced before this VM was ready, at the first start of the system
-	// apply passes the other VMs to the engine.
+	// apply passes the other VMs to the engine. revision is for the log.
 	apply := func(revision Revision) {
 		others := make([]scatter.VM, 0, len(known))
 		for name, vm := range known {
--- a/edge/gather_codec.go
+++ b/edge/gather_codec.go
@@ -21,15 +21,15 @@
 // is given by the service that answers for it. Fields that end in US are in microseconds; all
 // but LatencyObjectiveUS count from the sending of the call.
 type gatherCall struct {
-	Key                uint64      `cbor:"1,keyasint"` // identifies the call; chosen by the calling VM
-	ID                 string      `cbor:"2,keyasint"` // id of the caller's request
-	Method             string      `cbor:"3,keyasint"` // HTTP method of the request to leafs; Target, Host and Header are of the same request
-	Target             string      `cbor:"4,keyasint"` // path and query
-	Host               string      `cbor:"5,keyasint"`
-	Header             http.Header `cbor:"6,keyasint"`
+	Key                uint64      `cbor:"1,keyasint"`  // identifies the call; chosen by the calling VM
+	ID                 string      `cbor:"2,keyasint"`  // id of the caller's request
+	Method             string      `cbor:"3,keyasint"`  // HTTP method of the request to leafs
+	Target             string      `cbor:"4,keyasint"`  // path and query of the request to leafs
+	Host               string      `cbor:"5,keyasint"`  // Host header of the request to leafs
+	Header             http.Header `cbor:"6,keyasint"`  // other headers of the request to leafs
 	Services           []string    `cbor:"7,keyasint"`  // one service for each shard
 	Top                int         `cbor:"8,keyasint"`  // maximum number of records in an answer
-	MaxAttempts        int         `cbor:"9,keyasint"`  // maximum number of attempts, as the route states it
+	MaxAttempts        int         `cbor:"9,keyasint"`  // how many leafs of a shard may run the request, as the route states it
 	LatencyObjectiveUS int64       `cbor:"10,keyasint"` // latency objective of the route
 	InterimUS          int64       `cbor:"11,keyasint"` // until an answer with the results so far must be sent
 	AnswerUS           int64       `cbor:"12,keyasint"` // until the last answer must be sent
@@ -50,7 +50,7 @@
 type gatherAnswer struct {
 	Key      uint64   `cbor:"1,keyasint"` // key of the gatherCall
 	Included []int    `cbor:"2,keyasint"` // shards that have answered, as indexes into gatherCall.Services
-	Receipts []string `cbor:"3,keyasint"` // one for each index in Included
+	Receipts []string `cbor:"3,keyasint"` // for each index in Included, the leaf's proof that it ran the request
 	Records  []byte   `cbor:"4,keyasint"` // merged top records of these shards
 	Last     bool     `cbor:"5,keyasint"` // no further answer follows
 	// Declined holds the shards that were not queried and will not be, as indexes into
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -209,8 +209,9 @@
 	return res
 }
 
-// formatSeconds formats a duration for Retry-After, in seconds with three decimals. Fractions
-// are allowed.
+// formatSeconds formats a delay for the Retry-After header, in seconds with three decimals. It
+// is not rounded to whole seconds, because most delays are shorter than one second. The users'
+// platform allows fractions in this header.
 func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
--- a/edge/log.go
+++ b/edge/log.go
@@ -10,7 +10,8 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// logRequest counts a request and writes the log line that summarizes it.
+// logRequest counts an answered or abandoned request and writes the log line that summarizes
+// it. version is that of the manifest in force, and took is the time since the request arrived.
 func (e *Engine) logRequest(req *Request, route *routing.Route, version int64, res *Result, took time.Duration) {
 	out := res.Outcome
 	e.stats.request(route.Kind.String(), out, took)
@@ -58,8 +59,8 @@
 	)
 }
 
-// logGather logs the outcome of another VM's call if the call was incomplete, retried or not
-// answered.
+// logGather logs the outcome of another VM's call if shards are missing, an attempt was a retry,
+// or the call got no results. took is the time since the call arrived.
 func (e *Engine) logGather(req *Request, spec scatter.Spec, out scatter.Outcome, took time.Duration) {
 	if out.Missing == 0 && out.Verdict == scatter.Answered && out.Retries == 0 {
 		return
@@ -103,7 +104,8 @@
 	return text.String()
 }
 
-// logAttemptEnd logs an attempt that ended without a usable answer.
+// logAttemptEnd logs an attempt that ended without a usable answer. err is the error of the
+// attempt, nil if a leaf answered.
 func (r *runner) logAttemptEnd(s scatter.Send, ev event, err error) {
 	if ev.end == scatter.EndAnswered {
 		return
--- a/edge/node.go
+++ b/edge/node.go
@@ -38,7 +38,7 @@
 	transport   atomic.Pointer[peerTransport] // nil until this VM has joined the other VMs
 
 	callerServer *http.Server
-	auxServers   []*http.Server     // for the load balancer and operators
+	auxServers   []*http.Server     // serve readiness checks of the load balancer and metrics for operators
 	stop         context.CancelFunc // ends the background loops
 }
 
@@ -283,8 +283,13 @@
 // Shares of the time between SIGTERM and SIGKILL. The load balancer's list lags by some
 // seconds, so the daemon continues to serve for most of the time.
 const (
-	lameDuckGraceShare = 0.7  // share for which this VM continues to serve while it reports not ready, so that the load balancer moves callers to other VMs
-	drainGraceShare    = 0.18 // share that bounds the wait for requests in flight, after lameDuckGraceShare
+	// lameDuckGraceShare is the share of the time between SIGTERM and SIGKILL for which this VM
+	// continues to serve while it reports not ready, so that the load balancer moves callers to
+	// other VMs.
+	lameDuckGraceShare = 0.7
+	// drainGraceShare bounds the wait for requests in flight, which follows the time of
+	// lameDuckGraceShare. It is a share of the time between SIGTERM and SIGKILL.
+	drainGraceShare = 0.18
 )
 
 // Leave marks this VM as not ready, continues to serve while the load balancer moves callers
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -48,8 +48,8 @@
 	conn *wire.Conn // nil if there is none; may be closed
 }
 
-// joinPeers listens for calls of other VMs, which must present key, and returns the transport
-// that serves these calls and calls other VMs.
+// joinPeers listens at the address listen for calls of other VMs, which must present key. It
+// returns the transport that serves these calls and calls other VMs. self identifies this VM.
 func joinPeers(e *Engine, self wire.Identity, listen string, key []byte, log *slog.Logger) (*peerTransport, error) {
 	p := &peerTransport{
 		log:     log,
@@ -113,7 +113,8 @@
 	}
 }
 
-// follow implements peerClient. It closes a connection on which the call was not answered.
+// follow implements peerClient. It sends a call to a VM that reads the store for others, and
+// stores the decoded answer in into. It closes a connection on which the call was not answered.
 func (p *peerTransport) follow(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
 	link := p.link(vm)
 	conn, err := link.ensureConn(ctx, vm, p)
@@ -173,7 +174,9 @@
 	delete(p.pending, key)
 }
 
-// gather implements peerClient.
+// gather implements peerClient. It sets the call's key, sends the call to vm, runs onSent, and
+// passes each answer to onAnswer until the last one or until ctx ends. If no connection could be
+// opened, it returns a neverSentError.
 func (p *peerTransport) gather(ctx context.Context, vm scatter.VM, call *gatherCall, onSent func(), onAnswer func(*gatherAnswer)) error {
 	link := p.link(vm)
 	conn, err := link.ensureConn(ctx, vm, p)
@@ -208,7 +211,8 @@
 	}
 }
 
-// connect implements peerClient.
+// connect implements peerClient. It opens a connection to vm if there is none, and returns true
+// if it opened one.
 func (p *peerTransport) connect(ctx context.Context, vm scatter.VM) (bool, error) {
 	link := p.link(vm)
 	if link.connected() {
@@ -218,7 +222,8 @@
 	return err == nil, err
 }
 
-// ping implements peerClient.
+// ping implements peerClient. It checks that vm is alive, on the connection to it, and closes the
+// connection if the check fails. Without a connection it returns nil.
 func (p *peerTransport) ping(ctx context.Context, vm scatter.VM) error {
 	link := p.link(vm)
 	conn := link.current()
@@ -245,7 +250,8 @@
 	return link
 }
 
-// ensureConn returns the connection to vm, and opens it if there is none.
+// ensureConn returns the connection to vm, the VM of this link. If there is none, it opens one
+// with the options of p.
 func (l *peerLink) ensureConn(ctx context.Context, vm scatter.VM, p *peerTransport) (*wire.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -28,8 +28,8 @@
 }
 
 // Guards against lost calls when several VMs fail at the same time, for example in a power
-// failure. A call to the first one fails. A liveness check then detects the other one before
-// any call to it is lost, and VMs that are alive are called as before.
+// failure. After a call to one of them has failed, a liveness check detects the other before any
+// call to it is lost. VMs that are alive are called as before.
 func TestVMThatFailsLivenessCheckIsNotCalled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -26,7 +26,9 @@
 	maxStaleness time.Duration // how old the followed VM's latest answer from the store may be
 
 	leafsUpstream, manifestUpstream upstream // sources of the latest full read of the leafs and of the manifest
-	incarnation                     string   // of the followed VM when it returned the list of leafs; its positions in the sequence of changes are valid within this incarnation only
+	// incarnation is that of the followed VM when it returned the list of leafs. Positions in
+	// that VM's sequence of changes are valid within this incarnation only.
+	incarnation string
 
 	mu          sync.Mutex           // guards the fields below
 	avoidUntil  map[string]time.Time // by name of a VM that failed: until when it is not followed
@@ -54,11 +56,11 @@
 // them could follow its readers again.
 const (
 	// startDelayShare is how long a VM that has just started waits for the VMs that read the
-	// store for others. It is a share of relay.maxStaleness, the time for which a VM may
-	// serve others without a new answer from the store.
+	// store for others, before it reads the store itself. It is a share of relay.maxStaleness,
+	// the time for which a VM may serve others without a new answer from the store.
 	startDelayShare = 1.0 / 2
-	// retryDelayShare is the longest pause after a failed read of the store, as a share of
-	// relay.maxStaleness.
+	// retryDelayShare is the longest pause between a failed read of the store and the next
+	// read, as a share of relay.maxStaleness.
 	retryDelayShare = 1.0 / 2
 )
 
@@ -112,9 +114,10 @@
 	return scatter.VM{}, false
 }
 
-// mayReadStore reports whether this VM may read the store now. If not, the VMs that read it for
-// others may be called again although they failed, because they may have reached the store
-// again.
+// mayReadStore reports whether this VM may read the store now. A VM that normally follows others
+// may do so from nextRead on, which mayReadStore then delays by the time of retryDelayShare. If
+// this VM may not, the VMs that read the store for others may be called again although they
+// failed, because they may have reached the store again.
 func (r *relay) mayReadStore() bool {
 	if r.storeReaders().Self {
 		return true
@@ -141,8 +144,8 @@
 	return vm, up.vm == vm.Name
 }
 
-// Leafs implements Store. It returns errReadDeferred if no VM can be followed and this VM may
-// not read the store now.
+// Leafs implements Store. It returns the list of leafs of the VM to follow, or that of the store
+// if no VM can be followed. It returns errReadDeferred if this VM may not read the store now.
 func (r *relay) Leafs(ctx context.Context) (LeafList, error) {
 	if vm, ok := r.currentReader(); ok {
 		var ans leafsAnswer
@@ -164,10 +167,10 @@
 	return list, err
 }
 
-// WatchLeafs implements Store. If the VM to follow has changed since Leafs was called, it
-// returns ErrHistoryCompacted, so that the caller reads the list again from the new upstream.
-// Revisions are those of the store or, if a VM is followed, positions in that VM's sequence of
-// changes.
+// WatchLeafs implements Store. It waits up to wait for changes of the leafs after since. If the VM
+// to follow has changed since Leafs was called, it returns ErrHistoryCompacted, so that its caller
+// reads the list again, from the new VM or the store. Revisions are those of the store or, if a
+// VM is followed, positions in that VM's sequence of changes.
 func (r *relay) WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error) {
 	vm, same := r.sameUpstream(r.leafsUpstream)
 	if !same {
@@ -186,8 +189,9 @@
 	return LeafChanges{Changes: ans.Changes, Revision: Revision(ans.Position)}, nil
 }
 
-// Manifest implements Store. It returns errReadDeferred if no VM can be followed and this VM
-// may not read the store now.
+// Manifest implements Store. It returns the manifest of the VM to follow, or that of the store if
+// no VM can be followed. It returns errReadDeferred if this VM may not read the store now. The
+// revision is 0 if a VM is followed.
 func (r *relay) Manifest(ctx context.Context) (*routing.Manifest, Revision, error) {
 	if vm, ok := r.currentReader(); ok {
 		var ans manifestAnswer
@@ -208,9 +212,10 @@
 	return m, revision, err
 }
 
-// WatchManifest implements Store. If the VM to follow has changed since Manifest was called, it
-// returns ErrHistoryCompacted, so that the caller reads the manifest again. If a VM is
-// followed, the revision is not used: the call states the version of the manifest in force.
+// WatchManifest implements Store. It waits up to wait for a newer manifest. If the VM to follow
+// has changed since Manifest was called, it returns ErrHistoryCompacted, so that its caller reads
+// the manifest again. If a VM is followed, since is not used: the call to that VM states the
+// version of the manifest in force.
 func (r *relay) WatchManifest(ctx context.Context, since Revision, wait time.Duration) (*routing.Manifest, Revision, error) {
 	vm, same := r.sameUpstream(r.manifestUpstream)
 	if !same {
@@ -283,8 +288,8 @@
 	return routing.NewManifest(doc), nil
 }
 
-// callReader makes one call to a VM that reads the store. If the call fails, the VM is not
-// followed for avoidPeriod.
+// callReader makes one call to a VM that reads the store for others, and stores the decoded answer
+// in into. If the call fails, the VM is not followed for avoidPeriod.
 func (r *relay) callReader(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
 	call.MaxStalenessMS = r.maxStaleness.Milliseconds()
 	timeout := time.Duration(call.WaitMS)*time.Millisecond + readerAnswerTimeout
--- a/edge/relay_serve.go
+++ b/edge/relay_serve.go
@@ -42,8 +42,8 @@
 
 // Names of the resources that are followed.
 const (
-	followedLeafs    = "leafs"    // list of leafs
-	followedManifest = "manifest" // manifest in force
+	followedLeafs    = "leafs"    // the list of leafs, as a resource that other VMs follow
+	followedManifest = "manifest" // the manifest in force, as a resource that other VMs follow
 )
 
 // serveFollowLeafs serves a VM that reads the leafs from this VM instead of from the store. It
--- a/edge/run.go
+++ b/edge/run.go
@@ -30,8 +30,8 @@
 
 	// Set for a query on behalf of another VM, zero for a caller's query.
 	interimAt  time.Time                 // when to pass the results so far to onInterim; zero after that
-	onInterim  func([]scatter.AttemptID) // receives the attempts answered so far
-	onDeclined func(shards []int)        // receives the shards that are not queried
+	onInterim  func([]scatter.AttemptID) // receives the attempts that leafs have answered so far
+	onDeclined func(shards []int)        // receives the shards that this VM does not query, since it knows other leafs than the calling VM
 }
 
 // event reports the progress or the end of an attempt or of a call to another VM.
@@ -60,15 +60,15 @@
 // How long attempts in flight continue after the end of a query, or after the time at which
 // their leaf should have stopped (see runner.linger).
 const (
-	// lingerAbandoned applies if the caller has disconnected, or if a gathered request has
-	// been answered. Leafs should not work on unwanted results, but cancelling an attempt
-	// closes its connection, and opening a new one is expensive. So a leaf gets enough time to
-	// finish most requests, and one that is paused gets time to report that it stopped. It
-	// always applies to a query on behalf of another VM, because this VM is not notified when
-	// the caller disconnects.
+	// lingerAbandoned is how long attempts in flight continue after the caller has
+	// disconnected, or after a gathered request has been answered. Leafs should not work on
+	// unwanted results, but cancelling an attempt closes its connection, and opening a new one
+	// is expensive. So a leaf gets enough time to finish most requests, and one that is paused
+	// gets time to report that it stopped. lingerAbandoned always applies to a query on behalf
+	// of another VM, because this VM is not notified when the caller disconnects.
 	lingerAbandoned = 300 * time.Millisecond
-	// lingerLate applies in all other cases. It is added to the caller's deadline, at which
-	// leafs stop by themselves.
+	// lingerLate is how long attempts in flight continue in all other cases, after the caller's
+	// deadline. At the deadline, leafs stop by themselves.
 	lingerLate = 60 * time.Millisecond
 )
 
@@ -140,9 +140,9 @@
 	}
 }
 
-// tick is called when loop's timer expires. It processes a pending event if there is one,
-// so that an answer that arrived while this VM was short of CPU time is not treated as
-// missing. Otherwise it lets the query act on the time that has passed.
+// tick is called when loop's timer expires. It processes a pending event if there is one. So an
+// answer that arrived while this VM was short of CPU time is not treated as missing. Otherwise
+// tick lets the query act on the time that has passed. The results are those of step.
 func (r *runner) tick() ([]scatter.Action, time.Time) {
 	select {
 	case ev := <-r.events:
@@ -169,7 +169,7 @@
 	return f(now), r.query.Wake(now)
 }
 
-// handleEvent passes an event to the query.
+// handleEvent passes an event to the query, and returns the results of step.
 func (r *runner) handleEvent(ev event) ([]scatter.Action, time.Time) {
 	return r.step(func(now time.Time) []scatter.Action {
 		switch {
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -44,8 +44,8 @@
 // BoundSettings holds the times within which this VM must know a change in the store, in
 // milliseconds.
 type BoundSettings struct {
-	ManifestMS float64 `json:"manifest_ms"` // a new manifest must be in force
-	DrainMS    float64 `json:"drain_ms"`    // a leaf that drains or has left must get no more requests
+	ManifestMS float64 `json:"manifest_ms"` // time within which a new manifest must be in force, in milliseconds
+	DrainMS    float64 `json:"drain_ms"`    // time after which a leaf that drains or has left must get no more requests, in milliseconds
 }
 
 // drainBound returns the time within which a leaf that drains or has left must get no more
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -17,7 +17,8 @@
   "power": 0.4, "memory_mb": 284, "log_level": "info"
 }`
 
-// A complete settings file is accepted and its values are read.
+// Guards against valid settings that are rejected, or whose values are not read: a daemon would
+// not start, or would run with zero values.
 func TestParseSettings(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, err := ParseSettings([]byte(validSettings))
--- a/edge/store.go
+++ b/edge/store.go
@@ -70,12 +70,12 @@
 
 // LeafMetadata is what the status and the headers of a leaf's answer state.
 type LeafMetadata struct {
-	RequestID string // id of the request that is answered
-	Receipt   string // proof that the leaf ran the request and sent this answer
-	NotRun    bool   // the leaf states that it did not run the request
-	Moved     bool   // the address now belongs to another leaf
-	Load      scatter.Load
-	HasLoad   bool // the answer states Load
+	RequestID string       // id of the request that is answered
+	Receipt   string       // proof that the leaf ran the request and sent this answer
+	NotRun    bool         // the leaf states that it did not run the request
+	Moved     bool         // the address now belongs to another leaf
+	Load      scatter.Load // load that the leaf states
+	HasLoad   bool         // the answer states a load, so Load is valid
 }
 
 // HeaderCodec reads and writes the headers between callers, this system and leafs.
@@ -87,7 +87,7 @@
 	// it.
 	CallerTimeout(h http.Header) (time.Duration, bool)
 	// AttemptHeaders returns the headers that differ from one attempt to the next.
-	// left is the time that remains for the attempt.
+	// remaining is the time that remains for the attempt.
 	AttemptHeaders(leaf scatter.LeafID, remaining time.Duration) http.Header
 	// ReplacedHeaders returns the names of those caller headers that AttemptHeaders replaces.
 	ReplacedHeaders() []string
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -13,8 +13,8 @@
 // time. After a simultaneous start of all VMs, requests would wait for several hundred new
 // connections.
 const (
-	warmInterval  = time.Second          // pause between two rounds; each round opens all missing connections
-	warmDialPause = 8 * time.Millisecond // pause between opening two connections of a round
+	warmInterval  = time.Second          // pause between two rounds, each of which opens all missing connections to leafs and VMs
+	warmDialPause = 8 * time.Millisecond // pause after opening a connection, before the next one is opened
 )
 
 // warmConns maintains a connection to each leaf of this VM's leaf partition, and to each VM
@@ -35,7 +35,7 @@
 }
 
 // unusedLeafEndpoints returns the endpoints of the leafs in this VM's leaf partition that have
-// no request of this VM in flight.
+// no request of this VM in flight. Draining and suspect leafs are left out.
 func (e *Engine) unusedLeafEndpoints() []leafhttp.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
