--- a/leafhttp/conn.go
+++ b/leafhttp/conn.go
@@ -34,7 +34,7 @@
 func dial(ctx context.Context, address string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	d := net.Dialer{Control: setOptions, KeepAlive: -1}
+	d := net.Dialer{Control: setUserTimeout, KeepAlive: -1}
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -42,8 +42,8 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// setOptions sets TCP_USER_TIMEOUT on a new socket.
-func setOptions(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
