--- a/leafhttp/conn.go
+++ b/leafhttp/conn.go
@@ -19,14 +19,15 @@
 
 // Timeouts and buffer size of a connection.
 const (
-	// dialTimeout bounds opening a connection. A machine without power sends no reply
-	// at all; a live leaf accepts within some 10 ms under load.
+	// dialTimeout bounds the time for opening a connection. A machine without power
+	// sends no reply at all; a live leaf accepts within some 10 ms under load.
 	dialTimeout = 300 * time.Millisecond
 	// unackedTimeout is how long sent bytes may stay unacknowledged
 	// (TCP_USER_TIMEOUT). Without it, writes to a connection whose other end has
 	// stopped responding would continue to succeed.
 	unackedTimeout = 1500 * time.Millisecond
-	// readBufferSize is in bytes; the head and body of most answers fit.
+	// readBufferSize is the size of a connection's read buffer, in bytes. The head and
+	// body of most answers fit.
 	readBufferSize = 2 << 10
 )
 
--- a/leafhttp/pool.go
+++ b/leafhttp/pool.go
@@ -25,7 +25,8 @@
 // takes a slot of the leaf.
 const transientIdleTimeout = 500 * time.Millisecond
 
-// limitIdle returns how long a connection may stay idle if the leaf itself allows d.
+// limitIdle returns how long a connection to the endpoint may stay idle if the leaf
+// allows d. This is less than d only for a transient connection.
 func (e Endpoint) limitIdle(d time.Duration) time.Duration {
 	if e.Transient {
 		return min(d, transientIdleTimeout)
@@ -33,9 +34,9 @@
 	return d
 }
 
-// Pool keeps idle connections to leafs. It is safe for concurrent use. Callers limit the
-// number of concurrent requests to a leaf, and thereby the number of its connections; the
-// pool does not.
+// Pool keeps idle connections to leafs. It is safe for concurrent use. It does not limit
+// the number of concurrent requests to a leaf, and thereby the number of its connections:
+// the code that calls Do must limit them.
 type Pool struct {
 	mu   sync.Mutex         // guards idle
 	idle map[string][]*conn // by Endpoint.Key; the most recently used one is last
@@ -80,7 +81,7 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// Do sends a request to a leaf, once only, and returns its whole answer. The extra
+// Do sends a request to a leaf, once only, and returns the whole answer. The extra
 // headers are added to the request's own. After an error other than an
 // UnreachableError the leaf may or may not have run the request. If ctx ends, reads
 // and writes in progress fail and the connection is closed. accept reports whether an
@@ -106,13 +107,14 @@
 	return ans, nil
 }
 
-// concurrentWriteSize is the body size, in bytes, from which the request is written
-// while the answer is being read. A leaf may answer before it has read the whole body,
-// and with a small TCP window the write would block until it did.
+// concurrentWriteSize is the body size, in bytes, from which a request is written while
+// its answer is being read. A leaf may answer before it has read the whole body. With a
+// small TCP window, a write that precedes the reading would block until the leaf has read
+// the rest.
 const concurrentWriteSize = 8 << 10
 
-// roundTrip sends a request and reads its answer. idleTimeout is how long the connection
-// may stay idle afterwards; 0 means that it can't be reused.
+// roundTrip sends a request, with the extra headers, and reads its answer. idleTimeout is
+// how long the connection may stay idle afterwards; 0 means that it can't be reused.
 func roundTrip(c *conn, req *Request, extra http.Header) (ans *Answer, idleTimeout time.Duration, err error) {
 	head := req.head(extra)
 	written := make(chan error, 1)
@@ -203,8 +205,8 @@
 	return nil
 }
 
-// CloseIdle closes the idle connections to an endpoint with this key. It is for a leaf
-// that was removed or does not answer.
+// CloseIdle closes the idle connections to the leaf whose Endpoint.Key is key. It is for a
+// leaf that was removed or does not answer.
 func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
 	list := p.idle[key]
--- a/leafhttp/pool_test.go
+++ b/leafhttp/pool_test.go
@@ -18,7 +18,7 @@
 	return callWithTimeout(pool, l, id, time.Second)
 }
 
-// callWithTimeout is call with a given timeout.
+// callWithTimeout sends a request with an attempt id to a leaf and waits up to timeout.
 func callWithTimeout(pool *leafhttp.Pool, l *edgesim.Leaf, id string, timeout time.Duration) (*leafhttp.Answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -89,8 +89,9 @@
 	}
 }
 
-// Guards against a new connection for every request, each of which takes a slot of the
-// leaf, and against the reuse of a connection that the leaf has closed.
+// Guards against a new connection for every request: opening one takes a slot of the leaf.
+// Also guards against the reuse of a connection that the leaf has closed, on which a
+// request would be lost.
 func TestOpenConnectionsAreReused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
@@ -133,7 +134,8 @@
 }
 
 // Guards against hundreds of VMs that each keep a connection to a leaf that accepts
-// fewer connections: a transient connection is closed soon after its request.
+// fewer connections. A transient connection must be closed soon after its request, and
+// any other connection must be kept.
 func TestTransientConnectionExpiresSoon(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLeaf(t)
--- a/leafhttp/request.go
+++ b/leafhttp/request.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Request is a request to a leaf. It is sent unchanged, and must not be changed after
-// its first use.
+// Request is a request to leafs. It is sent as it is, with the extra headers of each
+// attempt, and must not be changed after its first use.
 type Request struct {
 	Method string
 	Target string // path and query, as the caller wrote them
@@ -32,8 +32,9 @@
 }
 
 // head returns the request up to its body, with extra headers that differ from one
-// attempt to the next. A gathered request is sent to 100 leafs, so the part that they
-// have in common is encoded once (BenchmarkHead: 0.40 us per attempt instead of 0.92 us).
+// attempt to the next. A gathered request is sent to 100 leafs, so the part that all
+// attempts have in common is encoded once (BenchmarkHead: 0.40 us per attempt instead of
+// 0.92 us).
 func (r *Request) head(extra http.Header) []byte {
 	r.commonOnce.Do(r.writeCommonHead)
 	b := bytes.NewBuffer(make([]byte, 0, len(r.commonHead)+extraHeadSize))
@@ -66,9 +67,9 @@
 // this VM's memory.
 const maxAnswerBytes = 4 << 20
 
-// readAnswer reads the answer to a request. A body that ends too early is an error.
-// If only the end of the connection delimits the body, a reset of the connection is an
-// error too.
+// readAnswer reads the answer to a request with this method. It also returns the response
+// that the answer was read from. A body that ends too early is an error. If only the end
+// of the connection delimits the body, a reset of the connection is an error too.
 func readAnswer(c *conn, method string) (*Answer, *http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -104,6 +105,6 @@
 }
 
 const (
-	defaultIdleTimeout = 20 * time.Second       // if the leaf states no timeout
-	idleTimeoutMargin  = 500 * time.Millisecond // subtracted from the timeout that the leaf states
+	defaultIdleTimeout = 20 * time.Second       // how long a connection may stay idle if the leaf states no timeout
+	idleTimeoutMargin  = 500 * time.Millisecond // subtracted from the idle timeout that the leaf states
 )
--- a/leafhttp/request_test.go
+++ b/leafhttp/request_test.go
@@ -10,6 +10,7 @@
 	"github.com/onsi/gomega"
 )
 
+// testRequest returns a request with a body and a header that has two values.
 func testRequest() *Request {
 	return &Request{
 		Method: "POST", Target: "/a/b%2f?q=1", Host: "h.example",
