--- a/edge/probe.go
+++ b/edge/probe.go
@@ -103,8 +103,8 @@
 	n.log.Info("VM does not say that it lives", "vm", vm.Name, "zone", vm.Zone, "error", err)
 }
 
-// probeVMs tries to connect to the VMs that did not answer. It is a round of probeLoop: it reports
-// whether it probed any VM, and when the next probe is due, the zero time for never.
+// probeVMs tries to connect to the VMs that did not answer. It is a round of probeLoop: it
+// reports whether it probed any VM, and when the next probe is due, the zero time for never.
 func (n *Node) probeVMs(ctx context.Context) (probed bool, next time.Time) {
 	n.engine.mu.Lock()
 	suspects, next := n.engine.table.SuspectVMs(time.Now())
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -167,10 +167,11 @@
 	return list, err
 }
 
-// WatchLeafs implements Store. It waits up to wait for changes of the leafs after since. If the VM
-// to follow has changed since Leafs was called, it returns ErrHistoryCompacted, so that its caller
-// reads the list again, from the new VM or the store. Revisions are those of the store or, if a
-// VM is followed, positions in that VM's sequence of changes.
+// WatchLeafs implements Store. It returns the changes of the leafs after since, and waits for
+// them at most for the time wait. If the VM to follow has changed since Leafs was called, it
+// returns ErrHistoryCompacted, so that its caller reads the list again, from the new VM or the
+// store. Revisions are those of the store or, if a VM is followed, positions in that VM's
+// sequence of changes.
 func (r *relay) WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error) {
 	vm, same := r.sameUpstream(r.leafsUpstream)
 	if !same {
@@ -212,10 +213,10 @@
 	return m, revision, err
 }
 
-// WatchManifest implements Store. It waits up to wait for a newer manifest. If the VM to follow
-// has changed since Manifest was called, it returns ErrHistoryCompacted, so that its caller reads
-// the manifest again. If a VM is followed, since is not used: the call to that VM states the
-// version of the manifest in force.
+// WatchManifest implements Store. It waits for a newer manifest, at most for the time wait, and
+// returns nil if there is none. If the VM to follow has changed since Manifest was called, it
+// returns ErrHistoryCompacted, so that its caller reads the manifest again. If a VM is followed,
+// since is not used: the call to that VM states the version of the manifest in force.
 func (r *relay) WatchManifest(ctx context.Context, since Revision, wait time.Duration) (*routing.Manifest, Revision, error) {
 	vm, same := r.sameUpstream(r.manifestUpstream)
 	if !same {
@@ -288,8 +289,8 @@
 	return routing.NewManifest(doc), nil
 }
 
-// callReader makes one call to a VM that reads the store for others, and stores the decoded answer
-// in into. If the call fails, the VM is not followed for avoidPeriod.
+// callReader makes one call to a VM that reads the store for others, and stores the decoded
+// answer in into. If the call fails, the VM is not followed for avoidPeriod.
 func (r *relay) callReader(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
 	call.MaxStalenessMS = r.maxStaleness.Milliseconds()
 	timeout := time.Duration(call.WaitMS)*time.Millisecond + readerAnswerTimeout
--- a/edge/store.go
+++ b/edge/store.go
@@ -46,21 +46,21 @@
 type Store interface {
 	// Leafs returns all leafs.
 	Leafs(ctx context.Context) (LeafList, error)
-	// WatchLeafs waits up to wait for changes after a revision. It returns no changes if
-	// there are none.
+	// WatchLeafs waits for changes of the leafs after a revision, at most for the time wait.
+	// It returns no changes if there are none.
 	WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error)
-	// Manifest returns the manifest and the revision to watch from next. It returns nil if
-	// there is no manifest yet.
+	// Manifest returns the manifest, nil if there is none yet, and the revision to watch from
+	// next.
 	Manifest(ctx context.Context) (*routing.Manifest, Revision, error)
-	// WatchManifest waits up to wait for a new manifest after a revision, and returns it with
-	// the revision to watch from next. It returns nil if none appears.
+	// WatchManifest waits for a new manifest after a revision, at most for the time wait. It
+	// returns the manifest, nil if none appears, and the revision to watch from next.
 	WatchManifest(ctx context.Context, since Revision, wait time.Duration) (*routing.Manifest, Revision, error)
 
 	// VMs returns the VMs of this system that have announced themselves, and the revision to
 	// watch from next.
 	VMs(ctx context.Context) ([]scatter.VM, Revision, error)
-	// WatchVMs waits up to wait for changes after a revision. It returns no changes if there
-	// are none.
+	// WatchVMs waits for changes of the list of VMs after a revision, at most for the time
+	// wait. It returns no changes if there are none.
 	WatchVMs(ctx context.Context, since Revision, wait time.Duration) (VMChanges, error)
 	// Announce writes the entry of this VM.
 	Announce(ctx context.Context, vm scatter.VM) error
@@ -83,8 +83,8 @@
 type HeaderCodec interface {
 	// RequestID returns the id of a caller's request.
 	RequestID(h http.Header) string
-	// CallerTimeout returns the caller's remaining time, false if the caller does not state
-	// it.
+	// CallerTimeout returns the caller's remaining time, and false if the caller does not
+	// state it.
 	CallerTimeout(h http.Header) (time.Duration, bool)
 	// AttemptHeaders returns the headers that differ from one attempt to the next.
 	// remaining is the time that remains for the attempt.
