--- a/routing/manifest.go
+++ b/routing/manifest.go
@@ -43,8 +43,8 @@
 	MaxAttempts int           // upper bound of the leafs that may run a request, for each service
 	Priority    int           // 0 is the most urgent
 
-	Service string            // serves all requests
-	Split   []WeightedService // share the requests by weight
+	Service string            // service that serves all requests
+	Split   []WeightedService // services that share the requests by weight
 
 	Gather   []string // services that hold one shard each; all get each request
 	Top      int      // maximum number of records in the answer to a gathered request
@@ -79,10 +79,10 @@
 // Limits bound the requests and connections of callers. For one that is 0, the daemon's
 // own limit applies.
 type Limits struct {
-	HeaderBytes   int           // of a request line and its headers
-	BodyBytes     int64         // of a request's body
-	HeaderTimeout time.Duration // for a request's header to arrive
-	IdleTimeout   time.Duration // for a caller's connection without a request
+	HeaderBytes   int           // largest size of a request line and its headers, in bytes
+	BodyBytes     int64         // largest size of a request's body, in bytes
+	HeaderTimeout time.Duration // longest time for reading a request's header
+	IdleTimeout   time.Duration // how long a caller's connection may wait for the next request
 }
 
 // Document is one version of the routing rules, as it is encoded and sent between VMs.
@@ -112,7 +112,8 @@
 	return m
 }
 
-// ShardServices returns the services that gathered routes use and no other route does.
+// ShardServices returns the services that gathered routes use and no other route uses. The
+// value of each is true.
 func (m *Manifest) ShardServices() map[string]bool {
 	shards := make(map[string]bool)
 	for _, r := range m.Routes {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 )
 
+// newDocument returns a document with these routes, and without services and limits.
 func newDocument(version int64, routes ...*Route) Document {
 	return Document{Version: version, Routes: routes}
 }
@@ -41,9 +42,9 @@
 	})
 }
 
-// Guards against shares that hold only over many requests: if a tenth of the requests
-// should go to a new release, a VM that receives few requests sends it none, or half of
-// them.
+// Guards against shares that hold only over many requests. If a tenth of the requests
+// should go to a new release, a VM that receives few requests would send it none, or half
+// of them.
 func TestSplitMatchesWeightsInShortRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
@@ -65,9 +66,9 @@
 	})
 }
 
-// A split that is the same in a new manifest must keep its state. The state of a removed
-// route must be deleted. Guards against a service that gets the first request after each
-// new manifest, and against a leak of state.
+// Guards against a service of a split that gets the first request after each new manifest:
+// a split that is the same in the new manifest must keep its round-robin state. Also guards
+// against a leak: the state of a removed route must be deleted.
 func TestSplitterPrunesRemovedRoutes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	split := []WeightedService{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
--- a/routing/splitter.go
+++ b/routing/splitter.go
@@ -6,12 +6,12 @@
 )
 
 // Splitter distributes the requests of split routes over their services by smooth
-// weighted round robin. With n services, the number of requests that a service gets after
-// a reset exceeds its share by less than 1 and falls short of it by at most n - 1, so
-// that the shares also hold on a VM that receives few requests. A service that has too few
-// leafs keeps its share; its requests are refused instead of being moved to another
-// service, since a split often tries a new release on some of the callers. A Splitter is
-// safe for concurrent use.
+// weighted round robin. With n services, the number of requests that a service gets, since
+// the route's state was last reset, exceeds its share by less than 1 and falls short of it
+// by at most n - 1. So the shares also hold on a VM that receives few requests. A service
+// that has too few leafs keeps its share: its requests are refused instead of being moved
+// to another service, since a split often tries a new release on some of the callers. A
+// Splitter is safe for concurrent use.
 type Splitter struct {
 	mu     sync.Mutex             // guards routes
 	routes map[string]*splitState // by the route's name
@@ -19,8 +19,8 @@
 
 // splitState is the round-robin state of one route.
 type splitState struct {
-	split  []WeightedService
-	credit []float64 // by service: the requests that it was due since the reset minus those it got, times the sum of the weights
+	split  []WeightedService // the route's split when this state was created
+	credit []float64         // by index in split: the requests that the service was due since then minus those it got, times the sum of the weights
 }
 
 // NewSplitter returns a Splitter without state of any route.
