--- a/edge/elapsed_test.go
+++ b/edge/elapsed_test.go
@@ -14,17 +14,17 @@
 func TestAnswerIsSentInTimeOverNewConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const objective, oneWay = 80 * time.Millisecond, 3 * time.Millisecond
-	elapsed := newElapsedTimes()
+	times := newElapsedTimes()
 	now := time.Unix(1_000_000, 0)
-	g.Expect(elapsed.observe(now, "check", 1200*time.Millisecond)).To(gomega.BeZero())
-	shortfall := elapsed.observe(now, "check", 1191*time.Millisecond)
+	g.Expect(times.observe(now, "check", 1200*time.Millisecond)).To(gomega.BeZero())
+	shortfall := times.observe(now, "check", 1191*time.Millisecond)
 	g.Expect(shortfall).To(gomega.Equal(9 * time.Millisecond))
 	var unknown callerPath
 	start := now.Add(-unknown.elapsed(shortfall, objective))
 	g.Expect(start).To(gomega.Equal(now.Add(-shortfall)))
 	g.Expect(unknown.answerBy(start, objective).Add(oneWay)).To(gomega.BeTemporally("<", start.Add(objective)))
 	// A request that is repeated after a failure gets the whole time again.
-	repeat := elapsed.observe(now, "check", 900*time.Millisecond)
+	repeat := times.observe(now, "check", 900*time.Millisecond)
 	g.Expect(unknown.elapsed(repeat, objective)).To(gomega.BeZero())
 }
 
@@ -69,12 +69,12 @@
 // timeouts, the difference must not permanently count as time that they have spent.
 func TestLongestTimeoutExpires(t *testing.T) {
 	g := gomega.NewWithT(t)
-	elapsed := newElapsedTimes()
+	times := newElapsedTimes()
 	now := time.Unix(1_000_000, 0)
-	elapsed.observe(now, "check", time.Second)
+	times.observe(now, "check", time.Second)
 	for range 3 {
 		now = now.Add(timeoutPeriod)
-		elapsed.observe(now, "check", 990*time.Millisecond)
+		times.observe(now, "check", 990*time.Millisecond)
 	}
-	g.Expect(elapsed.observe(now, "check", 990*time.Millisecond)).To(gomega.BeZero())
+	g.Expect(times.observe(now, "check", 990*time.Millisecond)).To(gomega.BeZero())
 }
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -119,7 +119,7 @@
 	timeout := route.Timeout
 	var shortfall time.Duration // how much less remaining time the caller states than others of the route
 	if stated, ok := e.headerCodec.CallerTimeout(r.Header); ok {
-		shortfall = e.elapsed.observe(arrived, route.Name, stated)
+		shortfall = e.elapsedTimes.observe(arrived, route.Name, stated)
 		if stated < timeout || timeout == 0 {
 			timeout = stated
 		}
