--- a/edge/announce.go
+++ b/edge/announce.go
@@ -22,7 +22,7 @@
 	mu      sync.Mutex // held during a write; guards the fields below
 	self    scatter.VM // this VM's entry; Key is empty until ensureKey
 	listed  bool       // the store's list of VMs is known to hold exactly the entry self
-	written time.Time  // time of this VM's latest write
+	written time.Time  // time of this VM's latest write of its entry
 }
 
 // maxListAge is how old a list of VMs may be when it is read. If this VM wrote its entry
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -101,8 +101,8 @@
 	// watch waits for changes after a revision and applies them to the engine. It returns the
 	// revision to continue from and whether anything changed.
 	watch func(ctx context.Context, since Revision) (Revision, bool, error)
-	// pause is the time between two watches if the first one returned changes, or ended sooner
-	// than this without changes.
+	// pause is the time between two watches if the first one returned changes, or if it took
+	// less than pause and returned none.
 	pause time.Duration
 }
 
--- a/edge/gather_codec.go
+++ b/edge/gather_codec.go
@@ -63,8 +63,8 @@
 	RetryAfterUS int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// decodeBody decodes a gatherCall or a gatherAnswer. The sender may be a VM of a later release,
-// so unknown fields are ignored.
+// decodeBody decodes the body of a message into a *gatherCall or a *gatherAnswer. The sender may
+// be a VM of a later release, so unknown fields are ignored.
 func decodeBody(body []byte, into any) error {
 	if err := cbor.Unmarshal(body, into); err != nil {
 		return result.Wrap(result.BadMessage, err, "body")
--- a/edge/merge.go
+++ b/edge/merge.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// collect returns the answers that out includes. Each shard is in one of them only.
+// collect returns the answers of leafs and of other VMs that out includes. Each shard is in one
+// of them only. Included is not set in the answers of leafs.
 func (r *runner) collect(out scatter.Outcome) []ShardsAnswer {
 	answers := make([]ShardsAnswer, 0, len(out.Parts)+len(out.CallAnswers))
 	for _, id := range out.Parts {
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -267,10 +267,11 @@
 	return failed
 }
 
-// recordWatch records a watch of the store that succeeded. A failed watch is ignored, because
-// the full read that follows immediately shows whether the store is lost. If a failed watch
-// counted as a loss, all followers would read the store themselves whenever the store ends its
-// watches, which would take as many calls as without a relay.
+// recordWatch records the result of a watch of a resource, followedLeafs or followedManifest, in
+// the store. A failed watch is ignored, because the full read that follows immediately shows
+// whether the store is lost. If a failed watch counted as a loss, all followers would read the
+// store themselves whenever the store ends its watches. This would take as many calls as without
+// a relay.
 func (r *relay) recordWatch(resource string, err error) {
 	if err == nil {
 		r.e.feed.recordSuccess(resource)
@@ -302,7 +303,8 @@
 	return err
 }
 
-// recordReaderCall records the result of a call to a VM that reads the store.
+// recordReaderCall records the result of a call to a VM that reads the store for others. After a
+// failure, the VM is not followed for avoidPeriod.
 func (r *relay) recordReaderCall(vm scatter.VM, method string, err error) {
 	if result.CodeOf(err) == result.PositionGone {
 		err = nil // the reader works; this VM lags behind
--- a/edge/run.go
+++ b/edge/run.go
@@ -25,7 +25,7 @@
 	cancel     context.CancelFunc // cancels attemptCtx
 
 	replies     map[scatter.AttemptID]*reply // usable answers of leafs, and answers that report a failure
-	shards      map[scatter.AttemptID]int    // shard number of each attempt
+	shards      map[scatter.AttemptID]int    // number of the shard that each attempt queries
 	callAnswers []*ShardsAnswer              // in the order in which they were passed to the query
 
 	// Set for a query on behalf of another VM, zero for a caller's query.
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -35,7 +35,7 @@
 // ListenSettings holds the addresses on which a daemon listens, each an IP address and a
 // port.
 type ListenSettings struct {
-	Callers string `json:"callers"`
+	Callers string `json:"callers"` // callers' requests
 	Ready   string `json:"ready"`   // readiness checks of the load balancer
 	VMs     string `json:"vms"`     // calls of other VMs
 	Metrics string `json:"metrics"` // metrics for operators
