--- a/edge/engine.go
+++ b/edge/engine.go
@@ -19,7 +19,7 @@
 	pool             *leafhttp.Pool    // connections to leafs
 	inForce          routing.InForce   // holds the manifest in force
 	splitter         *routing.Splitter // chooses the service of each request that is not gathered
-	elapsedTimes          *elapsedTimes     // estimates the time that callers spent before their requests arrived
+	elapsedTimes     *elapsedTimes     // estimates the time that callers spent before their requests arrived
 	log              *slog.Logger
 	stats            *stats // counters and histograms
 	feed             *feed  // read by the VMs that follow this one
@@ -51,7 +51,7 @@
 		headerCodec:      opt.HeaderCodec,
 		pool:             leafhttp.NewPool(),
 		splitter:         routing.NewSplitter(),
-		elapsedTimes:          newElapsedTimes(),
+		elapsedTimes:     newElapsedTimes(),
 		log:              opt.Log,
 		stats:            newStats(),
 		feed:             newFeed(),
