--- a/edge/handler.go
+++ b/edge/handler.go
@@ -119,7 +119,7 @@
 	timeout := route.Timeout
 	var shortfall time.Duration // how much less remaining time the caller states than others of the route
 	if stated, ok := e.headerCodec.CallerTimeout(r.Header); ok {
-		shortfall = e.elapsed.observe(arrived, route.Name, stated)
+		shortfall = e.elapsedTimes.observe(arrived, route.Name, stated)
 		if stated < timeout || timeout == 0 {
 			timeout = stated
 		}
@@ -180,7 +180,7 @@
 		BudgetWeight:     1,
 	}
 	if !spec.Gathered {
-		spec.Services = []string{e.rotation.Next(route)}
+		spec.Services = []string{e.splitter.Next(route)}
 	}
 	run := e.newRunner(req, spec)
 	out := run.run(r.Context())
@@ -209,8 +209,9 @@
 	return res
 }
 
-// formatSeconds formats a duration for Retry-After, in seconds with three decimals. Fractions
-// are allowed.
+// formatSeconds formats a delay for the Retry-After header, in seconds with three decimals. It
+// is not rounded to whole seconds, because most delays are shorter than one second. The users'
+// platform allows fractions in this header.
 func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -26,7 +26,9 @@
 	maxStaleness time.Duration // how old the followed VM's latest answer from the store may be
 
 	leafsUpstream, manifestUpstream upstream // sources of the latest full read of the leafs and of the manifest
-	incarnation                     string   // of the followed VM when it returned the list of leafs; its positions in the sequence of changes are valid within this incarnation only
+	// incarnation is that of the followed VM when it returned the list of leafs. Positions in
+	// that VM's sequence of changes are valid within this incarnation only.
+	incarnation string
 
 	mu          sync.Mutex           // guards the fields below
 	avoidUntil  map[string]time.Time // by name of a VM that failed: until when it is not followed
@@ -54,11 +56,11 @@
 // them could follow its readers again.
 const (
 	// startDelayShare is how long a VM that has just started waits for the VMs that read the
-	// store for others. It is a share of relay.maxStaleness, the time for which a VM may
-	// serve others without a new answer from the store.
+	// store for others, before it reads the store itself. It is a share of relay.maxStaleness,
+	// the time for which a VM may serve others without a new answer from the store.
 	startDelayShare = 1.0 / 2
-	// retryDelayShare is the longest pause after a failed read of the store, as a share of
-	// relay.maxStaleness.
+	// retryDelayShare is the longest pause between a failed read of the store and the next
+	// read, as a share of relay.maxStaleness.
 	retryDelayShare = 1.0 / 2
 )
 
@@ -112,9 +114,10 @@
 	return scatter.VM{}, false
 }
 
-// mayReadStore reports whether this VM may read the store now. If not, the VMs that read it for
-// others may be called again although they failed, because they may have reached the store
-// again.
+// mayReadStore reports whether this VM may read the store now. A VM that normally follows others
+// may do so from nextRead on, which mayReadStore then delays by the time of retryDelayShare. If
+// this VM may not, the VMs that read the store for others may be called again although they
+// failed, because they may have reached the store again.
 func (r *relay) mayReadStore() bool {
 	if r.storeReaders().Self {
 		return true
@@ -141,8 +144,8 @@
 	return vm, up.vm == vm.Name
 }
 
-// Leafs implements Store. It returns errReadDeferred if no VM can be followed and this VM may
-// not read the store now.
+// Leafs implements Store. It returns the list of leafs of the VM to follow, or that of the store
+// if no VM can be followed. It returns errReadDeferred if this VM may not read the store now.
 func (r *relay) Leafs(ctx context.Context) (LeafList, error) {
 	if vm, ok := r.currentReader(); ok {
 		var ans leafsAnswer
@@ -164,10 +167,11 @@
 	return list, err
 }
 
-// WatchLeafs implements Store. If the VM to follow has changed since Leafs was called, it
-// returns ErrHistoryCompacted, so that the caller reads the list again from the new upstream.
-// Revisions are those of the store or, if a VM is followed, positions in that VM's sequence of
-// changes.
+// WatchLeafs implements Store. It returns the changes of the leafs after since, and waits for
+// them at most for the time wait. If the VM to follow has changed since Leafs was called, it
+// returns ErrHistoryCompacted, so that its caller reads the list again, from the new VM or the
+// store. Revisions are those of the store or, if a VM is followed, positions in that VM's
+// sequence of changes.
 func (r *relay) WatchLeafs(ctx context.Context, since Revision, wait time.Duration) (LeafChanges, error) {
 	vm, same := r.sameUpstream(r.leafsUpstream)
 	if !same {
@@ -186,8 +190,9 @@
 	return LeafChanges{Changes: ans.Changes, Revision: Revision(ans.Position)}, nil
 }
 
-// Manifest implements Store. It returns errReadDeferred if no VM can be followed and this VM
-// may not read the store now.
+// Manifest implements Store. It returns the manifest of the VM to follow, or that of the store if
+// no VM can be followed. It returns errReadDeferred if this VM may not read the store now. The
+// revision is 0 if a VM is followed.
 func (r *relay) Manifest(ctx context.Context) (*routing.Manifest, Revision, error) {
 	if vm, ok := r.currentReader(); ok {
 		var ans manifestAnswer
@@ -200,26 +205,27 @@
 	if !r.mayReadStore() {
 		return nil, 0, errReadDeferred
 	}
-	m, at, err := r.Store.Manifest(ctx)
+	m, revision, err := r.Store.Manifest(ctx)
 	r.recordListing(followedManifest, err)
 	if err == nil {
 		r.manifestUpstream = upstream{}
 	}
-	return m, at, err
+	return m, revision, err
 }
 
-// WatchManifest implements Store. If the VM to follow has changed since Manifest was called, it
-// returns ErrHistoryCompacted, so that the caller reads the manifest again. If a VM is
-// followed, the revision is not used: the call states the version of the manifest in force.
+// WatchManifest implements Store. It waits for a newer manifest, at most for the time wait, and
+// returns nil if there is none. If the VM to follow has changed since Manifest was called, it
+// returns ErrHistoryCompacted, so that its caller reads the manifest again. If a VM is followed,
+// since is not used: the call to that VM states the version of the manifest in force.
 func (r *relay) WatchManifest(ctx context.Context, since Revision, wait time.Duration) (*routing.Manifest, Revision, error) {
 	vm, same := r.sameUpstream(r.manifestUpstream)
 	if !same {
 		return nil, 0, ErrHistoryCompacted
 	}
 	if r.manifestUpstream.vm == "" {
-		m, at, err := r.Store.WatchManifest(ctx, since, wait)
+		m, revision, err := r.Store.WatchManifest(ctx, since, wait)
 		r.recordWatch(followedManifest, err)
-		return m, at, err
+		return m, revision, err
 	}
 	call := &followCall{WaitMS: wait.Milliseconds()}
 	if m := r.e.inForce.Get(); m != nil {
@@ -261,10 +267,11 @@
 	return failed
 }
 
-// recordWatch records a watch of the store that succeeded. A failed watch is ignored, because
-// the full read that follows immediately shows whether the store is lost. If a failed watch
-// counted as a loss, all followers would read the store themselves whenever the store ends its
-// watches, which would take as many calls as without a relay.
+// recordWatch records the result of a watch of a resource, followedLeafs or followedManifest, in
+// the store. A failed watch is ignored, because the full read that follows immediately shows
+// whether the store is lost. If a failed watch counted as a loss, all followers would read the
+// store themselves whenever the store ends its watches. This would take as many calls as without
+// a relay.
 func (r *relay) recordWatch(resource string, err error) {
 	if err == nil {
 		r.e.feed.recordSuccess(resource)
@@ -283,12 +290,12 @@
 	return routing.NewManifest(doc), nil
 }
 
-// callReader makes one call to a VM that reads the store. If the call fails, the VM is not
-// followed for avoidPeriod.
+// callReader makes one call to a VM that reads the store for others, and stores the decoded
+// answer in into. If the call fails, the VM is not followed for avoidPeriod.
 func (r *relay) callReader(ctx context.Context, vm scatter.VM, method string, call *followCall, into any) error {
 	call.MaxStalenessMS = r.maxStaleness.Milliseconds()
-	wait := time.Duration(call.WaitMS)*time.Millisecond + readerAnswerTimeout
-	ctx, cancel := context.WithTimeout(ctx, wait)
+	timeout := time.Duration(call.WaitMS)*time.Millisecond + readerAnswerTimeout
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := r.e.currentPeerClient().follow(ctx, vm, method, call, into)
 	r.e.stats.store(method, err)
@@ -296,7 +303,8 @@
 	return err
 }
 
-// recordReaderCall records the result of a call to a VM that reads the store.
+// recordReaderCall records the result of a call to a VM that reads the store for others. After a
+// failure, the VM is not followed for avoidPeriod.
 func (r *relay) recordReaderCall(vm scatter.VM, method string, err error) {
 	if result.CodeOf(err) == result.PositionGone {
 		err = nil // the reader works; this VM lags behind
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -35,7 +35,7 @@
 // ListenSettings holds the addresses on which a daemon listens, each an IP address and a
 // port.
 type ListenSettings struct {
-	Callers string `json:"callers"`
+	Callers string `json:"callers"` // callers' requests
 	Ready   string `json:"ready"`   // readiness checks of the load balancer
 	VMs     string `json:"vms"`     // calls of other VMs
 	Metrics string `json:"metrics"` // metrics for operators
@@ -44,8 +44,8 @@
 // BoundSettings holds the times within which this VM must know a change in the store, in
 // milliseconds.
 type BoundSettings struct {
-	ManifestMS float64 `json:"manifest_ms"` // a new manifest must be in force
-	DrainMS    float64 `json:"drain_ms"`    // a leaf that drains or has left must get no more requests
+	ManifestMS float64 `json:"manifest_ms"` // time within which a new manifest must be in force, in milliseconds
+	DrainMS    float64 `json:"drain_ms"`    // time after which a leaf that drains or has left must get no more requests, in milliseconds
 }
 
 // drainBound returns the time within which a leaf that drains or has left must get no more
--- a/leafhttp/conn.go
+++ b/leafhttp/conn.go
@@ -19,14 +19,15 @@
 
 // Timeouts and buffer size of a connection.
 const (
-	// dialTimeout bounds opening a connection. A machine without power sends no reply
-	// at all; a live leaf accepts within some 10 ms under load.
+	// dialTimeout bounds the time for opening a connection. A machine without power
+	// sends no reply at all; a live leaf accepts within some 10 ms under load.
 	dialTimeout = 300 * time.Millisecond
 	// unackedTimeout is how long sent bytes may stay unacknowledged
 	// (TCP_USER_TIMEOUT). Without it, writes to a connection whose other end has
 	// stopped responding would continue to succeed.
 	unackedTimeout = 1500 * time.Millisecond
-	// readBufferSize is in bytes; the head and body of most answers fit.
+	// readBufferSize is the size of a connection's read buffer, in bytes. The head and
+	// body of most answers fit.
 	readBufferSize = 2 << 10
 )
 
@@ -34,7 +35,7 @@
 func dial(ctx context.Context, address string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	d := net.Dialer{Control: setOptions, KeepAlive: -1}
+	d := net.Dialer{Control: setUserTimeout, KeepAlive: -1}
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -42,8 +43,8 @@
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// setOptions sets TCP_USER_TIMEOUT on a new socket.
-func setOptions(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
