--- a/once/committer.go
+++ b/once/committer.go
@@ -289,12 +289,12 @@
 // takeQueue removes and returns the operations that wait for the writer. If stop is
 // set and there are none, the writer is marked as not running, and its goroutine
 // has to end.
-func (c *committer) takeQueue(w *segmentWriter, stop bool) []*pending {
+func (c *committer) takeQueue(w *segmentWriter, endIfEmpty bool) []*pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	batch := w.queue
 	w.queue = nil
-	if len(batch) == 0 && stop {
+	if len(batch) == 0 && endIfEmpty {
 		w.running = false
 	}
 	return batch
@@ -317,11 +317,11 @@
 
 // untrack removes an operation from the count of outstanding operations, and, if
 // peer is set, from the count of those that other VMs relayed to this one.
-func (c *committer) untrack(peer bool) {
+func (c *committer) untrack(fromPeer bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waiting--
-	if peer {
+	if fromPeer {
 		c.peerWaiting--
 	}
 	c.checkIdle()
--- a/once/peers_test.go
+++ b/once/peers_test.go
@@ -134,7 +134,7 @@
 // As TestResumedCommitterDoesNotUndoRelease, but VM a cannot reach the platform in
 // time either and answers "not run" without a claim. VM a must bar the operation id,
 // so that the frozen committer cannot add the claim, whenever it continues.
-func TestResumedCommitterDoesNotEnterAbandonedClaim(t *testing.T) {
+func TestResumedCommitterDoesNotAddAbandonedClaim(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
 	c := newFrozenPeer(t, store)
@@ -152,7 +152,7 @@
 // Guards against a request that gets the answer "in progress" because of its own
 // claim. The committer adds the claim and stops before it answers. VM a then updates
 // the segment itself, finds the entry and must recognize it as its own.
-func TestClaimEnteredByLostCommitterIsRecognized(t *testing.T) {
+func TestClaimAddedByLostCommitterIsRecognized(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
 	c := newFrozenPeer(t, store)
@@ -262,7 +262,7 @@
 // Guards against a committer that refuses its own callers' requests because the VMs
 // of a large fleet all relay their claims to it. Operations of other VMs have a
 // separate limit.
-func TestPeerWorkHasSeparateLimit(t *testing.T) {
+func TestPeerOperationsHaveSeparateLimit(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
 	c := startRunner(t, store, "c", func(o *Options) { o.MaxPeerPending, o.MaxPending = 2, 2 })
--- a/once/relay/choose.go
+++ b/once/relay/choose.go
@@ -11,8 +11,8 @@
 // among the VMs for which avoided returns false. Choose returns false if there is
 // none.
 func Choose(segment string, vms []objstore.VM, avoided func(vm string) bool) (objstore.VM, bool) {
-	var first objstore.VM
-	var best uint64
+	var chosen objstore.VM
+	var highestRank uint64
 	found := false
 	for _, vm := range vms {
 		if avoided(vm.Name) {
@@ -21,9 +21,9 @@
 		rank := xxhash.Sum64String(segment + "\x00" + vm.Name)
 		// The VM with the highest rank comes first. VMs of equal rank are ordered by
 		// name.
-		if !found || rank > best || rank == best && vm.Name < first.Name {
-			first, best, found = vm, rank, true
+		if !found || rank > highestRank || rank == highestRank && vm.Name < chosen.Name {
+			chosen, highestRank, found = vm, rank, true
 		}
 	}
-	return first, found
+	return chosen, found
 }
