--- a/rollout/follower.go
+++ b/rollout/follower.go
@@ -247,11 +247,11 @@
 }
 
 // headOrNil returns the head in force; nil if f is nil, before the first bundle.
-func (f *InForce) headOrNil() *Head {
-	if f == nil {
+func (cur *InForce) headOrNil() *Head {
+	if cur == nil {
 		return nil
 	}
-	return f.head
+	return cur.head
 }
 
 // loadInForce verifies the bundle that the head h puts into force. It fetches the
--- a/rollout/follower_test.go
+++ b/rollout/follower_test.go
@@ -170,7 +170,7 @@
 	env := newTestEnv(t)
 	digest := env.pushSignedOff(1)
 	head := env.rollOutAll(digest)[0]
-	nextDigest, bytesOf := bundle.Digest(env.bundleVersion(2)), env.packages(1, 2)
+	nextDigest, packages := bundle.Digest(env.bundleVersion(2)), env.packages(1, 2)
 	stranger, err := bundle.NewPrivateKey("eve-1", "eve")
 	if err != nil {
 		t.Fatal(err)
@@ -197,26 +197,26 @@
 		raw   []byte
 		code  result.Code
 	}{
-		{"good", entry, env.priv["asta"], bytesOf[nextDigest], result.Complete},
-		{"entry by an unknown key", entry, stranger, bytesOf[nextDigest], result.UnknownKey},
-		{"entry by a retired key", edited(func(e *Entry) { e.Person = "olaf" }), env.priv["olaf"], bytesOf[nextDigest], result.UnknownKey},
-		{"entry in another's name", entry, env.priv["jon"], bytesOf[nextDigest], result.NotSigned},
-		{"another deployment", edited(func(e *Entry) { e.Deployment = "pletenica" }), env.priv["asta"], bytesOf[nextDigest], result.NotSigned},
-		{"no sign-off", edited(func(e *Entry) { e.SignOff = bundle.Signed{} }), env.priv["asta"], bytesOf[nextDigest], result.NotSigned},
-		{"sign-off by the author", edited(func(e *Entry) { e.SignOff = bySelf.Sign(env.priv["sigrun"]) }), env.priv["asta"], bytesOf[nextDigest], result.SelfSigned},
-		{"sign-off for another deployment", edited(func(e *Entry) { e.SignOff = otherDeployment.Sign(env.priv["jon"]) }), env.priv["asta"], bytesOf[nextDigest], result.NotSigned},
-		{"sign-off changed", edited(func(e *Entry) { e.SignOff = changed }), env.priv["asta"], bytesOf[nextDigest], result.NotSigned},
-		{"sign-off by a retired key", edited(func(e *Entry) { e.SignOff = good.Sign(env.priv["olaf"]) }), env.priv["asta"], bytesOf[nextDigest], result.UnknownKey},
-		{"recalled since", edited(func(e *Entry) { e.Recalls = []Recall{{Digest: nextDigest, Revision: 2}} }), env.priv["asta"], bytesOf[nextDigest], result.Recalled},
-		{"recalls no longer listed", edited(func(e *Entry) { e.RecallFloor = 2 }), env.priv["asta"], bytesOf[nextDigest], result.Recalled},
-		{"other bytes than signed", entry, env.priv["asta"], bytesOf[digest], result.NotSigned},
+		{"good", entry, env.priv["asta"], packages[nextDigest], result.Complete},
+		{"entry by an unknown key", entry, stranger, packages[nextDigest], result.UnknownKey},
+		{"entry by a retired key", edited(func(e *Entry) { e.Person = "olaf" }), env.priv["olaf"], packages[nextDigest], result.UnknownKey},
+		{"entry in another's name", entry, env.priv["jon"], packages[nextDigest], result.NotSigned},
+		{"another deployment", edited(func(e *Entry) { e.Deployment = "pletenica" }), env.priv["asta"], packages[nextDigest], result.NotSigned},
+		{"no sign-off", edited(func(e *Entry) { e.SignOff = bundle.Signed{} }), env.priv["asta"], packages[nextDigest], result.NotSigned},
+		{"sign-off by the author", edited(func(e *Entry) { e.SignOff = bySelf.Sign(env.priv["sigrun"]) }), env.priv["asta"], packages[nextDigest], result.SelfSigned},
+		{"sign-off for another deployment", edited(func(e *Entry) { e.SignOff = otherDeployment.Sign(env.priv["jon"]) }), env.priv["asta"], packages[nextDigest], result.NotSigned},
+		{"sign-off changed", edited(func(e *Entry) { e.SignOff = changed }), env.priv["asta"], packages[nextDigest], result.NotSigned},
+		{"sign-off by a retired key", edited(func(e *Entry) { e.SignOff = good.Sign(env.priv["olaf"]) }), env.priv["asta"], packages[nextDigest], result.UnknownKey},
+		{"recalled since", edited(func(e *Entry) { e.Recalls = []Recall{{Digest: nextDigest, Revision: 2}} }), env.priv["asta"], packages[nextDigest], result.Recalled},
+		{"recalls no longer listed", edited(func(e *Entry) { e.RecallFloor = 2 }), env.priv["asta"], packages[nextDigest], result.Recalled},
+		{"other bytes than signed", entry, env.priv["asta"], packages[digest], result.NotSigned},
 		{"malformed", edited(func(e *Entry) { e.Digest = bundle.Digest([]byte("{")) }), env.priv["asta"], notJSON.Bytes(), result.BadBundle},
 		{"too large", entry, env.priv["asta"], make([]byte, objstore.MaxValue+1), result.BundleTooLarge},
 	}
 	for _, c := range cases {
 		g := NewWithT(t)
 		f := NewFollower(Options{Deployment: "vatnsleit", Keys: env.keys, Store: env.store})
-		g.Expect(f.OfferHead(context.Background(), head, env.fetchFrom(bytesOf))).To(Succeed())
+		g.Expect(f.OfferHead(context.Background(), head, env.fetchFrom(packages))).To(Succeed())
 		fetch := func(context.Context, string) ([]byte, error) { return c.raw, nil }
 		err := f.OfferHead(context.Background(), signEntry(c.entry, c.key).Bytes(), fetch)
 		g.Expect(result.CodeOf(err)).To(Equal(c.code), c.name)
