--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -30,6 +30,8 @@
 	}
 }
 
+// benchmarkRun runs b.N requests from the given number of concurrent callers, who are
+// spread over the VMs.
 func benchmarkRun(b *testing.B, vms, callers int) {
 	store := platformsim.NewStore()
 	store.SetFaults(platformsim.Faults{SlowMS: 3, WritesPerSecond: 300, ReadsPerSecond: 2000})
@@ -77,7 +79,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// fakeFleet is a fixed list of VMs that are all alive.
+// fakeFleet is a relay.Fleet with a fixed list of VMs that are all alive.
 type fakeFleet struct {
 	vms     []objstore.VM
 	options wire.Options
--- a/once/cleaner.go
+++ b/once/cleaner.go
@@ -13,12 +13,12 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Limits of the cleaner. Pages are short because a listing contains the values.
+// Limits of the cleaner, which removes expired claims from the platform.
 const (
 	maxCleaners        = 2                     // VMs that remove expired claims at the same time
-	cleanPageSize      = 4                     // segments in one page of the listing
-	maxCleanedPerRound = 200                   // removed segments after which a round ends
-	cleanPagePause     = 20 * time.Millisecond // pause between two pages of a round
+	cleanPageSize      = 4                     // segments in one page of the cleaner's listing; few, because a listing contains the values
+	maxCleanedPerRound = 200                   // removed segments after which a cleaning round ends
+	cleanPagePause     = 20 * time.Millisecond // pause between two pages of a cleaning round
 	cleanerRotation    = time.Hour             // time after which other VMs are chosen as cleaners
 )
 
@@ -75,9 +75,9 @@
 }
 
 // cleanRound removes expired segments page by page, if this VM is one of the
-// maxCleaners VMs that do so now. It ends when no expired segments are left, or
-// after the page with which the number of removed segments reaches
-// maxCleanedPerRound.
+// maxCleaners VMs that are chosen for the current hour. It ends when no expired
+// segments are left, or after the page with which the number of removed segments
+// reaches maxCleanedPerRound.
 func (c *cleaner) cleanRound() error {
 	vms, err := c.listVMs(c.ctx)
 	if err != nil {
@@ -123,8 +123,9 @@
 
 // removePage lists one page of the oldest segments and removes those whose keys
 // were all created before the given time. Names sort by time, so it stops at the
-// first newer segment. It returns the number of removed segments; more reports
-// whether further expired segments may exist.
+// first newer segment. It returns the number of removed segments, including those
+// that another VM removed or changed since the listing. more reports whether
+// further expired segments may exist.
 func (c *cleaner) removePage(ctx context.Context, before time.Time) (removed int, more bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
@@ -150,8 +151,8 @@
 // isCleaner reports whether the VM named self is one of the maxCleaners VMs that
 // remove claims in the hour that begins at the given time. These VMs are chosen by
 // rendezvous hashing over vms, the platform's list. The list may be outdated, so more
-// or fewer VMs may be active. This does no harm, because each removal depends on the
-// segment's version.
+// or fewer VMs may remove claims. Several at once do no harm, because a segment is
+// removed only if it still has the version that was listed.
 func isCleaner(vms []objstore.VM, self string, hour time.Time) bool {
 	rank := func(vm string) uint64 {
 		return xxhash.Sum64String(vm + hour.UTC().Format(time.RFC3339))
--- a/once/cleared_record.go
+++ b/once/cleared_record.go
@@ -62,18 +62,18 @@
 }
 
 // checkCleared is called after the request's key was claimed. It rejects the key if
-// an earlier claim of the key may have been removed before. Without it, a request
+// an earlier claim of the key may have been removed. Without this check, a request
 // that was completed long ago could run a second time: if this VM was paused between
-// the check of the key's age and the claim, if its clock is slow, or if its KeyTTL
-// is longer than that of other VMs.
+// the check of the key's age and the claim, if this VM's clock is slow, or if this
+// VM's KeyTTL is longer than that of other VMs.
 //
-// The cleaner writes the record before it removes claims, and the record is read
-// here after the claim was made. So if the claim was made after a removal, the
-// record shows the removal. If it was made before the removal, it was the key's only
-// claim, and the request may run at any later time.
+// The cleaner writes the record before it removes claims, and checkCleared reads the
+// record after the claim was made. So if the claim was made after a removal, the
+// record shows the removal. If the claim was made before the removal, it was the
+// key's only claim, and the request may run at any later time.
 //
-// It returns true if the request may run. Otherwise the Outcome is the answer to
-// the caller.
+// checkCleared returns true if the request may run. Otherwise the Outcome is the
+// answer to the caller.
 //
 // Keys younger than half of KeyTTL are not checked, which avoids the read in most
 // requests. This is safe as long as clocks are wrong by less than half of KeyTTL.
--- a/once/committer.go
+++ b/once/committer.go
@@ -14,16 +14,13 @@
 )
 
 const (
-	maxSegmentWriters = 16                     // segments whose last known state is kept in memory
-	downThreshold     = 3                      // failed store calls in a row that mean the platform is down
+	maxSegmentWriters = 16                     // segment writers kept in memory, each with the last known state of its segment
+	downThreshold     = 3                      // number of failed store calls in a row after which the platform counts as down
 	probeInterval     = 500 * time.Millisecond // time between two claims that are let through while the platform is down
 
-	// After a failed try to update a segment, the committer waits a random time between
-	// 1 ms and an upper bound. The bound is about minBackoff after the first failed try
-	// and doubles with each further one until it reaches maxBackoff.
-	minBackoff      = 20 * time.Millisecond
-	maxBackoff      = 500 * time.Millisecond
-	maxBackoffShift = 7 // largest number of times that minBackoff is doubled, so that the shift cannot overflow
+	minBackoff      = 20 * time.Millisecond  // longest wait after the first failed try to read or update a segment; it doubles with each further one
+	maxBackoff      = 500 * time.Millisecond // longest wait after any failed try to read or update a segment
+	maxBackoffShift = 7                      // largest number of times that minBackoff is doubled, so that the shift cannot overflow
 )
 
 // Reasons why the committer did not apply an operation.
@@ -52,7 +49,7 @@
 	mu          sync.Mutex
 	writers     map[string]*segmentWriter // by segment name
 	waiting     int                       // operations whose reply is outstanding: queued, being written or being relayed
-	peerWaiting int                       // those counted in waiting that other VMs relayed to this one
+	peerWaiting int                       // the part of waiting that other VMs relayed to this one
 	closed      bool                      // close was called; new claims and operations of other VMs are rejected
 	idle        chan struct{}             // closed once closed is set and waiting is 0
 	failures    int                       // failed store calls in a row
@@ -65,11 +62,11 @@
 	fromPeer bool         // relayed by another VM
 	state    atomic.Int32 // stateWaiting, stateDelivered or stateAbandoned
 	done     chan reply   // receives at most one reply
-	// attempted says that a write with this operation was sent. The write may have
-	// taken effect, or may do so later. Used by the segment writer only.
+	// attempted says that a write with this operation was sent to the platform. The
+	// write may have taken effect, or may do so later. Used by the segment writer only.
 	attempted bool
-	// expectedVersion is the object version on which the last such write depended.
-	// Used by the segment writer only.
+	// expectedVersion is the object version on which the last write with this
+	// operation was conditional. Used by the segment writer only.
 	expectedVersion uint64
 }
 
@@ -105,7 +102,7 @@
 
 // abandon queues the release of a claim that this VM no longer waits for and that
 // another VM may still add to the segment with the given name. o.barOnRelease must
-// be set.
+// be set. For a claim that this VM queued itself, see release.
 func (c *committer) abandon(name string, o op) {
 	o.kind = opRelease
 	c.counters.abandoned.Inc()
@@ -154,9 +151,10 @@
 	return nil
 }
 
-// allowAttempt returns false if the platform is down, so that claims are refused at
-// once instead of after ClaimWait. One claim per probeInterval is let through to
-// detect that the platform is back. It must be called with mu held.
+// allowAttempt reports whether a claim may be queued. While the platform is down, it
+// returns false, so that claims are refused at once instead of after ClaimWait. Only
+// one claim per probeInterval is let through, to detect that the platform is back.
+// It must be called with mu held.
 func (c *committer) allowAttempt() bool {
 	if c.failures < downThreshold {
 		return true
@@ -168,9 +166,10 @@
 	return true
 }
 
-// admitPeer queues operations that another VM relayed, either all or none. Their
-// limit is separate from that of this VM's own callers, and they are never relayed
-// to a third VM, so that VMs cannot block one another in a cycle.
+// admitPeer queues operations that another VM relayed, either all or none. They have
+// a limit of their own, MaxPeerPending, and are never relayed to a third VM, so that
+// VMs cannot block one another in a cycle. The error is errClosed, errBusy or
+// errDown.
 func (c *committer) admitPeer(name string, ops []op) ([]*pending, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,8 +268,8 @@
 
 // evict makes space for one more segment writer. If maxSegmentWriters are held, it
 // drops the least recently used one of those that do not run, with the segment's
-// state. While all writers run, it drops none and the number may exceed the limit.
-// It must be called with mu held.
+// state. While all writers run, it drops none, and their number may exceed
+// maxSegmentWriters. It must be called with mu held.
 func (c *committer) evict() {
 	if len(c.writers) < maxSegmentWriters {
 		return
@@ -286,9 +285,9 @@
 	}
 }
 
-// takeQueue removes and returns the operations that wait for the writer. If stop is
-// set and there are none, the writer is marked as not running, and its goroutine
-// has to end.
+// takeQueue removes and returns the operations that wait for the writer. If there
+// are none and endIfEmpty is set, it marks the writer as not running, and the
+// writer's goroutine has to end.
 func (c *committer) takeQueue(w *segmentWriter, endIfEmpty bool) []*pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -315,8 +314,8 @@
 	c.untrack(p.fromPeer)
 }
 
-// untrack removes an operation from the count of outstanding operations, and, if
-// peer is set, from the count of those that other VMs relayed to this one.
+// untrack removes an operation from the count of outstanding operations and, if
+// fromPeer is set, from the count of those that other VMs relayed to this one.
 func (c *committer) untrack(fromPeer bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -341,10 +340,10 @@
 }
 
 // release queues the removal of an abandoned claim of one of this VM's own callers.
-// It must not be used for a claim that another VM relayed: that VM may have found the
-// claim by a read of its own, regarded it as won and handed the request to a target.
-// If the claim were removed here, a later request with the same key would win the
-// key and run again.
+// p is the claim as it was queued at w. release must not be used for a claim that
+// another VM relayed: that VM may have found the claim by a read of its own, regarded
+// it as won and handed the request to a target. If the claim were removed here, a
+// later request with the same key would win the key and run again.
 func (c *committer) release(w *segmentWriter, p *pending) {
 	o := p.op
 	o.kind = opRelease
@@ -379,8 +378,10 @@
 	return false
 }
 
-// backoff waits a random time after the failed try with the given number, counted
-// from 0. It returns false if the committer stops.
+// backoff waits after the failed try with the given number, counted from 0. The wait
+// is random: at least 1 ms, and at most about minBackoff after try 0. The upper bound
+// doubles with each further try up to maxBackoff. backoff returns false if the
+// committer stops.
 func (c *committer) backoff(try int) bool {
 	ceiling := min(minBackoff<<min(try, maxBackoffShift), maxBackoff)
 	timer := time.NewTimer(time.Duration(rand.Int64N(int64(ceiling))) + time.Millisecond)
@@ -406,7 +407,7 @@
 	case <-ctx.Done():
 	}
 	c.mu.Lock()
-	c.tomb.Kill(nil) // under mu: a goroutine that sees the tomb alive under mu may still call tomb.Go
+	c.tomb.Kill(nil) // with mu held: a goroutine that holds mu and sees the tomb alive may still call tomb.Go
 	c.mu.Unlock()
 	_ = c.tomb.Wait()
 	c.mu.Lock()
--- a/once/counters.go
+++ b/once/counters.go
@@ -10,8 +10,8 @@
 	bytes      *metrics.Counter // size of the values in these updates
 	conflicts  *metrics.Counter // updates refused because the segment had another version
 	failures   *metrics.Counter // store calls with another error than those of a working platform, see isPlatformAnswer
-	abandoned  *metrics.Counter // abandoned claims that may have been stored
-	cleared    *metrics.Counter // segments removed because all their keys had expired
+	abandoned  *metrics.Counter // claims that this VM gave up and releases in the background, because they may be stored, now or later
+	cleared    *metrics.Counter // segments that the cleaner removed, or found removed, because all their keys had expired
 	relayed    *metrics.Counter // operations relayed to another VM, which applied them
 	fallbacks  *metrics.Counter // operations that another VM should have applied and this VM applied itself
 }
--- a/once/credit.go
+++ b/once/credit.go
@@ -7,8 +7,8 @@
 
 const (
 	// minBurstWrites is the number of unused writes to the platform that a VM may
-	// always save for later, however small its part of the fleet's write rate is. It
-	// is enough for a claim, an outcome and some writes for other VMs.
+	// always save for later, even if it earns fewer per second. It is enough for a
+	// claim, an outcome and some writes for other VMs.
 	minBurstWrites = 4
 	// reservedWrites is the number of saved writes that a VM does not transfer to
 	// other VMs: one for this VM's own update of a segment, in case the VM that
@@ -43,10 +43,12 @@
 }
 
 // burst returns the balance, in writes, up to which this VM earns further writes:
-// the writes of one second, and at least minBurstWrites.
+// the writes that it earns in one second, but at least minBurstWrites. It must be
+// called with mu held.
 func (c *credit) burst() float64 { return max(minBurstWrites, c.rate) }
 
-// setRate sets the number of writes per second that this VM earns.
+// setRate sets the number of writes per second that this VM earns from now on, and
+// cuts the balance to the new burst.
 func (c *credit) setRate(rate float64, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,8 +57,8 @@
 	c.balance = min(c.balance, c.burst())
 }
 
-// accrue adds to the balance the writes that this VM earned since the last call, up
-// to burst. It must be called with mu held.
+// accrue adds to the balance the writes that this VM earned since the last call of
+// accrue, up to burst. It must be called with mu held.
 func (c *credit) accrue(now time.Time) {
 	if now.Before(c.updated) {
 		return
@@ -69,8 +71,9 @@
 	}
 }
 
-// take deducts one write. If the balance is below one write, it returns false and
-// the time until the VM has earned that write; a transfer may shorten this time.
+// take deducts one write and returns true. If the balance is below one write, it
+// deducts nothing and returns false with the time until the VM has earned the
+// missing part; a transfer from another VM may shorten this time.
 func (c *credit) take(now time.Time) (wait time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/once/dispatcher.go
+++ b/once/dispatcher.go
@@ -22,9 +22,9 @@
 	Commit(ctx context.Context, vm objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery)
 }
 
-// relayWaitDivisor divides the time limit of a claim. The result is the time after
-// which this VM stops relaying the claim to another VM and updates the segment
-// itself. The remaining time is enough for one call of the platform.
+// relayWaitDivisor divides the time limit of an operation. The result is the time
+// after which this VM stops relaying the operation to another VM and updates the
+// segment itself. The remaining time is enough for one call of the platform.
 const relayWaitDivisor = 2
 
 // dispatcher applies operations by relaying them to other VMs or by this VM's own
@@ -43,8 +43,8 @@
 
 // claim applies a claim to the segment with the given name and waits for its reply.
 // After an error, or any verdict but verdictDone, the claim is not won: the caller
-// must not hand the request to a target. If the claim was stored all the same, or
-// may be, it is removed in the background. claim sets o.barOnRelease if another VM
+// must not hand the request to a target. If the claim is stored all the same, now or
+// later, it is removed in the background. claim sets o.barOnRelease if another VM
 // may apply the claim later.
 func (d *dispatcher) claim(ctx context.Context, name string, o *op) (reply, error) {
 	if err := d.committer.admitRelayed(); err != nil {
@@ -79,8 +79,8 @@
 }
 
 // relay sends the operation to the VM that commits the segment with the given name,
-// if that is another VM. It returns that VM's reply and true, or false if this VM
-// has to apply the operation itself.
+// if that is another VM. It returns the other VM's reply and true, or false if this
+// VM has to apply the operation itself.
 func (d *dispatcher) relay(ctx context.Context, name string, o op, state *relayState) (reply, bool) {
 	if d.peers == nil {
 		return reply{}, false
@@ -109,8 +109,8 @@
 // finish starts a completion or a release, which is retried until it succeeds or
 // the committer stops. The channel gets the reply, or nothing if the committer stops
 // first. The operation may be applied twice, and at any later time. A release with
-// barOnRelease is always applied by this VM's own update: the VM to which it would
-// be relayed may be the one that still has the claim and gave no final answer.
+// barOnRelease is always applied by this VM's own update. If it were relayed, it
+// could go to the VM that still has the claim and gave no final answer.
 func (d *dispatcher) finish(name string, o op) <-chan reply {
 	if d.peers == nil || o.barOnRelease && o.kind == opRelease {
 		return d.committer.commitInBackground(name, o)
--- a/once/fault_test.go
+++ b/once/fault_test.go
@@ -12,17 +12,18 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// testTimeout bounds each wait for an event that must happen.
 const testTimeout = 20 * time.Second
 
 // clock runs ahead of the real time by an offset that the test increases.
-type clock struct{ offset atomic.Int64 }
+type clock struct{ offset atomic.Int64 } // in nanoseconds
 
 func (c *clock) now() time.Time          { return time.Now().Add(time.Duration(c.offset.Load())) }
 func (c *clock) advance(d time.Duration) { c.offset.Add(int64(d)) }
 func (c *clock) configure(o *Options)    { o.Clock = c.now }
 
-// shortWaits makes a Runner wait for a claim or the storing of an outcome for at most
-// 50 ms.
+// shortWaits makes a Runner wait at most 50 ms for a claim or for the storing of an
+// outcome, and at most 20 ms for one store call.
 func shortWaits(o *Options) {
 	o.ClaimWait, o.OutcomeWait, o.CallTimeout = 50*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond
 }
@@ -106,9 +107,10 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// As TestClaimWithLostAnswerIsReleased, but the platform applies the write of the
-// claim only after the VM has found no claim and considers the removal complete. The
-// late write must fail with a version conflict.
+// Guards against a key that stays blocked although its request never ran. The write
+// of the claim gets no answer and the VM answers "not run". The VM then finds no claim
+// to remove, and only after that the platform applies the write. This late write must
+// fail with a version conflict.
 func TestDelayedClaimWriteIsFencedOff(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -156,8 +158,8 @@
 
 // Guards against a second run after a lost outcome. The target ran the request, the
 // platform goes down before the outcome is stored, and the caller retries at
-// another VM. Until the outcome is stored, that VM knows only that the key is
-// claimed.
+// another VM. That VM must answer "in progress" and, once the platform is back and
+// the first VM has stored the outcome, return the outcome.
 func TestOutcomeIsStoredAfterOutage(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
--- a/once/fuzz_test.go
+++ b/once/fuzz_test.go
@@ -29,9 +29,9 @@
 	})
 }
 
-// FuzzSegment guards against a lost claim, whose request could run again. A segment
-// that was written by another release, or damaged, must be rejected, or decoded and
-// encoded without change.
+// FuzzSegment guards against a claim that is lost when its segment is read and
+// written, so that its request could run again. A segment that was written by another
+// release, or is damaged, must be rejected, or decoded and encoded without change.
 func FuzzSegment(f *testing.F) {
 	for _, text := range append(foreignSegments, `{"entries":{}}`, `{"entries":{"k":{"op":"o","outcome":{"code":1}}}}`) {
 		f.Add([]byte(text))
@@ -50,7 +50,8 @@
 	})
 }
 
-// foreignSegments are values that no VM of this release writes.
+// foreignSegments are values of segments that no VM of this release writes.
+// decodeSegment must reject them.
 var foreignSegments = []string{
 	``, `null`, `[]`, `{}`, `{"claims":{"k":{"op":"o"}}}`, `{"entries":null}`,
 	`{"entries":{"k":{"op":"o","part":1}}}`, `{"entries":{}} {"entries":{"k":{"op":"o"}}}`,
--- a/once/key.go
+++ b/once/key.go
@@ -12,12 +12,12 @@
 // created it, so that its age is known even after its claim has been removed.
 type Key struct {
 	text    string    // canonical form, as it is stored
-	created time.Time // by the caller's clock, in whole seconds
+	created time.Time // when the caller created the key, by the caller's clock, in whole seconds
 }
 
 // keyPattern matches a key: Unix seconds, '-' and a part that the caller chose. It
-// allows at most ten digits of seconds. This is enough until the year 2286 and
-// keeps the names of segments in order of time.
+// allows at most ten digits of seconds, which is enough until the year 2286. So all
+// segment names have ten digits of seconds and sort by time.
 var keyPattern = regexp.MustCompile(`^([0-9]{1,10})-([A-Za-z0-9_-]{8,64})$`)
 
 // ParseKey parses a key of the form "<unix seconds>-<8..64 of [A-Za-z0-9_-]>".
--- a/once/key_test.go
+++ b/once/key_test.go
@@ -12,6 +12,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// Guards against malformed keys that are accepted, and against two forms of one key,
+// which would be claimed separately. Leading zeros of the seconds must be dropped.
 func TestParseKey(t *testing.T) {
 	for _, tc := range []struct {
 		text, want string
@@ -39,9 +41,10 @@
 	}
 }
 
-// Keys that are too old or too far in the future are rejected before they are
-// claimed. The request of an old key may have run and its claim may have been
-// removed. A key with a future time could still be used after its claim was removed.
+// Guards against a second run of a request whose claim was removed. A key that is too
+// old may have been claimed and its claim removed. A key whose time is far in the
+// future could still be used after its claim was removed. Both must be refused
+// without a call of the platform.
 func TestKeysOutsideValidityAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -60,7 +63,9 @@
 	g.Expect(store.puts + store.gets).To(BeZero())
 }
 
-// The cleaner removes expired segments of its own deployment only, page by page.
+// Guards against a cleaner that removes claims of keys that may still be used, or
+// claims of another deployment. It must remove the expired segments of its own
+// deployment only, page by page.
 func TestCleanerRemovesOldSegmentsInPages(t *testing.T) {
 	g := NewWithT(t)
 	var c clock
@@ -95,8 +100,9 @@
 }
 
 // Guards against all VMs of a fleet listing and removing expired claims at the same
-// time. In each hour, maxCleaners of 50 VMs do so, and not always the same ones, even
-// if the list of VMs contains one of them twice. With an empty list, any VM does.
+// time. In each hour, only maxCleaners of 50 VMs may do so, not always the same ones,
+// also if the list of VMs contains one of them twice. A VM that gets an empty list
+// must remove claims, or none would be removed.
 func TestFewVMsRunCleaner(t *testing.T) {
 	g := NewWithT(t)
 	var vms []objstore.VM
--- a/once/name.go
+++ b/once/name.go
@@ -16,18 +16,18 @@
 // stored form: VMs with different values would claim one key in two objects.
 const segmentWindow = time.Second
 
-// segmentName returns the name of the segment (stored object) for keys with the given
-// creation time. A segment is sealed as soon as a claim does not fit into it, and then
-// accepts no new keys. Only then may other objects hold claims of keys of the same
-// second, see overflowName. Names sort by deployment and then by time, so the cleaner
-// can list the oldest first.
+// segmentName returns the name of the segment, the stored object that holds the claims
+// of all keys that were created within the given second. A segment is sealed as soon as
+// a claim does not fit into it, and then accepts no new keys. Only then may overflow
+// segments hold claims of keys of the same second, see overflowName. Names sort by
+// deployment and then by time, so the cleaner can list the oldest first.
 func segmentName(deployment string, created time.Time) string {
 	return fmt.Sprintf("%s%010d", deploymentPrefix(deployment), created.Unix())
 }
 
 // overflowSegments is the number of overflow segments over which the further keys of
-// one second are spread once the second's own segment is sealed. Like segmentWindow,
-// it is part of the stored form.
+// one second are spread once the second's own segment is sealed. It is part of the
+// stored form: VMs with different values would claim one key in two objects.
 const overflowSegments = 8
 
 // overflowName returns the name of the overflow segment for the claim with the given
@@ -43,7 +43,7 @@
 
 // isOverflow reports whether the name is that of an overflow segment.
 func isOverflow(name string) bool {
-	// Only the part after the deployment is searched.
+	// Only the part after the deployment is searched. It contains no '.'.
 	return strings.Contains(name[strings.LastIndex(name, ".")+1:], overflowSeparator)
 }
 
--- a/once/options.go
+++ b/once/options.go
@@ -21,10 +21,10 @@
 	defaultCallTimeout    = time.Second            // time limit of one store call
 	defaultRunTimeout     = 30 * time.Second       // time after which a request whose context has no deadline counts as lost
 	defaultFleetWriteRate = 280                    // writes per second that all VMs together may send to the platform
-	defaultFleetSize      = 7                      // VMs that share these writes until SetFleetSize is called
-	defaultMaxPending     = 10000                  // operations of this VM's callers that may wait for a write
-	defaultMaxPeerPending = 10000                  // operations of other VMs that may wait for a write of this VM
-	defaultMaxResultBytes = 16 << 10               // size of the largest result that is stored, in bytes
+	defaultFleetSize      = 7                      // number of VMs that share the fleet's writes until SetFleetSize is called
+	defaultMaxPending     = 10000                  // operations of this VM's own callers that may wait for a write to the platform
+	defaultMaxPeerPending = 10000                  // operations relayed by other VMs that may wait for a write of this VM
+	defaultMaxResultBytes = 16 << 10               // size of the largest result of a target that is stored, in bytes
 	defaultCleanInterval  = time.Minute            // average time between two rounds that remove expired claims
 )
 
@@ -57,12 +57,12 @@
 	// transfers updates that it did not use to the VM that commits for it.
 	FleetWriteRate float64
 	// MaxPending limits the operations of this VM's own callers that wait for a
-	// write. Claims above it are refused.
+	// write. Further claims are refused.
 	MaxPending int
-	// MaxPeerPending limits the operations of other VMs that wait for a write of
-	// this VM. They do not count towards MaxPending.
+	// MaxPeerPending limits the operations relayed by other VMs that wait for a
+	// write of this VM. They do not count towards MaxPending.
 	MaxPeerPending int
-	MaxResultBytes int // largest result that is stored, in bytes
+	MaxResultBytes int // size of the largest result of a target that is stored, in bytes
 
 	// Peers sends operations to the VMs that commit for this one: each segment is
 	// updated by one VM for all. If Peers is nil, this VM commits everything itself.
@@ -110,9 +110,9 @@
 	Digest     string // digest of the payload; a key identifies one payload only
 }
 
-// Outcome is the answer to a caller.
+// Outcome is the answer to the caller of a non-idempotent request.
 type Outcome struct {
-	Code       result.Code
+	Code       result.Code     // what happened to the request
 	Result     json.RawMessage // the target's result, if Code is Accepted
 	Detail     string          // explanation for the caller, may be empty
 	RetryAfter time.Duration   // time after which the caller may try again; 0 if a retry makes no sense
--- a/once/peers.go
+++ b/once/peers.go
@@ -16,11 +16,11 @@
 // another VM, whatever time that VM allows.
 const maxPeerBatchWait = time.Second
 
-// Commit applies the operations that another VM relays to this one. An operation
-// without a verdict after b.HoldMS, or after maxPeerBatchWait if that is shorter,
-// is answered as relay.Undecided. Commit never calls a third VM, even if this VM
-// believes that another one commits the segment. An error means that no operation
-// was accepted.
+// Commit applies the operations that another VM relays to this one, and returns one
+// reply per operation. An operation without a verdict after b.HoldMS, or after
+// maxPeerBatchWait if that is shorter, gets the reply relay.Undecided. Commit never
+// calls a third VM, even if this VM believes that another one commits the segment.
+// An error means that no operation was accepted.
 func (r *Runner) Commit(ctx context.Context, b relay.Batch) ([]relay.Reply, error) {
 	ops, err := opsFromBatch(b)
 	if err != nil {
@@ -41,8 +41,9 @@
 	return replies, nil
 }
 
-// awaitPeerOp returns the verdict on an operation of another VM. An operation that
-// has no verdict when ctx ends is dropped, unless its write is in flight.
+// awaitPeerOp waits for the verdict on an operation of another VM and returns it. If
+// there is none when ctx ends, it returns relay.Undecided, and the operation is
+// dropped unless its write is in flight.
 func (c *committer) awaitPeerOp(ctx context.Context, p *pending) relay.Reply {
 	select {
 	case rep := <-p.done:
--- a/once/peers_test.go
+++ b/once/peers_test.go
@@ -15,20 +15,20 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// fakePeers connects one VM to the others within the process. If faults is set, VMs
-// disagree about the committer, messages are lost, delayed or duplicated, and answers
-// are lost, at random by a fixed seed.
+// fakePeers is the Peers of one VM and connects it to the others within the process.
+// If faults is set, VMs disagree about the committer, messages are lost, delayed or
+// duplicated, and answers are lost, at random by a fixed seed.
 type fakePeers struct {
-	runners      []*Runner
+	runners      []*Runner // all VMs, including the one that uses these Peers
 	faults       bool
-	lateMessages *sync.WaitGroup // delayed deliveries
+	lateMessages *sync.WaitGroup // counts delayed messages that are not yet delivered
 
 	mu  sync.Mutex // guards rng
 	rng *rand.Rand
 }
 
 // connectPeers lets the VMs commit for one another, with the faults of fakePeers if
-// faults is set. The WaitGroup counts delayed deliveries.
+// faults is set. The WaitGroup counts delayed messages that are not yet delivered.
 func connectPeers(runners []*Runner, seed uint64, faults bool) *sync.WaitGroup {
 	lateMessages := &sync.WaitGroup{}
 	for i, r := range runners {
@@ -44,6 +44,8 @@
 	return p.rng.IntN(bound)
 }
 
+// Committer returns the first VM, or a random one with faults. The bool reports
+// whether this is another VM than the one that uses these Peers.
 func (p *fakePeers) Committer(string) (objstore.VM, bool) {
 	index := 0
 	if p.faults && p.draw(4) == 0 {
@@ -52,6 +54,8 @@
 	return objstore.VM{Name: strconv.Itoa(index)}, p.runners[index].dispatcher.peers != p
 }
 
+// Commit calls Commit of the Runner whose index is the name of vm. With faults, the
+// message or its answer may be lost, or the message delivered late or twice.
 func (p *fakePeers) Commit(ctx context.Context, vm objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
 	index, _ := strconv.Atoi(vm.Name)
 	batch := relay.Batch{Segment: req.Segment, HoldMS: 20, Credit: req.Credit(), Ops: []relay.Op{req.Op}}
@@ -89,21 +93,24 @@
 	return deliver()
 }
 
-// frozenPeer is a committer that accepts operations without an answer and applies
-// them when the test calls deliverNext.
+// frozenPeer is a Peers whose committer of all segments is frozen: it accepts
+// operations without an answer and applies them when the test calls deliverNext.
 type frozenPeer struct {
-	to      *Runner
-	batches chan relay.Batch
+	to      *Runner          // the frozen VM
+	batches chan relay.Batch // accepted and not yet applied
 }
 
+// Committer returns a VM that stands for the frozen committer.
 func (p *frozenPeer) Committer(string) (objstore.VM, bool) { return objstore.VM{Name: "held"}, true }
 
+// Commit keeps the operation for deliverNext.
 func (p *frozenPeer) Commit(_ context.Context, _ objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
 	p.batches <- relay.Batch{Segment: req.Segment, HoldMS: 1000, Ops: []relay.Op{req.Op}}
 	return relay.Reply{}, relay.Unknown
 }
 
-// deliverNext lets the committer apply the next operation and returns its reply.
+// deliverNext lets the frozen committer apply the next kept operation and returns the
+// reply.
 func (p *frozenPeer) deliverNext(t *testing.T) relay.Reply {
 	replies, err := p.to.Commit(t.Context(), <-p.batches)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -131,9 +138,10 @@
 	g.Expect(b.Run(t.Context(), req, w.run).Code).To(Equal(result.Accepted))
 }
 
-// As TestResumedCommitterDoesNotUndoRelease, but VM a cannot reach the platform in
-// time either and answers "not run" without a claim. VM a must bar the operation id,
-// so that the frozen committer cannot add the claim, whenever it continues.
+// Guards against a key that stays blocked although its request never ran. The
+// committer is frozen with the claim in its queue. VM a cannot reach the platform in
+// time and answers "not run" without a claim. It must then bar the operation id, so
+// that the frozen committer cannot add the claim, whenever it continues.
 func TestResumedCommitterDoesNotAddAbandonedClaim(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -162,22 +170,25 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// answerLosingPeer applies operations and loses the answers.
+// answerLosingPeer is a Peers whose committer applies each operation at once, but its
+// answers are lost.
 type answerLosingPeer struct {
 	*frozenPeer
 	t *testing.T
 }
 
+// Commit applies the operation and returns Unknown instead of the reply.
 func (l answerLosingPeer) Commit(ctx context.Context, vm objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
 	_, _ = l.frozenPeer.Commit(ctx, vm, req)
 	l.deliverNext(l.t)
 	return relay.Reply{}, relay.Unknown
 }
 
-// Guards against a second run. The committer writes the claim only after its time
-// limit for the answer to VM a. If it removed the claim as one whose caller has given
-// up, VM a could have found the entry in the meantime, regarded the claim as won and
-// handed the request to a target. A later request with the key would find no claim.
+// Guards against a second run. The committer's write of a claim is stored, but the
+// committer gives up waiting for the platform's answer and answers VM a that the claim
+// is undecided. It must not remove the claim as abandoned: VM a may have found the
+// entry in the meantime, regarded the claim as won and handed the request to a target.
+// A later request with the key would find no claim.
 func TestCommitterKeepsClaimAfterLateAnswer(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -203,14 +214,16 @@
 	g.Expect(w.ran.Load()).To(BeEquivalentTo(1))
 }
 
-// slowPeer is a committer whose time limit ends after the write of an operation was
-// stored, but before the platform's answer arrives.
+// slowPeer is a Peers whose committer has to answer after the write of an operation
+// was stored, but before the platform's answer to the write arrives.
 type slowPeer struct {
 	*frozenPeer
-	once           sync.Once
-	stored, resume chan struct{} // closed once the write is stored; closed to let the platform answer
+	once           sync.Once     // for the first write only
+	stored, resume chan struct{} // stored is closed when the write is stored; resume lets the platform answer
 }
 
+// Commit lets the committer's time limit end when the write is stored. It returns
+// Unknown, or NotAccepted if the committer's reply is not Undecided.
 func (s *slowPeer) Commit(_ context.Context, _ objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -225,8 +238,8 @@
 }
 
 // Guards against requests of other VMs that wait until a leaving committer counts
-// as lost. It must finish the operations that it accepted and refuse others at
-// once.
+// as lost. A committer that is being closed must finish the operations that it
+// accepted, and refuse others at once.
 func TestLeavingCommitterFinishesAcceptedWork(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
@@ -260,7 +273,7 @@
 }
 
 // Guards against a committer that refuses its own callers' requests because the VMs
-// of a large fleet all relay their claims to it. Operations of other VMs have a
+// of a large fleet all relay their claims to it. Operations of other VMs must have a
 // separate limit.
 func TestPeerOperationsHaveSeparateLimit(t *testing.T) {
 	g := NewWithT(t)
--- a/once/race_test.go
+++ b/once/race_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	raceSeeds = 12 // races of each kind
+	raceSeeds = 12 // seeds of races; each is used with and without relaying
 	raceVMs   = 4  // VMs in a race
-	raceKeys  = 3  // keys for which the VMs compete
+	raceKeys  = 3  // keys for which the VMs of a race compete
 	raceTurns = 6  // requests of each VM in a race
 )
 
@@ -51,7 +51,7 @@
 type race struct {
 	runners      []*Runner
 	store        *faultStore
-	lateMessages *sync.WaitGroup // delayed messages between VMs
+	lateMessages *sync.WaitGroup // counts delayed messages between VMs that are not yet delivered
 	killed       *Runner         // nil if none was killed
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// kill stops a VM in the middle of its work, in the races with an odd seed.
+// kill stops the first VM in the middle of its work, if the seed is odd.
 func (r *race) kill(seed uint64) {
 	if seed%2 == 0 {
 		return
@@ -107,7 +107,8 @@
 	winner string // operation that holds the key after a claim
 }
 
-// claimModel is one register per key, which is free ("") or held by an operation.
+// claimModel is porcupine's model of the claims: one register per key, which holds ""
+// if the key is free, or else the id of the operation that claimed it.
 var claimModel = (&porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, raceKeys)
@@ -178,13 +179,16 @@
 // now returns the nanoseconds since the start.
 func (h *history) now() int64 { return int64(time.Since(h.start)) }
 
+// add records a call of the given client. call and end are the times at which it began
+// and ended, in nanoseconds since the start.
 func (h *history) add(client int, in claimInput, out claimOutput, call, end int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: call, Return: end})
 }
 
-// runClient claims keys on one VM and releases each claim that it wins.
+// runClient claims random keys on one VM, releases each claim that it wins, and records
+// these calls. base is the request of which only the name of the search is changed.
 func (h *history) runClient(r *Runner, base Request, client int, rng *rand.Rand) {
 	for range raceTurns {
 		key := rng.IntN(raceKeys)
@@ -232,8 +236,9 @@
 
 // TestRunAtMostOnce guards against a second run. The VMs get requests with the same
 // keys at the same time and repeatedly, while the platform loses writes and answers
-// and a VM is killed. Each request must run at most once. A call with the answer "not
-// run" must not have run it, and all calls that get the outcome must get the same one.
+// and a VM is killed. Each request must run at most once. A call of Run that answers
+// "not run" must not have run the request. All calls that get the outcome of a request
+// must get the same one.
 func TestRunAtMostOnce(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64, r *race) {
 		g := NewWithT(t)
--- a/once/relay_state.go
+++ b/once/relay_state.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// relayState decides whether one operation is relayed to the VM that commits its
-// segment or applied by this VM's own conditional update, and what has to follow.
-// It has no clock and no lock: the caller passes in events and the time, and gets
-// the next step.
+// relayState decides, step by step, whether one operation is relayed to the VM that
+// commits its segment or applied by this VM's own conditional update. It has no clock
+// and no lock: the caller passes in events and the time, and gets the next step.
 //
 // The VM that commits the segment, called committer here, may be killed, frozen,
 // disconnected, leaving or slow while it has the operation. Then this VM updates
@@ -15,7 +14,7 @@
 // be removed, op.barOnRelease makes the release leave the operation's id in the
 // segment, so that the committer cannot add the entry again.
 type relayState struct {
-	relayDeadline time.Time // time after which the operation is not relayed; the rest of its time is for this VM's own update
+	relayDeadline time.Time // time after which the operation is no longer relayed, so that time is left for this VM's own update
 	// mayApplyElsewhere says that another VM may apply the operation, now or at any
 	// later time. It stays set, because an operation that was sent cannot be
 	// withdrawn.
@@ -25,12 +24,12 @@
 // event is the result of relaying an operation to the VM that commits its segment.
 type event int
 
-// The events. "The committer" is the VM that commits the segment.
+// The events.
 const (
-	eventDecided     event = iota // the committer's verdict is final
-	eventUndecided                // the committer is alive and waits for the platform
-	eventNotAccepted              // the committer will never apply the operation
-	eventUnknown                  // no usable answer: the committer may apply the operation
+	eventDecided     event = iota // the VM that commits the segment gave its final verdict
+	eventUndecided                // the VM that commits the segment is alive, but still waits for the platform
+	eventNotAccepted              // the VM that commits the segment will never apply the operation
+	eventUnknown                  // no usable answer: the VM that commits the segment may apply the operation at any time
 )
 
 // step is the next thing to do for an operation, as relayState decides.
@@ -43,8 +42,8 @@
 	stepEnd                // nothing: the verdict on the operation is final
 )
 
-// start returns the first step for an operation. remote says that another VM
-// commits the operation's segment.
+// start returns the first step for an operation: stepRelay if another VM commits the
+// operation's segment (remote) and relayDeadline has not passed, else stepDirect.
 func (s *relayState) start(remote bool, now time.Time) step {
 	if remote && now.Before(s.relayDeadline) {
 		return stepRelay
@@ -52,10 +51,10 @@
 	return stepDirect
 }
 
-// next returns the step that follows an event. A committer that waits for the
-// platform gets the operation again: if each VM called a slow platform itself, the
-// platform would become slower for all. A committer that does not answer is not
-// called again.
+// next returns the step that follows an event. If the VM that commits the segment
+// waits for the platform, it gets the operation again: if each VM called a slow
+// platform itself, the platform would become slower for all. If that VM does not
+// answer, it is not called again.
 func (s *relayState) next(ev event, now time.Time) step {
 	switch ev {
 	case eventDecided:
--- a/once/relay_state_test.go
+++ b/once/relay_state_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestRelayStateProperties: an operation is relayed only until relayDeadline, and
-// never again after a missing answer. It always ends with a final verdict or this
-// VM's own update. Once another VM may apply the operation, mayApplyElsewhere stays
-// set.
+// TestRelayStateProperties draws random events and checks that an operation is relayed
+// only until relayDeadline, and never again after a missing answer. It must always end
+// with a final verdict or this VM's own update. Once another VM may apply the
+// operation, mayApplyElsewhere must stay set.
 func TestRelayStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -41,9 +41,9 @@
 	})
 }
 
-// TestCreditIsConserved: VMs transfer credit to any other VM, and some transfers are
-// lost. Together they never write more than they earned, and no VM holds more than
-// its limit.
+// TestCreditIsConserved guards against a fleet that writes more than the platform
+// accepts. VMs transfer credit to any other VM, and some transfers are lost. Together
+// they must never write more than they earned, and no VM may hold more than its limit.
 func TestCreditIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
--- a/once/runner.go
+++ b/once/runner.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	retryAfterInProgress = 200 * time.Millisecond // RetryAfter while the first request with the key runs, or if claiming the key took too long
-	retryAfterDown       = time.Second            // RetryAfter if the platform is down or too many claims wait
+	retryAfterInProgress = 200 * time.Millisecond // Outcome.RetryAfter while the first request with the key runs, or if claiming the key took too long
+	retryAfterDown       = time.Second            // Outcome.RetryAfter if the platform is down or too many claims wait
 	opIDBytes            = 8                      // random bytes in an operation id
 
 	// detailNotStored is the detail of a stored outcome without its result.
@@ -59,11 +59,10 @@
 	return errors.Trace(r.committer.close(ctx))
 }
 
-// Run claims the request's key and, if this call won the claim, calls run, which
-// may hand the request to one target. The outcome is stored for later requests with
-// the same key. If the code of run's outcome means "not run", the key is released.
-// Otherwise a later request with the same key never calls run. run is called at
-// most once.
+// Run claims the request's key and, if this call won the claim, calls run once. run
+// may hand the request to one target. If the code of run's outcome means "not run",
+// the key is released. Otherwise later requests with the same key never call run.
+// They get the stored outcome or, until it is stored, "in progress" or "unknown".
 func (r *Runner) Run(ctx context.Context, req Request, run func(ctx context.Context) Outcome) Outcome {
 	if out, ok := r.checkAge(req.Key); !ok {
 		return out
@@ -115,9 +114,9 @@
 
 // storeOutcome stores the outcome, so that later requests with the same key get the
 // same answer. If the request was not run, it releases the claim instead. It waits
-// until this is done, at most OutcomeWait or until ctx ends. The caller's answer
-// does not depend on it: until the outcome is stored, a later request gets the
-// answer "in progress" or "unknown" and never runs.
+// until this is done, at most OutcomeWait or until ctx ends. The caller may be
+// answered before the outcome is stored: until then, a later request with the same
+// key gets the answer "in progress" or "unknown" and never runs.
 func (r *Runner) storeOutcome(ctx context.Context, name string, claim op, out Outcome) {
 	var done <-chan reply
 	if out.Code.Info().Ran == result.RanNo {
@@ -134,10 +133,10 @@
 	}
 }
 
-// claim applies the claim to the segment with the given name or, if that is sealed
-// (was full once), to the key's overflow segment. It returns the name of the segment
-// that was used and the reply. It sets claim.barOnRelease if another VM may still add
-// the claim to that segment.
+// claim applies the claim to the segment with the given name or, if that segment is
+// sealed (was full once), to the key's overflow segment. It returns the name of the
+// segment that was used and the reply. It sets claim.barOnRelease if another VM may
+// still add the claim to that segment.
 func (r *Runner) claim(ctx context.Context, name string, claim *op) (string, reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.ClaimWait)
 	defer cancel()
@@ -202,9 +201,9 @@
 	return Outcome{Code: result.OutcomeUnknown, Detail: "the VM that claimed the key has not reported an outcome"}
 }
 
-// claimFailed returns the answer to a caller whose claim failed with err. It means
-// "not run". This is true although the claim may have been stored: only the call of
-// Run that made the claim hands the request to a target, and that call ends here.
+// claimFailed returns the answer to a caller whose claim failed with err. The answer
+// means "not run", which is true even if the claim was stored: only the call of Run
+// that made the claim hands the request to a target, and that call ends here.
 func claimFailed(err error) Outcome {
 	if errors.Is(err, errBusy) {
 		return Outcome{Code: result.Overloaded, Detail: "too many requests are waiting for their claim", RetryAfter: retryAfterDown}
--- a/once/runner_test.go
+++ b/once/runner_test.go
@@ -24,8 +24,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// startRunner starts a Runner of the VM with the given name. It is closed at the end
-// of the test.
+// startRunner starts the Runner of a VM with the given name, with options that the
+// change functions may adjust. The Runner is closed at the end of the test.
 func startRunner(t *testing.T, store objstore.Store, name string, change ...func(*Options)) *Runner {
 	opts := Options{Store: store, VM: name, Incarnation: "1", CallTimeout: 5 * time.Second, ClaimWait: 10 * time.Second, OutcomeWait: 10 * time.Second, FleetWriteRate: 70000}
 	for _, f := range change {
@@ -40,10 +40,10 @@
 	return r
 }
 
-// serial is the number in the last key that request made.
+// serial is the number in the last key that request returned.
 var serial atomic.Int64
 
-// request returns a request with a new key.
+// request returns a request with a new key and the given digest of its payload.
 func request(digest string) Request {
 	key, err := ParseKey(fmt.Sprintf("%d-key%08d", time.Now().Unix(), serial.Add(1)))
 	if err != nil {
@@ -63,13 +63,15 @@
 	return &work{out: Outcome{Code: result.Accepted, Result: []byte(`{"filed":"<1>"}`)}}
 }
 
+// run counts the call and returns w.out. It is passed to Runner.Run.
 func (w *work) run(context.Context) Outcome {
 	w.ran.Add(1)
 	return w.out
 }
 
-// A second request with the same key gets the stored outcome at any VM and does not
-// run. With another payload, it is rejected.
+// Guards against a second run of a request that a caller sends twice. The second
+// request must get the stored outcome, also at another VM. If its payload differs, it
+// must be rejected, because its caller used the key for another request.
 func TestDuplicateRequestGetsStoredOutcome(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
--- a/once/segment.go
+++ b/once/segment.go
@@ -14,18 +14,18 @@
 // between maxSizeForClaims and maxSizeForResults is reserved for the outcomes of
 // claims that are already stored.
 const (
-	maxSizeForClaims  = objstore.MaxValue / 2     // size of a segment above which no further claim is stored
-	maxSizeForResults = objstore.MaxValue * 3 / 4 // size of a segment above which outcomes are stored without their results
-	entryOverhead     = 160                       // field names, quotes and numbers of an entry
-	maxDetailBytes    = 256                       // longest detail of a stored outcome
-	barredOverhead    = 10                        // quotes, value and comma of an id in Barred
+	maxSizeForClaims  = objstore.MaxValue / 2     // estimated size of a segment, in bytes, above which no further claim is stored
+	maxSizeForResults = objstore.MaxValue * 3 / 4 // estimated size of a segment, in bytes, above which outcomes are stored without their results
+	entryOverhead     = 160                       // bytes of an entry's JSON for field names, quotes and numbers
+	maxDetailBytes    = 256                       // length of the longest detail of a stored outcome, in bytes
+	barredOverhead    = 10                        // bytes of JSON for the quotes, value and comma of an id in segment.Barred
 	maxJSONExpansion  = 6                         // largest number of bytes that JSON needs for one byte of text
 )
 
 // segment is the value of one claims object, which holds the claims of keys that
 // callers created within one second. It is immutable: apply returns a new one.
 type segment struct {
-	Entries map[string]entry `json:"entries"` // by search and key
+	Entries map[string]entry `json:"entries"` // by claimID, which contains search and key
 	// Barred holds the operation ids of claims that must never be added to Entries;
 	// see op.barOnRelease.
 	Barred map[string]bool `json:"barred,omitempty"`
@@ -51,7 +51,7 @@
 type storedOutcome struct {
 	Code   result.Code     `json:"code"`
 	Result json.RawMessage `json:"result,omitempty"` // the target's result; empty if it was too large
-	Detail string          `json:"detail,omitempty"`
+	Detail string          `json:"detail,omitempty"` // explanation for the caller, at most maxDetailBytes
 }
 
 // size returns an estimate of the length of the outcome's JSON, in bytes. Result is
@@ -83,31 +83,31 @@
 // effect as once.
 type op struct {
 	kind  opKind
-	id    string // search and key
+	id    string // the claimID, which contains search and key
 	entry entry  // entry.Op identifies the claim for all three kinds
 	// barOnRelease makes a release of the claim store the claim's operation id as
 	// barred, so that the claim can't be added to the segment later. It is set if the
 	// claim was sent to another VM that has not given a final answer. That VM may be
 	// frozen with the claim in its queue and add the claim after the caller has given
 	// up. The key would then stay blocked, although its caller got the answer "not
-	// run". Changing the object's version does not stop a VM that reads the object
-	// before it writes; the barred id does.
+	// run". A changed object version would not stop that VM, because it reads the
+	// object again before it writes. The barred id does.
 	barOnRelease bool
 }
 
 // verdict is the result of an op.
 type verdict int
 
-// The verdicts, with the kinds of operations that get them.
+// The verdicts.
 const (
-	verdictDone  verdict = iota // any: the segment is in the state that the op requested
-	verdictHeld                 // claim: the key has an entry of another operation
-	verdictFull                 // claim: there is no space for the key
-	verdictMoved                // claim: the segment is sealed, that is, it accepts no new keys; the key belongs in its overflow segment
-	verdictGone                 // complete: the claim no longer exists; claim: its operation id is barred
+	verdictDone  verdict = iota // on any operation: the segment is in the state that the operation requested
+	verdictHeld                 // on a claim: the key has an entry of another operation
+	verdictFull                 // on a claim: the segment has no space for the key
+	verdictMoved                // on a claim: the segment is sealed (accepts no new keys); the key belongs in its overflow segment
+	verdictGone                 // on a completion: the claim no longer exists; on a claim: its operation id is barred
 )
 
-// reply is a verdict, with the conflicting entry for verdictHeld.
+// reply is the result of an op.
 type reply struct {
 	verdict verdict
 	held    entry // the key's entry of another operation, for verdictHeld only
@@ -167,10 +167,10 @@
 	return reply{verdict: verdictDone}, true
 }
 
-// rejectFull rejects a claim for lack of space. It seals the segment for all later
-// claims, unless it is an overflow segment. If space that is released later were
-// given to new keys, a key that has been claimed in its overflow segment could also
-// be claimed here, and run twice. The bool reports whether the segment changed.
+// rejectFull rejects a claim for lack of space. Unless s is an overflow segment, it
+// seals s, so that s accepts no new keys even when releases free space. Otherwise a
+// key that has been claimed in its overflow segment could also be claimed in s, and
+// its request could run twice. The bool reports whether the segment changed.
 func (s *segment) rejectFull() (reply, bool) {
 	if s.overflow {
 		return reply{verdict: verdictFull}, false
@@ -198,8 +198,8 @@
 	return reply{verdict: verdictDone}, true
 }
 
-// release removes the operation's own claim, and bars its operation id if the
-// operation asks for it. existing is the key's entry; sameOp says that the entry is
+// release removes the operation's own claim, and bars the claim's operation id if
+// o.barOnRelease is set. existing is the key's entry; sameOp says that the entry is
 // of this operation. The bool reports whether the segment changed.
 func (s *segment) release(o op, existing entry, sameOp bool) (reply, bool) {
 	barred := o.barOnRelease && s.barOperation(o.entry.Op)
@@ -246,9 +246,9 @@
 }
 
 // decodeSegment decodes the value of the segment with the given name. It returns an
-// error for any value that it does not understand in full. If it ignored a claim
-// that another version of the software stored in a different form, the claim would
-// be lost with the next update, and its request could run again.
+// error for any value that it does not understand in full, such as one written by
+// another version of the software. If it ignored a claim, the claim would be lost
+// with the next update, and its request could run again.
 func decodeSegment(name string, value []byte) (segment, error) {
 	s := segment{overflow: isOverflow(name)}
 	decoder := json.NewDecoder(bytes.NewReader(value))
--- a/once/segment_test.go
+++ b/once/segment_test.go
@@ -13,7 +13,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// drawOp draws an operation on one of a few keys.
+// drawOp draws an operation on one of a few keys. The result of a completion is small,
+// as large as the default limit, or larger.
 func drawOp(t *rapid.T) op {
 	kind := opKind(rapid.IntRange(int(opClaim), int(opRelease)).Draw(t, "kind"))
 	o := op{kind: kind, id: fmt.Sprintf("report/1700000000-key%05d", rapid.IntRange(0, 4).Draw(t, "id"))}
@@ -74,7 +75,8 @@
 }
 
 // Guards against an outcome that cannot be stored because claims have used up the
-// space of its segment.
+// space of its segment. In a segment that is filled with claims, all of them must get
+// an outcome.
 func TestFullSegmentReservesSpaceForOutcomes(t *testing.T) {
 	g := NewWithT(t)
 	var s segment
@@ -99,8 +101,8 @@
 	g.Expect(len(value)).To(BeNumerically("<=", objstore.MaxValue))
 }
 
-// drawLargeOp draws a claim or a release. A claim is either small or takes more than
-// half of a segment's space for claims.
+// drawLargeOp draws a claim or a release on one of a few keys. A claim is either small
+// or takes more than half of a segment's space for claims.
 func drawLargeOp(t *rapid.T) op {
 	o := op{kind: rapid.SampledFrom([]opKind{opClaim, opClaim, opRelease}).Draw(t, "kind")}
 	o.id = fmt.Sprintf("report/1700000000-key%05d", rapid.IntRange(0, 3).Draw(t, "id"))
@@ -111,9 +113,9 @@
 
 // TestSealedSegmentAcceptsNoKeys guards against a request that runs twice. The
 // segment of its second is full, so its key is claimed in its overflow segment.
-// Then a release frees space, and a later request claims the key in the segment. A
-// sealed segment must accept no keys, and a key with the verdict verdictMoved must
-// never be claimed in it.
+// Then a release frees space, and a later request claims the key in the first segment
+// too. A sealed segment must accept no keys, and a key with the verdict verdictMoved
+// must never be claimed in it.
 func TestSealedSegmentAcceptsNoKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -137,9 +139,9 @@
 	})
 }
 
-// TestOverflowSegmentsTakeExcessKeys: when thousands of requests arrive within one
-// second, one segment holds about 1,800 claims. The other keys must go into
-// overflow segments, each key into one, instead of being refused.
+// TestOverflowSegmentsTakeExcessKeys guards against requests that are refused when
+// thousands arrive within one second: one segment holds about 1,800 claims. The other
+// keys must be claimed in overflow segments, each key in one of them only.
 func TestOverflowSegmentsTakeExcessKeys(t *testing.T) {
 	g := NewWithT(t)
 	store := newFaultStore(1)
--- a/once/segment_writer.go
+++ b/once/segment_writer.go
@@ -22,8 +22,8 @@
 	// Used by the writer's goroutine only. The state was read or written earlier
 	// and may be outdated; a conditional update detects that.
 	known   bool    // version and state are set
-	version uint64  // object version in the store; 0 if there is no object
-	state   segment // content of the segment at that version
+	version uint64  // version of the segment's object when state was read or written; 0 if there was none
+	state   segment // last known content of the segment, of that version
 }
 
 // runWriter applies the operations of the writer's queue until the queue is empty
@@ -43,7 +43,7 @@
 // commit applies the batch, together with operations that arrive in the meantime,
 // and delivers the replies. It returns false if the committer stops.
 func (c *committer) commit(w *segmentWriter, batch []*pending) bool {
-	fresh := false       // the state was read after the whole batch had arrived
+	fresh := false       // w.state was read after the whole batch had arrived
 	creditTaken := false // the credit for the next write was deducted
 	for try := 0; ; try++ {
 		if more := c.takeQueue(w, false); len(more) > 0 {
@@ -129,8 +129,8 @@
 	}
 }
 
-// creditPollInterval is how often a segment writer checks whether another VM has
-// transferred the credit for its write.
+// creditPollInterval is the time between two checks of a segment writer that waits
+// for credit: another VM may have transferred the credit for the write.
 const creditPollInterval = 5 * time.Millisecond
 
 // waitForCredit waits until this VM's budget of writes to the platform allows one
@@ -214,8 +214,8 @@
 }
 
 // needsFresh reports whether any reply could be different with a newer state of the
-// segment. This is the case for a key that is held without an outcome, a full
-// segment, a claim that is barred or no longer exists, and a release. A stored
+// segment. These are the replies on a key that is held without an outcome, on a full
+// segment, on a claim that is barred or no longer exists, and on a release. A stored
 // outcome is final.
 func needsFresh(batch []*pending, replies []reply) bool {
 	for i, rep := range replies {
--- a/once/store_test.go
+++ b/once/store_test.go
@@ -13,16 +13,16 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// faultStore is a platform in memory that fails writes at random by a fixed seed, and
-// as the test sets its fields. Versions start again at 1 after a removal, which is the
-// worst behavior that the interface allows.
+// faultStore is an objstore.Store in memory that fails writes at random by a fixed
+// seed, and calls as the test sets its fields. Versions start again at 1 after a
+// removal, which is worse than objstoretest allows.
 type faultStore struct {
-	mu      sync.Mutex // guards the fields up to lists
-	objects map[string]objstore.Object
+	mu      sync.Mutex                 // guards the fields up to lists
+	objects map[string]objstore.Object // by name, of all kinds
 	rng     *rand.Rand
-	puts    int // writes that reached the store
-	gets    int
-	lists   int
+	puts    int // number of writes that reached the store
+	gets    int // number of reads of objects that reached the store
+	lists   int // number of listings that reached the store
 
 	loseAnswer       float64                            // share of writes that are applied and return an error
 	loseWrite        float64                            // share of writes that return an error and are not applied
@@ -35,12 +35,15 @@
 	beforePut        func(name string) error            // called without mu
 	afterPut         func(name string, err error) error // called without mu
 	delayPut         func(apply func() error) bool      // returns true to fail a write, which it may apply later
-	lateWG           sync.WaitGroup                     // counts writes of lateWrite that are not yet applied
-	vms              []objstore.VM
+	lateWG           sync.WaitGroup                     // counts writes failed by lateWrite that are not yet applied
+	vms              []objstore.VM                      // the platform's list of VMs
 }
 
+// errLost is the error of a call whose request or answer was lost.
 var errLost = errors.New("connection reset")
 
+// newFaultStore returns an empty store without faults. seed is that of the random
+// faults that the test may set.
 func newFaultStore(seed uint64) *faultStore {
 	return &faultStore{objects: map[string]objstore.Object{}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
@@ -115,7 +118,7 @@
 	return version, err
 }
 
-// put applies a write if the object has the expected version.
+// put applies a write if the object has the expected version, without any fault.
 func (s *faultStore) put(kind, name string, expect uint64, value []byte) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,12 +182,14 @@
 	return c.waiting
 }
 
+// isDown reports whether the committer treats the platform as down.
 func (c *committer) isDown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failures >= downThreshold
 }
 
+// isClosed reports whether close was called.
 func (c *committer) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
