--- a/once/relay/choose.go
+++ b/once/relay/choose.go
@@ -7,9 +7,9 @@
 )
 
 // Choose returns the VM that commits the segment with the given name, which means
-// that it updates the segment for all VMs. That is the first by rendezvous hashing
-// among the VMs for which avoided returns false. Choose returns false if there is
-// none.
+// that it updates the segment for all VMs. It is chosen by rendezvous hashing among
+// the VMs for which avoided returns false. Choose returns false if avoided returns
+// true for all VMs.
 func Choose(segment string, vms []objstore.VM, avoided func(vm string) bool) (objstore.VM, bool) {
 	var chosen objstore.VM
 	var highestRank uint64
@@ -19,8 +19,7 @@
 			continue
 		}
 		rank := xxhash.Sum64String(segment + "\x00" + vm.Name)
-		// The VM with the highest rank comes first. VMs of equal rank are ordered by
-		// name.
+		// The VM with the highest rank is chosen, and of several the first by name.
 		if !found || rank > highestRank || rank == highestRank && vm.Name < chosen.Name {
 			chosen, highestRank, found = vm, rank, true
 		}
--- a/once/relay/link.go
+++ b/once/relay/link.go
@@ -9,10 +9,11 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// link is the connection to one VM, with its queue. Its goroutine dials, sends
-// batches, and ends when nothing was sent for IdleTimeout or the connection breaks.
+// link is the connection to one VM, with the queue of operations for that VM. Its
+// goroutine dials, sends batches, and ends when nothing was sent for IdleTimeout or
+// the connection breaks.
 type link struct {
-	parent    *Links        // holds this link in its table
+	parent    *Links        // holds this link in Links.links
 	vm        objstore.VM   // the VM at the other end
 	wake      chan struct{} // signals that operations were queued
 	callSlots chan struct{} // one token per batch in flight; holds at most maxConcurrentBatches
@@ -35,7 +36,8 @@
 	delivery Delivery
 }
 
-// run is the link's goroutine. If it can't connect, the VM is avoided for a while.
+// run is the link's goroutine. If it can't connect, the VM is not chosen to commit
+// segments for a while, see Links.avoid.
 func (k *link) run() error {
 	conn, err := k.dial()
 	if err != nil {
@@ -99,8 +101,8 @@
 	return conn, nil
 }
 
-// remove removes the link from its parent's table. It answers the queued operations
-// with NotAccepted, because they were never sent.
+// remove removes the link from Links.links. It answers the queued operations with
+// NotAccepted, because they were never sent.
 func (k *link) remove() {
 	k.parent.mu.Lock()
 	if k.parent.links[k.vm.Address] == k {
@@ -115,8 +117,9 @@
 }
 
 // takeQueue empties the queue and returns the operations whose callers still wait.
-// It marks them as sent already: a caller that gives up from now on must not assume
-// that the other VM will never apply its operation.
+// It marks these operations as sent, although they are sent only after it returns: a
+// caller that gives up from now on must not assume that the other VM will never apply
+// its operation.
 func (k *link) takeQueue() []*pending {
 	k.parent.mu.Lock()
 	defer k.parent.mu.Unlock()
@@ -131,11 +134,11 @@
 	return taken
 }
 
-// splitBatches divides operations into batches. The operations of a batch are all
-// on one segment, and at most MaxOps.
+// splitBatches divides the queued operations into batches, each of at most MaxOps
+// operations on one segment.
 func splitBatches(queue []*pending) [][]*pending {
 	var list [][]*pending
-	open := map[string]int{} // index of the last batch, by segment
+	open := map[string]int{} // index in list of the segment's last batch, by segment
 	for _, p := range queue {
 		index, ok := open[p.req.Segment]
 		if !ok || len(list[index]) == MaxOps {
@@ -166,7 +169,8 @@
 }
 
 // commit sends a batch to the VM and delivers the answers to the callers. If the VM
-// does not answer with one reply per operation, it is avoided for a while.
+// does not answer with one reply per operation, it is not chosen to commit segments
+// for a while, see Links.avoid.
 func (k *link) commit(conn *wire.Conn, batch []*pending) {
 	o := k.parent.opts
 	ctx, cancel := context.WithTimeout(k.parent.ctx, o.ResponseTimeout)
@@ -208,8 +212,8 @@
 	return false
 }
 
-// deliver sends each caller of the batch the reply at the index of its operation.
-// replies is nil if the other VM gave none.
+// deliver sends an answer to the caller of each operation of the batch: the given
+// delivery and, unless replies is nil, the reply at the operation's index.
 func deliver(batch []*pending, replies []Reply, delivery Delivery) {
 	for i, p := range batch {
 		a := answer{delivery: delivery}
--- a/once/relay/links.go
+++ b/once/relay/links.go
@@ -14,6 +14,7 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
+// Defaults of Options, and constants of the links.
 const (
 	defaultHold            = 250 * time.Millisecond // time after which the other VM answers a batch, even without verdicts
 	defaultResponseTimeout = 500 * time.Millisecond // time without an answer after which a VM counts as lost
@@ -23,15 +24,17 @@
 	// liveListTTL is how long a list of live VMs is reused before it is read from
 	// Fleet again.
 	liveListTTL = 100 * time.Millisecond
-	// batchDelay is how long the first queued operation waits for further ones for
-	// the same VM. It is short compared with an update of a segment.
+	// batchDelay is how long the first queued operation for a VM waits for further
+	// ones, which are sent in the same batch. It is short compared with an update of
+	// a segment.
 	batchDelay = 500 * time.Microsecond
-	// maxConcurrentBatches limits the batches in flight to one VM. Package wire
-	// serves twice as many for one connection.
+	// maxConcurrentBatches limits the batches in flight to one VM. Package wire at
+	// the other end serves twice as many calls of one connection at once.
 	maxConcurrentBatches = 8
 )
 
-// Fleet is the information about the other VMs. peer.Exchange implements it.
+// Fleet is the information about the other VMs. peer.Exchange implements it. It must
+// be safe for concurrent use.
 type Fleet interface {
 	Live() []objstore.VM       // the VMs that are alive, including this one
 	WireOptions() wire.Options // the options of connections to other VMs
@@ -89,7 +92,7 @@
 	tomb *tomb.Tomb      // stops the goroutines of the links
 	ctx  context.Context // canceled when the tomb is killed
 
-	mu       sync.Mutex           // guards the fields below, and the fields of link and pending that say so
+	mu       sync.Mutex           // guards the fields below, link.queue, pending.sent and pending.cancelled
 	links    map[string]*link     // by address of the VM
 	avoided  map[string]time.Time // time until which a VM is not chosen, by name of the VM
 	live     []objstore.VM        // the last list of live VMs
@@ -115,7 +118,8 @@
 	return l
 }
 
-// Stop closes all connections. Operations in flight get the Delivery Unknown.
+// Stop closes all connections and waits for their goroutines. Operations in flight
+// get the Delivery Unknown.
 func (l *Links) Stop() {
 	l.tomb.Kill(nil)
 	_ = l.tomb.Wait()
@@ -123,7 +127,7 @@
 
 // Committer returns the VM that commits the segment with the given name, which
 // means that it updates the segment for all VMs. It returns false if that is this
-// VM, or if all live VMs are avoided.
+// VM, or if there is none because all live VMs are excluded, see avoid.
 func (l *Links) Committer(segment string) (objstore.VM, bool) {
 	now := time.Now()
 	l.mu.Lock()
@@ -175,9 +179,9 @@
 	return true
 }
 
-// cancel marks a queued operation, so that it is not sent, and returns NotAccepted.
-// If the operation is part of a batch already, cancel has no effect and returns
-// Unknown.
+// cancel marks a queued operation as cancelled, so that it is not sent, and returns
+// NotAccepted. If the operation is part of a batch already, cancel has no effect and
+// returns Unknown.
 func (l *Links) cancel(p *pending) Delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/once/relay/messages.go
+++ b/once/relay/messages.go
@@ -49,8 +49,8 @@
 // Op is one operation on one key. Applying it more than once does no harm.
 type Op struct {
 	Kind  Kind   `json:"kind"`
-	ID    string `json:"id"`    // search and key
-	Entry Entry  `json:"entry"` // its Op identifies the claim; Claim stores the whole entry, Complete its Outcome
+	ID    string `json:"id"`    // id of the key's entry in the segment; contains search and key
+	Entry Entry  `json:"entry"` // Entry.Op identifies the claim; Claim stores the whole Entry, Complete only Entry.Outcome
 }
 
 // Entry is a key's entry in a segment, the stored object that holds the claims of
@@ -67,8 +67,8 @@
 // and not as embedded JSON, which would be re-encoded in transit.
 type Outcome struct {
 	Code   result.Code `json:"code"`
-	Result []byte      `json:"result,omitempty"`
-	Detail string      `json:"detail,omitempty"`
+	Result []byte      `json:"result,omitempty"` // the target's result, in JSON; empty if it was too large to be stored
+	Detail string      `json:"detail,omitempty"` // explanation for the caller
 }
 
 // Replies contains one reply per operation, in the order of the batch.
@@ -84,13 +84,13 @@
 const (
 	Done      Verdict = "done"      // the segment is in the state that the operation requested
 	Held      Verdict = "held"      // the key has an entry of another operation
-	Full      Verdict = "full"      // there is no space for the key
+	Full      Verdict = "full"      // the segment has no space for the key
 	Moved     Verdict = "moved"     // the segment is sealed (was full once); the key belongs in an overflow segment
 	Gone      Verdict = "gone"      // the claim to complete does not exist, or the claim's operation id is barred
 	Undecided Verdict = "undecided" // the operation may still be applied
 )
 
-// Reply is a verdict, with the conflicting entry for Held.
+// Reply is the result of one operation of a batch.
 type Reply struct {
 	Verdict Verdict `json:"verdict"`
 	Held    *Entry  `json:"held,omitempty"` // the key's entry of another operation, for Held only
--- a/once/relay/relay_test.go
+++ b/once/relay/relay_test.go
@@ -20,6 +20,7 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
+// testTimeout bounds each wait for an event that must happen.
 const testTimeout = 20 * time.Second
 
 // TestMain fixes the seed of the property tests and checks that no goroutine is left
@@ -32,11 +33,13 @@
 	goleak.VerifyTestMain(m)
 }
 
+// avoidNone is an argument for Choose that avoids no VM.
 func avoidNone(string) bool { return false }
 
-// TestChooseProperties: VMs with the same list choose the same VM, in any order of
-// the list. An avoided VM is treated like one that is not in the list. If a VM leaves
-// the list, only the segments that it committed move to other VMs.
+// TestChooseProperties guards against VMs that choose different committers for one
+// segment. VMs with the same list must choose the same VM, in any order of the list.
+// An avoided VM must be treated like one that is not in the list. If a VM leaves the
+// list, only the segments that it committed may move to other VMs.
 func TestChooseProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -88,7 +91,7 @@
 
 func (f committerFunc) Commit(ctx context.Context, b Batch) ([]Reply, error) { return f(ctx, b) }
 
-// fakeFleet is a fixed list of VMs that are all alive.
+// fakeFleet is a Fleet with a fixed list of VMs that are all alive.
 type fakeFleet struct {
 	vms     []objstore.VM
 	options wire.Options
@@ -97,8 +100,8 @@
 func (f *fakeFleet) Live() []objstore.VM       { return f.vms }
 func (f *fakeFleet) WireOptions() wire.Options { return f.options }
 
-// newTestLinks starts a VM "b" with the committer, behind a fault proxy, and
-// returns the links of a VM "a" to it.
+// newTestLinks starts a VM "b" with the committer c, behind a fault proxy. It returns
+// the Links of a VM "a", the proxy, and "b" with the proxy's address.
 func newTestLinks(t *testing.T, c Committer) (*Links, *faultproxy.Proxy, objstore.VM) {
 	return newTestLinksWithTimeout(t, c, 0)
 }
@@ -132,15 +135,15 @@
 	return links, proxy, b
 }
 
-// opRequest returns a request to claim the key with the given id.
+// opRequest returns a request to claim the key with the given id, without credit.
 func opRequest(id string) OpRequest {
 	return OpRequest{Segment: "d.1700000000", Op: Op{Kind: Claim, ID: id, Entry: Entry{Op: id}}, Credit: func() float64 { return 0 }}
 }
 
 // Guards against an operation that is lost because the previous one was not answered
-// in time. The connection is then closed. The next operation, which a caller sends at
-// this moment, must not be sent on this connection: it must wait for a new one, or be
-// reported as not accepted.
+// in time, so that the connection is closed. The next operation, which a caller sends
+// at this moment, must not be sent on the closed connection. It must be sent on a new
+// one or be reported as not accepted.
 func TestOperationAfterTimeoutIsNotLost(t *testing.T) {
 	g := NewWithT(t)
 	testEnd := make(chan struct{})
@@ -228,8 +231,9 @@
 	}, testTimeout).Should(Equal(NotAccepted))
 }
 
-// Operations that are queued for one VM at the same time are sent in as few batches
-// as possible, each on one segment and of at most MaxOps.
+// Guards against batches that the other VM refuses because they are too large, or
+// applies to the wrong segment, and against more batches than needed. Each batch must
+// have at most MaxOps operations, all on one segment.
 func TestOperationsAreBatchedPerSegment(t *testing.T) {
 	g := NewWithT(t)
 	var queue []*pending
--- a/once/relay/serve.go
+++ b/once/relay/serve.go
@@ -14,9 +14,9 @@
 	Commit(ctx context.Context, b Batch) ([]Reply, error)
 }
 
-// Handle answers a call that another VM made to a method of this package. It passes
-// the batch to c and never calls another VM. An error of c is returned with the
-// code result.PeerBusy.
+// Handle answers a call that another VM made to a method of this package: it passes
+// the batch to c and returns c's Replies. An error of c is returned with the code
+// result.PeerBusy.
 func Handle(ctx context.Context, c Committer, method string, params json.RawMessage) (any, error) {
 	if method != MethodCommit {
 		return nil, result.Errorf(result.UnknownMethod, "%q", method)
