--- a/rollout/advance.go
+++ b/rollout/advance.go
@@ -33,13 +33,13 @@
 	digest string // of the bundle
 }
 
-// entryBuilder builds the entry that follows head and makes the given change. head
-// is nil before the first rollout.
+// entryBuilder returns the entry that follows head and makes the given change. head
+// is the latest accepted change, or nil before the first rollout.
 type entryBuilder func(ctx context.Context, head *Head, change Change) (Entry, error)
 
-// makeChange makes one change and returns its entry. If req names an operation of
-// an earlier run, makeChange resumes that operation instead. With an error, the
-// entry may have no field set but Op.
+// makeChange makes the change that want describes and returns its entry, which
+// buildEntry builds. If req names an operation of an earlier run, makeChange resumes
+// that operation instead. After an error, the entry may have no field set but Op.
 func (c *Client) makeChange(ctx context.Context, req Request, want intent, buildEntry entryBuilder) (Entry, error) {
 	if c.opts.Key == nil {
 		return Entry{}, result.Errorf(result.BadSettings, "a change needs your private key; pass --key or make one with keygen")
@@ -65,10 +65,10 @@
 	return c.commitChange(ctx, req, want, s, buildEntry)
 }
 
-// commitChange makes the change on top of s, the head as read. The integrity of the
-// audit chain depends on the order of writes. First the entry in the head is
-// archived under its own name. Then the head is replaced, on condition that it is
-// still the version that was read. If the operator's program stops in between,
+// commitChange makes the change on top of s, the head as read. req.Op is set. The
+// integrity of the audit chain depends on the order of writes. First the entry in the
+// head is archived under its own name. Then the head is replaced, on condition that
+// it is still the version that was read. If the operator's program stops at any point,
 // either nothing was written, or the entry in the head is archived already, or the
 // change is complete. The next operator can continue from each of these states.
 func (c *Client) commitChange(ctx context.Context, req Request, want intent, s headState, buildEntry entryBuilder) (Entry, error) {
@@ -92,11 +92,11 @@
 	return accepted.Entry, want.checkMatches(accepted)
 }
 
-// resumeChange finds the outcome of an operation of an earlier run. s and readErr
-// are the result of reading the head. If the operation was not accepted and its
-// revision is still the next one, resumeChange makes the change again. That is safe:
-// the earlier write and the new one expect the same version of the head, so only one
-// can take effect.
+// resumeChange returns the outcome of req.Op, an operation of an earlier run. s and
+// readErr are the result of reading the head. If the operation was not accepted and
+// its revision is still the next one, resumeChange makes the change again. This is
+// safe: the earlier write and the new one expect the same version of the head, so
+// only one of them can take effect.
 func (c *Client) resumeChange(ctx context.Context, req Request, want intent, s headState, readErr error, buildEntry entryBuilder) (Entry, error) {
 	revision, err := req.Op.Revision()
 	if err != nil {
@@ -137,7 +137,7 @@
 }
 
 // checkMatches returns an error with code KeyReused if the accepted entry makes
-// another change than the requested one: the operator resumed the operation with
+// another change than want. This happens if the operator resumed the operation with
 // another command.
 func (want intent) checkMatches(accepted *Head) error {
 	e := &accepted.Entry
@@ -147,10 +147,10 @@
 	return result.Errorf(result.KeyReused, "operation %s is revision %d: %s of %s; leave --op out for another change", e.Op, e.Revision, e.Action, e.Subject())
 }
 
-// resolve finds the outcome of the operation op, whose entry was to get the given
-// revision. It calls Resolve and reads the archived entry of that revision if
-// needed. The returned Head is the entry that got the revision, unless the outcome
-// is OutcomeOpen.
+// resolve returns the outcome of the operation op, whose entry was to get the given
+// revision. head is the current head. resolve calls Resolve and reads the archived
+// entry of the revision if needed. If the outcome is OutcomeAccepted or
+// OutcomeConflict, the returned Head is the entry that got the revision.
 func (c *Client) resolve(ctx context.Context, op OpID, revision uint64, head *Head) (Outcome, *Head, error) {
 	outcome := Resolve(op, revision, head, nil)
 	if outcome != OutcomeNeedArchived {
@@ -167,8 +167,8 @@
 }
 
 // conflictError returns an error with code Conflict that describes winner, the
-// change that was accepted first. latest is the current head, or nil if it is
-// unknown.
+// accepted change that came before the operator's own. latest is the current head, or
+// nil if it is unknown.
 func conflictError(winner, latest *Head) error {
 	w := &winner.Entry
 	text := "revision %d came first: %s of %s by %s at %s, because %q"
@@ -197,9 +197,9 @@
 	return e.Digest
 }
 
-// archiveEntry stores the entry in the head h under its own name in the audit chain.
-// It retries until ctx ends, and does nothing if the entry is archived already, or
-// if h is nil.
+// archiveEntry stores the entry in the head h as an object of its own, as part of the
+// audit chain. It retries until ctx ends, and does nothing if the entry is archived
+// already, or if h is nil.
 func (c *Client) archiveEntry(ctx context.Context, h *Head) error {
 	if h == nil {
 		return nil
@@ -217,16 +217,16 @@
 }
 
 // checkHeadNotReverted returns an error with code BrokenAudit if the audit chain has
-// entries beyond the head. That happens when the store was restored from an earlier
-// copy. VMs would refuse the new entry, since its revision or a higher one is
-// already in force there.
+// an entry of a higher revision than the head in s. That happens when the store was
+// restored from an earlier copy. VMs would refuse the operator's new entry, since its
+// revision or a higher one is already in force there.
 func (c *Client) checkHeadNotReverted(ctx context.Context, s headState) error {
 	archived, err := c.readArchived(ctx, s.revision()+1)
 	if err != nil || archived == nil {
 		return err
 	}
-	// The head may have advanced since s was read. That is no fault of the chain,
-	// and the conditional write then fails.
+	// The head may have advanced since s was read. This is no fault of the chain, and
+	// the conditional write of the new entry will fail.
 	current, err := c.readState(ctx)
 	if err != nil || current.version != s.version {
 		return err
@@ -234,10 +234,11 @@
 	return result.Errorf(result.BrokenAudit, "the head is at revision %d, but revision %d is archived already; the store was reverted to an earlier state", s.revision(), archived.Entry.Revision)
 }
 
-// writeHead replaces base, the head as read, by the entry e and returns the head
-// with the accepted entry. The response to a write may be lost, and a write may
-// conflict with an earlier try of the same operation. In both cases writeHead reads
-// the head and finds the outcome by the operation id in it.
+// writeHead replaces base, the head as read, by the entry e and returns the new head.
+// The response to a write may be lost, and a write may conflict with an earlier try
+// of the same operation. In both cases writeHead reads the head, whose operation id
+// shows the outcome. The new head may hold an entry of an earlier run, see
+// resolveWrite.
 func (c *Client) writeHead(ctx context.Context, base headState, e Entry) (*Head, error) {
 	signed := signEntry(e, c.opts.Key)
 	maybeSent := false
@@ -265,7 +266,7 @@
 
 // timeoutError returns the error of an operation that took longer than
 // ClientOptions.Patience. Its code is WriteUnknown if a write may have reached the
-// platform, else PlatformDown.
+// platform (maybeSent), else PlatformDown. err is the error of the last write.
 func (c *Client) timeoutError(maybeSent bool, op OpID, err error) error {
 	if maybeSent {
 		return result.Errorf(result.WriteUnknown, "run the same command again with --op %s to learn the outcome", op)
@@ -273,11 +274,11 @@
 	return result.Wrap(result.PlatformDown, err, "nothing was changed")
 }
 
-// resolveWrite finds out whether the entry e was accepted. It returns the accepted
-// head, or an error with code Conflict or BrokenAudit. While the outcome is open,
-// or if the platform can't be read, it returns nil and no error. The accepted entry
-// may differ from e, for instance in At, if an earlier run with the same operation
-// id wrote it.
+// resolveWrite finds out whether the entry e was accepted. It returns the head with
+// the accepted entry, or an error with code Conflict or BrokenAudit. While the outcome
+// is open, or if the platform can't be read, it returns nil and no error. The accepted
+// entry may differ from e, for instance in At, if an earlier run with the same
+// operation id wrote it.
 func (c *Client) resolveWrite(ctx context.Context, e Entry) (*Head, error) {
 	current, err := c.readState(ctx)
 	if err != nil {
--- a/rollout/audit.go
+++ b/rollout/audit.go
@@ -6,17 +6,15 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Audit is the verified chain of accepted changes, oldest first.
+// Audit is the verified chain of a deployment's accepted changes.
 type Audit struct {
-	Entries []Entry // one for each revision from 1
-	// Head is the revision of the head object, whose entry is the last of Entries;
-	// 0 before the first rollout.
-	Head uint64
+	Entries []Entry // one for each revision from 1 to Head, oldest first
+	Head    uint64  // revision of the head, the latest accepted change; 0 before the first rollout
 }
 
-// Audit reads the whole chain and verifies that it is unbroken: it has every
+// Audit reads the whole audit chain and verifies that it is unbroken: it has every
 // revision from 1 to the head's, each entry is signed and names the hash of the
-// entry before, and the last entry equals the head. Otherwise the error has code
+// previous one, and the last entry equals the head. Otherwise the error has code
 // BrokenAudit.
 func (c *Client) Audit(ctx context.Context) (Audit, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
@@ -70,10 +68,11 @@
 	return archived, nil
 }
 
-// VerifyChain checks the archived entries, oldest first, against the head that was
-// read before them, and returns the chain up to and including the head. Entries
-// beyond the head were accepted after it was read; they have to continue the chain
-// too.
+// VerifyChain checks that the archived entries, oldest first, form an unbroken audit
+// chain that contains head, and returns the chain up to and including head. head was
+// read before the entries and need not be archived yet; it is nil before the first
+// rollout. Entries with a higher revision than head were accepted after head was
+// read; they have to continue the chain too. Errors have code BrokenAudit.
 func VerifyChain(head *Head, archived []*Head) ([]*Head, error) {
 	if head == nil {
 		if len(archived) > 0 {
--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -10,8 +10,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Push signs a bundle, writes it to the platform and returns its digest. Pushing
-// the same bytes again has no effect.
+// Push signs the bundle with the given bytes, writes it to the platform and returns
+// its digest. Pushing the same bytes again has no effect.
 func (c *Client) Push(ctx context.Context, data []byte) (string, error) {
 	if c.opts.Key == nil {
 		return "", result.Errorf(result.BadSettings, "a push needs the author's private key; pass --key or make one with keygen")
@@ -143,7 +143,8 @@
 }
 
 // loadApproved reads the bundle and its newest valid sign-off. If no sign-off is
-// valid, the error says that there is none at all, or why the last one is invalid.
+// valid, the error says that the bundle has none at all, or why the last one that was
+// read is invalid.
 func (c *Client) loadApproved(ctx context.Context, digest string) (Approved, error) {
 	b, err := c.LoadBundle(ctx, digest)
 	if err != nil {
@@ -183,7 +184,9 @@
 	return best, nil
 }
 
-// Rollout puts a bundle with a valid sign-off into force.
+// Rollout puts the bundle with the given digest into force. The bundle needs a valid
+// sign-off. Rollout returns the entry of the change. After an error, the entry may
+// have no field set but Op.
 func (c *Client) Rollout(ctx context.Context, digest string, req Request) (Entry, error) {
 	entry, err := c.makeChange(ctx, req, intent{ActionRollout, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
 		approved, err := c.loadApproved(ctx, digest)
@@ -195,9 +198,10 @@
 	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRollout, Digest: digest}, req)
 }
 
-// Recall recalls a bundle: its sign-offs become invalid. If the bundle is in
-// force, it is replaced by the latest bundle that was in force before and was not
-// recalled.
+// Recall recalls the bundle with the given digest: its sign-offs become invalid. If
+// the bundle is in force, it is replaced by the latest bundle that was in force before,
+// was not recalled and would be accepted by VMs. Recall returns the entry of the
+// change. After an error, the entry may have no field set but Op.
 func (c *Client) Recall(ctx context.Context, digest string, req Request) (Entry, error) {
 	entry, err := c.makeChange(ctx, req, intent{ActionRecall, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
 		if head == nil || digest != head.Entry.Digest {
@@ -216,9 +220,10 @@
 }
 
 // findFallback returns the bundle that replaces the recalled bundle with the given
-// digest: the latest earlier one that VMs would accept, or nil if there is none. It
-// skips bundles whose sign-off is by a key that was retired since, and bundles that
-// can't be loaded for another reason than an outage of the platform.
+// digest: the latest earlier one that was not recalled and that VMs would accept, or
+// nil if there is none. It skips bundles whose sign-off is by a key that was retired
+// since, and bundles that can't be loaded for another reason than an outage of the
+// platform.
 func (c *Client) findFallback(ctx context.Context, head *Head, digest string) (*Approved, error) {
 	for _, past := range Fallbacks(head, digest) {
 		archived, err := c.readArchived(ctx, past.Revision)
--- a/rollout/client.go
+++ b/rollout/client.go
@@ -33,14 +33,14 @@
 
 // The defaults of ClientOptions.
 const (
-	DefaultPatience    = 30 * time.Second // limit of one operation with all its calls to the platform
-	DefaultCallTimeout = 5 * time.Second  // limit of one call to the platform
+	DefaultPatience    = 30 * time.Second // time limit of one operation of a Client, with all its calls to the platform
+	DefaultCallTimeout = 5 * time.Second  // time limit of one call of a Client to the platform
 )
 
 // Bounds of the delay between two tries of a call to the platform, before jitter.
 const (
-	minRetryDelay = 20 * time.Millisecond // delay after the first failed try; it doubles with each further one
-	maxRetryDelay = time.Second           // upper bound of the doubled delay
+	minRetryDelay = 20 * time.Millisecond // delay, before jitter, after the first failed try of a call; it doubles with each further one
+	maxRetryDelay = time.Second           // longest delay, before jitter, after any failed try of a call
 )
 
 // Client is the operators' interface: it pushes and signs bundles, rolls them out,
@@ -63,8 +63,9 @@
 	return &Client{opts: opts}
 }
 
-// backoffWithJitter is the default of ClientOptions.Backoff. It waits until the
-// delay after the given try has passed or ctx ends.
+// backoffWithJitter is the default of ClientOptions.Backoff. It sleeps after the
+// failed try with the given number, counted from 0, or until ctx ends. The delay
+// doubles with each try from minRetryDelay to maxRetryDelay.
 func backoffWithJitter(ctx context.Context, try int) {
 	delay := min(minRetryDelay<<min(try, 10), maxRetryDelay)
 	// The jitter is up to half of the delay in both directions.
@@ -99,8 +100,8 @@
 	return c.listFrom(ctx, kind, prefix, prefix)
 }
 
-// listFrom reads the objects of a kind whose names sort after the name after and
-// start with prefix, in order of their names.
+// listFrom reads the objects of a kind whose names start with prefix and are greater
+// than after, in order of their names.
 func (c *Client) listFrom(ctx context.Context, kind, prefix, after string) ([]objstore.Object, error) {
 	const pageSize = 100
 	var all []objstore.Object
@@ -127,8 +128,8 @@
 	return len(s) >= len(prefix) && s[:len(prefix)] == prefix
 }
 
-// listPage reads at most limit objects of a kind whose names sort after the name
-// after. It retries failed calls until ctx ends.
+// listPage reads, in order of their names, at most limit objects of a kind whose names
+// are greater than after. It retries failed calls until ctx ends.
 func (c *Client) listPage(ctx context.Context, kind, after string, limit int) (objstore.Page, error) {
 	for try := 0; ; try++ {
 		callCtx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
@@ -146,9 +147,9 @@
 
 // createOnce creates an object that is never overwritten. If the object exists
 // already, it calls same, which reports whether the existing content is equivalent
-// to value; if it is not, the error has code BrokenAudit. Repeating the write has no
-// effect, so a lost response is handled by a retry. createOnce retries until ctx
-// ends.
+// to value. If the content is not equivalent, the error has code BrokenAudit. A
+// repeated write has no effect, so createOnce handles a lost response by a retry. It
+// retries until ctx ends.
 func (c *Client) createOnce(ctx context.Context, kind, name string, value []byte, same func(existing []byte) bool) error {
 	if len(value) > objstore.MaxValue {
 		return result.Errorf(result.BundleTooLarge, "%s/%s has %d bytes, allowed are %d; nothing was written", kind, name, len(value), objstore.MaxValue)
@@ -193,10 +194,10 @@
 // the platform.
 type headState struct {
 	head    *Head  // nil before the first rollout
-	version uint64 // object version in the store; 0 if there is no head object
+	version uint64 // version of the head object in the store; 0 if there is none
 }
 
-// revision returns the revision in force, or 0 before the first rollout.
+// revision returns the revision of the head, or 0 before the first rollout.
 func (s headState) revision() uint64 {
 	if s.head == nil {
 		return 0
@@ -222,7 +223,8 @@
 	return headState{head: head, version: obj.Version}, nil
 }
 
-// readArchived reads the archived entry of a revision, or nil if there is none.
+// readArchived reads the archived entry of a revision. It returns nil if there is
+// none. Like readState, it accepts a signature by a retired key.
 func (c *Client) readArchived(ctx context.Context, revision uint64) (*Head, error) {
 	obj, err := c.get(ctx, KindAudit, AuditName(c.opts.Deployment, revision))
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -234,7 +236,8 @@
 	return openHead(obj.Value, c.opts.Deployment, c.opts.Keys, true)
 }
 
-// Head returns the entry in force, or nil before the first rollout.
+// Head returns the entry of the head, the latest accepted change, as read from the
+// platform. It returns nil before the first rollout.
 func (c *Client) Head(ctx context.Context) (*Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -48,7 +48,7 @@
 	ActionRecall  Action = "recall"  // invalidates a bundle's sign-offs, and replaces it if it is in force
 )
 
-// PastBundle is a bundle that was in force earlier and was not recalled since.
+// PastBundle is a bundle that was in force earlier and has not been recalled since.
 type PastBundle struct {
 	Digest   string `json:"digest"`
 	Revision uint64 `json:"revision"` // last revision with this bundle in force
@@ -104,7 +104,7 @@
 }
 
 // openHead decodes raw, a signed object, and verifies that it is an entry of the
-// deployment, signed by the person that the entry names. Signatures by retired keys
+// deployment, signed by the person whom the entry names. Signatures by retired keys
 // are accepted only if allowRetired is set.
 func openHead(raw []byte, deployment string, keys *bundle.Keyring, allowRetired bool) (*Head, error) {
 	s, err := bundle.ParseSigned(raw)
--- a/rollout/faulty_store_test.go
+++ b/rollout/faulty_store_test.go
@@ -10,6 +10,7 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
+// errLost is the error of a call whose request or response was lost.
 var errLost = errors.New("response lost")
 
 // faultyStore is a store that delays each call at random, and whose writes may not
@@ -21,16 +22,19 @@
 	lateWrites *sync.WaitGroup // counts the writes that have not arrived yet
 }
 
+// newFaultyStore returns a faultyStore over store, with random faults by the seed.
 func newFaultyStore(store objstore.Store, seed uint64, lateWrites *sync.WaitGroup) *faultyStore {
 	return &faultyStore{Store: store, rng: rand.New(rand.NewPCG(seed, seed)), lateWrites: lateWrites}
 }
 
+// randIntN returns a random number from 0 to n-1.
 func (s *faultyStore) randIntN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.IntN(n)
 }
 
+// pause sleeps for a random time below 1.5 ms.
 func (s *faultyStore) pause() { time.Sleep(time.Duration(s.randIntN(1500)) * time.Microsecond) }
 
 func (s *faultyStore) Get(ctx context.Context, kind, name string) (objstore.Object, error) {
@@ -62,13 +66,13 @@
 	return s.Store.Put(ctx, kind, name, expectedVersion, value)
 }
 
-// crashStore simulates an operator's program that is stopped at a write: that write
+// crashStore simulates an operator's program that is stopped at a write: this write
 // and all calls after it fail.
 type crashStore struct {
 	objstore.Store
-	writesLeft int  // number of writes that succeed before the failure
-	applyLast  bool // the write that fails still takes effect
-	down       bool // all calls fail
+	writesLeft int  // number of writes that still succeed before one fails
+	applyLast  bool // the write that fails takes effect all the same
+	down       bool // all calls fail; set by the write that fails
 }
 
 func (s *crashStore) Get(ctx context.Context, kind, name string) (objstore.Object, error) {
@@ -97,9 +101,10 @@
 type staleStore struct {
 	objstore.Store
 	mu   sync.Mutex       // guards head
-	head *objstore.Object // returned instead of the store's head; nil for the store's
+	head *objstore.Object // returned by Get instead of the head in Store, unless it is nil
 }
 
+// setHead sets the head that Get returns. With nil, Get returns the head in Store.
 func (s *staleStore) setHead(obj *objstore.Object) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -10,22 +10,22 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// maxConcurrentReads bounds how many reads of the head one VM has in flight. On a
-// platform that takes longer for a read than the interval between reads, several
-// are in flight, and each still completes.
+// maxConcurrentReads bounds how many reads of the head one VM has in flight. If the
+// platform takes longer for a read than the interval between reads, several are in
+// flight at once, and each can still complete.
 const maxConcurrentReads = 4
 
 // Bounds of the delay after a watch of the head that failed.
 const (
-	minWatchRetryDelay = 200 * time.Millisecond // delay after the first failed watch; it doubles with each further one
-	maxWatchRetryDelay = 2 * time.Second        // upper bound of the doubled delay
+	minWatchRetryDelay = 200 * time.Millisecond // delay after the first failed watch of the head; it doubles with each further one
+	maxWatchRetryDelay = 2 * time.Second        // longest delay after any failed watch of the head
 )
 
 // readLoop reads the head at the start and then periodically until the follower
-// stops. It does so even while a watch is active, because a watch that loses or
+// stops. It also reads while a watch is active, because a watch that loses or
 // withholds an event looks the same as a platform where nothing changed. It reads at
-// once when a watch reports a change of the head, or when SetWatching changes the
-// mode.
+// once when a watch reports a change of the head, or when SetWatching switches
+// watching on or off.
 func (f *Follower) readLoop() error {
 	f.startRead()
 	for {
@@ -44,8 +44,8 @@
 }
 
 // readDelay returns the delay until the next read of the head: RereadInterval while
-// the VM watches the platform, else IdleInterval. It is varied at random by up to
-// 10 % in both directions, so that the VMs' reads are spread.
+// the VM watches the platform, else IdleInterval, varied at random by up to 10 % in
+// both directions. So the reads of many VMs are spread over time.
 func (f *Follower) readDelay() time.Duration {
 	interval := f.opts.IdleInterval
 	if f.watching.Load() {
@@ -89,9 +89,9 @@
 	}
 }
 
-// get reads one object, within ReadTimeout. Each call has a timeout of its own: on
-// a platform that takes long for each call, a common timeout for head and bundle
-// could expire each time before the bundle is read.
+// get reads one object, within ReadTimeout. The reads of the head and of its bundle
+// have a timeout each: on a slow platform, a common timeout could expire each time
+// before the bundle is read.
 func (f *Follower) get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.opts.ReadTimeout)
 	defer cancel()
@@ -114,8 +114,8 @@
 // watchLoop watches the platform until the follower stops, and triggers a read when
 // the head changed. While watching is switched off, it only waits.
 func (f *Follower) watchLoop() error {
-	var since uint64 // revision of the store up to which watches reported changes
-	delay := minWatchRetryDelay
+	var since uint64            // revision of the store up to which watches reported changes
+	delay := minWatchRetryDelay // after the next watch that fails
 	for f.tomb.Alive() {
 		if !f.watching.Load() {
 			if !f.sleep(f.opts.RereadInterval) {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// watch waits, at most WatchTimeout, until the platform reports changes of heads
-// after the store's revision since.
+// watch waits, at most WatchTimeout, until the platform reports changes of heads, of
+// any deployment, after the store's revision since.
 func (f *Follower) watch(since uint64) (objstore.WatchResult, error) {
 	ctx, cancel := context.WithTimeout(f.tomb.Context(context.Background()), f.opts.WatchTimeout)
 	defer cancel()
--- a/rollout/follower.go
+++ b/rollout/follower.go
@@ -20,12 +20,12 @@
 // InForce is the bundle in force on a VM. It is immutable; a query keeps the
 // pointer until it ends and so uses one revision throughout.
 type InForce struct {
-	Revision uint64 // of the head, the latest change that this VM applied
+	Revision uint64 // revision in force: that of the latest head that this VM applied
 	Digest   string // of the bundle
 	Bundle   *bundle.Bundle
 	Since    time.Time // when Revision came into force on this VM
 
-	head *Head  // the head that names the bundle
+	head *Head  // the head (latest accepted change) with that revision, which names the bundle
 	raw  []byte // the bundle as packaged and signed, for other VMs
 }
 
@@ -41,18 +41,18 @@
 	// to pass on a new head before it reads the head itself. SetWatching switches
 	// watching on and off later.
 	Watch          bool
-	RereadInterval time.Duration // time between two reads of the head while the VM watches; default 1 s
-	IdleInterval   time.Duration // time between two reads of the head while the VM does not watch; default 30 s
-	ReadTimeout    time.Duration // limit of one read of the head or of a bundle; default 5 s
-	WatchTimeout   time.Duration // limit of one watch of the head; default 30 s
+	RereadInterval time.Duration // time between two reads of the head while the VM watches the platform; default 1 s
+	IdleInterval   time.Duration // time between two reads of the head while the VM does not watch the platform; default 30 s
+	ReadTimeout    time.Duration // time limit of one read of the head or of a bundle; default 5 s
+	WatchTimeout   time.Duration // time limit of one watch of the head; default 30 s
 }
 
 // The defaults of Options.
 const (
 	DefaultRereadInterval = time.Second      // time between two reads of the head while the VM watches the platform
 	DefaultIdleInterval   = 30 * time.Second // time between two reads of the head while the VM does not watch the platform
-	DefaultReadTimeout    = 5 * time.Second  // limit of one read of the head or of a bundle
-	DefaultWatchTimeout   = 30 * time.Second // limit of one watch of the head
+	DefaultReadTimeout    = 5 * time.Second  // time limit of one read of the head or of a bundle
+	DefaultWatchTimeout   = 30 * time.Second // time limit of one watch of the head
 )
 
 // withDefaults returns the options with defaults for those that are not set.
@@ -79,7 +79,7 @@
 	previous    atomic.Pointer[InForce] // the bundle that current replaced; most recalls fall back to it
 	lastContact atomic.Int64            // Unix time in nanoseconds of the last read that the platform answered, or 0
 	watching    atomic.Bool             // the VM watches the platform; else it relies on other VMs
-	modeChanged chan struct{}           // wakes readLoop when watching changes
+	modeChanged chan struct{}           // wakes readLoop when SetWatching changes the field watching
 	headChanged chan struct{}           // wakes readLoop when a watch reports a change
 	readSlots   chan struct{}           // one token per read of the head in flight
 
@@ -87,7 +87,7 @@
 	// during I/O.
 	mu          sync.Mutex
 	changed     chan struct{} // closed and replaced when another revision comes into force
-	lastRefused refusedHead   // zero if a head came into force since
+	lastRefused refusedHead   // the last refused head; zero if none, or if a head came into force after the refusal
 }
 
 // refusedHead is the last head that this VM refused to put into force. It is kept
@@ -180,16 +180,16 @@
 	return nil, false
 }
 
-// LastRefusal returns why this VM refused the last head, or nil if a head came into
-// force since.
+// LastRefusal returns why this VM refused the last head that it refused, or nil if
+// there is none or a head came into force after the refusal.
 func (f *Follower) LastRefusal() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastRefused.err
 }
 
-// SetWatching selects between watching the platform (true) and relying on other VMs
-// with a read of the platform each IdleInterval (false).
+// SetWatching switches watching the platform on or off. While it is off, this VM
+// relies on other VMs for new heads, and reads the platform each IdleInterval.
 func (f *Follower) SetWatching(on bool) {
 	if f.watching.Swap(on) != on {
 		wake(f.modeChanged)
@@ -208,18 +208,19 @@
 // from the platform or from another VM. The caller has to verify it.
 type FetchFunc func(ctx context.Context, digest string) ([]byte, error)
 
-// OfferHead applies a head received from a peer if its revision is higher than the
-// one in force, and fetches its bundle. It verifies the head like one from the
-// platform, so a peer can neither forge a head nor revert to an earlier one. A
-// head with a lower revision is refused with StaleExchange.
+// OfferHead applies raw, a signed head received from a peer, if its revision is higher
+// than the one in force. If this VM does not hold the head's bundle, it calls fetch,
+// a FetchFunc, for it. It verifies the head like one from the platform, so a peer can
+// neither forge a head nor make this VM revert to an earlier one. A head with a lower
+// revision is refused with StaleExchange.
 func (f *Follower) OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error {
 	return f.applyHead(ctx, raw, fetch)
 }
 
-// applyHead verifies a head and puts it into force if its revision is higher than
-// the one in force. It returns nil if the same head is in force already. If this VM
-// does not hold the head's bundle, it calls fetch for it. A refused head is recorded
-// for LastRefusal, unless the only reason is its lower revision.
+// applyHead verifies raw, a signed head, and puts it into force if its revision is
+// higher than the one in force. It returns nil if the same head is in force already.
+// If this VM does not hold the head's bundle, it calls fetch for the bundle. A refused
+// head is recorded for LastRefusal, unless the only reason is its lower revision.
 func (f *Follower) applyHead(ctx context.Context, raw []byte, fetch FetchFunc) error {
 	h, err := openHead(raw, f.opts.Deployment, f.opts.Keys, false)
 	if err != nil {
@@ -246,7 +247,8 @@
 	return nil
 }
 
-// headOrNil returns the head in force; nil if f is nil, before the first bundle.
+// headOrNil returns the head in force, or nil if cur is nil: no bundle was in force
+// yet.
 func (cur *InForce) headOrNil() *Head {
 	if cur == nil {
 		return nil
@@ -272,10 +274,10 @@
 	return &InForce{Revision: h.Entry.Revision, Digest: digest, Bundle: b, head: h, raw: raw}, nil
 }
 
-// verifyInForce decodes raw, the packaged bundle that the head h names, and checks
-// everything that it needs to come into force: its bytes, its author's signature,
-// its content, its deployment and a sign-off by another person that no recall
-// invalidates.
+// verifyInForce decodes raw, the packaged bundle that the head h names. It checks
+// everything that the bundle needs to come into force: its bytes, its author's
+// signature, its content, its deployment and a sign-off by another person that no
+// recall invalidates.
 func verifyInForce(keys *bundle.Keyring, h *Head, raw []byte) (*bundle.Bundle, error) {
 	b, err := keys.OpenBundle(raw, h.Entry.Digest)
 	if err != nil {
@@ -317,7 +319,8 @@
 }
 
 // recordRefusal counts a refused head and records it for LastRefusal. It logs the
-// refusal unless the previous one was of the same head with the same error.
+// refusal unless the previous refusal was of the same head with the same error. hash
+// identifies the head: Head.Hash, or the digest of its bytes if it is not valid.
 func (f *Follower) recordRefusal(hash string, err error) {
 	f.metrics.countRefused(result.CodeOf(err))
 	f.mu.Lock()
--- a/rollout/follower_test.go
+++ b/rollout/follower_test.go
@@ -16,8 +16,9 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// TestMain fixes the seed of the property tests and checks that no goroutine is left
+// at the end.
 func TestMain(m *testing.M) {
-	// Use the same random sequences in every run.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
@@ -38,6 +39,7 @@
 	return heads
 }
 
+// head returns the head object in the store, which must exist.
 func (env *testEnv) head() objstore.Object {
 	env.t.Helper()
 	obj, err := env.store.Get(context.Background(), KindHead, "vatnsleit")
@@ -47,8 +49,8 @@
 	return obj
 }
 
-// fetchFrom returns a FetchFunc that reads from packages, as if from a peer. It is
-// not affected by faults of the store.
+// fetchFrom returns a FetchFunc that reads from packages, which holds packaged bundles
+// by digest, as if from a peer. It is not affected by faults of the store.
 func (env *testEnv) fetchFrom(packages map[string][]byte) FetchFunc {
 	return func(_ context.Context, digest string) ([]byte, error) {
 		if raw, ok := packages[digest]; ok {
@@ -72,9 +74,10 @@
 	return all
 }
 
-// A VM gets revision 2 from a slow peer and revision 3 from the platform. The
-// bundle of revision 2 arrives after 3 is in force. If revisions were compared
-// only before the fetch, the VM would revert to 2.
+// A VM gets the head of revision 2 from a slow peer and that of revision 3 from the
+// platform. The bundle of revision 2 arrives after revision 3 came into force. If
+// revisions were compared only before the fetch of the bundle, the VM would revert to
+// revision 2.
 func TestLateBundleDoesNotReplaceNewerOne(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
@@ -100,8 +103,8 @@
 	g.Expect(f.Revision()).To(Equal(uint64(3)))
 }
 
-// The platform returns an old head from a copy that lags, or its store is restored
-// from an old copy and then holds another entry under the revision in force. The
+// The platform returns an old head from a lagging copy of its store. Or the store is
+// restored from an old copy, and another change then gets the revision in force. The
 // test guards against VMs that revert to an earlier revision, and against two VMs
 // with different bundles under one revision.
 func TestRevertedStoreDoesNotDowngradeVMs(t *testing.T) {
@@ -129,11 +132,11 @@
 	g.Expect(f.Current()).To(BeIdenticalTo(inForce))
 }
 
-// An operator makes a change on a restored store whose audit chain is ahead of its
-// head. The change would never come into force, since VMs already have its revision
-// in force with other content. So the operator must get an error instead of
-// "accepted". RestoreHead must repair the head, also if it is not a valid entry, and
-// the change must then be accepted.
+// An operator makes a change after the head was restored from an old copy, so that the
+// audit chain is ahead of the head. VMs would refuse the change, since its revision is
+// in force there with other content. So the operator must get an error instead of
+// "accepted". RestoreHead must repair the head, also if it is not a valid entry. After
+// that, the change must be accepted.
 func TestRolloutOnRevertedStoreIsRefusedUntilRestore(t *testing.T) {
 	g := NewWithT(t)
 	env := newTestEnv(t)
@@ -228,8 +231,8 @@
 }
 
 // While a bundle is rolled out, the platform's watches deliver no events, or the
-// platform answers slowly. VMs that depend on watches would keep the old bundle
-// until the watch times out. The periodic re-reads must bring the new one.
+// platform answers slowly. A VM that relied on watches would keep the old bundle until
+// its watch times out. Its periodic reads of the head must bring the new bundle.
 func TestRolloutReachesVMWhilePlatformSlowOrWatchesSilent(t *testing.T) {
 	for name, faults := range map[string]platformsim.Faults{
 		"silent watches": {WatchesSilent: true},
@@ -267,10 +270,11 @@
 	g.Expect(f.Current().Digest).To(Equal(bundle.Digest(env.bundleVersion(1))))
 }
 
-// The platform goes down. One VM has revision 2. Two get no head after revision 1
-// from the platform, and one starts only now. VMs that reach a peer must get
-// revision 2 from it. A VM without a peer must continue with revision 1, and a VM
-// that never reached the platform must report no contact.
+// The platform goes down while one VM has revision 2, two VMs have revision 1, and one
+// VM is just starting. A VM that reaches a peer with revision 2 must get this revision
+// from the peer, or it would have no bundle or an old one until the platform is back. A
+// VM without a peer must continue with revision 1. A VM that never reached the platform
+// must report no contact.
 func TestPeersForwardHeadDuringOutage(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
--- a/rollout/metrics.go
+++ b/rollout/metrics.go
@@ -14,7 +14,7 @@
 	set          *metrics.Set
 	reads        *metrics.Counter // reads of the head that the platform answered
 	readsFailed  *metrics.Counter // reads of the head that failed
-	readsSkipped *metrics.Counter // reads of the head not started, since maxConcurrentReads were running
+	readsSkipped *metrics.Counter // reads of the head that were not started, because maxConcurrentReads were in flight
 	watches      *metrics.Counter // watches of the head started
 	changes      *metrics.Counter // changes of the revision in force
 }
--- a/rollout/next.go
+++ b/rollout/next.go
@@ -13,8 +13,8 @@
 )
 
 // OpID identifies one operation: an operator's attempt to make a change. It
-// consists of the revision that the change is to get, '-' and a random part. With
-// the revision, the outcome of a write whose response was lost is easy to find: the
+// consists of the revision that the change is to get, '-' and a random part. The
+// revision makes it easy to find the outcome of a write whose response was lost: the
 // entry of that revision shows whether the operation was accepted.
 type OpID string
 
@@ -43,15 +43,15 @@
 	return n, nil
 }
 
-// HeadRelation is the relation of an offered head to the one in force.
+// HeadRelation is the relation of an offered head to the head in force.
 type HeadRelation int
 
 // The relations. An offered head is put into force only if it is HeadNewer.
 const (
-	HeadNewer HeadRelation = iota // higher revision, or nothing is in force
-	HeadSame                      // equal to the head in force
-	HeadStale                     // lower revision, from a lagging peer or a reverted store
-	HeadFork                      // same revision, but different content
+	HeadNewer HeadRelation = iota // the offered head has a higher revision than the head in force, or nothing is in force
+	HeadSame                      // the offered head equals the head in force
+	HeadStale                     // the offered head has a lower revision, and comes from a lagging peer or a reverted store
+	HeadFork                      // the offered head has the revision in force, but different content
 )
 
 // CompareHeads returns the relation of the verified head offered to current, the
@@ -84,7 +84,7 @@
 	Digest  string // of the bundle
 	Name    string // of the bundle
 	SignOff bundle.Signed
-	After   uint64 // revision that was in force when the bundle was signed off
+	After   uint64 // revision that was in force when SignOff was signed
 }
 
 // NextRollout returns the entry that follows head and puts the approved bundle into
@@ -163,10 +163,10 @@
 // CheckRecalls returns an error with code Recalled if the sign-off of the bundle
 // that e puts into force was made before the bundle's last recall. after is the
 // revision that was in force at the time of the sign-off. A recall that e no longer
-// lists counts against every bundle, because RecallFloor keeps only its revision. So
-// a bundle does not become valid again when its recall is dropped from the list.
-// RecallFloor does not apply to a bundle that a recall falls back to: it is known
-// not to be recalled.
+// lists counts against every bundle that is rolled out, because RecallFloor keeps only
+// the recall's revision. So a bundle does not become valid again when its recall is
+// dropped from the list. RecallFloor does not apply if e is a recall: the bundle that
+// it falls back to is known not to be recalled.
 func CheckRecalls(e *Entry, after uint64) error {
 	for _, r := range e.Recalls {
 		if r.Digest == e.Digest && after < r.Revision {
@@ -209,16 +209,16 @@
 
 // The outcomes.
 const (
-	OutcomeOpen         Outcome = iota // not accepted so far; a write in flight may still be accepted
+	OutcomeOpen         Outcome = iota // the operation is not accepted so far; a write in flight may still be accepted
 	OutcomeAccepted                    // the operation's entry is part of the audit chain
-	OutcomeConflict                    // the entry of another operation got that revision
-	OutcomeNeedArchived                // not known before the archived entry of that revision is read, since the head has a higher one
+	OutcomeConflict                    // the entry of another operation got the revision that this one was to get
+	OutcomeNeedArchived                // the head has a higher revision than the operation's; the archived entry of that revision has to be read
 )
 
 // Resolve returns the outcome of the operation op, whose entry was to get the given
-// revision. Each revision has exactly one entry, so the operation id in that entry
-// decides. The entry is the head or, if the head has a higher revision, archived:
-// the archived entry of the given revision, or nil if it was not read yet.
+// revision. Each revision has exactly one entry, so the operation id in the entry of
+// that revision decides. The entry is head or, if head has a higher revision,
+// archived: the archived entry of the given revision, or nil if it was not read yet.
 func Resolve(op OpID, revision uint64, head, archived *Head) Outcome {
 	if head == nil || head.Entry.Revision < revision {
 		return OutcomeOpen
--- a/rollout/next_test.go
+++ b/rollout/next_test.go
@@ -39,8 +39,9 @@
 	})
 }
 
-// applyChange returns the entry that rolls out or recalls the bundle with digest d.
-// signed holds the revision at each bundle's last sign-off.
+// applyChange returns the entry that follows head and rolls out or, if recall is set,
+// recalls the bundle with digest d. signed holds the revision that was in force at
+// each bundle's last sign-off.
 func applyChange(head *Head, d string, signed map[string]uint64, recall bool) (Entry, error) {
 	if !recall {
 		return NextRollout("vatnsleit", head, Change{}, Approved{Digest: d, After: signed[d]})
@@ -54,8 +55,9 @@
 	return NextRecall(head, Change{}, d, fallback)
 }
 
-// checkEntry compares the entry e, which follows head, with the model: recalled holds
-// the revision of each bundle's last recall, signed that at its last sign-off.
+// checkEntry compares the entry e, which follows head, with the model. recalled holds
+// the revision of each bundle's last recall, and signed the revision that was in force
+// at each bundle's last sign-off.
 func checkEntry(t *rapid.T, head *Head, e Entry, recalled, signed map[string]uint64) {
 	g := NewWithT(t)
 	before := uint64(0)
@@ -78,8 +80,9 @@
 }
 
 // More bundles are recalled than a head lists. Then the first of them is rolled
-// out again with its old sign-off. It must be refused, although the head no longer
-// lists its recall, or a faulty bundle would come back.
+// out again with its old sign-off. This rollout must be refused, although the head no
+// longer lists the bundle's recall, or a faulty bundle would come back. With a newer
+// sign-off, the rollout must be accepted.
 func TestRecallNoLongerListedStillBlocksRollout(t *testing.T) {
 	g := NewWithT(t)
 	first, err := NextRollout("vatnsleit", nil, Change{}, Approved{Digest: "good"})
@@ -96,7 +99,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// A recall of the only bundle would leave VMs without one. It must be refused.
+// A recall of the only bundle would leave VMs without a bundle. It must be refused,
+// and so must a recall before the first rollout.
 func TestRecallWithoutEarlierBundleIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	_, err := NextRecall(nil, Change{}, "d1", nil)
@@ -107,7 +111,8 @@
 	g.Expect(result.CodeOf(err)).To(Equal(result.NothingBefore))
 }
 
-// An operator resumes an operation with a mistyped id. The id must be refused.
+// An operator resumes an operation with a mistyped id. A malformed id must be refused
+// with BadRequest.
 func TestMalformedOperationIDIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	op, err := NewOpID(7)
--- a/rollout/race_test.go
+++ b/rollout/race_test.go
@@ -28,9 +28,9 @@
 	accepted bool
 }
 
-// headModel models the head as a register that holds the revision. A change is
-// accepted only if the register holds the revision before it, and is refused only if
-// its revision is taken already.
+// headModel models the head, for porcupine, as a register that holds the revision. A
+// change may be accepted only if the register holds the revision before the change's,
+// and refused only if the register holds the change's revision or a higher one.
 var headModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -43,18 +43,19 @@
 }
 
 // Several operators roll out and recall at the same time without seeing the
-// others' changes. Their writes lose responses, get lost or arrive late, and each
-// operator is delayed at random. The test guards against VMs that revert to an
-// older bundle, a change that no operator made, and an operator who gets "not
-// accepted" although the bundle is in force. These faults come from a check made
-// before a write instead of by the write itself, or from a lost response treated
-// as a failure.
+// others' changes. Their writes get lost, lose their responses or arrive late, and
+// each operator is delayed at random. The test guards against VMs that revert to an
+// older bundle, an entry that no operator made, and an operator who gets "not
+// accepted" although the change was accepted. Such faults arise if a condition is
+// checked before a write instead of by the write itself, or if a lost response is
+// treated as a failure.
 func TestConcurrentOperatorsGetCorrectOutcomes(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runRace(t, seed) })
 	}
 }
 
+// runRace runs one race of the operators with the given seed and checks its outcome.
 func runRace(t *testing.T, seed uint64) {
 	g := NewWithT(t)
 	env := newTestEnv(t)
@@ -120,9 +121,10 @@
 	}
 }
 
-// changeUntilResolved makes one random change. While the outcome is unknown, it
-// runs the change again with the same operation id. If the change is not possible
-// for another reason, it tries another one.
+// changeUntilResolved makes one random change until it is accepted or another change
+// gets its revision. While the outcome is unknown, it runs the change again with the
+// same operation id. If the change is refused for another reason, it tries a recall or
+// a rollout of the same bundle as a new operation.
 func changeUntilResolved(c *Client, rng *rand.Rand, digests []string) (changeResult, error) {
 	ctx := context.Background()
 	digest := digests[rng.IntN(len(digests))]
@@ -182,6 +184,7 @@
 	return h
 }
 
+// decreased reports whether a recorded revision is lower than the one before it.
 func (h *revisionHistory) decreased() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -208,6 +211,8 @@
 	}
 }
 
+// runStoppedOperator stops an operator's program at the write after writesLeft
+// successful ones. applyLast says that this write still takes effect.
 func runStoppedOperator(t *testing.T, writesLeft int, applyLast bool) {
 	g := NewWithT(t)
 	ctx := context.Background()
@@ -278,17 +283,18 @@
 	}
 }
 
+// withStore returns a Client with the same options but the given store.
 func (c *Client) withStore(store objstore.Store) *Client {
 	opts := c.opts
 	opts.Store = store
 	return NewClient(opts)
 }
 
-// Two operators make a change on the same head, and one of them is accepted. The
-// other bundle must not come into force, and its operator must get a Conflict that
-// names the accepted change, the person and the reason. Otherwise the operator
-// would assume that the change was accepted, or repeat it over the other one
-// without knowing of it.
+// Two operators make a change on the same head, and one change is accepted. The bundle
+// of the other change must not come into force, and its operator must get a Conflict
+// that names the accepted change, its person and its reason. Otherwise this operator
+// would assume that the other change was accepted, or would repeat it over the
+// accepted one without knowing of that one.
 func TestConflictReportsWinningChange(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
--- a/rollout/refusal.go
+++ b/rollout/refusal.go
@@ -28,11 +28,11 @@
 // recorded.
 const refusalTimeout = 2 * time.Second
 
-// recordIfRefused records a change that was refused with err, and returns its
-// arguments e and err. r holds the action and the digest. Nothing is recorded if the
-// outcome is unknown; after a dry run, which attempts no change; without a key to
-// sign the record; or if the platform is down, since the record can't be written
-// either.
+// recordIfRefused records the change req if it was refused with err, and returns its
+// arguments e and err. Of the change's entry e it uses only Op; r holds the action and
+// the digest. Nothing is recorded if the outcome is unknown, after a dry run, without
+// a key to sign the record, or if the platform is down, since the record can't be
+// written either.
 func (c *Client) recordIfRefused(ctx context.Context, e Entry, err error, r Refusal, req Request) (Entry, error) {
 	if err == nil {
 		return e, nil
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -41,8 +41,8 @@
 	return last.Entry, c.replaceHead(ctx, s, last)
 }
 
-// readStateIfValid is like readState, but treats a head that is not a valid signed
-// entry as missing. It returns the object version of such a head too.
+// readStateIfValid is like readState, but if the head is not a valid signed entry, it
+// returns a headState without a head, with the version of the head object.
 func (c *Client) readStateIfValid(ctx context.Context) (headState, error) {
 	obj, err := c.get(ctx, KindHead, c.opts.Deployment)
 	if errors.Is(err, objstore.ErrNotFound) {
@@ -60,7 +60,8 @@
 
 // replaceHead writes h to the head object, on condition that the object still has
 // the version in s. It retries until ctx ends. A retry is safe: if an earlier try
-// took effect, the next one fails with a conflict, and the head then equals h.
+// took effect, the next one fails with a conflict, and replaceHead finds that the
+// head equals h.
 func (c *Client) replaceHead(ctx context.Context, s headState, h *Head) error {
 	for try := 0; ; try++ {
 		err := c.put(ctx, KindHead, c.opts.Deployment, s.version, h.Signed.Bytes())
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -55,6 +55,8 @@
 	return env
 }
 
+// client returns the Client of a person on the given store. It retries failed calls
+// after 1 ms.
 func (env *testEnv) client(person string, store objstore.Store) *Client {
 	return NewClient(ClientOptions{
 		Deployment: "vatnsleit", Keys: env.keys, Store: store, Key: env.priv[person],
@@ -78,6 +80,7 @@
 	return digest
 }
 
+// signOff signs off the bundle with the given digest as jon.
 func (env *testEnv) signOff(digest string) {
 	env.t.Helper()
 	if _, err := env.client("jon", env.store).SignOff(context.Background(), digest, "checked"); err != nil {
@@ -85,13 +88,15 @@
 	}
 }
 
-// follower starts a follower that watches the store and reads the head often.
+// follower starts a follower that watches the store and reads the head every 10 ms. It
+// is stopped when the test ends.
 func (env *testEnv) follower(store objstore.Store) *Follower {
 	env.t.Helper()
 	return env.followerWith(Options{Store: store, Watch: true, RereadInterval: 10 * time.Millisecond})
 }
 
-// followerWith starts a follower that is stopped when the test ends.
+// followerWith starts a follower with the given options, to which it adds Deployment
+// and Keys. The follower is stopped when the test ends.
 func (env *testEnv) followerWith(opts Options) *Follower {
 	env.t.Helper()
 	opts.Deployment, opts.Keys = "vatnsleit", env.keys
@@ -107,9 +112,9 @@
 	return f
 }
 
-// A rollout and a recall must reach a VM, and the recall must bring the earlier
-// bundle back. The recalled bundle must not be rolled out again before it is signed
-// off anew.
+// A rollout and a recall must come into force on a VM, and the recall must bring the
+// earlier bundle back. The recalled bundle must not be rolled out again before it is
+// signed off again.
 func TestRolloutAndRecallReachFollower(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
--- a/rollout/rotation_test.go
+++ b/rollout/rotation_test.go
@@ -13,8 +13,9 @@
 
 // Jon's key is replaced. While both keys are active, either can sign. A VM that
 // starts after the old key was retired must refuse a bundle that only the old key
-// signed off, and accept it with a sign-off by the new key. If the steps are done in
-// another order than in the runbook, new VMs never become ready.
+// signed off, and accept it with a sign-off by the new key. So if the old key is
+// retired before the bundle in force is signed off with the new one, VMs that start
+// after that never become ready.
 func TestVMRefusesSignOffByRetiredKey(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
@@ -50,7 +51,7 @@
 	g.Expect(audit.Entries).To(HaveLen(2))
 }
 
-// In a large fleet most VMs get heads from peers and read the head rarely. If they
+// In a large fleet most VMs get heads from peers and must read the head rarely. If they
 // read it as often as the VMs that watch the platform, 950 of them would use half
 // of the platform's reads.
 func TestIdleFollowerDoesNotRereadOften(t *testing.T) {
