--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -7,12 +7,12 @@
 // Format is the version of the bundle format; this code reads no other.
 const Format = 1
 
-// Bundle is the whole configuration of a deployment. It is immutable once written,
-// and is identified by the digest of its bytes, see Digest.
+// Bundle is the whole configuration of a deployment. A bundle is immutable once its
+// author has written it, and is identified by the digest of its bytes, see Digest.
 type Bundle struct {
 	Format     int       `json:"format"`     // version of the bundle format; must be Format
 	Deployment string    `json:"deployment"` // name of the deployment that the bundle is for
-	Name       string    `json:"name"`       // a label chosen by the operators
+	Name       string    `json:"name"`       // label of this version, chosen by the operators
 	Author     string    `json:"author"`     // person who wrote the bundle and so may not sign it off
 	Zones      []Zone    `json:"zones"`
 	Fleet      Fleet     `json:"fleet"`
@@ -42,7 +42,8 @@
 	Targets []Target `json:"targets"`
 }
 
-// Drain holds the times and limits that apply when targets start, fail or leave.
+// Drain holds the times and limits by which VMs detect that the targets of a service
+// start, fail or leave, and shift load to and from them.
 type Drain struct {
 	HealthIntervalMS int `json:"health_interval_ms"` // milliseconds between two reads of a target's status
 	HealthTimeoutMS  int `json:"health_timeout_ms"`  // milliseconds; a read of a target's status that takes longer has failed
@@ -50,7 +51,7 @@
 	WarmupMS         int `json:"warmup_ms"`          // milliseconds over which a new target's share of the load increases
 }
 
-// Target is one back end.
+// Target is one back end of a service. Its leaves (workers) hold the shards.
 type Target struct {
 	Name          string  `json:"name"`
 	Zone          string  `json:"zone"`            // name of a zone of the bundle
@@ -79,7 +80,7 @@
 	Service   string     `json:"service"`          // name of the service that runs the search
 	Coverage  Coverage   `json:"coverage"`         // share of the service's shards that an answer needs
 	TimeLimit TimeLimit  `json:"time_limit"`       // how long callers may wait
-	Hedge     Hedge      `json:"hedge"`            // second attempts concurrent with the first
+	Hedge     Hedge      `json:"hedge"`            // second attempts that run concurrently with the first
 	Retry     Retry      `json:"retry"`            // attempts after a failed one
 	MaxItems  int        `json:"max_items"`        // largest number of result items that a caller may request
 	Policy    Policy     `json:"policy,omitempty"` // how attempts are sent; empty means PolicyAdaptive
@@ -89,11 +90,13 @@
 // means PolicyAdaptive.
 type Policy string
 
-// The policies. PolicyPlain is the baseline for comparisons: one attempt for each
-// shard to a random replica, without hedge, retry or admission control.
+// The policies.
 const (
-	PolicyAdaptive Policy = "adaptive" // with hedge, retry and admission control
-	PolicyPlain    Policy = "plain"    // one attempt per shard, for comparisons only
+	// PolicyAdaptive sends attempts with hedge, retry and admission control.
+	PolicyAdaptive Policy = "adaptive"
+	// PolicyPlain sends one attempt per shard to a random replica, without hedge, retry
+	// or admission control. It is a baseline for comparisons only.
+	PolicyPlain Policy = "plain"
 )
 
 // Coverage is the share of a service's shards, from 0 to 1, of which a caller needs
@@ -116,7 +119,7 @@
 
 // Hedge configures second attempts that run concurrently with the first.
 type Hedge struct {
-	Quantile   float64 `json:"quantile"`     // quantile, from 0 to 1, of the observed latencies after which a hedge is sent
+	Quantile   float64 `json:"quantile"`     // from 0 to 1; a hedge is sent after this quantile of the observed latencies
 	MinDelayMS int     `json:"min_delay_ms"` // shortest delay after which a hedge is sent, in milliseconds
 	Budget     float64 `json:"budget"`       // maximum ratio of hedges to first attempts, from 0 to 1
 }
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -25,6 +25,7 @@
 	return data
 }
 
+// testKey returns a new private key of the person.
 func testKey(t *testing.T, id, person string) *PrivateKey {
 	t.Helper()
 	key, err := NewPrivateKey(id, person)
@@ -34,6 +35,7 @@
 	return key
 }
 
+// testKeyring returns a keyring of the given keys.
 func testKeyring(t *testing.T, keys ...PublicKey) *Keyring {
 	t.Helper()
 	ring, err := NewKeyring(keys...)
@@ -54,9 +56,9 @@
 	}
 }
 
-// A bundle with a fault would misconfigure every VM. So unknown fields, values out
-// of range and references to missing names must be found before the bundle is
-// pushed.
+// A bundle with a fault would misconfigure every VM. Each fault, such as an unknown
+// field, a value out of range or a reference to a missing name, must yield a finding
+// with the path of the value and what is allowed there.
 func TestEachFaultYieldsFinding(t *testing.T) {
 	cases := []struct{ name, old, new, path, allowed string }{
 		{"unknown field", `"format": 1,`, `"format": 1, "colour": 2,`, "$.colour", "one of format"},
@@ -95,8 +97,8 @@
 	}
 }
 
-// A bundle has several faults. They must be reported all at once: an operator who
-// gets one finding at a time needs many pushes.
+// A bundle has several faults. All of them must be reported at once, or the operator
+// would have to correct and check the bundle once for each.
 func TestAllFindingsAreReturnedTogether(t *testing.T) {
 	g := NewWithT(t)
 	text := string(readExample(t, "pletenica"))
@@ -117,8 +119,9 @@
 	g.Expect(b.Warnings()).To(HaveLen(50), "one for each target with 25 connections")
 }
 
-// A store may decode the JSON of a signed object and encode it in another way. The
-// signature must stay valid, or no VM could use the bundle.
+// A store may decode the JSON of a signed object and encode it with other whitespace
+// and another order of fields. The signature must stay valid, or no VM could use the
+// bundle.
 func TestSignatureStaysValidAfterJSONIsReformatted(t *testing.T) {
 	g := NewWithT(t)
 	key := testKey(t, "sigrun-1", "sigrun")
@@ -134,10 +137,9 @@
 	g.Expect(b.Deployment).To(Equal("vatnsleit"))
 }
 
-// An operator pushes a generated bundle that is too large for the platform. It
-// must be refused before the first write, so that no partial data stays. A bundle
-// of MaxBytes must fit into the platform's largest value once it is signed and
-// encoded.
+// An operator pushes a bundle that is too large for the platform. Package must refuse
+// it, so that nothing is written. A bundle of MaxBytes must fit into the platform's
+// largest value once it is signed and encoded.
 func TestOversizedBundleIsRejectedBeforeWrite(t *testing.T) {
 	g := NewWithT(t)
 	key := testKey(t, "sigrun-1", "sigrun")
@@ -195,17 +197,17 @@
 	g.Expect(result.CodeOf(err)).To(Equal(result.BadBundle), "only the author can push a bundle")
 }
 
+// TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) {
-	// Use the same random sequences in every run.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// TestParseAgreesWithEncodingJSON mutates a valid bundle at random: Parse must not
-// panic, and a document without findings must decode to the same value with
-// encoding/json.
+// TestParseAgreesWithEncodingJSON guards against a decoder that panics or reads a
+// bundle wrongly. It changes bytes of a valid bundle at random. A document without
+// findings must decode to the same value with encoding/json.
 func TestParseAgreesWithEncodingJSON(t *testing.T) {
 	data := readExample(t, "pletenica")
 	rapid.Check(t, func(t *rapid.T) {
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -26,15 +26,16 @@
 	maxTargets       = 10000  // targets of a service; also zones, services and searches of a bundle
 	maxLeaves        = 1000   // leaves of a target
 	maxSlots         = 1000   // requests that one leaf runs at once
-	maxConnections   = 100000 // connections that a target accepts
+	maxConnections   = 100000 // connections that a target accepts from all VMs together
 	maxConnectCostMS = 60000  // milliseconds that a target needs to accept one connection
-	maxTimeMS        = 600000 // milliseconds of any other time: 10 minutes
+	maxTimeMS        = 600000 // milliseconds of any time in a bundle but connect_cost_ms: 10 minutes
 	maxSuspectAfter  = 100    // reads of a target's status that fail in a row until the target counts as lost
 	maxAttempts      = 10     // attempts per shard
 	maxItems         = 10000  // result items that a caller may request
 )
 
-// Parse reads and checks a bundle and returns all findings at once.
+// Parse decodes and checks a bundle. If the JSON can't be decoded, it returns the
+// findings about that, else all findings of Check. A bundle without findings is valid.
 func Parse(data []byte) (*Bundle, []Finding) {
 	b := &Bundle{}
 	if findings := strictjson.Decode(data, b); len(findings) > 0 {
@@ -100,7 +101,7 @@
 }
 
 // unique adds a finding if value was used before. seen maps each value to the path
-// of its first use; unique records the use of a new value there.
+// of its first use; unique adds a new value to seen.
 func (c *checker) unique(seen map[string]string, path, value string) {
 	if first, duplicate := seen[value]; duplicate {
 		c.add(path, fmt.Sprintf("%q, which is already used at %s", value, first), "each value once")
@@ -109,7 +110,7 @@
 	seen[value] = path
 }
 
-// length adds a finding unless a list of found items has 1 to limit items.
+// length adds a finding unless found, the number of items of a list, is 1 to limit.
 func (c *checker) length(path string, found, limit int) {
 	if found < 1 || found > limit {
 		c.add(path, fmt.Sprintf("%d items", found), fmt.Sprintf("1 to %d items", limit))
@@ -155,7 +156,7 @@
 	}
 }
 
-// drain checks the Drain of the service whose path in the bundle is given.
+// drain checks the Drain with the given path.
 func (c *checker) drain(path string, d Drain) {
 	c.intBetween(path+".health_interval_ms", d.HealthIntervalMS, 10, maxTimeMS)
 	c.intBetween(path+".health_timeout_ms", d.HealthTimeoutMS, 1, maxTimeMS)
@@ -163,7 +164,7 @@
 	c.intBetween(path+".warmup_ms", d.WarmupMS, 0, maxTimeMS)
 }
 
-// target checks one target, except that its name and address are unique.
+// target checks one target. The caller checks that its name and address are unique.
 func (c *checker) target(path string, t Target) {
 	c.name(path+".name", t.Name)
 	if !c.hasZone(t.Zone) {
@@ -200,7 +201,7 @@
 	}
 }
 
-// search checks one search, except its name.
+// search checks one search. The caller checks its name.
 func (c *checker) search(path string, s Search) {
 	switch s.Kind {
 	case KindSearch, KindBrowse, KindSubmit:
--- a/bundle/docs_test.go
+++ b/bundle/docs_test.go
@@ -21,8 +21,9 @@
 	})
 }
 
-// forEachField calls do with the JSON name of each field of typ. It replaces a field
-// that is a struct or a list of structs by the fields of that struct.
+// forEachField calls do with the JSON name of each field of the struct typ. For a field
+// that is a struct or a list of structs, it calls do with the fields of that struct
+// instead.
 func forEachField(typ reflect.Type, do func(name string)) {
 	for i := range typ.NumField() {
 		field := typ.Field(i)
--- a/bundle/key.go
+++ b/bundle/key.go
@@ -25,7 +25,7 @@
 type PrivateKey struct {
 	ID     string `json:"id"`     // as in the PublicKey
 	Person string `json:"person"` // name of the key's owner
-	Seed   []byte `json:"seed"`   // ed25519.SeedSize bytes, from which the key is derived
+	Seed   []byte `json:"seed"`   // ed25519.SeedSize bytes, from which the Ed25519 key is derived
 }
 
 // NewPrivateKey generates a key from the system's random source.
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -12,16 +12,16 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// Purpose is the kind of statement that a signature makes. It is part of the signed
-// message, so that a signature made for one purpose is invalid for any other.
+// Purpose says what a signature confirms. It is part of the signed message, so that a
+// signature made for one purpose is invalid for any other.
 type Purpose string
 
 // The purposes of signatures.
 const (
-	PurposeBundle  Purpose = "bundle"   // the author wrote this bundle
-	PurposeSignOff Purpose = "sign-off" // a person other than the author approves the bundle
-	PurposeEntry   Purpose = "entry"    // an operator made this change
-	PurposeRefusal Purpose = "refusal"  // an operator's change was refused
+	PurposeBundle  Purpose = "bundle"   // the signer wrote this bundle
+	PurposeSignOff Purpose = "sign-off" // the signer, another person than the author, approves the bundle
+	PurposeEntry   Purpose = "entry"    // the signer, an operator, made the change in this entry of the audit chain
+	PurposeRefusal Purpose = "refusal"  // the signer, an operator, requested a change that was refused
 )
 
 // signatureDomain is the text at the start of every signed message, so that a
@@ -48,8 +48,8 @@
 	}
 }
 
-// signedMessage returns the bytes that a signature is over: signatureDomain and the
-// purpose in one line, then the payload.
+// signedMessage returns the bytes that are signed: signatureDomain and the purpose in
+// one line, then the payload.
 func signedMessage(purpose Purpose, payload []byte) []byte {
 	message := []byte(signatureDomain + string(purpose) + "\n")
 	return append(message, payload...)
@@ -86,9 +86,9 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// Verify checks that s is signed for the purpose by an active key of the ring, and
-// returns that key. Its errors have code NotSigned, or UnknownKey for a key that is
-// retired or not in the ring.
+// Verify checks that s is signed for the given purpose by an active key of the
+// keyring, and returns the key. Its errors have code UnknownKey if the key is retired
+// or not in the keyring, else NotSigned.
 func (r *Keyring) Verify(s Signed, purpose Purpose) (PublicKey, error) {
 	key, err := r.VerifyWithRetired(s, purpose)
 	if err != nil {
@@ -122,12 +122,12 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// SignOff states that a person other than the author approves a bundle.
+// SignOff is the approval of a bundle by a person other than its author.
 type SignOff struct {
 	Deployment string    `json:"deployment"`
 	Digest     string    `json:"digest"` // of the approved bundle
 	Person     string    `json:"person"` // who approves the bundle
-	After      uint64    `json:"after"`  // revision in force when it was signed; a recall of the bundle in a later revision invalidates it
+	After      uint64    `json:"after"`  // revision in force when the sign-off was signed; a recall of the bundle in a later revision invalidates it
 	At         time.Time `json:"at"`     // by the person's clock
 	Reason     string    `json:"reason"` // why the person approves the bundle
 }
--- a/bundle/warn.go
+++ b/bundle/warn.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Warnings returns findings about values that are valid but may be mistakes: a
-// service that no search uses, and a target that accepts fewer connections than the
+// Warnings returns a finding for each value that is valid but may be a mistake: a
+// service that no search uses, or a target that accepts fewer connections than the
 // fleet may have VMs.
 func (b *Bundle) Warnings() []Finding {
 	c := &checker{bundle: b}
