--- a/objstore/api.go
+++ b/objstore/api.go
@@ -12,16 +12,16 @@
 //	GET    /v1/vms                                   the list of VMs
 //
 // PUT requires "If-Match: <version>" or, to create an object, "If-None-Match: *".
-// DELETE requires "If-Match". The answers to reads and writes of one object carry
-// its version in HeaderVersion. Status 404 means that the object does not exist,
+// DELETE requires "If-Match". The answers to GET and PUT of one object carry its
+// version in HeaderVersion. Status 404 means that the object does not exist,
 // 412 a version conflict, 413 a value that is too large, and 429 a call that was
 // refused by rate limiting before it ran. After any other failure it is unknown
 // whether a write took effect.
 const (
 	HeaderVersion = "Object-Version" // header of an answer: the version of the object
-	PathObjects   = "/v1/objects/"   // start of the path of an object or a listing
-	PathWatch     = "/v1/watch/"     // start of the path of a watch
-	PathVMs       = "/v1/vms"        // path of the list of VMs
+	PathObjects   = "/v1/objects/"   // start of the URL path of an object or a listing
+	PathWatch     = "/v1/watch/"     // start of the URL path of a watch
+	PathVMs       = "/v1/vms"        // URL path of the list of VMs
 )
 
 // ObjectJSON is the JSON form of an object in a listing.
@@ -41,8 +41,8 @@
 // EventJSON is one change of an object in the answer to a watch.
 type EventJSON struct {
 	Name     string `json:"name"`
-	Version  uint64 `json:"version"`  // of the object
-	Revision uint64 `json:"revision"` // of the store; increases with each write to it
+	Version  uint64 `json:"version"`  // of the object after the change
+	Revision uint64 `json:"revision"` // of the store after the change; increases with each write to the store
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
@@ -50,7 +50,7 @@
 // within the platform's own wait limit.
 type WatchResultJSON struct {
 	Events   []EventJSON `json:"events"`
-	Revision uint64      `json:"revision"` // of the store; the next watch reports the changes after it
+	Revision uint64      `json:"revision"` // of the store; a watch since this revision reports the changes that follow
 }
 
 // VMsJSON is the answer to a request for the list of VMs.
--- a/objstore/client.go
+++ b/objstore/client.go
@@ -17,19 +17,20 @@
 
 // Defaults of the fields of ClientOptions.
 const (
-	DefaultCallTimeout  = 2 * time.Second  // limit of one call other than a watch, including the read of its answer
-	DefaultWatchTimeout = 15 * time.Second // limit of one watch
+	DefaultCallTimeout  = 2 * time.Second  // time limit of one call other than a watch, including the read of its answer
+	DefaultWatchTimeout = 15 * time.Second // time limit of one watch
 	DefaultIdleTimeout  = 20 * time.Second // time after which an unused connection is closed
 	DefaultConnections  = 16               // maximum number of open connections to the platform
 )
 
-// maxListBytes is the largest size, in bytes, of an answer other than a single object.
+// maxListBytes is the size, in bytes, of the largest accepted answer other than that
+// to a read of a single object.
 const maxListBytes = 16 * MaxValue
 
 // ClientOptions configures a Client. Fields that are 0 or less take the defaults.
 type ClientOptions struct {
-	CallTimeout  time.Duration // limit of one call other than a watch, including the read of its answer
-	WatchTimeout time.Duration // limit of one watch; must be longer than the platform's own wait limit
+	CallTimeout  time.Duration // time limit of one call other than a watch, including the read of its answer
+	WatchTimeout time.Duration // time limit of one watch; must be longer than the platform's own wait limit
 	IdleTimeout  time.Duration // time after which an unused connection is closed
 	Connections  int           // maximum number of open connections to the platform
 }
@@ -96,7 +97,7 @@
 // Close closes the idle connections. The Client stays usable.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Get implements Store.
+// Get reads one object, see Store. If it does not exist, the error is ErrNotFound.
 func (c *Client) Get(ctx context.Context, kind, name string) (Object, error) {
 	ans, err := c.call(ctx, request{method: http.MethodGet, path: objectPath(kind, name), limit: MaxValue})
 	if err != nil {
@@ -109,7 +110,8 @@
 	return Object{Kind: kind, Name: name, Version: version, Value: ans.body}, nil
 }
 
-// List implements Store.
+// List reads, in name order, up to limit objects of the kind whose names are greater
+// than after, see Store.
 func (c *Client) List(ctx context.Context, kind, after string, limit int) (Page, error) {
 	query := url.Values{"after": {after}, "limit": {strconv.Itoa(limit)}}
 	path := PathObjects + url.PathEscape(kind) + "?" + query.Encode()
@@ -124,7 +126,8 @@
 	return out, nil
 }
 
-// Put implements Store.
+// Put writes value if the object's version is expectedVersion, and returns the new
+// version, see Store. An expectedVersion of 0 means that the object must not exist.
 func (c *Client) Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error) {
 	if len(value) > MaxValue {
 		return 0, errors.Annotatef(ErrTooLarge, "put %s/%s of %d bytes", kind, name, len(value))
@@ -143,7 +146,7 @@
 	return version, errors.Annotatef(err, "put %s/%s", kind, name)
 }
 
-// Delete implements Store.
+// Delete deletes the object if its version is expectedVersion, see Store.
 func (c *Client) Delete(ctx context.Context, kind, name string, expectedVersion uint64) error {
 	_, err := c.call(ctx, request{
 		method:  http.MethodDelete,
@@ -153,9 +156,10 @@
 	return errors.Annotatef(err, "delete %s/%s", kind, name)
 }
 
-// Watch implements Store. It returns an error if the platform has not answered
-// within WatchTimeout, because a connection over which nothing arrives anymore looks
-// like a platform on which nothing changes.
+// Watch returns the changes of objects of the kind after since, a revision of the
+// store, see Store. It returns an error if the platform has not answered within
+// WatchTimeout, because a connection over which nothing arrives anymore looks like a
+// platform on which nothing changes.
 func (c *Client) Watch(ctx context.Context, kind string, since uint64) (WatchResult, error) {
 	var ans WatchResultJSON
 	path := PathWatch + url.PathEscape(kind) + "?since=" + strconv.FormatUint(since, 10)
@@ -172,7 +176,7 @@
 	return out, nil
 }
 
-// VMs implements Store.
+// VMs returns the platform's list of VMs, which may be out of date.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
 	var ans VMsJSON
 	if err := c.callJSON(ctx, request{method: http.MethodGet, path: PathVMs}, &ans); err != nil {
@@ -188,8 +192,8 @@
 	ifMatch     string // the If-Match header; empty for none
 	ifNoneMatch string // the If-None-Match header; empty for none
 	body        []byte
-	limit       int64         // of the answer's size, in bytes; 0 means maxListBytes
-	timeout     time.Duration // 0 means CallTimeout
+	limit       int64         // size of the largest accepted answer, in bytes; 0 means maxListBytes
+	timeout     time.Duration // time limit of the call; 0 means ClientOptions.CallTimeout
 }
 
 // answer is a successful answer with its complete body.
@@ -198,7 +202,8 @@
 	body   []byte
 }
 
-// version returns the object version in the answer's header.
+// version returns the object version in the answer's header, or an error if it is
+// missing or not a positive number.
 func (a answer) version() (uint64, error) {
 	text := a.header.Get(HeaderVersion)
 	v, err := strconv.ParseUint(text, 10, 64)
--- a/objstore/client_test.go
+++ b/objstore/client_test.go
@@ -17,10 +17,11 @@
 // testTimeout bounds each wait for an event that must happen.
 const testTimeout = 20 * time.Second
 
+// TestMain checks that no goroutine is left at the end.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// newProxiedClient returns a client that is connected to a store through a fault
-// proxy.
+// newProxiedClient returns a client, a store, and the fault proxy through which the
+// client is connected to the store.
 func newProxiedClient(t *testing.T, opts objstore.ClientOptions) (*objstore.Client, *platformsim.Store, *faultproxy.Proxy) {
 	store := platformsim.NewStore()
 	server := httptest.NewServer(store.Handler())
@@ -69,9 +70,9 @@
 	g.Expect(t.Context().Err()).NotTo(gomega.HaveOccurred())
 }
 
-// Guards against a VM that reports that another VM holds a claim, although it holds
-// the claim itself. This happens if the connection breaks after the platform has
-// executed a write, net/http sends the write again, and the second write conflicts
+// Guards against a VM that reports that another VM holds a claim, although the VM
+// holds the claim itself. This happens if the connection breaks after the platform
+// has executed a write, net/http sends the write again, and the second write conflicts
 // with the first.
 func TestWriteOnBrokenConnectionIsSentOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
--- a/objstore/objstore.go
+++ b/objstore/objstore.go
@@ -24,8 +24,8 @@
 type Event struct {
 	Kind     string
 	Name     string
-	Version  uint64 // of the object
-	Revision uint64 // of the store; increases with each write to it
+	Version  uint64 // of the object after the change
+	Revision uint64 // of the store after the change; increases with each write to the store
 	Deleted  bool
 }
 
@@ -39,7 +39,7 @@
 // WatchResult is the result of one call of Watch.
 type WatchResult struct {
 	Events   []Event
-	Revision uint64 // of the store; pass it to the next call
+	Revision uint64 // of the store; the argument since of the next call of Watch
 }
 
 // VM is an entry of the platform's list of VMs. The list may be out of date.
@@ -79,11 +79,12 @@
 	// the new version. An expectedVersion of 0 means that the object must not
 	// exist. Put returns ErrConflict if the version differs.
 	Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error)
-	// Delete deletes the object if its version is expectedVersion.
+	// Delete deletes the object if its version is expectedVersion. It returns
+	// ErrNotFound if the object does not exist, and ErrConflict if its version differs.
 	Delete(ctx context.Context, kind, name string, expectedVersion uint64) error
 	// Watch returns the changes of objects of the kind after since, which is a
-	// revision of the store. If there is none yet, Watch waits for one. It returns
-	// without changes when the platform's own wait limit has passed.
+	// revision of the store. If there is no change yet, Watch waits for one. It
+	// returns without changes when the platform's own wait limit has passed.
 	Watch(ctx context.Context, kind string, since uint64) (WatchResult, error)
 	// VMs returns the platform's list of VMs, which may be out of date.
 	VMs(ctx context.Context) ([]VM, error)
--- a/objstore/objstoretest/objstoretest.go
+++ b/objstore/objstoretest/objstoretest.go
@@ -46,6 +46,8 @@
 	}
 }
 
+// A read or deletion of an object that does not exist must return ErrNotFound, and a
+// write that expects a version of it ErrConflict.
 func testAbsentObject(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	_, err := s.Get(ctx, "k", "none")
 	g.Expect(err).To(gomega.MatchError(objstore.ErrNotFound))
@@ -57,6 +59,8 @@
 	g.Expect(page.Objects).To(gomega.BeEmpty())
 }
 
+// A write or a deletion with another version than the stored one must fail and change
+// nothing, or one VM could overwrite the claim or change of another.
 func testCreateReplaceDelete(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	v1 := put(ctx, g, s, "a", 0, `1`)
 	_, err := s.Put(ctx, "k", "a", 0, []byte(`2`))
@@ -85,6 +89,8 @@
 	}
 }
 
+// Get must return a value byte for byte as it was written. A listing may reformat its
+// JSON.
 func testExactValue(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	value := "{ \"b\": 1,\n\t\"a\": \"<&>\" }"
 	put(ctx, g, s, "a", 0, value)
@@ -97,6 +103,8 @@
 	g.Expect(page.Objects[0].Value).To(gomega.MatchJSON(value))
 }
 
+// A name may contain characters that have a meaning in a URL. Without escaping, the
+// write would fail or concern another object.
 func testSpecialCharacters(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	for _, name := range []string{"a/b", "a b", "a%2Fb", "é", "a?b#c", "..", "a+b"} {
 		v := put(ctx, g, s, name, 0, `1`)
@@ -106,6 +114,8 @@
 	}
 }
 
+// A value of MaxValue bytes must be stored. A larger one must be refused with
+// ErrTooLarge, and nothing be written.
 func testTooLarge(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	largest := `"` + strings.Repeat("x", objstore.MaxValue-2) + `"`
 	put(ctx, g, s, "most", 0, largest)
@@ -115,6 +125,8 @@
 	g.Expect(err).To(gomega.MatchError(objstore.ErrNotFound))
 }
 
+// Several writers expect the same version at the same time. If two of them succeeded,
+// two VMs could win one claim, or one of two changes would be lost.
 func testConcurrentPuts(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	version := put(ctx, g, s, "a", 0, `1`)
 	var succeeded atomic.Int32
@@ -130,6 +142,8 @@
 	g.Expect(succeeded.Load()).To(gomega.Equal(int32(1)))
 }
 
+// Guards against a listing that skips or repeats objects at the end of a page, or that
+// contains objects of another kind.
 func testListPages(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	var want []string
 	for i := range 7 {
@@ -153,6 +167,8 @@
 	g.Expect(got).To(gomega.Equal(want))
 }
 
+// A waiting watch must return when an object of its kind changes, and must not report
+// changes of other kinds.
 func testWatchReturnsOnChange(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	v1 := put(ctx, g, s, "a", 0, `1`)
 	got := make(chan objstore.WatchResult, 1)
@@ -172,6 +188,8 @@
 	g.Expect(change.Revision).To(gomega.BeNumerically(">=", change.Events[0].Revision))
 }
 
+// An object changes between a listing and a watch since the listing's revision. If the
+// watch did not report the change, the caller would miss it.
 func testWatchReturnsEarlierChange(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	page, err := s.List(ctx, "k", "", 1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -181,6 +199,7 @@
 	g.Expect(change.Events).To(gomega.HaveLen(1))
 }
 
+// A watch must report a deletion, or its caller would keep a deleted object.
 func testWatchReturnsDeletion(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	v := put(ctx, g, s, "a", 0, `1`)
 	g.Expect(s.Delete(ctx, "k", "a", v)).To(gomega.Succeed())
@@ -190,6 +209,7 @@
 	g.Expect(change.Events[0].Deleted).To(gomega.BeTrue())
 }
 
+// A watch must end when its context is canceled, or a VM could not stop while it waits.
 func testWatchEndsWithContext(ctx context.Context, g *gomega.WithT, s objstore.Store) {
 	watchCtx, cancel := context.WithCancel(ctx)
 	ended := make(chan error, 1)
