--- a/settings/load.go
+++ b/settings/load.go
@@ -14,10 +14,10 @@
 )
 
 // MinFleetKeyBytes is the minimum length of a decoded fleet key, in bytes. The maximum
-// is twice as long.
+// is twice this length.
 const MinFleetKeyBytes = 32
 
-// MaxLameDuckMS is the largest value of lame_duck_ms, in milliseconds.
+// MaxLameDuckMS is the largest value of Settings.LameDuckMS, in milliseconds.
 const MaxLameDuckMS = 300_000
 
 // Load reads and validates a settings file. Errors have code BadSettings. For invalid
@@ -27,15 +27,16 @@
 	return s, LoadInto(path, s, s.validate)
 }
 
-// Parse does the same as Load with the content of a settings file.
+// Parse decodes and validates the content of a settings file. Errors are the same as
+// those of Load.
 func Parse(data []byte) (*Settings, error) {
 	s := &Settings{}
 	return s, ParseInto(data, s, s.validate)
 }
 
 // LoadInto reads a settings file and decodes its JSON into the struct that into points to.
-// If that succeeds, it calls check, which returns a finding for each invalid field. Errors
-// are the same as those of Load.
+// If the decoding succeeds, it calls check, which returns a finding for each invalid field.
+// Errors are the same as those of Load.
 func LoadInto(path string, into any, check func() []strictjson.Finding) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return ParseInto(data, into, check)
 }
 
-// ParseInto does the same as LoadInto with the content of a settings file.
+// ParseInto does the same as LoadInto with data, the content of a settings file.
 func ParseInto(data []byte, into any, check func() []strictjson.Finding) error {
 	findings := strictjson.Decode(data, into)
 	if len(findings) == 0 {
@@ -98,7 +99,7 @@
 }
 
 // validator collects the findings on a settings file. Its methods take the JSON path of a
-// field and the value found there.
+// field and the value found there, and add a finding if the value is invalid.
 type validator struct{ findings []strictjson.Finding }
 
 // add adds a finding: the path of the field, what was found there and what is allowed.
@@ -106,22 +107,22 @@
 	c.findings = append(c.findings, strictjson.Finding{Path: path, Found: found, Allowed: allowed})
 }
 
-// nonEmpty adds a finding if the field is empty.
+// nonEmpty adds a finding if the value found is empty.
 func (c *validator) nonEmpty(path, found string) {
 	if found == "" {
 		c.add(path, `""`, "a name")
 	}
 }
 
-// address adds a finding if the field is not an IP address with a port.
+// address adds a finding if the value found is not an IP address with a port.
 func (c *validator) address(path, found string) {
 	if _, err := netip.ParseAddrPort(found); err != nil {
 		c.add(path, fmt.Sprintf("%q", found), "an IP address and port, such as 10.0.0.7:8001")
 	}
 }
 
-// base64Key adds a finding if the field is not base64, or if the decoded key has fewer than
-// low or more than high bytes. The finding does not contain the key itself.
+// base64Key adds a finding if the value found is not base64, or if the decoded key has
+// fewer than low or more than high bytes. The finding does not contain the key itself.
 func (c *validator) base64Key(path, found string, low, high int) {
 	raw, err := base64.StdEncoding.DecodeString(found)
 	if err != nil {
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -35,6 +35,8 @@
 	return err
 }
 
+// Guards against a daemon that does not start with valid settings. If there is no settings
+// file, the error must have code BadSettings.
 func TestLoadValidSettings(t *testing.T) {
 	g := NewWithT(t)
 	data, err := json.Marshal(validSettings(t))
@@ -49,8 +51,8 @@
 }
 
 // Guards against a daemon that starts although a field of its settings is misspelt, and
-// so ignored, or has a value that cannot work. Each must give an error that names the
-// field.
+// so ignored, or has a value that cannot work. Each of these faults must give an error that
+// names the field.
 func TestInvalidSettingsNameTheField(t *testing.T) {
 	cases := map[string]func(s *Settings){
 		"$.name":              func(s *Settings) { s.Name = "" },
@@ -89,6 +91,7 @@
 	NewWithT(t).Expect(parse(t, s)).To(MatchError(Not(ContainSubstring("c2VjcmV0"))))
 }
 
+// An operator starts from the example. It must be valid.
 func TestExampleIsValid(t *testing.T) {
 	_, err := Load("../examples/bramleyd.json")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings defines the settings file of a daemon. It contains what a process must
-// know before it has a bundle, such as the platform's address. Everything else is in the
-// bundle.
+// Package settings defines the settings file of a daemon. The file contains what a process
+// must know before it has a bundle, such as the platform's address. Everything else is in
+// the bundle.
 package settings
 
 import (
@@ -27,18 +27,21 @@
 	// Seeds are addresses (IP and port) at which other VMs listen for their peers. They
 	// are used when neither the platform nor a peer names any VM, so that a fleet can
 	// start while the platform is down.
-	Seeds      []string `json:"seeds,omitempty"`
-	Log        Log      `json:"log"`
-	LameDuckMS int      `json:"lame_duck_ms"` // milliseconds for which requests are still served after SIGTERM; should exceed the load balancer's lag
+	Seeds []string `json:"seeds,omitempty"`
+	Log   Log      `json:"log"`
+	// LameDuckMS is the time, in milliseconds, for which requests are still served after
+	// SIGTERM. It should exceed the load balancer's lag: the time until the load balancer
+	// stops sending requests to this VM.
+	LameDuckMS int `json:"lame_duck_ms"`
 }
 
-// Listen holds the IP addresses and ports that a daemon listens on.
+// Listen holds the addresses that a daemon listens on, each an IP and port.
 type Listen struct {
 	Callers string `json:"callers"` // for callers' requests
 	Ops     string `json:"ops"`     // for the operators' page
 	Peers   string `json:"peers"`   // for connections from other VMs
-	// PeersAt is the address at which other VMs reach Peers, if it differs from Peers:
-	// behind address translation, or if Peers is a wildcard address.
+	// PeersAt is the address at which other VMs reach Peers, if that address differs from
+	// Peers: behind address translation, or if Peers is a wildcard address.
 	PeersAt string `json:"peers_at,omitempty"`
 }
 
