--- a/once/dispatcher.go
+++ b/once/dispatcher.go
@@ -14,11 +14,12 @@
 // concurrent use.
 type Peers interface {
 	// Committer returns the VM that commits the segment with the given name, which
-	// means that it updates the segment for all VMs. It returns false if that is
-	// this VM.
+	// means that it updates the segment for all VMs. The bool is false if this VM
+	// has to update the segment itself.
 	Committer(segment string) (objstore.VM, bool)
 	// Commit sends an operation to a VM. It returns when the VM has answered or
-	// counts as lost, or when ctx ends.
+	// counts as lost, or when ctx ends. The Reply is set only if the Delivery is
+	// relay.Answered.
 	Commit(ctx context.Context, vm objstore.VM, req relay.OpRequest) (relay.Reply, relay.Delivery)
 }
 
