--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -69,7 +69,7 @@
 	Op         OpID      `json:"op"`                 // operation that made the change
 	Action     Action    `json:"action"`             // kind of the change
 	Digest     string    `json:"digest"`             // digest of the bundle in force from this revision on
-	Name       string    `json:"name"`               // name of that bundle
+	Name       string    `json:"name"`               // name of the bundle in force
 	Before     string    `json:"before"`             // digest of the bundle in force before this revision; empty for revision 1
 	Recalled   string    `json:"recalled,omitempty"` // digest of the recalled bundle, for ActionRecall
 	Reason     string    `json:"reason"`             // why the operator made the change
--- a/rollout/follower.go
+++ b/rollout/follower.go
@@ -80,7 +80,7 @@
 	lastContact atomic.Int64            // Unix time in nanoseconds of the last read that the platform answered, or 0
 	watching    atomic.Bool             // the VM watches the platform; else it relies on other VMs
 	modeChanged chan struct{}           // wakes readLoop when SetWatching changes the field watching
-	headChanged chan struct{}           // wakes readLoop when a watch reports a change
+	headChanged chan struct{}           // wakes readLoop when a watch reports a change of the head
 	readSlots   chan struct{}           // one token per read of the head in flight
 
 	// mu guards the fields below and orders changes of current. It is never held
