--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -48,7 +48,7 @@
 	ActionRecall  Action = "recall"  // invalidates a bundle's sign-offs, and replaces it if it is in force
 )
 
-// PastBundle is a bundle that was in force earlier and was not recalled since.
+// PastBundle is a bundle that was in force earlier and has not been recalled since.
 type PastBundle struct {
 	Digest   string `json:"digest"`
 	Revision uint64 `json:"revision"` // last revision with this bundle in force
@@ -69,7 +69,7 @@
 	Op         OpID      `json:"op"`                 // operation that made the change
 	Action     Action    `json:"action"`             // kind of the change
 	Digest     string    `json:"digest"`             // digest of the bundle in force from this revision on
-	Name       string    `json:"name"`               // name of that bundle
+	Name       string    `json:"name"`               // name of the bundle in force
 	Before     string    `json:"before"`             // digest of the bundle in force before this revision; empty for revision 1
 	Recalled   string    `json:"recalled,omitempty"` // digest of the recalled bundle, for ActionRecall
 	Reason     string    `json:"reason"`             // why the operator made the change
@@ -104,7 +104,7 @@
 }
 
 // openHead decodes raw, a signed object, and verifies that it is an entry of the
-// deployment, signed by the person that the entry names. Signatures by retired keys
+// deployment, signed by the person whom the entry names. Signatures by retired keys
 // are accepted only if allowRetired is set.
 func openHead(raw []byte, deployment string, keys *bundle.Keyring, allowRetired bool) (*Head, error) {
 	s, err := bundle.ParseSigned(raw)
