--- a/operator/app.go
+++ b/operator/app.go
@@ -88,10 +88,10 @@
 }
 
 // forEachCommand calls do for a command and all its subcommands.
-func forEachCommand(c *cli.Command, do func(*cli.Command)) {
-	do(c)
+func forEachCommand(c *cli.Command, visit func(*cli.Command)) {
+	visit(c)
 	for _, sub := range c.Commands {
-		forEachCommand(sub, do)
+		forEachCommand(sub, visit)
 	}
 }
 
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -146,16 +146,16 @@
 }
 
 func filterRows(rows []AuditRow, f auditFilter) []AuditRow {
-	kept := []AuditRow{}
+	selected := []AuditRow{}
 	for _, r := range rows {
 		if f.matches(r) {
-			kept = append(kept, r)
+			selected = append(selected, r)
 		}
 	}
-	if f.last > 0 && len(kept) > f.last {
-		kept = kept[len(kept)-f.last:]
+	if f.last > 0 && len(selected) > f.last {
+		selected = selected[len(selected)-f.last:]
 	}
-	return kept
+	return selected
 }
 
 func auditTable(output AuditOutput) table {
--- a/operator/changes.go
+++ b/operator/changes.go
@@ -104,7 +104,7 @@
 type changeFunc func(*rollout.Client, context.Context, string, rollout.Request) (rollout.Entry, error)
 
 // runChange makes a change, prints it, and waits for the VMs if --wait is given.
-func (a *app) runChange(ctx context.Context, c *cli.Command, do changeFunc) error {
+func (a *app) runChange(ctx context.Context, c *cli.Command, change changeFunc) error {
 	s, digest, err := a.openDigest(ctx, c)
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 		Reason: c.String("reason"), Op: rollout.OpID(c.String("op")),
 		Expect: c.Uint64("expect"), DryRun: c.Bool("dry-run"),
 	}
-	entry, err := do(s.client, ctx, digest, request)
+	entry, err := change(s.client, ctx, digest, request)
 	if err != nil {
 		return err
 	}
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -20,22 +20,22 @@
 // items are matched by their "name" field, or by index if they have none, so that an
 // inserted target does not change the paths of the targets after it.
 func Diff(from, to []byte) ([]Difference, error) {
-	before, err := flatten(from)
+	fromValues, err := flatten(from)
 	if err != nil {
 		return nil, err
 	}
-	after, err := flatten(to)
+	toValues, err := flatten(to)
 	if err != nil {
 		return nil, err
 	}
 	changes := []Difference{}
-	for path, value := range before {
-		if after[path] != value {
-			changes = append(changes, Difference{Path: path, From: value, To: after[path]})
+	for path, value := range fromValues {
+		if toValues[path] != value {
+			changes = append(changes, Difference{Path: path, From: value, To: toValues[path]})
 		}
 	}
-	for path, value := range after {
-		if _, both := before[path]; !both {
+	for path, value := range toValues {
+		if _, inBoth := fromValues[path]; !inBoth {
 			changes = append(changes, Difference{Path: path, To: value})
 		}
 	}
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -55,11 +55,11 @@
 // run executes a command line and returns the exit status, stdout and stderr.
 func (ctl *testCLI) run(args ...string) (int, string, string) {
 	var stdout, stderr bytes.Buffer
-	all := []string{"bramleyctl"}
+	commandLine := []string{"bramleyctl"}
 	if ctl.config != "" {
-		all = append(all, "-c", ctl.config)
+		commandLine = append(commandLine, "-c", ctl.config)
 	}
-	status := Run(context.Background(), append(all, args...), &stdout, &stderr)
+	status := Run(context.Background(), append(commandLine, args...), &stdout, &stderr)
 	return status, stdout.String(), stderr.String()
 }
 
