--- a/cmd/bramley-lab/main.go
+++ b/cmd/bramley-lab/main.go
@@ -69,20 +69,20 @@
 
 // runPlatform serves the object API and the control endpoint until ctx is done.
 func runPlatform(ctx context.Context, store *platformsim.Store, listen, control string) error {
-	api, err := net.Listen("tcp", labhttp.ListenAddress(listen))
+	apiListener, err := net.Listen("tcp", labhttp.ListenAddress(listen))
 	if err != nil {
 		return errors.Trace(err)
 	}
-	ctl, err := net.Listen("tcp", labhttp.ListenAddress(control))
+	controlListener, err := net.Listen("tcp", labhttp.ListenAddress(control))
 	if err != nil {
 		return errors.Trace(err)
 	}
 	apiServer := &http.Server{Handler: store.Handler()}
-	ctlServer := &http.Server{Handler: store.ControlHandler()}
+	controlServer := &http.Server{Handler: store.ControlHandler()}
 	failed := make(chan error, 2)
-	go func() { failed <- apiServer.Serve(api) }()
-	go func() { failed <- ctlServer.Serve(ctl) }()
-	if err := printReady("platform", api.Addr().String(), ctl.Addr().String()); err != nil {
+	go func() { failed <- apiServer.Serve(apiListener) }()
+	go func() { failed <- controlServer.Serve(controlListener) }()
+	if err := printReady("platform", apiListener.Addr().String(), controlListener.Addr().String()); err != nil {
 		return err
 	}
 	select {
@@ -91,7 +91,7 @@
 	case <-ctx.Done():
 	}
 	apiServer.Close()
-	ctlServer.Close()
+	controlServer.Close()
 	return nil
 }
 
