--- a/explain/explain.go
+++ b/explain/explain.go
@@ -181,13 +181,13 @@
 func describeGaps(text string) string {
 	var parts []string
 	for part := range strings.SplitSeq(text, "; ") {
-		head, names, _ := strings.Cut(part, ": ")
-		cause, count, _ := strings.Cut(head, " ")
-		words, known := gapTexts[cause]
+		causeAndCount, names, _ := strings.Cut(part, ": ")
+		cause, count, _ := strings.Cut(causeAndCount, " ")
+		meaning, known := gapTexts[cause]
 		if !known {
-			words = cause
+			meaning = cause
 		}
-		parts = append(parts, fmt.Sprintf("%s %s (%s)", count, words, names))
+		parts = append(parts, fmt.Sprintf("%s %s (%s)", count, meaning, names))
 	}
 	return strings.Join(parts, ", ")
 }
