--- a/topk/topk.go
+++ b/topk/topk.go
@@ -34,20 +34,20 @@
 	if limit <= 0 {
 		return []byte{}
 	}
-	kept := make(minHeap, 0, limit)
+	greatest := make(minHeap, 0, limit)
 	for _, part := range parts {
 		for ; len(part) >= RecordBytes; part = part[RecordBytes:] {
 			r := recordAt(part)
 			switch {
-			case len(kept) < limit:
-				heap.Push(&kept, r)
-			case kept[0].less(r):
-				kept[0] = r
-				heap.Fix(&kept, 0)
+			case len(greatest) < limit:
+				heap.Push(&greatest, r)
+			case greatest[0].less(r):
+				greatest[0] = r
+				heap.Fix(&greatest, 0)
 			}
 		}
 	}
-	slices.SortFunc(kept, func(a, b record) int {
+	slices.SortFunc(greatest, func(a, b record) int {
 		switch {
 		case b.less(a):
 			return -1
@@ -56,8 +56,8 @@
 		}
 		return 0
 	})
-	out := make([]byte, 0, len(kept)*RecordBytes)
-	for _, r := range kept {
+	out := make([]byte, 0, len(greatest)*RecordBytes)
+	for _, r := range greatest {
 		out = binary.BigEndian.AppendUint64(out, r.high)
 		out = binary.BigEndian.AppendUint64(out, r.low)
 	}
--- a/topk/topk_test.go
+++ b/topk/topk_test.go
@@ -30,8 +30,8 @@
 		// Few byte values, so that equal records are common, and lengths that leave an
 		// incomplete record at the end.
 		parts := rapid.SliceOfN(rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 100), 0, 6).Draw(t, "parts")
-		top := rapid.IntRange(0, 20).Draw(t, "top")
-		g.Expect(Merge(top, parts)).To(gomega.Equal(append([]byte{}, mergeBySorting(top, parts)...)))
+		limit := rapid.IntRange(0, 20).Draw(t, "top")
+		g.Expect(Merge(limit, parts)).To(gomega.Equal(append([]byte{}, mergeBySorting(limit, parts)...)))
 	})
 }
 
