--- a/internal/lab/bench/phases.go
+++ b/internal/lab/bench/phases.go
@@ -76,7 +76,7 @@
 func readPhase(values map[string]float64, service, name string) phaseHistogram {
 	const metric = "bramley_query_phase_seconds"
 	labels := fmt.Sprintf("{service=%q,phase=%q", service, name)
-	sum := phaseHistogram{
+	histogram := phaseHistogram{
 		seconds: values[metric+"_sum"+labels+"}"],
 		count:   values[metric+"_count"+labels+"}"],
 		buckets: map[float64]float64{},
@@ -87,10 +87,10 @@
 			continue
 		}
 		if le, err := strconv.ParseFloat(strings.TrimSuffix(bound, `"}`), 64); err == nil {
-			sum.buckets[le] = n
+			histogram.buckets[le] = n
 		}
 	}
-	return sum
+	return histogram
 }
 
 // addDelta adds what was measured between two readings.
