--- a/operator/app.go
+++ b/operator/app.go
@@ -14,18 +14,19 @@
 
 // The names of the flags that all commands have.
 const (
-	flagConfig     = "config"
-	flagPlatform   = "platform"
-	flagDeployment = "deployment"
-	flagKey        = "key" // file with the operator's private key
-	flagOutput     = "output"
-	flagPatience   = "patience" // how long to retry calls to the platform that fail
-	flagVM         = "vm"       // addresses of VMs' operators' pages, used when the platform can't list VMs
+	flagConfig     = "config"     // settings file
+	flagPlatform   = "platform"   // platform's IP address and port
+	flagDeployment = "deployment" // name of the deployment
+	flagKey        = "key"        // file with the operator's private key
+	flagOutput     = "output"     // output format: formatText or formatJSON
+	flagPatience   = "patience"   // how long to retry calls to the platform that fail
+	flagVM         = "vm"         // addresses of VMs' operators' pages, used when the platform can't list VMs
 )
 
-// Run executes one command line and returns the exit status: 0 for success, else
-// the class of the result code, which is its hundreds digit. Results are written to
-// stdout, progress and errors to stderr; with -o json errors go to stdout, too.
+// Run executes one command line, args, whose first item is the program's name. It returns
+// the exit status: 0 for success, else the class of the result code, which is the code's
+// hundreds digit. Results are written to stdout, progress and errors to stderr. With
+// -o json the error of a failed command is written to stdout instead.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	app := newApp(stdout, stderr)
 	err := app.rootCommand().Run(ctx, args)
@@ -47,10 +48,12 @@
 	errorPrinted bool
 }
 
+// newApp returns an app that prints text until setFormat has read the output format.
 func newApp(stdout, stderr io.Writer) *app {
 	return &app{stdout: stdout, stderr: stderr, format: formatText}
 }
 
+// rootCommand returns bramleyctl with all its subcommands.
 func (a *app) rootCommand() *cli.Command {
 	root := &cli.Command{
 		Name:                  "bramleyctl",
@@ -87,7 +90,7 @@
 	return root
 }
 
-// forEachCommand calls do for a command and all its subcommands.
+// forEachCommand calls visit for c and for all its subcommands, at any depth.
 func forEachCommand(c *cli.Command, visit func(*cli.Command)) {
 	visit(c)
 	for _, sub := range c.Commands {
@@ -95,6 +98,7 @@
 	}
 }
 
+// commonFlags returns the flags that all commands have.
 func commonFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: flagConfig, Aliases: []string{"c"}, Usage: "settings `FILE`", Sources: cli.EnvVars("BRAMLEY_CONFIG")},
@@ -117,11 +121,14 @@
 	return ctx, nil
 }
 
+// usageError is the OnUsageError of all commands, which is called for invalid or missing
+// flags. It gives err the code BadRequest and refers to the command's --help.
 func usageError(_ context.Context, c *cli.Command, err error, _ bool) error {
 	return result.Wrap(result.BadRequest, err, fmt.Sprintf("see %s --help", c.FullName()))
 }
 
-// missingCommand is the action of commands that only have subcommands.
+// missingCommand is the action of commands that only have subcommands. It prints their
+// help, or returns an error if the first argument is no subcommand.
 func missingCommand(_ context.Context, c *cli.Command) error {
 	if c.Args().Present() {
 		return result.Errorf(result.BadRequest, "found the unknown command %q; see %s --help for those allowed", c.Args().First(), c.FullName())
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -23,17 +23,17 @@
 // AuditRow is one accepted change, or one refused attempt.
 type AuditRow struct {
 	Accepted bool           `json:"accepted"`
-	Revision uint64         `json:"revision,omitempty"`
+	Revision uint64         `json:"revision,omitempty"` // of an accepted change
 	At       time.Time      `json:"at"`
 	Person   string         `json:"person"`
 	Action   rollout.Action `json:"action"`
-	Digest   string         `json:"digest"`             // of the bundle that was rolled out or recalled
-	InForce  string         `json:"in_force,omitempty"` // digest that the change put into force
-	Before   string         `json:"before,omitempty"`   // digest in force before the change
-	Reason   string         `json:"reason"`
-	Op       rollout.OpID   `json:"op,omitempty"`
-	Code     result.Code    `json:"code,omitempty"`   // of a refused attempt
-	Detail   string         `json:"detail,omitempty"` // of a refused attempt
+	Digest   string         `json:"digest"`             // of the bundle that was to be rolled out or recalled
+	InForce  string         `json:"in_force,omitempty"` // digest of the bundle that the change put into force
+	Before   string         `json:"before,omitempty"`   // digest of the bundle that was in force before the change
+	Reason   string         `json:"reason"`             // as the person stated it
+	Op       rollout.OpID   `json:"op,omitempty"`       // operation id
+	Code     result.Code    `json:"code,omitempty"`     // why an attempt was refused; 0 for an accepted change
+	Detail   string         `json:"detail,omitempty"`   // of Code
 }
 
 func (a *app) auditCommand() *cli.Command {
@@ -99,6 +99,7 @@
 	return a.print(output, auditTable(output))
 }
 
+// acceptedRows returns one row for each entry of the audit trail.
 func acceptedRows(entries []rollout.Entry) []AuditRow {
 	rows := make([]AuditRow, 0, len(entries))
 	for i := range entries {
@@ -111,6 +112,7 @@
 	return rows
 }
 
+// refusedRows returns one row for each refused attempt.
 func refusedRows(refusals []rollout.Refusal) []AuditRow {
 	rows := make([]AuditRow, 0, len(refusals))
 	for _, r := range refusals {
@@ -122,7 +124,8 @@
 	return rows
 }
 
-// auditFilter selects rows. Its fields are the flags of audit; a zero field selects all.
+// auditFilter selects rows of the audit trail. Its fields hold the flags of the command
+// audit; a field that is zero excludes no row.
 type auditFilter struct {
 	person, action, digest string
 	since, until           time.Time
@@ -145,6 +148,8 @@
 		(f.until.IsZero() || r.At.Before(f.until))
 }
 
+// filterRows returns the rows that match f, and of these only the last f.last if that is
+// not zero.
 func filterRows(rows []AuditRow, f auditFilter) []AuditRow {
 	selected := []AuditRow{}
 	for _, r := range rows {
@@ -158,6 +163,7 @@
 	return selected
 }
 
+// auditTable returns the text form of output.
 func auditTable(output AuditOutput) table {
 	t := table{header: []string{"REVISION", "AT", "PERSON", "ACTION", "DIGEST", "IN FORCE", "REASON"}}
 	for _, r := range output.Rows {
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -32,9 +32,9 @@
 // CheckOutput is the output of bundle check.
 type CheckOutput struct {
 	Digest   string           `json:"digest"`
-	Bytes    int              `json:"bytes"`
+	Bytes    int              `json:"bytes"`    // size of the file
 	Findings []bundle.Finding `json:"findings"` // errors; the bundle is invalid if there are any
-	Warnings []bundle.Finding `json:"warnings"`
+	Warnings []bundle.Finding `json:"warnings"` // about a valid bundle; none if there are findings
 }
 
 // readFileArg reads the file that is the command's only argument.
@@ -187,14 +187,16 @@
 	return s.client.LoadBundleBytes(ctx, digest)
 }
 
-// argHead is the argument that means the bundle in force.
+// argHead is the argument that stands for the bundle in force, in place of a digest.
 const argHead = "head"
 
 // minDigestPrefix is the least number of digits that may abbreviate a digest.
 const minDigestPrefix = 6
 
-// resolveDigest returns the full digest for argHead or the first digits of a digest. It
-// returns a full digest as it is, without checking that the platform has the bundle.
+// resolveDigest returns the full digest that arg stands for. For argHead it is that of the
+// bundle in force, and for the first digits of a digest that of the only bundle on the
+// platform whose digest starts with them. A full digest is returned as it is, without a
+// check that the platform has the bundle.
 func (s *session) resolveDigest(ctx context.Context, arg string) (string, error) {
 	const digestLen = 64 // hex digits of a SHA-256 digest
 	if len(arg) == digestLen {
@@ -221,7 +223,8 @@
 	return uniqueMatch(page.Objects, arg)
 }
 
-// uniqueMatch returns the only name among objects that has the prefix.
+// uniqueMatch returns the name of the only object whose name starts with prefix. It returns
+// an error if there is no such object, or more than one.
 func uniqueMatch(objects []objstore.Object, prefix string) (string, error) {
 	var found []string
 	for _, obj := range objects {
--- a/operator/changes.go
+++ b/operator/changes.go
@@ -11,6 +11,7 @@
 	"github.com/bramleybarrow/bramleybarrow/rollout"
 )
 
+// reasonFlag returns the flag for the reason of a change or a sign-off, which is required.
 func reasonFlag() cli.Flag {
 	return &cli.StringFlag{Name: "reason", Required: true, Usage: "`TEXT` that the audit trail keeps"}
 }
@@ -48,8 +49,8 @@
 	}
 }
 
-// openDigest opens a session and returns it with the digest that the command's only
-// argument names.
+// openDigest opens a session and returns it with the full digest that the command's only
+// argument stands for; see resolveDigest.
 func (a *app) openDigest(ctx context.Context, c *cli.Command) (*session, string, error) {
 	arg, err := singleArg(c, "a digest")
 	if err != nil {
@@ -90,20 +91,21 @@
 // ChangeOutput is the output of rollout and recall.
 type ChangeOutput struct {
 	DryRun   bool           `json:"dry_run,omitempty"`
-	Outcome  string         `json:"outcome"` // "accepted", or "would be written" with --dry-run
-	Op       rollout.OpID   `json:"op"`
-	Revision uint64         `json:"revision"`
-	Action   rollout.Action `json:"action"`
-	InForce  string         `json:"in_force"`           // digest that the change put into force
-	Name     string         `json:"name"`               // of the bundle that the change put into force
-	Before   string         `json:"before"`             // digest in force before the change
+	Outcome  string         `json:"outcome"`            // "accepted", or "would be written" with --dry-run
+	Op       rollout.OpID   `json:"op"`                 // operation id, for --op when the command is run again
+	Revision uint64         `json:"revision"`           // of the change
+	Action   rollout.Action `json:"action"`             // rollout or recall
+	InForce  string         `json:"in_force"`           // digest of the bundle that the change put into force
+	Name     string         `json:"name"`               // name of the bundle that the change put into force
+	Before   string         `json:"before"`             // digest of the bundle that was in force before the change
 	Recalled string         `json:"recalled,omitempty"` // digest of the recalled bundle
 }
 
 // changeFunc is Client.Rollout or Client.Recall.
 type changeFunc func(*rollout.Client, context.Context, string, rollout.Request) (rollout.Entry, error)
 
-// runChange makes a change, prints it, and waits for the VMs if --wait is given.
+// runChange calls change with the command's digest and flags and prints the result. If
+// --wait is given, it then waits until the VMs have the change in force.
 func (a *app) runChange(ctx context.Context, c *cli.Command, change changeFunc) error {
 	s, digest, err := a.openDigest(ctx, c)
 	if err != nil {
@@ -133,6 +135,7 @@
 	return nil
 }
 
+// changeTable returns the text form of output.
 func changeTable(output ChangeOutput) table {
 	t := table{rows: [][]string{
 		{string(output.Action), output.Outcome},
@@ -149,9 +152,10 @@
 // pollInterval is the pause between two reads of the VMs' status pages.
 const pollInterval = 200 * time.Millisecond
 
-// waitForFleet reads the VMs' status pages until each VM has the revision in force, for
-// at most wait. It doesn't interrupt a read of the pages at the deadline, so that the
-// error names the VMs that lag and not those whose read was cut off.
+// waitForFleet reads the VMs' status pages until each VM has the revision in force. After
+// wait it returns an error that names the VMs without the revision. It finishes the reads
+// that are in progress at that time: if they were cut off, the error would also name VMs
+// that have the revision.
 func (a *app) waitForFleet(ctx context.Context, s *session, revision uint64, wait time.Duration) error {
 	deadline := time.Now().Add(wait)
 	last := ""
--- a/operator/diff.go
+++ b/operator/diff.go
@@ -11,7 +11,7 @@
 
 // Difference is one value that differs between two bundles.
 type Difference struct {
-	Path string `json:"path"`
+	Path string `json:"path"` // such as $.services[desk].shards
 	From string `json:"from"` // JSON text; empty if the first bundle lacks the path
 	To   string `json:"to"`   // JSON text; empty if the second bundle lacks the path
 }
@@ -43,7 +43,8 @@
 	return changes, nil
 }
 
-// flatten maps the path of each scalar to its JSON text.
+// flatten decodes a JSON document and maps the path of each scalar in it to the scalar's
+// JSON text.
 func flatten(data []byte) (map[string]string, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -56,6 +57,7 @@
 	return flat, nil
 }
 
+// flattenInto adds the scalars in node, a decoded JSON value at path, to flat.
 func flattenInto(flat map[string]string, path string, node any) {
 	switch n := node.(type) {
 	case map[string]any:
@@ -72,7 +74,8 @@
 	}
 }
 
-// itemKey returns the name of an array's item, or its index if it has none.
+// itemKey returns the "name" field of item, or the item's index i in its array if it has
+// no such field.
 func itemKey(i int, item any) string {
 	if object, ok := item.(map[string]any); ok {
 		if name, ok := object["name"].(string); ok {
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -10,7 +10,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// nextSteps says what an operator should do about a code.
+// nextSteps says what an operator should do about a result code. For a code without an
+// entry no advice is printed.
 var nextSteps = map[result.Code]string{
 	result.BadRequest:     "correct the command line; --help lists what a command takes",
 	result.KeyReused:      "use audit to see what that operation did, and run your command without --op",
@@ -34,7 +35,7 @@
 type Explanation struct {
 	Code    result.Code `json:"code"`
 	Name    string      `json:"name"`
-	Class   int         `json:"class"`
+	Class   int         `json:"class"` // hundreds digit of the code, and exit status
 	HTTP    int         `json:"http"`  // HTTP status
 	Ran     string      `json:"ran"`   // whether a target ran the request
 	Again   string      `json:"again"` // whether a retry makes sense
@@ -74,7 +75,8 @@
 	}
 }
 
-// findCode returns the row of a code given by its number or name.
+// findCode returns the row of result.Table with the number or name arg, in any case. The
+// second result is false if there is none.
 func findCode(arg string) (result.Info, bool) {
 	for _, row := range result.Table {
 		if strconv.Itoa(int(row.Code)) == arg || strings.EqualFold(row.Name, arg) {
--- a/operator/explain_request.go
+++ b/operator/explain_request.go
@@ -50,6 +50,7 @@
 	return reader.Report(), nil
 }
 
+// readLog passes the log file at path to reader.
 func readLog(reader *explain.Reader, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -59,6 +60,7 @@
 	return errors.Annotate(reader.Read(path, io.Reader(file)), path)
 }
 
+// requestTable returns the text form of report.
 func requestTable(report explain.Report) table {
 	t := table{rows: [][]string{{"request", report.Request}, {"cause", report.Cause}}}
 	for _, line := range report.Lines {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -22,16 +22,16 @@
 
 // Limits on reading VMs' status pages.
 const (
-	maxStatusReads = 32          // concurrent reads
-	maxStatusBytes = 64 << 10    // of one page
-	statusTimeout  = time.Second // of one read
+	maxStatusReads = 32          // status pages that are read concurrently
+	maxStatusBytes = 64 << 10    // largest status page that is read
+	statusTimeout  = time.Second // for the read of one status page
 )
 
 // VMRow is the state of one VM.
 type VMRow struct {
-	VM            string      `json:"vm"`             // name; or address if it is from --vm or the settings
-	ListedLeaving bool        `json:"listed_leaving"` // the platform lists it as leaving
-	Error         string      `json:"error,omitempty"`
+	VM            string      `json:"vm"`               // name; or address if it is from --vm or the settings
+	ListedLeaving bool        `json:"listed_leaving"`   // the platform lists the VM as leaving
+	Error         string      `json:"error,omitempty"`  // why Status could not be read
 	Status        *ops.Status `json:"status,omitempty"` // nil if it could not be read
 }
 
@@ -78,6 +78,7 @@
 	return rows, nil
 }
 
+// readStatus reads the status page of the VM whose operators' page has that address.
 func readStatus(ctx context.Context, address string) (*ops.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -107,8 +108,8 @@
 	text string
 }
 
-// fleetProgress counts the VMs that have at least the revision in force and names the
-// others. A VM that is leaving receives no requests and is not waited for.
+// fleetProgress counts the VMs that have the revision or a higher one in force and names
+// the others. It leaves out VMs that are leaving, since they receive no requests.
 func fleetProgress(rows []VMRow, revision uint64) progress {
 	inForce, total := 0, 0
 	var lagging []string
@@ -190,6 +191,7 @@
 	}
 }
 
+// statusTable returns the text form of output.
 func statusTable(output StatusOutput) table {
 	t := table{header: []string{"VM", "REVISION", "DIGEST", "SINCE", "READY", "LEAVING", "PLATFORM", "PEERS"}}
 	switch h := output.Head; {
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -21,9 +21,9 @@
 // testCLI runs command lines of three people against a simulated platform.
 type testCLI struct {
 	t      *testing.T
-	dir    string // holds the key files and settings
-	store  *platformsim.Store
-	config string // path of the settings file
+	dir    string             // holds the key files and settings
+	store  *platformsim.Store // the simulated platform
+	config string             // path of the settings file
 }
 
 // newTestCLI makes a key for each person with keygen and writes settings that list the
@@ -50,6 +50,7 @@
 	return ctl
 }
 
+// path returns the path of a file in dir.
 func (ctl *testCLI) path(name string) string { return filepath.Join(ctl.dir, name) }
 
 // run executes a command line and returns the exit status, stdout and stderr.
@@ -63,7 +64,8 @@
 	return status, stdout.String(), stderr.String()
 }
 
-// mustRun runs a command that has to succeed and decodes its JSON output.
+// mustRun runs a command that has to succeed and decodes its JSON output into the value
+// that into points to.
 func (ctl *testCLI) mustRun(into any, args ...string) {
 	ctl.t.Helper()
 	status, stdout, stderr := ctl.run(append([]string{"-o", "json"}, args...)...)
@@ -98,8 +100,9 @@
 	return answer.Digest
 }
 
-// Takes a bundle through push, sign-off, rollout and audit, and checks the result code
-// of each command that must be refused on the way.
+// Guards against commands that refuse a valid step of a bundle's life or accept an invalid
+// one. The steps are push, sign-off, rollout and audit. The invalid ones, such as a rollout
+// without a sign-off, have to fail with their result codes.
 func TestBundleLifecycle(t *testing.T) {
 	g := NewWithT(t)
 	ctl := newTestCLI(t)
@@ -147,8 +150,8 @@
 	g.Expect(text).To(ContainSubstring("unbroken up to revision 1"))
 }
 
-// An entry of the audit trail is deleted on the platform. No other command shows this, so
-// audit has to report that a change is missing.
+// Guards against an audit that hides a missing change. An entry of the audit trail is
+// deleted on the platform, which no other command shows.
 func TestAuditReportsMissingEntry(t *testing.T) {
 	g := NewWithT(t)
 	ctl := newTestCLI(t)
@@ -164,8 +167,8 @@
 	ctl.mustFail(result.BrokenAudit, "audit")
 }
 
-// Guards against a status that omits VMs which don't answer, and against a status that
-// fails while the platform is down although the addresses of VMs are given.
+// Guards against a command status that omits VMs which don't answer. It also guards against
+// one that fails while the platform is down, although the addresses of VMs are given.
 func TestStatusReportsUnreachableVMs(t *testing.T) {
 	g := NewWithT(t)
 	ctl := newTestCLI(t)
@@ -197,10 +200,10 @@
 	g.Expect(answer.VMs[0].Status.Revision).To(Equal(uint64(4)), "also while the platform is down")
 }
 
-// Guards against a status without warnings while all VMs appear healthy but a failure is
-// due. The key that signed off the bundle in force is retired, so a VM that starts later
-// rejects the bundle. A VM is at a revision past the head, so the next rollout has no
-// effect on it.
+// Guards against a command status that shows no warning while all VMs appear healthy but a
+// failure is due. The key that signed off the bundle in force is retired, so a VM that
+// starts later rejects the bundle. A VM is at a revision past the head, so the next rollout
+// has no effect on it.
 func TestStatusWarnsOfHiddenFaults(t *testing.T) {
 	g := NewWithT(t)
 	ctl := newTestCLI(t)
@@ -223,6 +226,8 @@
 }
 
 // Flags take precedence over the environment, and the environment over the settings file.
+// Otherwise an operator could not replace a key file that the settings or the environment
+// name.
 func TestSettingsPrecedence(t *testing.T) {
 	ctl := newTestCLI(t)
 	ctl.pushExample()
@@ -261,8 +266,8 @@
 	}
 }
 
-// Guards against a diff by index: an inserted target would make all targets after it
-// appear changed.
+// Guards against a Diff that matches the items of arrays by index: an inserted target would
+// make all targets after it appear changed.
 func TestDiffMatchesItemsByName(t *testing.T) {
 	g := NewWithT(t)
 	file, err := os.ReadFile(exampleFile)
--- a/operator/output.go
+++ b/operator/output.go
@@ -21,6 +21,7 @@
 	rows   [][]string
 }
 
+// add appends one row.
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
 // print writes value as JSON or t as text, depending on the output format.
@@ -38,6 +39,7 @@
 	return w.Flush()
 }
 
+// printRow writes one row of a table whose columns w aligns when it is flushed.
 func printRow(w *tabwriter.Writer, cells []string) {
 	for i, cell := range cells {
 		if i > 0 {
@@ -48,6 +50,7 @@
 	fmt.Fprintln(w)
 }
 
+// printJSON writes value to standard output as indented JSON, whatever the output format.
 func (a *app) printJSON(value any) error {
 	enc := json.NewEncoder(a.stdout)
 	enc.SetIndent("", "  ")
@@ -63,6 +66,8 @@
 	Next   string      `json:"next,omitempty"` // what the operator should do
 }
 
+// printError prints a command's error and what the operator should do: as JSON to standard
+// output, or as text to standard error, depending on the output format.
 func (a *app) printError(err error) {
 	code := result.CodeOf(err)
 	if a.format == formatJSON {
@@ -75,6 +80,7 @@
 	}
 }
 
+// formatTime returns t in UTC with a precision of 1 s, or "never" for the zero time.
 func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "never"
@@ -82,8 +88,8 @@
 	return t.UTC().Format("2006-01-02 15:04:05Z")
 }
 
-// shortDigest returns the first digits of a digest, for display. Commands accept them in
-// place of the whole digest.
+// shortDigest returns the first digits of a digest, for display. Commands accept these
+// digits in place of the whole digest.
 func shortDigest(digest string) string {
 	const shownDigits = 12
 	return digest[:min(len(digest), shownDigits)]
--- a/operator/settings.go
+++ b/operator/settings.go
@@ -28,10 +28,10 @@
 
 // OperatorKey is an operator's public key, in the same form as in the daemons' settings.
 type OperatorKey struct {
-	ID      string `json:"id"`
-	Person  string `json:"person"`
-	Public  string `json:"public"`
-	Retired bool   `json:"retired,omitempty"`
+	ID      string `json:"id"`                // unique in the settings
+	Person  string `json:"person"`            // name of the key's owner
+	Public  string `json:"public"`            // the key's bytes in base64
+	Retired bool   `json:"retired,omitempty"` // no longer accepted on heads and sign-offs
 }
 
 // readSettings reads the settings file, if there is one, and applies the environment and
@@ -66,6 +66,7 @@
 	}
 }
 
+// keyring returns the settings' OperatorKeys, or an error if they are invalid.
 func (s Settings) keyring() (*bundle.Keyring, error) {
 	keys := make([]bundle.PublicKey, 0, len(s.OperatorKeys))
 	for _, k := range s.OperatorKeys {
@@ -74,7 +75,7 @@
 	return bundle.NewKeyring(keys...)
 }
 
-// readKey reads a private key file that keygen has written.
+// readKey reads and checks a private key file that the command keygen has written.
 func readKey(path string) (*bundle.PrivateKey, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -90,9 +91,9 @@
 // session holds the settings, keys and clients of a command that uses the platform.
 type session struct {
 	settings Settings
-	keys     *bundle.Keyring
-	store    *objstore.Client
-	client   *rollout.Client
+	keys     *bundle.Keyring  // public keys of all operators in the settings
+	store    *objstore.Client // the platform's objects
+	client   *rollout.Client  // bundles, sign-offs and changes, kept in store
 }
 
 // open creates a session from a command's settings. The session's store is never closed:
@@ -118,8 +119,8 @@
 			return nil, err
 		}
 	}
-	// The timeout is longer than the default, which is meant for daemons: a new process
-	// has no open connection whose other end may have stopped responding.
+	// The default timeout is short so that daemons detect an open connection whose other
+	// end has stopped responding. A new process has no such connection and can wait longer.
 	store := objstore.NewClient(s.Platform, objstore.ClientOptions{CallTimeout: rollout.DefaultCallTimeout})
 	client := rollout.NewClient(rollout.ClientOptions{
 		Deployment: s.Deployment, Keys: keys, Store: store, Key: private,
