--- a/cmd/bramley-lab/bench.go
+++ b/cmd/bramley-lab/bench.go
@@ -19,7 +19,7 @@
 			&cli.StringSliceFlag{Name: "shape", Usage: "measure only this deployment; may be repeated"},
 			&cli.StringSliceFlag{Name: "scenario", Usage: "measure only this scenario; may be repeated"},
 			&cli.DurationFlag{Name: "window", Value: 5 * time.Second, Usage: "length of one measurement"},
-			&cli.IntFlag{Name: "rounds", Value: 4, Usage: "windows for each scenario and policy"},
+			&cli.IntFlag{Name: "rounds", Value: 4, Usage: "number of measurements for each scenario and policy"},
 			&cli.IntFlag{Name: "slowdown", Value: 1, Usage: "factor on service times and time limits, for a machine with other load"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of arrivals and queries"},
 		},
--- a/cmd/bramley-lab/demo.go
+++ b/cmd/bramley-lab/demo.go
@@ -19,14 +19,14 @@
 
 // Sizes and limits of the demo.
 const (
-	demoTargets  = 4
-	demoLeaves   = 2 // of each target
-	demoShards   = 4
-	demoReplicas = 2 // of each shard
-	demoRecords  = 400
-	demoVMs      = 2
+	demoTargets  = 4           // number of targets
+	demoLeaves   = 2           // leaves of each target
+	demoShards   = 4           // shards of the index
+	demoReplicas = 2           // replicas of each shard
+	demoRecords  = 400         // records in the index, all shards together
+	demoVMs      = 2           // number of VMs, each of which is a daemon process
 	demoTimeout  = time.Minute // bounds the start and all requests together
-	demoPort     = 8001        // where the first VM serves callers; each further VM uses the next port. docs/API.md refers to it
+	demoPort     = 8001        // port where the first VM serves callers; each further VM uses the next port. docs/API.md refers to it
 )
 
 func demoCommand() *cli.Command {
@@ -47,8 +47,8 @@
 	}
 }
 
-// runDemo starts the deployment, sends the requests, keeps it running for stay and
-// stops it.
+// runDemo starts a deployment, sends the demo's requests to it, keeps it running for stay
+// and stops it. Daemon and lab are the paths of bramleyd and bramley-lab.
 func runDemo(ctx context.Context, daemon, lab string, stay time.Duration) error {
 	dir, err := os.MkdirTemp("", "bramley-demo")
 	if err != nil {
@@ -115,6 +115,7 @@
 	return daemons, waitReady(ctx, daemons)
 }
 
+// startDemoTargets starts the targets with one index, whose shards are spread over them.
 func startDemoTargets(f *fleet.Fleet) ([]*fleet.Target, error) {
 	index := targetsim.Index{Service: "inspector-desk", Snapshot: "2026-12-01", Seq: 1, Shards: demoShards, Records: demoRecords}
 	var targets []*fleet.Target
@@ -132,6 +133,8 @@
 	return targets, nil
 }
 
+// demoBundle returns a bundle with one service, which has these targets, and with one search
+// of each kind. Fleet.RollOut sets its format, deployment and author.
 func demoBundle(targets []*fleet.Target) *bundle.Bundle {
 	svc := bundle.Service{
 		Name: "inspector-desk", Shards: demoShards,
@@ -204,6 +207,7 @@
 	return nil
 }
 
+// printAnswer prints a daemon's answer to a request. Request is a description, not the body.
 func printAnswer(d *fleet.Daemon, request string, answer *gateway.Answer) {
 	fmt.Printf("\n%s: %s -> %d %s in %.1f ms\n", d.Name, request, answer.Code, answer.Name, answer.TookMS)
 	if c := answer.Coverage; c != nil {
--- a/cmd/bramley-lab/main.go
+++ b/cmd/bramley-lab/main.go
@@ -1,7 +1,8 @@
-// Command bramley-lab runs the stand-ins that tests and benchmarks use: a platform, a
-// target or a proxy that injects faults, each as a separate process. A stand-in prints a
-// labhttp.Ready as one line of JSON when it is ready to serve. The command also runs the
-// benchmarks and the demo.
+// Command bramley-lab runs what tests and benchmarks use in place of real machines: a
+// simulator of the platform, a simulator of a target, or a fault proxy, which forwards TCP
+// connections and injects faults. Each is a separate process and prints a labhttp.Ready as
+// one line of JSON when it is ready to serve. The command also runs the benchmarks and the
+// demo.
 package main
 
 import (
@@ -29,7 +30,7 @@
 	defer stop()
 	app := &cli.Command{
 		Name:  "bramley-lab",
-		Usage: "stand-ins for tests and benchmarks",
+		Usage: "simulators and a fault proxy for tests and benchmarks",
 		Commands: []*cli.Command{
 			platformCommand(),
 			targetCommand(),
@@ -46,6 +47,7 @@
 	}
 }
 
+// listenFlags returns the flags that the simulators and the fault proxy have in common.
 func listenFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "listen", Usage: "IP and port to serve on; a free loopback port if empty"},
@@ -67,7 +69,8 @@
 	}
 }
 
-// runPlatform serves the object API and the control endpoint until ctx is done.
+// runPlatform serves the object API of store at the address listen, and the endpoint that
+// sets store's faults at the address control, until ctx is done.
 func runPlatform(ctx context.Context, store *platformsim.Store, listen, control string) error {
 	apiListener, err := net.Listen("tcp", labhttp.ListenAddress(listen))
 	if err != nil {
@@ -164,7 +167,9 @@
 	}
 }
 
-// printReady prints a stand-in's labhttp.Ready as a line of JSON to standard output.
+// printReady prints the labhttp.Ready of a simulator or fault proxy as a line of JSON to
+// standard output. Role is the name of the subcommand; listen and control are the addresses
+// of its two listeners.
 func printReady(role, listen, control string) error {
 	return errors.Trace(json.NewEncoder(os.Stdout).Encode(labhttp.Ready{Role: role, Listen: listen, Control: control}))
 }
--- a/cmd/bramleyd/edge.go
+++ b/cmd/bramleyd/edge.go
@@ -12,7 +12,7 @@
 	"github.com/bramleybarrow/bramleybarrow/platform"
 )
 
-// loadEdgeSettings loads the settings file of a daemon on the users' platform.
+// loadEdgeSettings loads and checks the settings file of a daemon on the users' platform.
 func loadEdgeSettings(cmd *cli.Command) (*edge.Settings, error) {
 	path, err := settingsPath(cmd)
 	if err != nil {
@@ -21,6 +21,8 @@
 	return edge.LoadSettings(path)
 }
 
+// checkEdge is the action of the subcommand check-edge. It prints what the settings of a
+// daemon on the users' platform mean.
 func checkEdge(_ context.Context, cmd *cli.Command) error {
 	cfg, err := loadEdgeSettings(cmd)
 	if err != nil {
@@ -32,6 +34,8 @@
 	return nil
 }
 
+// runEdge is the action of the subcommand edge, which runs the daemon on the users'
+// platform. It ignores the command's context: edge.Node.Run handles signals itself.
 func runEdge(_ context.Context, cmd *cli.Command) error {
 	cfg, err := loadEdgeSettings(cmd)
 	if err != nil {
--- a/cmd/bramleyd/main.go
+++ b/cmd/bramleyd/main.go
@@ -36,6 +36,8 @@
 	}
 }
 
+// loadSettings loads and checks the settings file of a daemon that is not on the users'
+// platform.
 func loadSettings(cmd *cli.Command) (*settings.Settings, error) {
 	path, err := settingsPath(cmd)
 	if err != nil {
@@ -52,6 +54,7 @@
 	return cmd.Args().First(), nil
 }
 
+// check is the action of the subcommand check.
 func check(_ context.Context, cmd *cli.Command) error {
 	if _, err := loadSettings(cmd); err != nil {
 		return err
@@ -60,6 +63,8 @@
 	return nil
 }
 
+// run is the action of the subcommand run. It returns when the daemon has shut down after
+// ctx ended.
 func run(ctx context.Context, cmd *cli.Command) error {
 	cfg, err := loadSettings(cmd)
 	if err != nil {
