--- a/node/claims.go
+++ b/node/claims.go
@@ -11,9 +11,9 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// buildClaims creates the runner of non-idempotent requests, and the links to the VMs
-// that commit claims for this VM. A claim records that a request's idempotency key is in
-// use.
+// buildClaims creates the runner of non-idempotent requests. It also creates the links to
+// the VMs that commit claims for this VM, which means that they write the claims to the
+// platform. A claim records that a request's idempotency key is in use.
 func (n *Node) buildClaims() {
 	n.links = relay.NewLinks(relay.Options{
 		Self:  n.settings.Name,
@@ -31,9 +31,10 @@
 	})
 }
 
-// handlePeerCall serves the calls that other VMs make over connections opened for such
-// calls: claims that this VM is to commit, and calls to leaves of targets that this VM
-// owns. An owner of a target holds connections to it.
+// handlePeerCall serves a call that another VM makes over the connection conn, which was
+// opened for such calls, and returns the result. The call asks this VM to commit claims, or
+// to call a leaf of a target that this VM owns. An owner of a target is a VM that holds
+// connections to the target.
 func (n *Node) handlePeerCall(ctx context.Context, conn *wire.Conn, method string, params json.RawMessage) (any, error) {
 	if strings.HasPrefix(method, relay.Prefix) {
 		return relay.Handle(ctx, n.claims, method, params)
--- a/node/follow.go
+++ b/node/follow.go
@@ -19,8 +19,9 @@
 			n.applyRevision(inForce)
 			applied = inForce
 		}
-		// Get the channel before the shares are read, so that no change of them is missed.
-		shares := n.router.Changed() // signals that this VM's shares of connections changed
+		// The channel signals that this VM's shares of connections changed. Get it before
+		// endpoints reads the shares, so that no change is missed.
+		shares := n.router.Changed()
 		if applied != nil {
 			endpoints := n.endpoints(applied.Bundle)
 			n.client.Apply(endpoints)
@@ -49,8 +50,8 @@
 	n.log.Info("revision in force", "revision", inForce.Revision, "digest", inForce.Digest)
 }
 
-// followDrains applies the drains that other VMs report. A drain states that one
-// incarnation of a target is about to leave.
+// followDrains applies the drains that other VMs report until the Node stops. A drain states
+// that one incarnation of a target is about to leave.
 func (n *Node) followDrains() error {
 	for {
 		changed := n.peers.DrainsChanged()
@@ -70,7 +71,8 @@
 	}
 }
 
-// watchingCheckInterval is the time between two checks by updateWatching.
+// watchingCheckInterval is the time between two checks whether this VM should watch the
+// platform for changes.
 const watchingCheckInterval = time.Second
 
 // updateWatching checks every watchingCheckInterval whether this VM is one of those that
--- a/node/node.go
+++ b/node/node.go
@@ -35,7 +35,7 @@
 	incarnation string    // random id of this process
 	started     time.Time // when this process created the Node
 	metrics     *metrics.Set
-	tomb        tomb.Tomb   // runs the goroutines that Run starts
+	tomb        tomb.Tomb   // runs and stops the goroutines that Run starts
 	leaving     atomic.Bool // set when this VM begins to shut down
 	warmedUp    atomic.Bool // set when isWarmedUp first returned true
 
@@ -45,14 +45,14 @@
 	monitor  *target.Monitor   // reads the status of targets
 	engine   *query.Engine     // runs queries and submissions
 	claims   *once.Runner      // runs non-idempotent requests at most once
-	links    *relay.Links      // to the VMs that commit claims for this VM
+	links    *relay.Links      // connections to the VMs that commit claims for this VM
 	peers    *peer.Exchange    // exchange of state with the other VMs
 	router   *route.Router     // sends calls through client, or through a VM that owns the target
 	health   *health.Relay     // passes the health of targets to engine and between VMs
 	gateway  *gateway.Gateway  // HTTP interface for callers
 
-	callers *listener // for callers; set by Run
-	ops     *listener // for operators; set by Run
+	callers *listener // serves callers' requests; set by Run
+	ops     *listener // serves the operators' page; set by Run
 }
 
 // listener is an HTTP server with its socket.
@@ -70,7 +70,8 @@
 	return &listener{server: server, socket: socket}, nil
 }
 
-// New creates a daemon from checked settings. It serves nothing before Run.
+// New creates a daemon from settings that have been checked. The daemon serves nothing
+// before Run.
 func New(cfg *settings.Settings, log *slog.Logger) (*Node, error) {
 	n := &Node{
 		settings:    cfg,
@@ -185,10 +186,12 @@
 	})
 }
 
-// deferredSink is the Sink of the client, which is created before the engine that it
-// reports to. The embedded Sink is set to the engine later, before the client's first call.
+// deferredSink is the Sink of the target client, which is created before the engine that the
+// client reports to. The embedded Sink is set to the engine later, before the client's first
+// report.
 type deferredSink struct{ target.Sink }
 
 // deferredHealthSink is the Sink of the health relay, which is created before the engine
-// that it reports to. The embedded Sink is set to the engine later.
+// that the relay reports to. The embedded Sink is set to the engine later, before the
+// relay's first report.
 type deferredHealthSink struct{ health.Sink }
--- a/node/run.go
+++ b/node/run.go
@@ -11,9 +11,9 @@
 	"github.com/bramleybarrow/bramleybarrow/ops"
 )
 
-// Run serves until ctx ends, then shuts down in steps. First readiness fails and, during
-// the lame-duck time, callers are asked to use other VMs while their requests are still
-// served. Then the listeners close, and Run waits for the requests in flight.
+// Run serves until ctx ends, then shuts down in steps. First this VM reports that it is not
+// ready. During the lame-duck time it asks callers to use other VMs, but still serves their
+// requests. Then Run closes the callers' listener and waits for the requests in flight.
 func (n *Node) Run(ctx context.Context) error {
 	if err := n.openListeners(); err != nil {
 		return errors.Trace(err)
@@ -63,8 +63,8 @@
 	}
 }
 
-// leave announces that this VM is leaving and serves for the lame-duck time. The
-// platform's list of VMs lags, so callers are still sent here for a while. Closing the
+// leave announces that this VM is leaving and still serves for the lame-duck time. The
+// platform's list of VMs lags, so callers still use this VM for a while. Closing the
 // listener immediately would cut off requests that are already on their way.
 func (n *Node) leave() {
 	n.leaving.Store(true)
@@ -74,13 +74,13 @@
 	time.Sleep(time.Duration(n.settings.LameDuckMS) * time.Millisecond)
 }
 
-// shutdownTimeout bounds the wait for requests in flight and the other waits of a shutdown,
-// all together. No request may take longer than 1 min.
+// shutdownTimeout bounds all waits of a shutdown together. It is longer than 1 min, the
+// longest time that a request in flight may take.
 const shutdownTimeout = 70 * time.Second
 
-// shutdown waits for the callers' requests in flight and then stops all parts of the daemon.
-// The operators' listener stays open until the other parts have stopped. It returns the first
-// error.
+// shutdown waits for the callers' requests in flight, then stops all parts of the daemon and
+// returns the first error. The operators' listener stays open until the other parts have
+// stopped.
 func (n *Node) shutdown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
