--- a/explain/explain.go
+++ b/explain/explain.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-// Line is a line of a daemon's log that has the request's id.
+// Line is a line of a daemon's log that has the id of the request to explain.
 type Line struct {
-	At      time.Time      `json:"at"`     // zero if the line has no valid time
-	Source  string         `json:"source"` // name of the log file, or stdin
-	Message string         `json:"message"`
-	Fields  map[string]any `json:"fields"` // without message, time, level and request
+	At      time.Time      `json:"at"`      // zero if the line has no valid time
+	Source  string         `json:"source"`  // name of the log file, or stdin
+	Message string         `json:"message"` // empty if the line has none
+	Fields  map[string]any `json:"fields"`  // the line's other fields, except level and the request's id
 }
 
 // Report says how a request ended and why, and contains the log lines about it.
 type Report struct {
-	Request string `json:"request"` // id
-	Cause   string `json:"cause"`   // one sentence
+	Request string `json:"request"` // id of the request
+	Cause   string `json:"cause"`   // one sentence: how the request ended and why
 	Lines   []Line `json:"lines"`   // sorted by time
 	// Unread counts lines that hold no valid JSON object, empty lines excepted.
 	Unread int `json:"unread"`
 }
 
-// The log messages about a request.
+// The messages of the log lines about a request.
 const (
-	messageRequest = "request"             // end of a request
-	messageRefused = "request refused"     // answered without being sent to a leaf
-	messageAttempt = "attempt failed"      // of a request at a leaf
-	messageCall    = "call to a VM failed" // a call that delegates shards to another VM
-	messageGather  = "gathered for a VM"   // end of such a call, at the VM that was called
+	messageRequest = "request"             // a request ended
+	messageRefused = "request refused"     // a request was answered without being sent to a leaf
+	messageAttempt = "attempt failed"      // an attempt to run a request at a leaf failed
+	messageCall    = "call to a VM failed" // a call that delegated shards to another VM failed
+	messageGather  = "gathered for a VM"   // a call that delegated shards to this VM ended
 )
 
-// maxLineBytes is the longest line that is read, in bytes.
+// maxLineBytes is the longest log line, in bytes, that Reader.Read accepts.
 const maxLineBytes = 1 << 20
 
 // Reader collects the log lines of one request. It is not safe for concurrent use.
@@ -49,9 +49,9 @@
 // NewReader returns a reader for the request with this id.
 func NewReader(request string) *Reader { return &Reader{report: Report{Request: request}} }
 
-// Read reads one log. It ignores the text before the first brace of a line, since log
-// collectors may add the time or the machine there. It returns an error if reading fails
-// or a line is longer than maxLineBytes.
+// Read reads one log; source is its name for Line.Source. Read ignores the text before the
+// first brace of a line, since log collectors may add the time or the machine there. It
+// returns an error if reading fails or a line is longer than maxLineBytes.
 func (r *Reader) Read(source string, log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
@@ -61,7 +61,8 @@
 	return scanner.Err()
 }
 
-// parseLine adds a line to the report if it belongs to the request.
+// parseLine adds a line of the log source to the report if it has the request's id, and
+// counts it in Report.Unread if it can't be parsed.
 func (r *Reader) parseLine(source, text string) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
@@ -113,7 +114,8 @@
 	return "No line speaks of it."
 }
 
-// verdictTexts maps the verdict of a request to its meaning.
+// verdictTexts maps the verdict of a request, a field of its log line, to a clause that says
+// what it means.
 var verdictTexts = map[string]string{
 	"answered":    "It was answered",
 	"leaf_failed": "A leaf ran it and failed",
@@ -124,8 +126,8 @@
 	"short":       "Too few shards could be had for an answer",
 }
 
-// requestCause returns the cause from line, which reports the end of the request, and from
-// the report's other lines.
+// requestCause returns a sentence that says how the request ended and why. Line reports the
+// end of the request; the reasons come from all lines of the report.
 func (r *Reader) requestCause(line *Line) string {
 	text := verdictTexts[fmt.Sprint(line.Fields["verdict"])]
 	if missing, _ := line.Fields["missing"].(float64); missing > 0 {
@@ -144,7 +146,8 @@
 	return text + "."
 }
 
-// gapTexts maps the cause of a gap to its meaning. A gap is a shard without an answer.
+// gapTexts maps the cause of a gap, as log lines name it, to its meaning. A gap is a shard
+// without an answer.
 var gapTexts = map[string]string{
 	"slow":     "asked, and not answered in time",
 	"room":     "not asked, since leafs were full or in cooldown after failures",
@@ -158,8 +161,8 @@
 	"declined": "left to the calling VM",
 }
 
-// gapSummary says why shards were missing, at the VM that received the request and at the
-// VMs that it called.
+// gapSummary says why shards were missing at the VM that received the request, and at the
+// VMs to which it delegated shards. It returns "" if no line reports a gap.
 func (r *Reader) gapSummary() string {
 	var parts []string
 	for i := range r.report.Lines {
@@ -177,7 +180,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// describeGaps turns the field gaps, such as "slow 2: a b; budget 1: c", into text.
+// describeGaps turns the field gaps of a log line into a phrase. The field, such as
+// "slow 2: a b; budget 1: c", holds the cause, the number and the names of missing shards.
 func describeGaps(text string) string {
 	var parts []string
 	for part := range strings.SplitSeq(text, "; ") {
@@ -193,6 +197,7 @@
 }
 
 // failureSummary counts the failed attempts by how they ended, and the failed calls by VM.
+// It returns "" if there are none.
 func (r *Reader) failureSummary() string {
 	counts := make(map[string]int)
 	for _, line := range r.report.Lines {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -7,6 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
+// sampleLog has two lines of request aa, one of request bb and two that can't be parsed.
 const sampleLog = `  9.1 vm-2 {"level":"INFO","msg":"attempt failed","time":"2026-01-01T00:00:01.5Z","end":"broken","leaf":"i-1","request":"aa","service":"s","why":"first"}
 not a line of ours
 {"level":"INFO","msg":"request","time":"2026-01-01T00:00:01.6Z","missing":0,"ms":90,"request":"aa","status":502,"verdict":"unknown"}
@@ -15,8 +16,8 @@
 `
 
 // Guards against a report that breaks on lines which can't be parsed, or that contains
-// lines of other requests. The log is a mix of both and of the request's own lines, one of
-// them after a log collector's prefix.
+// lines of other requests. It also guards against a report that lacks one of the request's
+// own lines because a log collector has put a prefix before it.
 func TestRequestIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("aa")
@@ -34,8 +35,8 @@
 	g.Expect(NewReader("cc").Report().Cause).To(gomega.Equal("No line speaks of it."))
 }
 
-// A request is refused before it is sent to a leaf, so its only log line is the refusal's.
-// The report has to state the status and the reason.
+// Guards against a report that lacks the status or the reason of a refusal. A request that
+// is refused before it is sent to a leaf has only one log line, that of the refusal.
 func TestRefusalIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("dd")
@@ -45,8 +46,9 @@
 	g.Expect(r.Report().Cause).To(gomega.ContainSubstring("no_manifest"))
 }
 
-// A request over all shards fails. Which shards are missing, and why, is in the log lines
-// of the VM that received it and of the VM that it called; the report has to have both.
+// Guards against a report that lacks missing shards or their causes. Some shards are named
+// in the log line of the VM that received the request, the others in the line of a VM to
+// which the request's shards were delegated.
 func TestMissingShardsAreExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("ee")
@@ -59,8 +61,9 @@
 		"shards missing: 2 asked, and not answered in time (s1 s2), 1 not asked again, since the budget for that was spent (s3)."))
 }
 
-// A request is refused at once, since a shard's forecast wait exceeds the limit. The report
-// has to state both times.
+// Guards against a report that lacks the reason of a refusal by forecast. The request is
+// refused at once, since a shard's forecast wait of 90 ms exceeds the limit of 62 ms. The
+// report has to state the wait and the limit.
 func TestRefusalByForecastIsExplained(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReader("ff")
