--- a/logging/logging.go
+++ b/logging/logging.go
@@ -15,8 +15,8 @@
 
 // Limits on the lines that one logger writes, all its components together.
 const (
-	linesPerSecond = 200
-	burstLines     = 400 // lines that may exceed the rate at once
+	linesPerSecond = 200 // mean rate of lines; further ones are dropped
+	burstLines     = 400 // lines that may be written at once after a pause, whatever the rate
 )
 
 // Levels lists the level names that settings may contain.
@@ -38,9 +38,9 @@
 	JSON  bool       // one JSON object per line; otherwise key=value
 }
 
-// New returns a logger that never blocks, and a function to call before the process
-// exits: it writes the queued lines, waiting up to flushTimeout, and logs how many lines
-// were dropped.
+// New returns a logger that never blocks, and a function to call before the process exits.
+// The function waits up to flushTimeout until the queued lines are written to out. If lines
+// were dropped, it then logs their number and waits once more.
 func New(out io.Writer, opt Options) (*slog.Logger, func()) {
 	dropped := new(atomic.Uint64)
 	w := newAsyncWriter(out, dropped)
@@ -70,18 +70,20 @@
 // Discard returns a logger that writes nothing.
 func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// StdLogger returns a log.Logger for libraries that need one. It logs at level debug.
+// StdLogger returns a log.Logger for libraries that need one. Its lines are written to l at
+// level debug.
 func StdLogger(l *slog.Logger) *log.Logger { return slog.NewLogLogger(l.Handler(), slog.LevelDebug) }
 
 // rateLimitedHandler drops lines beyond a rate before they are formatted: under overload
-// a dropped line must cost next to nothing. Handlers derived from one share its limiter.
+// a dropped line must cost next to nothing. Handlers that WithAttrs and WithGroup derive
+// from it share its limiter.
 type rateLimitedHandler struct {
 	slog.Handler
-	limiter *rate.Limiter
-	dropped *atomic.Uint64
+	limiter *rate.Limiter  // of the logger and all loggers derived from it
+	dropped *atomic.Uint64 // number of lines dropped by the limiter or by asyncWriter
 }
 
-// Handle implements slog.Handler.
+// Handle implements slog.Handler. It drops and counts the line if the limiter rejects it.
 func (h *rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	if !h.limiter.Allow() {
 		h.dropped.Add(1)
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
-// countingValuer counts how often it is formatted.
+// countingValuer is a logged value that counts how often it is formatted.
 type countingValuer struct{ calls *int }
 
 func (c countingValuer) LogValue() slog.Value {
@@ -32,7 +32,8 @@
 	g.Expect(formatted).To(gomega.BeNumerically("<", lines/2))
 }
 
-// The components of a daemon share one rate limit: a derived logger must not get its own.
+// Guards against a rate limit for each component or group of a logger: the daemon as a whole
+// would then exceed the limit many times over.
 func TestComponentsShareRateLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
@@ -48,8 +49,8 @@
 	g.Expect(out.String()).To(gomega.ContainSubstring("log lines dropped"))
 }
 
-// Lines below the level are not written, those of libraries included. The others are JSON
-// with the name of their component.
+// Guards against log lines below the level of the settings, those of libraries included,
+// and against lines without the name of their component.
 func TestJSONLinesRespectLevel(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
@@ -67,6 +68,8 @@
 	g.Expect(line).To(gomega.HaveKeyWithValue("count", 3.0))
 }
 
+// Guards against settings with a level that Levels does not list. The parser of package slog
+// would accept "INFO" and "warn+2".
 func TestParseLevelRejectsUnknownNames(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, name := range []string{"", "trace", "INFO", "warn+2"} {
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -8,8 +8,8 @@
 
 const (
 	queueLines    = 512                    // lines that may wait to be written; further ones are dropped
-	maxWriteBytes = 32 << 10               // a write of at least this size gets no further lines
-	flushTimeout  = 200 * time.Millisecond // the longest that flush waits
+	maxWriteBytes = 32 << 10               // queued lines are joined to one write until it has at least this size
+	flushTimeout  = 200 * time.Millisecond // longest time that flush waits for lines to be written
 )
 
 // asyncWriter writes lines to an output from a goroutine of its own, so that callers never
@@ -17,11 +17,13 @@
 // request. Lines that the queue has no space for are dropped and counted.
 type asyncWriter struct {
 	out     io.Writer
-	lines   chan []byte
-	dropped *atomic.Uint64
-	pending atomic.Int64 // lines accepted and not yet written
+	lines   chan []byte    // queue of complete lines
+	dropped *atomic.Uint64 // number of lines dropped; rateLimitedHandler counts here, too
+	pending atomic.Int64   // lines accepted and not yet written
 }
 
+// newAsyncWriter starts the goroutine that writes to out. It runs until the process exits.
+// Dropped lines are counted in dropped.
 func newAsyncWriter(out io.Writer, dropped *atomic.Uint64) *asyncWriter {
 	w := &asyncWriter{out: out, lines: make(chan []byte, queueLines), dropped: dropped}
 	go w.run()
@@ -41,8 +43,8 @@
 	return len(line), nil
 }
 
-// run writes lines until the process exits. Queued lines are written together: one system
-// call for all lines of a request instead of one for each.
+// run writes lines until the process exits. It joins queued lines into one write, so that
+// all lines of a request cost one system call instead of one each.
 func (w *asyncWriter) run() {
 	for line := range w.lines {
 		count := int64(1)
--- a/logging/writer_test.go
+++ b/logging/writer_test.go
@@ -13,7 +13,7 @@
 // blockedWriter blocks each write until release is closed.
 type blockedWriter struct {
 	release chan struct{}
-	mu      sync.Mutex
+	mu      sync.Mutex // guards written
 	written bytes.Buffer
 }
 
@@ -24,8 +24,8 @@
 	return w.written.Write(p)
 }
 
-// Guards against requests that block because the process that reads the log has stopped
-// reading. Lines have to be dropped instead.
+// Guards against requests that block while they log, because the process that reads the log
+// has stopped reading. Lines have to be dropped instead.
 func TestLogNeverBlocks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	out := &blockedWriter{release: make(chan struct{})}
@@ -48,7 +48,7 @@
 
 // slowWriter takes 5 ms for each write and counts the writes.
 type slowWriter struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	written bytes.Buffer
 	writes  int
 }
@@ -61,8 +61,9 @@
 	return w.written.Write(p)
 }
 
-// Guards against the loss of the last lines of a process, which say why it stops: the
-// queue is already empty while they are still being written.
+// Guards against the loss of the last lines of a process, which say why it stops. A flush
+// that waits only until the queue is empty would end while the lines taken from it are
+// still being written.
 func TestFlushWaitsForWritesInProgress(t *testing.T) {
 	g := gomega.NewWithT(t)
 	out := &slowWriter{}
