--- a/ops/server.go
+++ b/ops/server.go
@@ -12,14 +12,14 @@
 	"goji.io/pat"
 )
 
-// requestTimeout bounds a request to an operators' page. A CPU profile of up to 1 min
-// has to fit.
+// requestTimeout bounds a request to the operators' page. It is longer than 1 min, so that
+// a CPU profile over that time can be taken.
 const requestTimeout = 70 * time.Second
 
 // Options configure the operators' page. Status is required. The functions must be safe for
 // concurrent use.
 type Options struct {
-	Status  func() Status
+	Status  func() Status     // returns the VM's current state
 	Metrics []func(io.Writer) // each writes metrics in the Prometheus text format
 }
 
--- a/ops/status.go
+++ b/ops/status.go
@@ -6,9 +6,9 @@
 
 // The paths of the operators' page.
 const (
-	PathHealth  = "/healthz" // 200 while the process runs
-	PathReady   = "/readyz"  // 200 while it should receive callers' requests, else 503
-	PathMetrics = "/metrics" // Prometheus text format
+	PathHealth  = "/healthz" // answers 200 while the process runs
+	PathReady   = "/readyz"  // answers 200 while the VM should receive callers' requests, else 503
+	PathMetrics = "/metrics" // metrics in the Prometheus text format
 	PathProfile = "/profile" // CPU profile of runtime/pprof over ?seconds=N
 	PathHeap    = "/heap"    // heap profile of runtime/pprof
 	PathStatus  = "/status"  // Status as JSON
@@ -19,17 +19,17 @@
 	VM          string    `json:"vm"`
 	Zone        string    `json:"zone"`
 	Deployment  string    `json:"deployment"`
-	Incarnation string    `json:"incarnation"`
-	Started     time.Time `json:"started"`
-	Ready       bool      `json:"ready"`
-	Leaving     bool      `json:"leaving"`
+	Incarnation string    `json:"incarnation"` // random id of the daemon's process
+	Started     time.Time `json:"started"`     // when the daemon's process started
+	Ready       bool      `json:"ready"`       // the VM should receive callers' requests
+	Leaving     bool      `json:"leaving"`     // the VM is shutting down
 
-	Revision uint64    `json:"revision"`          // in force; 0 before the first
+	Revision uint64    `json:"revision"`          // of the bundle in force; 0 before the first
 	Digest   string    `json:"digest"`            // of the bundle in force
-	Since    time.Time `json:"since"`             // when that revision came into force on this VM
-	Refused  string    `json:"refused,omitempty"` // why the last offered head was refused; empty if one came into force since
+	Since    time.Time `json:"since"`             // when Revision came into force on this VM
+	Refused  string    `json:"refused,omitempty"` // why the last offered head was refused; empty if a head came into force since
 
-	PlatformReachable bool      `json:"platform_reachable"`
-	PlatformContact   time.Time `json:"platform_contact"` // last successful read from the platform
-	Peers             int       `json:"peers"`            // other VMs that sent a message recently
+	PlatformReachable bool      `json:"platform_reachable"` // the last successful read from the platform is recent
+	PlatformContact   time.Time `json:"platform_contact"`   // time of the last successful read from the platform
+	Peers             int       `json:"peers"`              // other VMs that sent a message recently
 }
