--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,6 +1,6 @@
 // Package registry keeps the list of leafs that the platform reports. It reads no clock and
-// does no I/O: callers pass in complete listings, single changes and the current time, and
-// get the changes to the leafs in use.
+// does no I/O. Its callers pass in complete listings, single changes and the current time.
+// They get back the changes to the leafs in use.
 package registry
 
 import (
@@ -10,32 +10,33 @@
 
 // Leaf is one incarnation of a leaf.
 type Leaf struct {
-	ID       string // a later incarnation may have the same id
+	ID       string // identifies the leaf; a later incarnation may have the same id
 	Born     int64  // start of this incarnation, in Unix milliseconds
 	Service  string
 	Address  string // IP and port; another leaf may reuse it after this one is removed
 	Zone     string // availability zone
-	Slots    int    // requests that it runs concurrently
-	Draining bool   // it accepts no new requests
+	Slots    int    // requests that the leaf can run concurrently
+	Draining bool   // the leaf accepts no new requests
 }
 
 // Change is a leaf that was added, changed or removed.
 type Change struct {
 	Leaf Leaf
-	Gone bool // removed; Leaf is its last state
+	Gone bool // the leaf was removed; Leaf is its last state
 }
 
 // OutageHold is how long a leaf that is missing just after an outage of the store is
-// still used. Entries expire while leafs can't renew them, and are listed again within
-// about 2 s of the store's recovery. Without the hold a VM would drop every leaf at that
-// moment and refuse all callers. It stays below the 3 s within which a leaf that has
-// left must get no more requests.
+// still used. Leafs can't renew their entries during an outage, so the entries expire. They
+// are listed again within about 2 s of the store's recovery. Without the hold a VM would
+// drop every leaf at the recovery and refuse all callers. The hold is shorter than the 3 s
+// within which a leaf that has left must get no more requests.
 const OutageHold = 2200 * time.Millisecond
 
-// Registry is the list of leafs. It is not safe for concurrent use.
+// Registry is the list of leafs in use. A leaf that is missing from the platform's list but
+// still used is called held. A Registry is not safe for concurrent use.
 type Registry struct {
-	leafs     map[string]Leaf
-	heldUntil map[string]time.Time // when a missing leaf is removed, by id
+	leafs     map[string]Leaf      // leafs in use, held ones included, by id
+	heldUntil map[string]time.Time // when a held leaf is removed, by id
 	holdEnd   time.Time            // leafs that go missing before this time are held until then
 }
 
@@ -44,18 +45,20 @@
 	return &Registry{leafs: make(map[string]Leaf), heldUntil: make(map[string]time.Time)}
 }
 
-// Len returns the number of leafs, held ones included.
+// Len returns the number of leafs in use, those included that are held although the platform
+// no longer lists them.
 func (r *Registry) Len() int { return len(r.leafs) }
 
 // StoreRecovered records that the store answers again after an outage. Leafs that go
-// missing before now plus hold are kept until then. StoreRecovered returns that time, at
-// which ExpireHeld has to be called.
+// missing from its listings before now plus hold are kept until then. StoreRecovered returns
+// now plus hold, the time at which ExpireHeld has to be called.
 func (r *Registry) StoreRecovered(now time.Time, hold time.Duration) time.Time {
 	r.holdEnd = now.Add(hold)
 	return r.holdEnd
 }
 
-// Replace applies a complete listing and returns the changes.
+// Replace applies a complete listing of the platform and returns the changes. A leaf that
+// the listing lacks is removed or held; see Remove.
 func (r *Registry) Replace(now time.Time, list []Leaf) []Change {
 	var changes []Change
 	listed := make(map[string]bool, len(list))
@@ -71,8 +74,8 @@
 	return changes
 }
 
-// Put adds or updates a leaf and returns the change, if there is one. A delayed entry of an
-// earlier incarnation is ignored.
+// Put adds or updates a leaf that the platform lists and returns the change, if there is
+// one. A delayed entry of an earlier incarnation of the leaf is ignored.
 func (r *Registry) Put(l Leaf) []Change {
 	delete(r.heldUntil, l.ID)
 	old, known := r.leafs[l.ID]
@@ -86,9 +89,9 @@
 	return []Change{{Leaf: l}}
 }
 
-// Remove records that the platform no longer lists a leaf, and returns the change, if there
-// is one. The leaf is held if the store has just recovered and the leaf is not draining;
-// otherwise it is removed.
+// Remove records that the platform no longer lists a leaf. If the store has just recovered
+// and the leaf is not draining, the leaf is held: it stays in use until ExpireHeld removes
+// it. Otherwise Remove removes the leaf and returns the change.
 func (r *Registry) Remove(now time.Time, id string) []Change {
 	l, known := r.leafs[id]
 	if !known {
@@ -114,6 +117,7 @@
 	return changes
 }
 
+// drop removes a leaf at once, held or not, and returns the change.
 func (r *Registry) drop(l Leaf) []Change {
 	delete(r.leafs, l.ID)
 	delete(r.heldUntil, l.ID)
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -7,13 +7,14 @@
 	"github.com/onsi/gomega"
 )
 
+// leaf returns the incarnation of a leaf that started at born, in Unix milliseconds.
 func leaf(id string, born int64) Leaf {
 	return Leaf{ID: id, Born: born, Service: "s", Address: "127.0.0.1:1", Slots: 2}
 }
 
-// The store recovers from an outage and lists nothing, since every entry has expired. A
-// VM that dropped all leafs would refuse all callers. A leaf that is listed again yields
-// no change; one that stays missing is removed after the hold.
+// Guards against a VM that drops all leafs and refuses all callers after an outage of the
+// store. The store has recovered and lists nothing, since every entry has expired. A leaf
+// that is listed again yields no change; one that stays missing is removed after the hold.
 func TestMissingLeafsAreHeldAfterAnOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -27,7 +28,8 @@
 	g.Expect(r.Len()).To(gomega.Equal(1))
 }
 
-// A draining leaf that goes missing is not held: it must get no more requests.
+// Guards against requests to a leaf that has left. A draining leaf that goes missing just
+// after an outage of the store must be removed at once, not held like other leafs.
 func TestDrainingLeafIsNotHeld(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -39,7 +41,8 @@
 	g.Expect(r.Replace(now, nil)).To(gomega.Equal([]Change{{Leaf: l, Gone: true}}))
 }
 
-// Without an outage a missing leaf is removed at once, and only once.
+// Guards against a missing leaf that is held although the store had no outage, and against
+// a second Change for the same removal.
 func TestMissingLeafIsRemovedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -49,8 +52,8 @@
 	g.Expect(r.Remove(now, "a")).To(gomega.BeEmpty())
 }
 
-// A delayed entry of a leaf's earlier incarnation must not replace the current one, and
-// an entry that is already known is no change.
+// Guards against a delayed entry of a leaf's earlier incarnation that replaces the current
+// one, and against a Change for an entry that is already known.
 func TestEarlierIncarnationIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New()
