--- a/result/code.go
+++ b/result/code.go
@@ -11,8 +11,8 @@
 // Code is the stable number of a result. Its hundreds digit is its class.
 type Code int
 
-// Class groups codes by who has to act on them. It is also the exit status of the
-// operators' command line.
+// Class groups codes by who has to act on them. The class of a failed command's code is
+// also the exit status of the operators' command line.
 type Class int
 
 // The classes; each is the hundreds digit of its codes.
@@ -31,9 +31,9 @@
 
 // The values of Ran. The zero value is the one that guarantees least.
 const (
-	RanUnknown Ran = iota // it may have run
-	RanNo                 // no target started it
-	RanYes                // at least one target ran it
+	RanUnknown Ran = iota // a target may have run the request
+	RanNo                 // no target started the request
+	RanYes                // at least one target ran the request
 )
 
 // String returns the text used in answers and in docs/RESULT-CODES.md.
@@ -53,9 +53,9 @@
 
 // The values of Retry.
 const (
-	RetryNo      Retry = iota // no: the result would be the same
-	RetryLater                // after the time stated with the answer
-	RetrySameKey              // with the same idempotency key, to get the outcome
+	RetryNo      Retry = iota // a retry makes no sense: its result would be the same
+	RetryLater                // a retry makes sense after the time stated with the answer
+	RetrySameKey              // a retry with the same idempotency key returns the outcome
 )
 
 // String returns the text used in docs/RESULT-CODES.md.
@@ -70,7 +70,7 @@
 	}
 }
 
-// Info describes a code.
+// Info describes a code. It is one row of Table.
 type Info struct {
 	Code  Code
 	Name  string
@@ -83,7 +83,7 @@
 // Class returns the class of c.
 func (c Code) Class() Class { return Class(int(c) / 100) }
 
-// Info returns the row of c in Table, or a row named Unlisted if there is none.
+// Info returns the row of c in Table. If there is none, it returns a row named Unlisted.
 func (c Code) Info() Info {
 	if row, ok := byCode[c]; ok {
 		return row
@@ -99,7 +99,7 @@
 	Code       Code
 	Detail     string        // what was found and what is allowed
 	RetryAfter time.Duration // how long to wait before a retry; 0 unless the code's Retry is RetryLater
-	cause      error
+	cause      error         // wrapped error; nil if there is none
 }
 
 // Errorf returns an Error of code c with a formatted detail.
@@ -107,7 +107,7 @@
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error of code c that wraps err.
+// Wrap returns an Error of code c that wraps err, with a detail that says what failed.
 func Wrap(c Code, err error, detail string) *Error {
 	return &Error{Code: c, Detail: detail, cause: err}
 }
@@ -118,7 +118,7 @@
 	return e
 }
 
-// Error implements error.
+// Error returns the code's number and name, the detail and the text of the wrapped error.
 func (e *Error) Error() string {
 	msg := fmt.Sprintf("%d %s", int(e.Code), e.Code)
 	if e.Detail != "" {
@@ -130,7 +130,7 @@
 	return msg
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that e wraps, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
 // CodeOf returns the code of the first Error in err's chain, Internal if the chain has
--- a/result/table.go
+++ b/result/table.go
@@ -122,8 +122,10 @@
 	{PositionGone, "PositionGone", 410, RanNo, RetryNo, "The position to go on from is not known here; read everything anew."},
 }
 
+// byCode holds the rows of Table by code.
 var byCode = indexTable()
 
+// indexTable returns the rows of Table by code.
 func indexTable() map[Code]Info {
 	index := make(map[Code]Info, len(Table))
 	for _, row := range Table {
--- a/result/table_test.go
+++ b/result/table_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// docFile is the page that has to hold the same table as Table.
 const docFile = "../docs/RESULT-CODES.md"
 
 // Guards against docs/RESULT-CODES.md that differs from Table. With UPDATE_DOCS=1 in the
@@ -27,6 +28,7 @@
 	}
 }
 
+// Guards against two rows of Table with the same code, of which byCode would keep only one.
 func TestCodesAreUniqueAndInOrder(t *testing.T) {
 	last := Code(0)
 	for _, row := range Table {
@@ -37,6 +39,8 @@
 	}
 }
 
+// Guards against a lost code: CodeOf has to find the code of an Error that another error
+// wraps.
 func TestCodeOfUnwrapsErrors(t *testing.T) {
 	err := fmt.Errorf("outer: %w", Errorf(Conflict, "revision %d", 7))
 	if got := CodeOf(err); got != Conflict {
@@ -44,7 +48,7 @@
 	}
 }
 
-// docPage returns the text of docs/RESULT-CODES.md.
+// docPage returns the text that docs/RESULT-CODES.md should have.
 func docPage() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\n")
