--- a/latency/latency.go
+++ b/latency/latency.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	windowCount        = 4               // windows kept, the current one included
-	windowLength       = 5 * time.Second // of each window
-	maxLatency         = time.Minute     // longer latencies are recorded as this
+	windowCount        = 4               // windows of samples that a Recorder keeps, the current one included
+	windowLength       = 5 * time.Second // time for which samples are added to one window
+	maxLatency         = time.Minute     // longer latencies are recorded as maxLatency
 	significantFigures = 2               // precision of recorded latencies, in decimal digits
-	minSamples         = 50              // with fewer, a quantile is meaningless
+	minSamples         = 50              // least samples for a quantile; with fewer it is meaningless
 )
 
-// Recorder estimates quantiles of recent latencies. Samples are dropped with their
-// window, at most windowCount*windowLength after they were recorded, so that the quantiles
-// follow a change of the targets' speed within seconds. It is not safe for concurrent use.
+// Recorder estimates quantiles of recent latencies. A sample is dropped at most
+// windowCount*windowLength after it was recorded, together with its window. The quantiles
+// therefore follow a change of the targets' speed within seconds. A Recorder is not safe for
+// concurrent use.
 type Recorder struct {
 	hist        *hdrhistogram.WindowedHistogram // of latencies in microseconds
-	windowStart time.Time                       // of the current window
+	windowStart time.Time                       // start of the current window; zero before the first call of rotate
 	merged      *hdrhistogram.Histogram         // sum of all windows; nil before the first merge
 	mergedAt    time.Time                       // time of the last merge
-	quantiles   map[float64]time.Duration       // quantiles of merged, cached by q
+	quantiles   map[float64]time.Duration       // quantiles of merged that were computed, by q between 0 and 1
 }
 
 // New returns an empty recorder.
@@ -33,7 +34,7 @@
 	}
 }
 
-// Add records one latency.
+// Add records the latency d. Now is the current time, which Recorder does not read itself.
 func (r *Recorder) Add(now time.Time, d time.Duration) {
 	r.rotate(now)
 	us := min(max(d.Microseconds(), 1), maxLatency.Microseconds())
@@ -41,8 +42,8 @@
 	_ = r.hist.Current.RecordValue(us)
 }
 
-// Quantile returns the q-quantile, 0 <= q <= 1, and whether there are enough samples.
-// It may be up to mergeInterval old.
+// Quantile returns the q-quantile of the latencies, 0 <= q <= 1. The value may be up to
+// mergeInterval old. The second result is false if there are fewer than minSamples samples.
 func (r *Recorder) Quantile(now time.Time, q float64) (time.Duration, bool) {
 	r.rotate(now)
 	r.merge(now)
@@ -57,8 +58,8 @@
 	return d, true
 }
 
-// mergeInterval is the least time between two merges of the windows: a merge costs far
-// too much to be done for each shard of a query.
+// mergeInterval is the least time between two merges of a Recorder's windows: a merge costs
+// far too much to be done for each shard of a query.
 const mergeInterval = 100 * time.Millisecond
 
 // merge updates merged and drops the cached quantiles, at most once per mergeInterval.
@@ -71,7 +72,8 @@
 	r.quantiles = make(map[float64]time.Duration)
 }
 
-// rotate starts a new window for each windowLength that has passed, and drops the oldest ones.
+// rotate starts a new window for each windowLength that has passed since the current one
+// started, and drops the oldest windows.
 func (r *Recorder) rotate(now time.Time) {
 	if r.windowStart.IsZero() {
 		r.windowStart = now
