--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -14,11 +14,11 @@
 	"strings"
 )
 
-// MaxDepth bounds the nesting of objects and arrays.
+// MaxDepth bounds the nesting of objects and arrays in a document.
 const MaxDepth = 32
 
-// MaxFindings bounds the findings that are reported one by one. A large document
-// that is passed by mistake can have hundreds of thousands.
+// MaxFindings bounds the findings that Decode reports one by one. A large document
+// that is passed by mistake can have hundreds of thousands of them.
 const MaxFindings = 100
 
 // Finding is one error in a document.
@@ -39,8 +39,8 @@
 	value any
 }
 
-// object holds its members in the order of the document. Unlike a map it keeps
-// repeated names.
+// object is a parsed JSON object. It holds its members in the order of the document
+// and, unlike a map, keeps repeated names.
 type object []member
 
 // Decode reads data into the struct that into points to and returns the errors
@@ -64,7 +64,7 @@
 	return d.allFindings()
 }
 
-// expectEOF returns an error unless the input has ended.
+// expectEOF returns an error unless dec has read its whole input.
 func expectEOF(dec *json.Decoder) error {
 	_, err := dec.Token()
 	if err == io.EOF {
@@ -76,7 +76,8 @@
 	return fmt.Errorf("data after the document")
 }
 
-// readValue reads a value as nil, a bool, string, json.Number, object or []any.
+// readValue reads the next value as nil, a bool, string, json.Number, object or
+// []any. Depth counts the objects and arrays around it; more than MaxDepth is an error.
 func readValue(dec *json.Decoder, depth int) (any, error) {
 	if depth > MaxDepth {
 		return nil, fmt.Errorf("nesting deeper than %d", MaxDepth)
@@ -97,6 +98,7 @@
 	return tok, nil
 }
 
+// readObject reads the members of an object whose opening brace has been read.
 func readObject(dec *json.Decoder, depth int) (any, error) {
 	obj := object{}
 	for dec.More() {
@@ -114,6 +116,7 @@
 	return obj, err
 }
 
+// readArray reads the items of an array whose opening bracket has been read.
 func readArray(dec *json.Decoder, depth int) (any, error) {
 	list := []any{}
 	for dec.More() {
@@ -133,6 +136,7 @@
 	omitted  int // findings beyond MaxFindings
 }
 
+// add adds a finding, or only counts it if there are MaxFindings already.
 func (d *decoder) add(path, found, allowed string) {
 	if len(d.findings) >= MaxFindings {
 		d.omitted++
@@ -141,7 +145,8 @@
 	d.findings = append(d.findings, Finding{Path: path, Found: found, Allowed: allowed})
 }
 
-// allFindings returns the findings, and one that counts the omitted ones.
+// allFindings returns the findings and, if some were omitted, one more that states
+// their number.
 func (d *decoder) allFindings() []Finding {
 	if d.omitted > 0 {
 		return append(d.findings, Finding{Path: "$", Found: fmt.Sprintf("%d findings more", d.omitted), Allowed: "none"})
@@ -149,6 +154,8 @@
 	return d.findings
 }
 
+// decode sets v to node, a value that readValue returned. It adds a finding for each
+// error; path is the path of node in the document.
 func (d *decoder) decode(path string, node any, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -174,6 +181,8 @@
 	}
 }
 
+// decodeNumber sets v, which has a number type, to node. It adds a finding if node is
+// no number or out of the range of v's type, and panics if v has no number type.
 func (d *decoder) decodeNumber(path string, node any, v reflect.Value) {
 	num, ok := node.(json.Number)
 	if !ok {
@@ -208,6 +217,8 @@
 	}
 }
 
+// decodeSlice sets v, a slice, to the items of node. It adds a finding if node is no
+// array.
 func (d *decoder) decodeSlice(path string, node any, v reflect.Value) {
 	list, ok := node.([]any)
 	if !ok {
@@ -220,6 +231,8 @@
 	}
 }
 
+// decodeStruct sets the fields of v, a struct, to the members of node. It adds a
+// finding if node is no object, and one for each unknown, repeated or missing member.
 func (d *decoder) decodeStruct(path string, node any, v reflect.Value) {
 	obj, ok := node.(object)
 	if !ok {
@@ -250,12 +263,12 @@
 
 // field is a struct field that a member of an object is decoded into.
 type field struct {
-	index    int  // in the struct
+	index    int  // of the field in the struct, for reflect.Value.Field
 	optional bool // has omitempty; the member may be missing
 }
 
-// fieldsOf returns the fields of a struct that have a json tag by their names, and the
-// names in order.
+// fieldsOf returns the fields of the struct type t that have a json tag, by the name in
+// the tag, and these names in the order of the fields.
 func fieldsOf(t reflect.Type) (map[string]field, []string) {
 	fields := map[string]field{}
 	var names []string
@@ -270,7 +283,8 @@
 	return fields, names
 }
 
-// describe returns the text of a scalar, or the kind of another value.
+// describe returns the text of a value that readValue returned, for Finding.Found: a
+// scalar's value, or the kind of an array or object.
 func describe(node any) string {
 	switch n := node.(type) {
 	case nil:
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -22,6 +22,7 @@
 	Grid  [][]int64 `json:"grid,omitempty"`
 }
 
+// part is an item of sample.Parts. Its only field is required.
 type part struct {
 	Key string `json:"key"`
 }
@@ -55,9 +56,9 @@
 	})
 }
 
-// Guards against a report of every error in a large file that is no bundle at all.
-// With a finding for each item of a 1 MB list of empty objects, the command took
-// minutes and gigabytes of memory.
+// Guards against a report of every error in a large file that is passed by mistake.
+// With a finding for each item of a 1 MB list of empty objects, the command that checks
+// a bundle took minutes and gigabytes of memory.
 func TestFindingsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	const parts = 10 * MaxFindings
