--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
 // Package defaults sets the default values of options that are unset.
 package defaults
 
-// SetIfZero sets the field to value if it has its type's zero value.
+// SetIfZero sets the field to value if the field has its type's zero value.
 func SetIfZero[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -9,7 +9,7 @@
 	}
 }
 
-// SetIfNotPositive sets the field to value unless it is greater than zero.
+// SetIfNotPositive sets the field to value if the field is zero or less.
 func SetIfNotPositive[T ~int | ~int64 | ~float64](field *T, value T) {
 	if *field <= 0 {
 		*field = value
