--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -25,16 +25,16 @@
 // callTimeout bounds each call to a control endpoint or a daemon.
 const callTimeout = 30 * time.Second
 
-// controlClient opens a new connection for each call, so that no idle connection
-// outlives a test.
+// controlClient calls control endpoints and daemons. It opens a new connection for
+// each call, so that no idle connection outlives a test.
 var controlClient = &http.Client{
 	Transport: &http.Transport{DisableKeepAlives: true},
 	Timeout:   callTimeout,
 }
 
-// call sends body as JSON unless it is nil, and decodes the answer into out unless
-// that is nil. It returns the HTTP status, or 0 without an answer; it returns no error
-// for a status of 400 or more.
+// call sends a request, with body as JSON unless body is nil, and decodes the JSON
+// answer into out unless out is nil. It returns the HTTP status, or 0 if there was no
+// answer. A status of 400 or more is no error.
 func call(ctx context.Context, method, url string, header http.Header, body, out any) (int, error) {
 	var reader io.Reader
 	if body != nil {
@@ -79,7 +79,7 @@
 	return err
 }
 
-// get requests path and decodes the answer into out.
+// get requests path and decodes the JSON answer into out. It does not check the status.
 func (e endpoint) get(path string, out any) error {
 	_, err := call(context.Background(), http.MethodGet, "http://"+string(e)+path, nil, nil, out)
 	return err
@@ -92,8 +92,8 @@
 	control endpoint
 }
 
-// StartPlatform starts the fleet's platform. It answers a watch after watchWait if
-// nothing has changed.
+// StartPlatform starts the fleet's platform. The platform answers a watch after
+// watchWait if nothing has changed.
 func (f *Fleet) StartPlatform(watchWait time.Duration) (*Platform, error) {
 	p, ready, err := f.startSimulator("platform", "platform", "--watch-wait", watchWait.String())
 	if err != nil {
@@ -114,8 +114,8 @@
 	return c, p.control.get("/control/counters", &c)
 }
 
-// SetVMs replaces the platform's list of VMs. Reads of the list return the new one
-// after lag.
+// SetVMs replaces the platform's list of VMs. Reads of the list return the old one
+// until lag has passed.
 func (p *Platform) SetVMs(vms []objstore.VM, lag time.Duration) error {
 	return p.control.send(http.MethodPut, "/control/vms", platformsim.VMsRequest{VMs: vms, LagMS: int(lag.Milliseconds())})
 }
@@ -123,8 +123,8 @@
 // Target is a process that simulates a target; see package targetsim.
 type Target struct {
 	*Process
-	Options targetsim.Options
-	Address string // IP and port where it serves
+	Options targetsim.Options // with which the target was started
+	Address string            // IP and port where it serves
 	control endpoint
 }
 
@@ -161,12 +161,13 @@
 	return t.control.send(http.MethodPut, "/control/snapshots", placements)
 }
 
-// SetDraining makes the target drain or serve normally again.
+// SetDraining makes the target drain if draining is true, else serve normally again.
 func (t *Target) SetDraining(draining bool) error {
 	return t.control.send(http.MethodPut, "/control/draining", targetsim.DrainingRequest{Draining: draining})
 }
 
-// Ran returns the requests that the target's leaves started.
+// Ran returns the requests that the target's leaves have started since the target's
+// start.
 func (t *Target) Ran() (targetsim.StartedRequests, error) {
 	var r targetsim.StartedRequests
 	return r, t.control.get("/control/ran", &r)
@@ -197,6 +198,7 @@
 	return f.startProxy(name, "--target", target, "--peers")
 }
 
+// startProxy starts a fault proxy with args, the flags of bramley-lab proxy.
 func (f *Fleet) startProxy(name string, args ...string) (*Proxy, error) {
 	p, ready, err := f.startSimulator(name, append([]string{"proxy"}, args...)...)
 	if err != nil {
@@ -213,7 +215,8 @@
 // Cut closes every open connection through the proxy.
 func (p *Proxy) Cut() error { return p.control.send(http.MethodPost, "/control/cut", nil) }
 
-// Silence makes every open connection permanently silent; new ones work.
+// Silence makes every open connection through the proxy permanently silent: it stays
+// open but transfers nothing. New connections work.
 func (p *Proxy) Silence() error { return p.control.send(http.MethodPost, "/control/silence", nil) }
 
 // Daemon is a bramleyd process.
@@ -222,7 +225,7 @@
 	Zone         string
 	SettingsPath string // file with its settings
 	Callers      string // address for callers' requests
-	Ops          string // address for operators: status, metrics, readiness
+	Ops          string // address of the operators' page
 	Peers        string // address that other VMs dial
 }
 
@@ -238,8 +241,8 @@
 	return s, err
 }
 
-// Metrics reads the daemon's metrics. The keys are names with labels, as written in
-// the Prometheus text format.
+// Metrics reads the daemon's metrics and returns their values by name. A name includes
+// the labels, as written in the Prometheus text format.
 func (d *Daemon) Metrics() (map[string]float64, error) {
 	resp, err := controlClient.Get("http://" + d.Ops + ops.PathMetrics)
 	if err != nil {
@@ -284,6 +287,8 @@
 	return d.post(ctx, "submit", name, header, payload)
 }
 
+// post sends a request of callers, with body as JSON, to the search name. Operation is
+// search, browse or submit. It returns the answer with its HTTP status.
 func (d *Daemon) post(ctx context.Context, operation, name string, header http.Header, body any) (gateway.Answer, int, error) {
 	var answer gateway.Answer
 	status, err := call(ctx, http.MethodPost, "http://"+d.Callers+"/v1/"+operation+"/"+name, header, body, &answer)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -34,7 +34,7 @@
 	Daemon     string // path of the bramleyd program
 	Lab        string // path of the bramley-lab program
 	Dir        string // directory for settings and logs
-	Deployment string
+	Deployment string // name of the deployment
 }
 
 // Fleet runs the processes of one deployment. Its methods are safe for concurrent
@@ -50,7 +50,7 @@
 	processes []*Process
 }
 
-// New returns a fleet without processes and with new keys.
+// New returns a fleet without processes and with newly generated keys.
 func New(opts Options) (*Fleet, error) {
 	f := &Fleet{
 		opts:     opts,
@@ -80,7 +80,8 @@
 	}
 }
 
-// Logs returns the last lines of each process's log, as many as lines says.
+// Logs returns the last lines of each process's log, at most the given number per
+// process.
 func (f *Fleet) Logs(lines int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +98,7 @@
 func (f *Fleet) Platform() *Platform { return f.platform }
 
 // newFleetKey returns a random key for one fleet, in base64. Fleets that run at the
-// same time reuse each other's released ports. With the same key in all fleets, a VM
+// same time reuse each other's released ports. If all fleets had the same key, a VM
 // that dials the address of a stopped VM could join another fleet.
 func newFleetKey() string {
 	var key [wire.MinKeyBytes]byte
@@ -122,8 +123,9 @@
 	})
 }
 
-// RollOut pushes a bundle as Author, signs it off and rolls it out as Signer. It
-// sets the bundle's format, deployment and author, and its name if that is empty.
+// RollOut pushes a bundle as Author, then signs it off and rolls it out as Signer. It
+// first sets the bundle's format, deployment and author, and its name if that is empty.
+// It returns the entry of the audit trail about the rollout.
 func (f *Fleet) RollOut(ctx context.Context, b *bundle.Bundle) (rollout.Entry, error) {
 	b.Format, b.Deployment, b.Author = bundle.Format, f.opts.Deployment, Author
 	if b.Name == "" {
@@ -149,11 +151,11 @@
 type DaemonOptions struct {
 	Name         string
 	Zone         string
-	Platform     string                   // address; that of the fleet's platform if empty
-	Peers        string                   // address to listen on; a free one if empty
+	Platform     string                   // address of the platform; that of the fleet's platform if empty
+	Peers        string                   // address to listen on for other VMs; a free one if empty
 	PeersAt      string                   // address that other VMs dial; Peers if empty
-	LameDuck     time.Duration            // time to serve on after SIGTERM; 0 means none
-	LogLevel     string                   // "info" if empty
+	LameDuck     time.Duration            // time for which the daemon still serves after SIGTERM
+	LogLevel     string                   // lowest level of the log's lines; "info" if empty
 	EditSettings func(*settings.Settings) // applied to the finished settings; may be nil
 }
 
@@ -182,7 +184,8 @@
 	}, nil
 }
 
-// RestartDaemon starts a stopped daemon again with the same settings.
+// RestartDaemon starts a stopped daemon again with the same settings. It returns a new
+// Daemon for the new process.
 func (f *Fleet) RestartDaemon(d *Daemon) (*Daemon, error) {
 	p, err := f.startProgram(d.Name, f.opts.Daemon, "run", d.SettingsPath)
 	if err != nil {
@@ -193,7 +196,8 @@
 	return &restarted, nil
 }
 
-// settings returns the settings of a daemon that listens on free ports.
+// settings returns the settings of a daemon that listens on free ports, except for
+// o.Peers if that is set.
 func (f *Fleet) settings(o DaemonOptions) (*settings.Settings, error) {
 	addresses, err := freeAddresses(3)
 	if err != nil {
@@ -242,9 +246,12 @@
 
 func init() { nextPort.Store(uint32(os.Getpid()*portStride) % (endPort - firstPort)) }
 
-const portStride = 997 // distance between the first ports of consecutive process ids; larger than the number of ports that one test program uses
+// portStride is the distance between the first ports that programs with consecutive
+// process ids try. It is larger than the number of ports that one test program uses.
+const portStride = 997
 
-// FreeAddress returns a loopback address with a port that was free when checked.
+// FreeAddress returns a loopback address with a port that was free when FreeAddress
+// checked it.
 func FreeAddress() (string, error) {
 	list, err := freeAddresses(1)
 	if err != nil {
@@ -253,7 +260,8 @@
 	return list[0], nil
 }
 
-// freeAddresses returns n loopback addresses with ports that were free when checked.
+// freeAddresses returns n loopback addresses with different ports, each of which was
+// free when freeAddresses checked it.
 func freeAddresses(n int) ([]string, error) {
 	var out []string
 	for tries := 0; len(out) < n && tries < endPort-firstPort; tries++ {
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -20,13 +20,13 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/labhttp"
 )
 
-// startTimeout bounds the wait for a process to report that it serves.
+// startTimeout bounds the wait for a simulator or fault proxy to report that it serves.
 const startTimeout = 30 * time.Second
 
 // Process is a child process.
 type Process struct {
-	Name    string
-	LogPath string // file with the standard error and, except for a simulator, the standard output
+	Name    string // names the process in logs and errors
+	LogPath string // file with the standard error and, for a daemon, the standard output
 
 	cmd  *exec.Cmd
 	done chan struct{} // closed when the process has exited
@@ -90,13 +90,15 @@
 	return errors.Trace(<-started)
 }
 
-// startProgram starts a program with its output in a log file.
+// startProgram starts a program whose standard output and error are appended to a log
+// file.
 func (f *Fleet) startProgram(name, program string, args ...string) (*Process, error) {
 	return f.launch(name, nil, program, args...)
 }
 
-// startSimulator starts bramley-lab with args, of which the first names the
-// simulator, and waits for its Ready line on standard output.
+// startSimulator starts bramley-lab with args, of which the first names a simulator or
+// the fault proxy, and waits until it serves. The process reports that by its Ready, a
+// line of JSON on standard output, which startSimulator returns.
 func (f *Fleet) startSimulator(name string, args ...string) (*Process, labhttp.Ready, error) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -112,7 +114,7 @@
 	return p, ready, errors.Annotatef(err, "start %s, log: %s", name, p.Log())
 }
 
-// readReady reads and decodes a Ready line. It waits for startTimeout at most.
+// readReady reads a labhttp.Ready, one line of JSON. It waits for startTimeout at most.
 func readReady(r *os.File) (labhttp.Ready, error) {
 	var ready labhttp.Ready
 	if err := r.SetReadDeadline(time.Now().Add(startTimeout)); err != nil {
@@ -125,8 +127,9 @@
 	return ready, errors.Trace(json.Unmarshal(line, &ready))
 }
 
-// launch starts a program. Its output is appended to a log file, but standard output
-// goes to stdout if that is not nil.
+// launch starts a program and adds it to the processes that Close kills. The program's
+// standard error is appended to the log file of that name. Its standard output goes to
+// stdout, or to the log file if stdout is nil.
 func (f *Fleet) launch(name string, stdout *os.File, program string, args ...string) (*Process, error) {
 	logPath := filepath.Join(f.opts.Dir, name+".log")
 	logFile, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
