--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -95,7 +95,7 @@
 // StartPlatform starts the fleet's platform. The platform answers a watch after
 // watchWait if nothing has changed.
 func (f *Fleet) StartPlatform(watchWait time.Duration) (*Platform, error) {
-	p, ready, err := f.startSimulator("platform", "platform", "--watch-wait", watchWait.String())
+	p, ready, err := f.startLabProcess("platform", "platform", "--watch-wait", watchWait.String())
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return nil, errors.Trace(err)
 	}
-	p, ready, err := f.startSimulator(o.Name, "target", "--options", path)
+	p, ready, err := f.startLabProcess(o.Name, "target", "--options", path)
 	if err != nil {
 		return nil, err
 	}
@@ -200,7 +200,7 @@
 
 // startProxy starts a fault proxy with args, the flags of bramley-lab proxy.
 func (f *Fleet) startProxy(name string, args ...string) (*Proxy, error) {
-	p, ready, err := f.startSimulator(name, append([]string{"proxy"}, args...)...)
+	p, ready, err := f.startLabProcess(name, append([]string{"proxy"}, args...)...)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -96,10 +96,10 @@
 	return f.launch(name, nil, program, args...)
 }
 
-// startSimulator starts bramley-lab with args, of which the first names a simulator or
+// startLabProcess starts bramley-lab with args, of which the first names a simulator or
 // the fault proxy, and waits until it serves. The process reports that by its Ready, a
-// line of JSON on standard output, which startSimulator returns.
-func (f *Fleet) startSimulator(name string, args ...string) (*Process, labhttp.Ready, error) {
+// line of JSON on standard output, which startLabProcess returns.
+func (f *Fleet) startLabProcess(name string, args ...string) (*Process, labhttp.Ready, error) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		return nil, labhttp.Ready{}, errors.Trace(err)
