--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -125,7 +125,7 @@
 
 // RollOut pushes a bundle as Author, then signs it off and rolls it out as Signer. It
 // first sets the bundle's format, deployment and author, and its name if that is empty.
-// It returns the entry of the audit trail about the rollout.
+// It returns the entry that records the rollout.
 func (f *Fleet) RollOut(ctx context.Context, b *bundle.Bundle) (rollout.Entry, error) {
 	b.Format, b.Deployment, b.Author = bundle.Format, f.opts.Deployment, Author
 	if b.Name == "" {
