--- a/internal/lab/rolloutbench/bench.go
+++ b/internal/lab/rolloutbench/bench.go
@@ -1,7 +1,7 @@
 // Package rolloutbench measures the time of a rollout from the write of its head
-// until it is in force on the last VM, and the number of calls of VMs and operators to
-// the platform. Daemons run as processes. The scenarios are a healthy platform and
-// several faults.
+// until the rollout is in force on the last VM. It also counts the calls of VMs and
+// operators to the platform. Daemons run as processes. The scenarios are a healthy
+// platform and several faults.
 package rolloutbench
 
 import (
@@ -21,11 +21,11 @@
 )
 
 const (
-	deployment = "bench"
-	zone       = "zone-a"
-	service    = "desk"
+	deployment = "bench"  // name of the deployment
+	zone       = "zone-a" // availability zone of all daemons and the target
+	service    = "desk"   // name of the only service
 
-	statusInterval = 10 * time.Millisecond // between reads of a daemon's status
+	statusInterval = 10 * time.Millisecond // pause between two reads of a daemon's status
 	idleTime       = 10 * time.Second      // time for which calls are counted while nothing changes
 	rolloutTimeout = 60 * time.Second      // a rollout that takes longer fails the run
 	watchWait      = 10 * time.Second      // time after which the platform answers a watch without a change
@@ -33,11 +33,11 @@
 
 // Options configure a run of the benchmark.
 type Options struct {
-	Daemon   string // path of the bramleyd program
-	Lab      string // path of the bramley-lab program
-	Dir      string // directory for settings and logs
-	VMs      int
-	Rollouts int       // in each scenario
+	Daemon   string    // path of the bramleyd program
+	Lab      string    // path of the bramley-lab program
+	Dir      string    // directory for settings and logs
+	VMs      int       // number of daemons
+	Rollouts int       // number of rollouts in each scenario
 	Out      io.Writer // for the table
 }
 
@@ -48,22 +48,22 @@
 	platform *fleet.Platform
 	proxies  []*fleet.Proxy // between each daemon and the platform
 	daemons  []*fleet.Daemon
-	store    *timedStore
-	client   *rollout.Client
-	digests  [3]string // of the bundles, which are rolled out in turn; VMs keep two and have to fetch the third
+	store    *timedStore     // the operator's connection to the platform, without a proxy
+	client   *rollout.Client // makes the operator's changes
+	digests  [3]string       // of the bundles, which are rolled out in turn; VMs keep two and have to fetch the third
 
 	mu              sync.Mutex        // guards the fields below
 	highestRevision map[string]uint64 // highest revision that each VM has reported, by VM
-	regressions     int               // reports of a lower revision than that
+	regressions     int               // reports of a revision below the highest one of that VM
 }
 
-// timedStore records when the last write of a head was sent.
+// timedStore is the operator's Store. It records when the last write of a head was sent.
 type timedStore struct {
 	objstore.Store
 	headSentAt time.Time // needs no lock: the only operator makes one change at a time
 }
 
-// Put implements objstore.Store.
+// Put implements objstore.Store. It sets headSentAt if it writes a head.
 func (s *timedStore) Put(ctx context.Context, kind, name string, expect uint64, value []byte) (uint64, error) {
 	if kind == rollout.KindHead {
 		s.headSentAt = time.Now()
@@ -98,8 +98,8 @@
 	return errors.Trace(b.verifyAudit(ctx))
 }
 
-// verifyAudit reads the audit trail, which fails if it is broken, and prints its
-// length.
+// verifyAudit reads the audit trail and prints its length. It returns an error if the
+// trail is broken.
 func (b *bench) verifyAudit(ctx context.Context) error {
 	audit, err := b.client.Audit(ctx)
 	if err != nil {
@@ -162,8 +162,8 @@
 	return errors.Trace(b.platform.SetVMs(vms, 0))
 }
 
-// testBundle returns a bundle with one search of a service whose only target has that
-// address.
+// testBundle returns a bundle with one search of a service whose only target has the
+// given address. Vms is the number of daemons; the bundle allows one more.
 func testBundle(name, address string, vms int) *bundle.Bundle {
 	return &bundle.Bundle{
 		Name:  name,
@@ -185,8 +185,9 @@
 	}
 }
 
-// waitForAll waits until every VM has at least that revision in force. It returns
-// the latest time at which a VM reports to have put it into force.
+// waitForAll waits until every VM has the given revision or a higher one in force. It
+// returns the time at which the last VM put its revision into force, as that VM reports
+// it. After rolloutTimeout it returns an error.
 func (b *bench) waitForAll(ctx context.Context, revision uint64) (time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
@@ -209,8 +210,9 @@
 	return last, nil
 }
 
-// waitForDaemon polls a daemon's status until it has at least that revision in force.
-// It returns the time at which the daemon put its revision into force.
+// waitForDaemon polls a daemon's status until the daemon has the given revision or a
+// higher one in force. It returns the time at which the daemon put the revision that it
+// then has into force.
 func (b *bench) waitForDaemon(ctx context.Context, d *fleet.Daemon, revision uint64) (time.Time, error) {
 	for {
 		status, err := d.Status(ctx)
@@ -228,7 +230,8 @@
 	}
 }
 
-// recordRevision records the revision that a VM reports and counts regressions.
+// recordRevision records the revision that a VM reports. It counts a regression if the VM
+// has reported a higher one before. The caller must not hold mu.
 func (b *bench) recordRevision(vm string, revision uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/rolloutbench/scenario.go
+++ b/internal/lab/rolloutbench/scenario.go
@@ -22,18 +22,19 @@
 // scenario is a fault under which rollouts are measured. Its functions may be nil.
 type scenario struct {
 	name       string
-	begin      func(b *bench) error // sets the fault
-	beforeEach func(b *bench) error // before each rollout
-	afterEach  func(b *bench) error // as soon as the platform has accepted each rollout
-	end        func(b *bench) error // clears the fault
+	begin      func(b *bench) error // sets the fault before the first rollout
+	beforeEach func(b *bench) error // called before each rollout
+	afterEach  func(b *bench) error // called as soon as the platform has accepted each rollout
+	end        func(b *bench) error // clears the fault after the last rollout
 }
 
+// setPlatformFaults returns a function that replaces the platform's faults by f.
 func setPlatformFaults(f platformsim.Faults) func(*bench) error {
 	return func(b *bench) error { return b.platform.SetFaults(f) }
 }
 
 // cutOffFirst returns a function that cuts off the first n VMs from the platform and
-// reconnects the others; with 0 it reconnects all.
+// reconnects the others. With n = 0 the function reconnects all VMs.
 func cutOffFirst(n int) func(*bench) error {
 	return func(b *bench) error {
 		for i, p := range b.proxies {
@@ -45,11 +46,13 @@
 	}
 }
 
-// outageTime is the length of the platform's outage after it has accepted a rollout.
+// outageTime is the length of the outage that the platform has after it accepted a rollout.
 const outageTime = 3 * time.Second
 
+// clearPlatformFaults ends all faults of the platform.
 var clearPlatformFaults = setPlatformFaults(platformsim.Faults{})
 
+// scenarios are all scenarios in the order of the table.
 var scenarios = []scenario{
 	{name: "healthy"},
 	{name: "watches silent", begin: setPlatformFaults(platformsim.Faults{WatchesSilent: true}), end: clearPlatformFaults},
@@ -92,12 +95,12 @@
 }
 
 // scenarioPause is the pause between scenarios. It is longer than the timeout of a
-// watch in the platform's client, so that watches that got no answer in one scenario
-// end before the next.
+// watch in the platform's client. A watch that got no answer in one scenario therefore
+// ends before the next scenario.
 const scenarioPause = objstore.DefaultWatchTimeout + 2*time.Second
 
-// maxOutageRollouts bounds the number of rollouts in a scenario that waits for an
-// outage after each one.
+// maxOutageRollouts bounds the number of rollouts in a scenario with afterEach, which has
+// to wait for the end of an outage after each rollout.
 const maxOutageRollouts = 20
 
 // measure performs the rollouts of one scenario, prints its row of the table, clears the
@@ -138,6 +141,7 @@
 	}
 }
 
+// callIfSet calls f, a function of a scenario, unless f is nil.
 func (b *bench) callIfSet(f func(*bench) error) error {
 	if f == nil {
 		return nil
@@ -145,8 +149,8 @@
 	return f(b)
 }
 
-// rollOut performs rollout i of a scenario. It returns the time from the write of the
-// head until the revision was in force on the last VM.
+// rollOut performs rollout i of a scenario, counted from 0. It returns the time from the
+// write of the head until the revision was in force on the last VM.
 func (b *bench) rollOut(ctx context.Context, s scenario, i int) (time.Duration, error) {
 	if err := b.callIfSet(s.beforeEach); err != nil {
 		return 0, errors.Trace(err)
@@ -163,11 +167,13 @@
 	return lastInForce.Sub(sentAt), errors.Trace(err)
 }
 
+// totalCalls returns the number of calls of all types to the platform.
 func totalCalls(c platformsim.Counters) int {
 	return c.Get + c.List + c.Put + c.Delete + c.Watch + c.VMs
 }
 
-// printRow prints the table's row of one scenario. It sorts times.
+// printRow prints the table's row of one scenario. Times, which printRow sorts, has the
+// time of each rollout.
 func (b *bench) printRow(s scenario, times []time.Duration, callsPerRollout float64) {
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 	overObjective := 0
