--- a/internal/lab/bench/deployment.go
+++ b/internal/lab/bench/deployment.go
@@ -32,14 +32,14 @@
 // serviceTargets holds the targets of one service and the index that they serve.
 type serviceTargets struct {
 	Service
-	index           targetsim.Index
+	index           targetsim.Index // that all targets hold; replaced at the end of an index switch
 	targets         []*fleet.Target
 	proxies         []*fleet.Proxy                // by target; nil for a target without a proxy
 	stoppedCounters map[string]targetsim.Counters // final counters of stopped processes, by incarnation
 }
 
 // startDeployment starts all processes, rolls out a bundle and waits until every
-// daemon returns complete answers. On an error all processes are stopped.
+// daemon returns complete answers. On an error it stops all processes.
 func startDeployment(ctx context.Context, shape Shape, opts fleet.Options) (*deployment, error) {
 	f, err := fleet.New(opts)
 	if err != nil {
@@ -54,8 +54,10 @@
 	return d, nil
 }
 
+// close kills all processes.
 func (d *deployment) close() { d.fleet.Close() }
 
+// startAll does the work of startDeployment, but leaves the processes running on an error.
 func (d *deployment) startAll(ctx context.Context) error {
 	if _, err := d.fleet.StartPlatform(10 * time.Second); err != nil {
 		return errors.Trace(err)
@@ -124,6 +126,8 @@
 	return svc
 }
 
+// startDaemons starts the daemons, spread over the availability zones, and puts them on the
+// platform's list of VMs.
 func (d *deployment) startDaemons() error {
 	var vms []objstore.VM
 	for i := range d.shape.Daemons {
@@ -174,7 +178,8 @@
 	return nil
 }
 
-// probe sends one query to a daemon under the adaptive policy.
+// probe sends one query under the adaptive policy to a daemon, given by its address for
+// callers, and returns the result of that query.
 func (d *deployment) probe(ctx context.Context, l *loader, daemon string, svc Service) *Sample {
 	s := stream{service: svc, sample: newSample()}
 	l.sendQuery(ctx, s, adaptivePolicy, daemon, 0, time.Now())
@@ -182,7 +187,8 @@
 }
 
 // restartTarget starts target i of a service, which has stopped, again at its old
-// address with its part of the current index. It is cold for coldMS milliseconds.
+// address with its part of the current index. The target is cold, which means slow, for
+// coldMS milliseconds.
 func (d *deployment) restartTarget(g *serviceTargets, i int, coldMS int) error {
 	opts := g.targets[i].Options
 	opts.Listen = g.targets[i].Address
@@ -204,11 +210,12 @@
 type usage struct {
 	searches           int // leaf calls started
 	connections        int // connections accepted
-	refusedConnections int // connections closed at once because of the target's limit
-	peakConnections    int // most connections open at once at one target
+	refusedConnections int // connections closed immediately because of the target's limit
+	peakConnections    int // highest number of connections that one target had open at the same time
 }
 
-// minus returns the usage since before. The peak is that since the targets' start.
+// minus returns the usage since the time at which before was read. Its peakConnections are
+// still those since the targets' start.
 func (u usage) minus(before usage) usage {
 	return usage{
 		searches: u.searches - before.searches, connections: u.connections - before.connections,
@@ -216,6 +223,7 @@
 	}
 }
 
+// plus returns the usage of two windows together. Its peakConnections are the higher ones.
 func (u usage) plus(other usage) usage {
 	return usage{
 		searches: u.searches + other.searches, connections: u.connections + other.connections,
@@ -239,6 +247,7 @@
 	return u
 }
 
+// addCounters adds the counters of one target.
 func (u *usage) addCounters(c targetsim.Counters) {
 	u.searches += c.Searches
 	u.connections += c.Connections.Total
@@ -246,7 +255,8 @@
 	u.peakConnections = max(u.peakConnections, c.Connections.Peak)
 }
 
-// saveCounters keeps the counters of a target that is about to stop.
+// saveCounters keeps the counters of a target that is about to stop in stoppedCounters,
+// since they can't be read afterwards.
 func (g *serviceTargets) saveCounters(t *fleet.Target) {
 	if c, err := t.Counters(); err == nil {
 		g.stoppedCounters[c.Incarnation] = c
@@ -266,8 +276,9 @@
 	return sum, nil
 }
 
-// loadAverage returns the machine's load average of the last minute, or "unknown".
-// It is reported because other work on the machine raises every latency.
+// loadAverage returns the machine's load average of the last minute, or "unknown" if it
+// can't be read. The benchmark reports it because other work on the machine raises every
+// latency.
 func loadAverage() string {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -46,14 +46,16 @@
 	Seconds      float64                 // length of the windows
 }
 
+// newSample returns a Sample without results.
 func newSample() *Sample {
 	const (
-		longest           = int64(60 * time.Second / time.Microsecond)
-		significantDigits = 3
+		longest           = int64(60 * time.Second / time.Microsecond) // longest latency that is recorded, in microseconds
+		significantDigits = 3                                          // precision of the recorded latencies
 	)
 	return &Sample{Latency: hdrhistogram.New(1, longest, significantDigits), Codes: map[int]int{}}
 }
 
+// add adds the results of other, such as those of another window.
 func (s *Sample) add(other *Sample) {
 	s.Sent += other.Sent
 	s.Dropped += other.Dropped
@@ -75,19 +77,21 @@
 type stream struct {
 	service Service
 	rate    float64 // queries per second
-	sample  *Sample
+	sample  *Sample // results of one window
 }
 
 // loader sends queries to the daemons and records the answers.
 type loader struct {
 	client    *http.Client
-	daemons   []string // addresses for callers
-	timeLimit time.Duration
-	expected  *expectedAnswers
+	daemons   []string         // the daemons' addresses for callers
+	timeLimit time.Duration    // complete answers within it count as Sample.InTime
+	expected  *expectedAnswers // to detect wrong answers
 
 	mu sync.Mutex // guards the streams' samples while queries are in flight
 }
 
+// newLoader returns a loader that sends queries to these addresses of daemons. Its owner
+// closes the idle connections of its client at the end.
 func newLoader(daemons []string, timeLimit time.Duration, expected *expectedAnswers) *loader {
 	dialer := &net.Dialer{Timeout: callTimeout}
 	return &loader{
@@ -114,7 +118,9 @@
 	wg.Wait()
 }
 
-// runStream sends the queries of one stream, each from its own goroutine in wg.
+// runStream sends the queries of one stream, each from its own goroutine in wg. It returns
+// when the window that started at begin has ended, without waiting for the answers. The
+// capacity of inFlight bounds the queries without an answer; one beyond it is dropped.
 func (l *loader) runStream(ctx context.Context, s stream, policy string, begin time.Time, window time.Duration,
 	rng *rand.Rand, inFlight chan struct{}, wg *sync.WaitGroup) {
 	sendAt := begin
@@ -138,8 +144,9 @@
 	}
 }
 
-// sendQuery sends one query and adds its result to the stream's sample. The latency is
-// measured from intended, the time at which the schedule was to send the query.
+// sendQuery sends the query with that number to a daemon and adds the result to the stream's
+// sample. The latency is measured from intended, the time at which the schedule was to send
+// the query.
 func (l *loader) sendQuery(ctx context.Context, s stream, policy, daemon string, query int, intended time.Time) {
 	svc := s.service
 	text := queryText(query)
@@ -174,7 +181,7 @@
 	})
 }
 
-// update calls f on the sample while it holds mu.
+// update calls f on the sample with mu locked. The caller must not hold mu.
 func (l *loader) update(s *Sample, f func(*Sample)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -186,8 +193,9 @@
 	return answer.Code == int(result.Overloaded) || answer.Code == int(result.CannotMeetLimit)
 }
 
-// minLeafCalls returns the least number of leaf calls that the query needs: one for
-// each shard.
+// minLeafCalls returns the least number of leaf calls that a query of svc needs: one for
+// each shard. The answer states the number of shards, which an index switch changes; an
+// answer without coverage counts the shards of svc.
 func minLeafCalls(svc Service, answer gateway.Answer) int {
 	if answer.Coverage != nil {
 		return answer.Coverage.Shards
@@ -195,6 +203,7 @@
 	return svc.Shards
 }
 
+// post sends a search to a daemon and decodes the answer, whatever its HTTP status.
 func (l *loader) post(ctx context.Context, daemon, search string, body gateway.SearchBody) (gateway.Answer, error) {
 	var answer gateway.Answer
 	data, err := json.Marshal(body)
@@ -218,6 +227,7 @@
 	return answer, json.Unmarshal(raw, &answer)
 }
 
+// queryText returns the text of query i of distinctQueries.
 func queryText(i int) string { return fmt.Sprintf("well %d", i) }
 
 // expectedAnswers computes the content of complete answers from the targets'
@@ -228,6 +238,8 @@
 	items   map[answerKey][]target.Item   // cached results of Index.ExpectedAnswer
 }
 
+// answerKey identifies a complete answer: all answers to a query from the same snapshot of
+// a service have the same content.
 type answerKey struct{ service, snapshot, query string }
 
 func newExpectedAnswers() *expectedAnswers {
--- a/internal/lab/bench/load_test.go
+++ b/internal/lab/bench/load_test.go
@@ -10,9 +10,9 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// A benchmark that counts a wrong answer as complete would hide a fault of the
-// daemon. Each change below is one that a faulty daemon could make to a complete
-// answer, and each must be detected.
+// Guards against a benchmark that counts a wrong answer as correct and so hides a fault of
+// the daemon. Each test changes a complete answer as a faulty daemon could, and the change
+// must be detected.
 func TestWrongAnswersAreDetected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	svc := Service{Name: "desk"}
@@ -45,7 +45,8 @@
 	}
 }
 
-// One window with an outlier must not decide the median, and no windows give 0.
+// Guards against a median that one window with an outlier decides, and against a panic if
+// there are no windows.
 func TestMedianOfWindows(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(median([]float64{30, 900, 20})).To(gomega.Equal(30.0))
--- a/internal/lab/bench/phases.go
+++ b/internal/lab/bench/phases.go
@@ -27,6 +27,7 @@
 
 const millisecondsPerSecond = 1e3
 
+// meanMS returns the mean time in milliseconds, or 0 without queries.
 func (p phaseHistogram) meanMS() float64 { return p.seconds / max(p.count, 1) * millisecondsPerSecond }
 
 // quantileBoundMS returns the upper bound, in milliseconds, of the bucket that holds
@@ -56,8 +57,8 @@
 	return sum
 }
 
-// readPhases adds up the phase histograms of a service over all daemons, since
-// their start.
+// readPhases returns the phase histograms of a service, added up over all daemons and
+// since their start.
 func (d *deployment) readPhases(service string) (phases, error) {
 	sums := phases{}
 	for _, daemon := range d.daemons {
@@ -72,7 +73,8 @@
 	return sums, nil
 }
 
-// readPhase returns the histogram of one phase from a daemon's metrics.
+// readPhase returns the histogram of a service's phase from a daemon's metrics. Values are
+// the metrics by name with labels.
 func readPhase(values map[string]float64, service, name string) phaseHistogram {
 	const metric = "bramley_query_phase_seconds"
 	labels := fmt.Sprintf("{service=%q,phase=%q", service, name)
@@ -93,13 +95,16 @@
 	return histogram
 }
 
-// addDelta adds what was measured between two readings.
+// addDelta adds what the daemons measured between two calls of readPhases, which returned
+// before and after.
 func (p phases) addDelta(before, after phases) {
 	for _, name := range phaseNames {
 		p[name] = p[name].plusScaled(after[name], 1).plusScaled(before[name], -1)
 	}
 }
 
+// String returns the mean time of each phase in milliseconds, and an upper bound of its
+// 99th percentile.
 func (p phases) String() string {
 	var parts []string
 	for _, name := range phaseNames {
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -20,15 +20,15 @@
 	Shapes    []string      // names; all if empty
 	Scenarios []string      // names; all if empty
 	Window    time.Duration // length of one measurement
-	Rounds    int           // windows for each scenario and policy
-	Seed      uint64        // of arrivals and queries
-	Slowdown  int           // factor on service times and time limits; 1 if less
+	Rounds    int           // number of windows for each scenario and policy
+	Seed      uint64        // seed of the random arrivals and queries
+	Slowdown  int           // factor on service times and time limits; less than 1 means 1
 	Out       io.Writer     // for the tables
 	Progress  io.Writer     // for a line at the start of each scenario
 }
 
-// windowPause is the pause after a window. Requests that started in the window, such
-// as late leaf calls, can complete in it.
+// windowPause is the pause after a window and before the next one. Requests that started
+// in the window, such as late leaf calls, can complete during the pause.
 const windowPause = 1500 * time.Millisecond
 
 // Result holds the results of one policy in one scenario.
@@ -77,6 +77,8 @@
 	return len(names) == 0
 }
 
+// measureShape starts the deployment of a shape, measures the selected scenarios in it and
+// stops it. It returns two results per scenario, as comparePolicies does.
 func measureShape(ctx context.Context, o Options, shape Shape) ([]*Result, error) {
 	dir, err := os.MkdirTemp("", "bramley-bench-")
 	if err != nil {
@@ -108,8 +110,9 @@
 	return results, nil
 }
 
-// comparePolicies runs the policies in turn, each with the same arrivals. The policy
-// that runs first alternates between rounds. The adaptive policy's result is first.
+// comparePolicies measures both policies in a scenario. In each round the policies run one
+// after the other with the same arrivals; which one runs first alternates between rounds.
+// It returns the adaptive policy's result, then the plain one's.
 func comparePolicies(ctx context.Context, o Options, d *deployment, l *loader, s Scenario) ([]*Result, error) {
 	results := []*Result{d.newResult(s.Name, adaptivePolicy), d.newResult(s.Name, plainPolicy)}
 	for round := range o.Rounds {
@@ -123,6 +126,7 @@
 	return results, nil
 }
 
+// newResult returns a Result with an empty row for each service.
 func (d *deployment) newResult(scenario, policy string) *Result {
 	r := &Result{Scenario: scenario, Policy: policy}
 	for _, g := range d.groups {
@@ -131,8 +135,9 @@
 	return r
 }
 
-// measureWindow measures one policy for one window in a scenario and adds to its
-// result. It returns once all daemons return complete answers again.
+// measureWindow measures one policy for one window in a scenario and adds the measurement
+// to r, the result of that policy. It returns once all daemons return complete answers
+// again.
 func measureWindow(ctx context.Context, o Options, d *deployment, l *loader, s Scenario, r *Result, round int) error {
 	if s.Begin != nil {
 		if err := s.Begin(d); err != nil {
@@ -189,9 +194,10 @@
 type totals struct {
 	usage     []usage
 	phases    []phases
-	daemonCPU time.Duration
+	daemonCPU time.Duration // processor time of all daemons together
 }
 
+// readTotals reads the counters of all targets and daemons.
 func (d *deployment) readTotals() (totals, error) {
 	var t totals
 	for _, g := range d.groups {
@@ -207,7 +213,8 @@
 	return t, errors.Trace(err)
 }
 
-// add adds the samples of one window and the increase of the counters in it.
+// add adds the samples of one window and the increase of the counters in the window, from
+// before to after.
 func (r *Result) add(streams []stream, before, after totals) {
 	for i, row := range r.Rows {
 		row.Sample.add(streams[i].sample)
--- a/internal/lab/bench/scenario.go
+++ b/internal/lab/bench/scenario.go
@@ -33,14 +33,14 @@
 
 // Parameters of the scenarios.
 const (
-	stragglerProb     = 0.01 // fraction of leaf calls that take stragglerFactor times as long
-	stragglerFactor   = 20
-	overloadServiceMS = 16  // mean service time of a leaf in scenarios with a high load; longer than baseServiceMS to limit the calls per second
-	busyLoad          = 0.7 // rate of queries as a fraction of the capacity
-	reportedLoad      = 20  // running and queued requests that every other target reports for each of its leaves; the true number is much lower
-	overloadWarmup    = 5 * time.Second
-	restartDivisor    = 4 // at most one in 4 targets is restarted in a window
-	extraShards       = 5 // additional shards of the new snapshot in two of every four switches
+	stragglerProb     = 0.01            // fraction of leaf calls that take stragglerFactor times as long
+	stragglerFactor   = 20              // factor on the service time of a straggler
+	overloadServiceMS = 16              // mean service time of a leaf in scenarios with a high load; longer than baseServiceMS to limit the calls per second
+	busyLoad          = 0.7             // rate of queries as a fraction of the capacity
+	reportedLoad      = 20              // running and queued requests that every other target reports for each of its leaves; the true number is much lower
+	overloadWarmup    = 5 * time.Second // Scenario.Warmup of the scenarios with an overload
+	restartDivisor    = 4               // at most one in 4 targets is restarted in a window
+	extraShards       = 5               // additional shards of the new snapshot in two of every four switches
 )
 
 // Scenarios are all scenarios in the order of the table.
@@ -74,6 +74,7 @@
 	{Name: "twice the capacity", Load: 2, ServiceTimeMS: overloadServiceMS, Warmup: overloadWarmup, Begin: slowTargets, End: restoreTiming},
 }
 
+// serviceTimeMS returns ServiceTimeMS or its default.
 func (s Scenario) serviceTimeMS() float64 {
 	if s.ServiceTimeMS == 0 {
 		return baseServiceMS
@@ -81,6 +82,7 @@
 	return s.ServiceTimeMS
 }
 
+// setTiming sets the service times of all targets.
 func (d *deployment) setTiming(t targetsim.Timing) error {
 	for _, g := range d.groups {
 		for _, target := range g.targets {
@@ -114,6 +116,8 @@
 	return slowTargets(d)
 }
 
+// restoreLoadReports makes all targets report their true load again, and restores their
+// service times.
 func restoreLoadReports(d *deployment) error {
 	for _, g := range d.groups {
 		for _, target := range g.targets {
@@ -125,9 +129,10 @@
 	return restoreTiming(d)
 }
 
+// restoreTiming restores the healthy service times of all targets.
 func restoreTiming(d *deployment) error { return d.setTiming(d.shape.healthyTiming()) }
 
-// killReplica kills one target after a tenth of the window.
+// killReplica kills one target of the first service after a tenth of the window.
 func killReplica(ctx context.Context, d *deployment, window time.Duration, _ int) error {
 	sleep(ctx, window/10)
 	g := d.groups[0]
@@ -137,11 +142,13 @@
 	return nil
 }
 
+// restoreReplica restarts the target that killReplica killed, without a cold start.
 func restoreReplica(d *deployment) error { return d.restartTarget(d.groups[0], 1, 0) }
 
-// rollingRestart sends SIGTERM to some of the targets of the first service, one
-// after another, and restarts each one cold once it has exited. All of them are in
-// one availability zone, so that another replica of each shard stays available.
+// rollingRestart sends SIGTERM to some of the targets of the first service, one after
+// another. Each target is restarted cold, which means slow, once it has exited. The targets
+// restarted in one window are in one availability zone, so that another replica of each
+// shard stays available.
 func rollingRestart(ctx context.Context, d *deployment, window time.Duration, round int) error {
 	g := d.groups[0]
 	deadline := time.Now().Add(window)
@@ -181,9 +188,9 @@
 	return nil
 }
 
-// switchIndex adds a new snapshot to the targets of the first service, one target
-// after another, and then removes the old snapshot in the same way. In two of every
-// four switches the new snapshot has another number of shards.
+// switchIndex adds a new snapshot to the targets of the first service, one target after
+// another, and then removes the old snapshot in the same way. In two of every four switches
+// the new snapshot has extraShards more shards than the service normally has.
 func switchIndex(ctx context.Context, d *deployment, window time.Duration, _ int) error {
 	g := d.groups[0]
 	seq := int(g.index.Seq) + 1
--- a/internal/lab/bench/shapes.go
+++ b/internal/lab/bench/shapes.go
@@ -1,6 +1,7 @@
 // Package bench measures the query path with daemons and simulated targets as
-// processes, in the shapes of the two deployments. It generates an open-loop load and
-// compares the adaptive policy with the plain one. The two run in turn.
+// processes, in the shapes of the two deployments. It generates an open-loop load, in which
+// an arrival does not wait for earlier answers. It compares the adaptive policy with the
+// plain one, which run in turn.
 package bench
 
 import (
@@ -13,9 +14,9 @@
 // Shape describes a deployment to measure.
 type Shape struct {
 	Name        string
-	Zones       []string
-	Daemons     int
-	TimeLimitMS int
+	Zones       []string // names of the availability zones
+	Daemons     int      // number of daemons, each of which is a VM of the deployment
+	TimeLimitMS int      // time limit of the queries, in milliseconds
 	Services    []Service
 
 	slowdown int // factor on service times and time limits, from the options
@@ -31,6 +32,7 @@
 	return s
 }
 
+// healthyTiming returns the service times of a target without a fault.
 func (s Shape) healthyTiming() targetsim.Timing {
 	const coldFactor = 3
 	return targetsim.Timing{BaseMS: baseServiceMS * float64(s.slowdown), ColdFactor: coldFactor}
@@ -39,30 +41,30 @@
 // Service is one service of a Shape, in its current size.
 type Service struct {
 	Name          string
-	Targets       int
-	Leaves        int     // per target
-	Slots         int     // requests that one leaf runs at once
-	Connections   int     // limit per target
-	ConnectCostMS float64 // time that a target needs to accept a connection
-	Shards        int
-	Replicas      int // of each shard
+	Targets       int     // number of targets
+	Leaves        int     // number of leaves of each target
+	Slots         int     // requests that one leaf can run at the same time
+	Connections   int     // limit of connections to each target
+	ConnectCostMS float64 // time that a target needs to accept a connection, in milliseconds
+	Shards        int     // number of shards of the index
+	Replicas      int     // number of replicas of each shard
 }
 
 // Fixed parameters of the benchmark.
 const (
-	recordsPerIndex = 4000
-	baseServiceMS   = 8    // mean service time of a leaf
-	queueLength     = 8    // requests that wait for a slot of one leaf
+	recordsPerIndex = 4000 // records of an index, all shards together
+	baseServiceMS   = 8    // mean service time of a leaf, in milliseconds
+	queueLength     = 8    // most requests that wait for a slot of one leaf
 	proxyEvery      = 4    // one in 4 targets is behind a fault proxy
-	normalLoad      = 0.35 // fraction of the capacity
-	drainMS         = 1000 // time for which a target continues to serve after SIGTERM
-	coldMS          = 500  // time for which a restarted target is slow
-	idleMS          = 5000 // time after which a target closes an unused connection
+	normalLoad      = 0.35 // rate of queries as a fraction of the capacity
+	drainMS         = 1000 // time for which a target continues to serve after SIGTERM, in milliseconds
+	coldMS          = 500  // time for which a restarted target is slow, in milliseconds
+	idleMS          = 5000 // time after which a target closes an unused connection, in milliseconds
 )
 
-// Shapes are the deployments that can be measured. Each one has two of the
-// deployment's services: the larger one of those with many instances, and a small one.
-// The deployment's other services resemble one of these.
+// Shapes are the deployments that can be measured. Each has only two services: the larger
+// one of the real deployment's services with many instances, and a small one. The real
+// deployment's other services resemble one of these.
 var Shapes = []Shape{
 	{
 		Name: "vatnsleit", Daemons: 7, TimeLimitMS: 200,
--- a/internal/lab/bench/table.go
+++ b/internal/lab/bench/table.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// printTable prints the results as Markdown. Results come in pairs for each
-// scenario: the adaptive policy, then the plain one.
+// printTable prints the results of a shape as Markdown. Results holds two for each
+// scenario: that of the adaptive policy, then that of the plain one.
 func printTable(w io.Writer, shape Shape, results []*Result) {
 	fmt.Fprintf(w, "\n### %s: %d daemons, time limit %d ms\n\n", shape.Name, shape.Daemons, shape.TimeLimitMS)
 	for _, s := range shape.Services {
@@ -27,8 +27,8 @@
 	printNotes(w, results)
 }
 
-// print prints the row of r, with the ratio of its median p99 to the baseline's
-// unless baseline is nil.
+// print prints row, which belongs to r, as a line of the table. Unless baseline is nil, the
+// line has the ratio of the median of row's P99s to that of baseline's.
 func (row *Row) print(w io.Writer, r *Result, baseline *Row) {
 	s := row.Sample
 	ratio := ""
@@ -47,8 +47,9 @@
 		percent*float64(row.usage.peakConnections)/float64(row.Service.Connections), row.usage.refusedConnections)
 }
 
-// median returns the median of the windows' values, or 0 if there are none. With it, a
-// single window in which the machine stalled does not decide the comparison.
+// median returns the median of values, one per window, or 0 if there are none. The table
+// compares medians so that a single window in which the machine stalled does not decide the
+// comparison.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	if len(sorted) == 0 {
@@ -57,7 +58,8 @@
 	return sorted[len(sorted)/2]
 }
 
-// quantileMS returns the latency at a quantile, given in percent, in milliseconds.
+// quantileMS returns a quantile of the latencies in milliseconds. The quantile is given in
+// percent.
 func (s *Sample) quantileMS(quantile float64) float64 {
 	return float64(s.Latency.ValueAtQuantile(quantile)) / float64(time.Millisecond/time.Microsecond)
 }
