--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -154,7 +154,7 @@
 	Platform     string                   // address of the platform; that of the fleet's platform if empty
 	Peers        string                   // address to listen on for other VMs; a free one if empty
 	PeersAt      string                   // address that other VMs dial; Peers if empty
-	LameDuck     time.Duration            // time for which the daemon still serves after SIGTERM
+	LameDuck     time.Duration            // time for which the daemon still serves after SIGTERM; 0 means none
 	LogLevel     string                   // lowest level of the log's lines; "info" if empty
 	EditSettings func(*settings.Settings) // applied to the finished settings; may be nil
 }
