--- a/operator/audit.go
+++ b/operator/audit.go
@@ -73,9 +73,10 @@
 	}
 }
 
-// timestamps lists the accepted formats of --since and --until.
+// timestamps lists the accepted formats of the flags --since and --until of audit.
 var timestamps = cli.TimestampConfig{Layouts: []string{time.RFC3339, "2006-01-02 15:04:05", time.DateOnly}}
 
+// audit is the action of the command audit. It fails if the audit trail is broken.
 func (a *app) audit(ctx context.Context, c *cli.Command) error {
 	s, err := a.open(c)
 	if err != nil {
@@ -132,6 +133,7 @@
 	last                   int // maximum number of rows; the latest are kept
 }
 
+// newAuditFilter reads the filter from the flags of the command audit.
 func newAuditFilter(c *cli.Command) auditFilter {
 	return auditFilter{
 		person: c.String("person"), action: c.String("action"), digest: c.String("digest"),
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -50,6 +50,8 @@
 	return data, nil
 }
 
+// bundleCheck is the action of bundle check. It prints the findings about a file, then fails
+// if there are any or if the file is too large for the platform.
 func (a *app) bundleCheck(_ context.Context, c *cli.Command) error {
 	data, err := readFileArg(c)
 	if err != nil {
@@ -87,6 +89,7 @@
 	return nil
 }
 
+// bundlePush is the action of bundle push. It prints the digest of the bundle.
 func (a *app) bundlePush(ctx context.Context, c *cli.Command) error {
 	data, err := readFileArg(c)
 	if err != nil {
@@ -103,6 +106,7 @@
 	return a.print(map[string]string{"digest": digest}, table{rows: [][]string{{digest}}})
 }
 
+// bundleList is the action of bundle list.
 func (a *app) bundleList(ctx context.Context, c *cli.Command) error {
 	s, err := a.open(c)
 	if err != nil {
@@ -119,6 +123,8 @@
 	return a.print(list, t)
 }
 
+// bundleShow is the action of bundle show. It prints the bundle's bytes unchanged, whatever
+// the output format.
 func (a *app) bundleShow(ctx context.Context, c *cli.Command) error {
 	arg, err := singleArg(c, "a digest or head")
 	if err != nil {
@@ -140,6 +146,7 @@
 	return err
 }
 
+// bundleDiff is the action of bundle diff, which compares two bundles.
 func (a *app) bundleDiff(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 2 {
 		return result.Errorf(result.BadRequest, "found %d arguments, allowed are two: FROM TO", c.Args().Len())
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -109,7 +109,8 @@
 }
 
 // fleetProgress counts the VMs that have the revision or a higher one in force and names
-// the others. It leaves out VMs that are leaving, since they receive no requests.
+// the others. It leaves out VMs that are leaving, since they receive no requests. Done is
+// false if there are no VMs.
 func fleetProgress(rows []VMRow, revision uint64) progress {
 	inForce, total := 0, 0
 	var lagging []string
