--- a/node/follow.go
+++ b/node/follow.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// watchingCheckInterval is the time between two checks whether this VM should watch the
+// watchingCheckInterval is the time between two checks of whether this VM should watch the
 // platform for changes.
 const watchingCheckInterval = time.Second
 
--- a/node/run.go
+++ b/node/run.go
@@ -74,8 +74,8 @@
 	time.Sleep(time.Duration(n.settings.LameDuckMS) * time.Millisecond)
 }
 
-// shutdownTimeout bounds all waits of a shutdown together. It is longer than 1 min, the
-// longest time that a request in flight may take.
+// shutdownTimeout bounds those waits in shutdown that take a context, all together. It is
+// longer than 1 min, the longest time limit of a request that the gateway's server allows for.
 const shutdownTimeout = 70 * time.Second
 
 // shutdown waits for the callers' requests in flight, then stops all parts of the daemon and
