--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -12,6 +12,7 @@
 // countingValuer is a logged value that counts how often it is formatted.
 type countingValuer struct{ calls *int }
 
+// LogValue implements slog.LogValuer.
 func (c countingValuer) LogValue() slog.Value {
 	*c.calls++
 	return slog.StringValue("costly")
--- a/logging/writer_test.go
+++ b/logging/writer_test.go
@@ -17,6 +17,7 @@
 	written bytes.Buffer
 }
 
+// Write implements io.Writer.
 func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	w.mu.Lock()
@@ -53,6 +54,7 @@
 	writes  int
 }
 
+// Write implements io.Writer.
 func (w *slowWriter) Write(p []byte) (int, error) {
 	time.Sleep(5 * time.Millisecond)
 	w.mu.Lock()
