--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -144,9 +144,9 @@
 	}
 }
 
-// sendQuery sends the query with that number to a daemon and adds the result to the stream's
-// sample. The latency is measured from intended, the time at which the schedule was to send
-// the query.
+// sendQuery sends the query with the number query to a daemon and adds the result to the
+// stream's sample. The latency is measured from intended, the time at which the schedule was
+// to send the query.
 func (l *loader) sendQuery(ctx context.Context, s stream, policy, daemon string, query int, intended time.Time) {
 	svc := s.service
 	text := queryText(query)
@@ -194,8 +194,8 @@
 }
 
 // minLeafCalls returns the least number of leaf calls that a query of svc needs: one for
-// each shard. The answer states the number of shards, which an index switch changes; an
-// answer without coverage counts the shards of svc.
+// each shard. An answer with coverage states the number of shards, which an index switch
+// changes. Without coverage the number is that of svc.
 func minLeafCalls(svc Service, answer gateway.Answer) int {
 	if answer.Coverage != nil {
 		return answer.Coverage.Shards
@@ -254,9 +254,9 @@
 	e.indexes[answerKey{index.Service, index.Snapshot, ""}] = index
 }
 
-// matches reports whether a complete answer has the content that is expected from the
-// snapshot that it names: the numbers of shards and records, and the items' keys and
-// fields.
+// matches reports whether a complete answer to query has the content that is expected from
+// the snapshot that the answer names. The content is the numbers of shards and records, and
+// the items' keys and fields.
 func (e *expectedAnswers) matches(service, query string, answer gateway.Answer) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -112,8 +112,8 @@
 // Keyring returns the public keys that every daemon has.
 func (f *Fleet) Keyring() *bundle.Keyring { return f.keyring }
 
-// Operator returns an operator's client for one person. It calls the platform
-// directly, without a fault proxy.
+// Operator returns an operator's client for one person: Author or Signer. The client
+// calls the platform directly, without a fault proxy.
 func (f *Fleet) Operator(person string) *rollout.Client {
 	return rollout.NewClient(rollout.ClientOptions{
 		Deployment: f.opts.Deployment,
@@ -230,10 +230,9 @@
 	return set, nil
 }
 
-// Ports for daemons are taken from below the kernel's range of ephemeral ports. A
-// port of that range that is free when it is checked is often the local port of an
-// outgoing connection by the time the daemon binds it, and the daemon fails to
-// start.
+// Ports for daemons are taken from below the kernel's range of ephemeral ports. An
+// ephemeral port that is free when it is checked is often the local port of an outgoing
+// connection by the time the daemon binds it. The daemon then fails to start.
 const (
 	firstPort = 10000
 	endPort   = 32000 // one more than the last port
