--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -147,7 +147,7 @@
 	Head      *rollout.Entry `json:"head"`                 // nil if nothing was rolled out or HeadError is set
 	HeadError string         `json:"head_error,omitempty"` // why the head could not be read
 	VMs       []VMRow        `json:"vms"`
-	Warnings  []string       `json:"warnings"`
+	Warnings  []string       `json:"warnings"` // see session.warnings
 }
 
 // warnings describes faults that the rest of the status doesn't show but that will cause
--- a/operator/output.go
+++ b/operator/output.go
@@ -21,7 +21,7 @@
 	rows   [][]string
 }
 
-// add appends one row.
+// add appends a row with these cells.
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
 // print writes value as JSON or t as text, depending on the output format.
