--- a/topk/topk_test.go
+++ b/topk/topk_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// mergeBySorting is a reference implementation that sorts all records.
+// mergeBySorting is a reference implementation of Merge that sorts all records.
 func mergeBySorting(limit int, parts [][]byte) []byte {
 	var all [][]byte
 	for _, part := range parts {
@@ -22,16 +22,16 @@
 	return bytes.Join(all[:min(limit, len(all))], nil)
 }
 
-// Guards against an answer that lacks one of the greatest records, or one of two equal
-// ones.
+// Guards against a Merge that loses one of the greatest records or one of two equal ones,
+// or that reads an incomplete record.
 func TestMergeReturnsGreatestRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
 		// Few byte values, so that equal records are common, and lengths that leave an
 		// incomplete record at the end.
 		parts := rapid.SliceOfN(rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 100), 0, 6).Draw(t, "parts")
-		top := rapid.IntRange(0, 20).Draw(t, "top")
-		g.Expect(Merge(top, parts)).To(gomega.Equal(append([]byte{}, mergeBySorting(top, parts)...)))
+		limit := rapid.IntRange(0, 20).Draw(t, "top")
+		g.Expect(Merge(limit, parts)).To(gomega.Equal(append([]byte{}, mergeBySorting(limit, parts)...)))
 	})
 }
 
