--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -15,10 +15,10 @@
 
 // fleetWithLost returns a platform's list of n VMs, and the statements about them. The
 // first lost of them are in state Lost.
-func fleetWithLost(n, lost int) (listed []objstore.VM, members []facts.Member) {
+func fleetWithLost(n, lostCount int) (listed []objstore.VM, members []facts.Member) {
 	for i := range n {
 		m := facts.Member{Name: fmt.Sprint("vm-", i)}
-		if i < lost {
+		if i < lostCount {
 			m.State = facts.Lost
 		}
 		members = append(members, m)
@@ -87,10 +87,10 @@
 	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == len(left) })
 	left[0].heads.set(2)
 	f.waitForAll(hasRevision(2), left...)
-	const longer = time.Hour // than lost VMs are kept in the table
+	const expiryDelay = time.Hour // than lost VMs are kept in the table
 	for _, vm := range f.vms {
 		vm.mu.Lock()
-		f.g.Expect(vm.table.Expire(time.Now().Add(longer).Unix())).To(BeTrue())
+		f.g.Expect(vm.table.Expire(time.Now().Add(expiryDelay).Unix())).To(BeTrue())
 		vm.invalidateCaches()
 		vm.mu.Unlock()
 	}
@@ -184,11 +184,11 @@
 func TestConnectedVMStillDialsSeed(t *testing.T) {
 	f := newFleet(t, 0)
 	f.list.down = true
-	late := reservePort(t)
-	first := f.start("first", func(o *Options) { o.Seeds = []string{late} })
+	seedAddress := reservePort(t)
+	first := f.start("first", func(o *Options) { o.Seeds = []string{seedAddress} })
 	f.start("second", func(o *Options) { o.Seeds = []string{first.Address()} })
 	f.waitForAll(func(vm *testVM) bool { return vm.Peers() == 1 })
-	seed := f.startWith("late", nil, func(x *Exchange) { x.opts.Listen = late })
+	seed := f.startWith("late", nil, func(x *Exchange) { x.opts.Listen = seedAddress })
 	seed.heads.set(5)
 	f.waitConnected()
 	f.waitForAll(hasRevision(5))
--- a/peer/health_test.go
+++ b/peer/health_test.go
@@ -67,8 +67,8 @@
 	base, _ := f.vms[0].Health("t0")
 	f.vms[1].publishHealth("t0", 2)
 	f.waitForAll(hasEpoch("t0", 2))
-	late := facts.Health{Target: "t0", Stamp: facts.Stamp{Epoch: 3, Incarnation: "old"}}
-	f.g.Expect(f.vms[0].PublishHealth(late, base.Stamp)).To(BeFalse())
+	outdated := facts.Health{Target: "t0", Stamp: facts.Stamp{Epoch: 3, Incarnation: "old"}}
+	f.g.Expect(f.vms[0].PublishHealth(outdated, base.Stamp)).To(BeFalse())
 }
 
 // TestNewVMSyncsHealth: a VM starts in a fleet that knows thousands of targets. It must
@@ -82,12 +82,12 @@
 	for _, name := range targetNames(targets) {
 		f.vms[0].publishHealth(name, 1)
 	}
-	all := func(vm *testVM) bool { return vm.healthTargets() == targets }
-	f.waitForAll(all)
+	hasAllHealth := func(vm *testVM) bool { return vm.healthTargets() == targets }
+	f.waitForAll(hasAllHealth)
 	fresh := f.start("fresh", nil)
 	f.waitConnected()
 	fresh.SetTargets(targetNames(targets))
-	f.waitForAll(all)
+	f.waitForAll(hasAllHealth)
 }
 
 // TestHealthAfterSplit: the network between two regions fails, and each side publishes
