--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -23,7 +23,7 @@
 	ownership    route.Ownership
 	status       target.Status // the result of each read
 	err          error         // the error of each read and call
-	read         func()        // called during each read of the target; may be nil
+	onRead       func()        // called during each read of the target; may be nil
 
 	statuses     []target.Status // received by the sink
 	failed       int             // calls of TargetFailed
@@ -50,8 +50,8 @@
 }
 
 func (f *fakes) Status(context.Context, string) (target.Status, error) {
-	if f.read != nil {
-		f.read()
+	if f.onRead != nil {
+		f.onRead()
 	}
 	return f.status, f.err
 }
@@ -131,13 +131,13 @@
 	r, f := newRelay()
 	f.known = statement(1)
 	r.apply(f.known)
-	f.read = func() {
+	f.onRead = func() {
 		f.known = statement(2)
 		r.apply(f.known)
 	}
 	r.readOnce()
 	g.Expect(f.statuses).To(HaveLen(2), "only the statements")
-	f.read = nil
+	f.onRead = nil
 	r.readOnce()
 	g.Expect(f.statuses).To(HaveLen(3))
 	g.Expect(f.statuses[2].Incarnation).To(Equal("read"))
--- a/peer/health/reporter_test.go
+++ b/peer/health/reporter_test.go
@@ -70,13 +70,13 @@
 
 // ownerOrder returns the order of the live owners for the owner at a place.
 func (sim *simulation) ownerOrder(place int) ownerOrder {
-	s := ownerOrder{place: place}
+	order := ownerOrder{place: place}
 	for _, o := range sim.owners {
 		if !o.lost {
-			s.owners = append(s.owners, o.place)
+			order.owners = append(order.owners, o.place)
 		}
 	}
-	return s
+	return order
 }
 
 // beginRead reads the target for an owner; finishRead handles the result.
