--- a/peer/facts/health_test.go
+++ b/peer/facts/health_test.go
@@ -52,8 +52,8 @@
 	if known && after.Epoch < before.Epoch {
 		t.Fatalf("%v: an earlier incarnation than %v", after, before)
 	}
-	same := after.Epoch == before.Epoch && after.FirstRead == before.FirstRead && after.Incarnation == before.Incarnation
-	if known && before.Drained && same && !after.Drained {
+	sameIncarnation := after.Epoch == before.Epoch && after.FirstRead == before.FirstRead && after.Incarnation == before.Incarnation
+	if known && before.Drained && sameIncarnation && !after.Drained {
 		t.Fatalf("%v is drained, but %v isn't", before, after)
 	}
 	if changed != (!known || !table.Contains(Fact{Health: &before})) {
--- a/peer/facts/table.go
+++ b/peer/facts/table.go
@@ -96,19 +96,19 @@
 // target. It reports whether that changed the table.
 func (t *Table) mergeDrain(d Drain) bool {
 	list := t.drains[d.Target]
-	at := slices.IndexFunc(list, func(o Drain) bool { return o.Incarnation == d.Incarnation })
-	if at >= 0 && !d.outranks(list[at]) {
+	index := slices.IndexFunc(list, func(o Drain) bool { return o.Incarnation == d.Incarnation })
+	if index >= 0 && !d.outranks(list[index]) {
 		return false
 	}
 	// The list is full, and the new drain isn't newer than the oldest one that it has.
-	if at < 0 && len(list) == maxDrainsPerTarget && !d.outranks(list[len(list)-1]) {
+	if index < 0 && len(list) == maxDrainsPerTarget && !d.outranks(list[len(list)-1]) {
 		return false
 	}
 	for i := range list {
 		t.toggle(Fact{Drain: &list[i]})
 	}
-	if at >= 0 {
-		list = slices.Delete(list, at, at+1)
+	if index >= 0 {
+		list = slices.Delete(list, index, index+1)
 	}
 	list = append(list, d)
 	slices.SortFunc(list, func(a, b Drain) int {
@@ -263,12 +263,12 @@
 	for _, e := range entries {
 		theirs[e.Key] = e.Hash
 	}
-	t.eachFact(buckets, func(f Fact, own uint64) {
-		hash, known := theirs[f.Key()]
-		if !known || hash != own {
+	t.eachFact(buckets, func(f Fact, ownHash uint64) {
+		theirHash, known := theirs[f.Key()]
+		if !known || theirHash != ownHash {
 			give = append(give, f)
 		}
-		if known && hash == own {
+		if known && theirHash == ownHash {
 			delete(theirs, f.Key())
 		}
 	})
