--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -170,7 +170,7 @@
 	}
 	r.hasSharedTargets = false
 	r.targets = map[string]*targetRoute{}
-	kept := map[ownerCacheKey][]int{}
+	newCache := map[ownerCacheKey][]int{}
 	for i := range b.Services {
 		for j := range b.Services[i].Targets {
 			t := &b.Services[i].Targets[j]
@@ -180,12 +180,12 @@
 				r.hasSharedTargets = true
 				key := ownerCacheKey{t.Name, plan.Places, plan.Owners}
 				rt.owners = r.ownerPlaces(key, plan)
-				kept[key] = rt.owners
+				newCache[key] = rt.owners
 			}
 			r.targets[t.Name] = rt
 		}
 	}
-	r.ownerCache = kept
+	r.ownerCache = newCache
 	r.assignConnections()
 	select {
 	case r.wake <- struct{}{}:
@@ -296,7 +296,7 @@
 	r.ownerCalls.Inc()
 	var lastErr error = &target.CallError{Kind: target.ErrorUnreachable, Target: name, NotStarted: true}
 	for _, c := range owners {
-		owner, err := r.acquireConn(ctx, c.vm)
+		conn, err := r.acquireConn(ctx, c.vm)
 		if ctx.Err() != nil {
 			return hop.ContextError(ctx, name, true)
 		}
@@ -305,7 +305,7 @@
 			continue
 		}
 		r.ownerCallsByDistance[c.distance].Inc()
-		lastErr = owner.call(ctx, name, call)
+		lastErr = conn.call(ctx, name, call)
 		if !tryNextOwner(lastErr) {
 			return lastErr
 		}
