--- a/wire/codec.go
+++ b/wire/codec.go
@@ -75,8 +75,8 @@
 		return result.Errorf(result.MessageTooBig, "%d bytes, at most %d", size, c.maxSend)
 	}
 	if c.bodies.out != nil {
-		head := binary.AppendUvarint(nil, uint64(len(c.bodies.out))+1)
-		if _, err := stream.Write(append(head, bodyMarker)); err != nil {
+		header := binary.AppendUvarint(nil, uint64(len(c.bodies.out))+1)
+		if _, err := stream.Write(append(header, bodyMarker)); err != nil {
 			return err
 		}
 		if _, err := stream.Write(c.bodies.out); err != nil {
