--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -6,9 +6,9 @@
 // depends on its number of connections and on the rate of changes, not on the size
 // of the fleet.
 //
-// Merged state never reverts: a head is signed and its revision only rises, a
-// drain belongs to one incarnation of a target, and only a VM itself can state
-// that it is alive.
+// Merged state never reverts: a head (the record of the revision in force) is signed
+// and its revision only rises, a drain belongs to one incarnation of a target, and
+// only a VM itself can state that it is alive.
 package peer
 
 import (
@@ -44,8 +44,8 @@
 	// RawBundle returns the bundle with this digest, including its sign-offs, and
 	// reports whether this VM has it.
 	RawBundle(digest string) ([]byte, bool)
-	// OfferHead verifies a head received from a peer and puts it in force if it is
-	// newer. fetch gets a bundle from that peer by its digest.
+	// OfferHead verifies raw, a head received from a peer, and puts it in force if its
+	// revision is higher. fetch gets a bundle from that peer by the bundle's digest.
 	OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error
 }
 
@@ -76,24 +76,24 @@
 	// DialContext opens TCP connections; the default is that of net.Dialer.
 	DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
-	Interval       time.Duration // between comparisons of digests with one random peer; default 1 s
+	Interval       time.Duration // time between two comparisons of all facts by digests, each with a random peer; default 1 s
 	Fanout         int           // number of connections for the exchange that this VM dials; default 4
 	MaxInbound     int           // greatest number of accepted connections for the exchange; default 16
-	RotateInterval time.Duration // between replacements of one dialled connection; default 60 s
+	RotateInterval time.Duration // time between replacements of the oldest dialled connection; default 60 s
 	SuspectAfter   time.Duration // time that a suspected VM has to refute the suspicion; default 3 s
-	ListInterval   time.Duration // mean time between reads of the platform's list of VMs, if Watching; default 5 s
-	PingInterval   time.Duration // between pings on idle connections; default 2 s
+	ListInterval   time.Duration // mean time between reads of the platform's list of VMs while Watching returns true; default 5 s
+	PingInterval   time.Duration // time between pings on an idle connection; default 2 s
 }
 
 // Defaults of the Options.
 const (
-	defaultInterval       = time.Second     // Options.Interval
-	defaultFanout         = 4               // Options.Fanout
-	defaultMaxInbound     = 16              // Options.MaxInbound
-	defaultRotateInterval = time.Minute     // Options.RotateInterval
-	defaultSuspectAfter   = 3 * time.Second // Options.SuspectAfter
-	defaultListInterval   = 5 * time.Second // Options.ListInterval
-	defaultPingInterval   = 2 * time.Second // Options.PingInterval
+	defaultInterval       = time.Second     // default of Options.Interval
+	defaultFanout         = 4               // default of Options.Fanout
+	defaultMaxInbound     = 16              // default of Options.MaxInbound
+	defaultRotateInterval = time.Minute     // default of Options.RotateInterval
+	defaultSuspectAfter   = 3 * time.Second // default of Options.SuspectAfter
+	defaultListInterval   = 5 * time.Second // default of Options.ListInterval
+	defaultPingInterval   = 2 * time.Second // default of Options.PingInterval
 
 	// nonWatcherListFactor multiplies Options.ListInterval on the VMs that don't watch
 	// the platform.
@@ -298,7 +298,8 @@
 
 // SetPlace announces to the other VMs which place this VM holds. Places are numbered
 // from 0; they decide which VMs own the connections to which targets. A negative number
-// means that this VM holds none. Member.Place counts from 1 instead, and 0 means none.
+// means that this VM holds none. facts.Member.Place counts from 1 instead; there, 0 means
+// none.
 func (x *Exchange) SetPlace(place int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -325,7 +326,7 @@
 func (x *Exchange) invalidateCaches() { x.liveCache, x.placeCache = nil, nil }
 
 // Ended reports whether an incarnation of the named VM counts as ended: the VM is lost, or
-// the known statement about it is of another incarnation.
+// the known statement about the VM is about another incarnation.
 func (x *Exchange) Ended(vm, incarnation string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -13,8 +13,8 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/facts"
 )
 
-// fleetWithLost returns a platform's list of n VMs, and the statements about them. The
-// first lost of them are in state Lost.
+// fleetWithLost returns a platform's list of n VMs, and the statements about them. By
+// these statements the first lostCount VMs are lost.
 func fleetWithLost(n, lostCount int) (listed []objstore.VM, members []facts.Member) {
 	for i := range n {
 		m := facts.Member{Name: fmt.Sprint("vm-", i)}
@@ -52,8 +52,8 @@
 
 // TestPartitionAndMerge: the network between two regions fails. Each side gets a
 // drain, and one side a new revision; the other keeps the old one. After the network
-// is back, both sides must get all of it without an operator, although each VM counts
-// the VMs of the other side as lost.
+// is back, all VMs must get both drains and the new revision without an operator,
+// although each VM counts the VMs of the other side as lost.
 func TestPartitionAndMerge(t *testing.T) {
 	f := newFleet(t, 8)
 	f.waitConnected()
@@ -87,7 +87,7 @@
 	f.waitForAll(func(vm *testVM) bool { return len(vm.Live()) == len(left) })
 	left[0].heads.set(2)
 	f.waitForAll(hasRevision(2), left...)
-	const expiryDelay = time.Hour // than lost VMs are kept in the table
+	const expiryDelay = time.Hour // longer than lost VMs are kept in the table
 	for _, vm := range f.vms {
 		vm.mu.Lock()
 		f.g.Expect(vm.table.Expire(time.Now().Add(expiryDelay).Unix())).To(BeTrue())
@@ -178,9 +178,9 @@
 }
 
 // TestConnectedVMStillDialsSeed: VMs start together while the platform is down. Two
-// connect to each other before the seed of one of them listens. That one must keep
-// dialling the seed. Otherwise the two would stay isolated, and their users would get
-// no answers until the platform is back, although another VM has the bundle.
+// connect to each other before the seed of one of them listens. The VM with that seed
+// must keep dialling it. Otherwise the two would stay isolated, and their users would
+// get no answers until the platform is back, although the seed has the bundle.
 func TestConnectedVMStillDialsSeed(t *testing.T) {
 	f := newFleet(t, 0)
 	f.list.down = true
@@ -195,8 +195,8 @@
 }
 
 // TestKilledVMIsNotLive: a VM is killed without a goodbye, and the platform's list
-// still has it. The others must drop it from the live VMs within seconds, or queries
-// would still be sent to it.
+// still has it. The others must no longer count it as live after a few seconds, or
+// queries would still be sent to it.
 func TestKilledVMIsNotLive(t *testing.T) {
 	f := newFleet(t, 6)
 	f.waitConnected()
@@ -205,7 +205,7 @@
 	f.waitForAll(func(vm *testVM) bool { return !slices.Contains(names(vm.Live()), "vm-005") }, f.vms[:5]...)
 }
 
-// crash stops a VM without a goodbye.
+// crash stops a VM without a goodbye to its peers, like the end of its process.
 func (vm *testVM) crash() {
 	vm.mu.Lock()
 	vm.tomb.Kill(nil)
@@ -267,8 +267,8 @@
 }
 
 // TestSuccessorWithClockBehindIsKnown: a VM is replaced by one of the same name whose
-// clock is behind. Its first statement is older than the last of its predecessor, so the
-// others would ignore it permanently. It must detect this and state a later start.
+// clock is behind. By its first statement the successor started before its predecessor,
+// so the others would ignore it permanently. It must detect this and state a later start.
 func TestSuccessorWithClockBehindIsKnown(t *testing.T) {
 	f := newFleet(t, 4)
 	f.waitConnected()
@@ -323,8 +323,9 @@
 	g.Expect(isWatcher(vms, "stranger")).To(BeFalse())
 }
 
-// TestLostVMDialRate: after a partition each half dials the other, but a VM that has
-// stopped and is still listed must not be dialled by 949 others at once.
+// TestLostVMDialRate: after a partition each half must dial the lost VMs of the other. If
+// all did so at the same time, a VM that has stopped and is still listed would be dialled
+// by 949 others at each interval.
 func TestLostVMDialRate(t *testing.T) {
 	g := NewWithT(t)
 	listed, members := fleetWithLost(950, 1)
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -15,8 +15,10 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
+// testTimeout bounds each wait of a test.
 const testTimeout = 20 * time.Second
 
+// testKey is the fleet key of all VMs of the tests.
 var testKey = bytes.Repeat([]byte("k"), 32)
 
 // fakeHeads implements Heads. The head of a revision, its bundle and the bundle's digest
@@ -33,6 +35,8 @@
 	return h.changed
 }
 
+// encodeRevision returns the head of a revision. The bundle and its digest are the same
+// bytes; see fakeHeads.
 func encodeRevision(revision uint64) []byte { return binary.BigEndian.AppendUint64(nil, revision) }
 
 func (h *fakeHeads) Revision() uint64 {
@@ -43,11 +47,16 @@
 
 func (h *fakeHeads) Head() []byte { return encodeRevision(h.Revision()) }
 
+// RawBundle returns the bundle of the current revision if digest is its digest. Both are
+// the same bytes as the head.
 func (h *fakeHeads) RawBundle(digest string) ([]byte, bool) {
 	own := string(h.Head())
 	return []byte(own), own == digest
 }
 
+// OfferHead puts the revision of raw, the head of a peer, in force if it is higher. It
+// first fetches the revision's bundle from that peer and checks that the peer sent the
+// right one: a head, its bundle and the bundle's digest are the same bytes.
 func (h *fakeHeads) OfferHead(ctx context.Context, raw []byte, fetch func(context.Context, string) ([]byte, error)) error {
 	got, err := fetch(ctx, string(raw))
 	if err != nil || !bytes.Equal(got, raw) {
@@ -57,6 +66,7 @@
 	return nil
 }
 
+// set raises the revision to the given one. A revision that isn't higher has no effect.
 func (h *fakeHeads) set(revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,6 +86,7 @@
 	down bool
 }
 
+// VMs returns a copy of the platform's list of VMs, or an error while down is set.
 func (f *fakeList) VMs(context.Context) ([]objstore.VM, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,12 +96,14 @@
 	return append([]objstore.VM(nil), f.vms...), nil
 }
 
+// setDown sets whether reading the list fails.
 func (f *fakeList) setDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.down = down
 }
 
+// add adds a VM to the platform's list.
 func (f *fakeList) add(vm objstore.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,14 +196,15 @@
 	return ln.Addr().String()
 }
 
+// stop stops the VM with a goodbye to its peers.
 func (vm *testVM) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_ = vm.Stop(ctx)
 }
 
-// waitForAll waits until check holds on all of vms, or on the whole fleet if none are
-// given.
+// waitForAll waits until check returns true for each of vms, or for each VM of the fleet
+// if none are given. It fails the test after testTimeout.
 func (f *testFleet) waitForAll(check func(*testVM) bool, vms ...*testVM) {
 	f.t.Helper()
 	if len(vms) == 0 {
@@ -213,6 +227,7 @@
 	f.waitForAll(func(vm *testVM) bool { return vm.Peers() > 0 && len(vm.Live()) == n })
 }
 
+// hasRevision returns a check for waitForAll that the revision r is in force on a VM.
 func hasRevision(r uint64) func(*testVM) bool {
 	return func(vm *testVM) bool { return vm.heads.Revision() == r }
 }
@@ -220,8 +235,8 @@
 // network opens connections between VMs and lets tests partition the VMs into groups.
 type network struct {
 	mu    sync.Mutex
-	group map[string]int // number of the group by address; 0 for addresses that aren't in it
-	open  map[*cuttableConn]struct{}
+	group map[string]int             // number of each VM's group, by the VM's address; 0 for addresses that aren't in the map
+	open  map[*cuttableConn]struct{} // connections that split has to close if their ends are separated
 
 	onConnect func() // called when a dial has opened its connection; may be nil
 }
@@ -232,11 +247,13 @@
 	from, to string // addresses of the VMs at its ends
 }
 
+// newNetwork returns a network in which all VMs can reach each other.
 func newNetwork() *network {
 	return &network{group: map[string]int{}, open: map[*cuttableConn]struct{}{}}
 }
 
-// dialer returns a dial function for the VM at the address *from.
+// dialer returns a dial function for the VM at the address *from, a pointer because the
+// address is set later. A dial to a VM of another group fails when its context ends.
 func (n *network) dialer(from *string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, to string) (net.Conn, error) {
 		n.mu.Lock()
@@ -270,7 +287,8 @@
 	return c, nil
 }
 
-// split puts VMs into groups and cuts all connections between groups.
+// split puts VMs into groups, given by address, and closes all connections between
+// different groups. A VM whose address isn't in the map is in group 0.
 func (n *network) split(group map[string]int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/peer/heads.go
+++ b/peer/heads.go
@@ -73,9 +73,9 @@
 	return best
 }
 
-// pullFrom fetches the head of a peer, and its bundle if this VM doesn't have it. If
-// this VM's revision doesn't rise by that, pullFrom disregards the revision that the
-// peer announced and waits pullRetryDelay.
+// pullFrom fetches the head of a peer, and the head's bundle if this VM doesn't have it.
+// If this VM's revision is no higher afterwards, pullFrom disregards the revision that
+// the peer announced and waits pullRetryDelay.
 func (x *Exchange) pullFrom(l *link) {
 	ctx, cancel := context.WithTimeout(x.tomb.Context(context.Background()), pullTimeout)
 	defer cancel()
@@ -96,8 +96,8 @@
 	}
 }
 
-// offerHeadOf fetches the head of a peer and offers it to Heads, which gets the bundle
-// from the same peer if it needs it.
+// offerHeadOf fetches the head of a peer and passes it to Heads.OfferHead, which fetches
+// the bundle from the same peer if this VM doesn't have it.
 func (x *Exchange) offerHeadOf(ctx context.Context, l *link) error {
 	var answer headAnswer
 	if err := l.conn.Call(ctx, methodHead, nil, &answer); err != nil {
--- a/peer/health.go
+++ b/peer/health.go
@@ -8,7 +8,7 @@
 
 // SetTargets sets the names of the targets whose health is kept and forwarded: those
 // of the bundle in force that not every VM has connections to. If the health of some
-// of them isn't known, SetTargets starts a comparison with one peer to get it.
+// of them isn't known, SetTargets starts a comparison of facts with one peer to get it.
 func (x *Exchange) SetTargets(names []string) {
 	x.mu.Lock()
 	unknown := x.table.SetTargets(names)
@@ -30,10 +30,10 @@
 }
 
 // PublishHealth publishes the statement next about the health of a target in place of
-// the statement whose stamp is base. base is the zero Stamp if there was no statement.
-// PublishHealth does nothing if the current statement has another stamp, or if this VM
-// is leaving or was replaced by a later process of its name. It reports whether next was
-// published.
+// the statement whose stamp is base. A stamp orders the statements about one target; base
+// is the zero Stamp if there was no statement. PublishHealth does nothing if the current
+// statement has another stamp, or if this VM is leaving or was replaced by a later process
+// of its name. It reports whether next was published.
 func (x *Exchange) PublishHealth(next facts.Health, base facts.Stamp) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/peer/health_test.go
+++ b/peer/health_test.go
@@ -17,19 +17,22 @@
 	return list
 }
 
-// setTargets sets the first n of targetNames on all VMs.
+// setTargets makes all VMs keep the health of the n targets of targetNames(n).
 func (f *testFleet) setTargets(n int) {
 	for _, vm := range f.vms {
 		vm.SetTargets(targetNames(n))
 	}
 }
 
-// publishHealth publishes a statement about a new incarnation of a target.
+// publishHealth publishes a statement about a new incarnation of a target. The epoch is
+// the number of the incarnation.
 func (vm *testVM) publishHealth(target string, epoch uint64) {
 	base, _ := vm.Health(target)
 	vm.PublishHealth(facts.Health{Target: target, Stamp: facts.Stamp{Epoch: epoch, Incarnation: fmt.Sprint("i", epoch)}}, base.Stamp)
 }
 
+// hasEpoch returns a check for waitForAll that a VM's statement about a target is about
+// the incarnation that publishHealth published with this epoch.
 func hasEpoch(target string, epoch uint64) func(*testVM) bool {
 	return func(vm *testVM) bool {
 		h, _ := vm.Health(target)
@@ -56,8 +59,8 @@
 
 // TestOutdatedHealthIsNotPublished: an owner reads a target, is frozen, and receives a
 // statement about a newer incarnation before it publishes what it read. Its own
-// statement replaces the earlier one, which is no longer current, and must not be
-// published.
+// statement is based on one that has been replaced since. If it were published, VMs would
+// call the target by the status of an ended incarnation.
 func TestOutdatedHealthIsNotPublished(t *testing.T) {
 	f := newFleet(t, 2)
 	f.waitConnected()
--- a/peer/link.go
+++ b/peer/link.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// addLink registers a connection and starts its sender. The caller must hold mu and
-// have seen the tomb alive.
+// addLink registers a connection for the exchange and starts runLink for it. The caller
+// must hold mu and have checked, while holding it, that the exchange isn't stopping.
 func (x *Exchange) addLink(conn *wire.Conn) *link {
 	l := &link{
 		conn:         conn,
@@ -113,8 +113,8 @@
 	return l
 }
 
-// dropLink closes a link on purpose, with a goodbye to the peer. The caller must
-// hold mu.
+// dropLink closes a link on purpose, with a goodbye to the peer, so that neither VM
+// suspects the other. The caller must hold mu.
 func (x *Exchange) dropLink(l *link) {
 	delete(x.links, l)
 	l.goodbye = true
@@ -133,7 +133,8 @@
 	}
 }
 
-// signalLater wakes the sender after healthBatchDelay. The caller must hold mu.
+// signalLater wakes the sender of the link after healthBatchDelay. The caller must hold
+// Exchange.mu.
 func (l *link) signalLater() {
 	if !l.wakeScheduled {
 		l.wakeScheduled = true
@@ -255,11 +256,11 @@
 // dialTimeout bounds the dial of one peer.
 const dialTimeout = 2 * time.Second
 
-// handleDialed handles the end of a dial. It suspects the named VM if the dial failed or
-// another VM answered. It registers a new connection and compares digests with the VM
-// that answered. It closes the connection instead if that isn't needed: the exchange has
-// stopped, the peer is this VM itself or is already linked, or this VM has dialled more
-// than Fanout others.
+// handleDialed handles the end of a dial, whose result is conn and err. It suspects the
+// named VM if the dial failed or another VM answered. It registers the new connection and
+// compares digests with the VM that answered. It closes the connection instead if the
+// connection isn't needed: the exchange has stopped, the peer is this VM itself or is
+// already linked, or this VM has dialled more than Fanout others.
 func (x *Exchange) handleDialed(name, address string, conn *wire.Conn, err error) {
 	x.mu.Lock()
 	delete(x.dialing, address)
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -14,17 +14,17 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
-// The methods of the exchange. All except tell and goodbye have an answer.
+// The methods of the exchange between VMs.
 const (
-	methodTell    = "exchange.tell"    // tellMessage: new facts
-	methodSync    = "exchange.sync"    // syncRequest -> syncAnswer: compares digests of two tables of facts
-	methodDiff    = "exchange.diff"    // diffRequest -> diffAnswer: exchanges the facts that differ in some buckets
-	methodHead    = "exchange.head"    // no parameters -> headAnswer: the signed head in force
-	methodBundle  = "exchange.bundle"  // bundleRequest -> bundleAnswer: a bundle by its digest
-	methodGoodbye = "exchange.goodbye" // no parameters: the sender closes this connection on purpose
+	methodTell    = "exchange.tell"    // notification: a tellMessage with new facts
+	methodSync    = "exchange.sync"    // call: compares digests of two tables of facts; syncRequest -> syncAnswer
+	methodDiff    = "exchange.diff"    // call: exchanges the facts that differ in some buckets; diffRequest -> diffAnswer
+	methodHead    = "exchange.head"    // call: gets the signed head in force; no parameters -> headAnswer
+	methodBundle  = "exchange.bundle"  // call: gets a bundle by its digest; bundleRequest -> bundleAnswer
+	methodGoodbye = "exchange.goodbye" // notification without parameters: the sender closes this connection on purpose
 )
 
-// tellMessage carries new facts to a peer, and this VM's revision if that is to be
+// tellMessage carries new facts to a peer, and the sender's revision if that is to be
 // announced.
 type tellMessage struct {
 	Revision    uint64 `json:"r,omitempty"` // of the sender's bundle in force; 0 if it isn't announced
@@ -50,7 +50,8 @@
 	Targets  []byte `json:"t,omitempty"` // the buckets of the health of targets
 }
 
-// diffRequest asks for the facts that differ in some buckets of the tables of facts.
+// diffRequest asks for the facts that differ in some buckets of the tables of facts. A
+// hash of a fact's key selects the fact's bucket.
 type diffRequest struct {
 	Buckets []int         `json:"b"` // indexes of the buckets whose digests differ
 	Entries []facts.Entry `json:"e"` // keys and hashes of all facts that the sender has in them
@@ -65,7 +66,7 @@
 
 // headAnswer carries the signed head in force of the answering VM.
 type headAnswer struct {
-	Head []byte `json:"h"` // empty if it has none
+	Head []byte `json:"h"` // empty if the VM has no head
 }
 
 // bundleRequest requests the bundle with a digest.
@@ -117,7 +118,8 @@
 	return f(&m)
 }
 
-// handleTell merges and forwards the facts that a peer sent, and records its revision.
+// handleTell merges and forwards the facts that a peer sent, and records the revision that
+// the peer announced.
 func (x *Exchange) handleTell(conn *wire.Conn, m *tellMessage) error {
 	list, err := m.decode(maxFactsPerMessage)
 	if err != nil {
@@ -160,8 +162,8 @@
 	conn.Close()
 }
 
-// handleSync answers a peer's syncRequest with the digests that differ, and records its
-// revision.
+// handleSync answers a peer's syncRequest with the digests of the sections of facts that
+// differ, and records the peer's revision.
 func (x *Exchange) handleSync(conn *wire.Conn, m *syncRequest) syncAnswer {
 	answer := syncAnswer{Revision: x.opts.Heads.Revision()}
 	x.mu.Lock()
@@ -189,8 +191,8 @@
 }
 
 // sync compares digests with a peer and exchanges the facts that differ. If that fails,
-// it closes the connection, since it may no longer carry any data, unless the peer
-// answered that it is busy.
+// sync closes the connection, which may no longer carry any data. It keeps the connection
+// if the peer answered that it is busy.
 func (x *Exchange) sync(l *link) {
 	if err := x.trySync(l); err != nil {
 		x.opts.Log.Debug("comparison of facts with a peer failed", "peer", l.name, "error", err)
--- a/peer/spread_bench_test.go
+++ b/peer/spread_bench_test.go
@@ -18,8 +18,9 @@
 	}
 }
 
-// benchmarkSpread is BenchmarkSpread for n VMs. It reports the mean times, the bytes that a
-// VM sends per round, and the connections per VM.
+// benchmarkSpread is BenchmarkSpread for n VMs. In each round a drain and then a revision
+// reach all VMs. It reports the mean time of each, the bytes that a VM sends per round,
+// and the connections per VM.
 func benchmarkSpread(b *testing.B, n int) {
 	const limit = 2 * time.Minute
 	f := &testFleet{g: NewWithT(b), t: b, list: &fakeList{}, net: newNetwork()}
@@ -36,7 +37,7 @@
 		for _, vm := range f.vms {
 			for !check(vm) {
 				if time.Since(begin) > limit {
-					b.Fatalf("%s has not received it", vm.opts.VM.Name)
+					b.Fatalf("%s has not reached the awaited state in time", vm.opts.VM.Name)
 				}
 				time.Sleep(time.Millisecond)
 			}
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -9,8 +9,8 @@
 )
 
 // pausedAfterTicks is the number of intervals (Options.Interval) since the last tick
-// after which the process counts as having been frozen. All its connections then look
-// silent although the peers are alive.
+// after which the process counts as having been frozen. After a freeze all its connections
+// look silent although the peers are alive.
 const pausedAfterTicks = 5
 
 // tick does the periodic work: it expires suspects and lost VMs, maintains the
@@ -68,11 +68,11 @@
 	}
 }
 
-// knownVMs returns the platform's list of VMs, or, on a VM that never read the list
-// because it started while the platform was down, the VMs known from peers. Without the
-// latter, two halves of a partitioned fleet whose VMs all started in that time would
-// know each other only as lost, and neither would dial the other. The caller must hold
-// mu.
+// knownVMs returns the platform's list of VMs. On a VM that never read the list, because
+// it started while the platform was down, it returns the VMs known from peers. If it
+// returned none there, two halves of a partitioned fleet whose VMs all started in that
+// time would know each other only as lost, and neither would dial the other. The caller
+// must hold mu.
 func (x *Exchange) knownVMs() []objstore.VM {
 	if x.listedVMs != nil {
 		return x.listedVMs
@@ -87,7 +87,7 @@
 }
 
 // dialSeed dials a random one of Options.Seeds that this VM isn't connected to. It is also
-// called if the VM has connections but knows no further VMs: VMs that start together
+// called if this VM has connections but knows no further VMs: VMs that start together
 // while the platform is down may connect to each other first. If they then didn't dial
 // the seeds, they would stay isolated without a bundle. The caller must hold mu.
 func (x *Exchange) dialSeed() {
@@ -124,8 +124,8 @@
 	return list
 }
 
-// rotate closes the oldest dialled connection if there is another VM to connect
-// to; the next tick dials one. The caller must hold mu.
+// rotate closes the oldest dialled connection if candidates, the live VMs without a link,
+// isn't empty; the next tick dials one of them. The caller must hold mu.
 func (x *Exchange) rotate(candidates []objstore.VM) {
 	if len(candidates) == 0 {
 		return
@@ -166,9 +166,9 @@
 	return vms[:min(n, len(vms))]
 }
 
-// lostDialsPerSecond is how often all VMs of the fleet together dial each VM that the
-// platform lists but that counts as lost: per Options.Interval, which is one second by
-// default.
+// lostDialsPerSecond is the number of dials that all VMs of the fleet together make to
+// each VM that the platform lists but that counts as lost, in one Options.Interval. That
+// is one second by default.
 const lostDialsPerSecond = 2
 
 // pickLost chooses a VM to dial that counts as lost although the platform lists it,
