--- a/peer/health/check_calls.go
+++ b/peer/health/check_calls.go
@@ -21,20 +21,23 @@
 // it by an outdated statement until its next read.
 func (r *Relay) CheckCalls(leaves Leaves) Leaves { return checkedLeaves{leaves, r} }
 
-// checkedLeaves is the result of Relay.CheckCalls.
+// checkedLeaves is the result of Relay.CheckCalls: it makes calls through Leaves and passes
+// their errors to Relay.checkCall.
 type checkedLeaves struct {
 	Leaves
 	relay *Relay
 }
 
-// Search makes the search and checks its error against the known health of the target.
+// Search searches a leaf and checks the error of the call against the known health of the
+// target.
 func (c checkedLeaves) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (target.LeafAnswer, error) {
 	answer, err := c.Leaves.Search(ctx, name, leaf, req)
 	c.relay.checkCall(name, err)
 	return answer, err
 }
 
-// Submit sends the request and checks its error against the known health of the target.
+// Submit sends a non-idempotent request to a leaf and checks the error of the call against
+// the known health of the target.
 func (c checkedLeaves) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error) {
 	answer, err := c.Leaves.Submit(ctx, name, leaf, req)
 	c.relay.checkCall(name, err)
--- a/peer/health/content.go
+++ b/peer/health/content.go
@@ -9,7 +9,7 @@
 )
 
 // maxLeafNumber is the greatest number of a leaf that a statement can describe. The
-// numbers are indexes of Health.Leaves, so a high one would make a long list.
+// numbers are indexes of facts.Health.Leaves, so a high number would make a long list.
 const maxLeafNumber = 1024
 
 // maxContentBytes bounds the size in bytes of an encoded statement that encode returns. The
@@ -127,7 +127,8 @@
 }
 
 // expandRun returns the holdings that a run of neighbouring shards stands for, one for
-// each shard. It is the inverse of holdingRuns.
+// each shard. maps holds the partition maps of the statement, to which the run refers by
+// index. holdingRuns makes such runs.
 func expandRun(maps []facts.Map, run facts.Holding) []target.Holding {
 	m := maps[run[facts.HoldingMap]]
 	var list []target.Holding
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -89,7 +89,7 @@
 
 	mu               sync.Mutex             // guards the fields below; held during calls of the Sink, the Exchange and the Monitor, which never call back
 	reporter         *reporter              // decides what this VM, as an owner, publishes
-	timings          map[string]timing      // by target of the bundle in force
+	timings          map[string]timing      // by target of the bundle in force: when it is read and when a failed read is published
 	rereadInterval   time.Duration          // at which this VM reads a target through one of its owners while there is a statement about it; see adjustReadInterval
 	readBase         map[string]facts.Stamp // by target: stamp of the known statement when the current or last read began
 	appliedStamps    map[string]facts.Stamp // by target: stamp of the statement that the Sink last received, or that was known when the Sink received a read
@@ -129,15 +129,16 @@
 	// minRereadInterval is the least time between two reads of one target through an
 	// owner by a VM that already has its health from a statement.
 	minRereadInterval = 20 * time.Second
-	// maxRereadsPerSecond bounds how many such reads one VM makes per second, of all
-	// targets together. An answer takes about 450 bytes. With thousands of targets,
-	// unbounded reads would take more bytes than everything else that a VM sends.
+	// maxRereadsPerSecond bounds how many reads through owners one VM makes per second,
+	// of all targets together whose health it already has from statements. An answer takes
+	// about 450 bytes. With thousands of targets, unbounded reads would take more bytes
+	// than everything else that a VM sends.
 	maxRereadsPerSecond = 2
 )
 
-// Apply sets the targets to those of the bundle in force. It makes the Exchange keep
-// statements about those that some VMs call through owners. It must be called before the
-// Monitor gets the targets.
+// Apply sets the targets to those of b, the bundle in force. It makes the Exchange keep
+// statements about the targets that some VMs call through owners. It must be called
+// before the Monitor gets the targets of b.
 func (r *Relay) Apply(b *bundle.Bundle) {
 	known := map[string]timing{}
 	var shared []string // targets that some VMs call through owners
@@ -336,8 +337,8 @@
 }
 
 // TargetStatus implements target.Sink for the Monitor. It passes a status that the Monitor
-// has read to the Sink. A status that was read through an owner is dropped if a newer
-// statement arrived during the read.
+// has read to the Sink, with the time of the read. A status that was read through an owner
+// is dropped if a newer statement arrived during the read.
 func (r *Relay) TargetStatus(name string, status target.Status, at time.Time) {
 	direct := r.readsDirectly(name)
 	r.mu.Lock()
@@ -357,10 +358,10 @@
 	}
 }
 
-// TargetFailed implements target.Sink for the Monitor. It passes the error of a failed
-// read to the Sink. A failed read through an owner is ignored if a statement describes the
-// target and some live owner can read it: the owner that was used may be frozen, or the
-// network path to it cut.
+// TargetFailed implements target.Sink for the Monitor. It passes the error and the time of
+// a failed read to the Sink. A failed read through an owner is ignored if a statement
+// describes the target and some live owner can read the target: the owner that was used
+// may be frozen, or the network path to that owner cut.
 func (r *Relay) TargetFailed(name string, err error, at time.Time) {
 	if !r.readsDirectly(name) {
 		h, known := r.exchange.Health(name)
@@ -372,8 +373,9 @@
 	r.opts.Sink.TargetFailed(name, err, at)
 }
 
-// TargetState implements target.Sink for the Monitor. It passes on the state that the
-// headers of an answer contain.
+// TargetState implements target.Sink for the Monitor. It passes to the Sink the
+// incarnation and the state of a target that the headers of an answer contain, with the
+// time of the answer.
 func (r *Relay) TargetState(name, incarnation string, state target.State, at time.Time) {
 	r.opts.Sink.TargetState(name, incarnation, state, at)
 }
--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -40,6 +40,7 @@
 func (f *fakes) SetReadInterval(_ string, interval time.Duration) { f.readInterval = interval }
 func (f *fakes) ReadSoon(string)                                  { f.readSoon++ }
 
+// PublishHealth makes next the current statement if the current one has the stamp base.
 func (f *fakes) PublishHealth(next facts.Health, base facts.Stamp) bool {
 	if f.known.Stamp != base {
 		return false
@@ -71,14 +72,14 @@
 func (f *fakes) TargetState(string, string, target.State, time.Time) {}
 func (f *fakes) TargetLost(string)                                   { f.lost++ }
 
-// statement returns a statement that the owners at the places unreadableBy can't read the
-// target. The target serves in the epoch.
+// statement returns a statement of the given epoch that the target serves, and that the
+// owners at the places unreadableBy can't read it.
 func statement(epoch uint64, unreadableBy ...int) facts.Health {
 	return facts.Health{Target: testTarget, Stamp: facts.Stamp{Epoch: epoch, Incarnation: "i"}, UnreadableBy: unreadableBy}
 }
 
-// newRelay returns the relay of a VM that owns no target. The test's target has two
-// live owners.
+// newRelay returns the relay of a VM that owns no connections to the target, and the fakes
+// that it uses. The target has two live owners, at the places 3 and 5.
 func newRelay() (*Relay, *fakes) {
 	f := &fakes{
 		ownership: route.Ownership{Shared: true, Place: -1, LiveOwners: []int{3, 5}},
@@ -103,9 +104,11 @@
 	r.TargetStatus(testTarget, st, time.Now())
 }
 
-// TestPublishedHealthReachesSink: a statement must reach the sink once and make reads
-// rare. An opaque one must make this VM read the target itself, and an owner must
-// ignore statements, since it reads the target itself.
+// TestPublishedHealthReachesSink: a statement that doesn't reach the sink leaves calls with
+// an outdated status, and without longer intervals every VM would read every target. A
+// statement must reach the sink once and set the long interval. An opaque one must make
+// this VM read the target itself. An owner must ignore statements, since it reads the
+// target itself.
 func TestPublishedHealthReachesSink(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
@@ -124,8 +127,8 @@
 }
 
 // TestSlowReadDoesNotReplaceNewerHealth: a VM reads a target through an owner, and the
-// statement of a restart arrives before the answer. The answer is older. If it were
-// applied, the ended incarnation would replace the new one.
+// statement of a restart arrives before the answer. The answer is older than the
+// statement. If it were applied, the ended incarnation would replace the new one.
 func TestSlowReadDoesNotReplaceNewerHealth(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
@@ -163,9 +166,9 @@
 }
 
 // TestTargetLostWithLastReader: one of two owners can't read a target, and the other
-// is lost, so no further statement follows. The target must count as lost without one,
-// and must be available again with a new owner that hasn't stated that it can't read
-// it.
+// owner is lost, so no further statement follows. If VMs waited for one, they would
+// continue to call the target. The target must count as lost without it. It must be
+// available again once a new owner hasn't stated that it can't read the target.
 func TestTargetLostWithLastReader(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
@@ -189,6 +192,7 @@
 	g := NewWithT(t)
 	r, f := newRelay()
 	calls := r.CheckCalls(f)
+	// call makes two calls that fail with e and returns the number of reads that they trigger.
 	call := func(e *target.CallError) int {
 		before := f.readSoon
 		f.err = e
@@ -204,8 +208,9 @@
 	g.Expect(call(&target.CallError{Kind: target.ErrorUnreachable})).To(BeZero())
 }
 
-// TestOwnerPublishesItsReads: an owner must publish a status that it reads, once, and
-// must pass each read to the sink.
+// TestOwnerPublishesItsReads: without the statements of its owners, the other VMs would
+// not have a target's status. An owner must publish a new status that it reads, once, and
+// must pass each read to its own sink.
 func TestOwnerPublishesItsReads(t *testing.T) {
 	g := NewWithT(t)
 	r, f := newRelay()
--- a/peer/health/reporter.go
+++ b/peer/health/reporter.go
@@ -30,24 +30,24 @@
 // others wait, each by its rank. So usually one owner publishes, and if it is frozen,
 // isolated or slow, the next one does so without having to detect that.
 type reporter struct {
-	targets map[string]*targetState // by target
+	targets map[string]*targetState // by the target's name
 }
 
-// targetState is what an owner keeps between two reads of a target.
+// targetState records the results of an owner's earlier reads of one target.
 type targetState struct {
 	failures     int       // consecutive failed reads
-	failingSince time.Time // when failures reached suspectAfter; zero if it hasn't
+	failingSince time.Time // when failures reached timing.suspectAfter; zero if the number is lower
 	differsSince time.Time // since when the reads differ from the known statement; zero if they don't
 }
 
 // timing holds the settings of a service that say when its targets are read and when a
 // failed read is published.
 type timing struct {
-	interval     time.Duration // between reads
+	interval     time.Duration // between two reads of a target by one owner
 	suspectAfter int           // number of consecutive failed reads after which this owner counts as unable to read a target
 }
 
-// propagationTime is a time in which a statement reaches all VMs of the fleet.
+// propagationTime is long enough for a statement to reach all VMs of the fleet.
 const propagationTime = 500 * time.Millisecond
 
 // rankDelay returns how long an owner waits, for each owner that comes before it in the
@@ -192,8 +192,8 @@
 	return n
 }
 
-// due reports whether an owner may publish now what it found at the time since. It has to
-// wait rankDelay for each of the owners before it, whose number is rank.
+// due reports whether an owner may publish now what it first found at the time since. It
+// has to wait rankDelay for each of the owners before it in the order; rank is their number.
 func due(since time.Time, rank int, t timing, now time.Time) bool {
 	return now.Sub(since) >= time.Duration(rank)*t.rankDelay()
 }
--- a/peer/health/reporter_test.go
+++ b/peer/health/reporter_test.go
@@ -12,17 +12,19 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
+// testTarget is the name of the only target of the tests.
 const testTarget = "t"
 
+// testTiming is the timing of testTarget in simulations.
 var testTiming = timing{interval: time.Second, suspectAfter: 2}
 
 // simulation simulates one target, its owners, another VM that owns nothing, and the time.
 type simulation struct {
 	now      time.Time
 	owners   []*owner
-	otherVM  *facts.Table
-	status   target.Status
-	restarts int
+	otherVM  *facts.Table  // the facts that the other VM knows
+	status   target.Status // the target's current status
+	restarts int           // number of incarnations that the target has had
 }
 
 // owner is a simulated owner. Owners rank by the numbers of their places.
@@ -30,9 +32,9 @@
 	reporter   *reporter
 	table      *facts.Table
 	place      int
-	cannotRead bool        // can't read the target
-	isolated   bool        // exchanges no facts with other VMs
-	lost       bool        // counts as lost on all VMs
+	cannotRead bool        // the owner can't read the target
+	isolated   bool        // the owner exchanges no facts with other VMs
+	lost       bool        // the owner counts as lost on all VMs
 	pending    *readResult // a finished read that isn't handled yet, as in a frozen process
 }
 
@@ -79,7 +81,8 @@
 	return order
 }
 
-// beginRead reads the target for an owner; finishRead handles the result.
+// beginRead reads the target for an owner and stores the result in owner.pending.
+// finishRead handles it later, since the owner may be frozen in between.
 func (sim *simulation) beginRead(o *owner) {
 	base, _ := o.table.Health(testTarget)
 	r := &readResult{base: base, began: sim.now}
@@ -101,7 +104,8 @@
 	}
 }
 
-// syncTables makes two tables equal, as a comparison of digests does.
+// syncTables gives two tables the same statement about the target, the one that outranks
+// the other, as a comparison of digests does.
 func syncTables(a, b *facts.Table) {
 	for _, pair := range [][2]*facts.Table{{a, b}, {b, a}} {
 		if h, known := pair[0].Health(testTarget); known {
@@ -136,7 +140,8 @@
 	}
 }
 
-// runUntilSettled runs enough rounds for the owner of the last rank to publish.
+// runUntilSettled runs as many rounds as the last owner in the order may need until it
+// publishes.
 func (sim *simulation) runUntilSettled() {
 	for range 4 * (len(sim.owners) + 1) {
 		sim.round()
@@ -150,7 +155,7 @@
 }
 
 // checkKnown returns an error unless the other VM knows the target's current status
-// and doesn't count the target as lost. Both must be so once all facts are exchanged.
+// and doesn't count the target as lost. Both must hold once all facts are exchanged.
 func (sim *simulation) checkKnown() error {
 	h := sim.known()
 	if !h.SameContent(encode(sim.status)) {
@@ -196,9 +201,9 @@
 
 // TestFrozenOwnerStatementLoses: the first owner reads a target and is frozen. The
 // target restarts, and the other owners publish the new incarnation. Then the first
-// owner continues and publishes its old read. If that won, calls would use the holdings
-// of an ended process. It must lose, whether the first owner receives the others'
-// statements before or after it.
+// owner continues and publishes its old read. If that statement won, calls would use the
+// holdings of an ended process. It must lose, also if the others never read the
+// incarnation that the first owner read.
 func TestFrozenOwnerStatementLoses(t *testing.T) {
 	for _, unseen := range []bool{false, true} { // true: the others didn't see the incarnation that the first owner read
 		g := NewWithT(t)
@@ -332,8 +337,9 @@
 	}
 }
 
-// TestContentRoundTrip: encoding a status as a statement and decoding it must keep it,
-// apart from the loads and the order.
+// TestContentRoundTrip: if a statement lost a part of a target's status, VMs that have the
+// status only from statements would not find some shards. Encoding a status and decoding
+// it must keep everything apart from the loads and the order.
 func TestContentRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		st := target.Status{Target: testTarget, Incarnation: "i", State: target.StateServing}
