--- a/peer/facts/facts.go
+++ b/peer/facts/facts.go
@@ -31,20 +31,20 @@
 // counter, the one with the later of these states replaces the other; see
 // Member.Outranks.
 const (
-	Alive   State = iota
-	Leaving       // stated by the VM itself; the same incarnation doesn't state Alive again
-	Suspect       // another VM could not reach it
-	Lost          // it was suspected and didn't refute the suspicion in time
+	Alive   State = iota // the VM runs and isn't leaving; stated by the VM itself
+	Leaving              // stated by the VM itself; the same incarnation doesn't state Alive again
+	Suspect              // another VM could not reach this one
+	Lost                 // the VM was suspected and didn't refute the suspicion in time
 )
 
-// Member is a statement about one VM. Only the VM itself raises Counter. If another VM
-// can't reach it, that one states the suspicion with the counter that it knows. The
-// suspected VM refutes the suspicion with a higher counter.
+// Member is a statement about one VM. Only the VM itself raises Counter. Another VM that
+// can't reach it states a suspicion, with the Counter of the statement that it knows. The
+// suspected VM refutes the suspicion with a higher Counter.
 type Member struct {
 	Name        string `json:"n"`
 	Incarnation string `json:"i"` // of the VM's process
 	Started     int64  `json:"b"` // start time of the process in Unix nanoseconds; orders incarnations
-	Counter     uint64 `json:"c"` // orders the statements about one incarnation
+	Counter     uint64 `json:"c"` // orders the statements about one incarnation, before State does
 	State       State  `json:"s"`
 	At          int64  `json:"a,omitempty"` // time of the suspicion in Unix seconds, if State is Suspect or Lost
 	Address     string `json:"p"`           // of the protocol between VMs, IP and port
@@ -91,19 +91,22 @@
 // healthKey returns the key of the fact about the health of a target.
 func healthKey(target string) Key { return Key(healthPrefix + target) }
 
-// health returns the target of a Health fact's key and reports whether k is one.
+// health returns the name of the target if k is the key of a Health, and reports whether
+// it is.
 func (k Key) health() (string, bool) {
 	return strings.CutPrefix(string(k), healthPrefix)
 }
 
-// target returns the target of a Drain's key and reports whether k is one.
+// target returns the name of the target if k is the key of a Drain, and reports whether
+// it is.
 func (k Key) target() (string, bool) {
 	rest, ok := strings.CutPrefix(string(k), drainPrefix)
 	target, _, _ := strings.Cut(rest, keySeparator)
 	return target, ok
 }
 
-// member returns the VM's name of a Member's key and reports whether k is one.
+// member returns the name of the VM if k is the key of a Member, and reports whether it
+// is.
 func (k Key) member() (string, bool) {
 	return strings.CutPrefix(string(k), memberPrefix)
 }
--- a/peer/facts/health.go
+++ b/peer/facts/health.go
@@ -22,15 +22,15 @@
 )
 
 // Health is a statement about the health of a target. It is made by the owners of the
-// target, the VMs that have connections to it. There is one statement for each target,
-// and a later one replaces it as a whole.
+// target, the VMs that have connections to it. A table keeps one statement about each
+// target, and a later statement replaces it as a whole.
 type Health struct {
 	Target string `json:"t"`
 	Stamp
 	State HealthState `json:"s,omitempty"`
 	// Opaque is true if the statement doesn't describe what the target's leaves hold:
 	// because the status doesn't fit in a statement or, in epoch 0, because no owner has
-	// read it yet. Each VM then has to read the target itself.
+	// read the status yet. Each VM then has to read the target itself.
 	Opaque bool `json:"o,omitempty"`
 	// UnreadableBy holds the places of the owners that can't read the target. A place is
 	// the number, counted from 0, of a VM among those that own connections to targets.
@@ -70,7 +70,7 @@
 // how many shards the snapshot is divided.
 type Map struct {
 	Snapshot string `json:"n"`
-	Seq      int64  `json:"q"` // a newer snapshot has a higher one
+	Seq      int64  `json:"q"` // sequence number of the snapshot; a newer snapshot has a higher one
 	Shards   int    `json:"s"` // number of shards of the snapshot
 }
 
@@ -79,11 +79,11 @@
 // shard, and then the number of records of each shard.
 type Holding []int64
 
-// The indexes of the numbers in a Holding.
+// The positions of the numbers in a Holding.
 const (
-	HoldingMap        = iota // index of the partition map in Health.Maps
-	HoldingFirstShard        // number of the first shard
-	HoldingRecords           // number of records of the first shard; those of the others follow
+	HoldingMap        = iota // position of the index of the partition map in Health.Maps
+	HoldingFirstShard        // position of the number of the first shard
+	HoldingRecords           // position of the number of records of the first shard; those of the other shards follow
 )
 
 // Outranks reports whether h replaces other, another statement about the same
--- a/peer/facts/health_test.go
+++ b/peer/facts/health_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// testTargets holds the names of the targets whose health newTestTable keeps.
 var testTargets = []string{"t0", "t1", "t2"}
 
 // newTestTable returns a table that keeps the health of testTargets.
@@ -72,14 +73,14 @@
 			t.Fatalf("no order between %v and %v", a, b)
 		}
 		if a.Outranks(b) && b.Outranks(c) && !a.Outranks(c) {
-			t.Fatalf("%v over %v over %v, but not over it", a, b, c)
+			t.Fatalf("%v outranks %v, which outranks %v, but the first doesn't outrank the last", a, b, c)
 		}
 	})
 }
 
 // TestHealthOfTargetsNotInForce: a bundle removes a target, and a VM that still has the
-// earlier bundle continues to publish its health. The forgotten statement must not come
-// back, or tables would grow with every target that ever existed.
+// earlier bundle continues to publish the target's health. The removed statement must not
+// be added again, or tables would grow with every target that ever existed.
 func TestHealthOfTargetsNotInForce(t *testing.T) {
 	g := NewWithT(t)
 	table := newTestTable()
@@ -93,7 +94,8 @@
 }
 
 // TestMalformedHealthIsRefused: a peer sends statements that lack an incarnation, contradict
-// themselves or are too large. They must not be merged.
+// themselves or are too large. They must not be merged: this VM would forward them, and
+// it would panic when it decodes holdings whose partition map is absent.
 func TestMalformedHealthIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	table := newTestTable()
--- a/peer/facts/table.go
+++ b/peer/facts/table.go
@@ -17,8 +17,8 @@
 // The sections. The health of targets is kept only for targets of the bundle in force,
 // so two VMs can compare it only while they have the same bundle.
 const (
-	General      Section = iota // VMs and drains
-	Targets                     // health of targets
+	General      Section = iota // the facts about VMs and drains
+	Targets                     // the facts about the health of targets
 	sectionCount                // number of sections
 )
 
@@ -92,8 +92,8 @@
 	return true
 }
 
-// mergeDrain adds a drain, of which it keeps the newest maxDrainsPerTarget of each
-// target. It reports whether that changed the table.
+// mergeDrain adds a drain and reports whether that changed the table. Of each target it
+// keeps only the newest maxDrainsPerTarget drains.
 func (t *Table) mergeDrain(d Drain) bool {
 	list := t.drains[d.Target]
 	index := slices.IndexFunc(list, func(o Drain) bool { return o.Incarnation == d.Incarnation })
@@ -141,7 +141,7 @@
 	return f, t.Merge(f, now)
 }
 
-// removeMember removes a statement about a VM. It must be the one that the table holds.
+// removeMember removes m, which must be the table's statement about a VM.
 func (t *Table) removeMember(m Member) {
 	t.toggle(Fact{Member: &m})
 	delete(t.members, m.Name)
@@ -248,7 +248,8 @@
 	return list
 }
 
-// Entries returns the keys and hashes of the facts in the buckets with the given indexes.
+// Entries returns the keys and hashes of the facts in the buckets with the given indexes
+// in Table.digest.
 func (t *Table) Entries(buckets []int) []Entry {
 	var list []Entry
 	t.eachFact(buckets, func(f Fact, hash uint64) { list = append(list, Entry{f.Key(), hash}) })
@@ -304,8 +305,8 @@
 	return list
 }
 
-// eachFact calls f with each fact in the buckets with the given indexes, and with the
-// hash of the fact. Indexes that don't exist are ignored.
+// eachFact calls f with each fact in the buckets with the given indexes in Table.digest,
+// and with the hash of the fact. Indexes that don't exist are ignored.
 func (t *Table) eachFact(buckets []int, f func(Fact, uint64)) {
 	var wanted [Buckets * int(sectionCount)]bool
 	for _, b := range buckets {
--- a/peer/facts/table_test.go
+++ b/peer/facts/table_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-const now = int64(1_000_000) // Unix seconds
+const now = int64(1_000_000) // the current time in the tests, in Unix seconds
 
 // drawFact draws a fact from so few values that many facts have the same key.
 func drawFact(t *rapid.T) Fact {
@@ -32,7 +32,8 @@
 	}}
 }
 
-// syncTables does one comparison of digests, started by a.
+// syncTables does one comparison of digests between two tables and exchanges the facts
+// that differ. The VM of a starts it.
 func syncTables(a, b *Table) {
 	buckets := append(a.Differing(General, b.Digest(General)), a.Differing(Targets, b.Digest(Targets))...)
 	give, want := b.Compare(buckets, a.Entries(buckets))
@@ -67,7 +68,7 @@
 			}
 		}
 		if fmt.Sprint(a.members, a.drains, a.health) != fmt.Sprint(b.members, b.drains, b.health) {
-			t.Fatal("equal digests of different tables")
+			t.Fatal("the tables differ, but their digests are equal")
 		}
 	})
 }
@@ -150,8 +151,9 @@
 	g.Expect(table.Drains()).To(HaveExactElements(HaveField("Incarnation", "first"), HaveField("Incarnation", "second")))
 }
 
-// TestMalformedFactsAreRefused: a peer sends malformed facts, digests and entries. They must
-// not change the table or cause a panic.
+// TestMalformedFactsAreRefused: a peer of another release, or a faulty one, sends malformed
+// facts, digests and entries. They must not change the table or cause a panic, which would
+// end the process of this VM.
 func TestMalformedFactsAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable()
