--- a/peer/place/place.go
+++ b/peer/place/place.go
@@ -25,12 +25,12 @@
 // and the number of the place with four digits.
 const Kind = "vm-places"
 
-// ErrNoneFree means that no place could be claimed: each is held by a process that isn't
-// known to have ended, or was claimed by another VM during the call.
+// ErrNoneFree means that no place could be claimed: each place is held by a process that
+// isn't known to have ended, or was claimed by another VM during the call.
 var ErrNoneFree = errors.New("place: no place is free")
 
 // Claim is the JSON value of a platform's object of this Kind. It says which process
-// holds the place in the object's name.
+// holds the place whose number is in the object's name.
 type Claim struct {
 	VM          string    `json:"vm"`          // name of the holder's VM
 	Incarnation string    `json:"incarnation"` // of the holder's process
@@ -44,7 +44,7 @@
 	VM          string         // name of this VM
 	Incarnation string         // of this VM's process
 	// Ended reports whether a process, given by its VM and incarnation, is known to have
-	// ended. Its place may then be claimed by another VM.
+	// ended. If so, this VM may claim the place of that process.
 	Ended func(vm, incarnation string) bool
 }
 
@@ -60,9 +60,9 @@
 const claimsPerPage = 1000
 
 // Acquire claims one of the places numbered 0 to placeCount-1 for this process, and
-// returns it. It claims a random place that no process holds, or whose holder is known to
-// have ended. If this process already holds a place, Acquire returns that one. It returns
-// ErrNoneFree if no place could be claimed.
+// returns the place. It claims a random place that no process holds, or whose holder is
+// known to have ended. If this process already holds a place, Acquire returns that one. It
+// returns ErrNoneFree if no place could be claimed.
 func Acquire(ctx context.Context, o Options, placeCount int) (*Held, error) {
 	claims, err := listClaims(ctx, o)
 	if err != nil {
--- a/peer/place/place_test.go
+++ b/peer/place/place_test.go
@@ -15,7 +15,7 @@
 // noneEnded is an Options.Ended that reports no process as ended.
 func noneEnded(string, string) bool { return false }
 
-// options returns the options of a VM's first process.
+// options returns the options of a VM's first process, by which no process has ended.
 func options(store *platformsim.Store, vm string) Options {
 	return Options{Store: store, Deployment: "d", VM: vm, Incarnation: vm + "-1", Ended: noneEnded}
 }
