--- a/peer/share/share_test.go
+++ b/peer/share/share_test.go
@@ -55,16 +55,16 @@
 	g.Expect(owned[places-1]).To(BeNumerically("<", mean*2))
 }
 
-// ownersByList returns the n owners of a target if they are chosen from a list of VMs, which
-// the package doesn't do because such lists lag.
+// ownersByList returns the n owners that a target would have if owners were chosen from a
+// list of VMs. The package doesn't choose them so, because such lists lag.
 func ownersByList(target string, vms []string, n int) []string {
 	return topByWeight(target, vms, func(s string) string { return s }, n)
 }
 
 // rollingPeak simulates a fleet of which every VM is replaced, one after another, by a VM
 // with a new name. Each VM sees the list as it was some replacements ago, at most lag, and
-// chooses the owners from it. rollingPeak returns the largest number of connections to one
-// target at any time.
+// chooses the owners from it. plan gives their number and the connections of each.
+// rollingPeak returns the largest number of connections to one target at any time.
 func rollingPeak(vmCount, targets, lag int, plan Plan) int {
 	names := make([]string, vmCount)
 	for i := range names {
@@ -82,9 +82,10 @@
 	return peak
 }
 
-// countSelfDeclaredOwners counts the VMs that are owners of a target according to the list
-// that they see. names are the current VMs; history holds the lists after each replacement,
-// the current one last.
+// countSelfDeclaredOwners counts the VMs that are among the target's owners according to
+// the list that they see: the list as it was 0 to lag replacements ago, which differs from
+// VM to VM. names are the current VMs; history holds the lists after each replacement, the
+// current one last. owners is the number of owners that a target has.
 func countSelfDeclaredOwners(target string, names []string, history [][]string, lag, owners int) int {
 	count := 0
 	for behind := range lag + 1 {
