--- a/peer/hop/caller.go
+++ b/peer/hop/caller.go
@@ -30,7 +30,8 @@
 	ended   bool                // the connection has ended
 }
 
-// pending is a call that waits for its answer.
+// pending is a call of this VM that waits for the answer of the owner. Caller.mu guards
+// sent.
 type pending struct {
 	call   Call
 	sent   bool        // the call may have reached the owner
@@ -43,7 +44,9 @@
 	c := &Caller{wake: make(chan struct{}, 1), calls: map[uint64]*pending{}}
 	o.Use = ConnUse
 	o.Handler = c.handle
-	o.WaitForCallSlot = true // answers in a refused message would be lost, and their calls would wait until the deadline
+	// If a busy connection refused messages, the answers in them would be lost, and their
+	// calls would wait until the deadline.
+	o.WaitForCallSlot = true
 	conn, err := wire.Dial(ctx, address, o, counters)
 	if err != nil {
 		return nil, err
@@ -79,8 +82,8 @@
 }
 
 // Submit sends a non-idempotent request to one leaf through the owner, once. The
-// error is a *target.CallError. Unless its NotStarted is set, the request may have
-// been executed.
+// error is a *target.CallError. Unless NotStarted is set in the error, the request may
+// have been executed.
 func (c *Caller) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (target.SubmitAnswer, error) {
 	answer, err := c.do(ctx, Call{Target: name, Leaf: leaf, Submit: &req})
 	switch {
@@ -184,8 +187,8 @@
 	return p.sent
 }
 
-// sendLoop sends batches and cancellations until the connection ends. It then
-// fails the pending calls.
+// sendLoop sends queued calls, in batches, and the IDs of cancelled calls until the
+// connection ends. It then fails the pending calls.
 func (c *Caller) sendLoop() {
 	defer c.failPending()
 	for {
@@ -208,9 +211,9 @@
 	}
 }
 
-// takeUnsent returns the queued calls and cancellations. It marks the calls as sent
-// before they are written: a call that is cancelled in between must not be reported
-// as not started.
+// takeUnsent removes and returns the queued calls and the IDs of cancelled calls. It marks
+// the calls as sent before they are written: a call that is cancelled in between must not
+// be reported as not started.
 func (c *Caller) takeUnsent() (calls []Call, cancels []uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -263,8 +266,8 @@
 	return nil, nil
 }
 
-// deliver passes an answer to its call. It drops an answer that is late or
-// repeated, because the call is no longer registered.
+// deliver passes an answer to the pending call with the same ID. It drops the answer if
+// there is none: the call was cancelled or is already answered.
 func (c *Caller) deliver(a Answer) {
 	c.mu.Lock()
 	p := c.calls[a.ID]
--- a/peer/hop/codec.go
+++ b/peer/hop/codec.go
@@ -72,9 +72,10 @@
 	Data []byte `json:"d"` // the JSON of the message
 }
 
+// marshal implements codec.
 func (jsonCodec) marshal(message any) ([]byte, error) { return json.Marshal(message) }
 
-// unmarshal decodes a message that the peer sent in an envelope.
+// unmarshal implements codec. data is an envelope that the peer sent.
 func (jsonCodec) unmarshal(data []byte, message any) error {
 	var e envelope
 	if err := json.Unmarshal(data, &e); err != nil {
@@ -83,10 +84,12 @@
 	return json.Unmarshal(e.Data, message)
 }
 
+// call implements codec. It sends data in an envelope.
 func (jsonCodec) call(ctx context.Context, conn *wire.Conn, method string, data []byte) error {
 	return conn.Call(ctx, method, envelope{Data: data}, nil)
 }
 
+// notify implements codec. It sends data in an envelope.
 func (jsonCodec) notify(conn *wire.Conn, method string, data []byte) error {
 	return conn.Notify(method, envelope{Data: data})
 }
@@ -95,20 +98,23 @@
 // Embedded JSON (an item's fields, a payload, a result) is a CBOR byte string.
 type cborCodec struct{}
 
+// marshal implements codec.
 func (cborCodec) marshal(message any) ([]byte, error) { return cborEncMode.Marshal(message) }
 
+// call implements codec. It sends data as the binary body of a message.
 func (cborCodec) call(ctx context.Context, conn *wire.Conn, method string, data []byte) error {
 	return conn.CallBody(ctx, method, data)
 }
 
+// notify implements codec. It sends data as the binary body of a message.
 func (cborCodec) notify(conn *wire.Conn, method string, data []byte) error {
 	return conn.NotifyBody(method, data)
 }
 
-// unmarshal accepts only what JSON can represent: numbers are finite, keys are
-// unique, and embedded JSON is valid. A number or a byte string that JSON can't
-// represent would otherwise fail only later, when the complete answer to a caller
-// is encoded, and that answer would be lost.
+// unmarshal implements codec. It accepts only what JSON can represent: numbers are
+// finite, keys are unique, and embedded JSON is valid. A number or a byte string that
+// JSON can't represent would otherwise fail only later, when the complete answer to a
+// caller is encoded, and that answer would be lost.
 func (cborCodec) unmarshal(data []byte, message any) error {
 	if err := cborDecMode.Unmarshal(data, message); err != nil {
 		return err
@@ -156,7 +162,8 @@
 	return mode
 }
 
-// checkCalls validates the embedded JSON of calls.
+// checkCalls validates the embedded JSON of calls, the payloads of non-idempotent
+// requests. An empty payload becomes null.
 func checkCalls(calls []Call) error {
 	for i := range calls {
 		if s := calls[i].Submit; s != nil {
@@ -168,7 +175,8 @@
 	return nil
 }
 
-// checkAnswers validates the embedded JSON of answers.
+// checkAnswers validates the embedded JSON of answers: the results of non-idempotent
+// requests, of which an empty one becomes null, and the fields of found items.
 func checkAnswers(answers []Answer) error {
 	for i := range answers {
 		if s := answers[i].Submit; s != nil {
--- a/peer/hop/codec_test.go
+++ b/peer/hop/codec_test.go
@@ -17,6 +17,7 @@
 	"github.com/bramleybarrow/bramleybarrow/wire"
 )
 
+// Generators of the parts of messages and of whole calls and answers, with random values.
 var (
 	anyText = rapid.StringMatching(`[a-zéß語"\\]{0,6}`)
 	anyJSON = rapid.SampledFrom([]json.RawMessage{
@@ -183,15 +184,16 @@
 	}
 }
 
-// TestTooManyArrayElements: elements of 1 byte each would decode into a much larger
-// slice. An array is bounded by maxArrayElements, however large messages may be.
+// TestTooManyArrayElements: a message holds an array of very many elements of 1 byte each.
+// Decoded, they would take many times the memory of the message. An array of more than
+// maxArrayElements must be refused, however large messages may be.
 func TestTooManyArrayElements(t *testing.T) {
 	data := append([]byte{0xa1, 0x61, 'a', 0x9a, 0, 1, 0, 1}, bytes.Repeat([]byte{0xa0}, maxArrayElements+1)...)
 	NewWithT(t).Expect(cborCodec{}.unmarshal(data, &Answers{})).NotTo(Succeed())
 }
 
-// FuzzDecode checks that decoding doesn't panic on any input, and that both codecs
-// preserve every message that it accepts.
+// FuzzDecode guards against input on which decoding CBOR panics, and against decoded
+// messages that a codec doesn't preserve.
 func FuzzDecode(f *testing.F) {
 	for _, text := range invalidMessages {
 		data, _ := hex.DecodeString(text)
--- a/peer/hop/hop.go
+++ b/peer/hop/hop.go
@@ -23,11 +23,11 @@
 // connection between VMs.
 const ConnUse = "calls"
 
-// The methods of the protocol.
+// The methods of the protocol between a calling VM and an owner.
 const (
-	MethodCalls   = "calls.begin"   // carries a Batch; answered once each call is started, queued or refused
-	MethodCancel  = "calls.cancel"  // carries a Cancel; a notification without an answer
-	MethodAnswers = "calls.answers" // carries Answers; a notification without an answer
+	MethodCalls   = "calls.begin"   // call to the owner with a Batch of leaf calls; returns once each of them is started, queued or refused
+	MethodCancel  = "calls.cancel"  // notification to the owner with a Cancel, which lists leaf calls; there is no reply
+	MethodAnswers = "calls.answers" // notification to the calling VM with Answers, the outcomes of leaf calls; there is no reply
 )
 
 // Leaves calls the leaves of targets and reads the status of targets. target.Client
@@ -81,8 +81,8 @@
 	IDs []uint64 `json:"i"` // of calls that were sent on the same connection
 }
 
-// Answer is the outcome of the call with the same ID: either its Failure, or the answer
-// that corresponds to its kind, one of Search, Submit and Status.
+// Answer is the outcome of the Call with the same ID. Exactly one field besides ID is set:
+// Failure, or the one of Search, Submit and Status that is also set in the Call.
 type Answer struct {
 	ID      uint64               `json:"id"`
 	Search  *target.LeafAnswer   `json:"s,omitempty"`
@@ -108,8 +108,9 @@
 // MaxBatchCalls bounds the number of calls in one Batch.
 const MaxBatchCalls = 1024
 
-// failureOf encodes err. An error that isn't a *target.CallError becomes
-// target.ErrorBroken without NotStarted, because the target may have started the call.
+// failureOf returns err, the error of a leaf call, as a Failure. An error that isn't a
+// *target.CallError becomes target.ErrorBroken without NotStarted, because the target may
+// have started the call.
 func failureOf(err error) *Failure {
 	var call *target.CallError
 	if !errors.As(err, &call) {
@@ -124,7 +125,7 @@
 	}
 }
 
-// callError decodes f as a *target.CallError of the named target.
+// callError returns f as a *target.CallError about the named target.
 func (f *Failure) callError(name string) error {
 	return &target.CallError{
 		Kind:        f.Kind,
--- a/peer/hop/hop_test.go
+++ b/peer/hop/hop_test.go
@@ -70,8 +70,8 @@
 	counters *wire.Counters
 }
 
-// newPair returns a pair whose owner accepts at most maxCalls calls of other VMs at once, or
-// the default number if maxCalls is 0.
+// newPair returns a connected caller and owner. The owner accepts at most maxCalls calls of
+// other VMs at once, or the default number if maxCalls is 0.
 func newPair(t *testing.T, maxCalls int) *testPair {
 	return newMixedPair(t, maxCalls, wire.Version, wire.Version)
 }
@@ -103,15 +103,19 @@
 	return p
 }
 
+// request returns a search of a shard. All searches have the same request id, attempt and
+// snapshot, and no deadline yet.
 func request(shard int) target.LeafRequest {
 	return target.LeafRequest{Echo: target.Echo{Request: "r", Attempt: 1, Shard: shard, Snapshot: "s"}}
 }
 
+// search searches a leaf of the named target through the owner and returns the error.
 func (p *testPair) search(ctx context.Context, name string, leaf int) error {
 	_, err := p.caller.Search(ctx, name, leaf, request(leaf))
 	return err
 }
 
+// callError returns err as a *target.CallError, or nil if it isn't one.
 func callError(err error) *target.CallError {
 	var call *target.CallError
 	errors.As(err, &call)
@@ -119,8 +123,8 @@
 }
 
 // TestFanOutIsBatched: a query calls many leaves through one owner. Each call must get
-// its own answer, and the calls must be sent in far fewer messages than there are
-// calls.
+// its own answer and not that of another call of the same message, and the calls must be
+// sent in far fewer messages than there are calls.
 func TestFanOutIsBatched(t *testing.T) {
 	p := newPair(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
@@ -246,8 +250,9 @@
 	p.Expect(<-result).To(Succeed())
 }
 
-// TestMismatchedAnswerClosesConnection: an owner returns the answer of another attempt.
-// The caller must drop it and close the connection.
+// TestMismatchedAnswerClosesConnection: an owner returns the answer of another attempt,
+// which would be taken for the answer to this one. The caller must drop the answer and
+// close the connection, since other answers on it can't be trusted either.
 func TestMismatchedAnswerClosesConnection(t *testing.T) {
 	p := newPair(t, 0)
 	p.leaves.mismatch.Store(true)
@@ -329,8 +334,9 @@
 	}
 }
 
-// TestVMsTakeTurns: one VM sends many calls at the same time. The single call of
-// another VM must not wait for all of them.
+// TestVMsTakeTurns: one VM sends many calls to a leaf at the same time. If a slot went to
+// the oldest call of all VMs, the single call of another VM would wait for all of them.
+// That call must get the second slot that is freed.
 func TestVMsTakeTurns(t *testing.T) {
 	g := NewWithT(t)
 	q := newSlotQueue(1)
@@ -346,7 +352,8 @@
 }
 
 // TestLateCallIsRefusedImmediately: a call that can't be served in time must be refused
-// on arrival, with the time to wait before a retry, and not when its deadline has passed.
+// on arrival, with the time to wait before a retry. If it were queued until its deadline
+// has passed, it would also make other calls late.
 func TestLateCallIsRefusedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	q := newSlotQueue(1)
--- a/peer/hop/owner.go
+++ b/peer/hop/owner.go
@@ -33,12 +33,12 @@
 // to. It is safe for concurrent use.
 type Owner struct {
 	opts     OwnerOptions
-	statuses statusCache // the statuses of targets that were read a short time ago
+	statuses statusCache // the statuses of targets that were read less than maxStatusAge ago
 
 	mu       sync.Mutex              // guards the fields below; locked before a session's mu
 	queues   map[leafKey]*slotQueue  // the slots of each leaf and the calls that wait for them
 	calls    int                     // number of calls of other VMs, waiting or in flight
-	sessions map[*wire.Conn]*session // of the connections of other VMs that call through this one
+	sessions map[*wire.Conn]*session // by connection of another VM that calls through this one
 	draining bool                    // Drain was called
 }
 
@@ -54,7 +54,7 @@
 	conn    *wire.Conn
 	ctx     context.Context   // ends with the connection
 	wake    chan struct{}     // signals sendLoop; buffers one signal
-	cancels map[uint64]func() // cancel functions of waiting and running calls other than status reads, by ID; guarded by Owner.mu
+	cancels map[uint64]func() // by ID of a waiting or running call that isn't a status read: cancels the call; guarded by Owner.mu
 
 	mu      sync.Mutex // guards the fields below
 	answers []Answer   // answers that sendLoop has not taken yet
@@ -267,8 +267,8 @@
 	return nil
 }
 
-// removeCall removes a call from its session, if it is still there. The caller must
-// hold mu.
+// removeCall removes the call with this ID from its session and from the count of calls.
+// It does nothing if the call has already been removed. The caller must hold mu.
 func (o *Owner) removeCall(s *session, id uint64) {
 	if _, known := s.cancels[id]; known {
 		delete(s.cancels, id)
@@ -277,7 +277,7 @@
 }
 
 // runCall makes a call that holds a slot of its leaf, queues the answer for the calling
-// VM and releases the slot.
+// VM and releases the slot. q is the queue of the leaf.
 func (o *Owner) runCall(ctx context.Context, s *session, q *slotQueue, call *Call) {
 	start := time.Now()
 	answer := o.callLeaf(ctx, call)
--- a/peer/hop/queue.go
+++ b/peer/hop/queue.go
@@ -4,7 +4,7 @@
 
 // waiter is a call that waits for a slot of a leaf.
 type waiter struct {
-	peer     string    // name of the VM that sent the call, or localPeer
+	peer     string    // name of the VM that sent the call, or localPeer for this VM's own calls
 	deadline time.Time // when the call's time limit ends
 	run      func()    // starts the call once it holds a slot
 	expire   func()    // fails the call if the deadline passed while it waited
--- a/peer/hop/queue_test.go
+++ b/peer/hop/queue_test.go
@@ -16,6 +16,7 @@
 	const limit = 200 * time.Millisecond
 	now := time.Unix(1_000, 0)
 	q := newSlotQueue(2)
+	// call makes one call that takes the given time, and reports whether it ran at once.
 	call := func(took time.Duration) bool {
 		run, ok, _ := q.offer(&waiter{deadline: now.Add(limit)}, now)
 		if ok {
--- a/peer/hop/queued_leaves.go
+++ b/peer/hop/queued_leaves.go
@@ -21,7 +21,7 @@
 // it have their names.
 const localPeer = ""
 
-// Search implements Leaves.
+// Search implements Leaves. It searches the leaf once the call holds a slot of the leaf.
 func (l queuedLeaves) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (a target.LeafAnswer, err error) {
 	err = l.owner.withSlot(ctx, name, leaf, func() error {
 		a, err = l.owner.opts.Leaves.Search(ctx, name, leaf, req)
@@ -30,7 +30,7 @@
 	return a, err
 }
 
-// Submit implements Leaves.
+// Submit implements Leaves. It sends the request once the call holds a slot of the leaf.
 func (l queuedLeaves) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (a target.SubmitAnswer, err error) {
 	err = l.owner.withSlot(ctx, name, leaf, func() error {
 		a, err = l.owner.opts.Leaves.Submit(ctx, name, leaf, req)
@@ -39,7 +39,8 @@
 	return a, err
 }
 
-// Status implements Leaves.
+// Status implements Leaves. It needs no slot, and may return a status that was read up to
+// maxStatusAge ago.
 func (l queuedLeaves) Status(ctx context.Context, name string) (target.Status, error) {
 	return l.owner.statuses.read(ctx, l.owner.opts.Leaves, name)
 }
