--- a/peer/route/hold_place.go
+++ b/peer/route/hold_place.go
@@ -13,10 +13,12 @@
 	// placeTimeout bounds the time that one call of updatePlace or releasePlace spends on
 	// requests to the platform, which stores the claims to places.
 	placeTimeout = 5 * time.Second
-	// placeCheckInterval is the interval at which maintainPlace calls updatePlace.
+	// placeCheckInterval is the interval at which maintainPlace calls updatePlace, which
+	// verifies, releases or acquires this VM's place.
 	placeCheckInterval = time.Second
 	// frozenAfter is the time since the end of the last updatePlace after which the process
-	// is assumed to have been frozen. Another VM may have acquired its place in the meantime.
+	// is assumed to have been frozen. Another VM may have acquired this VM's place in the
+	// meantime.
 	frozenAfter = 5 * time.Second
 )
 
@@ -28,8 +30,9 @@
 }
 
 // maintainPlace acquires a place for this VM once some target doesn't accept connections
-// of all VMs. After a time in which the process seems to have been frozen, it has the place
-// verified before it is used again. It releases the place when the router stops.
+// of all VMs. After a time in which the process seems to have been frozen, the place is
+// verified before this VM uses it again. maintainPlace releases the place when the router
+// stops.
 func (r *Router) maintainPlace() error {
 	ticker := time.NewTicker(placeCheckInterval)
 	defer ticker.Stop()
@@ -87,8 +90,8 @@
 	return heldPlace{held: h.held}
 }
 
-// acquirePlace claims one of the places 0 to placeCount-1. It returns nil if none can be
-// acquired now.
+// acquirePlace claims one of the places 0 to placeCount-1 for this VM. It returns nil if
+// no place is free or the claims can't be read or written; updatePlace tries again later.
 func (r *Router) acquirePlace(ctx context.Context, placeCount int) *place.Held {
 	held, err := place.Acquire(ctx, r.opts.Place, placeCount)
 	if err != nil {
@@ -111,9 +114,9 @@
 	}
 }
 
-// releasePlace deletes this VM's claim to its place, which is stored on the platform, so
-// that another VM can acquire the place. It does nothing if held is nil. It doesn't use the
-// context of r.tomb, because that context is cancelled when the router stops.
+// releasePlace deletes this VM's claim to its place from the platform, so that another VM
+// can acquire the place. It does nothing if held is nil. It doesn't use the context of
+// r.tomb, because that context is cancelled when the router stops.
 func (r *Router) releasePlace(held *place.Held) {
 	if held == nil {
 		return
--- a/peer/route/metrics.go
+++ b/peer/route/metrics.go
@@ -6,7 +6,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// newMetrics creates the router's metrics.
+// newMetrics creates the router's counters and the gauges that are computed when they are
+// read.
 func (r *Router) newMetrics() {
 	r.metrics = metrics.NewSet()
 	r.directCalls = r.metrics.NewCounter(`bramley_route_calls_total{path="direct"}`)
--- a/peer/route/order.go
+++ b/peer/route/order.go
@@ -61,8 +61,8 @@
 	return d.Sum64()
 }
 
-// compareLast returns the result of comparing candidates a and b that sorts a after b if
-// aLast is set, and b after a otherwise.
+// compareLast returns the result of a comparison of two candidates a and b for
+// slices.SortFunc: the one that sorts a after b if aLast is true, and b after a otherwise.
 func compareLast(aLast bool) int {
 	if aLast {
 		return 1
--- a/peer/route/order_test.go
+++ b/peer/route/order_test.go
@@ -23,9 +23,11 @@
 	return out
 }
 
-// TestNearOwnersFirst: owners in the same zone are tried first, then those in the same
-// region. An owner that refused calls or doesn't answer is tried after all others that
-// aren't leaving, however near it is.
+// TestNearOwnersFirst: a wrong order of owners costs milliseconds for each call to a far
+// owner, and an attempt for each call to one that refuses it or doesn't answer. Owners in
+// the same zone must be tried first, then those in the same region. An owner that refused
+// calls or doesn't answer must be tried after all others that aren't leaving, however near
+// it is.
 func TestNearOwnersFirst(t *testing.T) {
 	g := NewWithT(t)
 	z := topology{local: "a", regions: map[string]string{"a": "one", "b": "one", "c": "two"}}
@@ -57,14 +59,16 @@
 	cancelled := &target.CallError{Kind: target.ErrorCancelled}
 	shed := &target.CallError{Kind: target.ErrorRefused, Reason: target.ReasonShed, RetryAfter: 300 * time.Millisecond}
 	start := time.Unix(1, 0)
+	// at returns the time that is the given number of milliseconds after start.
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+	// call records a call that began and ended at these times, in milliseconds after start.
 	call := func(h *ownerHealth, ctx context.Context, err error, connEnded bool, from, to int) {
 		h.sent(at(from))
 		h.record(ctx, "t", err, connEnded, at(to).Sub(at(from)), at(to))
 	}
 	for name, tc := range map[string]struct {
 		events     func(h *ownerHealth)
-		inCooldown map[int]bool // expected values by time in ms
+		inCooldown map[int]bool // expected results of inCooldown, by time in milliseconds after start
 	}{
 		"answers":             {func(h *ownerHealth) { call(h, liveCtx, nil, false, 0, 10) }, map[int]bool{11: false, 5000: false}},
 		"silent for long":     {func(h *ownerHealth) { h.sent(at(0)) }, map[int]bool{19: false, 30: true, 5000: true}},
@@ -112,6 +116,7 @@
 	owners  [][]int // places of the owners, by index of the target
 }
 
+// newSelectionFixture returns the fleet that selectionFixture describes.
 func newSelectionFixture() *selectionFixture {
 	f := &selectionFixture{regions: map[string]string{"z0": "r0", "z1": "r0", "z2": "r0", "z3": "r1", "z4": "r1"}}
 	for i := range 950 {
@@ -125,8 +130,8 @@
 	return f
 }
 
-// firstChoice returns the owner that a VM tries first for a target. Without nearFirst,
-// all distances count as equal.
+// firstChoice returns the owner that a VM tries first for a target, with its distance from
+// the VM. Without nearFirst, the choice ignores distances.
 func (f *selectionFixture) firstChoice(vm objstore.VM, targetIndex int, nearFirst bool) candidate {
 	z := topology{local: vm.Zone, regions: f.regions}
 	var list []candidate
--- a/peer/route/owner_conn.go
+++ b/peer/route/owner_conn.go
@@ -26,8 +26,8 @@
 	// defaultIdleAfter is the default of Options.IdleAfter: how long a connection to an
 	// owner stays open without a call.
 	defaultIdleAfter = 5 * time.Second
-	// idleChecks is the number of checks for idle connections to owners within
-	// Options.IdleAfter.
+	// idleChecks is the number of times that closeIdle checks for idle connections to owners
+	// within one Options.IdleAfter.
 	idleChecks = 5
 )
 
@@ -54,7 +54,7 @@
 	closed      bool          // close was called
 }
 
-// get returns the connection to the owner. It dials the owner if there is none, and waits
+// get returns the connection to the owner. If none is open, it dials the owner and waits
 // for the dial until ctx ends.
 func (c *ownerConn) get(ctx context.Context) (*hop.Caller, error) {
 	for {
@@ -106,7 +106,7 @@
 }
 
 // open dials the owner once, for all calls that wait for the connection, and records the
-// result.
+// result. It closes a connection that was opened after close was called.
 func (c *ownerConn) open() {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -144,7 +144,7 @@
 	c.users++
 }
 
-// release counts one call less that uses the connection.
+// release counts one call less that uses the connection, and records when it ended.
 func (c *ownerConn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,7 +181,7 @@
 	return err
 }
 
-// updateHealth applies event to the owner's health while c.mu is held.
+// updateHealth calls event with the owner's health while it holds c.mu.
 func (c *ownerConn) updateHealth(event func(*ownerHealth)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -245,8 +245,9 @@
 	}
 }
 
-// dropIdle removes idle connections from ownerConns and returns them. This also removes
-// the entries of VMs that are no longer owners.
+// dropIdle removes the connections that no call has used for idleAfter from ownerConns,
+// and returns them for the caller to close. Connections to VMs that are no longer owners
+// are removed in this way too.
 func (r *Router) dropIdle(now time.Time, idleAfter time.Duration) (dropped []*ownerConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/peer/route/owner_conn_test.go
+++ b/peer/route/owner_conn_test.go
@@ -66,7 +66,8 @@
 
 // TestCallStopsWaitingForDialAtDeadline: an owner doesn't answer, and one call is still
 // dialling it. A second call with little time left waited for the end of that dial before
-// it checked its own deadline, so its caller was answered late.
+// it checked its own deadline, so its caller was answered late. In the test the second
+// call's context has already ended.
 func TestCallStopsWaitingForDialAtDeadline(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, owner, proxy := f.ownerBehindProxy()
@@ -94,7 +95,7 @@
 func TestIdleCloseDuringCalls(t *testing.T) {
 	f := newFleet(t, 5, 3)
 	vm, _, _ := f.ownerBehindProxy()
-	const minClosed = 10 // connections closed during the calls
+	const minClosed = 10 // connections that have to be closed during the calls before the test ends
 	var closed atomic.Int64
 	done := make(chan struct{})
 	var closer sync.WaitGroup
--- a/peer/route/owner_health.go
+++ b/peer/route/owner_health.go
@@ -75,7 +75,7 @@
 }
 
 // record records that a call to the named target ended with err; nil means success. took is
-// the duration of the call, ctx its context, and connEnded says that the connection to the
+// the duration of the call and ctx its context. connEnded says that the connection to the
 // owner has ended. An error counts as an answer of the owner only if neither ctx nor the
 // connection has ended.
 func (h *ownerHealth) record(ctx context.Context, name string, err error, connEnded bool, took time.Duration, now time.Time) {
@@ -119,7 +119,7 @@
 }
 
 // silent reports whether calls are in flight and no answer has arrived from the owner for
-// unusually long.
+// unusually long: longer than minSilence, and than silenceFactor times the mean latency.
 func (h *ownerHealth) silent(now time.Time) bool {
 	return h.inFlight > 0 && now.Sub(h.waitingSince) > max(minSilence, silenceFactor*h.meanLatency)
 }
--- a/peer/route/route.go
+++ b/peer/route/route.go
@@ -35,8 +35,8 @@
 	Places() map[int]objstore.VM
 	// SetPlace publishes the place of this VM; a negative number means that it holds none.
 	SetPlace(place int)
-	// Ended reports whether an incarnation of a VM is known to have ended or to have been
-	// replaced.
+	// Ended reports whether an incarnation of a VM, one run of its process, is known to
+	// have ended or to have been replaced.
 	Ended(vm, incarnation string) bool
 	// WireOptions returns the options for connections to other VMs.
 	WireOptions() wire.Options
@@ -65,7 +65,7 @@
 	wake  chan struct{} // signals maintainPlace that the bundle changed; buffers one signal
 
 	metrics                 *metrics.Set
-	directCalls, ownerCalls *metrics.Counter                // calls over this VM's own connections, and through owners
+	directCalls, ownerCalls *metrics.Counter                // calls over this VM's own connections, and calls through owners
 	ownerCallsByDistance    [elsewhere + 1]*metrics.Counter // attempts through owners, by the owner's distance
 
 	mu               sync.Mutex              // guards the fields below
@@ -193,8 +193,9 @@
 	}
 }
 
-// ownerPlaces returns the places of the VMs that own connections to a target, from the
-// cache if possible. plan and key must be those of the target. The caller must hold mu.
+// ownerPlaces returns the places of the VMs that own connections to a target, from
+// ownerCache if possible. plan and key must be those of the target. The caller must hold
+// mu.
 func (r *Router) ownerPlaces(key ownerCacheKey, plan share.Plan) []int {
 	if places, known := r.ownerCache[key]; known {
 		return places
@@ -264,7 +265,8 @@
 }
 
 // Submit sends a non-idempotent request to one leaf, once. The error is a
-// *target.CallError. Unless its NotStarted is set, the request may have been executed.
+// *target.CallError. Unless NotStarted is set in the error, the request may have been
+// executed.
 func (r *Router) Submit(ctx context.Context, name string, leaf int, req target.SubmitRequest) (a target.SubmitAnswer, err error) {
 	err = r.callTarget(ctx, name, func(l hop.Leaves) (err error) {
 		a, err = l.Submit(ctx, name, leaf, req)
--- a/peer/route/route_test.go
+++ b/peer/route/route_test.go
@@ -107,7 +107,7 @@
 }
 
 // followConnections keeps the number of connections of the VM's target client at what the
-// router allows, until the VM is stopped.
+// router allows, until the VM is stopped. address is that of the target.
 func (vm *testVM) followConnections(address string) {
 	for {
 		changed := vm.router.Changed()
@@ -136,9 +136,12 @@
 	_ = vm.peers.Stop(ctx)
 }
 
+// search searches leaf 1 of the target through the VM within one second.
 func (vm *testVM) search(f *testFleet) error { return vm.searchWithin(f, time.Second) }
 
-// searchWithin searches leaf 1 of the target through the VM and checks the answer.
+// searchWithin searches leaf 1 of the target through the VM. It returns the error of the
+// search, or an error if the answer is incomplete or belongs to another search. limit is
+// the time limit of the search.
 func (vm *testVM) searchWithin(f *testFleet, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -169,8 +172,9 @@
 	return list
 }
 
-// TestDirectWhenLimitAllows: if a target accepts connections of all VMs, every VM must
-// call it directly and none may claim a place.
+// TestDirectWhenLimitAllows: if a target accepts connections of all VMs, calls through
+// another VM and claims to places on the platform would only cost time. Every VM must call
+// the target directly and none may claim a place.
 func TestDirectWhenLimitAllows(t *testing.T) {
 	f := newFleet(t, 3, 7)
 	f.waitReachable(f.vms...)
