--- a/wire/auth.go
+++ b/wire/auth.go
@@ -90,7 +90,8 @@
 }
 
 // answerHello validates a dialer's hello. It chooses the newest version that both ends
-// speak, and the first key of the dialer that both hold. It returns the answer and that key.
+// speak, and the first of the dialer's keys that both ends hold. It returns the answer and
+// that key.
 func answerHello(o *Options, hello *Hello) (*HelloAnswer, []byte, error) {
 	if hello.From.VM == "" || hello.From.Incarnation == "" || len(hello.Nonce) != 2*nonceBytes {
 		return nil, nil, result.Errorf(result.BadHello, "vm, incarnation and a nonce of %d hex digits are needed", 2*nonceBytes)
@@ -134,8 +135,8 @@
 	return list
 }
 
-// newestCommon returns the newest offered version that is at most limit and not older
-// than VersionJSON, or 0 if there is none.
+// newestCommon returns the newest of the offered versions that this end speaks, or 0 if it
+// speaks none. It speaks the versions from VersionJSON up to limit.
 func newestCommon(offered []int, limit int) int {
 	best := 0
 	for _, v := range offered {
--- a/wire/auth_bench_test.go
+++ b/wire/auth_bench_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// BenchmarkConnectByProof opens, authenticates and closes a connection. Both ends run in
-// this process.
+// BenchmarkConnectByProof opens, authenticates and closes a connection, and reports the
+// bytes that both ends send for that. Both ends run in this process.
 func BenchmarkConnectByProof(b *testing.B) {
 	counters := &Counters{}
 	s, err := Listen("127.0.0.1:0", options("a", oldKey), counters, func(c *Conn) { c.Serve() })
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -21,8 +21,8 @@
 // connection could make this VM read an unlimited amount.
 //
 // A message may have a binary body, which is sent in a separate frame before it. The
-// layers of the JSON-RPC library parse a message several times in each direction. For leaf
-// calls inside the message, that would cost more than all their other processing.
+// layers of the JSON-RPC library parse a message several times in each direction. If leaf
+// calls were part of the message, that would cost more than all their other processing.
 type boundedCodec struct {
 	maxRead    *atomic.Int64 // largest frame that is read, in bytes; Conn raises it during the hello
 	maxSend    int           // largest frame that is written, in bytes
@@ -35,7 +35,7 @@
 // calls onSend just before each, and it passes a message to Conn.Handle before it reads
 // the next.
 type bodies struct {
-	out, in []byte // of the message being written, and of the one being read; nil for a message without a body
+	out, in []byte // body of the message being written, and body of the one being read; nil for a message without a body
 }
 
 // bodyMarker is the first byte of a frame that holds a body. JSON never begins with it, so
@@ -91,8 +91,8 @@
 }
 
 // ReadObject implements jsonrpc2.ObjectCodec. It decodes a message into v, and puts the
-// message's body, if it has one, into c.bodies.in. Errors about the message itself have
-// the code MessageTooBig or BadMessage.
+// message's body, if it has one, into c.bodies.in. An error has the code MessageTooBig or
+// BadMessage if the message is too big or malformed, and not if the connection failed.
 func (c boundedCodec) ReadObject(stream *bufio.Reader, v any) error {
 	c.bodies.in = nil
 	data, err := c.readFrame(stream)
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -90,9 +90,9 @@
 	return err
 }
 
-// reportInvalidMessage notifies the other end of the reason for which the connection is about
-// to be closed. The id of a message that cannot be read is not known, so that the message
-// cannot be answered.
+// reportInvalidMessage logs err, the error of a message that cannot be read, and notifies the
+// other end of it before the connection is closed. The id of such a message is not known, so
+// the message cannot be answered.
 func (c *Conn) reportInvalidMessage(err error) {
 	c.opts.Log.Warn("message refused", "peer", c.remote, "error", err)
 	_ = c.rpc.Notify(context.Background(), methodRefused, Refused{Code: result.CodeOf(err)})
@@ -105,7 +105,7 @@
 	return c.peer
 }
 
-// Use returns Options.Use of the end that dialled.
+// Use returns the purpose of the connection: Options.Use of the end that dialled.
 func (c *Conn) Use() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,10 +181,10 @@
 }
 
 // Handle implements jsonrpc2.Handler. Until an accepted connection is authenticated, only
-// the two methods of the hello are served, and any other one closes the connection. Apart
-// from pings and notices of refused messages, all other messages go to Options.Handler. A
-// binary body takes the place of the parameters. The connection reads nothing more until
-// Handle returns, so Handle must not block.
+// the two methods of the hello are served, and any other one closes the connection. Pings
+// and notices of refused messages are handled here, and all other messages go to
+// Options.Handler. A binary body takes the place of the parameters. The connection reads
+// nothing more until Handle returns, so Handle must not block.
 func (c *Conn) Handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	switch {
 	case req.Method == MethodHello && !c.dialed && !c.isProven():
@@ -221,7 +221,7 @@
 }
 
 // serve runs the handler of a message in a goroutine of its own, so that reading goes on.
-// It bounds how many handlers run on this connection at once.
+// Options.MaxCalls bounds how many handlers run for this connection at once.
 func (c *Conn) serve(ctx context.Context, req *jsonrpc2.Request) {
 	if !c.acquireCallSlot() {
 		c.replyError(ctx, req, result.Errorf(result.PeerBusy, "%d calls are already running", cap(c.callSlots)))
@@ -288,8 +288,9 @@
 	}
 }
 
-// acquireCallSlot takes a slot for a handler. If none is free it returns false, or waits
-// if Options.WaitForCallSlot is set.
+// acquireCallSlot takes a slot for a handler and reports whether it got one. If none is
+// free it returns false, or, if Options.WaitForCallSlot is set, waits until one is free or
+// the connection is closed.
 func (c *Conn) acquireCallSlot() bool {
 	if c.opts.WaitForCallSlot {
 		select {
@@ -408,7 +409,7 @@
 
 // ping keeps either end from closing an idle connection as silent. The end that dialled
 // sends the pings. If the peer does not answer, the read of the connection reaches its
-// deadline (see timedConn), and the connection is closed.
+// deadline (see timedConn), and the connection is closed. ping returns then.
 func (c *Conn) ping() error {
 	ticker := time.NewTicker(c.opts.PingInterval)
 	defer ticker.Stop()
--- a/wire/server.go
+++ b/wire/server.go
@@ -17,7 +17,7 @@
 	opts     Options
 	counters *Counters
 	ln       net.Listener // accepts the TCP connections
-	onConn   func(*Conn)  // called with each connection once it is authenticated
+	onConn   func(*Conn)  // called with each connection once the connection is authenticated
 
 	mu     sync.Mutex         // guards the fields below
 	hellos []*Conn            // accepted connections that are not yet authenticated, the oldest first
@@ -110,8 +110,9 @@
 }
 
 // serveConn waits until a connection is authenticated, passes it to onConn, and returns
-// when it is closed. It closes the connection if the hello fails or takes longer than
-// HelloTimeout, if MaxConns connections are open, or when the server stops.
+// when the connection is closed. It closes the connection if the hello fails or takes longer
+// than HelloTimeout, if MaxConns authenticated connections are already open, or when the
+// server stops.
 func (s *Server) serveConn(c *Conn) error {
 	defer c.Wait()
 	defer c.Close()
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -27,8 +27,8 @@
 // acceptor chooses the newest that both speak, so that VMs of two releases can work
 // together during an upgrade.
 const (
-	VersionJSON = 1 // all bodies are JSON
-	VersionCBOR = 2 // leaf calls and their answers are binary bodies in CBOR
+	VersionJSON = 1 // the version in which all messages are JSON, without binary bodies
+	VersionCBOR = 2 // the version in which leaf calls and their answers are sent as binary bodies in CBOR
 
 	Version = VersionCBOR // the newest version that this code speaks
 )
@@ -56,9 +56,9 @@
 }
 
 // Handler serves one call or notification of an authenticated peer. params holds the
-// message's parameters, or its binary body if it has one. The result is sent as JSON. The
-// peer gets the result.Code and the detail of an error. Handlers of one connection run
-// concurrently, except for the methods of Options.InOrder.
+// message's parameters, or its binary body if it has one. The result of a call is sent as
+// JSON. If the call fails, the peer gets the result.Code and the detail of the error.
+// Handlers of one connection run concurrently, except for the methods of Options.InOrder.
 type Handler func(ctx context.Context, conn *Conn, method string, params json.RawMessage) (any, error)
 
 // Options configures connections. A field that is zero gets the default that its comment
@@ -93,27 +93,28 @@
 	// instead of refusing calls with PeerBusy. It is only for handlers that never
 	// wait: a handler that waited for the same peer would block both ends.
 	WaitForCallSlot bool
-	PingInterval    time.Duration // time between pings of the dialer on an idle connection; default 2 s
+	PingInterval    time.Duration // time between the pings that the dialer sends on an idle connection; default 2 s
 	SilentAfter     time.Duration // time without a byte from the peer after which the connection is closed; default 3 ping intervals
 }
 
 // MinKeyBytes is the minimum length of a key, in bytes.
 const MinKeyBytes = 32
 
-// Limits of connections. A constant whose name begins with default is the default of a field
-// of Options.
+// Limits of connections, and the defaults of Options.
 const (
 	maxHelloMessage = 4 << 10 // largest message that is read during the hello, in bytes
 
-	defaultHelloTimeout = 2 * time.Second // time in which a new connection must be authenticated
-	defaultMaxHellos    = 32              // accepted connections, open at once, that are not yet authenticated
-	defaultMaxConns     = 256             // accepted connections, open at once, that are authenticated
-	defaultMaxMessage   = 2 << 20         // size of one message or of one body, in bytes
-	defaultMaxCalls     = 16              // handlers that run at once for one connection
-	defaultPingInterval = 2 * time.Second // between pings on an idle connection
-	silentAfterPings    = 3               // default of SilentAfter, in ping intervals without a byte from the peer
+	defaultHelloTimeout = 2 * time.Second // default of Options.HelloTimeout
+	defaultMaxHellos    = 32              // default of Options.MaxHellos, a number of connections
+	defaultMaxConns     = 256             // default of Options.MaxConns, a number of connections
+	defaultMaxMessage   = 2 << 20         // default of Options.MaxMessage, in bytes
+	defaultMaxCalls     = 16              // default of Options.MaxCalls, a number of handlers of one connection
+	defaultPingInterval = 2 * time.Second // default of Options.PingInterval
+	silentAfterPings    = 3               // default of Options.SilentAfter, in multiples of Options.PingInterval
 )
 
+// withDefaults returns o with the defaults in place of zero or negative times and limits,
+// and with a logger that discards everything and a net.Dialer if there are none.
 func (o Options) withDefaults() Options {
 	defaults.SetIfNotPositive(&o.MaxVersion, Version)
 	defaults.SetIfNotPositive(&o.HelloTimeout, defaultHelloTimeout)
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -27,8 +27,9 @@
 	badKey = bytes.Repeat([]byte("b"), MinKeyBytes) // no server holds it
 )
 
-// echo is the test handler. It answers "echo" with its params and "large" with a result
-// that is too big, blocks on "block" and fails on "fail".
+// echo is the handler of the tests. It answers "echo" with its params and "large" with a
+// result that is too big to be sent, blocks on "block" until its context ends, and fails
+// on "fail" with a time to wait before a retry.
 func echo(ctx context.Context, _ *Conn, method string, params json.RawMessage) (any, error) {
 	switch method {
 	case "echo":
@@ -54,7 +55,8 @@
 	}
 }
 
-// serve starts a server that is stopped when the test ends.
+// serve starts a server that is stopped when the test ends. The test fails if goroutines are
+// left then.
 func serve(t *testing.T, o Options) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", o, &Counters{}, func(c *Conn) { c.Serve() })
@@ -66,12 +68,14 @@
 	return s
 }
 
+// dial opens a connection to a server with the options o. The caller must close it.
 func dial(s *Server, o Options) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
 	return Dial(ctx, s.Addr().String(), o, &Counters{})
 }
 
+// call calls a method of the peer, drops the result and returns the error.
 func call(c *Conn, method string, params any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
 	defer cancel()
@@ -184,6 +188,7 @@
 	}
 }
 
+// isTimeout reports whether err is a network error caused by a deadline.
 func isTimeout(err error) bool {
 	netErr, ok := err.(net.Error)
 	return ok && netErr.Timeout()
@@ -308,7 +313,7 @@
 // it drops all bytes and keeps the connection open.
 type blackhole struct {
 	ln       net.Listener
-	dropping chan struct{}
+	dropping chan struct{} // closed by dropAll
 }
 
 // newBlackhole starts a proxy of one connection to an address.
@@ -346,6 +351,7 @@
 func (h *blackhole) addr() string { return h.ln.Addr().String() }
 func (h *blackhole) dropAll()     { close(h.dropping) }
 
+// copy forwards bytes in one direction, or drops them after dropAll, until from ends.
 func (h *blackhole) copy(to, from net.Conn) {
 	buf := make([]byte, 4096)
 	for {
