--- a/peer/messages.go
+++ b/peer/messages.go
@@ -186,8 +186,8 @@
 	give, want := x.table.Compare(m.Buckets, m.Entries)
 	x.mu.Unlock()
 	more := len(give) > maxDiffFacts
-	given := encodeFacts(conn, give[:min(len(give), maxDiffFacts)])
-	return diffAnswer{factPayload: given, Want: want, More: more}
+	payload := encodeFacts(conn, give[:min(len(give), maxDiffFacts)])
+	return diffAnswer{factPayload: payload, Want: want, More: more}
 }
 
 // sync compares digests with a peer and exchanges the facts that differ. If that fails,
@@ -257,7 +257,7 @@
 
 // mergeDiff merges the facts of a diffAnswer, and queues the facts that the peer wants.
 func (x *Exchange) mergeDiff(l *link, differing *diffAnswer) error {
-	given, err := differing.decode(maxDiffFacts)
+	received, err := differing.decode(maxDiffFacts)
 	if err != nil {
 		return err
 	}
@@ -265,7 +265,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	starting := now.Sub(x.startTime) < startupPeriod
-	for _, f := range given {
+	for _, f := range received {
 		if f.Health != nil && starting {
 			// A VM that starts receives thousands of facts that the others
 			// already know. Forwarding would send all of them over each of
