--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -29,6 +29,7 @@
 	changed  chan struct{}
 }
 
+// Changed returns a channel that is closed when set next raises the revision.
 func (h *fakeHeads) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,6 +46,7 @@
 	return h.revision
 }
 
+// Head returns the head of the current revision; see encodeRevision.
 func (h *fakeHeads) Head() []byte { return encodeRevision(h.Revision()) }
 
 // RawBundle returns the bundle of the current revision if digest is its digest. Both are
--- a/peer/health_test.go
+++ b/peer/health_test.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// TestHealthReachesAllVMs: what one VM publishes about a target must reach all others,
-// and each must return it from TakeHealthChanges once.
+// TestHealthReachesAllVMs: if the statement of one VM about a target didn't reach another
+// VM, that VM would call the target by an outdated status. The statement must reach all
+// VMs, and each must return it from TakeHealthChanges once.
 func TestHealthReachesAllVMs(t *testing.T) {
 	f := newFleet(t, 8)
 	f.waitConnected()
--- a/peer/spread_bench_test.go
+++ b/peer/spread_bench_test.go
@@ -32,6 +32,7 @@
 			}
 		})
 	}
+	// await waits until check returns true for each VM and returns the time that this took.
 	await := func(check func(*testVM) bool) time.Duration {
 		begin := time.Now()
 		for _, vm := range f.vms {
@@ -46,7 +47,7 @@
 	}
 	await(func(vm *testVM) bool { return vm.Peers() >= 4 && len(vm.Live()) == n })
 	time.Sleep(5 * time.Second)
-	var drain, revision, bytes float64
+	var drain, revision, bytes float64 // sums over all rounds: seconds, seconds and bytes sent
 	rounds := 0
 	for b.Loop() {
 		rounds++
