--- a/peer/health/content.go
+++ b/peer/health/content.go
@@ -34,7 +34,7 @@
 	default:
 		h.Opaque = true
 	}
-	full := h
+	full := h // h with what the leaves hold; h itself is returned if that doesn't fit
 	full.Maps = partitionMaps(st.Leaves)
 	for _, leaf := range st.Leaves {
 		if leaf.Leaf < 0 || leaf.Leaf > maxLeafNumber {
--- a/peer/health/health.go
+++ b/peer/health/health.go
@@ -92,7 +92,7 @@
 	timings          map[string]timing      // by target of the bundle in force: when it is read and when a failed read is published
 	rereadInterval   time.Duration          // at which this VM reads a target through one of its owners while there is a statement about it; see adjustReadInterval
 	readBase         map[string]facts.Stamp // by target: stamp of the known statement when the current or last read began
-	appliedStamps    map[string]facts.Stamp // by target: stamp of the statement that the Sink last received, or that was known when the Sink received a read
+	appliedStamps    map[string]facts.Stamp // by target: stamp of the statement that the Sink last received, or that was current when the Sink received a status that this VM read
 	partlyUnreadable map[string]bool        // by target that some owner can't read: whether the Sink was last notified that the target is lost
 }
 
--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -50,6 +50,7 @@
 	return true
 }
 
+// Status implements Router: it reads the target, after a call of onRead if that is set.
 func (f *fakes) Status(context.Context, string) (target.Status, error) {
 	if f.onRead != nil {
 		f.onRead()
@@ -57,14 +58,17 @@
 	return f.status, f.err
 }
 
+// Search implements Leaves: an empty answer, with the error err.
 func (f *fakes) Search(context.Context, string, int, target.LeafRequest) (target.LeafAnswer, error) {
 	return target.LeafAnswer{}, f.err
 }
 
+// Submit implements Leaves: an empty answer, with the error err.
 func (f *fakes) Submit(context.Context, string, int, target.SubmitRequest) (target.SubmitAnswer, error) {
 	return target.SubmitAnswer{}, f.err
 }
 
+// TargetStatus implements Sink and records the status.
 func (f *fakes) TargetStatus(_ string, st target.Status, _ time.Time) {
 	f.statuses = append(f.statuses, st)
 }
--- a/peer/health/reporter.go
+++ b/peer/health/reporter.go
@@ -166,8 +166,10 @@
 }
 
 // nextStatement returns a copy of the statement base with the stamp of the next statement
-// about the same incarnation. read is the time of the read that the new statement is
-// based on. Owners that aren't live are removed from UnreadableBy, which bounds its length.
+// about the same incarnation. read becomes the stamp's At: the start of the read that the
+// new statement is based on, or the current time if the statement says that this owner
+// can't read the target. Owners that aren't live are removed from UnreadableBy, which
+// bounds the length of UnreadableBy.
 func nextStatement(base facts.Health, order ownerOrder, read time.Time) facts.Health {
 	next := base
 	next.Seq++
