--- a/peer/facts/health.go
+++ b/peer/facts/health.go
@@ -53,8 +53,8 @@
 //     that was first read later wins. It is the same in all statements about an
 //     incarnation. Otherwise the order would not be transitive.
 //   - Drained is final for an incarnation, whatever a later read returns.
-//   - Seq counts the statements about one incarnation. At, the time of the read,
-//     decides between two with the same Seq.
+//   - Seq counts the statements about one incarnation. At decides between two
+//     statements with the same Seq.
 //
 // Times are by the clock of the VM that first published them.
 type Stamp struct {
@@ -63,7 +63,7 @@
 	Incarnation string `json:"i"`           // of the target's process; "" if no owner has read it yet
 	Drained     bool   `json:"d,omitempty"` // the incarnation takes no new work
 	Seq         uint64 `json:"n,omitempty"` // counts the statements about the incarnation
-	At          int64  `json:"a"`           // time of the read, in Unix milliseconds
+	At          int64  `json:"a"`           // when the read began, or when an owner stated that it can't read the target, in Unix milliseconds
 }
 
 // Map is the partition map of a snapshot that some leaf of the target holds. It says into
