--- a/peer/hop/bench_test.go
+++ b/peer/hop/bench_test.go
@@ -46,6 +46,7 @@
 // sampleLeaves answers searches in the owner's process, without a target.
 type sampleLeaves struct{ fakeLeaves }
 
+// Search returns sampleAnswer at once.
 func (*sampleLeaves) Search(_ context.Context, _ string, _ int, req target.LeafRequest) (target.LeafAnswer, error) {
 	return sampleAnswer(req), nil
 }
--- a/peer/hop/hop_test.go
+++ b/peer/hop/hop_test.go
@@ -24,11 +24,13 @@
 // fakeLeaves answers immediately, with these exceptions: leaf 7 answers after release
 // is closed, leaf 8 refuses as cold, and leaf 9 waits until the call's context ends.
 type fakeLeaves struct {
-	started, cancelled atomic.Int64
+	started, cancelled atomic.Int64  // numbers of searches and status reads that began, and of searches of leaf 9 whose context ended
 	mismatch           atomic.Bool   // answers have the echo of another attempt
 	release            chan struct{} // closed to answer the calls of leaf 7
 }
 
+// Search answers depending on the number of the leaf; see fakeLeaves. Records of an answer
+// is the time in milliseconds that the request had left, so that tests can check it.
 func (f *fakeLeaves) Search(ctx context.Context, name string, leaf int, req target.LeafRequest) (target.LeafAnswer, error) {
 	f.started.Add(1)
 	switch {
@@ -50,10 +52,12 @@
 	return target.LeafAnswer{Echo: echo, Records: req.DeadlineMS, Complete: true}, nil
 }
 
+// Submit answers with the request's echo and key.
 func (f *fakeLeaves) Submit(_ context.Context, _ string, _ int, req target.SubmitRequest) (target.SubmitAnswer, error) {
 	return target.SubmitAnswer{Echo: req.Echo, Key: req.Key}, nil
 }
 
+// Status returns the status of incarnation "i" and counts the read in started.
 func (f *fakeLeaves) Status(_ context.Context, name string) (target.Status, error) {
 	f.started.Add(1)
 	return target.Status{Target: name, Incarnation: "i"}, nil
