--- a/peer/route/order.go
+++ b/peer/route/order.go
@@ -12,10 +12,11 @@
 // distance classifies how far an owner is from this VM.
 type distance int
 
+// The distances of an owner from this VM, the nearest first.
 const (
-	sameZone   distance = iota // in this VM's availability zone
-	sameRegion                 // in another zone of this VM's region
-	elsewhere                  // in another region, or in a zone without a known region
+	sameZone   distance = iota // the owner is in this VM's availability zone
+	sameRegion                 // the owner is in another zone of this VM's region
+	elsewhere                  // the owner is in another region, or the region of its zone or of this VM's isn't known
 )
 
 // topology determines distances from this VM's availability zone. A zone that the bundle
