--- a/wire/codec.go
+++ b/wire/codec.go
@@ -133,7 +133,7 @@
 	counters       *Counters
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It fails if no byte arrives within silenceTimeout.
 func (c *timedConn) Read(p []byte) (int, error) {
 	if err := c.SetReadDeadline(c.nextDeadline()); err != nil {
 		return 0, err
@@ -146,7 +146,7 @@
 	return n, err
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It fails if the bytes can't be written within silenceTimeout.
 func (c *timedConn) Write(p []byte) (int, error) {
 	if err := c.SetWriteDeadline(c.nextDeadline()); err != nil {
 		return 0, err
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -80,7 +80,8 @@
 	onInvalid func(error)   // called with the error of a message that is too big or malformed
 }
 
-// ReadObject implements jsonrpc2.ObjectStream.
+// ReadObject implements jsonrpc2.ObjectStream. It waits until open is closed before it reads
+// a message into v, and calls onInvalid if the message is too big or malformed.
 func (s gatedStream) ReadObject(v any) error {
 	<-s.open
 	err := s.ObjectStream.ReadObject(v)
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// handleHello serves MethodHello on the acceptor's end. It keeps the hello and the answer for
-// the check of the proof that follows.
+// handleHello serves MethodHello on the acceptor's end. It keeps the hello, the answer and
+// the chosen key for the check of the dialer's proof, which follows.
 func (c *Conn) handleHello(params json.RawMessage) (any, error) {
 	var hello Hello
 	if err := json.Unmarshal(params, &hello); err != nil {
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -21,10 +21,11 @@
 // testLimit bounds each wait of a test.
 const testLimit = 20 * time.Second
 
+// The fleet keys of the tests.
 var (
-	oldKey = bytes.Repeat([]byte("o"), MinKeyBytes)
-	newKey = bytes.Repeat([]byte("n"), MinKeyBytes)
-	badKey = bytes.Repeat([]byte("b"), MinKeyBytes) // no server holds it
+	oldKey = bytes.Repeat([]byte("o"), MinKeyBytes) // the key before a rotation
+	newKey = bytes.Repeat([]byte("n"), MinKeyBytes) // the key after a rotation
+	badKey = bytes.Repeat([]byte("b"), MinKeyBytes) // a key that no server holds
 )
 
 // echo is the handler of the tests. It answers "echo" with its params and "large" with a
