--- a/peer/health/relay_test.go
+++ b/peer/health/relay_test.go
@@ -58,12 +58,12 @@
 	return f.status, f.err
 }
 
-// Search implements Leaves: an empty answer, with the error err.
+// Search implements Leaves. It returns an empty answer and the error err.
 func (f *fakes) Search(context.Context, string, int, target.LeafRequest) (target.LeafAnswer, error) {
 	return target.LeafAnswer{}, f.err
 }
 
-// Submit implements Leaves: an empty answer, with the error err.
+// Submit implements Leaves. It returns an empty answer and the error err.
 func (f *fakes) Submit(context.Context, string, int, target.SubmitRequest) (target.SubmitAnswer, error) {
 	return target.SubmitAnswer{}, f.err
 }
