--- a/peer/health_test.go
+++ b/peer/health_test.go
@@ -17,19 +17,22 @@
 	return list
 }
 
-// setTargets sets the first n of targetNames on all VMs.
+// setTargets makes all VMs keep the health of the n targets of targetNames(n).
 func (f *testFleet) setTargets(n int) {
 	for _, vm := range f.vms {
 		vm.SetTargets(targetNames(n))
 	}
 }
 
-// publishHealth publishes a statement about a new incarnation of a target.
+// publishHealth publishes a statement about a new incarnation of a target. The epoch is
+// the number of the incarnation.
 func (vm *testVM) publishHealth(target string, epoch uint64) {
 	base, _ := vm.Health(target)
 	vm.PublishHealth(facts.Health{Target: target, Stamp: facts.Stamp{Epoch: epoch, Incarnation: fmt.Sprint("i", epoch)}}, base.Stamp)
 }
 
+// hasEpoch returns a check for waitForAll that a VM's statement about a target is about
+// the incarnation that publishHealth published with this epoch.
 func hasEpoch(target string, epoch uint64) func(*testVM) bool {
 	return func(vm *testVM) bool {
 		h, _ := vm.Health(target)
@@ -37,8 +40,9 @@
 	}
 }
 
-// TestHealthReachesAllVMs: what one VM publishes about a target must reach all others,
-// and each must return it from TakeHealthChanges once.
+// TestHealthReachesAllVMs: if the statement of one VM about a target didn't reach another
+// VM, that VM would call the target by an outdated status. The statement must reach all
+// VMs, and each must return it from TakeHealthChanges once.
 func TestHealthReachesAllVMs(t *testing.T) {
 	f := newFleet(t, 8)
 	f.waitConnected()
@@ -56,8 +60,8 @@
 
 // TestOutdatedHealthIsNotPublished: an owner reads a target, is frozen, and receives a
 // statement about a newer incarnation before it publishes what it read. Its own
-// statement replaces the earlier one, which is no longer current, and must not be
-// published.
+// statement is based on one that has been replaced since. If it were published, VMs would
+// call the target by the status of an ended incarnation.
 func TestOutdatedHealthIsNotPublished(t *testing.T) {
 	f := newFleet(t, 2)
 	f.waitConnected()
@@ -67,8 +71,8 @@
 	base, _ := f.vms[0].Health("t0")
 	f.vms[1].publishHealth("t0", 2)
 	f.waitForAll(hasEpoch("t0", 2))
-	late := facts.Health{Target: "t0", Stamp: facts.Stamp{Epoch: 3, Incarnation: "old"}}
-	f.g.Expect(f.vms[0].PublishHealth(late, base.Stamp)).To(BeFalse())
+	outdated := facts.Health{Target: "t0", Stamp: facts.Stamp{Epoch: 3, Incarnation: "old"}}
+	f.g.Expect(f.vms[0].PublishHealth(outdated, base.Stamp)).To(BeFalse())
 }
 
 // TestNewVMSyncsHealth: a VM starts in a fleet that knows thousands of targets. It must
@@ -82,12 +86,12 @@
 	for _, name := range targetNames(targets) {
 		f.vms[0].publishHealth(name, 1)
 	}
-	all := func(vm *testVM) bool { return vm.healthTargets() == targets }
-	f.waitForAll(all)
+	hasAllHealth := func(vm *testVM) bool { return vm.healthTargets() == targets }
+	f.waitForAll(hasAllHealth)
 	fresh := f.start("fresh", nil)
 	f.waitConnected()
 	fresh.SetTargets(targetNames(targets))
-	f.waitForAll(all)
+	f.waitForAll(hasAllHealth)
 }
 
 // TestHealthAfterSplit: the network between two regions fails, and each side publishes
--- a/peer/spread_bench_test.go
+++ b/peer/spread_bench_test.go
@@ -18,8 +18,9 @@
 	}
 }
 
-// benchmarkSpread is BenchmarkSpread for n VMs. It reports the mean times, the bytes that a
-// VM sends per round, and the connections per VM.
+// benchmarkSpread is BenchmarkSpread for n VMs. In each round a drain and then a revision
+// reach all VMs. It reports the mean time of each, the bytes that a VM sends per round,
+// and the connections per VM.
 func benchmarkSpread(b *testing.B, n int) {
 	const limit = 2 * time.Minute
 	f := &testFleet{g: NewWithT(b), t: b, list: &fakeList{}, net: newNetwork()}
@@ -31,12 +32,13 @@
 			}
 		})
 	}
+	// await waits until check returns true for each VM and returns the time that this took.
 	await := func(check func(*testVM) bool) time.Duration {
 		begin := time.Now()
 		for _, vm := range f.vms {
 			for !check(vm) {
 				if time.Since(begin) > limit {
-					b.Fatalf("%s has not received it", vm.opts.VM.Name)
+					b.Fatalf("%s has not reached the awaited state in time", vm.opts.VM.Name)
 				}
 				time.Sleep(time.Millisecond)
 			}
@@ -45,7 +47,7 @@
 	}
 	await(func(vm *testVM) bool { return vm.Peers() >= 4 && len(vm.Live()) == n })
 	time.Sleep(5 * time.Second)
-	var drain, revision, bytes float64
+	var drain, revision, bytes float64 // sums over all rounds: seconds, seconds and bytes sent
 	rounds := 0
 	for b.Loop() {
 		rounds++
