--- a/internal/lab/platformsim/store.go
+++ b/internal/lab/platformsim/store.go
@@ -109,7 +109,7 @@
 }
 
 // Put implements objstore.Store.
-func (s *Store) Put(ctx context.Context, kind, name string, expect uint64, value []byte) (uint64, error) {
+func (s *Store) Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error) {
 	if len(value) > objstore.MaxValue {
 		return 0, errors.Annotatef(objstore.ErrTooLarge, "put %s/%s of %d bytes", kind, name, len(value))
 	}
@@ -120,17 +120,17 @@
 	if err != nil {
 		return 0, err
 	}
-	version, err := s.applyWrite(outcome, kind, name, expect, &entry{value: bytes.Clone(value)})
+	version, err := s.applyWrite(outcome, kind, name, expectedVersion, &entry{value: bytes.Clone(value)})
 	return version, errors.Annotatef(err, "put %s/%s", kind, name)
 }
 
 // Delete implements objstore.Store.
-func (s *Store) Delete(ctx context.Context, kind, name string, expect uint64) error {
+func (s *Store) Delete(ctx context.Context, kind, name string, expectedVersion uint64) error {
 	outcome, err := s.beginCall(ctx, callDelete, kind)
 	if err != nil {
 		return err
 	}
-	_, err = s.applyWrite(outcome, kind, name, expect, &entry{deleted: true})
+	_, err = s.applyWrite(outcome, kind, name, expectedVersion, &entry{deleted: true})
 	return errors.Annotatef(err, "delete %s/%s", kind, name)
 }
 
@@ -184,25 +184,25 @@
 }
 
 // applyWrite performs a write with the given outcome.
-func (s *Store) applyWrite(outcome writeOutcome, kind, name string, expect uint64, updated *entry) (uint64, error) {
+func (s *Store) applyWrite(outcome writeOutcome, kind, name string, expectedVersion uint64, updated *entry) (uint64, error) {
 	switch outcome {
 	case outcomeDelayed:
 		s.mu.Lock()
 		delay := time.Duration(s.faults.LateMS) * time.Millisecond
 		s.mu.Unlock()
-		time.AfterFunc(delay, func() { s.compareAndSet(kind, name, expect, updated) })
+		time.AfterFunc(delay, func() { s.compareAndSet(kind, name, expectedVersion, updated) })
 		return 0, errAnswerLost
 	case outcomeAnswerLost:
-		s.compareAndSet(kind, name, expect, updated)
+		s.compareAndSet(kind, name, expectedVersion, updated)
 		return 0, errAnswerLost
 	default:
-		return s.compareAndSet(kind, name, expect, updated)
+		return s.compareAndSet(kind, name, expectedVersion, updated)
 	}
 }
 
 // compareAndSet replaces the entry of an object if the object's version is expect, where 0 means
 // that the object doesn't exist. It returns the new version.
-func (s *Store) compareAndSet(kind, name string, expect uint64, updated *entry) (uint64, error) {
+func (s *Store) compareAndSet(kind, name string, expectedVersion uint64, updated *entry) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current := uint64(0)
@@ -212,7 +212,7 @@
 	if updated.deleted && current == 0 {
 		return 0, objstore.ErrNotFound
 	}
-	if current != expect {
+	if current != expectedVersion {
 		return 0, objstore.ErrConflict
 	}
 	s.revision++
