--- a/internal/lab/targetsim/handler.go
+++ b/internal/lab/targetsim/handler.go
@@ -28,6 +28,8 @@
 	return mux
 }
 
+// serveSearch answers a search of one shard that a leaf holds. The search waits for a slot of the
+// leaf and occupies it for the service time.
 func (t *Target) serveSearch(w http.ResponseWriter, r *http.Request) {
 	leafNumber, l := t.leafFromPath(r)
 	req, err := labhttp.ReadJSON[target.LeafRequest](w, r)
@@ -69,7 +71,7 @@
 	}
 }
 
-// writeSearchAnswer writes the answer with the faults that apply to it.
+// writeSearchAnswer writes the leaf's answer to a search, changed and delayed as the faults require.
 func (t *Target) writeSearchAnswer(ctx context.Context, w http.ResponseWriter, leafNumber int, ans target.LeafAnswer) {
 	t.mu.Lock()
 	fault := t.faults.consumeAnswerFault()
@@ -100,6 +102,8 @@
 	return other
 }
 
+// serveSubmit answers a submit. The submit waits for a slot of the leaf, is recorded as run and
+// occupies the slot for the service time.
 func (t *Target) serveSubmit(w http.ResponseWriter, r *http.Request) {
 	leafNumber, l := t.leafFromPath(r)
 	req, err := labhttp.ReadJSON[target.SubmitRequest](w, r)
@@ -129,17 +133,17 @@
 	t.writeAnswer(w, http.StatusOK, target.SubmitAnswer{Echo: req.Echo, Key: req.Key, Result: result})
 }
 
-// consumeSubmitFault reports whether to close the connection of a submit without an answer, and
-// decrements the count of such submits. It also returns a channel that is closed when answers may be
-// sent, or nil if they are not held.
+// consumeSubmitFault returns the faults of the next answer to a submit. The first result reports
+// whether to close the connection without an answer; if so, Faults.CutSubmits is decremented. The
+// second is a channel that is closed when answers may be sent, or nil if they are not held.
 func (t *Target) consumeSubmitFault() (bool, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return consumeCount(&t.faults.CutSubmits), t.submitHold
 }
 
-// admit waits for a slot of the leaf, or writes a refusal and returns false. If it returns true,
-// the caller must release the slot.
+// admit waits for a slot of the leaf and returns true; the caller must then release the slot. If
+// the request can't have one, admit writes a refusal and returns false.
 func (t *Target) admit(ctx context.Context, w http.ResponseWriter, l *leaf, echo target.Echo) bool {
 	t.mu.Lock()
 	state := t.currentState(time.Now())
@@ -168,7 +172,8 @@
 	return true
 }
 
-// currentTiming returns the distribution of service times, and whether the target is cold.
+// currentTiming returns the distribution of service times, and whether the target is still cold
+// after its start.
 func (t *Target) currentTiming() (Timing, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -202,7 +207,7 @@
 	return n, t.leaves[n]
 }
 
-// writeRefusal counts a refusal and writes it.
+// writeRefusal counts a refusal and writes it. notStarted says that no leaf started the request.
 func (t *Target) writeRefusal(w http.ResponseWriter, echo target.Echo, reason target.Reason, notStarted bool) {
 	t.recorder.recordRefusal(reason)
 	t.writeAnswer(w, http.StatusServiceUnavailable, target.Refusal{
@@ -225,7 +230,7 @@
 	return context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond)
 }
 
-// sleep waits for d, and returns false if ctx ended first.
+// sleep waits for d and returns true, or returns false as soon as ctx ends.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/lab/targetsim/leaf.go
+++ b/internal/lab/targetsim/leaf.go
@@ -11,9 +11,9 @@
 type admission int
 
 const (
-	admitted admission = iota
-	queueFull
-	waitCancelled // its deadline passed, or its caller disconnected, while it waited
+	admitted      admission = iota // the request has a slot
+	queueFull                      // no slot is free, and no further request may wait for one
+	waitCancelled                  // the request's deadline passed, or its caller disconnected, while it waited
 )
 
 // leaf runs a request in each of its slots and lets a limited number of others wait, in order
@@ -22,12 +22,14 @@
 	slots chan struct{} // holds one element for each running request
 
 	mu          sync.Mutex // guards the fields below
-	rng         *rand.Rand
-	maxQueued   int // upper bound of queued
-	queued      int // requests that wait for a slot
-	peakRunning int // highest number of requests that ran at once
+	rng         *rand.Rand // for service times and for requests that are shed at random
+	maxQueued   int        // upper bound of queued
+	queued      int        // requests that wait for a slot
+	peakRunning int        // highest number of requests that ran at once
 }
 
+// newLeaf returns a leaf with all slots free. Its sequence of random numbers depends only on seed
+// and leafNumber.
 func newLeaf(slots, maxQueued int, seed uint64, leafNumber int) *leaf {
 	return &leaf{
 		slots:     make(chan struct{}, slots),
@@ -36,7 +38,8 @@
 	}
 }
 
-// acquire waits for a slot until ctx ends. If it returns admitted, the caller must call release.
+// acquire waits for a slot until ctx ends, or returns queueFull at once. If it returns admitted,
+// the caller must call release.
 func (l *leaf) acquire(ctx context.Context) admission {
 	select {
 	case l.slots <- struct{}{}:
@@ -57,6 +60,7 @@
 	}
 }
 
+// release frees a slot.
 func (l *leaf) release() { <-l.slots }
 
 // load returns the number of running and waiting requests.
@@ -66,7 +70,8 @@
 	return len(l.slots) + l.queued
 }
 
-// serviceTime returns a random service time for the next request.
+// serviceTime returns a random service time for the next request. cold says that the target is
+// still cold after its start.
 func (l *leaf) serviceTime(t Timing, cold bool) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,12 +107,14 @@
 	return true
 }
 
+// dequeue counts a request as no longer queued.
 func (l *leaf) dequeue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.queued--
 }
 
+// updatePeak raises peakRunning to the number of running requests, if that is higher.
 func (l *leaf) updatePeak() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/targetsim/ledger.go
+++ b/internal/lab/targetsim/ledger.go
@@ -15,22 +15,23 @@
 type StartedRequest struct {
 	target.Echo
 	Leaf    int             `json:"leaf"`
-	Key     string          `json:"key,omitempty"` // of a submit
-	Payload json.RawMessage `json:"payload,omitempty"`
+	Key     string          `json:"key,omitempty"`     // empty for a search
+	Payload json.RawMessage `json:"payload,omitempty"` // empty for a search
 }
 
-// StartedRequests lists the requests that the leaves of a target started, in order.
+// StartedRequests lists the requests that the leaves of a target started, in the order of their
+// starts.
 type StartedRequests struct {
 	Submits  []StartedRequest `json:"submits"`
-	Searches []StartedRequest `json:"searches"` // the first 50000
+	Searches []StartedRequest `json:"searches"` // the first 50000; further ones are not listed
 }
 
 // Counters are a target's counts since its start.
 type Counters struct {
-	Searches    int                   `json:"searches"`  // started
+	Searches    int                   `json:"searches"`  // searches that were started
 	Cancelled   int                   `json:"cancelled"` // searches whose deadline passed or whose caller disconnected while they ran
-	Submits     int                   `json:"submits"`   // started
-	Refused     map[target.Reason]int `json:"refused"`   // searches and submits
+	Submits     int                   `json:"submits"`   // submits that were started
+	Refused     map[target.Reason]int `json:"refused"`   // refusals of searches and submits
 	Connections ConnectionCounts      `json:"connections"`
 	PeakRunning int                   `json:"peak_running"` // most requests that one leaf ran at once
 	Incarnation string                `json:"incarnation"`
@@ -41,11 +42,13 @@
 type requestRecorder struct {
 	mu        sync.Mutex // guards the fields below
 	started   StartedRequests
-	searches  int
-	cancelled int
+	searches  int // all that were started; started lists only the first ones
+	cancelled int // searches that were cancelled while they ran
 	refused   map[target.Reason]int
 }
 
+// recordSearch counts a search that a leaf started, and records it if it is one of the first
+// maxRecordedSearches.
 func (r *requestRecorder) recordSearch(req StartedRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,6 +64,7 @@
 	r.started.Submits = append(r.started.Submits, req)
 }
 
+// recordCancel counts a search that was cancelled while it ran.
 func (r *requestRecorder) recordCancel() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,6 +80,7 @@
 	r.refused[reason]++
 }
 
+// startedRequests returns a copy of the recorded requests.
 func (r *requestRecorder) startedRequests() StartedRequests {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,6 +90,7 @@
 	}
 }
 
+// counters returns the counts of requests. The other fields of the result are not set.
 func (r *requestRecorder) counters() Counters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/targetsim/listener.go
+++ b/internal/lab/targetsim/listener.go
@@ -14,9 +14,9 @@
 	Refused int `json:"refused"` // closed at once because the limit was reached
 }
 
-// limitListener closes connections above a limit. Each connection that it accepts takes
-// acceptDelay of the one goroutine that accepts them, so in a burst of new connections each one
-// also waits for those before it.
+// limitListener allows maxConns open connections and closes further ones at once. For each
+// connection that it accepts, Accept sleeps for acceptDelay. Only one goroutine calls Accept, so in
+// a burst of new connections each one also waits for those before it.
 type limitListener struct {
 	net.Listener
 	maxConns    int
@@ -26,7 +26,7 @@
 	count ConnectionCounts
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It closes connections above the limit and waits for the next one.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -48,7 +48,8 @@
 	return l.count
 }
 
-// reserve counts a new connection. It returns false if the limit is reached.
+// reserve counts a new connection as open and returns true. If the limit is reached, it counts the
+// connection as refused and returns false.
 func (l *limitListener) reserve() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,6 +63,7 @@
 	return true
 }
 
+// release counts an open connection as closed.
 func (l *limitListener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +77,7 @@
 	once     sync.Once
 }
 
-// Close implements net.Conn.
+// Close implements net.Conn. Only the first call decrements the count.
 func (c *countedConn) Close() error {
 	c.once.Do(c.listener.release)
 	return c.Conn.Close()
--- a/internal/lab/targetsim/options.go
+++ b/internal/lab/targetsim/options.go
@@ -11,31 +11,32 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// Options configures a target. The command "bramley-lab target" reads it from a JSON file.
+// Options configures a target. The command "bramley-lab target" reads it from a JSON file. In
+// Leaves, Slots, MaxQueued, MaxConnections and Timing.BaseMS, 0 means a default value.
 type Options struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
 	Listen  string `json:"listen"`  // IP and port; empty for a free port on the loopback
-	Control string `json:"control"` // the same for the control endpoint
+	Control string `json:"control"` // IP and port of the control endpoint; empty for a free port on the loopback
 
-	Leaves         int     `json:"leaves"`
+	Leaves         int     `json:"leaves"`          // number of leaves
 	Slots          int     `json:"slots"`           // requests that each leaf runs at once
-	MaxQueued      int     `json:"queue"`           // requests that may wait for a slot of each leaf, which sheds further ones
-	MaxConnections int     `json:"connections"`     // open at once; further ones are closed
+	MaxQueued      int     `json:"queue"`           // requests that may wait for a slot at each leaf; the leaf sheds further ones
+	MaxConnections int     `json:"connections"`     // connections that may be open at once; further ones are closed
 	ConnectCostMS  float64 `json:"connect_cost_ms"` // time that the target's single acceptor spends on each connection
 	IdleMS         int     `json:"idle_ms"`         // time after which an idle connection is closed; 0 means never
 
-	Seed      uint64              `json:"seed"` // of the random numbers for service times and ShedShare
+	Seed      uint64              `json:"seed"` // of the random numbers for service times and Faults.ShedShare
 	Timing    Timing              `json:"timing"`
 	Snapshots []SnapshotPlacement `json:"snapshots"`
-	ColdMS    int                 `json:"cold_ms"`  // how long the target is cold after its start; see Timing.ColdFactor
+	ColdMS    int                 `json:"cold_ms"`  // how long after its start the target is slow or refuses requests; see Timing.ColdFactor
 	DrainMS   int                 `json:"drain_ms"` // how long the target drains after SIGTERM before it exits
 }
 
 // Timing is the distribution of service times: how long a request occupies its slot.
 type Timing struct {
-	BaseMS          float64 `json:"base_ms"`          // mean of requests that are not stragglers; uniform within ±30 %
-	StragglerProb   float64 `json:"straggler_prob"`   // share of requests that are stragglers
+	BaseMS          float64 `json:"base_ms"`          // mean time of requests that are not stragglers; their times are uniform within ±30 % of it
+	StragglerProb   float64 `json:"straggler_prob"`   // share of requests that are stragglers, from 0 to 1
 	StragglerFactor float64 `json:"straggler_factor"` // how many times longer a straggler runs
 	ColdFactor      float64 `json:"cold_factor"`      // how many times longer a request runs on a cold target; 0 means that a cold target refuses requests
 }
@@ -46,15 +47,16 @@
 	LeafShards [][]int `json:"leaf_shards"` // shard numbers, by leaf
 }
 
-// Defaults of Options.
 const (
-	defaultLeaves         = 2
-	defaultSlots          = 2
-	defaultMaxQueued      = 8
-	defaultMaxConnections = 25
-	defaultBaseMS         = 5
+	defaultLeaves         = 2  // value of Options.Leaves if it is 0
+	defaultSlots          = 2  // value of Options.Slots if it is 0
+	defaultMaxQueued      = 8  // value of Options.MaxQueued if it is 0
+	defaultMaxConnections = 25 // value of Options.MaxConnections if it is 0
+	defaultBaseMS         = 5  // value of Options.Timing.BaseMS if it is 0
 )
 
+// withDefaults returns o with the default values in place of zeros. It also fills in an empty
+// Service of snapshots from o.Service; that changes the elements of the caller's o.Snapshots.
 func (o Options) withDefaults() Options {
 	if o.Leaves == 0 {
 		o.Leaves = defaultLeaves
@@ -79,6 +81,8 @@
 	return o
 }
 
+// validatePlacements returns an error if a snapshot has no name or no shards, or if it is placed
+// on more leaves than the target has or with a shard number that is out of range.
 func validatePlacements(placements []SnapshotPlacement, leaves int) error {
 	for _, p := range placements {
 		if p.Snapshot == "" || p.Shards < 1 {
@@ -98,7 +102,7 @@
 	return nil
 }
 
-// holdings returns the shards that the leaf holds, as its status lists them.
+// holdings returns the shards that the leaf with that number holds, as its status lists them.
 func holdings(placements []SnapshotPlacement, leaf int) []target.Holding {
 	out := []target.Holding{}
 	for _, p := range placements {
--- a/internal/lab/targetsim/records.go
+++ b/internal/lab/targetsim/records.go
@@ -20,9 +20,9 @@
 type Index struct {
 	Service  string `json:"service"`
 	Snapshot string `json:"snapshot"`
-	Seq      int64  `json:"seq"` // orders the snapshots; the newest has the largest
-	Shards   int    `json:"shards"`
-	Records  int    `json:"records"` // in all shards together
+	Seq      int64  `json:"seq"`     // orders the snapshots; the newest has the largest
+	Shards   int    `json:"shards"`  // number of shards
+	Records  int    `json:"records"` // number of records in all shards together
 }
 
 // RecordFields are the fields of every record. They name the snapshot that the record was read
@@ -31,7 +31,7 @@
 	Snapshot string `json:"snapshot"`
 }
 
-// RecordKey returns the key of record i. Keys sort in the order of their numbers.
+// RecordKey returns the key of the record with number i. Keys sort in the order of their numbers.
 func RecordKey(i int) string { return fmt.Sprintf("r%08d", i) }
 
 // ShardOf returns the number of the shard that holds the record with that key.
@@ -57,8 +57,8 @@
 
 // shard holds the records of one shard of an index.
 type shard struct {
-	keys   []string        // in order
-	fields json.RawMessage // of every record
+	keys   []string        // of the records, sorted
+	fields json.RawMessage // the same for every record
 }
 
 var (
@@ -90,8 +90,8 @@
 	return shards
 }
 
-// matchingItems returns the items of the shard that match the query, in the order of the kind.
-// An empty query matches every record. A browse returns only keys greater than after.
+// matchingItems returns the items of the shard that match the query, sorted as an answer of that
+// kind requires. An empty query matches every record. A browse returns only keys greater than after.
 func (s shard) matchingItems(kind target.Kind, query, after string) []target.Item {
 	items := []target.Item{}
 	for _, key := range s.keys {
--- a/internal/lab/targetsim/target.go
+++ b/internal/lab/targetsim/target.go
@@ -23,16 +23,16 @@
 	leaves      []*leaf
 	recorder    requestRecorder
 	listener    *limitListener
-	control     net.Listener
+	control     net.Listener // of the control endpoint
 	tomb        tomb.Tomb
 
 	mu          sync.Mutex // guards the fields below; never held together with a leaf's or the recorder's mutex
 	faults      Faults
 	timing      Timing
 	placements  []SnapshotPlacement
-	coldUntil   time.Time
+	coldUntil   time.Time // when StateStarting ends
 	draining    bool
-	submitHold  chan struct{} // closed when submits are no longer held; nil while they aren't
+	submitHold  chan struct{} // closed when held answers to submits may be sent; nil if answers are not held
 	reported    reportedStatus
 	lastAnswers []*target.LeafAnswer // by leaf: the last answer to a search, as it was before MismatchedAnswers replaced it
 }
@@ -125,7 +125,7 @@
 	})
 }
 
-// SetFaults replaces the faults. If HoldSubmits is unset, it releases the answers that are held.
+// SetFaults replaces the faults. If f.HoldSubmits is false, the held answers to submits are sent.
 func (t *Target) SetFaults(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,7 +172,7 @@
 	t.draining = draining
 }
 
-// Ran returns the requests that were started.
+// Ran returns the requests that the leaves started to run.
 func (t *Target) Ran() StartedRequests { return t.recorder.startedRequests() }
 
 // Counters returns the counts since the start of the target.
--- a/internal/lab/targetsim/target_test.go
+++ b/internal/lab/targetsim/target_test.go
@@ -14,10 +14,14 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
+// timeout bounds the wait for a condition that a test expects.
 const timeout = 20 * time.Second
 
+// testIndex is the index whose shards the targets of the tests hold.
 var testIndex = Index{Service: "desk", Snapshot: "s1", Seq: 1, Shards: 3, Records: 100}
 
+// startTarget starts a target until the end of the test. Its leaf 0 holds the shards 0 and 1 of
+// testIndex, its leaf 1 holds shard 2. configure, if not nil, changes the options before the start.
 func startTarget(t *testing.T, configure func(*Options)) *Target {
 	opts := Options{
 		Name: "t1", Service: "desk", Leaves: 2, Slots: 1, MaxQueued: 1, MaxConnections: 4,
@@ -35,14 +39,16 @@
 	return tg
 }
 
+// reply is a target's response to a request.
 type reply struct {
 	status       int
 	header       http.Header
-	ans          target.LeafAnswer
-	refusal      target.Refusal
-	trailingData bool // there is data after the first JSON value of the body
+	ans          target.LeafAnswer // of a search, if status is 200
+	refusal      target.Refusal    // if status is not 200
+	trailingData bool              // there is data after the first JSON value of the body
 }
 
+// searchRequest returns a search of that shard of testIndex.
 func searchRequest(shard int) target.LeafRequest {
 	return target.LeafRequest{
 		Echo: target.Echo{Request: fmt.Sprintf("q%d", shard), Attempt: 1, Shard: shard, Snapshot: "s1"},
@@ -50,6 +56,8 @@
 	}
 }
 
+// post sends req to a leaf of the target and returns the decoded response. The operation is "search"
+// or "submit".
 func post(ctx context.Context, client *http.Client, tg *Target, leaf int, req any, operation string) (reply, error) {
 	body, _ := json.Marshal(req)
 	url := fmt.Sprintf("http://%s/leaves/%d/%s", tg.Address(), leaf, operation)
@@ -70,6 +78,7 @@
 	return out, err
 }
 
+// newClient returns a client that uses HTTP/2 without TLS, or HTTP/1.1 if http2 is false.
 func newClient(t *testing.T, http2 bool) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(!http2)
@@ -79,8 +88,8 @@
 	return &http.Client{Transport: tr}
 }
 
-// Tests compare daemons' answers with Index.ExpectedAnswer. If the leaves' answers differed from it,
-// these tests would report faults that the daemons don't have.
+// Tests compare the daemons' answers with Index.ExpectedAnswer. If the answers of the leaves did not
+// add up to it, such tests would report faults that the daemons don't have.
 func TestShardAnswersAddUpToExpectedAnswer(t *testing.T) {
 	for _, http2 := range []bool{false, true} {
 		g := gomega.NewWithT(t)
@@ -161,7 +170,8 @@
 	g.Expect(tg.Counters().PeakRunning).To(gomega.Equal(1))
 }
 
-// A target that accepted any number of connections would hide daemons that open too many.
+// If a target accepted any number of connections, tests could not detect that a daemon opens too
+// many.
 func TestConnectionsAboveLimitAreClosed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, func(o *Options) { o.MaxConnections = 1 })
@@ -174,7 +184,8 @@
 	g.Expect(c.Refused).To(gomega.BeNumerically(">=", 1))
 }
 
-// A fault that is set but doesn't reach the answer would make tests of the daemons pass without it.
+// If a fault that is set did not change the answer, tests of how the daemons handle the fault would
+// pass without testing it.
 func TestFaultsChangeSearchAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tg := startTarget(t, nil)
