--- a/internal/lab/edgesim/address.go
+++ b/internal/lab/edgesim/address.go
@@ -8,17 +8,16 @@
 )
 
 // The range of ports that FreeAddress returns. It lies below the range from which the kernel chooses
-// the local ports of outgoing connections. Otherwise an outgoing connection could get a port between
-// the call of FreeAddress and the start of the process that is to listen on it, which would then
-// fail.
+// the local ports of outgoing connections. Otherwise an outgoing connection could get a port that
+// FreeAddress returned, and the process that is to listen on the port would then fail to start.
 const (
-	firstPort = 20000
-	portCount = 12000
+	firstPort = 20000 // lowest port that FreeAddress returns
+	portCount = 12000 // FreeAddress chooses from this many ports, from firstPort on
 )
 
 var (
-	returnedPortsMu sync.Mutex // guards returnedPorts
-	returnedPorts   = make(map[int]bool)
+	returnedPortsMu sync.Mutex           // guards returnedPorts
+	returnedPorts   = make(map[int]bool) // ports that FreeAddress has returned
 )
 
 // FreeAddress returns a loopback IP and a port that no process listens on and that it has not
--- a/internal/lab/edgesim/leaf.go
+++ b/internal/lab/edgesim/leaf.go
@@ -41,14 +41,14 @@
 	faults     LeafFaults
 	arrivals   map[string]int // how often a request arrived, by its id
 	runs       map[string]int // how often a request ran, by its id
-	conns      int            // opened so far
-	lastHeader http.Header    // of the latest request, as are the next two
-	lastBody   []byte
-	lastURI    string
-	inFlight   int // requests that are running
+	conns      int            // connections opened so far
+	lastHeader http.Header    // headers of the latest request
+	lastBody   []byte         // body of the latest request
+	lastURI    string         // path and query of the latest request
+	inFlight   int            // requests that are running
 }
 
-// Start starts the leaf on a free port of the loopback and returns it.
+// Start starts the leaf on a free port of the loopback and returns l.
 func (l *Leaf) Start() *Leaf {
 	l.arrivals, l.runs = make(map[string]int), make(map[string]int)
 	l.server = httptest.NewUnstartedServer(http.HandlerFunc(l.serve))
@@ -82,7 +82,8 @@
 	l.faults = f
 }
 
-// Counts returns how often the request with that id arrived and how often it ran.
+// Counts returns how often the request with that id arrived and how often it ran. The id is the
+// value of the header Bramleybarrow-Attempt-Id.
 func (l *Leaf) Counts(id string) (arrivals, runs int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,19 +121,22 @@
 	return l.inFlight
 }
 
+// addInFlight adds delta to the number of running requests.
 func (l *Leaf) addInFlight(delta int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight += delta
 }
 
-// RegistryEntry returns the JSON spec that the leaf writes about itself into the store.
+// RegistryEntry returns the JSON spec that the leaf writes about itself into the store when it is in
+// that state.
 func (l *Leaf) RegistryEntry(state string) string {
 	return fmt.Sprintf(`{"service":%q,"address":%q,"zone":%q,"version":"v1","slots":2,"state":%q,"cold-left-ms":0,"sequence":1,"born":%d}`,
 		l.Service, l.Address(), l.Zone, state, l.Born)
 }
 
-// Receipt returns the receipt of the leaf's answer to the request with that id.
+// Receipt returns the receipt of the leaf's answer to the request with that id: the proof that this
+// leaf ran the request and gave the answer.
 func (l *Leaf) Receipt(id string) string { return l.ID + "." + id }
 
 // Answer returns the body of the leaf's answer to the request with that id: records of 16 bytes that
@@ -150,6 +154,8 @@
 	return b.Bytes()
 }
 
+// serve answers a request as the faults require. If the request names another leaf in the header
+// Bramleybarrow-Target-Instance, it is not counted and gets status 421.
 func (l *Leaf) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Bramleybarrow-Attempt-Id")
 	if want := r.Header.Get("Bramleybarrow-Target-Instance"); want != "" && want != l.ID {
@@ -176,7 +182,8 @@
 	l.writeAnswer(w, id, f)
 }
 
-// doWork blocks for as long as the request is to run.
+// doWork blocks for as long as the faults require the request to run, or until its caller
+// disconnects.
 func (l *Leaf) doWork(r *http.Request, f LeafFaults) {
 	l.addInFlight(1)
 	defer l.addInFlight(-1)
@@ -197,6 +204,8 @@
 	}
 }
 
+// writeAnswer writes the answer to the request with that id, changed as the faults require. For
+// LoseAnswers and Silent it closes the connection instead.
 func (l *Leaf) writeAnswer(w http.ResponseWriter, id string, f LeafFaults) {
 	body := l.Answer(id)
 	if f.LoseAnswers || f.Silent {
@@ -207,7 +216,8 @@
 		return
 	}
 	w.Header().Set("Bramleybarrow-Attempt-Id", id)
-	// Running and waiting requests, slots, and the pace in hundredths of the usual time.
+	// The numbers of running requests, of waiting requests and of slots, and the pace: how long
+	// work takes on the leaf's machine, in hundredths of the usual time.
 	w.Header().Set("Bramleybarrow-Server-Load", "1,0,2,100")
 	if !f.NoReceipt {
 		w.Header().Set("Bramleybarrow-Response-Stamp", l.Receipt(id))
@@ -220,7 +230,8 @@
 	_, _ = w.Write(body)
 }
 
-// writeRawAnswer writes an answer that net/http's server can't produce, and closes the connection.
+// writeRawAnswer writes the answer with the fault TruncateBody, NoContentLength or ExtraAnswer, which
+// net/http's server can't produce, and closes the connection.
 func (l *Leaf) writeRawAnswer(w http.ResponseWriter, id string, body []byte, f LeafFaults) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/internal/lab/edgesim/store.go
+++ b/internal/lab/edgesim/store.go
@@ -25,14 +25,14 @@
 // Store simulates a metadata store. Create it with NewStore. It is safe for concurrent use.
 type Store struct {
 	server   *httptest.Server
-	pageSize int
+	pageSize int // upper bound of the objects in a page of a listing
 
 	mu                sync.Mutex                          // guards the fields below
 	revision          int64                               // number of the last change
 	objects           map[string]map[string]*storedObject // by kind and name
-	history           []storedEvent
-	compactedRevision int64         // the history up to this revision was discarded
-	changed           chan struct{} // closed, and replaced, at each change and by SetFaults
+	history           []storedEvent                       // changes after compactedRevision, oldest first
+	compactedRevision int64                               // the history up to this revision was discarded
+	changed           chan struct{}                       // closed, and replaced, at each change and by SetFaults
 	faults            StoreFaults
 	calls             map[string]int // numbers of calls received, by HTTP method and kind
 }
@@ -40,8 +40,8 @@
 // storedObject is one version of an object.
 type storedObject struct {
 	name            string
-	revision        int64
-	createdRevision int64
+	revision        int64 // of the store after the write of this version
+	createdRevision int64 // of the store after the write of the object's first version
 	spec            json.RawMessage
 }
 
@@ -100,7 +100,7 @@
 }
 
 // Compact discards the history and closes all connections, which aborts the waiting watches. A
-// watch of an earlier revision then gets status 410.
+// watch for changes after an earlier revision then gets status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	s.history, s.compactedRevision = nil, s.revision
@@ -115,7 +115,7 @@
 	return s.calls[method+" "+kind]
 }
 
-// put writes an object. The caller must hold mu.
+// put creates or replaces an object and returns its new version. The caller must hold mu.
 func (s *Store) put(kind, name string, spec json.RawMessage) *storedObject {
 	byName := s.objects[kind]
 	if byName == nil {
@@ -148,12 +148,15 @@
 	return true
 }
 
-// notifyWatches wakes the calls that wait for a change. The caller must hold mu.
+// notifyWatches wakes the watches that wait for a change and the calls that StoreFaults.Silent
+// holds. The caller must hold mu.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
+// serve counts and delays a call, and dispatches it by its HTTP method and URL unless
+// StoreFaults.Silent or StoreFaults.Status prevents an answer from the store's contents.
 func (s *Store) serve(w http.ResponseWriter, r *http.Request) {
 	path := strings.TrimPrefix(r.URL.Path, "/bramleybarrow/objects/")
 	kind, name, _ := strings.Cut(path, "/")
@@ -220,6 +223,7 @@
 	_, _ = w.Write(data)
 }
 
+// get answers a call for one object.
 func (s *Store) get(w http.ResponseWriter, kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -231,6 +235,8 @@
 	writeJSON(w, http.StatusOK, objectJSON(o))
 }
 
+// list answers a call for a page of a listing: the objects of the kind whose names sort after the
+// given name. If stale is set, the revision that it states is before the last compaction.
 func (s *Store) list(w http.ResponseWriter, kind, after string, stale bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -253,6 +259,8 @@
 	writeJSON(w, http.StatusOK, map[string]any{"items": items, "has-more": more, "store-revision": revision})
 }
 
+// watch answers a watch with the changes of the kind after a revision. It waits for the first one,
+// and answers without changes when the time that the caller allows has passed.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
 	query := r.URL.Query()
 	since, _ := strconv.ParseInt(query.Get("watch"), 10, 64)
@@ -300,6 +308,8 @@
 	return events
 }
 
+// write performs a write and answers it. If loseAnswer is set, it closes the connection instead of
+// answering.
 func (s *Store) write(w http.ResponseWriter, r *http.Request, kind, name string, loseAnswer bool) {
 	var body struct {
 		Meta struct {
--- a/internal/lab/edgesim/store_proxy.go
+++ b/internal/lab/edgesim/store_proxy.go
@@ -59,12 +59,16 @@
 // ReadCount returns how many calls for leafs or the manifest the VM has sent.
 func (p *StoreProxy) ReadCount() int { return int(p.reads.Load()) }
 
+// rejectionStatus returns the HTTP status with which every call is rejected, or 0 if calls are
+// forwarded.
 func (p *StoreProxy) rejectionStatus() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rejectStatus
 }
 
+// serve counts a call and rejects it or forwards it to the store. It forwards neither the headers of
+// the call nor those of the response.
 func (p *StoreProxy) serve(w http.ResponseWriter, r *http.Request) {
 	if strings.HasSuffix(r.URL.Path, "/servers") || strings.HasSuffix(r.URL.Path, "/config") {
 		p.reads.Add(1)
