--- a/internal/lab/platformsim/faults.go
+++ b/internal/lab/platformsim/faults.go
@@ -10,25 +10,25 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore"
 )
 
-// Errors of calls that a fault makes fail. After either of them a caller doesn't know whether
-// its write took effect.
+// Errors of calls that a fault makes fail. After either of these errors a caller doesn't know
+// whether its write took effect.
 var (
 	errOutage     = errors.New("platformsim: simulated outage")
 	errAnswerLost = errors.New("platformsim: simulated loss of the answer")
 )
 
 // Faults are the faults that the platform simulates. The zero value is a healthy platform. A
-// field that says how many of the next writes are affected is decremented by each one.
+// field that says how many of the next writes are affected is decremented by each of them.
 type Faults struct {
 	Outage        bool `json:"outage"`         // every call fails
 	SlowMS        int  `json:"slow_ms"`        // delay of each call
-	WatchesSilent bool `json:"watches_silent"` // watches wait without an answer
+	WatchesSilent bool `json:"watches_silent"` // watches get no answer until their caller gives up
 	// LoseAnswers is how many of the next writes take effect and lose their answer.
 	// LoseWrites is how many fail with the same error without taking effect.
 	LoseAnswers int `json:"lose_answers"`
 	LoseWrites  int `json:"lose_writes"`
-	// LateWrites is how many of the next writes fail like LoseWrites and take effect LateMS
-	// later, if their condition holds then.
+	// LateWrites is how many of the next writes fail with the same error and take effect
+	// LateMS later, if the object has the version that the write expects then.
 	LateWrites int `json:"late_writes"`
 	LateMS     int `json:"late_ms"`
 	// LoseKind limits LoseAnswers, LoseWrites and LateWrites to writes of objects of one
@@ -48,7 +48,7 @@
 	Delete  int `json:"delete"`
 	Watch   int `json:"watch"`
 	VMs     int `json:"vms"`     // reads of the list of VMs
-	Refused int `json:"refused"` // above the rate limits; also counted by type of call above
+	Refused int `json:"refused"` // calls that a rate limit refused; each is also counted in the field of its type
 }
 
 // call is a type of call to the platform.
@@ -78,8 +78,8 @@
 type faultState struct {
 	Faults
 	counters     Counters
-	writeLimiter *rate.Limiter // nil means no limit
-	readLimiter  *rate.Limiter
+	writeLimiter *rate.Limiter // limits puts and deletes; nil means no limit
+	readLimiter  *rate.Limiter // limits all other calls; nil means no limit
 }
 
 // SetFaults replaces the faults. They apply to a waiting watch from the next change of its kind
@@ -183,6 +183,7 @@
 	return outcomeAnswered, nil
 }
 
+// countCall increments the counter of that type of call. The caller must hold Store.mu.
 func (f *faultState) countCall(c call) {
 	switch c {
 	case callGet:
--- a/internal/lab/platformsim/store.go
+++ b/internal/lab/platformsim/store.go
@@ -65,7 +65,7 @@
 	s.watchWait = d
 }
 
-// Get implements objstore.Store.
+// Get implements objstore.Store. It returns the object, or objstore.ErrNotFound.
 func (s *Store) Get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	if _, err := s.beginCall(ctx, callGet, kind); err != nil {
 		return objstore.Object{}, err
@@ -79,8 +79,9 @@
 	return objstore.Object{Kind: kind, Name: name, Version: e.version, Value: bytes.Clone(e.value)}, nil
 }
 
-// List implements objstore.Store. It returns the values as compact JSON, as the HTTP interface
-// does: only Get returns a value byte for byte as it was written.
+// List implements objstore.Store. It returns a page of the kind's objects whose names sort after
+// the given name. The values are compact JSON, as in the HTTP interface: only Get returns a value
+// byte for byte as it was written.
 func (s *Store) List(ctx context.Context, kind, after string, limit int) (objstore.Page, error) {
 	if _, err := s.beginCall(ctx, callList, kind); err != nil {
 		return objstore.Page{}, err
@@ -108,7 +109,8 @@
 	return page, nil
 }
 
-// Put implements objstore.Store.
+// Put implements objstore.Store. It writes the value if the object has the expected version, where
+// 0 means that the object doesn't exist, and returns the new version.
 func (s *Store) Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error) {
 	if len(value) > objstore.MaxValue {
 		return 0, errors.Annotatef(objstore.ErrTooLarge, "put %s/%s of %d bytes", kind, name, len(value))
@@ -124,7 +126,7 @@
 	return version, errors.Annotatef(err, "put %s/%s", kind, name)
 }
 
-// Delete implements objstore.Store.
+// Delete implements objstore.Store. It deletes the object if it has the expected version.
 func (s *Store) Delete(ctx context.Context, kind, name string, expectedVersion uint64) error {
 	outcome, err := s.beginCall(ctx, callDelete, kind)
 	if err != nil {
@@ -134,7 +136,8 @@
 	return errors.Annotatef(err, "delete %s/%s", kind, name)
 }
 
-// Watch implements objstore.Store.
+// Watch implements objstore.Store. It waits for a change of the kind after the revision since. If
+// there is none for as long as SetWatchWait says, it returns without events.
 func (s *Store) Watch(ctx context.Context, kind string, since uint64) (objstore.WatchResult, error) {
 	if _, err := s.beginCall(ctx, callWatch, kind); err != nil {
 		return objstore.WatchResult{}, err
@@ -164,7 +167,7 @@
 }
 
 // changesSince returns the changes of the kind after that revision, a channel that is closed at
-// the next change, and whether watches are to stay without an answer.
+// the kind's next change, and whether watches get no answer (Faults.WatchesSilent).
 func (s *Store) changesSince(kind string, since uint64) (objstore.WatchResult, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,7 +186,8 @@
 	return result, objs.changed, s.faults.WatchesSilent
 }
 
-// applyWrite performs a write with the given outcome.
+// applyWrite performs a write with the given outcome. It returns the new version, or an error if
+// the write was refused or its answer is lost.
 func (s *Store) applyWrite(outcome writeOutcome, kind, name string, expectedVersion uint64, updated *entry) (uint64, error) {
 	switch outcome {
 	case outcomeDelayed:
@@ -200,8 +204,8 @@
 	}
 }
 
-// compareAndSet replaces the entry of an object if the object's version is expect, where 0 means
-// that the object doesn't exist. It returns the new version.
+// compareAndSet replaces the entry of an object if the object has the expected version, where 0
+// means that the object doesn't exist. It returns the new version.
 func (s *Store) compareAndSet(kind, name string, expectedVersion uint64, updated *entry) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,7 +228,8 @@
 	return updated.version, nil
 }
 
-// objectsOf returns the objects of the kind. The caller must hold mu.
+// objectsOf returns the objects of the kind. It creates an empty set of them for a new kind. The
+// caller must hold mu.
 func (s *Store) objectsOf(kind string) *kindObjects {
 	objs := s.kinds[kind]
 	if objs == nil {
@@ -250,6 +255,8 @@
 	return names
 }
 
+// compactJSON returns the value without insignificant white space, or a copy of the value if it is
+// not valid JSON.
 func compactJSON(value []byte) []byte {
 	var b bytes.Buffer
 	if err := json.Compact(&b, value); err != nil {
--- a/internal/lab/platformsim/store_test.go
+++ b/internal/lab/platformsim/store_test.go
@@ -10,12 +10,14 @@
 	"github.com/bramleybarrow/bramleybarrow/objstore/objstoretest"
 )
 
-// Tests use the store directly and over HTTP. Both must behave as objstore.Store requires, so that
-// a test fails only for faults of the code that it tests.
+// Tests use the store in place of the platform. If it did not behave as objstore.Store requires,
+// they would fail although the code that they test has no fault.
 func TestStoreConforms(t *testing.T) {
 	objstoretest.Run(t, func(*testing.T) objstore.Store { return NewStore() })
 }
 
+// Tests also use the store over HTTP. If the client and the handler together did not behave as
+// objstore.Store requires, such tests would fail although the code that they test has no fault.
 func TestClientAndHandlerConform(t *testing.T) {
 	objstoretest.Run(t, func(t *testing.T) objstore.Store {
 		return startClient(t, NewStore(), objstore.ClientOptions{})
@@ -31,14 +33,13 @@
 	return client
 }
 
-// The platform carries a write out and its answer is lost, so that the writer of a claim gets an
-// error although the write took effect. A client that retried the write by itself would then
-// report a conflict with its own write.
+// A write takes effect and its answer is lost, so that the writer, for example of a claim, gets an
+// error. If the client retried the write by itself, it would report a conflict with its own write.
 func TestLostAnswerIsNotRetried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewStore()
 	client := startClient(t, s, objstore.ClientOptions{})
-	_, err := client.Put(t.Context(), "k", "warm", 0, []byte(`1`)) // the connection is reused below
+	_, err := client.Put(t.Context(), "k", "warm", 0, []byte(`1`)) // opens the connection that the next call reuses
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	s.SetFaults(Faults{LoseAnswers: 1})
 
@@ -51,7 +52,8 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-// A write that failed with an error can still take effect after the writer received the error.
+// Tests use LateWrites for writes that take effect after the writer received an error. If such a
+// write did not take effect, these tests would pass without testing that case.
 func TestLateWriteTakesEffectAfterError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewStore()
@@ -61,8 +63,9 @@
 	g.Eventually(func() error { _, err := s.Get(t.Context(), "k", "a"); return err }, "20s").Should(gomega.Succeed())
 }
 
-// A call that fails because of a fault must not look like one that found no object, and a lost
-// write must not take effect.
+// A call that fails because of a fault must not return ErrNotFound, and a lost write must not take
+// effect. Otherwise a test could not tell a fault of the platform from a missing object, or a lost
+// write from one that took effect.
 func TestRateLimitsOutageAndLostWrites(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := NewStore()
--- a/internal/lab/platformsim/vms.go
+++ b/internal/lab/platformsim/vms.go
@@ -24,7 +24,8 @@
 	s.vms.pendingAt = time.Now().Add(lag)
 }
 
-// VMs implements objstore.Store.
+// VMs implements objstore.Store. It returns the visible list; a list that was passed to SetVMs
+// becomes visible when the lag of that call has passed.
 func (s *Store) VMs(ctx context.Context) ([]objstore.VM, error) {
 	if _, err := s.beginCall(ctx, callVMs, ""); err != nil {
 		return nil, err
@@ -35,7 +36,8 @@
 	return append([]objstore.VM(nil), s.vms.visible...), nil
 }
 
-// applyPending makes the pending change visible if pendingAt has passed.
+// applyPending makes the pending change visible if pendingAt has passed. The caller must hold
+// Store.mu.
 func (l *vmList) applyPending(now time.Time) {
 	if !l.pendingAt.IsZero() && !now.Before(l.pendingAt) {
 		l.visible, l.pending, l.pendingAt = l.pending, nil, time.Time{}
