--- a/internal/lab/faultproxy/name.go
+++ b/internal/lab/faultproxy/name.go
@@ -9,7 +9,7 @@
 const (
 	// maxHelloBytes bounds the bytes that are read from a connection to find its client's name.
 	maxHelloBytes = 4 << 10
-	// helloTimeout bounds the wait for these bytes.
+	// helloTimeout bounds the time in which a client's name must arrive on a connection.
 	helloTimeout = 2 * time.Second
 )
 
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -35,37 +35,37 @@
 
 // Counters counts the connections that reached the server.
 type Counters struct {
-	Open  int `json:"open"`
-	Total int `json:"total"` // since the start
+	Open  int `json:"open"`  // open now
+	Total int `json:"total"` // since the start of the proxy
 }
 
 // Proxy forwards TCP connections to one address. Create it with Start. Its methods are safe
 // for concurrent use.
 type Proxy struct {
-	target    string
-	readHello bool
-	listener  net.Listener
-	control   net.Listener
+	target    string       // IP and port to forward to
+	readHello bool         // see Options.ReadHello
+	listener  net.Listener // for the connections to forward
+	control   net.Listener // of the control endpoint
 	tomb      tomb.Tomb
 
 	mu            sync.Mutex // guards the fields below
 	faults        Faults
 	faultsChanged chan struct{}      // closed, and replaced, when the faults change
-	links         map[*link]struct{} // open connections
+	links         map[*link]struct{} // open connections that reached the server
 	total         int                // connections that reached the server since the start
 }
 
 // link is one connection through the proxy.
 type link struct {
-	client, server net.Conn
-	clientName     string // empty if not known
-	silent         bool   // permanently; guarded by Proxy.mu
+	client, server net.Conn // the proxy's connections with the client and to the server
+	clientName     string   // name of the VM that connected; empty if not known
+	silent         bool     // Proxy.Silence silenced the link; never unset; guarded by Proxy.mu
 }
 
 // Options configures a proxy.
 type Options struct {
 	Listen  string // IP and port; empty for a free port on the loopback
-	Control string // the same for the control endpoint
+	Control string // IP and port of the control endpoint; empty for a free port on the loopback
 	Target  string // IP and port to forward to
 	// ReadHello says that the connections are between VMs. The proxy then reads the name of
 	// the VM that connects from the first message on each connection.
@@ -147,6 +147,7 @@
 	return Counters{Open: len(p.links), Total: p.total}
 }
 
+// acceptLoop accepts connections and handles each one in a goroutine, until Close.
 func (p *Proxy) acceptLoop() error {
 	for {
 		client, err := p.listener.Accept()
@@ -163,6 +164,8 @@
 	}
 }
 
+// handleConn connects a client to the server, if the faults allow it, and forwards bytes in both
+// directions until the connection is closed.
 func (p *Proxy) handleConn(client net.Conn) {
 	if p.refusesConns() {
 		client.Close()
@@ -194,14 +197,14 @@
 	wg.Wait()
 }
 
-// holdPollInterval is the read timeout between two checks whether a new connection is still
-// frozen.
+// holdPollInterval is the interval at which holdWhileFrozen checks whether the network is still
+// frozen for a new connection.
 const holdPollInterval = 20 * time.Millisecond
 
 // holdWhileFrozen delays a new connection while the network is frozen for it, as lost packets
-// would. It returns received followed by the bytes that the client sent meanwhile. It returns
-// false if the client closed the connection or the proxy is closing; the connection must then
-// not reach the server.
+// would. Its first result is the parameter received, followed by the bytes that the client sent
+// meanwhile. Its second result is false if the client closed the connection or the proxy is
+// closing; the connection must then not reach the server.
 func (p *Proxy) holdWhileFrozen(l *link, received []byte) (all []byte, ok bool) {
 	defer l.client.SetReadDeadline(time.Time{})
 	buf := make([]byte, 4<<10)
@@ -240,8 +243,8 @@
 	}
 }
 
-// waitToForward delays a chunk of bytes as the faults require, and reports whether to forward
-// it or to drop it.
+// waitToForward delays a chunk of bytes as the faults require. It returns false if the chunk must
+// be dropped. Upstream is the direction from the client to the server.
 func (p *Proxy) waitToForward(l *link, upstream bool) bool {
 	for {
 		f, changed, silent := p.linkState(l)
@@ -260,9 +263,9 @@
 	}
 }
 
-// propagateClose closes both ends of the link as soon as the faults let a close pass in this
-// direction. A silent link does not pass on that one end has closed: the other one stays open
-// until Cut or Close.
+// propagateClose closes both ends of the link, after one end has closed, as soon as the faults
+// let the close pass in this direction. On a silent link a close does not pass: the other end
+// stays open until Cut or Close. Upstream is the direction from the client to the server.
 func (p *Proxy) propagateClose(l *link, upstream bool) {
 	defer l.close()
 	for {
@@ -288,20 +291,25 @@
 	return f, p.faultsChanged, l.silent
 }
 
+// drops reports whether bytes in that direction are dropped. Upstream is the direction from the
+// client to the server.
 func (f Faults) drops(upstream bool) bool { return upstream && f.LoseUp || !upstream && f.LoseDown }
 
+// close closes the connections with the client and to the server.
 func (l *link) close() {
 	l.client.Close()
 	l.server.Close()
 }
 
+// refusesConns reports whether new connections are to be closed at once.
 func (p *Proxy) refusesConns() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults.Refuse
 }
 
-// addLink registers the link. It returns false if the proxy is closing.
+// addLink adds a link that reached the server to the open ones and returns true. It returns false
+// if the proxy is closing.
 func (p *Proxy) addLink(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -313,6 +321,7 @@
 	return true
 }
 
+// removeLink removes a link from the open ones.
 func (p *Proxy) removeLink(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -10,8 +10,10 @@
 	"go.uber.org/goleak"
 )
 
+// TestMain checks that no goroutine is left at the end.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// timeout bounds the wait for a condition that a test expects.
 const timeout = 20 * time.Second
 
 // silenceTimeout is how long a test waits for bytes before it treats a connection as silent.
@@ -19,9 +21,11 @@
 // of a test does not depend on this value.
 const silenceTimeout = 50 * time.Millisecond
 
+// startProxy starts a proxy with the default options in front of an echo server.
 func startProxy(t *testing.T) *Proxy { return startProxyWith(t, Options{}) }
 
-// startProxyWith starts a proxy in front of an echo server.
+// startProxyWith starts a proxy in front of an echo server, whose address it sets as opts.Target.
+// Both are stopped at the end of the test.
 func startProxyWith(t *testing.T, opts Options) *Proxy {
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,6 +55,7 @@
 	return p
 }
 
+// dial opens a connection to the proxy. It is closed at the end of the test.
 func dial(t *testing.T, p *Proxy) net.Conn {
 	conn, err := net.Dial("tcp", p.Address())
 	if err != nil {
@@ -84,7 +89,7 @@
 }
 
 // A frozen connection must work again when the network is no longer frozen. A new connection must
-// not reach the server while it is frozen.
+// not reach the server while the network is frozen.
 func TestFrozenConnectionsResumeAfterwards(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := startProxy(t)
@@ -116,7 +121,7 @@
 	g.Expect(roundTrip(conn, timeout)).NotTo(gomega.Succeed())
 	p.SetFaults(Faults{Refuse: true})
 	g.Expect(roundTrip(dial(t, p), timeout)).NotTo(gomega.Succeed())
-	// The connections of the loop are still open.
+	// Cut also closed the connections of the loop.
 	g.Eventually(func() int { return p.Counters().Open }, timeout).Should(gomega.BeNumerically("<=", 2))
 }
 
