--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -35,7 +35,7 @@
 
 // Counters counts the connections that reached the server.
 type Counters struct {
-	Open  int `json:"open"`  // open now
+	Open  int `json:"open"`  // open now; silent ones are counted until Close
 	Total int `json:"total"` // since the start of the proxy
 }
 
@@ -121,7 +121,8 @@
 	p.faultsChanged = make(chan struct{})
 }
 
-// Cut closes every open connection.
+// Cut closes every open connection that reached the server. It leaves new ones open that are still
+// held because the network is frozen.
 func (p *Proxy) Cut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,8 +131,9 @@
 	}
 }
 
-// Silence silences every open connection permanently: the proxy drops all bytes in both
-// directions and does not pass on when an end closes. New connections work.
+// Silence silences every open connection that reached the server, permanently: the proxy drops
+// all bytes in both directions, and when one end closes it leaves the other one open. Other
+// connections work.
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/platformsim/faults.go
+++ b/internal/lab/platformsim/faults.go
@@ -82,8 +82,8 @@
 	readLimiter  *rate.Limiter // limits all other calls; nil means no limit
 }
 
-// SetFaults replaces the faults. They apply to a waiting watch from the next change of its kind
-// on.
+// SetFaults replaces the faults. Of these, only WatchesSilent applies to a watch that is waiting
+// already, and only from the next change of the watch's kind on.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
