--- a/internal/lab/platformsim/store.go
+++ b/internal/lab/platformsim/store.go
@@ -65,7 +65,7 @@
 	s.watchWait = d
 }
 
-// Get implements objstore.Store.
+// Get implements objstore.Store. It returns the object, or objstore.ErrNotFound.
 func (s *Store) Get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	if _, err := s.beginCall(ctx, callGet, kind); err != nil {
 		return objstore.Object{}, err
@@ -79,8 +79,9 @@
 	return objstore.Object{Kind: kind, Name: name, Version: e.version, Value: bytes.Clone(e.value)}, nil
 }
 
-// List implements objstore.Store. It returns the values as compact JSON, as the HTTP interface
-// does: only Get returns a value byte for byte as it was written.
+// List implements objstore.Store. It returns a page of the kind's objects whose names sort after
+// the given name. The values are compact JSON, as in the HTTP interface: only Get returns a value
+// byte for byte as it was written.
 func (s *Store) List(ctx context.Context, kind, after string, limit int) (objstore.Page, error) {
 	if _, err := s.beginCall(ctx, callList, kind); err != nil {
 		return objstore.Page{}, err
@@ -108,8 +109,9 @@
 	return page, nil
 }
 
-// Put implements objstore.Store.
-func (s *Store) Put(ctx context.Context, kind, name string, expect uint64, value []byte) (uint64, error) {
+// Put implements objstore.Store. It writes the value if the object has the expected version, where
+// 0 means that the object doesn't exist, and returns the new version.
+func (s *Store) Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error) {
 	if len(value) > objstore.MaxValue {
 		return 0, errors.Annotatef(objstore.ErrTooLarge, "put %s/%s of %d bytes", kind, name, len(value))
 	}
@@ -120,21 +122,22 @@
 	if err != nil {
 		return 0, err
 	}
-	version, err := s.applyWrite(outcome, kind, name, expect, &entry{value: bytes.Clone(value)})
+	version, err := s.applyWrite(outcome, kind, name, expectedVersion, &entry{value: bytes.Clone(value)})
 	return version, errors.Annotatef(err, "put %s/%s", kind, name)
 }
 
-// Delete implements objstore.Store.
-func (s *Store) Delete(ctx context.Context, kind, name string, expect uint64) error {
+// Delete implements objstore.Store. It deletes the object if it has the expected version.
+func (s *Store) Delete(ctx context.Context, kind, name string, expectedVersion uint64) error {
 	outcome, err := s.beginCall(ctx, callDelete, kind)
 	if err != nil {
 		return err
 	}
-	_, err = s.applyWrite(outcome, kind, name, expect, &entry{deleted: true})
+	_, err = s.applyWrite(outcome, kind, name, expectedVersion, &entry{deleted: true})
 	return errors.Annotatef(err, "delete %s/%s", kind, name)
 }
 
-// Watch implements objstore.Store.
+// Watch implements objstore.Store. It waits for a change of the kind after the revision since. If
+// there is none for as long as SetWatchWait says, it returns without events.
 func (s *Store) Watch(ctx context.Context, kind string, since uint64) (objstore.WatchResult, error) {
 	if _, err := s.beginCall(ctx, callWatch, kind); err != nil {
 		return objstore.WatchResult{}, err
@@ -164,7 +167,7 @@
 }
 
 // changesSince returns the changes of the kind after that revision, a channel that is closed at
-// the next change, and whether watches are to stay without an answer.
+// the kind's next change, and whether watches get no answer (Faults.WatchesSilent).
 func (s *Store) changesSince(kind string, since uint64) (objstore.WatchResult, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,26 +186,27 @@
 	return result, objs.changed, s.faults.WatchesSilent
 }
 
-// applyWrite performs a write with the given outcome.
-func (s *Store) applyWrite(outcome writeOutcome, kind, name string, expect uint64, updated *entry) (uint64, error) {
+// applyWrite performs a write with the given outcome. It returns the new version, or an error if
+// the write was refused or its answer is lost.
+func (s *Store) applyWrite(outcome writeOutcome, kind, name string, expectedVersion uint64, updated *entry) (uint64, error) {
 	switch outcome {
 	case outcomeDelayed:
 		s.mu.Lock()
 		delay := time.Duration(s.faults.LateMS) * time.Millisecond
 		s.mu.Unlock()
-		time.AfterFunc(delay, func() { s.compareAndSet(kind, name, expect, updated) })
+		time.AfterFunc(delay, func() { s.compareAndSet(kind, name, expectedVersion, updated) })
 		return 0, errAnswerLost
 	case outcomeAnswerLost:
-		s.compareAndSet(kind, name, expect, updated)
+		s.compareAndSet(kind, name, expectedVersion, updated)
 		return 0, errAnswerLost
 	default:
-		return s.compareAndSet(kind, name, expect, updated)
+		return s.compareAndSet(kind, name, expectedVersion, updated)
 	}
 }
 
-// compareAndSet replaces the entry of an object if the object's version is expect, where 0 means
-// that the object doesn't exist. It returns the new version.
-func (s *Store) compareAndSet(kind, name string, expect uint64, updated *entry) (uint64, error) {
+// compareAndSet replaces the entry of an object if the object has the expected version, where 0
+// means that the object doesn't exist. It returns the new version.
+func (s *Store) compareAndSet(kind, name string, expectedVersion uint64, updated *entry) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current := uint64(0)
@@ -212,7 +216,7 @@
 	if updated.deleted && current == 0 {
 		return 0, objstore.ErrNotFound
 	}
-	if current != expect {
+	if current != expectedVersion {
 		return 0, objstore.ErrConflict
 	}
 	s.revision++
@@ -224,7 +228,8 @@
 	return updated.version, nil
 }
 
-// objectsOf returns the objects of the kind. The caller must hold mu.
+// objectsOf returns the objects of the kind. It creates an empty set of them for a new kind. The
+// caller must hold mu.
 func (s *Store) objectsOf(kind string) *kindObjects {
 	objs := s.kinds[kind]
 	if objs == nil {
@@ -250,6 +255,8 @@
 	return names
 }
 
+// compactJSON returns the value without insignificant white space, or a copy of the value if it is
+// not valid JSON.
 func compactJSON(value []byte) []byte {
 	var b bytes.Buffer
 	if err := json.Compact(&b, value); err != nil {
