--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -64,11 +64,11 @@
 // query the rest. The queries of the own shards may be delayed until the called VMs have had time
 // to refuse.
 const (
-	// refusalRateForDelay is the share of calls refused by other VMs, from 0 to 1, above
-	// which the queries of this VM's own shards are delayed.
+	// refusalRateForDelay is the share of this VM's calls that other VMs refuse, from 0 to
+	// 1, above which this VM delays its own shards: those that it queries itself.
 	refusalRateForDelay = 0.05
-	// ownShardsDelay is how long the queries of this VM's own shards are delayed: about as
-	// long as a call to another VM and its refusal take.
+	// ownShardsDelay is how long the shards that this VM queries itself are delayed: about
+	// as long as a call to another VM and its refusal take.
 	ownShardsDelay = 3 * time.Millisecond
 )
 
@@ -122,8 +122,9 @@
 	// minRetryDelayShare is the shortest random part of the delay before a refused caller
 	// retries, as a share of the time until the caller's deadline.
 	minRetryDelayShare = 0.1
-	// maxRetryDelayShare is the longest random part of that delay, and also the longest delay,
-	// as a share of the time until the caller's deadline.
+	// maxRetryDelayShare is the longest random part of the delay before a refused caller
+	// retries, and also the longest such delay, as a share of the time until the caller's
+	// deadline.
 	maxRetryDelayShare = 0.33
 )
 
--- a/scatter/conclude.go
+++ b/scatter/conclude.go
@@ -72,8 +72,9 @@
 
 // Bounds and default of the delay after which a refused caller should retry.
 const (
-	// defaultRetryAfterShare is the delay if no VM gave one with its refusal, as a share of
-	// the latency objective. It is about the time in which the queue of a leaf drains.
+	// defaultRetryAfterShare is the delay after which a refused caller should retry if no VM
+	// gave one with its refusal, as a share of the latency objective. It is about the time
+	// in which the queue of a leaf drains.
 	defaultRetryAfterShare = 0.25
 	minRetryAfter          = 10 * time.Millisecond // shortest delay after which a refused caller should retry
 	maxRetryAfter          = time.Second           // longest delay after which a refused caller should retry
--- a/scatter/cooldown.go
+++ b/scatter/cooldown.go
@@ -12,9 +12,12 @@
 // Lengths of a cooldown: the time for which a leaf or VM gets no requests after failures. Each
 // further consecutive failure doubles the length.
 const (
-	baseCooldown = 60 * time.Millisecond // length of the first cooldown after failures
-	// maxCooldown is the length of the longest cooldown. It stays below the 2 s within
-	// which a leaf that was only disconnected should be found again.
+	// baseCooldown is the length of the first cooldown of a leaf or VM, after
+	// failuresToCooldown consecutive failures. During a cooldown it gets no requests.
+	baseCooldown = 60 * time.Millisecond
+	// maxCooldown is the longest time for which a leaf or VM gets no requests after
+	// failures. It stays below the 2 s within which a leaf that was only disconnected should
+	// be found again.
 	maxCooldown = 1500 * time.Millisecond
 	// maxPauseDoublings is how often the length of a cooldown, or the pause between probes
 	// of a suspect leaf or VM, is doubled at most.
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -30,13 +30,13 @@
 	// called. It also applies to a call in place of one that failed. With fewer shards, the
 	// message to the other VM is larger than the answers that it saves.
 	minDelegatedShards = 3
-	// interimAnswerShare is the share of the time until AnswerBy after which the called VM
-	// sends the answers that it has. If it has sent nothing by then, the call may fail
-	// over.
+	// interimAnswerShare is the share of the time until AnswerBy, when the calling VM
+	// answers its caller, after which the called VM sends the answers that it has. If it has
+	// sent nothing by then, the call may fail over.
 	interimAnswerShare = 0.5
 	// minDelegateTimeShare is the shortest time that the called VM is given for its answer,
-	// as a share of the time until AnswerBy. The remaining time, at most callRoundTrip, is
-	// for sending that answer and for answering the caller.
+	// as a share of the time until AnswerBy, when the calling VM answers its caller. The
+	// remaining time, at most callRoundTrip, is for sending both answers.
 	minDelegateTimeShare = 0.85
 	// callRoundTrip is the time that a message to the called VM and its answer take on the
 	// network.
@@ -48,8 +48,8 @@
 	// failoverDurationFactor is the time after which a call without an answer fails over,
 	// as a multiple of the failoverDurationQuantile of the durations of recent calls.
 	failoverDurationFactor = 1.2
-	// latestFailoverShare is the share of the time until AnswerBy after which a call
-	// without an answer fails over at the latest.
+	// latestFailoverShare is the share of the time until AnswerBy, when this VM answers its
+	// caller, after which a call without an answer fails over at the latest.
 	latestFailoverShare = 0.85
 )
 
@@ -247,7 +247,7 @@
 	// Refused says that no leaf has run any of the shards for that VM, and none will. It
 	// ends the call.
 	Refused    bool
-	RetryAfter time.Duration // if Refused: when the caller should retry
+	RetryAfter time.Duration // if Refused: delay after which the caller should retry
 }
 
 // CallReply handles an answer of another VM and returns the actions that follow from it. A leaf
--- a/scatter/failover.go
+++ b/scatter/failover.go
@@ -11,16 +11,16 @@
 // another VM to do all of the work. AnswerBy is the time by which this VM answers its caller.
 const (
 	// ackWaitShare is the time within which a call has to be acknowledged, as a share of
-	// the time until AnswerBy.
+	// the time until AnswerBy, when this VM answers its caller.
 	ackWaitShare = 0.2
 	// minAckWait is the shortest time within which a call has to be acknowledged.
 	minAckWait = 10 * time.Millisecond
-	// ackWaitFactor gives a second lower bound of the time within which a call has to be
-	// acknowledged. The bound is this multiple of the longest time that VMs in the called
-	// VM's zone recently took to acknowledge a call.
+	// ackWaitFactor gives a lower bound, besides minAckWait, of the time within which a call
+	// has to be acknowledged. The bound is this multiple of the longest time that VMs in the
+	// called VM's zone recently took to acknowledge a call.
 	ackWaitFactor = 1.5
-	// ackTimeHalfLife is the time in which the recorded acknowledgement time of a zone's VMs
-	// falls to half.
+	// ackTimeHalfLife is the time in which the recorded longest time that VMs of a zone took
+	// to acknowledge a call falls to half.
 	ackTimeHalfLife = 10 * time.Second
 )
 
--- a/scatter/floor.go
+++ b/scatter/floor.go
@@ -6,18 +6,19 @@
 // VMs together may cause at a service per window, besides a ratio of its requests. No VM knows
 // what the others spend, so each has a share of the floor.
 const (
-	// ownersFloorShare is the fraction of the floor, from 0 to 1, that only the owners of a
-	// service divide among themselves. The owners are the VMs that normally send requests
-	// to its leafs, and cause most arrivals there. All VMs divide the remainder equally. If
-	// all VMs of a large fleet divided the whole floor equally, the share of each would be
-	// less than one arrival. The fraction applies to services that only gathered requests
-	// use.
+	// ownersFloorShare is the fraction, from 0 to 1, of the floor of a service's budget that
+	// only the owners of the service divide among themselves. The owners are the VMs that
+	// normally send requests to its leafs, and cause most arrivals there. All VMs divide the
+	// remainder equally. If all VMs of a large fleet divided the whole floor equally, the
+	// share of each would be less than one arrival. The fraction applies to services that
+	// only gathered requests use.
 	ownersFloorShare = 0.5
-	// firstWindowShare limits what a VM may spend in the first window after its process
-	// started, as a fraction of the VM's share of the floor. The VM's previous process may
-	// have spent the whole share in the same window. All shares are computed for more VMs
-	// than are known, by the factor vmHeadroom. What both processes spend together is
-	// covered by that headroom as long as firstWindowShare <= vmHeadroom - 1.
+	// firstWindowShare limits the extra arrivals that a VM may cause besides the ratio in
+	// the first budget window after its process started, as a fraction of the VM's share of
+	// the floor. The VM's previous process may have spent the whole share in the same
+	// window. All shares are computed for more VMs than are known, by the factor vmHeadroom.
+	// What both processes spend together is covered by that headroom as long as
+	// firstWindowShare <= vmHeadroom - 1.
 	firstWindowShare = 0.25
 )
 
--- a/scatter/floor_test.go
+++ b/scatter/floor_test.go
@@ -8,7 +8,7 @@
 	"github.com/onsi/gomega"
 )
 
-// fleetOf returns n VMs in each zone.
+// fleetOf returns n VMs in each zone, each with one processor core.
 func fleetOf(n int, zones ...string) []VM {
 	var list []VM
 	for _, zone := range zones {
@@ -19,7 +19,8 @@
 	return list
 }
 
-// tableOf returns the table of one VM of a fleet, whose process started at startedAt.
+// tableOf returns the table of the VM self, which knows all VMs in vms. The process of self
+// started at startedAt.
 func tableOf(vms []VM, self VM, config BudgetConfig, now, startedAt time.Time) *Table {
 	t := NewTable(self, config, startedAt, nil)
 	var others []VM
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -33,8 +33,8 @@
 	// sent before AnswerBy less this time. Many slow leafs have answered by then and need no
 	// hedge. The answer to a hedge is traffic from another zone.
 	hedgeAnswerTimeFactor = 2.5
-	// hedgeNetworkTime is the part of the time until AnswerBy that is kept for the network,
-	// and not given to the leaf that gets the hedge.
+	// hedgeNetworkTime is the part of the time until AnswerBy, when a gathered request is
+	// answered, that is kept for the network and not given to the leaf that gets the hedge.
 	hedgeNetworkTime = 4 * time.Millisecond
 )
 
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -53,9 +53,10 @@
 const (
 	// reportedLoadLifetime is the age from which the load that a leaf reported is ignored.
 	reportedLoadLifetime = time.Second
-	// reportedLoadWeight is the weight of other VMs' requests in a fresh load report, from 0
-	// to 1. They don't count in full, since even a fresh report lags behind. The weight
-	// decreases with the report's age.
+	// reportedLoadWeight is the weight, from 0 to 1, with which other VMs' requests in a
+	// leaf's fresh load report count in the estimate of its load (othersEstimate). They don't
+	// count in full, since even a fresh report lags behind. The weight decreases with the
+	// report's age.
 	reportedLoadWeight = 0.5
 	// stalledDurationFactor is the multiple of a request's expected duration after which a
 	// leaf that has not answered it counts as stalled.
--- a/scatter/load_test.go
+++ b/scatter/load_test.go
@@ -28,7 +28,7 @@
 type simulatedLeaf struct {
 	slots     int             // attempts that it can run at the same time
 	work      time.Duration   // average time for an attempt at usual speed
-	slowdown  float64         // factor by which it takes longer than usual
+	slowdown  float64         // average time for an attempt, as a multiple of work
 	shedShare float64         // share of the attempts that it refuses, from 0 to 1
 	running   int             // attempts that it is running
 	queue     []simulatedPart // attempts that wait for a slot
@@ -52,12 +52,16 @@
 
 func (e simulatedEvents) Len() int      { return len(e) }
 func (e simulatedEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+
+// Less orders events by time, and those of the same time in the order in which they were
+// scheduled.
 func (e simulatedEvents) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
 		return e[i].serial < e[j].serial
 	}
 	return e[i].at.Before(e[j].at)
 }
+
 func (e *simulatedEvents) Push(x any) { *e = append(*e, x.(simulatedEvent)) }
 func (e *simulatedEvents) Pop() any {
 	last := (*e)[len(*e)-1]
--- a/scatter/owners_test.go
+++ b/scatter/owners_test.go
@@ -9,7 +9,8 @@
 	"github.com/onsi/gomega"
 )
 
-// largeFleet returns 33 VMs for each zone: three with much power and thirty with little.
+// largeFleet returns 33 VMs for each zone: three with 0.8 processor cores each and thirty with
+// 0.2.
 func largeFleet(zones ...string) []VM {
 	var list []VM
 	for _, zone := range zones {
@@ -38,8 +39,8 @@
 	return names
 }
 
-// Guards against a dozen calls per request, most of them to VMs with little power: a request
-// waits for the slowest of its calls.
+// Guards against a dozen calls per request, most of them to VMs with a small part of a processor
+// core: a request waits for the slowest of its calls.
 func TestPowerfulVMsAreCalledWhileTheyAnswer(t *testing.T) {
 	vms := largeFleet("a", "b", "c")
 	w := newWorld(t)
@@ -87,8 +88,9 @@
 	g.Expect(float64(kept)).To(gomega.BeNumerically("<=", usableConnectionShare*120))
 }
 
-// Guards against more extra arrivals than allowed where the floor is divided by power among
-// the zones that have leafs.
+// Guards against more extra arrivals than allowed where owners divide their part of the floor in
+// proportion to their processor cores. Only two of the three zones have leafs. The sum of the
+// shares of all VMs stays below the floor.
 func TestPowerWeightedFloorSharesStayBelowFloor(t *testing.T) {
 	vms := largeFleet("a", "b", "c")
 	sum, strongest := 0.0, 0.0
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -37,22 +37,27 @@
 	// leaf's machine in the smoothed reported slowdown. The speed of machines changes many
 	// times a second around a mean that lasts for seconds.
 	reportedSlowdownWeight = 0.5
-	minReportedSlowdown    = 0.2 // lower bound of the slowdown that a leaf may report for its machine
-	maxReportedSlowdown    = 50  // upper bound of the slowdown that a leaf may report for its machine
-	answerExcessWeight     = 0.2 // weight, from 0 to 1, of the excess of a new answer in the smoothed excess
+	minReportedSlowdown    = 0.2 // multiple of the usual duration of work; a smaller slowdown reported by a leaf counts as this
+	maxReportedSlowdown    = 50  // multiple of the usual duration of work; a larger slowdown reported by a leaf counts as this
+	// answerExcessWeight is the weight, from 0 to 1, of the excess of a new answer, its
+	// duration as a multiple of the expected one, in the smoothed excess.
+	answerExcessWeight = 0.2
 	// expiredDurationFactor is the estimated duration of a request that expired at the leaf,
 	// as a multiple of the time until it expired.
 	expiredDurationFactor = 2
-	expiredExcessWeight   = 0.5 // weight, from 0 to 1, of the excess of an expired request in the smoothed excess
-	// maxExcessStep bounds the excess of one answer or expired request, as a multiple of the
-	// smoothed excess. A larger excess counts as this multiple.
+	// expiredExcessWeight is the weight, from 0 to 1, of the excess of an expired request,
+	// its estimated duration as a multiple of the expected one, in the smoothed excess.
+	expiredExcessWeight = 0.5
+	// maxExcessStep bounds the excess of one answer or expired request: its duration as a
+	// multiple of the expected one. An excess of more than maxExcessStep times the smoothed
+	// excess counts as that.
 	maxExcessStep = 3
-	// slowAnswerThreshold is the excess above which an answer is slow: it took more than
-	// this multiple of the expected duration.
+	// slowAnswerThreshold is the multiple of the expected duration above which an answer is
+	// slow.
 	slowAnswerThreshold = 2
-	// slowdownHalfLife is the time without new values in which the deviation of a smoothed
-	// slowdown or excess from 1 falls to half, so that a leaf that was slow and gets no
-	// requests is tried again.
+	// slowdownHalfLife is the time without new values in which the deviation of a leaf's
+	// smoothed slowdown or excess from 1, the usual duration, falls to half. So a leaf that
+	// was slow and gets no requests is tried again.
 	slowdownHalfLife = 2 * time.Second
 )
 
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -142,9 +142,9 @@
 	// use, from 0 to 1. The limit is configured for the service. The remainder is a margin:
 	// while its queue is long, a leaf accepts fewer connections and resets the others.
 	usableConnectionShare = 0.8
-	// vmHeadroom is the number of VMs that are assumed to share a resource, as a multiple of
-	// the number of known VMs. It is above 1 since the list of VMs lags behind, and VMs are
-	// added or replaced.
+	// vmHeadroom is the number of VMs that are assumed to share the connections of a leaf or
+	// the floor of a budget, as a multiple of the number of known VMs. It is above 1 since
+	// the list of VMs lags behind, and VMs are added or replaced.
 	vmHeadroom = 1.25
 	// maxInFlightPerSlot is the largest number of requests that this VM has in flight at a
 	// leaf, per slot of the leaf. More requests would wait longer than a request to another
@@ -255,8 +255,9 @@
 	return best
 }
 
-// costJitter bounds the random time that is added to a leaf's cost when leafs are compared. If
-// the costs of two leafs differ by less, either may be picked.
+// costJitter bounds the random time that is added to a leaf's cost, its expected duration plus
+// surcharges, when leafs are compared. If the costs of two leafs differ by less, either may be
+// picked.
 const costJitter = time.Millisecond
 
 // pickUnavailable returns a leaf for a request for which pickLeaf found none. It chooses among
@@ -299,11 +300,12 @@
 
 // Parameters of the typical duration of one kind of request at a leaf.
 const (
-	// typicalDurationQuantile is the quantile of recent durations that counts as typical:
-	// the median, since fewer than half of the answers come from paused or slow leafs.
+	// typicalDurationQuantile is the quantile of the recent durations of one kind of request
+	// that counts as typical: the median, since fewer than half of the answers come from
+	// paused or slow leafs.
 	typicalDurationQuantile = 0.5
-	// defaultTypicalDurationShare is the typical duration while too few answers are known,
-	// as a share of the latency objective.
+	// defaultTypicalDurationShare is the assumed typical duration of a kind of request while
+	// too few answers are known, as a share of the latency objective.
 	defaultTypicalDurationShare = 0.1
 )
 
--- a/scatter/vm.go
+++ b/scatter/vm.go
@@ -66,9 +66,10 @@
 	// of connections to other VMs that grows with the number of partitions, and not with the
 	// number of VMs.
 	delegatesPerPartition = 2
-	// minDelegatePowerShare is the smallest power of an owner that is called, as a share of the
-	// power of the strongest owner that may be called. Weaker owners are not called, since a
-	// request waits for the slowest of its calls.
+	// minDelegatePowerShare is the smallest power, in processor cores, of a leaf partition's
+	// owner that is called, as a share of the power of the strongest owner that may be
+	// called. Weaker owners are not called, since a request waits for the slowest of its
+	// calls.
 	minDelegatePowerShare = 0.5
 )
 
