--- a/edge/delegate.go
+++ b/edge/delegate.go
@@ -43,14 +43,18 @@
 // errNotJoined means that this VM does not accept calls of other VMs yet, and cannot call them.
 var errNotJoined = errors.New("edge: this VM has not joined the other VMs")
 
+// gather implements peerClient. It always fails: nothing is sent.
 func (noPeerClient) gather(context.Context, scatter.VM, *gatherCall, func(), func(*gatherAnswer)) error {
 	return &neverSentError{err: errNotJoined}
 }
 
+// connect implements peerClient. It always fails: no connection is opened.
 func (noPeerClient) connect(context.Context, scatter.VM) (bool, error) { return false, errNotJoined }
 
+// ping implements peerClient. It always fails.
 func (noPeerClient) ping(context.Context, scatter.VM) error { return errNotJoined }
 
+// follow implements peerClient. It always fails: nothing is sent.
 func (noPeerClient) follow(context.Context, scatter.VM, string, *followCall, any) error {
 	return errNotJoined
 }
@@ -155,7 +159,8 @@
 	}, nil
 }
 
-// mapShards converts indexes into the call's shards to shard numbers of the query.
+// mapShards returns, for each index into call.Shards, the shard's number in the query. It returns
+// errInvalidAnswer for an index that is out of range.
 func mapShards(call scatter.CallVM, indexes []int) ([]int, error) {
 	var shards []int
 	for _, i := range indexes {
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -42,6 +42,7 @@
 // lags further reads the whole list.
 const maxFeedLog = 2048
 
+// newFeed returns a feed without leafs and manifest, as a new incarnation.
 func newFeed() *feed {
 	return &feed{
 		incarnation: uuid.NewString(),
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -12,11 +12,11 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// watchWaitShare is the time that a watch waits, as a share of the time within which a change
-// must be known. Store calls are billed, so a watch should wait long. But a watch may never
-// report a change that has occurred: the store may have dropped the watch, or the connection
-// may have failed without an error. The remaining time is for detecting this and for reading
-// the list again.
+// watchWaitShare is how long a watch of the store waits for a change, as a share of the time
+// within which a change must be known. Store calls are billed, so a watch should wait long. But
+// a watch may never report a change that has occurred: the store may have dropped the watch, or
+// the connection may have failed without an error. The remaining time is for detecting this and
+// for reading the list again.
 const watchWaitShare = 0.6
 
 // Timeouts and pauses for following the store: reading it and then watching it for changes.
@@ -25,9 +25,9 @@
 	vmsWatchTimeout = 20 * time.Second
 	// Pauses after a watch that returned changes, so that the next call returns all changes
 	// that follow shortly after. A drain or a manifest must be known within 3 s.
-	manifestChangePause = 250 * time.Millisecond // pause after a watch that returned a new manifest
-	leafsChangePause    = 500 * time.Millisecond // pause after a watch that returned changes of the list of leafs
-	vmsChangePause      = 2 * time.Second        // pause after a watch that returned changes of the list of VMs
+	manifestChangePause = 250 * time.Millisecond // pause between a watch that returned a new manifest and the next watch
+	leafsChangePause    = 500 * time.Millisecond // pause between a watch that returned changes of the list of leafs and the next watch
+	vmsChangePause      = 2 * time.Second        // pause between a watch that returned changes of the list of VMs and the next watch
 	// minRetryPause is the upper bound of the pause before the next try of a store call if no
 	// try has failed. The bound doubles with each failure in a row, up to maxRetryPause. The
 	// pause is random, at least half of the bound, because all VMs lose the store at the same
@@ -40,8 +40,9 @@
 	// of it failed. The pause is random, at least half as long. The list rarely changes, and
 	// nothing waits for it.
 	vmsRetryPause = 4 * time.Second
-	// deferredReadPause is the pause after errReadDeferred. It is short, because the next try
-	// first calls the VMs that read the store for others, which costs no store call.
+	// deferredReadPause is the pause between a read of the store that was deferred
+	// (errReadDeferred) and the next try. It is short, because the next try first calls the
+	// VMs that read the store for others, which costs no store call.
 	deferredReadPause = 200 * time.Millisecond
 	// firstStartPause is how long a VM waits for the others to announce themselves when the
 	// whole system starts for the first time. All VMs start within 0.3 s.
--- a/edge/handler.go
+++ b/edge/handler.go
@@ -216,7 +216,8 @@
 	return strconv.FormatFloat(d.Seconds(), 'f', 3, 64)
 }
 
-// replyUnavailable answers 503 with Retry-After to a request that was sent to no leaf.
+// replyUnavailable answers 503 with Retry-After to a request that was sent to no leaf, because
+// there is no manifest in force. why is the reason for the log and the metrics.
 func (e *Engine) replyUnavailable(w http.ResponseWriter, r *http.Request, why string, retryAfter time.Duration) {
 	e.logRefusal(r, http.StatusServiceUnavailable, why, 0)
 	w.Header().Set("Retry-After", formatSeconds(retryAfter))
--- a/edge/log.go
+++ b/edge/log.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// logRefusal counts and logs a request that was answered without being sent to a leaf. version
-// is that of the manifest in force, 0 if there is none.
+// logRefusal counts and logs a request that was answered without being sent to a leaf. why is
+// the reason, for the log and the metrics. version is that of the manifest in force, 0 if there
+// is none.
 func (e *Engine) logRefusal(r *http.Request, status int, why string, version int64) {
 	e.stats.count(`bramley_edge_refusals_total{why=%q}`, why)
 	e.log.Info("request refused",
--- a/edge/merge.go
+++ b/edge/merge.go
@@ -18,7 +18,7 @@
 	last     bool  // no further answer to the call follows
 
 	refused    bool          // no leaf has run the request for any shard, and none will
-	retryAfter time.Duration // with refused: when the caller of the request should retry
+	retryAfter time.Duration // with refused: delay after which the caller of the request should retry
 }
 
 // mergedResult returns the result of a gathered request, merged from the shards that out
--- a/edge/node.go
+++ b/edge/node.go
@@ -233,8 +233,8 @@
 // as a share of the time within which a change must be known.
 const maxStaleShare = 0.8
 
-// maxStaleness returns the greatest age of the latest answer from the store at which this VM
-// still follows a VM that reads the store for others.
+// maxStaleness returns how old the latest answer from the store may be at a VM that reads the
+// store for others, so that this VM still follows that VM.
 func (n *Node) maxStaleness() time.Duration {
 	bound := min(n.settings.Bounds.ManifestMS, n.settings.Bounds.DrainMS)
 	return time.Duration(maxStaleShare * bound * float64(time.Millisecond))
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -20,6 +20,7 @@
 	silentVM string
 }
 
+// ping fails for silentVM and succeeds for every other VM.
 func (c *silentPeerClient) ping(_ context.Context, vm scatter.VM) error {
 	if vm.Name == c.silentVM {
 		return errors.New("silent")
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -43,7 +43,7 @@
 	vm string // name of the VM that is followed; empty for the store
 }
 
-// avoidPeriod is how long a VM that failed is not followed.
+// avoidPeriod is how long this VM does not follow a VM after a call to it failed.
 const avoidPeriod = 5 * time.Second
 
 // readerAnswerTimeout bounds the wait for the answer of a VM that reads the store for others.
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -21,6 +21,7 @@
 	err error
 }
 
+// Leafs always returns the leaf "leaf-1" and s.err.
 func (s *listingStore) Leafs(context.Context) (LeafList, error) {
 	return LeafList{Leafs: []registry.Leaf{{ID: "leaf-1"}}}, s.err
 }
@@ -31,6 +32,7 @@
 	err error
 }
 
+// follow always fails with c.err.
 func (c *failingPeerClient) follow(context.Context, scatter.VM, string, *followCall, any) error {
 	return c.err
 }
--- a/edge/run.go
+++ b/edge/run.go
@@ -110,7 +110,7 @@
 
 // loop runs the query until it finishes. It is the only user of r.query. For a query on behalf
 // of another VM, loop also sends that VM an interim answer, with the results so far, when
-// r.interim is reached.
+// r.interimAt is reached.
 func (r *runner) loop(ctx context.Context) scatter.Outcome {
 	r.query = scatter.NewQuery(r.spec, r.e.table)
 	acts, wake := r.step(r.query.Start)
@@ -274,8 +274,9 @@
 	return lingerLate
 }
 
-// expirySlack is how long before the end of its time a leaf may stop. The remaining time is sent
-// to the leaf in whole milliseconds, so the leaf's deadline may be early.
+// expirySlack is how long before the end of an attempt's time its leaf may already stop because
+// the time is over. The remaining time is sent to the leaf in whole milliseconds, so the leaf's
+// deadline may be early.
 const expirySlack = 2 * time.Millisecond
 
 // classifyAnswer returns how an attempt with this answer ended, and the reply if it can be
--- a/edge/settings_test.go
+++ b/edge/settings_test.go
@@ -8,6 +8,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// validSettings is a settings file in which every field is set to an allowed value.
 const validSettings = `{
   "name": "vm-1", "zone": "a",
   "listen": {"callers": "127.0.0.1:1", "ready": "127.0.0.1:2", "vms": "127.0.0.1:3", "metrics": "127.0.0.1:4"},
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -61,7 +61,8 @@
 	s.count(`bramley_edge_calls_to_vms_total{end=%q}`, endNames[end])
 }
 
-// store counts a store call, or a call to a VM that reads the store.
+// store counts a store call, or a call to a VM that reads the store. call is the name of the
+// call in the metric, and err its error.
 func (s *stats) store(call string, err error) {
 	outcome := "ok"
 	if err != nil {
@@ -70,7 +71,8 @@
 	s.count(`bramley_edge_store_calls_total{call=%q,outcome=%q}`, call, outcome)
 }
 
-// request counts a caller's request, how long it took, and its missing shards.
+// request counts a caller's request, how long it took, and its missing shards. kind is the name
+// of its route's kind.
 func (s *stats) request(kind string, out scatter.Outcome, took time.Duration) {
 	s.count(`bramley_edge_requests_total{kind=%q,verdict=%q}`, kind, out.Verdict)
 	s.set.GetOrCreateHistogram(fmt.Sprintf(`bramley_edge_request_seconds{kind=%q}`, kind)).Update(took.Seconds())
