--- a/policy/admission.go
+++ b/policy/admission.go
@@ -58,14 +58,16 @@
 // Parameters of an Admission. Numbers of queries are per VM. The VM's share is
 // Admission.share.
 const (
-	minQueryLimit   = 1.0 // lower bound of the limit of queries in flight
-	minLimitCeiling = 8.0 // the limit of queries in flight may always rise to this number, however small the VM's share is
-	// limitFloorPerShare is the floor of the limit of queries in flight, as a multiple of
-	// the VM's share. With all VMs at their floors, each slot has a waiting request most of
+	minQueryLimit   = 1.0 // lower bound of a VM's limit of queries in flight
+	minLimitCeiling = 8.0 // a VM's limit of queries in flight may always rise to this number, however small its share of the targets' slots is
+	// limitFloorPerShare is the floor of a VM's limit of queries in flight, as a multiple of
+	// Admission.share: the queries that the VM may run so that all VMs together fill the
+	// targets' slots. With all VMs at their floors, each slot has a waiting request most of
 	// the time.
 	limitFloorPerShare = 4.5
-	// limitCeilingPerShare is the ceiling of the limit of queries in flight, as a multiple
-	// of the VM's share. It allows bursts while attempts are fast.
+	// limitCeilingPerShare is the ceiling of a VM's limit of queries in flight, as a multiple
+	// of Admission.share: the queries that the VM may run so that all VMs together fill the
+	// targets' slots. It allows bursts while attempts are fast.
 	limitCeilingPerShare    = 6.0
 	maxWaitPerQueryDuration = 0.6 // longest wait for admission, as a fraction of a query's expected duration
 	limitDecreaseFactor     = 0.8 // factor applied to the limit of queries in flight after a sign of overload
@@ -78,7 +80,7 @@
 	// together add 0.1. A faster rise would outweigh the reductions by refusals.
 	limitIncreaseBelowFloor = 0.1
 	minLimitReduceInterval  = 100 * time.Millisecond // least time between two reductions of the limit of queries in flight
-	durationSampleWeight    = 0.1                    // weight of a new sample in the smoothed durations of queries
+	durationSampleWeight    = 0.1                    // weight, from 0 to 1, of a new sample in the smoothed durations of queries
 	maxRetryAfter           = 5 * time.Second        // upper bound of Verdict.RetryAfter
 	minRetryAfter           = 50 * time.Millisecond  // lower bound of Verdict.RetryAfter of a refused query
 	maxQueuedPerLimit       = 20                     // upper bound of waiting queries, as a multiple of the limit of queries in flight
@@ -225,7 +227,7 @@
 	}
 }
 
-// reduceLimit lowers the limit by one step, but not below bound, unless the last
+// reduceLimit lowers the limit by one step, but not below lowerBound, unless the last
 // reduction was less than minLimitReduceInterval ago.
 func (a *Admission) reduceLimit(now time.Time, lowerBound float64) {
 	if now.Sub(a.reducedAt) < minLimitReduceInterval {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -153,7 +153,7 @@
 const budgetRetryDelay = 10 * time.Millisecond
 
 // maxBudgetWaits bounds how often a shard may wait for the retry budget in one pass of
-// the query.
+// the query. A pass queries all shards of one snapshot.
 const maxBudgetWaits = 2
 
 // maxRefusedFactor bounds the attempts on a shard, refused ones included, as a
--- a/policy/conclude.go
+++ b/policy/conclude.go
@@ -29,8 +29,8 @@
 	return acts
 }
 
-// reachableCoverage returns the share of shards, 0 to 1, that is read if all shards but
-// lost of them answer.
+// reachableCoverage returns the share of shards, 0 to 1, that is read if lost is the
+// number of shards that get no answer.
 func (q *Query) reachableCoverage(lost int) float64 {
 	return float64(len(q.shards)-lost) / float64(len(q.shards))
 }
@@ -112,7 +112,8 @@
 	return q.finish(now, EndAbandoned)
 }
 
-// collectAnswers returns the answers of the current pass in order of shards.
+// collectAnswers returns the answers from the snapshot of the current pass, in order of
+// shards.
 func (q *Query) collectAnswers() []*target.LeafAnswer {
 	var list []*target.LeafAnswer
 	for i := range q.shards {
--- a/policy/cooldown.go
+++ b/policy/cooldown.go
@@ -12,8 +12,8 @@
 
 // Limits of a cooldown.
 const (
-	baseCooldown         = 50 * time.Millisecond // first cooldown after failures, and shortest cooldown after a refusal
-	maxCooldown          = 2 * time.Second       // longest cooldown after failures
+	baseCooldown         = 50 * time.Millisecond // length of the first cooldown of a replica or target after failures, and of the shortest one after a refusal
+	maxCooldown          = 2 * time.Second       // length of the longest cooldown of a replica or target after failures
 	maxCooldownDoublings = 6                     // upper bound of how often a cooldown after failures is doubled
 	failuresToCooldown   = 2                     // failures in a row that start the first cooldown
 )
--- a/policy/load.go
+++ b/policy/load.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// latencySampleWeight is the weight of a new sample in a replica's smoothed latency.
+// latencySampleWeight is the weight, from 0 to 1, of a new sample in a replica's smoothed
+// latency.
 const latencySampleWeight = 0.2
 
 // EndAttempt records the end of an attempt on a replica.
--- a/policy/median_latency_test.go
+++ b/policy/median_latency_test.go
@@ -10,6 +10,7 @@
 
 // addSamples records n attempts with latency d, spread over windowMS milliseconds from
 // startMS on. It updates the baseline after each attempt, as the end of a query does.
+// crowded says that this VM runs more queries than its share of the targets' slots.
 func addSamples(m *MedianLatency, startMS, n int, windowMS int, d time.Duration, crowded bool) {
 	for i := range n {
 		m.Add(d)
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -21,7 +21,7 @@
 //   - A slow query. One straggler or silent connection causes it while slots are free.
 const (
 	maxShedShare     = 0.1  // targets count as refusing if more than this share of recent attempts was refused because no slot was free
-	shedSampleWeight = 0.02 // weight of one attempt in the smoothed share of refused attempts
+	shedSampleWeight = 0.02 // weight, from 0 to 1, of one attempt in the smoothed share of attempts refused because no slot was free
 	// slowMedianShareOfTimeLimit is a share of a query's time limit. Attempts with a median
 	// latency above that share count as waiting in queues, even if they are as slow without
 	// queues.
--- a/policy/query.go
+++ b/policy/query.go
@@ -237,6 +237,7 @@
 	return q.wakeAt
 }
 
+// earlier returns the earlier of two times. A zero time has no special meaning.
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
--- a/policy/query_test.go
+++ b/policy/query_test.go
@@ -179,7 +179,7 @@
 }
 
 // withRandomAttempt removes a random attempt from those in flight, if there is one, and
-// calls do with it.
+// calls handle with it.
 func (d *queryDriver) withRandomAttempt(handle func(Send)) {
 	if len(d.inFlight) == 0 {
 		return
@@ -403,8 +403,8 @@
 }
 
 // Guards against a search over one shard that waits for a straggler although other
-// replicas are idle: the rule that half of the shards must have answered can never
-// hold for it.
+// replicas are idle: a rule that sends hedges only once half of the shards have answered
+// would never hedge it.
 func TestSingleShardIsHedged(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(1, 2, 1)
