--- a/leafhttp/pool_test.go
+++ b/leafhttp/pool_test.go
@@ -13,12 +13,14 @@
 	"github.com/bramleybarrow/bramleybarrow/leafhttp"
 )
 
-// call sends a request with an attempt id to a leaf and waits up to 1 s.
+// call sends a request with an attempt id to a leaf and waits up to 1 s for the answer. An
+// answer with another id is an error.
 func call(pool *leafhttp.Pool, l *edgesim.Leaf, id string) (*leafhttp.Answer, error) {
 	return callWithTimeout(pool, l, id, time.Second)
 }
 
-// callWithTimeout sends a request with an attempt id to a leaf and waits up to timeout.
+// callWithTimeout sends a request with an attempt id to a leaf and waits up to timeout for
+// the answer. An answer with another id is an error.
 func callWithTimeout(pool *leafhttp.Pool, l *edgesim.Leaf, id string, timeout time.Duration) (*leafhttp.Answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/leafhttp/request.go
+++ b/leafhttp/request.go
@@ -106,5 +106,5 @@
 
 const (
 	defaultIdleTimeout = 20 * time.Second       // how long a connection may stay idle if the leaf states no timeout
-	idleTimeoutMargin  = 500 * time.Millisecond // subtracted from the idle timeout that the leaf states
+	idleTimeoutMargin  = 500 * time.Millisecond // subtracted from the idle timeout that the leaf states, so that no request is sent while the leaf closes the connection
 )
