--- a/scatter/delegate_test.go
+++ b/scatter/delegate_test.go
@@ -205,7 +205,8 @@
 	w.Expect(out.Missing).To(gomega.Equal(0))
 }
 
-// ampleBudget allows every hedge.
+// ampleBudget is a budget whose floor of 1000 extra arrivals per window allows every hedge of a
+// test.
 var ampleBudget = BudgetConfig{Ratio: 0.2, Floor: 1000, Window: 10 * time.Second}
 
 // Guards against losing the shards of a called VM that freezes. Each is sent directly to one leaf
--- a/scatter/load_test.go
+++ b/scatter/load_test.go
@@ -50,11 +50,14 @@
 // simulatedEvents is a heap of events, the earliest first.
 type simulatedEvents []simulatedEvent
 
-func (e simulatedEvents) Len() int      { return len(e) }
+// Len implements heap.Interface.
+func (e simulatedEvents) Len() int { return len(e) }
+
+// Swap implements heap.Interface.
 func (e simulatedEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Less orders events by time, and those of the same time in the order in which they were
-// scheduled.
+// Less implements heap.Interface. It orders events by time, and those of the same time in the
+// order in which they were scheduled.
 func (e simulatedEvents) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
 		return e[i].serial < e[j].serial
@@ -62,7 +65,10 @@
 	return e[i].at.Before(e[j].at)
 }
 
+// Push implements heap.Interface.
 func (e *simulatedEvents) Push(x any) { *e = append(*e, x.(simulatedEvent)) }
+
+// Pop implements heap.Interface.
 func (e *simulatedEvents) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
--- a/scatter/view_test.go
+++ b/scatter/view_test.go
@@ -10,9 +10,9 @@
 )
 
 // Guards against answers that lack a shard although one of its leafs could answer. The others are
-// unreachable or slow, and the called VM is restricted to the common leafs, which are computed from
-// the request's id. It uses one other leaf and no second one, so that both VMs together use no more
-// leafs than the request allows.
+// unreachable or slow, and the called VM is restricted to the common leafs: those that both VMs may
+// use, computed from the request's id. The called VM must use one other leaf, and no second one, so
+// that both VMs together use no more leafs than the request allows.
 func TestCalledVMUsesTheLeafThatAnswers(t *testing.T) {
 	for i := range 40 {
 		w := newWorld(t)
@@ -65,9 +65,9 @@
 	}
 }
 
-// Guards against mixing two rules for common leafs during a rolling upgrade. A VM of the old
-// release computes other common leafs; the two VMs must not regard each other's view as equal
-// to their own.
+// Guards against more leafs working on a shard than a request allows, during a rolling upgrade. A
+// VM of the old release computes by another rule which leafs both VMs may use. The two VMs must not
+// regard each other's view, a hash of the leafs that they know, as equal to their own.
 func TestVMsOfTwoReleasesDeclineEachOthersShards(t *testing.T) {
 	w := newWorld(t)
 	id := w.leaf("shard", homeZone)
