--- a/edge/relay.go
+++ b/edge/relay.go
@@ -67,6 +67,8 @@
 // errReadDeferred means that the store is not read now, because other VMs read it.
 var errReadDeferred = errors.New("edge: read of the store deferred to other VMs")
 
+// newRelay returns a relay that reads from store while it follows no VM. maxStaleness is how old
+// the latest answer from the store may be at a VM that it follows.
 func newRelay(store Store, e *Engine, maxStaleness time.Duration) *relay {
 	return &relay{
 		Store:        store,
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -22,6 +22,7 @@
 	end scatter.End           // how it ended
 }
 
+// newStats returns metrics that have a counter for each way in which an attempt may end.
 func newStats() *stats {
 	s := &stats{set: metrics.NewSet(), attempts: make(map[attemptEnd]*metrics.Counter)}
 	for _, why := range []scatter.AttemptReason{scatter.FirstAttempt, scatter.Retry, scatter.Hedge} {
