--- a/target/client_test.go
+++ b/target/client_test.go
@@ -65,8 +65,8 @@
 }
 
 // Guards against calls that wait for a new connection, and against more connections
-// than the share. The share of two must be open before the first call, and 20
-// concurrent calls must open no more.
+// than this VM may hold to the target. This share of two must be open before the first
+// call, and 20 concurrent calls must open no more.
 func TestShareIsOpenedAheadAndNeverExceeded(t *testing.T) {
 	for name, protocol := range protocols {
 		t.Run(name, func(t *testing.T) {
@@ -115,10 +115,15 @@
 	return append([]string(nil), s.entries...)
 }
 
+// TargetStatus records the word "status", the target's name and its state.
 func (s *recordingSink) TargetStatus(target string, status Status, _ time.Time) {
 	s.record("status", target, string(status.State))
 }
+
+// TargetFailed records the word "failed" and the target's name.
 func (s *recordingSink) TargetFailed(target string, _ error, _ time.Time) { s.record("failed", target) }
+
+// TargetState records the word "state", the target's name, its incarnation and its state.
 func (s *recordingSink) TargetState(target, incarnation string, state State, _ time.Time) {
 	s.record("state", target, incarnation, string(state))
 }
--- a/target/maintain.go
+++ b/target/maintain.go
@@ -128,7 +128,7 @@
 }
 
 // remove removes a closed connection from the pool, so that it no longer counts
-// against the share.
+// against this VM's share of the target's connections.
 func (p *pool) remove(cn *conn) {
 	p.mu.Lock()
 	p.conns = slices.DeleteFunc(p.conns, func(other *conn) bool { return other == cn })
@@ -137,7 +137,8 @@
 	p.wake()
 }
 
-// retireSurplus retires the connections that exceed the share. p.mu must be held.
+// retireSurplus retires the connections that exceed this VM's share of the target's
+// connections, and all of them if the pool is retired. p.mu must be held.
 func (p *pool) retireSurplus() {
 	share := p.endpoint.Connections
 	if p.retired {
--- a/target/monitor.go
+++ b/target/monitor.go
@@ -15,6 +15,7 @@
 
 // StatusReader reads the status of a target; Client is one.
 type StatusReader interface {
+	// Status reads the status of the target with the given name.
 	Status(ctx context.Context, target string) (Status, error)
 }
 
--- a/target/monitor_test.go
+++ b/target/monitor_test.go
@@ -12,12 +12,19 @@
 // reads, and a Sink that ignores all calls.
 type countingReader struct{ reads chan string }
 
+// Status sends the target's name to reads, and returns a status without leaves.
 func (c countingReader) Status(_ context.Context, name string) (Status, error) {
 	c.reads <- name
 	return Status{Target: name}, nil
 }
-func (countingReader) TargetStatus(string, Status, time.Time)       {}
-func (countingReader) TargetFailed(string, error, time.Time)        {}
+
+// TargetStatus does nothing.
+func (countingReader) TargetStatus(string, Status, time.Time) {}
+
+// TargetFailed does nothing.
+func (countingReader) TargetFailed(string, error, time.Time) {}
+
+// TargetState does nothing.
 func (countingReader) TargetState(string, string, State, time.Time) {}
 
 // Guards against targets that are loaded by status reads of every VM. While other VMs
--- a/target/options.go
+++ b/target/options.go
@@ -45,7 +45,7 @@
 	// close of a silent connection, so it counts the old and the new one.
 	MaxOpen int
 	// SilentHold is the time for which a connection that was found silent counts against
-	// the share (default 2 min).
+	// this VM's share of the target's connections (default 2 min).
 	SilentHold time.Duration
 
 	MaxStreams int           // limit of concurrent calls on one HTTP/2 connection; default 100
@@ -54,8 +54,8 @@
 	MaxDials   int           // limit of connections being opened at once, over all targets; default 8
 
 	DialTimeout time.Duration // limit of the time for opening one connection and warming it up; default 1 s
-	PaceFactor  float64       // pause between new connections to a target, as a multiple of ConnectCost; default 2
-	MinPace     time.Duration // lower bound of the pause between new connections; default 5 ms
+	PaceFactor  float64       // pause between new connections to a target, as a multiple of Endpoint.ConnectCost; default 2
+	MinPace     time.Duration // lower bound of the pause between new connections to a target; default 5 ms
 	MaxBackoff  time.Duration // upper bound of the pause after repeated failures to connect to a target; default 1 s
 
 	// A connection is suspect once a call has waited on it for SuspectAfter (default
@@ -76,15 +76,15 @@
 
 // The defaults of the fields of Options with the same names.
 const (
-	defaultMaxAnswerBytes = 4 << 20                // size of one answer's body, in bytes
+	defaultMaxAnswerBytes = 4 << 20                // limit of the size of one answer's body, in bytes
 	defaultMaxOpen        = 3                      // connections kept open to one target over HTTP/2
-	defaultSilentHold     = 2 * time.Minute        // time for which a connection found silent counts against the share
-	defaultMaxStreams     = 100                    // concurrent calls on one HTTP/2 connection
-	defaultMaxWaiters     = 64                     // calls that wait for a connection to one target
+	defaultSilentHold     = 2 * time.Minute        // time for which a connection found silent counts against this VM's share of the target's connections
+	defaultMaxStreams     = 100                    // limit of concurrent calls on one HTTP/2 connection
+	defaultMaxWaiters     = 64                     // limit of calls that wait for a connection to one target
 	defaultMaxWait        = 250 * time.Millisecond // longest wait of a call for a connection
-	defaultMaxDials       = 8                      // connections being opened at once, over all targets
+	defaultMaxDials       = 8                      // limit of connections being opened at once, over all targets
 	defaultDialTimeout    = time.Second            // limit of the time for opening one connection and warming it up
-	defaultPaceFactor     = 2                      // pause between new connections to a target, as a multiple of ConnectCost
+	defaultPaceFactor     = 2                      // pause between new connections to a target, as a multiple of the time that the target spends on one (ConnectCost)
 	defaultMinPace        = 5 * time.Millisecond   // lower bound of the pause between new connections to a target
 	defaultMaxBackoff     = time.Second            // upper bound of the pause after repeated failures to connect to a target
 	defaultSuspectAfter   = 100 * time.Millisecond // wait of a call without any data after which its connection is suspect
--- a/target/standin_test.go
+++ b/target/standin_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// silence makes a connection go silent.
+// silence makes a connection lose all data from now on, in both directions, while it stays open.
 func silence(sc *serverConn) { sc.silent.Store(true) }
 
 // breakConn closes a connection at once, without closeDelay.
@@ -152,12 +152,15 @@
 	return s.accepts, s.open, s.maxOpen, s.submits
 }
 
+// setSearchHandler sets the function that answers further searches.
 func (s *fakeTarget) setSearchHandler(f func(http.ResponseWriter, *http.Request, LeafRequest)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.searchHandler = f
 }
 
+// setAfterSubmit sets a function that is called after each further submit was run, before it
+// is answered.
 func (s *fakeTarget) setAfterSubmit(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
