--- a/query/metrics_test.go
+++ b/query/metrics_test.go
@@ -14,13 +14,15 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// fakeLeaves answers every search completely and without items.
+// fakeLeaves stands in for the leaves of all targets. It answers every request at once.
 type fakeLeaves struct{}
 
+// Search always returns a complete answer without items.
 func (fakeLeaves) Search(_ context.Context, _ string, _ int, req target.LeafRequest) (target.LeafAnswer, error) {
 	return target.LeafAnswer{Echo: req.Echo, Records: 1, Complete: true}, nil
 }
 
+// Submit always returns an empty answer.
 func (fakeLeaves) Submit(context.Context, string, int, target.SubmitRequest) (target.SubmitAnswer, error) {
 	return target.SubmitAnswer{}, nil
 }
