--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,8 +21,8 @@
 
 // Bounds on requests and connections of callers.
 const (
-	MaxBodyBytes   = 64 << 10         // size of a request's body, in bytes
-	MaxHeaderBytes = 16 << 10         // size of a request's header, in bytes
+	MaxBodyBytes   = 64 << 10         // largest size of a request's body, in bytes
+	MaxHeaderBytes = 16 << 10         // largest size of a request's header, in bytes
 	readTimeout    = 10 * time.Second // longest time for reading a request, and for reading its header
 	idleTimeout    = 2 * time.Minute  // time after which an unused connection of a caller is closed
 	writeMargin    = 10 * time.Second // time for writing an answer; the server's WriteTimeout is maxTimeLimit plus this
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -21,7 +21,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// fake implements Config, Engine and Claims with fixed results.
+// fake stands in for the bundle in force, the engine and the claims of idempotency keys: it
+// implements Config, Engine and Claims with fixed results.
 type fake struct {
 	inForce     *rollout.InForce // returned by Current
 	answer      query.Answer     // returned by Search
@@ -30,22 +31,27 @@
 	submissions int              // calls of Submit
 }
 
+// Current always returns f.inForce.
 func (f *fake) Current() *rollout.InForce { return f.inForce }
 
+// Search records the request and always returns f.answer.
 func (f *fake) Search(_ context.Context, req *query.Request) *query.Answer {
 	f.lastSearch = req
 	return &f.answer
 }
 
+// Admit refuses the request with f.refusal, and admits it if f.refusal is nil.
 func (f *fake) Admit(context.Context, string, time.Time) (func(), *query.Answer) {
 	return func() {}, f.refusal
 }
 
+// Submit counts the call and always reports that a target ran the request.
 func (f *fake) Submit(context.Context, *query.Submission) query.SubmitResult {
 	f.submissions++
 	return query.SubmitResult{Code: result.Accepted, Result: json.RawMessage(`{"filed":1}`)}
 }
 
+// Run always calls run, without a claim of the key.
 func (f *fake) Run(ctx context.Context, _ once.Request, run func(context.Context) once.Outcome) once.Outcome {
 	return run(ctx)
 }
--- a/gateway/messages.go
+++ b/gateway/messages.go
@@ -9,7 +9,7 @@
 
 // The HTTP headers of requests and answers.
 const (
-	HeaderKey        = "Idempotency-Key" // of a non-idempotent request
+	HeaderKey        = "Idempotency-Key" // of a non-idempotent request: the key under which it runs at most once
 	HeaderTimeLimit  = "Time-Limit-Ms"   // of a non-idempotent request: how long the caller waits, in ms
 	HeaderRequest    = "Request-Id"      // of an answer: the id that this VM gave to the request
 	HeaderRetryAfter = "Retry-After"     // of an answer: wait before a retry, in whole seconds, rounded up
