--- a/topk/topk.go
+++ b/topk/topk.go
@@ -11,10 +11,11 @@
 // answer is ignored.
 const RecordBytes = 16
 
-// record is a record's bytes as two big-endian numbers, which sort in the same order as the
-// bytes.
+// record is the RecordBytes bytes of a record as two big-endian numbers, which sort in the same
+// order as the bytes.
 type record struct{ high, low uint64 }
 
+// less reports whether r comes before o in the order of their bytes.
 func (r record) less(o record) bool {
 	return r.high < o.high || r.high == o.high && r.low < o.low
 }
--- a/topk/topk_test.go
+++ b/topk/topk_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// mergeBySorting is a reference implementation that sorts all records.
+// mergeBySorting is a reference implementation of Merge that sorts all records. It returns up to
+// limit of them, greatest first.
 func mergeBySorting(limit int, parts [][]byte) []byte {
 	var all [][]byte
 	for _, part := range parts {
