--- a/latency/latency.go
+++ b/latency/latency.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	windowCount        = 4               // windows kept, the current one included
-	windowLength       = 5 * time.Second // of each window
+	windowCount        = 4               // windows of samples that a Recorder keeps, the current one included
+	windowLength       = 5 * time.Second // length of each window of samples
 	maxLatency         = time.Minute     // longer latencies are recorded as this
 	significantFigures = 2               // precision of recorded latencies, in decimal digits
-	minSamples         = 50              // with fewer, a quantile is meaningless
+	minSamples         = 50              // number of latencies below which a quantile of them is meaningless
 )
 
 // Recorder estimates quantiles of recent latencies. Samples are dropped with their
@@ -20,10 +20,10 @@
 // follow a change of the targets' speed within seconds. It is not safe for concurrent use.
 type Recorder struct {
 	hist        *hdrhistogram.WindowedHistogram // of latencies in microseconds
-	windowStart time.Time                       // of the current window
+	windowStart time.Time                       // start of the current window
 	merged      *hdrhistogram.Histogram         // sum of all windows; nil before the first merge
 	mergedAt    time.Time                       // time of the last merge
-	quantiles   map[float64]time.Duration       // quantiles of merged, cached by q
+	quantiles   map[float64]time.Duration       // quantiles of merged that were computed, by q from 0 to 1
 }
 
 // New returns an empty recorder.
