--- a/scatter/budget_test.go
+++ b/scatter/budget_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a burst of retries and hedges around the boundary of two windows that causes more
 // extra arrivals than allowed. In every sliding window, the extra arrivals stay within the ratio
-// of the requests plus this VM's share of the floor.
+// of the requests plus this VM's share of the budget's floor.
 func TestBudgetHoldsInEverySlidingWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
--- a/scatter/floor.go
+++ b/scatter/floor.go
@@ -13,11 +13,11 @@
 	// share of each would be less than one arrival. The fraction applies to services that
 	// only gathered requests use.
 	ownersFloorShare = 0.5
-	// firstWindowShare limits the extra arrivals that a VM may cause besides the ratio in
-	// the first budget window after its process started, as a fraction of the VM's share of
-	// the floor. The VM's previous process may have spent the whole share in the same
-	// window. All shares are computed for more VMs than are known, by the factor vmHeadroom.
-	// What both processes spend together is covered by that headroom as long as
+	// firstWindowShare limits what a VM may spend of the floor of a service's budget in the
+	// first window after its process started, as a fraction of the VM's share of that floor.
+	// The VM's previous process may have spent the whole share in the same window. All
+	// shares are computed for more VMs than are known, by the factor vmHeadroom. What both
+	// processes spend together is covered by that headroom as long as
 	// firstWindowShare <= vmHeadroom - 1.
 	firstWindowShare = 0.25
 )
--- a/scatter/floor_test.go
+++ b/scatter/floor_test.go
@@ -34,8 +34,8 @@
 }
 
 // Guards against more extra arrivals at a shard's leafs than allowed. Up to 80 VMs each spend their
-// share of the floor, are restarted, and spend a share again within the same window. The sum of
-// the shares before and after the restart stays below the floor.
+// share of the floor of the shard's budget, are restarted, and spend a share again within the same
+// window. The sum of the shares before and after the restart stays below the floor.
 func TestFloorSharesStayBelowFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
@@ -55,8 +55,8 @@
 }
 
 // Guards against an answer that lacks a shard although another leaf could answer it. The shard's
-// leaf pauses. If the floor were divided equally among 80 VMs, a VM that owns the leaf could hedge
-// only once in ten seconds, although no more than 20 of the VMs use the leaf.
+// leaf pauses. If the floor of the shard's budget were divided equally among 80 VMs, a VM that owns
+// the leaf could hedge only once in ten seconds, although no more than 20 of the VMs use the leaf.
 func TestOwnersOfAShardMayHedgeItMoreThanOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
@@ -77,8 +77,9 @@
 	g.Expect(others).To(gomega.HaveEach(gomega.BeNumerically(">=", 1)))
 }
 
-// Guards against a VM that has just started and spends the whole floor, as if it were the only VM,
-// until it has read the list of VMs. Before that it spends nothing of the floor.
+// Guards against a VM that has just started and spends the whole floor of a service's budget, as if
+// it were the only VM, until it has read the list of VMs. Before that it spends nothing of the
+// floor.
 func TestVMWithoutVMListSpendsNoFloor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1_000_000, 0)
