--- a/policy/budget.go
+++ b/policy/budget.go
@@ -12,16 +12,16 @@
 	tokens float64 // extra attempts allowed now
 }
 
-// NewBudget returns a full budget for the given share of first attempts. A share
-// of 0 allows no extra attempts.
+// NewBudget returns a full budget. share is the number of extra attempts allowed per first
+// attempt; 0 allows none.
 func NewBudget(share float64) *Budget {
 	b := &Budget{share: share}
 	b.tokens = b.capacity()
 	return b
 }
 
-// RecordFirst counts n first attempts. They refill the budget by its share of n, up to
-// its capacity.
+// RecordFirst counts n first attempts. For each of them the budget is refilled by share
+// extra attempts, up to its capacity.
 func (b *Budget) RecordFirst(n int) {
 	b.tokens = min(b.tokens+b.share*float64(n), b.capacity())
 }
@@ -43,7 +43,8 @@
 	return budgetBurst
 }
 
-// SetShare sets the share of first attempts. A changed share refills the budget.
+// SetShare sets the number of extra attempts allowed per first attempt. A changed number
+// refills the budget.
 func (b *Budget) SetShare(share float64) {
 	if share == b.share {
 		return
--- a/policy/query.go
+++ b/policy/query.go
@@ -194,7 +194,8 @@
 	return acts
 }
 
-// unanswered returns the number of shards without an answer in this pass.
+// unanswered returns the number of shards without an answer in the current pass, which
+// reads one snapshot.
 func (q *Query) unanswered() int { return len(q.shards) - q.phases[phaseAnswered] }
 
 // hedgeRetryInterval is the time after which a hedge that was due but not sent, for
