--- a/target/conn.go
+++ b/target/conn.go
@@ -20,7 +20,7 @@
 	retiring     bool      // accepts no new call and is closed once no call uses it
 	probing      bool      // a status read that tests whether the connection is silent is in progress
 	silent       bool      // a probe received nothing at all; the connection is closed at once
-	closing      bool      // being closed; counts against the share until the target has closed its end
+	closing      bool      // being closed; counts against this VM's share of connections until the target has closed its end
 	waitingSince time.Time // start of the first call since the last byte was received
 }
 
--- a/target/failure_test.go
+++ b/target/failure_test.go
@@ -279,7 +279,7 @@
 
 // Guards against a target that refuses connections after a recall. A bundle removes
 // the target while calls run on it, and the recall adds it again. The connections
-// of those calls must still count against the share.
+// of those calls must still count against this VM's share of the target's connections.
 func TestReaddedEndpointKeepsItsShare(t *testing.T) {
 	forProtocols(t, 1, Options{MaxWait: testTimeout}, func(g *WithT, s *fakeTarget, c *Client) {
 		done, finish := s.startBlockedSearch(g, c)
@@ -343,8 +343,8 @@
 
 // Guards against a restarted target that spends all its time on new connections,
 // because every VM opens its connections at the same time. In every sequence of
-// events, new connections to one target are at least half a pause apart, and
-// failures only lengthen the pause.
+// events, new connections to one target are at least half of the pacer's mean pause
+// apart, and failures only lengthen the pause.
 func TestNewConnectionsArePaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p pacer
--- a/target/maintain.go
+++ b/target/maintain.go
@@ -78,9 +78,9 @@
 }
 
 // needsConn reports whether a connection is to be opened. Each connection that was found
-// silent counts against the share for SilentHold, but one connection is always allowed:
-// most targets soon drop their side of a silent connection, and such a target must not be
-// left without calls. p.mu must be held.
+// silent counts against this VM's share of the target's connections for SilentHold, but one
+// connection is always allowed: most targets soon drop their side of a silent connection,
+// and such a target must not be left without calls. p.mu must be held.
 func (p *pool) needsConn(now time.Time) bool {
 	for len(p.silentTimes) > 0 && now.Sub(p.silentTimes[0]) > p.client.opts.SilentHold {
 		p.silentTimes = p.silentTimes[1:]
--- a/target/pacer.go
+++ b/target/pacer.go
@@ -30,9 +30,9 @@
 	p.notBefore = now.Add(jitter(p.pause))
 }
 
-// closed records that a connection was closed at now. The pause gives the target
-// time to notice the close, so that it never counts the old connection together
-// with a new one.
+// closed records that a connection was closed at now. The pause before the next
+// connection gives the target time to notice the close, so that it never counts the
+// old connection together with a new one.
 func (p *pacer) closed(now time.Time) {
 	if next := now.Add(jitter(p.pause)); next.After(p.notBefore) {
 		p.notBefore = next
--- a/target/silence_test.go
+++ b/target/silence_test.go
@@ -12,7 +12,7 @@
 // on the path has lost the state of the open connections: data sent on them is
 // dropped without FIN or RST, while new connections work. Such connections can only
 // be detected because nothing arrives on them. They must be closed and replaced
-// within the share, so that calls work again.
+// within this VM's share of the target's connections, so that calls work again.
 func TestSilentConnectionsAreReplaced(t *testing.T) {
 	forProtocols(t, 3, Options{ProbeTimeout: 100 * time.Millisecond}, func(g *WithT, s *fakeTarget, c *Client) {
 		s.forEachConn(silence)
@@ -24,8 +24,8 @@
 
 // Guards against a target that refuses this VM's new connections, because it still
 // counts the silent ones, whose close it never sees. When one connection is found
-// silent, the others must be probed too. Silent connections must count against the
-// share while they are replaced.
+// silent, the others must be probed too. Silent connections must count against this
+// VM's share of the target's connections while they are replaced.
 func TestSilentConnectionsCountAgainstShare(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeTarget(t, "a", 0)
