--- a/edge/relay.go
+++ b/edge/relay.go
@@ -43,7 +43,7 @@
 	vm string // name of the VM that is followed; empty for the store
 }
 
-// avoidPeriod is how long a VM that failed is not followed.
+// avoidPeriod is how long this VM does not follow a VM after a call to it failed.
 const avoidPeriod = 5 * time.Second
 
 // readerAnswerTimeout bounds the wait for the answer of a VM that reads the store for others.
@@ -67,6 +67,8 @@
 // errReadDeferred means that the store is not read now, because other VMs read it.
 var errReadDeferred = errors.New("edge: read of the store deferred to other VMs")
 
+// newRelay returns a relay that reads from store while it follows no VM. maxStaleness is how old
+// the latest answer from the store may be at a VM that it follows.
 func newRelay(store Store, e *Engine, maxStaleness time.Duration) *relay {
 	return &relay{
 		Store:        store,
