--- a/integration/committer_test.go
+++ b/integration/committer_test.go
@@ -76,7 +76,7 @@
 	c.t.Helper()
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{DelayMS: 100}))
 	c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 1, LoseKind: once.Kind}))
-	answer := c.sendAside(c.Daemons[0], key)
+	answer := c.sendAsync(c.Daemons[0], key)
 	c.waitClaim(key)
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
 	return answer
@@ -133,7 +133,7 @@
 	client := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{})
 	defer client.Close()
 	c.Eventually(func() (string, error) {
-		c.sendAside(c.Daemons[committer], after) // the committer may consider the platform down for a moment
+		c.sendAsync(c.Daemons[committer], after) // the committer may consider the platform down for a moment
 		object, err := client.Get(c.ctx, once.Kind, deployment+"."+second)
 		return string(object.Value), err
 	}, waitTimeout, "100ms").Should(gomega.ContainSubstring(after))
@@ -167,7 +167,7 @@
 	keys := c.committerKeys("thawed", 8)
 	var pending []<-chan gateway.Answer
 	for _, key := range keys {
-		pending = append(pending, c.sendAside(c.Daemons[0], key))
+		pending = append(pending, c.sendAsync(c.Daemons[0], key))
 	}
 	for _, answer := range pending {
 		a := <-answer
@@ -205,8 +205,8 @@
 		}
 		key := c.committerKey(fmt.Sprint("both", i))
 		pending := []<-chan gateway.Answer{
-			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
-			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
+			c.sendAsync(c.Daemons[0], key), c.sendAsync(c.Daemons[1], key),
+			c.sendAsync(c.Daemons[0], key), c.sendAsync(c.Daemons[1], key),
 		}
 		for _, answer := range pending {
 			a := <-answer
--- a/integration/ctl_test.go
+++ b/integration/ctl_test.go
@@ -72,9 +72,9 @@
 // a failure with code 0 on success. The exit status of a failed command must be the class
 // of its result code.
 func (x *ctl) run(into any, args ...string) failure {
-	var out, stderr bytes.Buffer
+	var stdout, stderr bytes.Buffer
 	cmd := x.command(x.c.ctx, args...)
-	cmd.Stdout, cmd.Stderr = &out, &stderr
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	if err := cmd.Start(); err != nil {
 		return failure{Code: result.Internal, Detail: err.Error()}
 	}
@@ -83,14 +83,14 @@
 	}
 	err := cmd.Wait()
 	if err == nil {
-		if e := json.Unmarshal(out.Bytes(), into); e != nil {
-			return failure{Code: result.Internal, Detail: e.Error() + ": " + out.String()}
+		if e := json.Unmarshal(stdout.Bytes(), into); e != nil {
+			return failure{Code: result.Internal, Detail: e.Error() + ": " + stdout.String()}
 		}
 		return failure{}
 	}
 	// An accepted change prints its answer before it waits for VMs, so a failure of
 	// the wait is a second JSON value.
-	dec := json.NewDecoder(&out)
+	dec := json.NewDecoder(&stdout)
 	var f failure
 	for dec.More() {
 		if e := dec.Decode(&f); e != nil {
@@ -135,11 +135,11 @@
 // watchRevisionsOf is watchRevisions for some daemons.
 func (c *cluster) watchRevisionsOf(daemons ...*fleet.Daemon) (stop func() []string) {
 	ctx, cancel := context.WithCancel(c.ctx)
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex // guards regressed
 	var regressed []string
 	for _, d := range daemons {
-		wait.Go(func() {
+		wg.Go(func() {
 			var highest uint64
 			for ctx.Err() == nil {
 				status, err := d.Status(ctx)
@@ -157,7 +157,7 @@
 	}
 	return func() []string {
 		cancel()
-		wait.Wait()
+		wg.Wait()
 		return regressed
 	}
 }
--- a/integration/harness_test.go
+++ b/integration/harness_test.go
@@ -55,14 +55,14 @@
 
 func runTests(m *testing.M) int {
 	defer gexec.CleanupBuildArtifacts()
-	const module = "github.com/bramleybarrow/bramleybarrow/cmd/"
-	for path, into := range map[string]*string{"bramleyd": &binaries.daemon, "bramley-lab": &binaries.lab} {
-		built, err := gexec.Build(module + path)
+	const cmdPath = "github.com/bramleybarrow/bramleybarrow/cmd/"
+	for name, dst := range map[string]*string{"bramleyd": &binaries.daemon, "bramley-lab": &binaries.lab} {
+		path, err := gexec.Build(cmdPath + name)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
-		*into = built
+		*dst = path
 	}
 	return m.Run()
 }
@@ -100,24 +100,24 @@
 // zoneName returns the name of an availability zone; the one at index 0 is zone.
 func zoneName(i int) string { return "zone-" + string(rune('a'+i)) }
 
-func (s clusterConfig) withDefaults() clusterConfig {
+func (cfg clusterConfig) withDefaults() clusterConfig {
 	set := func(field *int, value int) {
 		if *field == 0 {
 			*field = value
 		}
 	}
-	set(&s.Targets, 3)
-	set(&s.Leaves, 2)
-	set(&s.Slots, 2)
-	set(&s.Shards, 4)
-	set(&s.Replicas, 2)
-	set(&s.Records, 200)
-	set(&s.Daemons, 2)
-	set(&s.Zones, 1)
-	if s.WatchWait == 0 {
-		s.WatchWait = 2 * time.Second
+	set(&cfg.Targets, 3)
+	set(&cfg.Leaves, 2)
+	set(&cfg.Slots, 2)
+	set(&cfg.Shards, 4)
+	set(&cfg.Replicas, 2)
+	set(&cfg.Records, 200)
+	set(&cfg.Daemons, 2)
+	set(&cfg.Zones, 1)
+	if cfg.WatchWait == 0 {
+		cfg.WatchWait = 2 * time.Second
 	}
-	return s
+	return cfg
 }
 
 // cluster is a running deployment.
@@ -141,10 +141,10 @@
 // start starts a cluster and waits until every daemon is ready and answers a search from
 // all shards. The cluster is stopped when the test ends; if the test failed, the last
 // lines of the processes' logs are printed.
-func start(t *testing.T, s clusterConfig) *cluster {
+func start(t *testing.T, cfg clusterConfig) *cluster {
 	t.Helper()
 	skipKnownRed(t)
-	c := &cluster{WithT: gomega.NewWithT(t), t: t, config: s.withDefaults()}
+	c := &cluster{WithT: gomega.NewWithT(t), t: t, config: cfg.withDefaults()}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	c.ctx = ctx
 	f, err := fleet.New(fleet.Options{Daemon: binaries.daemon, Lab: binaries.lab, Dir: t.TempDir(), Deployment: deployment})
@@ -191,20 +191,20 @@
 }
 
 func (c *cluster) startTargets() {
-	s := c.config
-	c.Index = targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: s.Shards, Records: s.Records}
-	for i, holder := range targetsim.PlaceReplicas(c.Index, s.Targets, s.Leaves, s.Replicas) {
+	cfg := c.config
+	c.Index = targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: cfg.Shards, Records: cfg.Records}
+	for i, placement := range targetsim.PlaceReplicas(c.Index, cfg.Targets, cfg.Leaves, cfg.Replicas) {
 		o := targetsim.Options{
-			Name: fmt.Sprintf("target-%d", i), Service: service, Leaves: s.Leaves, Slots: s.Slots,
+			Name: fmt.Sprintf("target-%d", i), Service: service, Leaves: cfg.Leaves, Slots: cfg.Slots,
 			Seed: uint64(i + 1), Timing: targetsim.Timing{BaseMS: 2},
-			Snapshots: []targetsim.SnapshotPlacement{holder},
+			Snapshots: []targetsim.SnapshotPlacement{placement},
 		}
-		if s.Target != nil {
-			s.Target(i, &o)
+		if cfg.Target != nil {
+			cfg.Target(i, &o)
 		}
 		target := must[*fleet.Target](c)(c.StartTarget(o))
 		c.Targets = append(c.Targets, target)
-		if s.ProxyTargets {
+		if cfg.ProxyTargets {
 			proxy := must[*fleet.Proxy](c)(c.StartProxy(o.Name+"-proxy", target.Address))
 			c.TargetProxies = append(c.TargetProxies, proxy)
 		}
@@ -212,21 +212,21 @@
 }
 
 func (c *cluster) startDaemon(i int) {
-	s := c.config
-	o := fleet.DaemonOptions{Name: fmt.Sprintf("vm-%d", i), Zone: zoneName(i % s.Zones), LameDuck: s.LameDuck, LogLevel: "debug"}
-	if s.ProxyPlatform {
+	cfg := c.config
+	o := fleet.DaemonOptions{Name: fmt.Sprintf("vm-%d", i), Zone: zoneName(i % cfg.Zones), LameDuck: cfg.LameDuck, LogLevel: "debug"}
+	if cfg.ProxyPlatform {
 		proxy := must[*fleet.Proxy](c)(c.StartProxy(o.Name+"-platform-proxy", c.Platform.Address))
 		c.PlatformProxies = append(c.PlatformProxies, proxy)
 		o.Platform = proxy.Address
 	}
-	if s.ProxyPeers {
+	if cfg.ProxyPeers {
 		o.Peers = must[string](c)(fleet.FreeAddress())
 		proxy := must[*fleet.Proxy](c)(c.StartPeerProxy(o.Name+"-peer-proxy", o.Peers))
 		c.PeerProxies = append(c.PeerProxies, proxy)
 		o.PeersAt = proxy.Address
 	}
-	if s.Settings != nil {
-		o.EditSettings = func(set *settings.Settings) { s.Settings(i, set) }
+	if cfg.Settings != nil {
+		o.EditSettings = func(set *settings.Settings) { cfg.Settings(i, set) }
 	}
 	c.Daemons = append(c.Daemons, must[*fleet.Daemon](c)(c.StartDaemon(o)))
 }
--- a/integration/health_test.go
+++ b/integration/health_test.go
@@ -16,10 +16,10 @@
 	"github.com/bramleybarrow/bramleybarrow/policy"
 )
 
-// beforeReread is less than the shortest time after which a VM reads the status of a
+// reportTimeout is less than the shortest time after which a VM reads the status of a
 // target again while other VMs report on that target. So what a VM knows within this time,
 // it learned from their reports.
-const beforeReread = 9 * time.Second
+const reportTimeout = 9 * time.Second
 
 // startWithReporters starts more VMs than a target accepts connections, so that each
 // target has two owners and three VMs that reach it through owners. It waits until every
@@ -27,9 +27,9 @@
 func startWithReporters(t *testing.T) *cluster {
 	t.Helper()
 	const daemons, connections = 5, 3
-	s := fewConnections(daemons, daemons, connections)
-	s.Replicas = 1
-	c := start(t, s)
+	cfg := fewConnections(daemons, daemons, connections)
+	cfg.Replicas = 1
+	c := start(t, cfg)
 	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
 	for _, d := range c.Daemons {
 		c.Eventually(func() float64 { return c.metric(d, "bramley_peer_health_targets") }, waitTimeout, "50ms").
@@ -80,7 +80,7 @@
 // beforeReread.
 func (c *cluster) waitSnapshotChosen(snapshot string) {
 	c.t.Helper()
-	end := time.Now().Add(beforeReread)
+	end := time.Now().Add(reportTimeout)
 	body := gateway.SearchBody{Query: "well", Coverage: minCoverage, TimeLimitMS: 300}
 	for _, d := range c.Daemons {
 		c.Eventually(func() (string, error) {
@@ -91,10 +91,10 @@
 }
 
 // setAllIndexes makes all targets hold exactly these indexes.
-func (c *cluster) setAllIndexes(list ...targetsim.Index) {
+func (c *cluster) setAllIndexes(indexes ...targetsim.Index) {
 	c.t.Helper()
 	for i := range c.Targets {
-		c.setIndexes(i, list...)
+		c.setIndexes(i, indexes...)
 	}
 }
 
@@ -102,7 +102,7 @@
 // fails after beforeReread.
 func (c *cluster) waitAnswersFrom(snapshot string) {
 	c.t.Helper()
-	end := time.Now().Add(beforeReread)
+	end := time.Now().Add(reportTimeout)
 	for _, d := range c.Daemons {
 		c.Eventually(func() (string, error) {
 			a, _, err := d.Search(c.ctx, findSearch, searchBody("well"))
@@ -178,7 +178,7 @@
 	lost := c.Targets[0]
 	lost.Kill()
 	body := gateway.SearchBody{Query: "well", Explain: true, Coverage: minCoverage}
-	end := time.Now().Add(beforeReread)
+	end := time.Now().Add(reportTimeout)
 	for _, d := range c.Daemons {
 		c.Eventually(func() error {
 			a, _, err := d.Search(c.ctx, findSearch, body)
--- a/integration/hop_test.go
+++ b/integration/hop_test.go
@@ -33,15 +33,15 @@
 // its connection closed.
 func TestIdleConnectionsToOwnersAreClosedAndOpenedAgain(t *testing.T) {
 	const daemons, places, connections, bursts, searches = 5, 3, 2, 2, 4
-	s := fewConnections(daemons, places, connections)
-	s.Targets, s.Replicas = 1, 1
-	editBundle := s.Bundle
-	s.Bundle = func(b *bundle.Bundle) {
+	cfg := fewConnections(daemons, places, connections)
+	cfg.Targets, cfg.Replicas = 1, 1
+	editBundle := cfg.Bundle
+	cfg.Bundle = func(b *bundle.Bundle) {
 		editBundle(b)
 		// Status reads go through owners too and would keep the connections in use.
 		b.Services[0].Drain.HealthIntervalMS = 15_000
 	}
-	c := start(t, s)
+	c := start(t, cfg)
 	vms := c.daemonsWithoutPlace()
 	c.Expect(vms).NotTo(gomega.BeEmpty())
 	for range bursts {
@@ -90,16 +90,16 @@
 // in its zone could lose an answer or wait for it. Owners further away must take over at
 // once, and all searches must stay complete.
 func TestNearOwnerFrozenAndKilledInMidQuery(t *testing.T) {
-	const inZone, connections, owners = 3, 5, 4 // one connection is reserved for a frozen owner
-	s := fewConnections(inZone, 2*inZone, connections)
-	editBundle := s.Bundle
-	s.Bundle = func(b *bundle.Bundle) {
+	const vmsPerZone, connections, owners = 3, 5, 4 // one connection is reserved for a frozen owner
+	cfg := fewConnections(vmsPerZone, 2*vmsPerZone, connections)
+	editBundle := cfg.Bundle
+	cfg.Bundle = func(b *bundle.Bundle) {
 		editBundle(b)
 		b.Zones = append(b.Zones, bundle.Zone{Name: otherZone, Region: "region"})
 	}
-	c := start(t, s)
+	c := start(t, cfg)
 	c.addSecondZone()
-	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(2 * inZone))
+	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(2 * vmsPerZone))
 	c.waitOwners(owners)
 	all := slices.Clone(c.Daemons)
 	for _, fault := range []struct {
@@ -107,7 +107,7 @@
 		inject func() error
 	}{
 		{all[0], all[0].Pause},
-		{all[inZone], func() error { all[inZone].Kill(); return nil }},
+		{all[vmsPerZone], func() error { all[vmsPerZone].Kill(); return nil }},
 	} {
 		c.Daemons = slices.DeleteFunc(c.Daemons, func(d *fleet.Daemon) bool { return d == fault.victim })
 		rotation := &searchRotation{}
--- a/integration/leaf_faults_test.go
+++ b/integration/leaf_faults_test.go
@@ -69,13 +69,13 @@
 // searches, these would be cut off. A few seconds after it began to drain no VM may send
 // it a search, and no search may be incomplete meanwhile, since other replicas hold its
 // shards.
-func TestLeavingTargetGetsNoNewWork(t *testing.T) {
+func TestDrainingTargetGetsNoNewSearches(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 4})
 	l := c.startLoad(1, 0, truthOf(c.Index).check)
-	leaving := c.Targets[1]
-	c.ok(leaving.SetDraining(true))
+	draining := c.Targets[1]
+	c.ok(draining.SetDraining(true))
 	attempts := func() int {
-		counters := must[targetsim.Counters](c)(leaving.Counters())
+		counters := must[targetsim.Counters](c)(draining.Counters())
 		return counters.Searches + counters.Refused[target.ReasonDraining]
 	}
 	// The load continues: 200 more answers without an attempt at that target.
--- a/integration/leaving_test.go
+++ b/integration/leaving_test.go
@@ -106,7 +106,7 @@
 	go b.run(ctx)
 
 	leaving := c.Daemons[0]
-	var stopping, served atomic.Int64
+	var stopping, servedDuringStop atomic.Int64
 	failed := make(chan string, 1000)
 	var wg sync.WaitGroup
 	const callers = 8
@@ -116,7 +116,7 @@
 			defer k.client.CloseIdleConnections()
 			for turn := i; ctx.Err() == nil; turn++ {
 				d := b.pick(turn)
-				late := d == leaving && stopping.Load() != 0
+				duringStop := d == leaving && stopping.Load() != 0
 				var a gateway.Answer
 				var err error
 				want := result.Complete
@@ -128,8 +128,8 @@
 				}
 				if err != nil || result.Code(a.Code) != want {
 					failed <- fmt.Sprintf("%s: %v %s %v", d.Name, result.Code(a.Code), a.Detail, err)
-				} else if late {
-					served.Add(1)
+				} else if duringStop {
+					servedDuringStop.Add(1)
 				}
 			}
 		})
@@ -147,7 +147,7 @@
 	}
 	c.Expect(failures).To(gomega.BeEmpty())
 	c.Expect(leaving.ExitCode()).To(gomega.BeZero())
-	c.Expect(served.Load()).To(gomega.BeNumerically(">", 0), "the lagging balancer sent no request to the leaving VM")
+	c.Expect(servedDuringStop.Load()).To(gomega.BeNumerically(">", 0), "the lagging balancer sent no request to the leaving VM")
 }
 
 // A submit takes longer than the VM's lame-duck time. The stopping VM must wait for it,
@@ -157,7 +157,7 @@
 	c := start(t, clusterConfig{LameDuck: 100 * time.Millisecond})
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
 	key := newKey("long")
-	first := c.sendAside(c.Daemons[0], key)
+	first := c.sendAsync(c.Daemons[0], key)
 	c.waitRun(key)
 	c.ok(c.Daemons[0].Terminate())
 	c.Eventually(func() error {
@@ -190,17 +190,17 @@
 // sends it a request after the drain began; the others read its state only once in 10 min.
 // What the one VM learned must reach the others within seconds.
 func TestDrainLearnedByOneVMReachesAll(t *testing.T) {
-	const never = 600_000 // ms
+	const healthIntervalMS = 600_000 // ms
 	c := start(t, clusterConfig{
 		Targets: 4, Daemons: 3,
-		Bundle: func(b *bundle.Bundle) { b.Services[0].Drain.HealthIntervalMS = never },
+		Bundle: func(b *bundle.Bundle) { b.Services[0].Drain.HealthIntervalMS = healthIntervalMS },
 	})
-	leaving := c.Targets[0]
-	c.ok(leaving.SetDraining(true))
+	draining := c.Targets[0]
+	c.ok(draining.SetDraining(true))
 	c.Eventually(func() int {
 		_, _, err := c.Daemons[0].Search(c.ctx, findSearch, searchBody("well"))
 		c.ok(err)
-		return must[targetsim.Counters](c)(leaving.Counters()).Refused["draining"]
+		return must[targetsim.Counters](c)(draining.Counters()).Refused["draining"]
 	}, waitTimeout, "10ms").Should(gomega.BeNumerically(">", 0), "the first VM is refused by the target")
 
 	// The other VMs have sent no request since, so they can learn it only from the first.
@@ -208,9 +208,9 @@
 		c.Eventually(func() string { return c.metrics(d) }, waitTimeout, "50ms").Should(gomega.ContainSubstring("bramley_peer_drains 1\n"))
 	}
 	time.Sleep(drainApplyTime)
-	before := c.requestsReceived(leaving)
+	before := c.requestsReceived(draining)
 	c.searchOthers(30)
-	c.Expect(c.requestsReceived(leaving)).To(gomega.Equal(before))
+	c.Expect(c.requestsReceived(draining)).To(gomega.Equal(before))
 }
 
 // metrics returns a daemon's metrics page, or the text of the error if it can't be read.
@@ -229,17 +229,17 @@
 // while its replicas carry its load: a drain holds only for the incarnation that drained.
 func TestTargetComesBackAfterDrain(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 4})
-	leaving := c.Targets[0]
-	c.ok(leaving.SetDraining(true))
+	draining := c.Targets[0]
+	c.ok(draining.SetDraining(true))
 	c.Eventually(func() int {
-		before := c.requestsReceived(leaving)
+		before := c.requestsReceived(draining)
 		c.searchOthers(20)
-		return c.requestsReceived(leaving) - before
+		return c.requestsReceived(draining) - before
 	}, waitTimeout, "200ms").Should(gomega.BeZero())
 
-	o := leaving.Options
-	o.Listen = leaving.Address
-	leaving.Kill()
+	o := draining.Options
+	o.Listen = draining.Address
+	draining.Kill()
 	back := must[*fleet.Target](c)(c.StartTarget(o))
 	c.Targets[0] = back
 	c.Eventually(func() int {
--- a/integration/lone_replica_test.go
+++ b/integration/lone_replica_test.go
@@ -14,14 +14,14 @@
 func TestOwnerOfALoneReplicaKilledInMidQuery(t *testing.T) {
 	t.Parallel()                      // it mostly waits
 	const daemons, connections = 5, 3 // two owners of each target
-	s := fewConnections(daemons, daemons, connections)
-	s.Replicas = 1
-	editBundle := s.Bundle
-	s.Bundle = func(b *bundle.Bundle) {
+	cfg := fewConnections(daemons, daemons, connections)
+	cfg.Replicas = 1
+	editBundle := cfg.Bundle
+	cfg.Bundle = func(b *bundle.Bundle) {
 		editBundle(b)
 		b.Searches[0].Retry.Budget = 1 // the attempts at all shards of a target fail at the same time
 	}
-	c := start(t, s)
+	c := start(t, cfg)
 	c.killOwners()
 	c.expectWithinLimit(connections)
 }
--- a/integration/once_test.go
+++ b/integration/once_test.go
@@ -34,8 +34,8 @@
 	return a
 }
 
-// sendAside calls send in a goroutine and returns a channel that gets the answer.
-func (c *cluster) sendAside(d *fleet.Daemon, key string) <-chan gateway.Answer {
+// sendAsync calls send in a goroutine and returns a channel that gets the answer.
+func (c *cluster) sendAsync(d *fleet.Daemon, key string) <-chan gateway.Answer {
 	answer := make(chan gateway.Answer, 1)
 	go func() { answer <- c.send(d, key) }()
 	return answer
@@ -110,8 +110,8 @@
 		}
 		key := newKey(fmt.Sprint("both", i))
 		pending := []<-chan gateway.Answer{
-			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
-			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
+			c.sendAsync(c.Daemons[0], key), c.sendAsync(c.Daemons[1], key),
+			c.sendAsync(c.Daemons[0], key), c.sendAsync(c.Daemons[1], key),
 		}
 		for _, answer := range pending {
 			a := <-answer
@@ -130,7 +130,7 @@
 	c := start(t, clusterConfig{})
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
 	key := newKey("killed")
-	c.sendAside(c.Daemons[0], key)
+	c.sendAsync(c.Daemons[0], key)
 	c.waitRun(key)
 	c.Daemons[0].Kill()
 	c.setTargetFaults(targetsim.Faults{})
@@ -146,7 +146,7 @@
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true}) // no outcome is stored if the claim's answer arrives before the kill
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 300}))
 	key := newKey("claimed")
-	c.sendAside(c.Daemons[0], key)
+	c.sendAsync(c.Daemons[0], key)
 	c.waitClaim(key)
 	c.Daemons[0].Kill()
 	c.setTargetFaults(targetsim.Faults{})
@@ -162,7 +162,7 @@
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true}) // no outcome is stored if the claim's answer arrives before the pause
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 300}))
 	key := newKey("frozen")
-	first := c.sendAside(c.Daemons[0], key)
+	first := c.sendAsync(c.Daemons[0], key)
 	c.waitClaim(key)
 	c.ok(c.Daemons[0].Pause())
 	c.setTargetFaults(targetsim.Faults{})
@@ -186,7 +186,7 @@
 	c := start(t, clusterConfig{})
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
 	key := newKey("held")
-	first := c.sendAside(c.Daemons[0], key)
+	first := c.sendAsync(c.Daemons[0], key)
 	c.waitRun(key)
 	c.ok(c.Daemons[0].Pause())
 	c.setTargetFaults(targetsim.Faults{})
@@ -209,7 +209,7 @@
 	for _, key := range c.keysCommittedBy(c.Daemons[0], "unheard", tries) {
 		c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 1000, LoseKind: once.Kind}))
 		c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 400}))
-		answer := c.sendAside(c.Daemons[0], key)
+		answer := c.sendAsync(c.Daemons[0], key)
 		c.waitClaim(key)
 		// The VM is about to read whether its claim took effect.
 		c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{LoseDown: true}))
@@ -277,7 +277,7 @@
 					for i := range keys {
 						key := newKey(fmt.Sprintf("random%d-%d", s, i))
 						for range tries {
-							one, other := c.sendAside(c.Daemons[rng.IntN(3)], key), c.sendAside(c.Daemons[rng.IntN(3)], key)
+							one, other := c.sendAsync(c.Daemons[rng.IntN(3)], key), c.sendAsync(c.Daemons[rng.IntN(3)], key)
 							codes := []result.Code{result.Code((<-one).Code), result.Code((<-other).Code)}
 							received[s][key] = append(received[s][key], codes...)
 						}
@@ -300,14 +300,14 @@
 func (c *cluster) expectOnce(key string, codes []result.Code, runs int) {
 	c.t.Helper()
 	c.Expect(runs).To(gomega.BeNumerically("<=", 1), "%s ran twice, answered %v", key, codes)
-	notRun := true
+	allNotRun := true
 	for _, code := range codes {
 		if code == result.Accepted {
 			c.Expect(runs).To(gomega.Equal(1), "%s was answered %v", key, codes)
 		}
-		notRun = notRun && code != 0 && code.Info().Ran == result.RanNo
+		allNotRun = allNotRun && code != 0 && code.Info().Ran == result.RanNo
 	}
-	if notRun {
+	if allNotRun {
 		c.Expect(runs).To(gomega.BeZero(), "%s was answered %v", key, codes)
 	}
 }
@@ -315,7 +315,7 @@
 // randomFaults sets and clears faults until done is closed.
 func (c *cluster) randomFaults(rng *rand.Rand, done <-chan struct{}) {
 	const faultTime, calmTime = 300 * time.Millisecond, 200 * time.Millisecond
-	d := func() int { return rng.IntN(len(c.Daemons)) }
+	randomDaemon := func() int { return rng.IntN(len(c.Daemons)) }
 	for {
 		paused := -1
 		for range 2 {
@@ -327,14 +327,14 @@
 			case 2:
 				c.ok(c.Platform.SetFaults(platformsim.Faults{LoseWrites: 3, LoseKind: once.Kind}))
 			case 3:
-				c.ok(c.PlatformProxies[d()].Silence())
+				c.ok(c.PlatformProxies[randomDaemon()].Silence())
 			case 4:
 				c.ok(c.TargetProxies[rng.IntN(len(c.TargetProxies))].Cut())
 			case 5:
 				c.setTargetFaults(targetsim.Faults{CutSubmits: 1, ShedShare: 0.5})
 			case 6:
 				if paused < 0 {
-					paused = d()
+					paused = randomDaemon()
 					c.ok(c.Daemons[paused].Pause())
 				}
 			}
--- a/integration/owner_test.go
+++ b/integration/owner_test.go
@@ -31,13 +31,13 @@
 	}
 }
 
-func (c *cluster) expectWithinLimit(connections int) {
+func (c *cluster) expectWithinLimit(limit int) {
 	c.t.Helper()
 	for _, target := range c.Targets {
-		seen := must[struct{ Peak, Refused int }](c)(connectionCounts(target))
-		c.t.Logf("%s: peak of %d connections, limit %d, %d refused", target.Name, seen.Peak, connections, seen.Refused)
-		c.Expect(seen.Peak).To(gomega.BeNumerically("<=", connections))
-		c.Expect(seen.Refused).To(gomega.BeZero())
+		counts := must[struct{ Peak, Refused int }](c)(connectionCounts(target))
+		c.t.Logf("%s: peak of %d connections, limit %d, %d refused", target.Name, counts.Peak, limit, counts.Refused)
+		c.Expect(counts.Peak).To(gomega.BeNumerically("<=", limit))
+		c.Expect(counts.Refused).To(gomega.BeZero())
 	}
 }
 
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -16,19 +16,19 @@
 
 // expectCompleteAnswer compares an answer that claims to be complete with what the simulated
 // targets hold of index x. The answer must be from x's snapshot.
-func (c *cluster) expectCompleteAnswer(a gateway.Answer, x targetsim.Index, kind target.Kind, body gateway.SearchBody) {
+func (c *cluster) expectCompleteAnswer(a gateway.Answer, index targetsim.Index, kind target.Kind, body gateway.SearchBody) {
 	c.t.Helper()
-	const most = 1000 // max_items of the test bundle
+	const maxItems = 1000 // max_items of the test bundle
 	limit := body.Limit
 	if limit == 0 {
-		limit = most
+		limit = maxItems
 	}
-	items, more, records := x.ExpectedAnswer(kind, body.Query, "", limit)
-	c.Expect(a.Snapshot).To(gomega.Equal(x.Snapshot))
+	items, more, records := index.ExpectedAnswer(kind, body.Query, "", limit)
+	c.Expect(a.Snapshot).To(gomega.Equal(index.Snapshot))
 	c.Expect(a.Items).To(gomega.Equal(items))
 	c.Expect(a.More).To(gomega.Equal(more))
 	c.Expect(a.Coverage).To(gomega.Equal(&gateway.Coverage{
-		Ratio: 1, Shards: x.Shards, ShardsAnswered: x.Shards, Records: records,
+		Ratio: 1, Shards: index.Shards, ShardsAnswered: index.Shards, Records: records,
 	}))
 }
 
--- a/integration/peer_test.go
+++ b/integration/peer_test.go
@@ -107,18 +107,18 @@
 	c.Expect(failures).To(gomega.BeEmpty())
 	c.Expect(complete).To(gomega.BeNumerically(">", 0))
 	for _, target := range c.Targets {
-		seen := must[struct{ Peak, Refused int }](c)(connectionCounts(target))
-		t.Logf("%s: peak of %d connections, limit %d, %d refused", target.Name, seen.Peak, connections, seen.Refused)
-		c.Expect(seen.Peak).To(gomega.BeNumerically("<=", connections))
-		c.Expect(seen.Refused).To(gomega.BeZero())
+		counts := must[struct{ Peak, Refused int }](c)(connectionCounts(target))
+		t.Logf("%s: peak of %d connections, limit %d, %d refused", target.Name, counts.Peak, connections, counts.Refused)
+		c.Expect(counts.Peak).To(gomega.BeNumerically("<=", connections))
+		c.Expect(counts.Refused).To(gomega.BeZero())
 	}
 }
 
-func connectionCounts(target *fleet.Target) (seen struct{ Peak, Refused int }, err error) {
+func connectionCounts(target *fleet.Target) (counts struct{ Peak, Refused int }, err error) {
 	counters, err := target.Counters()
-	seen.Peak = counters.Connections.Peak
-	seen.Refused = counters.Connections.Refused
-	return seen, err
+	counts.Peak = counters.Connections.Peak
+	counts.Refused = counters.Connections.Refused
+	return counts, err
 }
 
 // joinExchange joins the daemons' exchange from this process, as a VM called "member".
@@ -143,12 +143,12 @@
 // incarnation of the target may get requests again.
 func TestDrainLearnedByOneVMOnly(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3, Targets: 3, Replicas: 3})
-	leaving := c.Targets[0]
-	counters, err := leaving.Counters()
+	draining := c.Targets[0]
+	counters, err := draining.Counters()
 	c.ok(err)
-	c.joinExchange().LearnDrain(peer.Drain{Target: leaving.Name, Incarnation: counters.Incarnation})
+	c.joinExchange().LearnDrain(peer.Drain{Target: draining.Name, Incarnation: counters.Incarnation})
 	started := func() int {
-		n, err := leaving.Counters()
+		n, err := draining.Counters()
 		c.ok(err)
 		return n.Searches
 	}
@@ -164,9 +164,9 @@
 		c.Expect(started()).To(gomega.Equal(before), "searches at a draining target")
 	}
 
-	leaving.Kill()
-	options := leaving.Options
-	options.Listen = leaving.Address
+	draining.Kill()
+	options := draining.Options
+	options.Listen = draining.Address
 	fresh, err := c.StartTarget(options)
 	c.ok(err)
 	c.Eventually(func() int {
--- a/integration/query_test.go
+++ b/integration/query_test.go
@@ -20,20 +20,20 @@
 
 // setIndexes makes target i hold exactly these indexes. The replicas of each are placed in
 // the same way.
-func (c *cluster) setIndexes(i int, list ...targetsim.Index) {
+func (c *cluster) setIndexes(i int, indexes ...targetsim.Index) {
 	c.t.Helper()
-	s := c.config
-	var holders []targetsim.SnapshotPlacement
-	for _, x := range list {
-		holders = append(holders, targetsim.PlaceReplicas(x, s.Targets, s.Leaves, s.Replicas)[i])
+	cfg := c.config
+	var placements []targetsim.SnapshotPlacement
+	for _, index := range indexes {
+		placements = append(placements, targetsim.PlaceReplicas(index, cfg.Targets, cfg.Leaves, cfg.Replicas)[i])
 	}
-	c.ok(c.Targets[i].SetSnapshots(holders))
+	c.ok(c.Targets[i].SetSnapshots(placements))
 }
 
 func (c *cluster) nextIndex(name string, seq int64, shards int) targetsim.Index {
-	x := c.Index
-	x.Snapshot, x.Seq, x.Shards = name, seq, shards
-	return x
+	index := c.Index
+	index.Snapshot, index.Seq, index.Shards = name, seq, shards
+	return index
 }
 
 // An answer must not contain records of two snapshots, or compute its coverage from the
@@ -234,7 +234,7 @@
 
 // A target that has just started would slow down or fail the queries sent to it, and
 // reports that it is starting. It must get no requests until it reports that it serves.
-func TestColdTargetGetsNoWork(t *testing.T) {
+func TestColdTargetGetsNoSearches(t *testing.T) {
 	c := start(t, clusterConfig{
 		Targets: 3, Replicas: 2,
 		Target: func(i int, o *targetsim.Options) {
--- a/integration/split_test.go
+++ b/integration/split_test.go
@@ -84,9 +84,9 @@
 // meanwhile.
 func (l *load) expectComplete(n int) {
 	l.c.t.Helper()
-	short := l.incompleteCount()
+	before := l.incompleteCount()
 	l.waitCompleteAnswers(n)
-	l.c.Expect(l.incompleteCount()).To(gomega.Equal(short), "incomplete answers; the last:\n%s", l.lastIncomplete())
+	l.c.Expect(l.incompleteCount()).To(gomega.Equal(before), "incomplete answers; the last:\n%s", l.lastIncomplete())
 }
 
 // lastIncomplete describes the last incomplete answers, up to eight of them.
@@ -102,9 +102,9 @@
 func (l *load) waitCompleteInRow(n int) {
 	l.c.t.Helper()
 	l.c.Eventually(func() bool {
-		short := l.incompleteCount()
+		before := l.incompleteCount()
 		l.waitCompleteAnswers(n)
-		return l.incompleteCount() == short
+		return l.incompleteCount() == before
 	}, waitTimeout, "10ms").Should(gomega.BeTrue(), func() string {
 		return fmt.Sprintf("%d complete answers in a row; the last incomplete ones:\n%s", n, l.lastIncomplete())
 	})
@@ -134,9 +134,9 @@
 func TestFleetSplitInHalves(t *testing.T) {
 	t.Parallel() // it mostly waits
 	const daemons, connections = 6, 5
-	s := fewConnections(daemons, daemons, connections)
-	s.ProxyPeers, s.ProxyPlatform = true, true
-	c := start(t, s)
+	cfg := fewConnections(daemons, daemons, connections)
+	cfg.ProxyPeers, cfg.ProxyPlatform = true, true
+	c := start(t, cfg)
 	c.Eventually(c.vmsWithPlace, waitTimeout, "50ms").Should(gomega.HaveLen(daemons))
 	connected, isolated := c.Daemons[:daemons/2], c.Daemons[daemons/2:]
 	next := c.pushSignedBundle("next")
@@ -163,8 +163,8 @@
 	for _, d := range connected {
 		c.waitInForce(d, answer.Revision)
 	}
-	leaving := c.Targets[0]
-	drain := peer.Drain{Target: leaving.Name, Incarnation: must[targetsim.Counters](c)(leaving.Counters()).Incarnation}
+	draining := c.Targets[0]
+	drain := peer.Drain{Target: draining.Name, Incarnation: must[targetsim.Counters](c)(draining.Counters()).Incarnation}
 	member := c.joinExchange()
 	member.LearnDrain(drain)
 	c.waitMetric(connected, "bramley_peer_drains 1\n")
@@ -186,9 +186,9 @@
 	t.Logf("%v from the end of the split until the half without the platform had the bundle and the drain", time.Since(began))
 	c.waitLive(c.Daemons, daemons)
 	time.Sleep(drainApplyTime)
-	before := c.requestsReceived(leaving)
+	before := c.requestsReceived(draining)
 	c.searchVia(isolated)
-	c.Expect(c.requestsReceived(leaving)).To(gomega.Equal(before), "requests to a target that drains")
+	c.Expect(c.requestsReceived(draining)).To(gomega.Equal(before), "requests to a target that drains")
 	c.cutOffPlatform(isolated, false)
 	c.searchVia(c.Daemons)
 	c.Expect(stop()).To(gomega.BeEmpty(), "VMs whose revision decreased")
--- a/integration/target_test.go
+++ b/integration/target_test.go
@@ -88,8 +88,8 @@
 			c.expectCompleteAnswer(a, c.Index, target.KindSearch, body)
 			return nil
 		}
-		short := a.Coverage != nil && a.Coverage.Ratio < 1
-		if !short && a.Ran != result.RanNo.String() {
+		incomplete := a.Coverage != nil && a.Coverage.Ratio < 1
+		if !incomplete && a.Ran != result.RanNo.String() {
 			return fmt.Errorf("caller %d: code %d, %s, coverage %v", caller, a.Code, a.Ran, a.Coverage)
 		}
 		return nil
--- a/integration/truth_test.go
+++ b/integration/truth_test.go
@@ -14,10 +14,10 @@
 // truth holds the indexes that the simulated targets may hold in a test, by snapshot name.
 type truth map[string]targetsim.Index
 
-func truthOf(list ...targetsim.Index) truth {
+func truthOf(indexes ...targetsim.Index) truth {
 	t := truth{}
-	for _, x := range list {
-		t[x.Snapshot] = x
+	for _, index := range indexes {
+		t[index.Snapshot] = index
 	}
 	return t
 }
@@ -33,25 +33,25 @@
 		}
 		return nil
 	}
-	x, ok := t[a.Snapshot]
+	index, ok := t[a.Snapshot]
 	if !ok {
 		return fmt.Errorf("unknown snapshot %q", a.Snapshot)
 	}
-	if err := t.checkCoverage(a, x); err != nil {
+	if err := t.checkCoverage(a, index); err != nil {
 		return err
 	}
-	return t.checkItems(a, x, body)
+	return t.checkItems(a, index, body)
 }
 
-func (t truth) checkCoverage(a gateway.Answer, x targetsim.Index) error {
+func (t truth) checkCoverage(a gateway.Answer, index targetsim.Index) error {
 	c := a.Coverage
-	if c.Shards != x.Shards || c.ShardsAnswered+len(c.Gaps) != x.Shards {
-		return fmt.Errorf("coverage %+v does not match %d shards", *c, x.Shards)
+	if c.Shards != index.Shards || c.ShardsAnswered+len(c.Gaps) != index.Shards {
+		return fmt.Errorf("coverage %+v does not match %d shards", *c, index.Shards)
 	}
-	if (a.Code == int(result.Complete)) != (c.ShardsAnswered == x.Shards) {
-		return fmt.Errorf("%s with %d of %d shards", a.Name, c.ShardsAnswered, x.Shards)
+	if (a.Code == int(result.Complete)) != (c.ShardsAnswered == index.Shards) {
+		return fmt.Errorf("%s with %d of %d shards", a.Name, c.ShardsAnswered, index.Shards)
 	}
-	_, _, all := x.ExpectedAnswer(target.KindBrowse, "", "", 0)
+	_, _, all := index.ExpectedAnswer(target.KindBrowse, "", "", 0)
 	if c.UnknownShards == 0 && c.Records+c.Missing != all {
 		return fmt.Errorf("%d read and %d missing of %d records", c.Records, c.Missing, all)
 	}
@@ -63,7 +63,7 @@
 
 // checkItems expects all matches of the shards that answered in full, none of the shards
 // that did not answer, and some of the shards that were incomplete.
-func (t truth) checkItems(a gateway.Answer, x targetsim.Index, body gateway.SearchBody) error {
+func (t truth) checkItems(a gateway.Answer, index targetsim.Index, body gateway.SearchBody) error {
 	lost := map[int]bool{}
 	partial := map[int]bool{}
 	for _, gap := range a.Coverage.Gaps {
@@ -74,10 +74,10 @@
 	for _, item := range a.Items {
 		given[item.Key] = true
 	}
-	all, _, _ := x.ExpectedAnswer(target.KindSearch, body.Query, "", 0)
+	all, _, _ := index.ExpectedAnswer(target.KindSearch, body.Query, "", 0)
 	var want, got []target.Item
 	for _, item := range all {
-		shard := x.ShardOf(item.Key)
+		shard := index.ShardOf(item.Key)
 		if !lost[shard] && (!partial[shard] || given[item.Key]) {
 			want = append(want, item)
 		}
@@ -90,7 +90,7 @@
 		return a.Key == b.Key && a.Score == b.Score && string(a.Fields) == string(b.Fields)
 	}
 	if !slices.EqualFunc(got, want, equal) {
-		return fmt.Errorf("snapshot %s: %d items, want %d, with gaps %+v", x.Snapshot, len(got), len(want), a.Coverage.Gaps)
+		return fmt.Errorf("snapshot %s: %d items, want %d, with gaps %+v", index.Snapshot, len(got), len(want), a.Coverage.Gaps)
 	}
 	return nil
 }
--- a/integration/zone_test.go
+++ b/integration/zone_test.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	zones        = 3
-	zoneDaemons  = 2 * zones
-	zoneTargets  = 2 * zones
-	zoneLimit    = 5 // connections that each target accepts, fewer than there are VMs
-	zoneReplicas = 2 // of each shard, in two zones
+	zones           = 3
+	zoneDaemons     = 2 * zones
+	zoneTargets     = 2 * zones
+	connectionLimit = 5 // connections that each target accepts, fewer than there are VMs
+	zoneReplicas    = 2 // of each shard, in two zones
 )
 
 // startZones starts three availability zones with two VMs and two targets each. Each shard
 // has a replica in another zone. Each target is reached by some VMs through others, its
 // owners, of which at most two are in one zone.
 func startZones(t *testing.T) *cluster {
-	s := fewConnections(zoneDaemons, zoneDaemons, zoneLimit)
-	s.Zones, s.Targets, s.Replicas = zones, zoneTargets, zoneReplicas
-	s.ProxyPeers, s.ProxyPlatform, s.ProxyTargets = true, true, true
-	editTarget := s.Target
-	s.Target = func(i int, o *targetsim.Options) {
+	cfg := fewConnections(zoneDaemons, zoneDaemons, connectionLimit)
+	cfg.Zones, cfg.Targets, cfg.Replicas = zones, zoneTargets, zoneReplicas
+	cfg.ProxyPeers, cfg.ProxyPlatform, cfg.ProxyTargets = true, true, true
+	editTarget := cfg.Target
+	cfg.Target = func(i int, o *targetsim.Options) {
 		editTarget(i, o)
 		o.IdleMS = 1000 // the target's end of a silent connection counts toward its connection limit
 	}
-	c := start(t, s)
+	c := start(t, cfg)
 	c.Eventually(c.vmsWithPlace, waitTimeout, "50ms").Should(gomega.HaveLen(zoneDaemons))
 	c.waitLive(c.Daemons, zoneDaemons)
 	return c
@@ -115,7 +115,7 @@
 	for i, o := range outages {
 		c.loseZone(o, zones-1-i)
 	}
-	c.expectWithinLimit(zoneLimit)
+	c.expectWithinLimit(connectionLimit)
 }
 
 // loseZone makes a zone be lost and return, under load on the other zones.
@@ -136,14 +136,14 @@
 		c.waitComplete(d)
 	}
 	c.waitLive(c.Daemons, len(in)+len(out))
-	c.expectWorkFor(zone)
+	c.waitSearchesAt(zone)
 	l.waitCompleteInRow(200)
 	failures := l.stop()
 	c.Expect(failures).To(gomega.BeEmpty())
 }
 
-// expectWorkFor waits until each target of a zone gets searches.
-func (c *cluster) expectWorkFor(zone int) {
+// waitSearchesAt waits until each target of a zone gets searches.
+func (c *cluster) waitSearchesAt(zone int) {
 	c.t.Helper()
 	for i := zone; i < len(c.Targets); i += zones {
 		target := c.Targets[i]
@@ -165,7 +165,7 @@
 		rng := rand.New(rand.NewPCG(seed, 0))
 		c.loseZoneAndPlatform(rng)
 	}
-	c.expectWithinLimit(zoneLimit)
+	c.expectWithinLimit(connectionLimit)
 }
 
 func (c *cluster) loseZoneAndPlatform(rng *rand.Rand) {
