--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -37,9 +37,9 @@
 
 // vm is one VM. Its settings and its proxy to the store outlive its processes.
 type vm struct {
-	set   *edge.Settings
-	file  string
-	proxy *edgesim.StoreProxy
+	set          *edge.Settings
+	settingsPath string
+	proxy        *edgesim.StoreProxy
 
 	mu      sync.Mutex // guards process
 	process *exec.Cmd
@@ -47,102 +47,102 @@
 }
 
 func newDeployment(t *testing.T, binary string) *deployment {
-	s := &deployment{t: t, binary: binary, dir: t.TempDir(), store: edgesim.NewStore(20), leafs: make(map[string]*edgesim.Leaf)}
-	t.Cleanup(s.close)
+	d := &deployment{t: t, binary: binary, dir: t.TempDir(), store: edgesim.NewStore(20), leafs: make(map[string]*edgesim.Leaf)}
+	t.Cleanup(d.close)
 	var shards []string
 	for i := range shardCount {
 		name := fmt.Sprintf("shard-%02d", i)
 		shards = append(shards, name)
 		for _, zone := range zones {
-			s.leaf(name+"-"+zone, name, zone)
+			d.addLeaf(name+"-"+zone, name, zone)
 		}
 	}
 	for _, zone := range zones {
-		s.leaf("ledger-"+zone, "ledger", zone)
+		d.addLeaf("ledger-"+zone, "ledger", zone)
 	}
-	s.manifest(1, shards)
+	d.putManifest(1, shards)
 	for _, zone := range zones {
 		for i := range vmsPerZone {
-			s.addVM(fmt.Sprintf("vm-%s-%d", zone, i), zone)
+			d.addVM(fmt.Sprintf("vm-%s-%d", zone, i), zone)
 		}
 	}
-	return s
+	return d
 }
 
-func (s *deployment) close() {
-	for _, v := range s.vms {
+func (d *deployment) close() {
+	for _, v := range d.vms {
 		v.kill()
 		v.proxy.Close()
 	}
-	for _, l := range s.leafs {
+	for _, l := range d.leafs {
 		l.Stop()
 	}
-	s.store.Close()
+	d.store.Close()
 }
 
-func (s *deployment) leaf(id, service, zone string) {
+func (d *deployment) addLeaf(id, service, zone string) {
 	l := (&edgesim.Leaf{ID: id, Service: service, Zone: zone, Born: time.Now().UnixMilli()}).Start()
-	s.leafs[id] = l
-	s.store.Put("servers", id, l.RegistryEntry("ready"))
+	d.leafs[id] = l
+	d.store.Put("servers", id, l.RegistryEntry("ready"))
 }
 
-func (s *deployment) manifest(version int, shards []string) {
-	s.store.Put("config", "main", fmt.Sprintf(`{"version":%d,"routes":[
+func (d *deployment) putManifest(version int, shards []string) {
+	d.store.Put("config", "main", fmt.Sprintf(`{"version":%d,"routes":[
 	{"name":"all","host":"h.example","path-prefix":"/all/","kind":"idempotent","timeout-ms":800,"target-latency-ms":200,"priority":1,"gather":["%s"],"max-attempts":2,"top-k":5,"min-share":0.5},
 	{"name":"one","host":"h.example","path-prefix":"/one/","kind":"idempotent","timeout-ms":800,"target-latency-ms":200,"priority":1,"service":"ledger","max-attempts":2},
 	{"name":"once","host":"h.example","path-prefix":"/once/","kind":"non_idempotent","timeout-ms":800,"target-latency-ms":200,"priority":1,"service":"ledger","max-attempts":2}],
 	"services":[{"name":"ledger","max-connections":100}],"limits":{"max-body-bytes":262144}}`, version, strings.Join(shards, `","`)))
 }
 
-func (s *deployment) addVM(name, zone string) {
-	proxy := edgesim.NewStoreProxy(s.store.Address())
-	v := &vm{proxy: proxy, file: filepath.Join(s.dir, name+".json"), set: &edge.Settings{
+func (d *deployment) addVM(name, zone string) {
+	proxy := edgesim.NewStoreProxy(d.store.Address())
+	v := &vm{proxy: proxy, settingsPath: filepath.Join(d.dir, name+".json"), set: &edge.Settings{
 		Name: name, Zone: zone, Store: proxy.Address(), GraceS: 1, Power: 1, MemoryMB: 256, LogLevel: "warn",
-		Listen: edge.ListenSettings{Callers: s.address(), Ready: s.address(), VMs: s.address(), Metrics: s.address()},
+		Listen: edge.ListenSettings{Callers: d.freeAddress(), Ready: d.freeAddress(), VMs: d.freeAddress(), Metrics: d.freeAddress()},
 		Bounds: edge.BoundSettings{ManifestMS: 3000, DrainMS: 3000},
 		Budget: edge.BudgetSettings{Ratio: 0.2, Floor: 200, WindowS: 10},
 	}}
 	data, err := json.Marshal(v.set)
 	if err == nil {
-		err = os.WriteFile(v.file, data, 0o600)
+		err = os.WriteFile(v.settingsPath, data, 0o600)
 	}
 	if err != nil {
-		s.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	s.vms = append(s.vms, v)
-	v.start(s)
+	d.vms = append(d.vms, v)
+	v.start(d)
 }
 
-func (s *deployment) address() string {
+func (d *deployment) freeAddress() string {
 	address, err := edgesim.FreeAddress()
 	if err != nil {
-		s.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	return address
 }
 
 // start starts a process of the VM, whose output is appended to the VM's log file.
-func (v *vm) start(s *deployment) {
-	cmd := exec.Command(s.binary, "edge", v.file)
-	out, err := os.OpenFile(v.file+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (v *vm) start(d *deployment) {
+	cmd := exec.Command(d.binary, "edge", v.settingsPath)
+	out, err := os.OpenFile(v.settingsPath+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		s.t.Error(err)
+		d.t.Error(err)
 		return
 	}
 	defer out.Close() // the process has its own copy
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
-		s.t.Error(err)
+		d.t.Error(err)
 		return
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
 		// The exit status does not matter: the process is killed in most runs.
 		_ = cmd.Wait()
-		close(ended)
+		close(exited)
 	}()
 	v.mu.Lock()
-	v.process, v.exited = cmd, ended
+	v.process, v.exited = cmd, exited
 	v.mu.Unlock()
 }
 
@@ -155,15 +155,15 @@
 }
 
 // waitExit waits for the process to exit, and kills it after the given time.
-func (v *vm) waitExit(within time.Duration) {
+func (v *vm) waitExit(timeout time.Duration) {
 	v.mu.Lock()
-	ended := v.exited
+	exited := v.exited
 	v.mu.Unlock()
 	select {
-	case <-ended:
-	case <-time.After(within):
+	case <-exited:
+	case <-time.After(timeout):
 		v.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 	}
 }
 
@@ -175,7 +175,7 @@
 // logTail returns the last 2000 bytes that the VM's processes wrote.
 func (v *vm) logTail() string {
 	const size = 2000
-	data, err := os.ReadFile(v.file + ".log")
+	data, err := os.ReadFile(v.settingsPath + ".log")
 	if err != nil {
 		return err.Error()
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -60,23 +60,23 @@
 }
 
 func soak(t *testing.T, binary string, seed uint64) {
-	s := newDeployment(t, binary)
-	s.waitServing(t)
-	load := &callers{deployment: s, reports: make(map[string]int)}
+	d := newDeployment(t, binary)
+	d.waitServing(t)
+	load := &callers{deployment: d, reports: make(map[string]int)}
 	ctx, stop := context.WithTimeout(context.Background(), faultDuration)
 	defer stop()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for number := range callerCount {
-		all.Go(func() { load.run(ctx, number, seed) })
+		wg.Go(func() { load.run(ctx, number, seed) })
 	}
 	// Each VM and each leaf belongs to one series, so that no series ends a fault of
 	// another.
 	for series := range faultSeriesCount {
-		all.Go(func() { s.injectFaults(ctx, series, rand.New(rand.NewPCG(seed, uint64(100+series)))) })
+		wg.Go(func() { d.injectFaults(ctx, series, rand.New(rand.NewPCG(seed, uint64(100+series)))) })
 	}
-	all.Wait()
-	s.clearFaults()
-	s.waitServing(t)
+	wg.Wait()
+	d.clearFaults()
+	d.waitServing(t)
 	load.checkReports()
 	for _, violation := range load.violations {
 		t.Error(violation)
@@ -86,21 +86,21 @@
 
 // injectFaults runs one series of faults until ctx ends: at VMs, at leafs, or at the
 // store.
-func (s *deployment) injectFaults(ctx context.Context, series int, rng *rand.Rand) {
+func (d *deployment) injectFaults(ctx context.Context, series int, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(50+rng.IntN(300)) * time.Millisecond)
 		switch series {
 		case 0:
-			s.injectVMFault(s.vms[rng.IntN(len(s.vms))], rng)
+			d.injectVMFault(d.vms[rng.IntN(len(d.vms))], rng)
 		case 1:
-			s.injectLeafFault(rng)
+			d.injectLeafFault(rng)
 		default:
-			s.injectStoreFault(rng)
+			d.injectStoreFault(rng)
 		}
 	}
 }
 
-func (s *deployment) injectVMFault(v *vm, rng *rand.Rand) {
+func (d *deployment) injectVMFault(v *vm, rng *rand.Rand) {
 	pause := time.Duration(100+rng.IntN(900)) * time.Millisecond
 	switch rng.IntN(4) {
 	case 0:
@@ -109,12 +109,12 @@
 		v.signal(syscall.SIGCONT)
 	case 1:
 		v.kill()
-		v.start(s)
+		v.start(d)
 	case 2:
 		v.signal(syscall.SIGTERM)
 		v.signal(syscall.SIGHUP)
 		v.waitExit(2 * time.Second)
-		v.start(s)
+		v.start(d)
 	default:
 		v.proxy.Reject(503)
 		time.Sleep(pause)
@@ -122,7 +122,7 @@
 	}
 }
 
-func (s *deployment) injectLeafFault(rng *rand.Rand) {
+func (d *deployment) injectLeafFault(rng *rand.Rand) {
 	faults := []edgesim.LeafFaults{
 		{Delay: 150 * time.Millisecond}, {Refuse: true}, {Fail: true}, {LoseAnswers: true}, {TruncateBody: true},
 		{NoContentLength: true}, {ExtraAnswer: true}, {NoReceipt: true}, {Silent: true},
@@ -131,37 +131,37 @@
 	if rng.IntN(2) == 0 {
 		id = "shard-0" + strconv.Itoa(rng.IntN(shardCount)) + "-" + zones[rng.IntN(len(zones))]
 	}
-	l := s.leafs[id]
+	l := d.leafs[id]
 	l.SetFaults(faults[rng.IntN(len(faults))])
 	if rng.IntN(3) == 0 {
-		s.store.Put("servers", id, l.RegistryEntry("draining"))
+		d.store.Put("servers", id, l.RegistryEntry("draining"))
 	}
 	time.Sleep(time.Duration(200+rng.IntN(600)) * time.Millisecond)
 	l.SetFaults(edgesim.LeafFaults{})
-	s.store.Put("servers", id, l.RegistryEntry("ready"))
+	d.store.Put("servers", id, l.RegistryEntry("ready"))
 }
 
-func (s *deployment) injectStoreFault(rng *rand.Rand) {
+func (d *deployment) injectStoreFault(rng *rand.Rand) {
 	faults := []edgesim.StoreFaults{
 		{Status: 503}, {Status: 429}, {Silent: true}, {SilentWatches: true},
 		{Delay: 200 * time.Millisecond}, {LoseAnswers: true}, {StaleListings: true},
 	}
-	s.store.SetFaults(faults[rng.IntN(len(faults))])
+	d.store.SetFaults(faults[rng.IntN(len(faults))])
 	time.Sleep(time.Duration(200+rng.IntN(800)) * time.Millisecond)
-	s.store.SetFaults(edgesim.StoreFaults{})
+	d.store.SetFaults(edgesim.StoreFaults{})
 	if rng.IntN(2) == 0 {
-		s.store.Compact()
+		d.store.Compact()
 	}
 }
 
 // clearFaults ends all faults that may still be active.
-func (s *deployment) clearFaults() {
-	s.store.SetFaults(edgesim.StoreFaults{})
-	for id, l := range s.leafs {
+func (d *deployment) clearFaults() {
+	d.store.SetFaults(edgesim.StoreFaults{})
+	for id, l := range d.leafs {
 		l.SetFaults(edgesim.LeafFaults{})
-		s.store.Put("servers", id, l.RegistryEntry("ready"))
+		d.store.Put("servers", id, l.RegistryEntry("ready"))
 	}
-	for _, v := range s.vms {
+	for _, v := range d.vms {
 		v.proxy.Reject(0)
 		v.signal(syscall.SIGCONT)
 	}
@@ -169,10 +169,10 @@
 
 // waitServing waits until each VM is ready and serves each kind of request. It fails the
 // test after recoveryTimeout.
-func (s *deployment) waitServing(t *testing.T) {
+func (d *deployment) waitServing(t *testing.T) {
 	deadline := time.Now().Add(recoveryTimeout)
-	for _, v := range s.vms {
-		for n := 0; !v.ready() || !s.serves(v, n); n++ {
+	for _, v := range d.vms {
+		for n := 0; !v.ready() || !d.serves(v, n); n++ {
 			if time.Now().After(deadline) {
 				t.Fatalf("%s does not serve; end of its log:\n%s", v.set.Name, v.logTail())
 			}
@@ -181,8 +181,8 @@
 	}
 }
 
-func (s *deployment) serves(v *vm, n int) bool {
-	probe := &callers{deployment: s, reports: make(map[string]int)}
+func (d *deployment) serves(v *vm, n int) bool {
+	probe := &callers{deployment: d, reports: make(map[string]int)}
 	for kind := range 3 {
 		client := newClient()
 		probe.send(client, v, "probe-"+v.set.Name+"-"+strconv.Itoa(n)+"-"+strconv.Itoa(kind), kind)
