--- a/integration/leaf_faults_test.go
+++ b/integration/leaf_faults_test.go
@@ -17,7 +17,7 @@
 // the answer to another request, returns its answer twice, or answers so late that a
 // second attempt is already in progress. Every caller must get its own, complete answer,
 // since another replica of each shard answers correctly.
-func TestCrossedLateAndDuplicateLeafAnswers(t *testing.T) {
+func TestCrossedLateAndDuplicateAnswersOfOneTarget(t *testing.T) {
 	const many = 1 << 30
 	tests := []struct {
 		name   string
--- a/integration/peer_test.go
+++ b/integration/peer_test.go
@@ -141,7 +141,7 @@
 // VMs would go on sending requests to a target that is being stopped. A few seconds later
 // no VM may send it a new request, all answers must be complete, and only a new
 // incarnation of the target may get requests again.
-func TestDrainLearnedByOneVMOnly(t *testing.T) {
+func TestDrainReceivedFromPeerOnly(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3, Targets: 3, Replicas: 3})
 	draining := c.Targets[0]
 	counters, err := draining.Counters()
--- a/integration/target_test.go
+++ b/integration/target_test.go
@@ -67,7 +67,7 @@
 // Leaves return the answers of other requests, repeat answers, or answer after the query
 // has moved on, while many callers send different queries. Each caller must get its own
 // answer, which is complete or says that it is incomplete or was not run.
-func TestCrossedLateAndDuplicateAnswers(t *testing.T) {
+func TestCrossedLateAndDuplicateAnswersOfAllTargets(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 3, Replicas: 2, Shards: 6})
 	for i, faults := range []targetsim.Faults{
 		{MismatchedAnswers: 60},
