--- a/integration/committer_test.go
+++ b/integration/committer_test.go
@@ -19,8 +19,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// committer is the index of the daemon that commits the claims of these tests. The other
-// daemons send their claims to it.
+// committer is the index of the daemon that commits the claims of these tests. The
+// daemons with a lower index, which are all others, send their claims to it.
 const committer = 2
 
 // startRelayingCluster starts three daemons and waits until the third has committed claims
@@ -47,13 +47,14 @@
 // are alive.
 func (c *cluster) committerKey(name string) string { return c.committerKeys(name, 1)[0] }
 
-// committerKeys returns n such keys, each with another second as its time of creation.
+// committerKeys returns n such keys, each with a different second of creation.
 func (c *cluster) committerKeys(name string, n int) []string {
 	return c.keysCommittedBy(c.Daemons[committer], name, n)
 }
 
-// keysCommittedBy returns n new keys, each with another second as its time of creation,
-// whose claims d commits as long as all daemons are alive.
+// keysCommittedBy returns n new keys whose claims d commits as long as all daemons are
+// alive. The claims of all keys of one second of creation are committed by the same VM,
+// so each key has a different second.
 func (c *cluster) keysCommittedBy(d *fleet.Daemon, name string, n int) (keys []string) {
 	var vms []objstore.VM
 	for _, other := range c.Daemons {
@@ -69,9 +70,9 @@
 	return keys
 }
 
-// claimWithoutAnswer submits the key to the first daemon and returns when the platform
-// holds its claim, which the committer wrote, while the committer does not know yet that
-// its write took effect.
+// claimWithoutAnswer submits the key to the first daemon and returns once the committer
+// has written the key's claim to the platform, but has not received the answer to that
+// write. The channel gets the answer to the submit.
 func (c *cluster) claimWithoutAnswer(key string) <-chan gateway.Answer {
 	c.t.Helper()
 	c.ok(c.PlatformProxies[committer].SetFaults(faultproxy.Faults{DelayMS: 100}))
@@ -82,8 +83,8 @@
 	return answer
 }
 
-// expectAccepted expects that the answer says "accepted", that each of these daemons
-// answers "accepted" to the same key, and that the report ran once.
+// expectAccepted expects that the answer says "accepted", that each of the given daemons,
+// by index, answers "accepted" to the same key, and that the report ran once.
 func (c *cluster) expectAccepted(key string, a gateway.Answer, daemons ...int) {
 	c.t.Helper()
 	c.Expect(result.Code(a.Code)).To(gomega.Equal(result.Accepted), a.Detail)
@@ -124,8 +125,9 @@
 	c.expectAccepted(key, <-answer, 0, 1, committer)
 }
 
-// flushCommitter makes the committer claim another key of the same second. When that claim
-// is visible, the committer has completed all that it still had to do for this second.
+// flushCommitter makes the committer claim another key of the same second of creation.
+// Once that claim is visible on the platform, the committer has completed all earlier
+// work on claims of this second.
 func (c *cluster) flushCommitter(key string) {
 	c.t.Helper()
 	second, _, _ := strings.Cut(key, "-")
@@ -139,8 +141,9 @@
 	}, waitTimeout, "100ms").Should(gomega.ContainSubstring(after))
 }
 
-// The committer is frozen between claim and answer for longer than any time limit, and
-// then resumes. What it does then must not change the outcome.
+// The committer is frozen after its write of the claim took effect and before it answers
+// the VM that requested it. It resumes after longer than any time limit of a claim. What
+// it does then must not change the outcome.
 func TestCommitterFrozenBetweenClaimAndAnswer(t *testing.T) {
 	c := startRelayingCluster(t)
 	key := c.committerKey("frozen")
@@ -155,11 +158,11 @@
 	c.Expect(c.submitRuns()[key]).To(gomega.Equal(1))
 }
 
-// A report that every target refused is answered "not run", and must not be answered "in
-// progress" forever afterwards. The committer is frozen before it reads the claim. The VM
-// that requested the claim writes one itself, is refused by the targets, and releases the
-// key. When the committer resumes, it finds in its socket the claim of a submit that has
-// already ended.
+// A report that every target refused is answered "not run". Later submits of its key must
+// not be answered "in progress" forever. The committer is frozen before it reads the
+// request for the claim. The VM that requested the claim writes one itself, is refused by
+// the targets, and releases the key. When the committer resumes, it still reads from its
+// socket the request for a submit that has already ended.
 func TestCommitterResumedAfterNotRunAnswers(t *testing.T) {
 	c := startRelayingCluster(t)
 	c.ok(c.Daemons[committer].Pause())
@@ -178,7 +181,7 @@
 	c.waitCommitterLost()
 	c.ok(c.Daemons[committer].Resume())
 	for _, key := range keys {
-		c.flushCommitter(key) // completes after the claims that wait in its socket
+		c.flushCommitter(key) // the committer handles the requests in its socket before this one
 		c.Expect(c.submitRuns()).NotTo(gomega.HaveKey(key))
 		c.expectAccepted(key, c.send(c.Daemons[committer], key), 0, 1)
 	}
--- a/integration/ctl_test.go
+++ b/integration/ctl_test.go
@@ -61,16 +61,16 @@
 	return cmd
 }
 
-// failure is what a command prints when it fails.
+// failure is what a command prints to its standard output when it fails.
 type failure struct {
 	Code   result.Code `json:"code"`
 	Detail string      `json:"detail"`
 	Next   string      `json:"next"`
 }
 
-// run runs a command and decodes its output into the value that into points to. It returns
-// a failure with code 0 on success. The exit status of a failed command must be the class
-// of its result code.
+// run runs a command and decodes its output into the value that into points to. It
+// returns a failure with code 0 on success. If the exit status of a failed command is not
+// the class of its result code, the returned failure has the code result.Internal.
 func (x *ctl) run(into any, args ...string) failure {
 	var stdout, stderr bytes.Buffer
 	cmd := x.command(x.c.ctx, args...)
@@ -127,7 +127,7 @@
 }
 
 // watchRevisions polls the revision in force at every daemon. stop ends the polling and
-// returns the names of the daemons whose revision decreased, once for each decrease.
+// returns a daemon's name for each poll that found a lower revision than an earlier one.
 func (c *cluster) watchRevisions() (stop func() []string) {
 	return c.watchRevisionsOf(c.Daemons...)
 }
@@ -162,6 +162,8 @@
 	}
 }
 
+// withSeeds returns a function that sets the seeds of a daemon's settings: the addresses
+// of the peers that it contacts first.
 func withSeeds(peers ...string) func(*settings.Settings) {
 	return func(s *settings.Settings) { s.Seeds = peers }
 }
--- a/integration/harness_test.go
+++ b/integration/harness_test.go
@@ -1,5 +1,5 @@
-// Package integration tests the system end to end with real processes: callers,
-// daemons, targets and the platform, with fault proxies between them.
+// Package integration tests the system end to end. The daemons, the targets, the platform
+// and the fault proxies between them are real processes; the tests are the callers.
 //
 // A test starts a cluster, which is stopped when the test ends:
 //
@@ -7,10 +7,10 @@
 //	answer, status, err := c.Daemons[0].Search(c.ctx, findSearch, gateway.SearchBody{Query: "well"})
 //	c.expectCompleteAnswer(answer, c.Index, target.KindSearch, searchBody("well"))
 //
-// See clusterConfig for the options and cluster for what a test has access to.
-// Faults are set on c.Platform, c.Targets[i], and, if the config enables proxies,
-// c.TargetProxies[i], c.PlatformProxies[i] and c.PeerProxies[i] (the last two are
-// indexed by daemon; see cluster.split).
+// clusterConfig has the options, and cluster what a test can use. Faults are set on
+// c.Platform and c.Targets[i] and, if the configuration enables proxies, on
+// c.TargetProxies[i], c.PlatformProxies[i] and c.PeerProxies[i]. The last two are
+// indexed by daemon. cluster.split sets the faults of the peer proxies.
 package integration
 
 import (
@@ -49,6 +49,7 @@
 	testTimeout = 3 * time.Minute
 )
 
+// binaries holds the paths of the programs that runTests builds.
 var binaries struct{ daemon, lab string }
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
@@ -67,8 +68,8 @@
 	return m.Run()
 }
 
-// clusterConfig describes a cluster. A zero field means its default, which stands last in
-// the field's comment.
+// clusterConfig describes a cluster. A zero field means the default, which the field's
+// comment gives at its end.
 type clusterConfig struct {
 	Targets  int // 3
 	Leaves   int // per target; 2
@@ -97,7 +98,8 @@
 	NoRollout bool
 }
 
-// zoneName returns the name of an availability zone; the one at index 0 is zone.
+// zoneName returns the name of the availability zone with this index, counted from 0.
+// zoneName(0) is zone.
 func zoneName(i int) string { return "zone-" + string(rune('a'+i)) }
 
 func (cfg clusterConfig) withDefaults() clusterConfig {
@@ -135,12 +137,12 @@
 	PlatformProxies []*fleet.Proxy
 	PeerProxies     []*fleet.Proxy
 	Bundle          *bundle.Bundle  // rolled out unless NoRollout is set
-	Index           targetsim.Index // that the targets hold when the test begins
+	Index           targetsim.Index // whose shards the targets hold when the test begins
 }
 
-// start starts a cluster and waits until every daemon is ready and answers a search from
-// all shards. The cluster is stopped when the test ends; if the test failed, the last
-// lines of the processes' logs are printed.
+// start starts a cluster and, unless NoRollout is set, waits until every daemon is ready
+// and answers a search from all shards. The cluster is stopped when the test ends; if the
+// test failed, the last lines of the processes' logs are printed.
 func start(t *testing.T, cfg clusterConfig) *cluster {
 	t.Helper()
 	skipKnownRed(t)
@@ -190,6 +192,7 @@
 	}
 }
 
+// startTargets starts the targets, which together hold c.Index, and their proxies.
 func (c *cluster) startTargets() {
 	cfg := c.config
 	c.Index = targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: cfg.Shards, Records: cfg.Records}
@@ -211,6 +214,7 @@
 	}
 }
 
+// startDaemon starts daemon i with its proxies and appends them to the cluster.
 func (c *cluster) startDaemon(i int) {
 	cfg := c.config
 	o := fleet.DaemonOptions{Name: fmt.Sprintf("vm-%d", i), Zone: zoneName(i % cfg.Zones), LameDuck: cfg.LameDuck, LogLevel: "debug"}
@@ -243,8 +247,8 @@
 	c.ok(c.Platform.SetVMs(vms, lag))
 }
 
-// makeBundle returns a bundle with the test searches and with the targets at the addresses
-// that the daemons use: those of the proxies, if there are any.
+// makeBundle returns a bundle with the test searches and the targets. The addresses of
+// the targets are those of their proxies if ProxyTargets is set.
 func (c *cluster) makeBundle() *bundle.Bundle {
 	svc := bundle.Service{
 		Name: service, Shards: c.config.Shards,
@@ -331,13 +335,13 @@
 }
 
 // newKey returns a new idempotency key, which begins with the current Unix time in
-// seconds.
+// seconds and contains name.
 func newKey(name string) string {
 	return fmt.Sprintf("%d-%s-%d", time.Now().Unix(), name, time.Now().UnixNano())
 }
 
-// submitRuns returns how many times each submit ran, by idempotency key, summed over all
-// targets' own records.
+// submitRuns returns how many times each submit ran at all targets together, by
+// idempotency key. The counts are from the targets' own records.
 func (c *cluster) submitRuns() map[string]int {
 	c.t.Helper()
 	runs := map[string]int{}
--- a/integration/health_test.go
+++ b/integration/health_test.go
@@ -16,14 +16,16 @@
 	"github.com/bramleybarrow/bramleybarrow/policy"
 )
 
-// reportTimeout is less than the shortest time after which a VM reads the status of a
-// target again while other VMs report on that target. So what a VM knows within this time,
-// it learned from their reports.
+// reportTimeout bounds the waits for state that a VM must get from the reports of other
+// VMs. It is less than the shortest time, 10 s, after which a VM reads the status of a
+// target itself while other VMs report on that target, so that such a read cannot end a
+// wait.
 const reportTimeout = 9 * time.Second
 
 // startWithReporters starts more VMs than a target accepts connections, so that each
-// target has two owners and three VMs that reach it through owners. It waits until every
-// VM has received the health of all targets.
+// target has two owners and three VMs that reach it through owners. One of the three
+// connections is reserved for a frozen owner. startWithReporters waits until every VM has
+// received the health of all targets.
 func startWithReporters(t *testing.T) *cluster {
 	t.Helper()
 	const daemons, connections = 5, 3
@@ -74,10 +76,10 @@
 	return d
 }
 
-// waitSnapshotChosen waits until all daemons choose the snapshot for their answers,
-// whether or not these are within their time limit. If each shard has one replica, every
-// daemon then knows of every target that it holds the snapshot. It fails after
-// beforeReread.
+// waitSnapshotChosen waits until each daemon chooses the snapshot for an answer, which
+// may be incomplete or exceed its time limit. If each shard has one replica, every daemon
+// then knows of every target that it holds the snapshot. The wait fails after
+// reportTimeout.
 func (c *cluster) waitSnapshotChosen(snapshot string) {
 	c.t.Helper()
 	end := time.Now().Add(reportTimeout)
@@ -98,8 +100,8 @@
 	}
 }
 
-// waitAnswersFrom waits until all daemons give complete answers from the snapshot. It
-// fails after beforeReread.
+// waitAnswersFrom waits until each daemon gives a complete answer from the snapshot. The
+// wait fails after reportTimeout.
 func (c *cluster) waitAnswersFrom(snapshot string) {
 	c.t.Helper()
 	end := time.Now().Add(reportTimeout)
@@ -117,8 +119,8 @@
 // Targets load a new index while they still hold the old one, and the platform is down. A
 // VM without connections to them would go on answering from the old index until it reads
 // their status again, because none of its calls fails. The VMs that own connections must
-// report the new index to it. No answer may mix the two indexes, neither then nor when the
-// targets drop the old one.
+// report the new index to it. No answer may mix the two indexes, neither then nor when
+// the targets drop the old one.
 func TestIndexSwitchIsReportedToVMsWithoutConnections(t *testing.T) {
 	c := startWithReporters(t)
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
@@ -133,8 +135,8 @@
 }
 
 // The VM that reports the health of targets is killed, and then the targets load a new
-// index. Unless the next owner reports it, the VMs without connections do not learn of it.
-// All searches must be answered completely throughout.
+// index. Unless the next owner reports it, the VMs without connections keep answering
+// from the old index. All searches must be answered completely throughout.
 func TestReporterKilled(t *testing.T) {
 	c := startWithReporters(t)
 	second, third := c.nextIndex("s2", 2, 6), c.nextIndex("s3", 3, 5)
@@ -150,8 +152,9 @@
 }
 
 // The VM that reports the health of targets is frozen, so that it still counts as alive,
-// and the targets load a new index. Unless the next owner reports it, the other VMs do not
-// learn of it. When the frozen VM resumes, its reports must not bring the old index back.
+// and the targets load a new index. Unless the next owner reports it, the other VMs keep
+// answering from the old index. When the frozen VM resumes, its reports must not make
+// them return to the old index.
 func TestReporterFrozen(t *testing.T) {
 	c := startWithReporters(t)
 	all := c.Daemons
--- a/integration/hop_test.go
+++ b/integration/hop_test.go
@@ -27,8 +27,8 @@
 	return list
 }
 
-// VMs without connections to targets get searches in bursts. Between the bursts their
-// connections to owners are closed because they are idle. The first searches after such a
+// VMs without connections to targets get searches in bursts. Between the bursts they
+// close their connections to owners, which are idle. The first searches after such a
 // pause must be answered completely, even if many begin at the same time and each finds
 // its connection closed.
 func TestIdleConnectionsToOwnersAreClosedAndOpenedAgain(t *testing.T) {
@@ -83,12 +83,13 @@
 	}
 }
 
+// otherZone is the zone of the VMs that addSecondZone adds.
 const otherZone = "zone-b"
 
 // VMs call owners in their own zone. One of these owners is frozen in the middle of
-// queries, and one in the other zone is killed. Until the exchange detects this, each VM
-// in its zone could lose an answer or wait for it. Owners further away must take over at
-// once, and all searches must stay complete.
+// queries, and then one in the other zone is killed. Until the fault of an owner is
+// detected, each VM in its zone could wait for its answers or lose them. Owners in the
+// other zone must take over at once, and all searches must stay complete.
 func TestNearOwnerFrozenAndKilledInMidQuery(t *testing.T) {
 	const vmsPerZone, connections, owners = 3, 5, 4 // one connection is reserved for a frozen owner
 	cfg := fewConnections(vmsPerZone, 2*vmsPerZone, connections)
@@ -124,8 +125,8 @@
 	c.expectWithinLimit(connections)
 }
 
-// ownerCallsWithin returns how many calls all VMs made to owners at this distance: "zone"
-// or "region".
+// ownerCallsWithin returns how many calls all VMs together made to owners at this
+// distance: "zone" for the same zone, "region" for another zone of the same region.
 func (c *cluster) ownerCallsWithin(distance string) (sum int) {
 	line := regexp.MustCompile(`bramley_route_owner_calls_total\{within="` + distance + `"\} (\d+)`)
 	for _, d := range c.Daemons {
--- a/integration/known_red_test.go
+++ b/integration/known_red_test.go
@@ -7,7 +7,8 @@
 )
 
 // skipKnownRed skips a test that KNOWN-RED.txt lists: it fails occasionally because of a
-// known fault that is not fixed yet.
+// known fault that is not fixed yet. Each line of the list begins with the name of a test
+// and a comma.
 func skipKnownRed(t *testing.T) {
 	t.Helper()
 	list, err := os.ReadFile("../KNOWN-RED.txt")
--- a/integration/leaf_faults_test.go
+++ b/integration/leaf_faults_test.go
@@ -18,7 +18,7 @@
 // second attempt is already in progress. Every caller must get its own, complete answer,
 // since another replica of each shard answers correctly.
 func TestCrossedLateAndDuplicateAnswersOfOneTarget(t *testing.T) {
-	const many = 1 << 30
+	const many = 1 << 30 // more than the searches of the test
 	tests := []struct {
 		name   string
 		faults targetsim.Faults
@@ -43,13 +43,13 @@
 	}
 }
 
-// A network device between the daemons and the targets has lost its state of all open
-// connections: they carry no more data, while new connections work. This happens twice.
-// Searches must not run into their time limit until the daemons are restarted: the daemons
-// must detect the silent connections and open new ones.
+// A network device between the daemons and the targets loses its state of all open
+// connections, twice: they carry no more data, while new connections work. The daemons
+// must detect the silent connections and open new ones; otherwise searches would time out
+// until the daemons are restarted.
 func TestSilentTargetConnectionsUnderLoad(t *testing.T) {
 	c := start(t, clusterConfig{ProxyTargets: true, Target: func(_ int, o *targetsim.Options) {
-		o.IdleMS = 1000 // the target's end of a silent connection counts toward its connection limit
+		o.IdleMS = 1000 // closes the target's end of a silent connection, which counts toward its limit
 	}})
 	l := c.startLoad(1, 5000, truthOf(c.Index).check)
 	for range 2 {
@@ -66,9 +66,9 @@
 }
 
 // A target that is being replaced reports that it is draining. If VMs went on sending it
-// searches, these would be cut off. A few seconds after it began to drain no VM may send
-// it a search, and no search may be incomplete meanwhile, since other replicas hold its
-// shards.
+// searches, these would be cut off when it stops. Within a few seconds all VMs must stop
+// sending it searches. No search may be incomplete meanwhile, since other replicas hold
+// its shards.
 func TestDrainingTargetGetsNoNewSearches(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 4})
 	l := c.startLoad(1, 0, truthOf(c.Index).check)
@@ -78,7 +78,7 @@
 		counters := must[targetsim.Counters](c)(draining.Counters())
 		return counters.Searches + counters.Refused[target.ReasonDraining]
 	}
-	// The load continues: 200 more answers without an attempt at that target.
+	// Wait for 200 complete answers in a row without an attempt at that target.
 	c.Eventually(func() bool {
 		tried, answered := attempts(), l.answered(result.Complete)
 		c.Eventually(func() int { return l.answered(result.Complete) }, waitTimeout).Should(gomega.BeNumerically(">", answered+200))
@@ -88,8 +88,8 @@
 	c.Expect(l.answered(result.CoverageTooLow, result.TimedOut)).To(gomega.BeZero())
 }
 
-// A caller must be able to tell whether the limit that it asked for cut off matches. With
-// one shard only the leaf knows that it cut some, so the answer must pass this on.
+// An answer must say if its limit cut off matches. With one shard only the leaf knows
+// that it did, so the VM must pass this on from the leaf's answer.
 func TestMatchesCutByTheLimitAreStated(t *testing.T) {
 	c := start(t, clusterConfig{Shards: 1})
 	for _, limit := range []int{1, 3, 49, 1000} {
--- a/integration/leaving_test.go
+++ b/integration/leaving_test.go
@@ -24,20 +24,23 @@
 )
 
 const (
+	// balancerLag is the time after which the balancer applies a change of readiness.
 	balancerLag = time.Second
-	lameDuck    = 3 * balancerLag
+	// lameDuck is longer than balancerLag, so that a stopping VM still serves the callers
+	// that the balancer sends to it.
+	lameDuck = 3 * balancerLag
 
-	// drainApplyTime bounds the time from a VM's learning of a drain until no request is
-	// in progress that chose its target without knowing of the drain.
+	// drainApplyTime bounds the time from a VM's receipt of a drain until the last request
+	// has ended whose target the VM chose without knowing of the drain.
 	drainApplyTime = 300 * time.Millisecond
 )
 
-// balancer sends callers to the daemons that were ready balancerLag ago, like the load
-// balancer of the platform.
+// balancer chooses daemons for callers as the load balancer of the platform does: in turn
+// from those that were ready balancerLag ago.
 type balancer struct {
 	c  *cluster
 	mu sync.Mutex // guards listed
-	// listed holds the daemons that callers are sent to.
+	// listed holds the daemons that pick chooses from.
 	listed []*fleet.Daemon
 }
 
@@ -66,8 +69,8 @@
 	return b.listed[i%len(b.listed)]
 }
 
-// caller keeps its connections open. Its HTTP client never repeats a request by itself,
-// because its request bodies cannot be rewound.
+// caller sends requests to daemons and keeps its connections open. Its HTTP client never
+// repeats a request by itself, because its request bodies cannot be rewound.
 type caller struct {
 	client http.Client
 }
@@ -187,10 +190,10 @@
 }
 
 // A target drains, and VMs that do not know this go on sending it requests. Only one VM
-// sends it a request after the drain began; the others read its state only once in 10 min.
-// What the one VM learned must reach the others within seconds.
+// sends it a request after the drain began, and is refused; the others read its state
+// only once in 10 min. The drain must reach them through the first VM within seconds.
 func TestDrainLearnedByOneVMReachesAll(t *testing.T) {
-	const healthIntervalMS = 600_000 // ms
+	const healthIntervalMS = 600_000 // longer than the test
 	c := start(t, clusterConfig{
 		Targets: 4, Daemons: 3,
 		Bundle: func(b *bundle.Bundle) { b.Services[0].Drain.HealthIntervalMS = healthIntervalMS },
@@ -203,7 +206,7 @@
 		return must[targetsim.Counters](c)(draining.Counters()).Refused["draining"]
 	}, waitTimeout, "10ms").Should(gomega.BeNumerically(">", 0), "the first VM is refused by the target")
 
-	// The other VMs have sent no request since, so they can learn it only from the first.
+	// The other VMs have sent no request since, so they can get it only from the first.
 	for _, d := range c.Daemons[1:] {
 		c.Eventually(func() string { return c.metrics(d) }, waitTimeout, "50ms").Should(gomega.ContainSubstring("bramley_peer_drains 1\n"))
 	}
--- a/integration/load_test.go
+++ b/integration/load_test.go
@@ -24,14 +24,17 @@
 	mu         sync.Mutex // guards the fields below
 	codes      map[result.Code]int
 	notRun     []string // IDs of requests whose answer says "not run"
-	failures   []string // errors, and answers that check rejected
+	failures   []string // failed calls, and answers that check rejected
 	incomplete []string // a description of each answer whose code is not Complete
 }
 
+// loadCallers is the number of concurrent callers of a load.
 const loadCallers = 4
 
-// startLoad starts a load on all daemons. Every other caller requires this coverage; the
-// other callers require full coverage. check gets each answer with its request body.
+// startLoad starts a load on all daemons. required is the coverage, as a share of the
+// shards, that half of the callers require; the other half require full coverage. limitMS
+// is the time limit of each search, or 0 for the bundle's default. check gets each answer
+// with its request body.
 func (c *cluster) startLoad(required float64, limitMS int, check func(gateway.Answer, gateway.SearchBody) error) *load {
 	return c.startLoadOn(c.Daemons, required, limitMS, check)
 }
@@ -94,8 +97,9 @@
 	return n
 }
 
-// stop ends the load and returns all failures. All targets must be running: each answer
-// that says "not run" is compared with the targets' records of what they started.
+// stop ends the load and returns all failures. They include each answer that says "not
+// run" to a request that a target started by its own records, so all targets must be
+// running.
 func (l *load) stop() []string {
 	l.cancel()
 	l.wg.Wait()
--- a/integration/lone_replica_test.go
+++ b/integration/lone_replica_test.go
@@ -7,10 +7,10 @@
 )
 
 // The only replica of a shard is reached through an owner, and that VM is killed in the
-// middle of queries. Without the second owner the shard would be missing until the first
-// owner counts as lost, which takes some seconds, though the target is healthy and another
-// VM has a connection to it. With one replica no hedge to another target can compensate,
-// so every search must be answered completely through the second owner.
+// middle of queries. Without a second owner the shard would be missing from answers for
+// some seconds, until the first owner counts as lost, although the target is healthy and
+// another VM has a connection to it. With one replica no hedge to another target can
+// compensate, so every search must be answered completely through the second owner.
 func TestOwnerOfALoneReplicaKilledInMidQuery(t *testing.T) {
 	t.Parallel()                      // it mostly waits
 	const daemons, connections = 5, 3 // two owners of each target
--- a/integration/once_test.go
+++ b/integration/once_test.go
@@ -20,10 +20,11 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// sendTimeout bounds one submit, including its answer.
 const sendTimeout = 20 * time.Second
 
-// send submits a report under the key. If no answer is received, the answer that it
-// returns has code 0 and the error as its detail.
+// send submits a report under the key. If it receives no answer, it returns an answer
+// with code 0 and the error as its detail.
 func (c *cluster) send(d *fleet.Daemon, key string) gateway.Answer {
 	ctx, cancel := context.WithTimeout(c.ctx, sendTimeout)
 	defer cancel()
@@ -74,6 +75,7 @@
 	}, waitTimeout, "10ms").Should(gomega.ContainSubstring(key))
 }
 
+// waitRun waits until the targets have started the report of the key once.
 func (c *cluster) waitRun(key string) {
 	c.t.Helper()
 	c.Eventually(func() int { return c.submitRuns()[key] }, waitTimeout, "20ms").Should(gomega.Equal(1))
@@ -199,13 +201,14 @@
 }
 
 // A VM's claim takes effect, but the VM receives nothing more from the platform. It
-// answers "not run", which the target's record confirms. The other VM finds the claim.
-// When the first VM can reach the platform again it must remove the claim, or the report
-// could never be submitted under its key.
+// answers "not run", which the targets' records confirm. The other VM finds the claim.
+// Once the first VM can reach the platform again it must remove the claim, or the report
+// could never run under its key.
 func TestClaimAnswerLostForLong(t *testing.T) {
 	c := start(t, clusterConfig{ProxyPlatform: true})
-	const tries = 20 // a try is repeated if the answer arrived before the fault was set
-	// For a key that the other VM commits, the first VM would get the answer from it.
+	const tries = 20 // the next key is tried if the answer arrived before the fault was set
+	// The first VM commits the claims of these keys itself. Otherwise the other VM would
+	// commit them and could answer the first despite the fault.
 	for _, key := range c.keysCommittedBy(c.Daemons[0], "unheard", tries) {
 		c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 1000, LoseKind: once.Kind}))
 		c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 400}))
@@ -226,6 +229,9 @@
 	t.Fatal("the answer to the claim was never lost in time")
 }
 
+// expectReleased expects that the report has not run and its key is still claimed. Then
+// it restores the first daemon's connection to the platform, and waits until the claim is
+// removed and the other daemon can run the report.
 func (c *cluster) expectReleased(key string) {
 	c.t.Helper()
 	c.Expect(c.submitRuns()).NotTo(gomega.HaveKey(key))
@@ -259,10 +265,10 @@
 }
 
 // Faults overlap and repeat: the platform loses writes and answers and goes down,
-// connections are cut and become silent, targets refuse requests and cut connections, a VM
-// freezes. Each key is submitted five times, each time to two VMs at once. By the targets'
-// own records no key may run twice, none may run whose answers all say "not run", and each
-// that was answered "accepted" must have run.
+// connections are cut and become silent, targets refuse requests and cut connections, a
+// VM freezes. Each key is submitted in five rounds, each time to two random VMs at once.
+// By the targets' own records no report may run twice, a report whose answers all say
+// "not run" must not have run, and a report with an answer "accepted" must have run.
 func TestOnceUnderRandomFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -297,6 +303,8 @@
 	}
 }
 
+// expectOnce expects that the number of runs of a report agrees with the codes of all
+// answers to its key.
 func (c *cluster) expectOnce(key string, codes []result.Code, runs int) {
 	c.t.Helper()
 	c.Expect(runs).To(gomega.BeNumerically("<=", 1), "%s ran twice, answered %v", key, codes)
@@ -312,7 +320,8 @@
 	}
 }
 
-// randomFaults sets and clears faults until done is closed.
+// randomFaults repeatedly sets up to two random faults and clears them, until done is
+// closed.
 func (c *cluster) randomFaults(rng *rand.Rand, done <-chan struct{}) {
 	const faultTime, calmTime = 300 * time.Millisecond, 200 * time.Millisecond
 	randomDaemon := func() int { return rng.IntN(len(c.Daemons)) }
--- a/integration/owner_test.go
+++ b/integration/owner_test.go
@@ -15,9 +15,9 @@
 	"github.com/bramleybarrow/bramleybarrow/peer/place"
 )
 
-// fewConnections configures a fleet in which not every VM can connect to every target:
-// each target accepts this number of connections, while the bundle allows places VMs,
-// which must be more.
+// fewConnections configures a fleet in which not every VM can connect to every target.
+// Each target accepts the given number of connections, and the bundle allows the given
+// number of places (VMs), which must be greater.
 func fewConnections(daemons, places, connections int) clusterConfig {
 	return clusterConfig{
 		Daemons: daemons, Targets: 3, Replicas: 2, LameDuck: time.Second,
@@ -31,6 +31,8 @@
 	}
 }
 
+// expectWithinLimit expects that no target ever had more open connections than the limit,
+// and that none refused a connection.
 func (c *cluster) expectWithinLimit(limit int) {
 	c.t.Helper()
 	for _, target := range c.Targets {
@@ -42,10 +44,9 @@
 }
 
 // A fleet has more VMs than its targets accept connections, and all VMs are replaced one
-// after another under load. A VM without a connection could answer nothing by itself, and
-// a new VM that connects too early would be refused. Every search must be answered
-// completely, through an owner if necessary, and no target may see more connections than
-// it accepts.
+// after another under load. A VM without a connection can reach a target only through an
+// owner, and the target refuses a new VM that connects too early. Every search must be
+// answered completely, and no target may see more connections than it accepts.
 func TestVMsWithoutConnectionsReachTargetsThroughOwners(t *testing.T) {
 	const daemons, connections = 5, 3
 	c := start(t, fewConnections(daemons, daemons+1, connections))
@@ -60,8 +61,8 @@
 }
 
 // Owners are killed one after another while other VMs call targets through them, and new
-// VMs take their places. The answers must not be lost with the owner: every search must
-// still be answered completely within its time limit.
+// VMs take their places. The answers that such a VM waits for must not be lost with the
+// owner: every search must still be answered completely within its time limit.
 func TestOwnersKilledInMidQuery(t *testing.T) {
 	const daemons, connections = 5, 3
 	c := start(t, fewConnections(daemons, daemons, connections))
@@ -100,8 +101,8 @@
 	}
 }
 
-// waitOwners waits until each target has connections from that many owners. A place passes
-// to a new VM only once its old holder counts as lost, and until then the loss of a
+// waitOwners waits until each target has connections from that many owners. A new VM can
+// claim the place of a killed one only once that counts as lost. Until then the loss of a
 // further owner can leave a target without any.
 func (c *cluster) waitOwners(owners int) {
 	c.t.Helper()
@@ -113,6 +114,7 @@
 	}
 }
 
+// answered returns the number of complete answers so far.
 func (r *searchRotation) answered() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,12 +122,12 @@
 }
 
 // An owner is frozen for longer than any timeout. There are more VMs than places, so its
-// place is given to another VM. Then it resumes, still has its connections, and would open
-// more. It must detect that it no longer holds the place, and the target must never see
+// place is given to another VM. Then it resumes, still has its connections, and would
+// open more. It must detect that it no longer holds the place, and no target may ever see
 // more connections than it accepts.
 func TestFrozenOwnerComesBack(t *testing.T) {
 	const daemons, places, connections = 3, 4, 3
-	const owned = 2 // one of the connections is reserved for a frozen owner
+	const owned = 2 // connections to each target; the third is reserved for a frozen owner
 	c := start(t, fewConnections(daemons, places, connections))
 	frozen, others := c.Daemons[0], c.Daemons[1:]
 	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(daemons))
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -14,8 +14,9 @@
 
 func searchBody(query string) gateway.SearchBody { return gateway.SearchBody{Query: query} }
 
-// expectCompleteAnswer compares an answer that claims to be complete with what the simulated
-// targets hold of index x. The answer must be from x's snapshot.
+// expectCompleteAnswer expects that the answer is from the snapshot of index, that it
+// states full coverage, and that its items are those that the simulated targets hold for
+// body.
 func (c *cluster) expectCompleteAnswer(a gateway.Answer, index targetsim.Index, kind target.Kind, body gateway.SearchBody) {
 	c.t.Helper()
 	const maxItems = 1000 // max_items of the test bundle
@@ -35,7 +36,7 @@
 // Covers the end-to-end path without faults: a caller queries each of two daemons, which
 // fan out to the leaves of three targets under a bundle that was rolled out through the
 // platform, and gets every matching record. A non-idempotent request that is sent to both
-// daemons runs once.
+// daemons with the same key runs once.
 func TestWholePath(t *testing.T) {
 	c := start(t, clusterConfig{})
 	for _, d := range c.Daemons {
--- a/integration/peer_test.go
+++ b/integration/peer_test.go
@@ -19,7 +19,7 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// searchRotation sends searches in turn to the VMs that it was last given, as a load
+// searchRotation sends searches in turn to the VMs of the last call of setVMs, as a load
 // balancer does.
 type searchRotation struct {
 	mu       sync.Mutex // guards the fields below
@@ -42,8 +42,9 @@
 	return r.vms[r.next%len(r.vms)]
 }
 
-// startSearches sends searches from some concurrent callers until stop is called, which
-// returns the number of complete answers and a description of every other result.
+// startSearches sends searches from several concurrent callers until stop is called. stop
+// returns the number of complete answers and a description of every other result, both
+// since the rotation was made.
 func (c *cluster) startSearches(r *searchRotation) (stop func() (complete int, failures []string)) {
 	const callers = 4
 	done := make(chan struct{})
@@ -114,6 +115,8 @@
 	}
 }
 
+// connectionCounts returns the highest number of connections that the target had open at
+// once, and how many it refused.
 func connectionCounts(target *fleet.Target) (counts struct{ Peak, Refused int }, err error) {
 	counters, err := target.Counters()
 	counts.Peak = counters.Connections.Peak
@@ -137,10 +140,10 @@
 	return x
 }
 
-// Only one VM learns that a target drains; the target itself reports nothing. The other
-// VMs would go on sending requests to a target that is being stopped. A few seconds later
-// no VM may send it a new request, all answers must be complete, and only a new
-// incarnation of the target may get requests again.
+// Only one VM gets the information that a target drains; the target itself reports
+// nothing. The other VMs would go on sending requests to a target that is being stopped.
+// Within a few seconds all VMs must stop sending it requests, while all answers are
+// complete, and only a new incarnation of the target may get requests again.
 func TestDrainReceivedFromPeerOnly(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3, Targets: 3, Replicas: 3})
 	draining := c.Targets[0]
@@ -191,7 +194,7 @@
 
 // After a power loss all VMs but one start without any state while the platform is still
 // down. Each new VM has the address of only one other VM, in a chain. All must get the
-// bundle from their peers; otherwise users would find no VM that serves.
+// bundle from their peers; otherwise only one VM would serve users.
 func TestFleetStartsWithPlatformDown(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 1})
 	c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true}))
@@ -216,8 +219,8 @@
 	}
 }
 
-// replaceVMs replaces every VM, one after another. The rotation gets a new VM once this
-// answers from all shards; the platform's list follows after lag.
+// replaceVMs replaces every VM, one after another. The rotation gets a new VM once that
+// VM answers from all shards. The platform's list of VMs follows after lag.
 func (c *cluster) replaceVMs(rotation *searchRotation, lag time.Duration) {
 	c.t.Helper()
 	for i := range c.Daemons {
--- a/integration/query_test.go
+++ b/integration/query_test.go
@@ -16,10 +16,11 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
+// minCoverage is a required coverage that is met by any answer from at least one shard.
 const minCoverage = 0.01
 
-// setIndexes makes target i hold exactly these indexes. The replicas of each are placed in
-// the same way.
+// setIndexes makes target i hold its shards of exactly these indexes. The replicas of
+// each index are placed as those of c.Index were by start.
 func (c *cluster) setIndexes(i int, indexes ...targetsim.Index) {
 	c.t.Helper()
 	cfg := c.config
@@ -30,6 +31,8 @@
 	c.ok(c.Targets[i].SetSnapshots(placements))
 }
 
+// nextIndex returns an index of the same records as c.Index, with another snapshot name,
+// sequence number and number of shards.
 func (c *cluster) nextIndex(name string, seq int64, shards int) targetsim.Index {
 	index := c.Index
 	index.Snapshot, index.Seq, index.Shards = name, seq, shards
@@ -37,8 +40,8 @@
 }
 
 // An answer must not contain records of two snapshots, or compute its coverage from the
-// wrong number of shards. Targets switch to a new index, and change its number of shards,
-// while queries run. The failure would be caused by an attempt, hedge or retry that reads
+// wrong number of shards. Targets switch to a new index with another number of shards
+// while queries run. The failure would come from an attempt, hedge or retry that reads
 // another snapshot than the other attempts of its query.
 func TestIndexSwitchNeverMixesSnapshots(t *testing.T) {
 	c := start(t, clusterConfig{Target: func(_ int, o *targetsim.Options) { o.Timing.BaseMS = 15 }})
@@ -102,8 +105,8 @@
 
 func answerOnly(a gateway.Answer, _ int, err error) (gateway.Answer, error) { return a, err }
 
-// All replicas of a shard are lost. The answer must say that records are missing, or its
-// reader would conclude that they don't exist.
+// All replicas of some shards are lost. The answer must say that records are missing, or
+// the caller would conclude that they don't exist.
 func TestLostShardIsStated(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 2, Leaves: 1, Shards: 4, Replicas: 1})
 	c.Targets[0].Kill()
@@ -123,8 +126,8 @@
 	c.Expect(a.RetryAfterMS).To(gomega.BeNumerically(">", 0))
 }
 
-// A leaf could read only a part of its shard, and its answer says so. The query's answer
-// must not claim to be complete.
+// A leaf could read only a part of its shard, and its answer says so. The answer to the
+// query must not claim to be complete.
 func TestIncompleteLeafIsReported(t *testing.T) {
 	c := start(t, clusterConfig{})
 	const missing = 3
@@ -145,7 +148,7 @@
 	c.Targets[0].Kill()
 	const limitMS = 30000
 	a := must[gateway.Answer](c)(answerOnly(c.Daemons[0].Search(c.ctx, findSearch, gateway.SearchBody{TimeLimitMS: limitMS})))
-	c.Expect(a.Code).To(gomega.BeNumerically(">=", 300))
+	c.Expect(a.Code).To(gomega.BeNumerically(">=", 300)) // neither complete nor partial
 	c.Expect(a.TookMS).To(gomega.BeNumerically("<", limitMS/2))
 }
 
@@ -163,8 +166,8 @@
 	c.Expect(l.answered(result.TimedOut, result.CoverageTooLow)).To(gomega.BeZero())
 }
 
-// All targets refuse all requests. Each answer must say "not run", and the targets' own
-// records must confirm it.
+// All targets refuse all requests to shed load. Each answer must say "not run", and the
+// targets' own records must confirm it.
 func TestShedIsNotRun(t *testing.T) {
 	c := start(t, clusterConfig{Shards: 1, Replicas: 3})
 	for _, target := range c.Targets {
@@ -177,8 +180,8 @@
 	}
 }
 
-// searchAttempts returns how many attempts of each request targets started, by the
-// targets' own records.
+// searchAttempts returns how many search attempts the targets started for each request,
+// by its ID. The counts are from the targets' own records.
 func (c *cluster) searchAttempts() map[string]int {
 	runs := map[string]int{}
 	for _, t := range c.Targets {
@@ -190,8 +193,8 @@
 }
 
 // There are more callers than the targets' slots can serve, so some requests are refused
-// at admission. A refused request must not have run and must say when to retry; the answer
-// to an admitted one must be consistent with the index.
+// at admission. A refused request must not run, and its answer must say when to retry.
+// All other answers must be consistent with the index.
 func TestRefusedAtAdmissionIsNotRun(t *testing.T) {
 	c := start(t, clusterConfig{
 		Daemons: 1,
@@ -233,7 +236,7 @@
 }
 
 // A target that has just started would slow down or fail the queries sent to it, and
-// reports that it is starting. It must get no requests until it reports that it serves.
+// reports that it is starting. It must get no searches until it reports that it serves.
 func TestColdTargetGetsNoSearches(t *testing.T) {
 	c := start(t, clusterConfig{
 		Targets: 3, Replicas: 2,
@@ -254,8 +257,8 @@
 
 // Faults overlap and repeat: targets freeze, refuse requests, return wrong, repeated or
 // late answers, leave records out and switch their index, while connections are cut and
-// become silent. Whatever the order, every answer must be consistent with the index that
-// it names.
+// become silent. In every order of the faults, each answer must be consistent with the
+// index of the snapshot that it names.
 func TestAnswersStayTrueUnderRandomFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 5, 8} {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
@@ -286,9 +289,11 @@
 	c       *cluster
 	rng     *rand.Rand
 	indexes []targetsim.Index
-	paused  map[int]bool
+	paused  map[int]bool // indexes of the targets that are paused
 }
 
+// injectNext injects a random fault into a random target or its proxy. If that target is
+// paused, it resumes the target instead.
 func (f *faultInjector) injectNext() {
 	i := f.rng.IntN(len(f.c.Targets))
 	t, p := f.c.Targets[i], f.c.TargetProxies[i]
@@ -327,8 +332,8 @@
 	}
 }
 
-// A VM that has just started must not answer that no live replica exists. That happens if
-// it reports ready as soon as it has a bundle, before it has received the state of any
+// A VM that has just started must not answer that no live replica exists. It would if it
+// became ready as soon as it has a bundle, before it has received the state of any
 // target.
 func TestReadyVMKnowsItsTargets(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 1, NoRollout: true})
--- a/integration/region_test.go
+++ b/integration/region_test.go
@@ -13,9 +13,9 @@
 
 // Two regions lose contact with each other, and one of them with the platform, just after
 // a faulty bundle came into force everywhere. The bundle is recalled in the region that
-// reaches the platform. In the other region a VM is replaced and learns the faulty bundle
-// from its neighbor, and a VM is frozen. The platform's list still names the VM that was
-// replaced.
+// reaches the platform. In the other region one VM is replaced, and the new one gets the
+// faulty bundle from its neighbor; then the neighbor is frozen. The platform's list still
+// names the VM that was replaced.
 //
 // Once the regions are connected again, the side with the faulty bundle must apply the
 // recall, through its peers alone, and must never spread the faulty bundle back to the
@@ -68,8 +68,9 @@
 		c.Expect(must[string](c)(digestOf(c.ctx, d))).To(gomega.Equal(faulty), d.Name)
 		c.waitComplete(d)
 	}
-	// The replacement can learn of the other region's VMs only from its neighbor. A VM
-	// that knows no other VM stays isolated until the platform is reachable again.
+	// The replacement can get the addresses of the other region's VMs only from its
+	// neighbor. A VM that knows no other VM stays isolated until the platform is
+	// reachable again.
 	c.waitMetric([]*fleet.Daemon{fresh}, "bramley_peer_lost_vms 3\n")
 	c.ok(far[0].Pause())
 
--- a/integration/rollout_test.go
+++ b/integration/rollout_test.go
@@ -33,8 +33,9 @@
 
 // Three operators roll out and recall concurrently, while the platform loses the answers
 // to some of their writes and some writes entirely, and each operator's program is frozen
-// for a random time at a random moment. No VM may return to an older bundle, the audit
-// trail must have no gap, and no program may report a change as refused which is in force.
+// for a random time at a random moment. No VM may return to an older revision, the audit
+// trail must have no gap, and no program may report a change as refused although it is in
+// force.
 func TestOperatorsRaceOverALossyPlatform(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { raceOperators(t, seed) })
@@ -86,7 +87,7 @@
 	c.Expect(stop()).To(BeEmpty(), "VMs whose revision decreased")
 }
 
-// pauseBriefly stops a program at a random moment for a random time, as happens when a
+// pauseBriefly freezes a program at a random moment for a random time, as happens when a
 // virtual machine is migrated.
 func pauseBriefly(p *os.Process, rng *rand.Rand) {
 	random := func() { time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) }
@@ -101,6 +102,8 @@
 	return status.Digest, err
 }
 
+// raceChange makes one random rollout or recall, and sends its answer to answers if it is
+// accepted. The change may fail because of a competing one.
 func raceChange(t *testing.T, person *ctl, rng *rand.Rand, digests []string, answers chan<- operator.ChangeOutput) {
 	args := []string{"rollout", digests[rng.IntN(len(digests))], "--reason", "race"}
 	if rng.IntN(3) == 0 {
@@ -116,8 +119,8 @@
 	}
 }
 
-// An operator's program is killed in the middle of a change on a slow platform, later in
-// its sequence of writes each time. The change must take effect completely or not at all,
+// An operator's program is killed in the middle of a change on a slow platform, each time
+// later in its sequence of writes. The change must take effect completely or not at all,
 // the next operator must be able to continue at once, and the audit trail must be
 // complete.
 func TestKilledOperatorLeavesNoPartialChange(t *testing.T) {
@@ -146,7 +149,7 @@
 }
 
 // When a change is accepted, the platform is slow, its watches are silent, or the open
-// connections to it have become silent. VMs must still learn of the change, or they would
+// connections to it have become silent. VMs must still receive the change, or they would
 // keep a bundle that was recalled.
 func TestInForceEverywhereUnderPlatformFaults(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true})
@@ -170,10 +173,9 @@
 	}
 }
 
-// One VM is cut off from the platform when a bundle is rolled out, and must learn of it
-// from the other VMs. Then all VMs are cut off and can't learn of a further rollout: they
-// must continue with the bundle that they have, and report that the platform is
-// unreachable.
+// One VM is cut off from the platform when a bundle is rolled out, and must get it from
+// the other VMs. Then all VMs are cut off and can't receive a further rollout: they must
+// continue with the bundle that they have, and report that the platform is unreachable.
 func TestVMsCutOffFromThePlatform(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true})
 	first, second := c.pushSignedBundle("one"), c.pushSignedBundle("two")
@@ -206,9 +208,9 @@
 }
 
 // The platform is down: no change can be accepted, and the operator's program must report
-// that nothing was changed. A VM that is replaced meanwhile must learn the bundle from its
-// peers and become ready. Otherwise every VM that is replaced in an outage would be lost
-// to the fleet.
+// that nothing was changed. A VM that is replaced meanwhile must get the bundle from its
+// peers and become ready. Otherwise the fleet would lose every VM that is replaced in an
+// outage.
 func TestAVMIsReplacedDuringAnOutage(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 2})
 	digest := c.pushSignedBundle("one")
@@ -245,14 +247,15 @@
 	c.Expect(f.Code).To(Equal(result.Lagging))
 	c.Expect(f.Detail).To(ContainSubstring("vm-0 (no answer)"))
 	c.ok(c.Daemons[0].Resume())
-	c.waitInForceEverywhere(5)
+	c.waitInForceEverywhere(5) // the rollout by start and four changes
 	c.Expect(must[string](c)(digestOf(c.ctx, c.Daemons[0]))).To(Equal(first))
 	c.Expect(stop()).To(BeEmpty(), "VMs whose revision decreased")
 }
 
 // Someone with access to the platform, but without an operator's key, writes a head of
 // their own, removes the sign-off from an entry, or stores bytes that are no head. The
-// fleet must neither use such a head nor stop serving: the old bundle must stay in force.
+// fleet must not use such a head and must go on serving: the old bundle must stay in
+// force.
 func TestUnsignedHeadNeverComesIntoForce(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 2})
 	digest := c.pushSignedBundle("one")
@@ -283,8 +286,8 @@
 // waitHeadRead waits until every daemon has read the current head.
 func (c *cluster) waitHeadRead() {
 	c.t.Helper()
-	// The time of contact is set when a read ends. A read that ends 1 s from now or later
-	// has begun after this moment.
+	// PlatformContact is when a read ended. A read of the head takes less than 1 s here,
+	// so one that ends more than 1 s from now has begun after this moment.
 	written := time.Now()
 	for _, d := range c.Daemons {
 		c.Eventually(func() bool {
@@ -294,6 +297,8 @@
 	}
 }
 
+// expectRevision expects that every daemon has this revision in force and is ready. why
+// describes the expectation if it fails.
 func (c *cluster) expectRevision(revision uint64, why string) {
 	c.t.Helper()
 	for _, d := range c.Daemons {
@@ -304,9 +309,9 @@
 	}
 }
 
-// The platform's store is restored from an older copy. VMs must neither return to the
-// previous bundle nor miss later rollouts: they must keep the revision that they have,
-// operators must get an error, and restore-head must bring the platform up to date.
+// The platform's store is restored from an older copy. VMs must keep the revision that
+// they have, and must not miss later rollouts. Operators must get an error until
+// restore-head has brought the platform up to date.
 func TestStoreRestoredFromOldCopy(t *testing.T) {
 	c := start(t, clusterConfig{Daemons: 2})
 	digest := c.pushSignedBundle("one")
--- a/integration/split_test.go
+++ b/integration/split_test.go
@@ -18,7 +18,8 @@
 )
 
 // split separates the daemons of each group, given by name, from those of all other
-// groups: no data passes between groups, and no connection is closed. It needs ProxyPeers.
+// groups: no data passes between groups, and no connection is closed. It needs
+// ProxyPeers. A call replaces the groups of an earlier one.
 func (c *cluster) split(groups ...[]string) {
 	c.t.Helper()
 	for i, d := range c.Daemons {
@@ -127,10 +128,10 @@
 // The two halves of a fleet lose contact with each other, and one of them with the
 // platform too. On the other side an operator rolls out a bundle and a target drains.
 //
-// In both halves searches must become complete again, not go on through VMs that are out
-// of reach. Once the halves are connected again, no VM may keep the old bundle, send
-// requests to the target that drained, or make others return to an older revision. No
-// place changes its holder meanwhile, and each half has owners of each target.
+// In both halves searches must become complete again, without VMs that are out of reach.
+// No place changes its holder meanwhile, and each half has owners of each target. Once
+// the halves are connected again, no VM may keep the old bundle, send requests to the
+// target that drained, or make others return to an older revision.
 func TestFleetSplitInHalves(t *testing.T) {
 	t.Parallel() // it mostly waits
 	const daemons, connections = 6, 5
@@ -147,7 +148,7 @@
 		c.startLoadOn(isolated, 1, 0, truthOf(c.Index).check),
 	}
 	c.waitLive(c.Daemons, daemons)
-	const outsider = "member" // the VM of cluster.joinExchange
+	const outsider = "member" // the VM that joinExchange adds, on the connected side
 	c.split(append(daemonNames(connected), outsider), daemonNames(isolated))
 	c.cutOffPlatform(isolated, true)
 	began := time.Now()
--- a/integration/stopped_operator_test.go
+++ b/integration/stopped_operator_test.go
@@ -14,13 +14,13 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// An operator's program is stopped while one of its writes is in progress, for as long as
-// another operator needs for a whole rollout, and then resumes. Its older change must not
-// replace the newer one, and it must not report a change as refused which is in force. The
-// audit trail must be complete.
+// An operator's program is stopped by SIGSTOP while one of its writes is in progress, for
+// as long as another operator needs for a whole rollout, and then resumes. Its older
+// change must not replace the newer one, and it must not report a change as refused
+// although it is in force. The audit trail must be complete.
 func TestOperatorStoppedAtEachWrite(t *testing.T) {
 	t.Parallel()                 // it mostly waits
-	const slowMS, writes = 50, 2 // the entry before the head, and the head
+	const slowMS, writes = 50, 2 // the entry of the old head to the audit trail, and the new head
 	c := start(t, clusterConfig{Daemons: 2})
 	first, second := c.pushSignedBundle("one"), c.pushSignedBundle("two")
 	c.ok(c.Platform.SetFaults(platformsim.Faults{SlowMS: slowMS}))
--- a/integration/target_test.go
+++ b/integration/target_test.go
@@ -17,8 +17,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// recoveryTimeout is the time within which answers must be complete again after a fault
-// that leaves the targets themselves intact. Recovery normally takes far less.
+// recoveryTimeout bounds the time after which answers must be complete again after a
+// fault that leaves the targets themselves intact. Recovery normally takes far less.
 const recoveryTimeout = 10 * time.Second
 
 // waitCompleteInRow waits until n answers of the daemon in a row are complete. It fails
@@ -119,9 +119,9 @@
 }
 
 // Two VMs together must not hold more connections than a target accepts, or it would
-// refuse its other clients. Callers that give up, crossed answers, and a VM that is killed
-// and replaced all make the VMs open new connections. The limit here is exactly twice a
-// VM's share, and the target counts all connections beyond it.
+// refuse its other clients. Callers that give up, crossed answers, and a VM that is
+// killed and replaced all make the VMs open new connections. The limit here is exactly
+// twice a VM's share, and the target counts the connections that it refuses beyond it.
 func TestConnectionLimitOfTargets(t *testing.T) {
 	const perTarget = 6
 	c := start(t, clusterConfig{
--- a/integration/truth_test.go
+++ b/integration/truth_test.go
@@ -23,9 +23,9 @@
 }
 
 // check compares an answer to a search for body, which must have Explain set, with what
-// the simulated targets hold: the answer is from one snapshot only, its coverage is
-// computed from the shards of that snapshot, and every record is returned, read or
-// missing.
+// the simulated targets hold. The answer must be from one snapshot only, its coverage
+// must agree with the shards and records of that snapshot, and its items must be the
+// matching records of the shards that answered.
 func (t truth) check(a gateway.Answer, body gateway.SearchBody) error {
 	if a.Code != int(result.Complete) && a.Code != int(result.Partial) {
 		if len(a.Items) > 0 {
@@ -62,7 +62,8 @@
 }
 
 // checkItems expects all matches of the shards that answered in full, none of the shards
-// that did not answer, and some of the shards that were incomplete.
+// that did not answer, and any of the matches of the incomplete shards, up to the limit
+// of body.
 func (t truth) checkItems(a gateway.Answer, index targetsim.Index, body gateway.SearchBody) error {
 	lost := map[int]bool{}
 	partial := map[int]bool{}
--- a/integration/zone_test.go
+++ b/integration/zone_test.go
@@ -18,11 +18,11 @@
 	zoneDaemons     = 2 * zones
 	zoneTargets     = 2 * zones
 	connectionLimit = 5 // connections that each target accepts, fewer than there are VMs
-	zoneReplicas    = 2 // of each shard, in two zones
+	zoneReplicas    = 2 // of each shard, in different zones
 )
 
-// startZones starts three availability zones with two VMs and two targets each. Each shard
-// has a replica in another zone. Each target is reached by some VMs through others, its
+// startZones starts three availability zones with two VMs and two targets each. The two
+// replicas of each shard are in different zones. Some VMs reach a target only through its
 // owners, of which at most two are in one zone.
 func startZones(t *testing.T) *cluster {
 	cfg := fewConnections(zoneDaemons, zoneDaemons, connectionLimit)
@@ -31,7 +31,7 @@
 	editTarget := cfg.Target
 	cfg.Target = func(i int, o *targetsim.Options) {
 		editTarget(i, o)
-		o.IdleMS = 1000 // the target's end of a silent connection counts toward its connection limit
+		o.IdleMS = 1000 // closes the target's end of a silent connection, which counts toward its limit
 	}
 	c := start(t, cfg)
 	c.Eventually(c.vmsWithPlace, waitTimeout, "50ms").Should(gomega.HaveLen(zoneDaemons))
@@ -51,7 +51,7 @@
 	return in, out
 }
 
-// outage is a way in which a zone is lost, and how it is restored.
+// outage is a way in which a zone is lost and restored.
 type outage struct {
 	name    string
 	lose    func(c *cluster, zone int)
@@ -118,7 +118,8 @@
 	c.expectWithinLimit(connectionLimit)
 }
 
-// loseZone makes a zone be lost and return, under load on the other zones.
+// loseZone loses a zone and restores it, under load on the VMs of the other zones. Their
+// answers must become complete while the zone is lost, and again once it is back.
 func (c *cluster) loseZone(o outage, zone int) {
 	c.t.Helper()
 	in, out := c.inZone(zone)
@@ -127,7 +128,7 @@
 	began := time.Now()
 	o.lose(c, zone)
 	c.waitLive(out, len(out))
-	c.t.Logf("%s: %v until the other VMs counted these as lost, %d incomplete answers", o.name, time.Since(began), l.incompleteCount())
+	c.t.Logf("%s: %v until the VMs of the other zones counted those of this zone as lost, %d incomplete answers", o.name, time.Since(began), l.incompleteCount())
 
 	l.waitCompleteInRow(200)
 	o.restore(c, zone)
@@ -154,8 +155,8 @@
 }
 
 // A zone is lost while the platform is down, or the platform goes down while a zone is
-// lost. A second zone may follow once the first is back. VMs must not wait for the
-// platform with anything that they can do without it. The seeds are fixed.
+// lost. VMs must not wait for the platform where they can do without it. The second fault
+// follows once the zone and the platform of the first are back.
 func TestZoneLostWhilePlatformDown(t *testing.T) {
 	t.Parallel() // it mostly waits
 	c := startZones(t)
@@ -168,6 +169,8 @@
 	c.expectWithinLimit(connectionLimit)
 }
 
+// loseZoneAndPlatform loses a random zone together with the platform, in random order,
+// and restores both.
 func (c *cluster) loseZoneAndPlatform(rng *rand.Rand) {
 	c.t.Helper()
 	o, zone := outages[rng.IntN(len(outages))], rng.IntN(zones)
