--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -21,14 +21,13 @@
 type callers struct {
 	deployment *deployment
 
-	mu         sync.Mutex // guards the fields below
-	violations []string   // answers or runs that broke a guarantee
-	reports    map[string]int
-	served     int
+	mu         sync.Mutex     // guards the fields below
+	violations []string       // answers or runs that broke a guarantee
+	reports    map[string]int // HTTP status of each report, or noAnswer, by request ID
+	served     int            // answers with status 200
 }
 
-// noAnswer (0) is the status of a request that got no complete answer. callers.reports has
-// the status of each report that must run once, by its ID.
+// noAnswer stands for the status of a request whose answer was not received completely.
 const noAnswer = 0
 
 func (c *callers) addViolation(format string, args ...any) {
@@ -37,7 +36,8 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// run sends requests until ctx ends. number identifies the caller in request IDs.
+// run sends requests of random kinds to random VMs until ctx ends. number identifies the
+// caller in request IDs.
 func (c *callers) run(ctx context.Context, number int, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(number)))
 	client := newClient()
@@ -49,6 +49,9 @@
 	}
 }
 
+// send sends one request to the VM, records its status and checks the answer if that is
+// 200. kind is the number of the request's route in the manifest: 0 gathers from all
+// shards, 1 asks one leaf, 2 sends a report, which must run at most once, to one leaf.
 func (c *callers) send(client *http.Client, v *vm, id string, kind int) {
 	method, path := "GET", [...]string{"/all/x", "/one/x", "/once/x"}[kind]
 	if kind == 2 {
@@ -84,8 +87,8 @@
 	}
 }
 
-// do returns the status, header and body of the answer, or noAnswer if the answer was not
-// received completely.
+// do sends the request and returns the status, header and body of the answer, or noAnswer
+// if the answer was not received completely.
 func do(client *http.Client, req *http.Request) (int, http.Header, []byte) {
 	resp, err := client.Do(req)
 	if err != nil {
@@ -99,17 +102,19 @@
 	return resp.StatusCode, resp.Header, body
 }
 
+// checkSingle checks that the receipt names a leaf, and that the body is that leaf's
+// answer to the request.
 func (c *callers) checkSingle(id string, header http.Header, body []byte) {
 	receipt := header.Get("Bramleybarrow-Response-Stamp")
 	l := c.deployment.leafs[strings.TrimSuffix(receipt, "."+id)]
 	if l == nil || !bytes.Equal(body, l.Answer(id)) {
-		c.addViolation("%s: an answer that no leaf sent: receipt %q, %d bytes", id, receipt, len(body))
+		c.addViolation("%s: the answer is not that of the leaf in its receipt %q, or no such leaf exists; %d bytes", id, receipt, len(body))
 	}
 }
 
-// checkGathered checks that each receipt is of a different shard, that the count of
-// missing shards is right, and that the body consists of the greatest records of the
-// shards that the receipts name.
+// checkGathered checks that each receipt is from a leaf of a different shard, that the
+// stated number of missing shards is right, and that the body consists of the greatest
+// records of the leafs that the receipts name.
 func (c *callers) checkGathered(id string, header http.Header, body []byte) {
 	seen := make(map[string]bool)
 	var records [][]byte
@@ -123,14 +128,15 @@
 		records = append(records, recordsOf(l, id)...)
 	}
 	if missing := header.Get("Bramleybarrow-Missing-Parts"); missing != fmt.Sprint(shardCount-len(seen)) {
-		c.addViolation("%s: the answer says that %s parts are missing, %d are included", id, missing, len(seen))
+		c.addViolation("%s: the answer says that %s shards are missing, but has receipts of %d", id, missing, len(seen))
 	}
 	sort.Slice(records, func(i, j int) bool { return bytes.Compare(records[i], records[j]) > 0 })
-	if !bytes.Equal(body, bytes.Join(records[:min(5, len(records))], nil)) {
+	if !bytes.Equal(body, bytes.Join(records[:min(5, len(records))], nil)) { // 5: top-k of the route
 		c.addViolation("%s: the records are not the greatest of the shards that the receipts name", id)
 	}
 }
 
+// recordsOf returns the records of the leaf's answer to the request.
 func recordsOf(l *edgesim.Leaf, id string) [][]byte {
 	var records [][]byte
 	for body := l.Answer(id); len(body) > 0; body = body[topk.RecordBytes:] {
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -28,8 +28,8 @@
 // deployment is a store, leafs and VMs. Each VM runs as a process of its own.
 type deployment struct {
 	t      *testing.T
-	binary string
-	dir    string
+	binary string // path of bramleyd
+	dir    string // of the VMs' settings and logs
 	store  *edgesim.Store
 	leafs  map[string]*edgesim.Leaf // by id
 	vms    []*vm
@@ -41,11 +41,13 @@
 	settingsPath string
 	proxy        *edgesim.StoreProxy
 
-	mu      sync.Mutex // guards process
-	process *exec.Cmd
-	exited  chan struct{}
+	mu      sync.Mutex    // guards the fields below
+	process *exec.Cmd     // the current one, or the last one after its exit
+	exited  chan struct{} // closed when process has exited
 }
 
+// newDeployment starts the store, one leaf of each shard and of the ledger in each zone,
+// and the VMs. They are stopped when the test ends.
 func newDeployment(t *testing.T, binary string) *deployment {
 	d := &deployment{t: t, binary: binary, dir: t.TempDir(), store: edgesim.NewStore(20), leafs: make(map[string]*edgesim.Leaf)}
 	t.Cleanup(d.close)
@@ -80,12 +82,15 @@
 	d.store.Close()
 }
 
+// addLeaf starts a leaf and registers it in the store as ready.
 func (d *deployment) addLeaf(id, service, zone string) {
 	l := (&edgesim.Leaf{ID: id, Service: service, Zone: zone, Born: time.Now().UnixMilli()}).Start()
 	d.leafs[id] = l
 	d.store.Put("servers", id, l.RegistryEntry("ready"))
 }
 
+// putManifest stores a manifest with three routes: "all" gathers from all shards, "one"
+// and "once" call a leaf of the ledger. Requests of "once" must not run twice.
 func (d *deployment) putManifest(version int, shards []string) {
 	d.store.Put("config", "main", fmt.Sprintf(`{"version":%d,"routes":[
 	{"name":"all","host":"h.example","path-prefix":"/all/","kind":"idempotent","timeout-ms":800,"target-latency-ms":200,"priority":1,"gather":["%s"],"max-attempts":2,"top-k":5,"min-share":0.5},
@@ -94,6 +99,7 @@
 	"services":[{"name":"ledger","max-connections":100}],"limits":{"max-body-bytes":262144}}`, version, strings.Join(shards, `","`)))
 }
 
+// addVM writes the settings of a VM and starts it with a proxy to the store.
 func (d *deployment) addVM(name, zone string) {
 	proxy := edgesim.NewStoreProxy(d.store.Address())
 	v := &vm{proxy: proxy, settingsPath: filepath.Join(d.dir, name+".json"), set: &edge.Settings{
@@ -154,7 +160,7 @@
 	_ = v.process.Process.Signal(sig)
 }
 
-// waitExit waits for the process to exit, and kills it after the given time.
+// waitExit waits for the current process to exit, and kills it after the timeout.
 func (v *vm) waitExit(timeout time.Duration) {
 	v.mu.Lock()
 	exited := v.exited
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,14 +19,16 @@
 // not serve within 20 s of its start. The cause is not known.
 var fixedSeeds = []uint64{1, 2, 1019}
 
-// Lengths of a run.
+// Durations and sizes of a run.
 const (
 	faultDuration    = 6 * time.Second
 	recoveryTimeout  = 20 * time.Second // bounds the time until all VMs are ready and serve again, also on a busy machine
 	callerCount      = 6
-	faultSeriesCount = 3 // concurrent series of faults
+	faultSeriesCount = 3 // concurrent series of faults; see injectFaults
 )
 
+// seeds returns the SOAK_SEEDS seeds from SOAK_FIRST on, or fixedSeeds if SOAK_SEEDS is
+// not a number.
 func seeds(t *testing.T) []uint64 {
 	count, err := strconv.Atoi(os.Getenv("SOAK_SEEDS"))
 	if err != nil {
@@ -43,9 +45,9 @@
 	return list
 }
 
-// Callers submit reports and read data while VMs are stopped, frozen, killed and
-// restarted, leafs lose, cut, repeat and refuse answers, and the store is down, silent,
-// serves old listings, or refuses single VMs. Whatever the order, every answer must be
+// Callers send reports and reads while VMs are stopped, frozen, killed and restarted,
+// leafs lose, cut, repeat and refuse answers, and the store is down, silent, serves old
+// listings, or refuses single VMs. In every order of the faults, each answer must be
 // intact and correct, a report must run at most once, a report that was answered as not
 // run must not have run, and all VMs must serve again soon after the last fault.
 func TestSoak(t *testing.T) {
@@ -69,8 +71,8 @@
 	for number := range callerCount {
 		wg.Go(func() { load.run(ctx, number, seed) })
 	}
-	// Each VM and each leaf belongs to one series, so that no series ends a fault of
-	// another.
+	// Each series injects faults into its own kind of component, so that no series ends a
+	// fault of another.
 	for series := range faultSeriesCount {
 		wg.Go(func() { d.injectFaults(ctx, series, rand.New(rand.NewPCG(seed, uint64(100+series)))) })
 	}
@@ -84,8 +86,8 @@
 	t.Logf("%d answers, %d reports", load.served, len(load.reports))
 }
 
-// injectFaults runs one series of faults until ctx ends: at VMs, at leafs, or at the
-// store.
+// injectFaults runs one series of faults until ctx ends: series 0 at VMs, 1 at leafs, and
+// any other at the store.
 func (d *deployment) injectFaults(ctx context.Context, series int, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(50+rng.IntN(300)) * time.Millisecond)
@@ -100,6 +102,8 @@
 	}
 }
 
+// injectVMFault freezes, kills or stops the VM, or lets the store refuse its calls, and
+// ends the fault.
 func (d *deployment) injectVMFault(v *vm, rng *rand.Rand) {
 	pause := time.Duration(100+rng.IntN(900)) * time.Millisecond
 	switch rng.IntN(4) {
@@ -122,6 +126,8 @@
 	}
 }
 
+// injectLeafFault injects a random fault into a random leaf, which may drain meanwhile,
+// and ends the fault.
 func (d *deployment) injectLeafFault(rng *rand.Rand) {
 	faults := []edgesim.LeafFaults{
 		{Delay: 150 * time.Millisecond}, {Refuse: true}, {Fail: true}, {LoseAnswers: true}, {TruncateBody: true},
@@ -141,6 +147,8 @@
 	d.store.Put("servers", id, l.RegistryEntry("ready"))
 }
 
+// injectStoreFault injects a random fault into the store and ends it. The store may then
+// discard its history.
 func (d *deployment) injectStoreFault(rng *rand.Rand) {
 	faults := []edgesim.StoreFaults{
 		{Status: 503}, {Status: 429}, {Silent: true}, {SilentWatches: true},
@@ -181,6 +189,8 @@
 	}
 }
 
+// serves reports whether the VM answers one request of each kind with status 200. n makes
+// the request IDs differ between the calls of one waitServing.
 func (d *deployment) serves(v *vm, n int) bool {
 	probe := &callers{deployment: d, reports: make(map[string]int)}
 	for kind := range 3 {
