--- a/integration/ctl_test.go
+++ b/integration/ctl_test.go
@@ -61,20 +61,20 @@
 	return cmd
 }
 
-// failure is what a command prints when it fails.
+// failure is what a command prints to its standard output when it fails.
 type failure struct {
 	Code   result.Code `json:"code"`
 	Detail string      `json:"detail"`
 	Next   string      `json:"next"`
 }
 
-// run runs a command and decodes its output into the value that into points to. It returns
-// a failure with code 0 on success. The exit status of a failed command must be the class
-// of its result code.
+// run runs a command and decodes its output into the value that into points to. It
+// returns a failure with code 0 on success. If the exit status of a failed command is not
+// the class of its result code, the returned failure has the code result.Internal.
 func (x *ctl) run(into any, args ...string) failure {
-	var out, stderr bytes.Buffer
+	var stdout, stderr bytes.Buffer
 	cmd := x.command(x.c.ctx, args...)
-	cmd.Stdout, cmd.Stderr = &out, &stderr
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	if err := cmd.Start(); err != nil {
 		return failure{Code: result.Internal, Detail: err.Error()}
 	}
@@ -83,14 +83,14 @@
 	}
 	err := cmd.Wait()
 	if err == nil {
-		if e := json.Unmarshal(out.Bytes(), into); e != nil {
-			return failure{Code: result.Internal, Detail: e.Error() + ": " + out.String()}
+		if e := json.Unmarshal(stdout.Bytes(), into); e != nil {
+			return failure{Code: result.Internal, Detail: e.Error() + ": " + stdout.String()}
 		}
 		return failure{}
 	}
 	// An accepted change prints its answer before it waits for VMs, so a failure of
 	// the wait is a second JSON value.
-	dec := json.NewDecoder(&out)
+	dec := json.NewDecoder(&stdout)
 	var f failure
 	for dec.More() {
 		if e := dec.Decode(&f); e != nil {
@@ -127,7 +127,7 @@
 }
 
 // watchRevisions polls the revision in force at every daemon. stop ends the polling and
-// returns the names of the daemons whose revision decreased, once for each decrease.
+// returns a daemon's name for each poll that found a lower revision than an earlier one.
 func (c *cluster) watchRevisions() (stop func() []string) {
 	return c.watchRevisionsOf(c.Daemons...)
 }
@@ -135,11 +135,11 @@
 // watchRevisionsOf is watchRevisions for some daemons.
 func (c *cluster) watchRevisionsOf(daemons ...*fleet.Daemon) (stop func() []string) {
 	ctx, cancel := context.WithCancel(c.ctx)
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex // guards regressed
 	var regressed []string
 	for _, d := range daemons {
-		wait.Go(func() {
+		wg.Go(func() {
 			var highest uint64
 			for ctx.Err() == nil {
 				status, err := d.Status(ctx)
@@ -157,11 +157,13 @@
 	}
 	return func() []string {
 		cancel()
-		wait.Wait()
+		wg.Wait()
 		return regressed
 	}
 }
 
+// withSeeds returns a function that sets the seeds of a daemon's settings: the addresses
+// of the peers that it contacts first.
 func withSeeds(peers ...string) func(*settings.Settings) {
 	return func(s *settings.Settings) { s.Seeds = peers }
 }
--- a/integration/harness_test.go
+++ b/integration/harness_test.go
@@ -1,5 +1,5 @@
-// Package integration tests the system end to end with real processes: callers,
-// daemons, targets and the platform, with fault proxies between them.
+// Package integration tests the system end to end. The daemons, the targets, the platform
+// and the fault proxies between them are real processes; the tests are the callers.
 //
 // A test starts a cluster, which is stopped when the test ends:
 //
@@ -7,10 +7,10 @@
 //	answer, status, err := c.Daemons[0].Search(c.ctx, findSearch, gateway.SearchBody{Query: "well"})
 //	c.expectCompleteAnswer(answer, c.Index, target.KindSearch, searchBody("well"))
 //
-// See clusterConfig for the options and cluster for what a test has access to.
-// Faults are set on c.Platform, c.Targets[i], and, if the config enables proxies,
-// c.TargetProxies[i], c.PlatformProxies[i] and c.PeerProxies[i] (the last two are
-// indexed by daemon; see cluster.split).
+// clusterConfig has the options, and cluster what a test can use. Faults are set on
+// c.Platform and c.Targets[i] and, if the configuration enables proxies, on
+// c.TargetProxies[i], c.PlatformProxies[i] and c.PeerProxies[i]. The last two are
+// indexed by daemon. cluster.split sets the faults of the peer proxies.
 package integration
 
 import (
@@ -49,26 +49,27 @@
 	testTimeout = 3 * time.Minute
 )
 
+// binaries holds the paths of the programs that runTests builds.
 var binaries struct{ daemon, lab string }
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
 
 func runTests(m *testing.M) int {
 	defer gexec.CleanupBuildArtifacts()
-	const module = "github.com/bramleybarrow/bramleybarrow/cmd/"
-	for path, into := range map[string]*string{"bramleyd": &binaries.daemon, "bramley-lab": &binaries.lab} {
-		built, err := gexec.Build(module + path)
+	const cmdPath = "github.com/bramleybarrow/bramleybarrow/cmd/"
+	for name, dst := range map[string]*string{"bramleyd": &binaries.daemon, "bramley-lab": &binaries.lab} {
+		path, err := gexec.Build(cmdPath + name)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
-		*into = built
+		*dst = path
 	}
 	return m.Run()
 }
 
-// clusterConfig describes a cluster. A zero field means its default, which stands last in
-// the field's comment.
+// clusterConfig describes a cluster. A zero field means the default, which the field's
+// comment gives at its end.
 type clusterConfig struct {
 	Targets  int // 3
 	Leaves   int // per target; 2
@@ -97,27 +98,28 @@
 	NoRollout bool
 }
 
-// zoneName returns the name of an availability zone; the one at index 0 is zone.
+// zoneName returns the name of the availability zone with this index, counted from 0.
+// zoneName(0) is zone.
 func zoneName(i int) string { return "zone-" + string(rune('a'+i)) }
 
-func (s clusterConfig) withDefaults() clusterConfig {
+func (cfg clusterConfig) withDefaults() clusterConfig {
 	set := func(field *int, value int) {
 		if *field == 0 {
 			*field = value
 		}
 	}
-	set(&s.Targets, 3)
-	set(&s.Leaves, 2)
-	set(&s.Slots, 2)
-	set(&s.Shards, 4)
-	set(&s.Replicas, 2)
-	set(&s.Records, 200)
-	set(&s.Daemons, 2)
-	set(&s.Zones, 1)
-	if s.WatchWait == 0 {
-		s.WatchWait = 2 * time.Second
+	set(&cfg.Targets, 3)
+	set(&cfg.Leaves, 2)
+	set(&cfg.Slots, 2)
+	set(&cfg.Shards, 4)
+	set(&cfg.Replicas, 2)
+	set(&cfg.Records, 200)
+	set(&cfg.Daemons, 2)
+	set(&cfg.Zones, 1)
+	if cfg.WatchWait == 0 {
+		cfg.WatchWait = 2 * time.Second
 	}
-	return s
+	return cfg
 }
 
 // cluster is a running deployment.
@@ -135,16 +137,16 @@
 	PlatformProxies []*fleet.Proxy
 	PeerProxies     []*fleet.Proxy
 	Bundle          *bundle.Bundle  // rolled out unless NoRollout is set
-	Index           targetsim.Index // that the targets hold when the test begins
+	Index           targetsim.Index // whose shards the targets hold when the test begins
 }
 
-// start starts a cluster and waits until every daemon is ready and answers a search from
-// all shards. The cluster is stopped when the test ends; if the test failed, the last
-// lines of the processes' logs are printed.
-func start(t *testing.T, s clusterConfig) *cluster {
+// start starts a cluster and, unless NoRollout is set, waits until every daemon is ready
+// and answers a search from all shards. The cluster is stopped when the test ends; if the
+// test failed, the last lines of the processes' logs are printed.
+func start(t *testing.T, cfg clusterConfig) *cluster {
 	t.Helper()
 	skipKnownRed(t)
-	c := &cluster{WithT: gomega.NewWithT(t), t: t, config: s.withDefaults()}
+	c := &cluster{WithT: gomega.NewWithT(t), t: t, config: cfg.withDefaults()}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	c.ctx = ctx
 	f, err := fleet.New(fleet.Options{Daemon: binaries.daemon, Lab: binaries.lab, Dir: t.TempDir(), Deployment: deployment})
@@ -190,43 +192,45 @@
 	}
 }
 
+// startTargets starts the targets, which together hold c.Index, and their proxies.
 func (c *cluster) startTargets() {
-	s := c.config
-	c.Index = targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: s.Shards, Records: s.Records}
-	for i, holder := range targetsim.PlaceReplicas(c.Index, s.Targets, s.Leaves, s.Replicas) {
+	cfg := c.config
+	c.Index = targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: cfg.Shards, Records: cfg.Records}
+	for i, placement := range targetsim.PlaceReplicas(c.Index, cfg.Targets, cfg.Leaves, cfg.Replicas) {
 		o := targetsim.Options{
-			Name: fmt.Sprintf("target-%d", i), Service: service, Leaves: s.Leaves, Slots: s.Slots,
+			Name: fmt.Sprintf("target-%d", i), Service: service, Leaves: cfg.Leaves, Slots: cfg.Slots,
 			Seed: uint64(i + 1), Timing: targetsim.Timing{BaseMS: 2},
-			Snapshots: []targetsim.SnapshotPlacement{holder},
+			Snapshots: []targetsim.SnapshotPlacement{placement},
 		}
-		if s.Target != nil {
-			s.Target(i, &o)
+		if cfg.Target != nil {
+			cfg.Target(i, &o)
 		}
 		target := must[*fleet.Target](c)(c.StartTarget(o))
 		c.Targets = append(c.Targets, target)
-		if s.ProxyTargets {
+		if cfg.ProxyTargets {
 			proxy := must[*fleet.Proxy](c)(c.StartProxy(o.Name+"-proxy", target.Address))
 			c.TargetProxies = append(c.TargetProxies, proxy)
 		}
 	}
 }
 
+// startDaemon starts daemon i with its proxies and appends them to the cluster.
 func (c *cluster) startDaemon(i int) {
-	s := c.config
-	o := fleet.DaemonOptions{Name: fmt.Sprintf("vm-%d", i), Zone: zoneName(i % s.Zones), LameDuck: s.LameDuck, LogLevel: "debug"}
-	if s.ProxyPlatform {
+	cfg := c.config
+	o := fleet.DaemonOptions{Name: fmt.Sprintf("vm-%d", i), Zone: zoneName(i % cfg.Zones), LameDuck: cfg.LameDuck, LogLevel: "debug"}
+	if cfg.ProxyPlatform {
 		proxy := must[*fleet.Proxy](c)(c.StartProxy(o.Name+"-platform-proxy", c.Platform.Address))
 		c.PlatformProxies = append(c.PlatformProxies, proxy)
 		o.Platform = proxy.Address
 	}
-	if s.ProxyPeers {
+	if cfg.ProxyPeers {
 		o.Peers = must[string](c)(fleet.FreeAddress())
 		proxy := must[*fleet.Proxy](c)(c.StartPeerProxy(o.Name+"-peer-proxy", o.Peers))
 		c.PeerProxies = append(c.PeerProxies, proxy)
 		o.PeersAt = proxy.Address
 	}
-	if s.Settings != nil {
-		o.EditSettings = func(set *settings.Settings) { s.Settings(i, set) }
+	if cfg.Settings != nil {
+		o.EditSettings = func(set *settings.Settings) { cfg.Settings(i, set) }
 	}
 	c.Daemons = append(c.Daemons, must[*fleet.Daemon](c)(c.StartDaemon(o)))
 }
@@ -243,8 +247,8 @@
 	c.ok(c.Platform.SetVMs(vms, lag))
 }
 
-// makeBundle returns a bundle with the test searches and with the targets at the addresses
-// that the daemons use: those of the proxies, if there are any.
+// makeBundle returns a bundle with the test searches and the targets. The addresses of
+// the targets are those of their proxies if ProxyTargets is set.
 func (c *cluster) makeBundle() *bundle.Bundle {
 	svc := bundle.Service{
 		Name: service, Shards: c.config.Shards,
@@ -331,13 +335,13 @@
 }
 
 // newKey returns a new idempotency key, which begins with the current Unix time in
-// seconds.
+// seconds and contains name.
 func newKey(name string) string {
 	return fmt.Sprintf("%d-%s-%d", time.Now().Unix(), name, time.Now().UnixNano())
 }
 
-// submitRuns returns how many times each submit ran, by idempotency key, summed over all
-// targets' own records.
+// submitRuns returns how many times each submit ran at all targets together, by
+// idempotency key. The counts are from the targets' own records.
 func (c *cluster) submitRuns() map[string]int {
 	c.t.Helper()
 	runs := map[string]int{}
--- a/integration/hop_test.go
+++ b/integration/hop_test.go
@@ -27,21 +27,21 @@
 	return list
 }
 
-// VMs without connections to targets get searches in bursts. Between the bursts their
-// connections to owners are closed because they are idle. The first searches after such a
+// VMs without connections to targets get searches in bursts. Between the bursts they
+// close their connections to owners, which are idle. The first searches after such a
 // pause must be answered completely, even if many begin at the same time and each finds
 // its connection closed.
 func TestIdleConnectionsToOwnersAreClosedAndOpenedAgain(t *testing.T) {
 	const daemons, places, connections, bursts, searches = 5, 3, 2, 2, 4
-	s := fewConnections(daemons, places, connections)
-	s.Targets, s.Replicas = 1, 1
-	editBundle := s.Bundle
-	s.Bundle = func(b *bundle.Bundle) {
+	cfg := fewConnections(daemons, places, connections)
+	cfg.Targets, cfg.Replicas = 1, 1
+	editBundle := cfg.Bundle
+	cfg.Bundle = func(b *bundle.Bundle) {
 		editBundle(b)
 		// Status reads go through owners too and would keep the connections in use.
 		b.Services[0].Drain.HealthIntervalMS = 15_000
 	}
-	c := start(t, s)
+	c := start(t, cfg)
 	vms := c.daemonsWithoutPlace()
 	c.Expect(vms).NotTo(gomega.BeEmpty())
 	for range bursts {
@@ -83,23 +83,24 @@
 	}
 }
 
+// otherZone is the zone of the VMs that addSecondZone adds.
 const otherZone = "zone-b"
 
 // VMs call owners in their own zone. One of these owners is frozen in the middle of
-// queries, and one in the other zone is killed. Until the exchange detects this, each VM
-// in its zone could lose an answer or wait for it. Owners further away must take over at
-// once, and all searches must stay complete.
+// queries, and then one in the other zone is killed. Until the fault of an owner is
+// detected, each VM in its zone could wait for its answers or lose them. Owners in the
+// other zone must take over at once, and all searches must stay complete.
 func TestNearOwnerFrozenAndKilledInMidQuery(t *testing.T) {
-	const inZone, connections, owners = 3, 5, 4 // one connection is reserved for a frozen owner
-	s := fewConnections(inZone, 2*inZone, connections)
-	editBundle := s.Bundle
-	s.Bundle = func(b *bundle.Bundle) {
+	const vmsPerZone, connections, owners = 3, 5, 4 // one connection is reserved for a frozen owner
+	cfg := fewConnections(vmsPerZone, 2*vmsPerZone, connections)
+	editBundle := cfg.Bundle
+	cfg.Bundle = func(b *bundle.Bundle) {
 		editBundle(b)
 		b.Zones = append(b.Zones, bundle.Zone{Name: otherZone, Region: "region"})
 	}
-	c := start(t, s)
+	c := start(t, cfg)
 	c.addSecondZone()
-	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(2 * inZone))
+	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").Should(gomega.HaveLen(2 * vmsPerZone))
 	c.waitOwners(owners)
 	all := slices.Clone(c.Daemons)
 	for _, fault := range []struct {
@@ -107,7 +108,7 @@
 		inject func() error
 	}{
 		{all[0], all[0].Pause},
-		{all[inZone], func() error { all[inZone].Kill(); return nil }},
+		{all[vmsPerZone], func() error { all[vmsPerZone].Kill(); return nil }},
 	} {
 		c.Daemons = slices.DeleteFunc(c.Daemons, func(d *fleet.Daemon) bool { return d == fault.victim })
 		rotation := &searchRotation{}
@@ -124,8 +125,8 @@
 	c.expectWithinLimit(connections)
 }
 
-// ownerCallsWithin returns how many calls all VMs made to owners at this distance: "zone"
-// or "region".
+// ownerCallsWithin returns how many calls all VMs together made to owners at this
+// distance: "zone" for the same zone, "region" for another zone of the same region.
 func (c *cluster) ownerCallsWithin(distance string) (sum int) {
 	line := regexp.MustCompile(`bramley_route_owner_calls_total\{within="` + distance + `"\} (\d+)`)
 	for _, d := range c.Daemons {
--- a/integration/once_test.go
+++ b/integration/once_test.go
@@ -20,10 +20,11 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
+// sendTimeout bounds one submit, including its answer.
 const sendTimeout = 20 * time.Second
 
-// send submits a report under the key. If no answer is received, the answer that it
-// returns has code 0 and the error as its detail.
+// send submits a report under the key. If it receives no answer, it returns an answer
+// with code 0 and the error as its detail.
 func (c *cluster) send(d *fleet.Daemon, key string) gateway.Answer {
 	ctx, cancel := context.WithTimeout(c.ctx, sendTimeout)
 	defer cancel()
@@ -34,8 +35,8 @@
 	return a
 }
 
-// sendAside calls send in a goroutine and returns a channel that gets the answer.
-func (c *cluster) sendAside(d *fleet.Daemon, key string) <-chan gateway.Answer {
+// sendAsync calls send in a goroutine and returns a channel that gets the answer.
+func (c *cluster) sendAsync(d *fleet.Daemon, key string) <-chan gateway.Answer {
 	answer := make(chan gateway.Answer, 1)
 	go func() { answer <- c.send(d, key) }()
 	return answer
@@ -74,6 +75,7 @@
 	}, waitTimeout, "10ms").Should(gomega.ContainSubstring(key))
 }
 
+// waitRun waits until the targets have started the report of the key once.
 func (c *cluster) waitRun(key string) {
 	c.t.Helper()
 	c.Eventually(func() int { return c.submitRuns()[key] }, waitTimeout, "20ms").Should(gomega.Equal(1))
@@ -110,8 +112,8 @@
 		}
 		key := newKey(fmt.Sprint("both", i))
 		pending := []<-chan gateway.Answer{
-			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
-			c.sendAside(c.Daemons[0], key), c.sendAside(c.Daemons[1], key),
+			c.sendAsync(c.Daemons[0], key), c.sendAsync(c.Daemons[1], key),
+			c.sendAsync(c.Daemons[0], key), c.sendAsync(c.Daemons[1], key),
 		}
 		for _, answer := range pending {
 			a := <-answer
@@ -130,7 +132,7 @@
 	c := start(t, clusterConfig{})
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
 	key := newKey("killed")
-	c.sendAside(c.Daemons[0], key)
+	c.sendAsync(c.Daemons[0], key)
 	c.waitRun(key)
 	c.Daemons[0].Kill()
 	c.setTargetFaults(targetsim.Faults{})
@@ -146,7 +148,7 @@
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true}) // no outcome is stored if the claim's answer arrives before the kill
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 300}))
 	key := newKey("claimed")
-	c.sendAside(c.Daemons[0], key)
+	c.sendAsync(c.Daemons[0], key)
 	c.waitClaim(key)
 	c.Daemons[0].Kill()
 	c.setTargetFaults(targetsim.Faults{})
@@ -162,7 +164,7 @@
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true}) // no outcome is stored if the claim's answer arrives before the pause
 	c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 300}))
 	key := newKey("frozen")
-	first := c.sendAside(c.Daemons[0], key)
+	first := c.sendAsync(c.Daemons[0], key)
 	c.waitClaim(key)
 	c.ok(c.Daemons[0].Pause())
 	c.setTargetFaults(targetsim.Faults{})
@@ -186,7 +188,7 @@
 	c := start(t, clusterConfig{})
 	c.setTargetFaults(targetsim.Faults{HoldSubmits: true})
 	key := newKey("held")
-	first := c.sendAside(c.Daemons[0], key)
+	first := c.sendAsync(c.Daemons[0], key)
 	c.waitRun(key)
 	c.ok(c.Daemons[0].Pause())
 	c.setTargetFaults(targetsim.Faults{})
@@ -199,17 +201,18 @@
 }
 
 // A VM's claim takes effect, but the VM receives nothing more from the platform. It
-// answers "not run", which the target's record confirms. The other VM finds the claim.
-// When the first VM can reach the platform again it must remove the claim, or the report
-// could never be submitted under its key.
+// answers "not run", which the targets' records confirm. The other VM finds the claim.
+// Once the first VM can reach the platform again it must remove the claim, or the report
+// could never run under its key.
 func TestClaimAnswerLostForLong(t *testing.T) {
 	c := start(t, clusterConfig{ProxyPlatform: true})
-	const tries = 20 // a try is repeated if the answer arrived before the fault was set
-	// For a key that the other VM commits, the first VM would get the answer from it.
+	const tries = 20 // the next key is tried if the answer arrived before the fault was set
+	// The first VM commits the claims of these keys itself. Otherwise the other VM would
+	// commit them and could answer the first despite the fault.
 	for _, key := range c.keysCommittedBy(c.Daemons[0], "unheard", tries) {
 		c.ok(c.Platform.SetFaults(platformsim.Faults{LoseAnswers: 1000, LoseKind: once.Kind}))
 		c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{DelayMS: 400}))
-		answer := c.sendAside(c.Daemons[0], key)
+		answer := c.sendAsync(c.Daemons[0], key)
 		c.waitClaim(key)
 		// The VM is about to read whether its claim took effect.
 		c.ok(c.PlatformProxies[0].SetFaults(faultproxy.Faults{LoseDown: true}))
@@ -226,6 +229,9 @@
 	t.Fatal("the answer to the claim was never lost in time")
 }
 
+// expectReleased expects that the report has not run and its key is still claimed. Then
+// it restores the first daemon's connection to the platform, and waits until the claim is
+// removed and the other daemon can run the report.
 func (c *cluster) expectReleased(key string) {
 	c.t.Helper()
 	c.Expect(c.submitRuns()).NotTo(gomega.HaveKey(key))
@@ -259,10 +265,10 @@
 }
 
 // Faults overlap and repeat: the platform loses writes and answers and goes down,
-// connections are cut and become silent, targets refuse requests and cut connections, a VM
-// freezes. Each key is submitted five times, each time to two VMs at once. By the targets'
-// own records no key may run twice, none may run whose answers all say "not run", and each
-// that was answered "accepted" must have run.
+// connections are cut and become silent, targets refuse requests and cut connections, a
+// VM freezes. Each key is submitted in five rounds, each time to two random VMs at once.
+// By the targets' own records no report may run twice, a report whose answers all say
+// "not run" must not have run, and a report with an answer "accepted" must have run.
 func TestOnceUnderRandomFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -277,7 +283,7 @@
 					for i := range keys {
 						key := newKey(fmt.Sprintf("random%d-%d", s, i))
 						for range tries {
-							one, other := c.sendAside(c.Daemons[rng.IntN(3)], key), c.sendAside(c.Daemons[rng.IntN(3)], key)
+							one, other := c.sendAsync(c.Daemons[rng.IntN(3)], key), c.sendAsync(c.Daemons[rng.IntN(3)], key)
 							codes := []result.Code{result.Code((<-one).Code), result.Code((<-other).Code)}
 							received[s][key] = append(received[s][key], codes...)
 						}
@@ -297,25 +303,28 @@
 	}
 }
 
+// expectOnce expects that the number of runs of a report agrees with the codes of all
+// answers to its key.
 func (c *cluster) expectOnce(key string, codes []result.Code, runs int) {
 	c.t.Helper()
 	c.Expect(runs).To(gomega.BeNumerically("<=", 1), "%s ran twice, answered %v", key, codes)
-	notRun := true
+	allNotRun := true
 	for _, code := range codes {
 		if code == result.Accepted {
 			c.Expect(runs).To(gomega.Equal(1), "%s was answered %v", key, codes)
 		}
-		notRun = notRun && code != 0 && code.Info().Ran == result.RanNo
+		allNotRun = allNotRun && code != 0 && code.Info().Ran == result.RanNo
 	}
-	if notRun {
+	if allNotRun {
 		c.Expect(runs).To(gomega.BeZero(), "%s was answered %v", key, codes)
 	}
 }
 
-// randomFaults sets and clears faults until done is closed.
+// randomFaults repeatedly sets up to two random faults and clears them, until done is
+// closed.
 func (c *cluster) randomFaults(rng *rand.Rand, done <-chan struct{}) {
 	const faultTime, calmTime = 300 * time.Millisecond, 200 * time.Millisecond
-	d := func() int { return rng.IntN(len(c.Daemons)) }
+	randomDaemon := func() int { return rng.IntN(len(c.Daemons)) }
 	for {
 		paused := -1
 		for range 2 {
@@ -327,14 +336,14 @@
 			case 2:
 				c.ok(c.Platform.SetFaults(platformsim.Faults{LoseWrites: 3, LoseKind: once.Kind}))
 			case 3:
-				c.ok(c.PlatformProxies[d()].Silence())
+				c.ok(c.PlatformProxies[randomDaemon()].Silence())
 			case 4:
 				c.ok(c.TargetProxies[rng.IntN(len(c.TargetProxies))].Cut())
 			case 5:
 				c.setTargetFaults(targetsim.Faults{CutSubmits: 1, ShedShare: 0.5})
 			case 6:
 				if paused < 0 {
-					paused = d()
+					paused = randomDaemon()
 					c.ok(c.Daemons[paused].Pause())
 				}
 			}
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -14,28 +14,29 @@
 
 func searchBody(query string) gateway.SearchBody { return gateway.SearchBody{Query: query} }
 
-// expectCompleteAnswer compares an answer that claims to be complete with what the simulated
-// targets hold of index x. The answer must be from x's snapshot.
-func (c *cluster) expectCompleteAnswer(a gateway.Answer, x targetsim.Index, kind target.Kind, body gateway.SearchBody) {
+// expectCompleteAnswer expects that the answer is from the snapshot of index, that it
+// states full coverage, and that its items are those that the simulated targets hold for
+// body.
+func (c *cluster) expectCompleteAnswer(a gateway.Answer, index targetsim.Index, kind target.Kind, body gateway.SearchBody) {
 	c.t.Helper()
-	const most = 1000 // max_items of the test bundle
+	const maxItems = 1000 // max_items of the test bundle
 	limit := body.Limit
 	if limit == 0 {
-		limit = most
+		limit = maxItems
 	}
-	items, more, records := x.ExpectedAnswer(kind, body.Query, "", limit)
-	c.Expect(a.Snapshot).To(gomega.Equal(x.Snapshot))
+	items, more, records := index.ExpectedAnswer(kind, body.Query, "", limit)
+	c.Expect(a.Snapshot).To(gomega.Equal(index.Snapshot))
 	c.Expect(a.Items).To(gomega.Equal(items))
 	c.Expect(a.More).To(gomega.Equal(more))
 	c.Expect(a.Coverage).To(gomega.Equal(&gateway.Coverage{
-		Ratio: 1, Shards: x.Shards, ShardsAnswered: x.Shards, Records: records,
+		Ratio: 1, Shards: index.Shards, ShardsAnswered: index.Shards, Records: records,
 	}))
 }
 
 // Covers the end-to-end path without faults: a caller queries each of two daemons, which
 // fan out to the leaves of three targets under a bundle that was rolled out through the
 // platform, and gets every matching record. A non-idempotent request that is sent to both
-// daemons runs once.
+// daemons with the same key runs once.
 func TestWholePath(t *testing.T) {
 	c := start(t, clusterConfig{})
 	for _, d := range c.Daemons {
--- a/integration/target_test.go
+++ b/integration/target_test.go
@@ -17,8 +17,8 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// recoveryTimeout is the time within which answers must be complete again after a fault
-// that leaves the targets themselves intact. Recovery normally takes far less.
+// recoveryTimeout bounds the time after which answers must be complete again after a
+// fault that leaves the targets themselves intact. Recovery normally takes far less.
 const recoveryTimeout = 10 * time.Second
 
 // waitCompleteInRow waits until n answers of the daemon in a row are complete. It fails
@@ -67,7 +67,7 @@
 // Leaves return the answers of other requests, repeat answers, or answer after the query
 // has moved on, while many callers send different queries. Each caller must get its own
 // answer, which is complete or says that it is incomplete or was not run.
-func TestCrossedLateAndDuplicateAnswers(t *testing.T) {
+func TestCrossedLateAndDuplicateAnswersOfAllTargets(t *testing.T) {
 	c := start(t, clusterConfig{Targets: 3, Replicas: 2, Shards: 6})
 	for i, faults := range []targetsim.Faults{
 		{MismatchedAnswers: 60},
@@ -88,8 +88,8 @@
 			c.expectCompleteAnswer(a, c.Index, target.KindSearch, body)
 			return nil
 		}
-		short := a.Coverage != nil && a.Coverage.Ratio < 1
-		if !short && a.Ran != result.RanNo.String() {
+		incomplete := a.Coverage != nil && a.Coverage.Ratio < 1
+		if !incomplete && a.Ran != result.RanNo.String() {
 			return fmt.Errorf("caller %d: code %d, %s, coverage %v", caller, a.Code, a.Ran, a.Coverage)
 		}
 		return nil
@@ -119,9 +119,9 @@
 }
 
 // Two VMs together must not hold more connections than a target accepts, or it would
-// refuse its other clients. Callers that give up, crossed answers, and a VM that is killed
-// and replaced all make the VMs open new connections. The limit here is exactly twice a
-// VM's share, and the target counts all connections beyond it.
+// refuse its other clients. Callers that give up, crossed answers, and a VM that is
+// killed and replaced all make the VMs open new connections. The limit here is exactly
+// twice a VM's share, and the target counts the connections that it refuses beyond it.
 func TestConnectionLimitOfTargets(t *testing.T) {
 	const perTarget = 6
 	c := start(t, clusterConfig{
