--- a/once/peers_test.go
+++ b/once/peers_test.go
@@ -96,7 +96,7 @@
 // frozenPeer is a Peers whose committer of all segments is frozen: it accepts
 // operations without an answer and applies them when the test calls deliverNext.
 type frozenPeer struct {
-	to      *Runner          // the frozen VM
+	runner  *Runner          // the frozen VM
 	batches chan relay.Batch // accepted and not yet applied
 }
 
@@ -112,14 +112,14 @@
 // deliverNext lets the frozen committer apply the next kept operation and returns the
 // reply.
 func (p *frozenPeer) deliverNext(t *testing.T) relay.Reply {
-	replies, err := p.to.Commit(t.Context(), <-p.batches)
+	replies, err := p.runner.Commit(t.Context(), <-p.batches)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return replies[0]
 }
 
 // newFrozenPeer returns a frozenPeer that applies operations on a new VM named c.
 func newFrozenPeer(t *testing.T, store objstore.Store) *frozenPeer {
-	return &frozenPeer{to: startRunner(t, store, "c"), batches: make(chan relay.Batch, 8)}
+	return &frozenPeer{runner: startRunner(t, store, "c"), batches: make(chan relay.Batch, 8)}
 }
 
 // Guards against a key that stays blocked although its request never ran. The
@@ -206,7 +206,7 @@
 	req, w := request("d"), acceptedWork()
 	a.Run(t.Context(), req, func(ctx context.Context) Outcome {
 		close(slow.resume)
-		g.Eventually(c.to.committer.numWaiting, testTimeout).Should(BeZero())
+		g.Eventually(c.runner.committer.numWaiting, testTimeout).Should(BeZero())
 		g.Expect(b.Run(ctx, req, w.run).Code).To(Equal(result.InProgress))
 		return w.run(ctx)
 	})
@@ -230,7 +230,7 @@
 		<-s.stored
 		cancel()
 	}()
-	replies, err := s.to.Commit(ctx, relay.Batch{Segment: req.Segment, HoldMS: 1000, Ops: []relay.Op{req.Op}})
+	replies, err := s.runner.Commit(ctx, relay.Batch{Segment: req.Segment, HoldMS: 1000, Ops: []relay.Op{req.Op}})
 	if err != nil || replies[0].Verdict != relay.Undecided {
 		return relay.Reply{}, relay.NotAccepted
 	}
--- a/once/relay/link.go
+++ b/once/relay/link.go
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithTimeout(k.parent.ctx, k.parent.opts.ResponseTimeout)
 	defer cancel()
 	o := k.parent.opts.Fleet.WireOptions()
-	o.Use = Use
+	o.Use = ConnectionUse
 	o.Handler = nil // the other VM makes no calls on this connection
 	conn, err := wire.Dial(ctx, k.vm.Address, o, &wire.Counters{})
 	if err != nil {
--- a/once/relay/messages.go
+++ b/once/relay/messages.go
@@ -11,8 +11,8 @@
 
 import "github.com/bramleybarrow/bramleybarrow/result"
 
-// Use is the purpose that a VM states when it opens a connection for this package.
-const Use = "claims"
+// ConnectionUse is the purpose that a VM states when it opens a connection for this package.
+const ConnectionUse = "claims"
 
 // Prefix is the prefix of all method names of this package.
 const Prefix = "claims."
