--- a/once/relay/link.go
+++ b/once/relay/link.go
@@ -32,8 +32,8 @@
 
 // answer is the result of relaying one operation.
 type answer struct {
-	reply    Reply // of the other VM; set only if delivery is Answered
-	delivery Delivery
+	reply    Reply    // of the other VM; set only if delivery is Answered
+	delivery Delivery // whether the operation reached the other VM
 }
 
 // run is the link's goroutine. If it can't connect, the VM is not chosen to commit
--- a/once/relay/links.go
+++ b/once/relay/links.go
@@ -16,10 +16,10 @@
 
 // Defaults of Options, and constants of the links.
 const (
-	defaultHold            = 250 * time.Millisecond // time after which the other VM answers a batch, even without verdicts
-	defaultResponseTimeout = 500 * time.Millisecond // time without an answer after which a VM counts as lost
-	defaultAvoidFor        = 2 * time.Second        // time for which a lost VM, or one that refused a batch, is not chosen
-	defaultIdleTimeout     = 10 * time.Second       // time after which an unused connection is closed
+	defaultHold            = 250 * time.Millisecond // time after which the VM that got a batch answers it, even without verdicts
+	defaultResponseTimeout = 500 * time.Millisecond // time without an answer to a batch after which the VM that got it counts as lost
+	defaultAvoidFor        = 2 * time.Second        // time for which a lost VM, or one that refused a batch, is not chosen to commit segments
+	defaultIdleTimeout     = 10 * time.Second       // time after which an unused connection to another VM is closed
 
 	// liveListTTL is how long a list of live VMs is reused before it is read from
 	// Fleet again.
@@ -66,7 +66,7 @@
 
 // The values of Delivery.
 const (
-	// Answered means that the reply is that of the other VM.
+	// Answered means that the other VM replied to the operation.
 	Answered Delivery = iota
 	// NotAccepted means that the other VM will never apply the operation.
 	NotAccepted
@@ -95,7 +95,7 @@
 	mu       sync.Mutex           // guards the fields below, link.queue, pending.sent and pending.cancelled
 	links    map[string]*link     // by address of the VM
 	avoided  map[string]time.Time // time until which a VM is not chosen, by name of the VM
-	live     []objstore.VM        // the last list of live VMs
+	live     []objstore.VM        // the VMs that are alive, as last read from Options.Fleet
 	listedAt time.Time            // when live was read
 }
 
--- a/once/relay/messages.go
+++ b/once/relay/messages.go
@@ -11,10 +11,12 @@
 
 import "github.com/bramleybarrow/bramleybarrow/result"
 
-// ConnectionUse is the purpose that a VM states when it opens a connection for this package.
+// ConnectionUse is the purpose that a VM states, in wire.Options.Use, when it opens a
+// connection to relay operations on claims.
 const ConnectionUse = "claims"
 
-// Prefix is the prefix of all method names of this package.
+// Prefix is the prefix of the names of all methods that this package calls on other
+// VMs.
 const Prefix = "claims."
 
 // MethodCommit is the method that applies a batch of operations. It takes a Batch
@@ -76,7 +78,8 @@
 	Replies []Reply `json:"replies"`
 }
 
-// Verdict is the result of an operation.
+// Verdict is the result of an operation on one key, as the VM that applies it states
+// it.
 type Verdict string
 
 // Verdicts. All but Undecided are final: the VM that gives them will not apply the
--- a/once/relay/relay_test.go
+++ b/once/relay/relay_test.go
@@ -69,7 +69,8 @@
 	})
 }
 
-// Guards against one VM that commits many more segments than the others.
+// Guards against one VM that commits many more segments than the others. Each of 10
+// VMs must be chosen for 50 to 150 of 1000 segments.
 func TestSegmentsAreEvenlyDistributed(t *testing.T) {
 	g := NewWithT(t)
 	var vms []objstore.VM
@@ -86,15 +87,15 @@
 	}
 }
 
-// committerFunc is a Committer that calls the function.
+// committerFunc is a Committer whose Commit calls the function.
 type committerFunc func(ctx context.Context, b Batch) ([]Reply, error)
 
 func (f committerFunc) Commit(ctx context.Context, b Batch) ([]Reply, error) { return f(ctx, b) }
 
 // fakeFleet is a Fleet with a fixed list of VMs that are all alive.
 type fakeFleet struct {
-	vms     []objstore.VM
-	options wire.Options
+	vms     []objstore.VM // returned by Live
+	options wire.Options  // of connections to other VMs, returned by WireOptions
 }
 
 func (f *fakeFleet) Live() []objstore.VM       { return f.vms }
@@ -106,8 +107,8 @@
 	return newTestLinksWithTimeout(t, c, 0)
 }
 
-// newTestLinksWithTimeout is newTestLinks with the given ResponseTimeout; 0 selects
-// the default.
+// newTestLinksWithTimeout starts a VM "b" with the committer c and returns the same as
+// newTestLinks. The links have the given ResponseTimeout; 0 selects the default.
 func newTestLinksWithTimeout(t *testing.T, c Committer, responseTimeout time.Duration) (*Links, *faultproxy.Proxy, objstore.VM) {
 	g := NewWithT(t)
 	options := func(vm string) wire.Options {
