--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -81,8 +81,8 @@
 
 // fakeFleet is a relay.Fleet with a fixed list of VMs that are all alive.
 type fakeFleet struct {
-	vms     []objstore.VM
-	options wire.Options
+	vms     []objstore.VM // returned by Live
+	options wire.Options  // of connections to other VMs, returned by WireOptions
 }
 
 func (f *fakeFleet) Live() []objstore.VM       { return f.vms }
--- a/once/cleaner.go
+++ b/once/cleaner.go
@@ -15,9 +15,9 @@
 
 // Limits of the cleaner, which removes expired claims from the platform.
 const (
-	maxCleaners        = 2                     // VMs that remove expired claims at the same time
+	maxCleaners        = 2                     // number of VMs that remove expired claims at the same time
 	cleanPageSize      = 4                     // segments in one page of the cleaner's listing; few, because a listing contains the values
-	maxCleanedPerRound = 200                   // removed segments after which a cleaning round ends
+	maxCleanedPerRound = 200                   // number of removed segments after which a cleaning round ends
 	cleanPagePause     = 20 * time.Millisecond // pause between two pages of a cleaning round
 	cleanerRotation    = time.Hour             // time after which other VMs are chosen as cleaners
 )
--- a/once/committer.go
+++ b/once/committer.go
@@ -25,8 +25,8 @@
 
 // Reasons why the committer did not apply an operation.
 var (
-	errBusy         = errors.New("too many operations are waiting")     // more than MaxPending or MaxPeerPending
-	errClosed       = errors.New("this VM is stopping")                 // close was called
+	errBusy         = errors.New("too many operations are waiting")     // more operations than Options.MaxPending or MaxPeerPending allows
+	errClosed       = errors.New("this VM is stopping")                 // committer.close was called
 	errDown         = errors.New("the platform does not answer")        // downThreshold store calls in a row failed
 	errClaimTimeout = errors.New("the claim was not confirmed in time") // the claim may be stored all the same
 )
--- a/once/credit.go
+++ b/once/credit.go
@@ -7,8 +7,8 @@
 
 const (
 	// minBurstWrites is the number of unused writes to the platform that a VM may
-	// always save for later, even if it earns fewer per second. It is enough for a
-	// claim, an outcome and some writes for other VMs.
+	// always save for later, even if its part of the fleet's writes per second is
+	// smaller. It is enough for a claim, an outcome and some writes for other VMs.
 	minBurstWrites = 4
 	// reservedWrites is the number of saved writes that a VM does not transfer to
 	// other VMs: one for this VM's own update of a segment, in case the VM that
--- a/once/dispatcher.go
+++ b/once/dispatcher.go
@@ -33,7 +33,7 @@
 type dispatcher struct {
 	committer *committer    // makes this VM's own updates
 	peers     Peers         // the other VMs; nil if nothing is relayed
-	relayWait time.Duration // limit for relaying one operation
+	relayWait time.Duration // longest time for which one operation is relayed before this VM applies it itself
 }
 
 // newDispatcher returns a dispatcher that relays through o.Peers and makes this
--- a/once/fault_test.go
+++ b/once/fault_test.go
@@ -15,12 +15,15 @@
 // testTimeout bounds each wait for an event that must happen.
 const testTimeout = 20 * time.Second
 
-// clock runs ahead of the real time by an offset that the test increases.
+// clock is an Options.Clock that runs ahead of the real time by an offset that the test
+// increases.
 type clock struct{ offset atomic.Int64 } // in nanoseconds
 
 func (c *clock) now() time.Time          { return time.Now().Add(time.Duration(c.offset.Load())) }
 func (c *clock) advance(d time.Duration) { c.offset.Add(int64(d)) }
-func (c *clock) configure(o *Options)    { o.Clock = c.now }
+
+// configure makes the Runner that gets the options use this clock.
+func (c *clock) configure(o *Options) { o.Clock = c.now }
 
 // shortWaits makes a Runner wait at most 50 ms for a claim or for the storing of an
 // outcome, and at most 20 ms for one store call.
--- a/once/options.go
+++ b/once/options.go
@@ -14,7 +14,7 @@
 
 // Defaults of Options.
 const (
-	defaultKeyTTL         = 24 * time.Hour         // age up to which a key may be used
+	defaultKeyTTL         = 24 * time.Hour         // age up to which an idempotency key may be used
 	defaultMaxClockSkew   = 5 * time.Minute        // upper bound on the difference between the clocks of any two VMs
 	defaultClaimWait      = 2 * time.Second        // time limit for claiming a key
 	defaultOutcomeWait    = 500 * time.Millisecond // longest time that the answer to a caller waits until the outcome is stored
--- a/once/peers_test.go
+++ b/once/peers_test.go
@@ -96,7 +96,7 @@
 // frozenPeer is a Peers whose committer of all segments is frozen: it accepts
 // operations without an answer and applies them when the test calls deliverNext.
 type frozenPeer struct {
-	runner  *Runner          // the frozen VM
+	runner  *Runner          // of the frozen VM
 	batches chan relay.Batch // accepted and not yet applied
 }
 
--- a/once/race_test.go
+++ b/once/race_test.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	raceSeeds = 12 // seeds of races; each is used with and without relaying
-	raceVMs   = 4  // VMs in a race
-	raceKeys  = 3  // keys for which the VMs of a race compete
-	raceTurns = 6  // requests of each VM in a race
+	raceSeeds = 12 // number of seeds; a race is run with each of them, with and without relaying
+	raceVMs   = 4  // number of VMs in a race
+	raceKeys  = 3  // number of keys for which the VMs of a race compete
+	raceTurns = 6  // number of requests that each VM of a race gets
 )
 
 // newRace starts VMs on a store that loses writes, loses answers, applies some
@@ -52,7 +52,7 @@
 	runners      []*Runner
 	store        *faultStore
 	lateMessages *sync.WaitGroup // counts delayed messages between VMs that are not yet delivered
-	killed       *Runner         // nil if none was killed
+	killed       *Runner         // the VM that the method kill stopped; nil if none was
 }
 
 // forEachSeed runs the test with each seed, with and without relaying.
@@ -94,17 +94,18 @@
 	r.store.lateWG.Wait()
 }
 
-// claimInput is a call on the register of a key for porcupine: a claim or its release.
+// claimInput is the input of a call in the history that porcupine checks: a claim of a
+// key, or the release of such a claim.
 type claimInput struct {
-	key     int
+	key     int    // index of the key, from 0 to raceKeys-1
 	op      string // operation id of the claim
-	release bool
+	release bool   // the call releases the claim; else it makes the claim
 }
 
 // claimOutput is the result of a claimInput.
 type claimOutput struct {
 	known  bool   // false if the call may or may not have taken effect
-	winner string // operation that holds the key after a claim
+	winner string // id of the operation that holds the key after a claim; unset for a release
 }
 
 // claimModel is porcupine's model of the claims: one register per key, which holds ""
@@ -229,7 +230,7 @@
 
 // submission is one call of Run and its outcome.
 type submission struct {
-	key  int    // index of the request
+	key  int    // index of the request, from 0 to raceKeys-1
 	name string // JSON string that identifies the call, and its result if it runs
 	out  Outcome
 }
--- a/once/runner_test.go
+++ b/once/runner_test.go
@@ -52,13 +52,14 @@
 	return Request{Deployment: "vatnsleit", Search: "withdrawal-report", Key: key, Digest: digest}
 }
 
-// work is a function for Runner.Run that counts its calls and returns out.
+// work stands for a request that a target runs: its method run, a function for
+// Runner.Run, counts its calls and returns out.
 type work struct {
-	ran atomic.Int64
+	ran atomic.Int64 // number of calls of run
 	out Outcome
 }
 
-// acceptedWork returns work that a target accepts.
+// acceptedWork returns work with the outcome that the target accepted the request.
 func acceptedWork() *work {
 	return &work{out: Outcome{Code: result.Accepted, Result: []byte(`{"filed":"<1>"}`)}}
 }
--- a/once/segment.go
+++ b/once/segment.go
@@ -17,7 +17,7 @@
 	maxSizeForClaims  = objstore.MaxValue / 2     // estimated size of a segment, in bytes, above which no further claim is stored
 	maxSizeForResults = objstore.MaxValue * 3 / 4 // estimated size of a segment, in bytes, above which outcomes are stored without their results
 	entryOverhead     = 160                       // bytes of an entry's JSON for field names, quotes and numbers
-	maxDetailBytes    = 256                       // length of the longest detail of a stored outcome, in bytes
+	maxDetailBytes    = 256                       // length of the longest storedOutcome.Detail, in bytes
 	barredOverhead    = 10                        // bytes of JSON for the quotes, value and comma of an id in segment.Barred
 	maxJSONExpansion  = 6                         // largest number of bytes that JSON needs for one byte of text
 )
@@ -95,7 +95,7 @@
 	barOnRelease bool
 }
 
-// verdict is the result of an op.
+// verdict is the kind of result of an op.
 type verdict int
 
 // The verdicts.
@@ -107,7 +107,8 @@
 	verdictGone                 // on a completion: the claim no longer exists; on a claim: its operation id is barred
 )
 
-// reply is the result of an op.
+// reply is the whole result of an op: its verdict and the entry that the verdict refers
+// to.
 type reply struct {
 	verdict verdict
 	held    entry // the key's entry of another operation, for verdictHeld only
--- a/once/store_test.go
+++ b/once/store_test.go
@@ -24,19 +24,26 @@
 	gets    int // number of reads of objects that reached the store
 	lists   int // number of listings that reached the store
 
-	loseAnswer       float64                            // share of writes that are applied and return an error
-	loseWrite        float64                            // share of writes that return an error and are not applied
-	lateWrite        float64                            // share of writes that return an error and are applied later
-	failAll          atomic.Bool                        // every call fails, nothing is applied
-	failClearedReads atomic.Bool                        // the record of cleared claims cannot be read
-	recovered        atomic.Bool                        // set by tests, read by their hooks
-	failPuts         atomic.Bool                        // writes return an error and are not applied
-	latency          time.Duration                      // of each call
-	beforePut        func(name string) error            // called without mu
-	afterPut         func(name string, err error) error // called without mu
-	delayPut         func(apply func() error) bool      // returns true to fail a write, which it may apply later
-	lateWG           sync.WaitGroup                     // counts writes failed by lateWrite that are not yet applied
-	vms              []objstore.VM                      // the platform's list of VMs
+	loseAnswer       float64       // share of writes, from 0 to 1, that are applied and return an error
+	loseWrite        float64       // share of writes, from 0 to 1, that return an error and are not applied
+	lateWrite        float64       // share of writes, from 0 to 1, that return an error and are applied later
+	failAll          atomic.Bool   // every call but Watch fails with errLost, and nothing is applied
+	failClearedReads atomic.Bool   // reads of objects of ClearedKind fail with errLost
+	recovered        atomic.Bool   // tells the test's own hooks to cause no further fault; not read by the store
+	failPuts         atomic.Bool   // every Put fails with errLost and is not applied
+	latency          time.Duration // that each call but Watch takes
+
+	// beforePut is called at the start of each Put; its error fails the Put.
+	beforePut func(name string) error
+	// afterPut is called with the result of each Put that no fault affected; its
+	// error, if any, replaces the result.
+	afterPut func(name string, err error) error
+	// delayPut returns true to fail a Put with errLost. It may call apply later to
+	// apply the write. All three hooks are called without mu.
+	delayPut func(apply func() error) bool
+
+	lateWG sync.WaitGroup // counts writes failed by lateWrite that are not yet applied
+	vms    []objstore.VM  // returned by the method VMs
 }
 
 // errLost is the error of a call whose request or answer was lost.
@@ -60,6 +67,7 @@
 	return ctx.Err()
 }
 
+// Get returns the object with that name. It uses kind only for failClearedReads.
 func (s *faultStore) Get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	if err := s.simulateCall(ctx); err != nil {
 		return objstore.Object{}, err
@@ -77,6 +85,7 @@
 	return o, nil
 }
 
+// Put applies the write, unless one of the faults that the test has set occurs.
 func (s *faultStore) Put(ctx context.Context, kind, name string, expect uint64, value []byte) (uint64, error) {
 	if s.beforePut != nil {
 		if err := s.beforePut(name); err != nil {
@@ -133,6 +142,7 @@
 	return expect + 1, nil
 }
 
+// List returns objects of all kinds.
 func (s *faultStore) List(ctx context.Context, kind, after string, limit int) (objstore.Page, error) {
 	if err := s.simulateCall(ctx); err != nil {
 		return objstore.Page{}, err
@@ -153,6 +163,7 @@
 	return page, nil
 }
 
+// Delete removes the object if it has the expected version. Random faults don't apply.
 func (s *faultStore) Delete(ctx context.Context, kind, name string, expect uint64) error {
 	if err := s.simulateCall(ctx); err != nil {
 		return err
@@ -166,11 +177,13 @@
 	return nil
 }
 
+// Watch never reports a change: it returns an error when ctx ends.
 func (s *faultStore) Watch(ctx context.Context, kind string, since uint64) (objstore.WatchResult, error) {
 	<-ctx.Done()
 	return objstore.WatchResult{}, ctx.Err()
 }
 
+// VMs returns the list that the test has set.
 func (s *faultStore) VMs(ctx context.Context) ([]objstore.VM, error) {
 	return s.vms, s.simulateCall(ctx)
 }
