--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -20,11 +20,11 @@
 
 // The kinds of objects on the platform, with the names of the objects.
 const (
-	KindHead    = "bramley-heads"    // latest accepted change; name: the deployment
-	KindAudit   = "bramley-audit"    // archived entry of the audit chain; name: AuditName
-	KindBundle  = "bramley-bundles"  // signed bundle, written once; name: the digest
-	KindSignOff = "bramley-signoffs" // approval of a bundle; name: digest, '.', signer's key id, '.', revision in force when it was signed
-	KindRefusal = "bramley-refusals" // record of a refused change; name: deployment, '.', Unix time in nanoseconds, '.', start of the record's hash
+	KindHead    = "bramley-heads"    // kind of the object with the latest accepted change; its name: the deployment
+	KindAudit   = "bramley-audit"    // kind of the archived entries of the audit chain; name of each: see AuditName
+	KindBundle  = "bramley-bundles"  // kind of the signed bundles, each written once; name of each: the bundle's digest
+	KindSignOff = "bramley-signoffs" // kind of the approvals of bundles; name of each: bundle's digest, '.', signer's key id, '.', revision in force when it was signed
+	KindRefusal = "bramley-refusals" // kind of the records of refused changes; name of each: deployment, '.', Unix time in nanoseconds, '.', start of the record's hash
 )
 
 // Bounds of the lists in a head, which keep its size at a few kilobytes.
@@ -54,8 +54,8 @@
 	Revision uint64 `json:"revision"` // last revision with this bundle in force
 }
 
-// Recall is a recalled bundle. Sign-offs of the bundle that were made before the
-// recall's revision was in force are invalid.
+// Recall says that a bundle was recalled. Sign-offs of the bundle that were made
+// before the recall's revision was in force are invalid.
 type Recall struct {
 	Digest   string `json:"digest"`
 	Revision uint64 `json:"revision"` // revision of the entry that recalled the bundle
@@ -74,12 +74,12 @@
 	Recalled   string    `json:"recalled,omitempty"` // digest of the recalled bundle, for ActionRecall
 	Reason     string    `json:"reason"`             // why the operator made the change
 	Person     string    `json:"person"`             // operator who made the change
-	At         time.Time `json:"at"`                 // by the operator's clock
+	At         time.Time `json:"at"`                 // when the change was made, by the operator's clock
 	Prev       string    `json:"prev"`               // hash of the previous entry, see Head.Hash; empty for revision 1
 
 	SignOff bundle.Signed `json:"sign_off"` // approval of the bundle in force
 	History []PastBundle  `json:"history"`  // earlier bundles, newest first, without the bundle in force
-	Recalls []Recall      `json:"recalls"`  // newest first, at most MaxRecalls
+	Recalls []Recall      `json:"recalls"`  // recalled bundles, newest recall first, at most MaxRecalls
 	// RecallFloor is the highest revision of a recall that is no longer listed in
 	// Recalls, or 0. A rollout needs a sign-off made at this revision or later,
 	// because it is no longer known which bundles these recalls were about.
--- a/rollout/faulty_store_test.go
+++ b/rollout/faulty_store_test.go
@@ -17,8 +17,8 @@
 // arrive, lose their response or arrive late.
 type faultyStore struct {
 	objstore.Store
-	mu         sync.Mutex // guards rng
-	rng        *rand.Rand
+	mu         sync.Mutex      // guards rng
+	rng        *rand.Rand      // decides on the faults and pauses
 	lateWrites *sync.WaitGroup // counts the writes that have not arrived yet
 }
 
@@ -37,6 +37,7 @@
 // pause sleeps for a random time below 1.5 ms.
 func (s *faultyStore) pause() { time.Sleep(time.Duration(s.randIntN(1500)) * time.Microsecond) }
 
+// Get fails with errLost in one of 10 calls.
 func (s *faultyStore) Get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	s.pause()
 	if s.randIntN(10) == 0 {
@@ -45,6 +46,8 @@
 	return s.Store.Get(ctx, kind, name)
 }
 
+// Put fails with errLost in half of the calls: the write does not arrive, its response is
+// lost, or it arrives late.
 func (s *faultyStore) Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error) {
 	s.pause()
 	switch s.randIntN(6) {
@@ -75,6 +78,7 @@
 	down       bool // all calls fail; set by the write that fails
 }
 
+// Get reads from Store. It fails with errLost once the store is down.
 func (s *crashStore) Get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	if s.down {
 		return objstore.Object{}, errLost
@@ -82,6 +86,8 @@
 	return s.Store.Get(ctx, kind, name)
 }
 
+// Put writes to Store while writesLeft is above 0. The next write sets down, and it and
+// all later ones fail with errLost.
 func (s *crashStore) Put(ctx context.Context, kind, name string, expectedVersion uint64, value []byte) (uint64, error) {
 	if s.down {
 		return 0, errLost
@@ -97,7 +103,8 @@
 	return 0, errLost
 }
 
-// staleStore returns a head that the test sets, like a lagging or restored store.
+// staleStore is a store that returns a head that the test sets, like a lagging store or
+// one that was restored from an old copy.
 type staleStore struct {
 	objstore.Store
 	mu   sync.Mutex       // guards head
@@ -111,6 +118,7 @@
 	s.head = obj
 }
 
+// Get returns the head that the test has set, if any, in place of the one in Store.
 func (s *staleStore) Get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	s.mu.Lock()
 	head := s.head
--- a/rollout/follower_test.go
+++ b/rollout/follower_test.go
@@ -25,8 +25,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// rollOutAll rolls out the bundles with the given digests, in order, and returns the
-// signed head after each.
+// rollOutAll rolls out the bundles with the given digests as asta, in order, and returns
+// the signed head after each rollout.
 func (env *testEnv) rollOutAll(digests ...string) [][]byte {
 	env.t.Helper()
 	var heads [][]byte
--- a/rollout/metrics.go
+++ b/rollout/metrics.go
@@ -16,7 +16,7 @@
 	readsFailed  *metrics.Counter // reads of the head that failed
 	readsSkipped *metrics.Counter // reads of the head that were not started, because maxConcurrentReads were in flight
 	watches      *metrics.Counter // watches of the head started
-	changes      *metrics.Counter // changes of the revision in force
+	changes      *metrics.Counter // changes of the revision in force on this VM
 }
 
 // newFollowerMetrics registers the metrics in set, or in a private set if set is
--- a/rollout/next.go
+++ b/rollout/next.go
@@ -71,12 +71,12 @@
 	}
 }
 
-// Change holds the fields of an entry that come from the operator.
+// Change holds the fields of an Entry, an accepted change, that come from the operator.
 type Change struct {
 	Op     OpID
-	Person string // the operator
-	Reason string
-	At     time.Time // by the operator's clock
+	Person string    // the operator
+	Reason string    // why the operator makes the change
+	At     time.Time // when the change was made, by the operator's clock
 }
 
 // Approved is a bundle with the sign-off that allows its rollout.
@@ -204,7 +204,8 @@
 	return kept
 }
 
-// Outcome is the outcome of an operation, as far as known.
+// Outcome is the outcome of an operation (an operator's attempt to make a change), as far
+// as known.
 type Outcome int
 
 // The outcomes.
--- a/rollout/race_test.go
+++ b/rollout/race_test.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	raceOperators = 4 // operators that make changes at the same time
-	raceChanges   = 5 // changes by each operator
-	raceFollowers = 3 // VMs that follow the head
+	raceOperators = 4 // number of operators in a race, who make changes at the same time
+	raceChanges   = 5 // number of changes that each operator of a race makes
+	raceFollowers = 3 // number of VMs that follow the head during a race
 )
 
 // changeResult is the result that an operator got for one operation.
 type changeResult struct {
 	op       OpID
 	revision uint64 // that the operation's change was to get
-	accepted bool
+	accepted bool   // false if another change got the revision
 }
 
 // headModel models the head, for porcupine, as a register that holds the revision. A
--- a/rollout/refusal.go
+++ b/rollout/refusal.go
@@ -19,7 +19,7 @@
 	Digest     string      `json:"digest"` // of the bundle to roll out or recall
 	Reason     string      `json:"reason"` // why the operator wanted the change
 	Person     string      `json:"person"` // operator who requested the change
-	At         time.Time   `json:"at"`     // by the operator's clock
+	At         time.Time   `json:"at"`     // when the refusal was recorded, by the operator's clock
 	Code       result.Code `json:"code"`   // why the change was refused
 	Detail     string      `json:"detail"` // text of the error
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -16,14 +16,14 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// eventTimeout bounds waits for an expected event.
+// eventTimeout bounds each wait for an event that must happen.
 const eventTimeout = 20 * time.Second
 
-// testEnv holds the people, keys and store that the tests share.
+// testEnv holds the store, the people's keys and the bundle that one test uses.
 type testEnv struct {
 	t     *testing.T
 	store *platformsim.Store
-	keys  *bundle.Keyring
+	keys  *bundle.Keyring               // the people's public keys
 	priv  map[string]*bundle.PrivateKey // by person
 	data  []byte                        // bundle written by sigrun
 }
