--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -38,7 +38,7 @@
 type Service struct {
 	Name    string   `json:"name"`
 	Shards  int      `json:"shards"` // number of shards in the partition map when the bundle was written
-	Drain   Drain    `json:"drain"`
+	Drain   Drain    `json:"drain"`  // how VMs detect that the targets start, fail or leave
 	Targets []Target `json:"targets"`
 }
 
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -25,7 +25,7 @@
 	return data
 }
 
-// testKey returns a new private key of the person.
+// testKey returns a new private key of the person, with the given key id.
 func testKey(t *testing.T, id, person string) *PrivateKey {
 	t.Helper()
 	key, err := NewPrivateKey(id, person)
@@ -45,7 +45,8 @@
 	return ring
 }
 
-// An operator starts from an example. It must be valid and cause no warning.
+// An operator starts from one of the example bundles in the folder examples. Each must be
+// valid and cause no warning.
 func TestExamplesPassAllChecks(t *testing.T) {
 	for _, name := range []string{"vatnsleit", "pletenica"} {
 		g := NewWithT(t)
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -21,17 +21,17 @@
 
 // Upper bounds of the numbers in a bundle.
 const (
-	maxVMs           = 5000   // VMs of the deployment
-	maxShards        = 10000  // shards of a service
-	maxTargets       = 10000  // targets of a service; also zones, services and searches of a bundle
-	maxLeaves        = 1000   // leaves of a target
-	maxSlots         = 1000   // requests that one leaf runs at once
-	maxConnections   = 100000 // connections that a target accepts from all VMs together
-	maxConnectCostMS = 60000  // milliseconds that a target needs to accept one connection
-	maxTimeMS        = 600000 // milliseconds of any time in a bundle but connect_cost_ms: 10 minutes
-	maxSuspectAfter  = 100    // reads of a target's status that fail in a row until the target counts as lost
-	maxAttempts      = 10     // attempts per shard
-	maxItems         = 10000  // result items that a caller may request
+	maxVMs           = 5000   // largest Fleet.MaxVMs, the number of VMs of the deployment
+	maxShards        = 10000  // largest number of shards of a service
+	maxTargets       = 10000  // largest number of targets of a service; also of zones, services and searches of a bundle
+	maxLeaves        = 1000   // largest number of leaves of a target
+	maxSlots         = 1000   // largest Target.Slots, the number of requests that one leaf runs at once
+	maxConnections   = 100000 // largest Target.Connections, the number that a target accepts from all VMs together
+	maxConnectCostMS = 60000  // largest Target.ConnectCostMS, the milliseconds that a target needs to accept one connection
+	maxTimeMS        = 600000 // longest time in a bundle, in milliseconds (10 minutes); connect_cost_ms has its own limit
+	maxSuspectAfter  = 100    // largest Drain.SuspectAfter, the number of failed status reads in a row until a target counts as lost
+	maxAttempts      = 10     // largest Retry.MaxAttempts, the number of attempts per shard
+	maxItems         = 10000  // largest Search.MaxItems, the number of result items that a caller may request
 )
 
 // Parse decodes and checks a bundle. If the JSON can't be decoded, it returns the
@@ -66,12 +66,12 @@
 	findings []Finding
 }
 
-// add adds a finding.
+// add adds a finding: the path of the value, what was found there and what is allowed.
 func (c *checker) add(path, found, allowed string) {
 	c.findings = append(c.findings, Finding{Path: path, Found: found, Allowed: allowed})
 }
 
-// equal adds a finding unless found is the only allowed value.
+// equal adds a finding unless found equals allowed, the only valid value.
 func (c *checker) equal(path string, found, allowed int) {
 	if found != allowed {
 		c.add(path, strconv.Itoa(found), strconv.Itoa(allowed))
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -32,9 +32,9 @@
 // that no store or codec in between can reformat the signed bytes.
 type Signed struct {
 	Purpose   Purpose `json:"purpose"`
-	Key       string  `json:"key"`     // id of the signing key
-	Payload   []byte  `json:"payload"` // the signed bytes: a bundle, or the JSON of a sign-off, entry or refusal
-	Signature []byte  `json:"signature"`
+	Key       string  `json:"key"`       // id of the signing key
+	Payload   []byte  `json:"payload"`   // the signed bytes: a bundle, or the JSON of a sign-off, entry or refusal
+	Signature []byte  `json:"signature"` // Ed25519 signature of signedMessage(Purpose, Payload)
 }
 
 // Sign returns payload with a signature by key that is valid for one purpose.
@@ -128,7 +128,7 @@
 	Digest     string    `json:"digest"` // of the approved bundle
 	Person     string    `json:"person"` // who approves the bundle
 	After      uint64    `json:"after"`  // revision in force when the sign-off was signed; a recall of the bundle in a later revision invalidates it
-	At         time.Time `json:"at"`     // by the person's clock
+	At         time.Time `json:"at"`     // when the sign-off was signed, by the person's clock
 	Reason     string    `json:"reason"` // why the person approves the bundle
 }
 
