--- a/objstore/api.go
+++ b/objstore/api.go
@@ -41,16 +41,16 @@
 // EventJSON is one change of an object in the answer to a watch.
 type EventJSON struct {
 	Name     string `json:"name"`
-	Version  uint64 `json:"version"`  // of the object after the change
-	Revision uint64 `json:"revision"` // of the store after the change; increases with each write to the store
-	Deleted  bool   `json:"deleted,omitempty"`
+	Version  uint64 `json:"version"`           // of the object after the change
+	Revision uint64 `json:"revision"`          // of the store after the change; increases with each write to the store
+	Deleted  bool   `json:"deleted,omitempty"` // the change deleted the object
 }
 
 // WatchResultJSON is the answer to a watch. Events is empty if no object changed
 // within the platform's own wait limit.
 type WatchResultJSON struct {
 	Events   []EventJSON `json:"events"`
-	Revision uint64      `json:"revision"` // of the store; a watch since this revision reports the changes that follow
+	Revision uint64      `json:"revision"` // of the store, up to which changes are reported; since of the next watch
 }
 
 // VMsJSON is the answer to a request for the list of VMs.
--- a/objstore/client.go
+++ b/objstore/client.go
@@ -185,18 +185,18 @@
 	return ans.VMs, nil
 }
 
-// request describes one call.
+// request describes one call of the platform's HTTP interface.
 type request struct {
 	method      string
-	path        string // escaped, including the query
-	ifMatch     string // the If-Match header; empty for none
-	ifNoneMatch string // the If-None-Match header; empty for none
-	body        []byte
+	path        string        // escaped, including the query
+	ifMatch     string        // the If-Match header; empty for none
+	ifNoneMatch string        // the If-None-Match header; empty for none
+	body        []byte        // empty for none
 	limit       int64         // size of the largest accepted answer, in bytes; 0 means maxListBytes
 	timeout     time.Duration // time limit of the call; 0 means ClientOptions.CallTimeout
 }
 
-// answer is a successful answer with its complete body.
+// answer is the platform's successful answer to a request, with its complete body.
 type answer struct {
 	header http.Header
 	body   []byte
--- a/objstore/objstore.go
+++ b/objstore/objstore.go
@@ -26,7 +26,7 @@
 	Name     string
 	Version  uint64 // of the object after the change
 	Revision uint64 // of the store after the change; increases with each write to the store
-	Deleted  bool
+	Deleted  bool   // the change deleted the object
 }
 
 // Page is a part of a listing, in name order.
@@ -36,10 +36,10 @@
 	More     bool   // more objects follow the last one
 }
 
-// WatchResult is the result of one call of Watch.
+// WatchResult is the result of one call of Store.Watch.
 type WatchResult struct {
 	Events   []Event
-	Revision uint64 // of the store; the argument since of the next call of Watch
+	Revision uint64 // of the store, up to which changes are reported; pass it as since to the next call of Watch
 }
 
 // VM is an entry of the platform's list of VMs. The list may be out of date.
@@ -47,7 +47,7 @@
 	Name    string `json:"name"`
 	Address string `json:"address"` // IP and port for connections from other VMs
 	Ops     string `json:"ops"`     // IP and port of the operators' page
-	Zone    string `json:"zone"`
+	Zone    string `json:"zone"`    // availability zone
 	Leaving bool   `json:"leaving"` // the VM is about to stop
 }
 
