--- a/settings/load.go
+++ b/settings/load.go
@@ -17,7 +17,7 @@
 // is twice this length.
 const MinFleetKeyBytes = 32
 
-// MaxLameDuckMS is the largest value of Settings.LameDuckMS, in milliseconds.
+// MaxLameDuckMS is the largest value of Settings.LameDuckMS: 5 minutes, in milliseconds.
 const MaxLameDuckMS = 300_000
 
 // Load reads and validates a settings file. Errors have code BadSettings. For invalid
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -91,7 +91,8 @@
 	NewWithT(t).Expect(parse(t, s)).To(MatchError(Not(ContainSubstring("c2VjcmV0"))))
 }
 
-// An operator starts from the example. It must be valid.
+// An operator starts from the example settings. They must be valid, or the daemon would not
+// start with them.
 func TestExampleIsValid(t *testing.T) {
 	_, err := Load("../examples/bramleyd.json")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
