--- a/operator/app.go
+++ b/operator/app.go
@@ -44,7 +44,8 @@
 	stdout io.Writer
 	stderr io.Writer
 	format string // formatText or formatJSON
-	// errorPrinted means that the command's output already contains its error.
+	// errorPrinted means that the command's output already contains its error, so that
+	// Run does not print it again.
 	errorPrinted bool
 }
 
--- a/operator/audit.go
+++ b/operator/audit.go
@@ -24,8 +24,8 @@
 type AuditRow struct {
 	Accepted bool           `json:"accepted"`
 	Revision uint64         `json:"revision,omitempty"` // of an accepted change
-	At       time.Time      `json:"at"`
-	Person   string         `json:"person"`
+	At       time.Time      `json:"at"`                 // when the person made the change or attempt, by the person's clock
+	Person   string         `json:"person"`             // operator who requested the change
 	Action   rollout.Action `json:"action"`
 	Digest   string         `json:"digest"`             // of the bundle that was to be rolled out or recalled
 	InForce  string         `json:"in_force,omitempty"` // digest of the bundle that the change put into force
@@ -33,7 +33,7 @@
 	Reason   string         `json:"reason"`             // as the person stated it
 	Op       rollout.OpID   `json:"op,omitempty"`       // operation id
 	Code     result.Code    `json:"code,omitempty"`     // why an attempt was refused; 0 for an accepted change
-	Detail   string         `json:"detail,omitempty"`   // of Code
+	Detail   string         `json:"detail,omitempty"`   // text of the error with Code
 }
 
 func (a *app) auditCommand() *cli.Command {
@@ -128,9 +128,9 @@
 // auditFilter selects rows of the audit trail. Its fields hold the flags of the command
 // audit; a field that is zero excludes no row.
 type auditFilter struct {
-	person, action, digest string
-	since, until           time.Time
-	last                   int // maximum number of rows; the latest are kept
+	person, action, digest string    // digest may be the beginning of a digest
+	since, until           time.Time // since is included, until is not
+	last                   int       // maximum number of rows; the latest are kept
 }
 
 // newAuditFilter reads the filter from the flags of the command audit.
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -197,7 +197,8 @@
 // argHead is the argument that stands for the bundle in force, in place of a digest.
 const argHead = "head"
 
-// minDigestPrefix is the least number of digits that may abbreviate a digest.
+// minDigestPrefix is the least number of leading digits that may stand for a whole digest
+// in an argument.
 const minDigestPrefix = 6
 
 // resolveDigest returns the full digest that arg stands for. For argHead it is that of the
--- a/operator/changes.go
+++ b/operator/changes.go
@@ -101,7 +101,8 @@
 	Recalled string         `json:"recalled,omitempty"` // digest of the recalled bundle
 }
 
-// changeFunc is Client.Rollout or Client.Recall.
+// changeFunc is rollout.Client.Rollout or rollout.Client.Recall. The string is the digest of
+// the bundle.
 type changeFunc func(*rollout.Client, context.Context, string, rollout.Request) (rollout.Entry, error)
 
 // runChange calls change with the command's digest and flags and prints the result. If
@@ -149,7 +150,8 @@
 	return t
 }
 
-// pollInterval is the pause between two reads of the VMs' status pages.
+// pollInterval is the pause between two reads of the VMs' status pages, while the command
+// waits until a change is in force on all of them.
 const pollInterval = 200 * time.Millisecond
 
 // waitForFleet reads the VMs' status pages until each VM has the revision in force. After
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -22,14 +22,14 @@
 
 // Limits on reading VMs' status pages.
 const (
-	maxStatusReads = 32          // status pages that are read concurrently
-	maxStatusBytes = 64 << 10    // largest status page that is read
-	statusTimeout  = time.Second // for the read of one status page
+	maxStatusReads = 32          // number of VMs' status pages that are read concurrently
+	maxStatusBytes = 64 << 10    // size of the largest status page of a VM that is read, in bytes
+	statusTimeout  = time.Second // time limit for the read of one VM's status page
 )
 
-// VMRow is the state of one VM.
+// VMRow is the state of one VM, as status shows it.
 type VMRow struct {
-	VM            string      `json:"vm"`               // name; or address if it is from --vm or the settings
+	VM            string      `json:"vm"`               // name; or address of its operators' page, if that is from --vm or the settings
 	ListedLeaving bool        `json:"listed_leaving"`   // the platform lists the VM as leaving
 	Error         string      `json:"error,omitempty"`  // why Status could not be read
 	Status        *ops.Status `json:"status,omitempty"` // nil if it could not be read
@@ -104,8 +104,8 @@
 
 // progress says on how many VMs a revision is in force.
 type progress struct {
-	done bool // in force on all VMs
-	text string
+	done bool   // the revision is in force on all VMs
+	text string // for the operator: the number of VMs with the revision, and the names of the others
 }
 
 // fleetProgress counts the VMs that have the revision or a higher one in force and names
@@ -147,7 +147,7 @@
 	Head      *rollout.Entry `json:"head"`                 // nil if nothing was rolled out or HeadError is set
 	HeadError string         `json:"head_error,omitempty"` // why the head could not be read
 	VMs       []VMRow        `json:"vms"`
-	Warnings  []string       `json:"warnings"` // see session.warnings
+	Warnings  []string       `json:"warnings"` // faults that the other fields don't show but that will cause failures later
 }
 
 // warnings describes faults that the rest of the status doesn't show but that will cause
--- a/operator/keys.go
+++ b/operator/keys.go
@@ -11,7 +11,7 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// keyFileMode makes a private key readable by its owner only.
+// keyFileMode is the mode of a new private key file: only the file's owner may read it.
 const keyFileMode = 0o600
 
 func (a *app) keygenCommand() *cli.Command {
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -90,7 +90,7 @@
 	return e
 }
 
-// exampleFile is a valid bundle whose author is sigrun.
+// exampleFile is the path of a valid bundle whose author is sigrun.
 const exampleFile = "../examples/vatnsleit.json"
 
 // pushExample pushes the example bundle as its author and returns its digest.
--- a/operator/output.go
+++ b/operator/output.go
@@ -11,14 +11,14 @@
 
 // The formats of the output.
 const (
-	formatText = "text"
-	formatJSON = "json"
+	formatText = "text" // aligned columns
+	formatJSON = "json" // indented JSON
 )
 
 // table is the text form of a command's output.
 type table struct {
-	header []string // column names; may be empty
-	rows   [][]string
+	header []string   // column names; may be empty
+	rows   [][]string // cells of each row
 }
 
 // add appends a row with these cells.
@@ -62,7 +62,7 @@
 type errorJSON struct {
 	Code   result.Code `json:"code"`
 	Name   string      `json:"name"`
-	Detail string      `json:"detail"`
+	Detail string      `json:"detail"`         // text of the error
 	Next   string      `json:"next,omitempty"` // what the operator should do
 }
 
