--- a/logging/writer.go
+++ b/logging/writer.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	queueLines    = 512                    // lines that may wait to be written; further ones are dropped
-	maxWriteBytes = 32 << 10               // queued lines are joined to one write until it has at least this size
-	flushTimeout  = 200 * time.Millisecond // longest time that flush waits for lines to be written
+	queueLines      = 512                    // lines that may wait to be written; further ones are dropped
+	writeBatchBytes = 32 << 10               // queued lines are joined to one write until it has at least this size
+	flushTimeout    = 200 * time.Millisecond // longest time that flush waits for lines to be written
 )
 
 // asyncWriter writes lines to an output from a goroutine of its own, so that callers never
@@ -48,7 +48,7 @@
 func (w *asyncWriter) run() {
 	for line := range w.lines {
 		count := int64(1)
-		for len(line) < maxWriteBytes && len(w.lines) > 0 {
+		for len(line) < writeBatchBytes && len(w.lines) > 0 {
 			line = append(line, <-w.lines...)
 			count++
 		}
