--- a/logging/logging.go
+++ b/logging/logging.go
@@ -15,8 +15,8 @@
 
 // Limits on the lines that one logger writes, all its components together.
 const (
-	linesPerSecond = 200 // mean rate of lines; further ones are dropped
-	burstLines     = 400 // lines that may be written at once after a pause, whatever the rate
+	linesPerSecond = 200 // largest mean rate at which a logger writes lines; further lines are dropped
+	burstLines     = 400 // number of lines that a logger may write at once if it wrote few before, whatever the rate
 )
 
 // Levels lists the level names that settings may contain.
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -9,10 +9,10 @@
 	"github.com/onsi/gomega"
 )
 
-// countingValuer is a logged value that counts how often it is formatted.
+// countingValuer is a logged value that counts in calls how often it is formatted.
 type countingValuer struct{ calls *int }
 
-// LogValue implements slog.LogValuer.
+// LogValue implements slog.LogValuer. It counts the call and returns a fixed value.
 func (c countingValuer) LogValue() slog.Value {
 	*c.calls++
 	return slog.StringValue("costly")
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	queueLines      = 512                    // lines that may wait to be written; further ones are dropped
-	writeBatchBytes = 32 << 10               // queued lines are joined to one write until it has at least this size
+	queueLines      = 512                    // number of lines that may wait to be written; further ones are dropped
+	writeBatchBytes = 32 << 10               // size, in bytes, from which on a write is not joined with further queued lines
 	flushTimeout    = 200 * time.Millisecond // longest time that flush waits for lines to be written
 )
 
--- a/logging/writer_test.go
+++ b/logging/writer_test.go
@@ -12,12 +12,12 @@
 
 // blockedWriter blocks each write until release is closed.
 type blockedWriter struct {
-	release chan struct{}
-	mu      sync.Mutex // guards written
+	release chan struct{} // closed by the test to let the writes continue
+	mu      sync.Mutex    // guards written
 	written bytes.Buffer
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It blocks until release is closed.
 func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	w.mu.Lock()
@@ -51,10 +51,10 @@
 type slowWriter struct {
 	mu      sync.Mutex // guards the fields below
 	written bytes.Buffer
-	writes  int
+	writes  int // number of calls of Write
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It takes 5 ms.
 func (w *slowWriter) Write(p []byte) (int, error) {
 	time.Sleep(5 * time.Millisecond)
 	w.mu.Lock()
