--- a/ops/status.go
+++ b/ops/status.go
@@ -24,12 +24,12 @@
 	Ready       bool      `json:"ready"`       // the VM should receive callers' requests
 	Leaving     bool      `json:"leaving"`     // the VM is shutting down
 
-	Revision uint64    `json:"revision"`          // of the bundle in force; 0 before the first
+	Revision uint64    `json:"revision"`          // in force on this VM: number of the last change that it applied; 0 before the first
 	Digest   string    `json:"digest"`            // of the bundle in force
 	Since    time.Time `json:"since"`             // when Revision came into force on this VM
 	Refused  string    `json:"refused,omitempty"` // why the last offered head was refused; empty if a head came into force since
 
 	PlatformReachable bool      `json:"platform_reachable"` // the last successful read from the platform is recent
 	PlatformContact   time.Time `json:"platform_contact"`   // time of the last successful read from the platform
-	Peers             int       `json:"peers"`              // other VMs that sent a message recently
+	Peers             int       `json:"peers"`              // number of other VMs that sent a message recently
 }
