--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -36,7 +36,7 @@
 // member is one field of an object.
 type member struct {
 	name  string
-	value any
+	value any // as readValue returns it
 }
 
 // object is a parsed JSON object. It holds its members in the order of the document
@@ -133,7 +133,7 @@
 // decoder copies a parsed document into Go values and collects findings.
 type decoder struct {
 	findings []Finding
-	omitted  int // findings beyond MaxFindings
+	omitted  int // number of findings beyond MaxFindings, which are not kept
 }
 
 // add adds a finding, or only counts it if there are MaxFindings already.
--- a/internal/strictjson/strictjson_test.go
+++ b/internal/strictjson/strictjson_test.go
@@ -10,7 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// sample has a field of each kind that a document may have.
+// sample is the struct that the tests decode into. It has a field of each kind that a
+// document may have.
 type sample struct {
 	Name  string    `json:"name"`
 	Count int32     `json:"count,omitempty"`
