--- a/cmd/bramley-lab/demo.go
+++ b/cmd/bramley-lab/demo.go
@@ -19,13 +19,13 @@
 
 // Sizes and limits of the demo.
 const (
-	demoTargets  = 4           // number of targets
-	demoLeaves   = 2           // leaves of each target
-	demoShards   = 4           // shards of the index
-	demoReplicas = 2           // replicas of each shard
-	demoRecords  = 400         // records in the index, all shards together
+	demoTargets  = 4           // number of targets of the demo's deployment
+	demoLeaves   = 2           // number of leaves of each target
+	demoShards   = 4           // number of shards of the demo's index
+	demoReplicas = 2           // number of replicas of each shard
+	demoRecords  = 400         // number of records in the demo's index, all shards together
 	demoVMs      = 2           // number of VMs, each of which is a daemon process
-	demoTimeout  = time.Minute // bounds the start and all requests together
+	demoTimeout  = time.Minute // time limit for the start of the deployment and all requests of the demo together
 	demoPort     = 8001        // port where the first VM serves callers; each further VM uses the next port. docs/API.md refers to it
 )
 
