--- a/once/relay_state_test.go
+++ b/once/relay_state_test.go
@@ -8,10 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestRelayStateProperties draws random events and checks that an operation is relayed
-// only until relayDeadline, and never again after a missing answer. It must always end
-// with a final verdict or this VM's own update. Once another VM may apply the
-// operation, mayApplyElsewhere must stay set.
+// TestRelayStateProperties guards against an operation that is relayed without end, and
+// against a claim that another VM adds after it was given up. It draws random events.
+// An operation must be relayed only until relayDeadline, and never again after a
+// missing answer. It must always end with a final verdict or this VM's own update. Once
+// another VM may apply the operation, mayApplyElsewhere must stay set.
 func TestRelayStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
--- a/once/segment_test.go
+++ b/once/segment_test.go
@@ -27,10 +27,11 @@
 	return o
 }
 
-// TestSegmentProperties applies random batches to a segment. A key has one holder
-// at a time; a key with an outcome never changes again; a batch without a release
-// changes nothing when it is applied a second time; the encoded form decodes to the
-// same segment and fits into an object's value.
+// TestSegmentProperties guards against a key that two operations hold, an outcome that
+// is lost or replaced, and a segment that cannot be stored. It applies random batches
+// to a segment. A key has one holder at a time; a key with an outcome never changes
+// again; a batch without a release changes nothing when it is applied a second time;
+// the encoded form decodes to the same segment and fits into an object's value.
 func TestSegmentProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
