--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -72,7 +72,7 @@
 // BundleInfo describes one bundle on the platform. Deployment, Name and Author are
 // taken from the bundle's content, and are empty if the bundle has a fault.
 type BundleInfo struct {
-	Digest     string `json:"digest"`
+	Digest     string `json:"digest"` // identifies the bundle
 	Deployment string `json:"deployment"`
 	Name       string `json:"name"`
 	Author     string `json:"author"`
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -50,14 +50,14 @@
 
 // PastBundle is a bundle that was in force earlier and has not been recalled since.
 type PastBundle struct {
-	Digest   string `json:"digest"`
+	Digest   string `json:"digest"`   // of the bundle
 	Revision uint64 `json:"revision"` // last revision with this bundle in force
 }
 
 // Recall says that a bundle was recalled. Sign-offs of the bundle that were made
 // before the recall's revision was in force are invalid.
 type Recall struct {
-	Digest   string `json:"digest"`
+	Digest   string `json:"digest"`   // of the recalled bundle
 	Revision uint64 `json:"revision"` // revision of the entry that recalled the bundle
 }
 
--- a/rollout/metrics.go
+++ b/rollout/metrics.go
@@ -11,7 +11,7 @@
 // followerMetrics counts the reads, watches, changes and refused heads of a
 // Follower.
 type followerMetrics struct {
-	set          *metrics.Set
+	set          *metrics.Set     // in which the metrics are registered
 	reads        *metrics.Counter // reads of the head that the platform answered
 	readsFailed  *metrics.Counter // reads of the head that failed
 	readsSkipped *metrics.Counter // reads of the head that were not started, because maxConcurrentReads were in flight
--- a/rollout/race_test.go
+++ b/rollout/race_test.go
@@ -23,7 +23,7 @@
 
 // changeResult is the result that an operator got for one operation.
 type changeResult struct {
-	op       OpID
+	op       OpID   // id of the operation
 	revision uint64 // that the operation's change was to get
 	accepted bool   // false if another change got the revision
 }
--- a/rollout/refusal.go
+++ b/rollout/refusal.go
@@ -15,13 +15,13 @@
 type Refusal struct {
 	Deployment string      `json:"deployment"`
 	Op         OpID        `json:"op,omitempty"` // empty if the change was refused before it had an operation id
-	Action     Action      `json:"action"`
-	Digest     string      `json:"digest"` // of the bundle to roll out or recall
-	Reason     string      `json:"reason"` // why the operator wanted the change
-	Person     string      `json:"person"` // operator who requested the change
-	At         time.Time   `json:"at"`     // when the refusal was recorded, by the operator's clock
-	Code       result.Code `json:"code"`   // why the change was refused
-	Detail     string      `json:"detail"` // text of the error
+	Action     Action      `json:"action"`       // that the operator wanted: rollout or recall
+	Digest     string      `json:"digest"`       // of the bundle to roll out or recall
+	Reason     string      `json:"reason"`       // why the operator wanted the change
+	Person     string      `json:"person"`       // operator who requested the change
+	At         time.Time   `json:"at"`           // when the refusal was recorded, by the operator's clock
+	Code       result.Code `json:"code"`         // why the change was refused
+	Detail     string      `json:"detail"`       // text of the error
 }
 
 // refusalTimeout bounds how long an operator waits until the refusal of a change is
