--- a/operator/audit.go
+++ b/operator/audit.go
@@ -22,11 +22,11 @@
 
 // AuditRow is one accepted change, or one refused attempt.
 type AuditRow struct {
-	Accepted bool           `json:"accepted"`
+	Accepted bool           `json:"accepted"`           // the row is an accepted change; else a refused attempt
 	Revision uint64         `json:"revision,omitempty"` // of an accepted change
 	At       time.Time      `json:"at"`                 // when the person made the change or attempt, by the person's clock
 	Person   string         `json:"person"`             // operator who requested the change
-	Action   rollout.Action `json:"action"`
+	Action   rollout.Action `json:"action"`             // rollout or recall
 	Digest   string         `json:"digest"`             // of the bundle that was to be rolled out or recalled
 	InForce  string         `json:"in_force,omitempty"` // digest of the bundle that the change put into force
 	Before   string         `json:"before,omitempty"`   // digest of the bundle that was in force before the change
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -31,7 +31,7 @@
 
 // CheckOutput is the output of bundle check.
 type CheckOutput struct {
-	Digest   string           `json:"digest"`
+	Digest   string           `json:"digest"`   // of the bundle in the file
 	Bytes    int              `json:"bytes"`    // size of the file
 	Findings []bundle.Finding `json:"findings"` // errors; the bundle is invalid if there are any
 	Warnings []bundle.Finding `json:"warnings"` // about a valid bundle; none if there are findings
--- a/operator/changes.go
+++ b/operator/changes.go
@@ -90,7 +90,7 @@
 
 // ChangeOutput is the output of rollout and recall.
 type ChangeOutput struct {
-	DryRun   bool           `json:"dry_run,omitempty"`
+	DryRun   bool           `json:"dry_run,omitempty"`  // nothing was written
 	Outcome  string         `json:"outcome"`            // "accepted", or "would be written" with --dry-run
 	Op       rollout.OpID   `json:"op"`                 // operation id, for --op when the command is run again
 	Revision uint64         `json:"revision"`           // of the change
