--- a/ops/status.go
+++ b/ops/status.go
@@ -16,8 +16,8 @@
 
 // Status is the state of one VM as it reports it.
 type Status struct {
-	VM          string    `json:"vm"`
-	Zone        string    `json:"zone"`
+	VM          string    `json:"vm"`   // name of the VM
+	Zone        string    `json:"zone"` // availability zone of the VM
 	Deployment  string    `json:"deployment"`
 	Incarnation string    `json:"incarnation"` // random id of the daemon's process
 	Started     time.Time `json:"started"`     // when the daemon's process started
