--- a/registry/registry.go
+++ b/registry/registry.go
@@ -12,7 +12,7 @@
 type Leaf struct {
 	ID       string // identifies the leaf; a later incarnation may have the same id
 	Born     int64  // start of this incarnation, in Unix milliseconds
-	Service  string
+	Service  string // name of the service whose requests the leaf runs
 	Address  string // IP and port; another leaf may reuse it after this one is removed
 	Zone     string // availability zone
 	Slots    int    // requests that the leaf can run concurrently
