--- a/result/code.go
+++ b/result/code.go
@@ -74,9 +74,9 @@
 type Info struct {
 	Code  Code
 	Name  string
-	HTTP  int // HTTP status of the answer to a caller
-	Ran   Ran
-	Retry Retry
+	HTTP  int    // HTTP status of the answer to a caller
+	Ran   Ran    // whether a target ran the request
+	Retry Retry  // whether sending the same request again makes sense
 	Text  string // one sentence: what happened and what to change
 }
 
