--- a/once/relay/link.go
+++ b/once/relay/link.go
@@ -32,8 +32,8 @@
 
 // answer is the result of relaying one operation.
 type answer struct {
-	reply    Reply // of the other VM; set only if delivery is Answered
-	delivery Delivery
+	reply    Reply    // of the other VM; set only if delivery is Answered
+	delivery Delivery // whether the operation reached the other VM
 }
 
 // run is the link's goroutine. If it can't connect, the VM is not chosen to commit
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithTimeout(k.parent.ctx, k.parent.opts.ResponseTimeout)
 	defer cancel()
 	o := k.parent.opts.Fleet.WireOptions()
-	o.Use = Use
+	o.Use = ConnectionUse
 	o.Handler = nil // the other VM makes no calls on this connection
 	conn, err := wire.Dial(ctx, k.vm.Address, o, &wire.Counters{})
 	if err != nil {
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -31,7 +31,7 @@
 
 // CheckOutput is the output of bundle check.
 type CheckOutput struct {
-	Digest   string           `json:"digest"`
+	Digest   string           `json:"digest"`   // of the bundle in the file
 	Bytes    int              `json:"bytes"`    // size of the file
 	Findings []bundle.Finding `json:"findings"` // errors; the bundle is invalid if there are any
 	Warnings []bundle.Finding `json:"warnings"` // about a valid bundle; none if there are findings
@@ -197,7 +197,8 @@
 // argHead is the argument that stands for the bundle in force, in place of a digest.
 const argHead = "head"
 
-// minDigestPrefix is the least number of digits that may abbreviate a digest.
+// minDigestPrefix is the least number of leading digits that may stand for a whole digest
+// in an argument.
 const minDigestPrefix = 6
 
 // resolveDigest returns the full digest that arg stands for. For argHead it is that of the
