--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -125,17 +125,17 @@
 	}
 }
 
-// latePartShare is the time that a leaf is given for a late shard of a gathered request, as a
+// lateAttemptShare is the time that a leaf is given for a late shard of a gathered request, as a
 // share of the latency objective. A shard is late if its answer can no longer be expected before
 // AnswerBy, the time at which the request is answered with the parts received so far. If the
 // request needs a late shard, its answer is late too, which is better than a failure. Late shards
 // are sent only to leafs with a free slot.
-const latePartShare = 0.5
+const lateAttemptShare = 0.5
 
 // usefulUntil returns the time from which the answer to an attempt that is sent now is useless.
 // For a request to a single service it is the deadline. For a gathered request it is AnswerBy,
 // when the request is answered with the parts received so far. If a typical attempt would end
-// after AnswerBy, the result is latePartShare of the latency objective from now instead. It is
+// after AnswerBy, the result is lateAttemptShare of the latency objective from now instead. It is
 // never after the deadline.
 //
 // Parts of a gathered answer are useless once the answer was sent. The time until the caller's
@@ -149,7 +149,7 @@
 	if now.Add(typical).Before(q.spec.AnswerBy) {
 		return earlier(q.spec.AnswerBy, q.spec.Deadline)
 	}
-	lateUntil := now.Add(time.Duration(latePartShare * float64(q.spec.LatencyObjective)))
+	lateUntil := now.Add(time.Duration(lateAttemptShare * float64(q.spec.LatencyObjective)))
 	return earlier(lateUntil, q.spec.Deadline)
 }
 
