--- a/policy/admission.go
+++ b/policy/admission.go
@@ -128,7 +128,7 @@
 	// keep the slots busy until the next query arrives; a longer one only delays all
 	// callers.
 	wait := a.expectedWait(len(a.queue) + 1)
-	if float64(wait) > maxWaitPerQueryDuration*float64(a.expectedDuration()) || now.Add(wait+a.expectedDuration()).After(deadline) || float64(len(a.queue)) >= a.limit*maxQueuedPerLimit {
+	if float64(wait) > maxWaitPerQueryDuration*float64(a.durationBound()) || now.Add(wait+a.durationBound()).After(deadline) || float64(len(a.queue)) >= a.limit*maxQueuedPerLimit {
 		return Verdict{Ticket: id, Decision: Refuse, RetryAfter: a.retryAfter(wait)}
 	}
 	a.queue = append(a.queue, &ticket{id: id, deadline: deadline})
@@ -150,10 +150,10 @@
 	return time.Duration(n) * interval
 }
 
-// expectedDuration returns the time within which nearly every query ends once it
+// durationBound returns the time within which nearly every query ends once it
 // runs. With only the mean left before its deadline, every second query would be
 // late, and the slots that it used would be wasted.
-func (a *Admission) expectedDuration() time.Duration {
+func (a *Admission) durationBound() time.Duration {
 	return a.meanDuration + maxDurationDeviations*a.durationDeviation
 }
 
@@ -244,7 +244,7 @@
 	var out []Verdict
 	for len(a.queue) > 0 {
 		head := a.queue[0]
-		missesDeadline := now.Add(a.expectedDuration()).After(head.deadline)
+		missesDeadline := now.Add(a.durationBound()).After(head.deadline)
 		if !missesDeadline && !a.hasCapacity() {
 			break
 		}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -135,6 +135,6 @@
 			a.Arrive(at(ms), at(ms+1000))
 		}
 	}
-	g.Expect(a.expectedDuration()).To(BeNumerically("~", 60*time.Millisecond, 10*time.Millisecond))
-	g.Expect(a.expectedWait(len(a.queue))).To(BeNumerically("<=", a.expectedDuration()*2/3))
+	g.Expect(a.durationBound()).To(BeNumerically("~", 60*time.Millisecond, 10*time.Millisecond))
+	g.Expect(a.expectedWait(len(a.queue))).To(BeNumerically("<=", a.durationBound()*2/3))
 }
