--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -8,11 +8,14 @@
 
 // Admission of gathered requests.
 //
+// A gathered request has several shards, and its answer may leave some of them out. A part of the
+// request is what it sends to one shard.
+//
 // The problem: some shards have fewer slots than requests need, since a leaf is slow,
 // unreachable or stopped. Once there are more such shards than an answer may leave out, no
 // request is answered in time, although the slots would suffice for most requests. Each
 // request waits behind parts of others that are equally late, occupies slots of all other
-// shards, fails, and is retried. A part of a request is what it sends to one shard.
+// shards, fails, and is retried.
 //
 // Therefore, before anything is sent, the VM that queries the leafs forecasts when each shard
 // could answer. The forecast uses the load and slowdown that the leafs report, the VM's own
@@ -154,8 +157,8 @@
 // Parameters of a forecast.
 const (
 	// maxWaitShare limits the expected wait at a shard that a request can't leave out, as
-	// a share of the slack: the time until AnswerBy beyond the request's typical duration.
-	// AnswerBy is when the request is answered with the parts received so far.
+	// a share of the slack. AnswerBy is when the request is answered with the parts received
+	// so far, and the slack is the time until AnswerBy less the request's typical duration.
 	// The remainder of the slack is a reserve, since other VMs start requests at the same
 	// time, some work takes longer than usual, and leafs pause.
 	maxWaitShare = 0.4
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -28,10 +28,10 @@
 	filter := leafFilter{exclude: s.tried, idleOnly: reason == Hedge}
 	if q.spec.Gathered {
 		filter.usefulUntil = q.usefulUntil(now)
-		// usefulUntil is after AnswerBy for a late attempt: one whose answer can't be
-		// expected before AnswerBy, when the request is answered with the parts received
-		// so far. A late attempt is made only if too few shards are answered so far, and
-		// only at an idle leaf.
+		// An attempt is late if its answer can't be expected before AnswerBy, when the
+		// request is answered with the parts received so far. Its usefulUntil is after
+		// AnswerBy. A late attempt is made only if too few shards are answered so far,
+		// and only at an idle leaf.
 		late := filter.usefulUntil.After(q.spec.AnswerBy)
 		if late && q.enough(q.answered()) {
 			if s.inFlight == 0 {
@@ -67,10 +67,10 @@
 }
 
 // spendBudget reports whether the budget of the shard's service allows an attempt. The first
-// attempt that reaches a leaf is always allowed. Each further one, such as a hedge or a retry, is
-// an extra arrival. It is allowed if the budget has enough extra arrivals left, and then takes one
-// from it. spendBudget also counts the request in the budget, which grows with the number of
-// requests, unless the request was counted before.
+// attempt that reaches a leaf is always allowed and takes nothing from the budget. Each further
+// one, such as a hedge or a retry, is an extra arrival, which is taken from the budget if enough
+// of it is left. The budget grows with the number of requests, so spendBudget also counts the
+// request, unless it was counted before.
 func (q *Query) spendBudget(now time.Time, s *shard, reason AttemptReason) bool {
 	b := q.table.budget(now, s.service)
 	if !s.budgetCounted {
@@ -125,22 +125,22 @@
 	}
 }
 
-// lateAttemptShare is the time that a leaf is given for a late shard of a gathered request, as a
-// share of the latency objective. A shard is late if its answer can no longer be expected before
-// AnswerBy, the time at which the request is answered with the parts received so far. If the
-// request needs a late shard, its answer is late too, which is better than a failure. Late shards
-// are sent only to leafs with a free slot.
+// lateAttemptShare is the time that a leaf is given for a late attempt, as a share of the latency
+// objective. An attempt of a gathered request is late if its answer can't be expected before
+// AnswerBy, when the request is answered with the parts received so far. Late attempts are made
+// only if too few shards are answered: a late answer is better than a failure. They are sent only
+// to leafs with a free slot.
 const lateAttemptShare = 0.5
 
 // usefulUntil returns the time from which the answer to an attempt that is sent now is useless.
 // For a request to a single service it is the deadline. For a gathered request it is AnswerBy,
 // when the request is answered with the parts received so far. If a typical attempt would end
-// after AnswerBy, the result is lateAttemptShare of the latency objective from now instead. It is
-// never after the deadline.
+// after AnswerBy, it is lateAttemptShare of the latency objective from now instead. It is never
+// after the deadline.
 //
-// Parts of a gathered answer are useless once the answer was sent. The time until the caller's
-// deadline may be many times the latency objective. If leafs were given all of it, those short of
-// slots would spend their slots on parts that no caller waits for.
+// The deadline may be many times the latency objective away. If the leafs of a gathered request
+// were given all of that time, those short of slots would spend their slots on parts that no
+// caller waits for.
 func (q *Query) usefulUntil(now time.Time) time.Time {
 	if !q.spec.Gathered {
 		return q.spec.Deadline
--- a/scatter/budget.go
+++ b/scatter/budget.go
@@ -11,14 +11,17 @@
 	Window time.Duration // length of the sliding window in which arrivals are counted
 }
 
-// usableRatio is how much of BudgetConfig.Ratio a VM uses, from 0 to 1. The remainder is a
-// margin: clocks and wake-ups of VMs differ, so their windows don't end at the same moment.
+// usableRatio is the share of BudgetConfig.Ratio that a VM uses, from 0 to 1. The ratio is the
+// number of extra arrivals, such as hedges and retries, that are allowed per request in a sliding
+// window. The remainder is a margin: clocks and wake-ups of VMs differ, so their windows don't end
+// at the same moment.
 const usableRatio = 0.9
 
 // budgetSteps is the number of equal steps into which the budget's window is divided. Arrivals
 // are counted per step. One more step is kept, since a sliding window may begin in the middle of
-// a step. Extra arrivals are summed over all kept steps, but requests over all except the
-// oldest. So the bound holds wherever the window begins.
+// a step. Extra arrivals, such as hedges and retries, are summed over all kept steps, but requests
+// over all except the oldest. So the bound on extra arrivals per request holds wherever the window
+// begins.
 const budgetSteps = 40
 
 // budget bounds the extra arrivals that this VM causes at one service. An extra arrival is
--- a/scatter/delegate.go
+++ b/scatter/delegate.go
@@ -250,9 +250,9 @@
 	RetryAfter time.Duration // if Refused: delay after which the caller should retry
 }
 
-// CallReply handles an answer of another VM and returns the actions that follow from it. A leaf
-// may meanwhile have answered one of its shards to this VM directly. The other VM's answer is
-// then used for the shard: it can't be split by shard, and either answer is as good.
+// CallReply handles an answer of another VM and returns the actions that follow from it. For a
+// shard that the answer includes, this VM may meanwhile have the answer of a leaf. The other VM's
+// answer is then used: it can't be split by shard, and either answer is as good.
 func (q *Query) CallReply(now time.Time, id CallID, ans CallAnswer) []Action {
 	c := q.calls[id]
 	if c == nil || q.done {
@@ -335,9 +335,9 @@
 
 // reclaim sends attempts on shards of a call to leafs. shards are the indexes of those that the
 // called VM has not queried and never will. Shards that are answered are skipped, and so are
-// those that this VM or a second VM may already have queried. No request for the others has
-// reached a leaf yet. So the first attempt on each is not an extra arrival, as a hedge or a retry
-// is, and takes nothing from the budget.
+// those that this VM or a second VM may already have queried. For the remaining shards, no request
+// has reached a leaf yet. So the attempts take nothing from the budget, which bounds only extra
+// arrivals, such as hedges and retries.
 func (q *Query) reclaim(now time.Time, id CallID, shards []int) []Action {
 	var acts []Action
 	for _, i := range shards {
--- a/scatter/failover.go
+++ b/scatter/failover.go
@@ -112,11 +112,10 @@
 // hedges and retries. mayHaveSent says that the first VM may have received the call, and so may
 // have sent requests for the shards to leafs.
 //
-// If there is no other VM to call, or there are too few shards for a call, one of two things
-// follows. If a called VM may have sent requests for the shards, this VM sends requests to leafs
-// itself. They are extra arrivals, and are taken from the budget. If no VM can have sent any,
-// failOver returns nothing and leaves the shards to CallFail. The requests of CallFail are the
-// first arrivals, and are not taken from the budget.
+// If there is no other VM to call, or there are too few shards for a call, this VM has to send the
+// requests to leafs itself. If a called VM may have sent some before, failOver sends them, as
+// extra arrivals from the budget. Otherwise failOver returns nothing, and CallFail sends them as
+// first arrivals, which are not taken from the budget.
 func (q *Query) failOver(now time.Time, id CallID, mayHaveSent bool) []Action {
 	c := q.calls[id]
 	redelegated := mayHaveSent || c.redelegated
--- a/scatter/failure_rate.go
+++ b/scatter/failure_rate.go
@@ -27,8 +27,8 @@
 	// every request, as a share of the latency objective. With a lower failure rate the
 	// surcharge is proportionally lower. Requests go to the leaf with the lowest sum of
 	// expected duration and surcharges. A leaf in another zone has a surcharge too
-	// (crossZoneSurcharge). It therefore replaces a failing leaf after three consecutive
-	// failures, not after one.
+	// (crossZoneSurcharge). So requests move there after three consecutive failures of a
+	// leaf in this zone, not after one.
 	failureRateSurcharge = 0.8
 )
 
@@ -41,7 +41,7 @@
 	return f.rate * math.Exp2(-float64(now.Sub(f.updatedAt))/float64(failureRateHalfLife))
 }
 
-// add records the end of a request: 1 for a failed one, 0 for any other.
+// add records the end of a request; failed is 1 if the request failed and 0 otherwise.
 func (f *failureRate) add(now time.Time, failed float64) {
 	old := f.current(now)
 	f.rate = old + failureRateWeight*(failed-old)
--- a/scatter/hedge.go
+++ b/scatter/hedge.go
@@ -28,10 +28,10 @@
 	minHedgeDelay = 4 * time.Millisecond
 
 	// hedgeAnswerTimeFactor is the time that a hedge of a gathered request is given for its
-	// answer, as a multiple of the hedgeDurationQuantile of recent durations. AnswerBy is
-	// the time at which the request is answered with the parts received so far. No hedge is
-	// sent before AnswerBy less this time. Many slow leafs have answered by then and need no
-	// hedge. The answer to a hedge is traffic from another zone.
+	// answer, as a multiple of the hedgeDurationQuantile of recent durations. No hedge is
+	// sent earlier than this time before AnswerBy, when the request is answered with the
+	// parts received so far. By then, many slow leafs have answered and need no hedge, whose
+	// answer would be traffic from another zone.
 	hedgeAnswerTimeFactor = 2.5
 	// hedgeNetworkTime is the part of the time until AnswerBy, when a gathered request is
 	// answered, that is kept for the network and not given to the leaf that gets the hedge.
@@ -42,13 +42,12 @@
 // hedgeDurationFactor times the hedgeDurationQuantile of recent durations. For a leaf that
 // reports that its machine is slow, it is longer in proportion.
 //
-// The delay of a gathered request has two more bounds. They depend on AnswerBy, the time at which
-// the request is answered with the parts received so far. A hedge that is sent at the lower
-// bound is answered before AnswerBy if it takes no longer than hedgeAnswerTimeFactor times the
-// quantile. A hedge that is sent at the upper bound is answered before AnswerBy if it takes no
-// longer than the quantile. Where many leafs are slow, the quantile may lie beyond AnswerBy, and
-// no hedge would be in time. The upper bound is therefore never less than half of the time from
-// the start to AnswerBy.
+// The delay of a gathered request has two more bounds. They depend on AnswerBy, when the request
+// is answered with the parts received so far. After the lower bound, a hedge has
+// hedgeAnswerTimeFactor times the quantile until AnswerBy; after the upper bound, it has the
+// quantile. Where many leafs are slow, the quantile may lie beyond AnswerBy, and no hedge would be
+// in time. The upper bound is therefore never less than half of the time from the start to
+// AnswerBy.
 func (q *Query) hedgeDelay(now time.Time, l *leaf) time.Duration {
 	d, known := q.table.durationsOf(q.durationKey()).Quantile(now, hedgeDurationQuantile)
 	if !known {
@@ -59,10 +58,8 @@
 	if !q.spec.Gathered {
 		return min(delay, time.Duration(maxHedgeDelayShare*float64(q.spec.LatencyObjective)))
 	}
-	// window is the time from the start of the query within which an answer is in time. A
-	// hedge after minDelay is in time if it takes hedgeAnswerTimeFactor times the quantile. A
-	// hedge after maxDelay is in time if it takes the quantile. If the two bounds contradict
-	// each other, minDelay counts.
+	// window is the time from the start of the query within which an answer of a leaf is in
+	// time. If minDelay is above maxDelay, minDelay counts.
 	window := q.spec.AnswerBy.Sub(q.startedAt) - hedgeNetworkTime
 	minDelay := window - time.Duration(hedgeAnswerTimeFactor*float64(d))
 	maxDelay := max(window-d, window/2)
--- a/scatter/leaf.go
+++ b/scatter/leaf.go
@@ -68,7 +68,8 @@
 	// the requests to a leaf (leaf.typicalWork), from 0 to 1.
 	typicalWorkWeight = 0.1
 	// stalledLeafDelay is the additional time that a request to a stalled leaf is expected
-	// to take. A pause of a leaf takes about 100 ms.
+	// to take. A leaf is stalled if its oldest request in flight takes much longer than
+	// expected. A pause of a leaf takes about 100 ms.
 	stalledLeafDelay = 80 * time.Millisecond
 )
 
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -315,7 +315,7 @@
 }
 
 // shareShard records that another VM may query the shard too, and computes the leafs that either
-// VM may use. zone is the zone of the called VM; its leafs come first.
+// VM may use. Leafs in zone, the zone of the called VM, come first.
 func (q *Query) shareShard(s *shard, zone string) {
 	s.shared = true
 	s.commonLeafs = q.table.commonLeafs(s.service, zone, q.spec.RequestID, q.spec.MaxAttempts)
--- a/scatter/readers.go
+++ b/scatter/readers.go
@@ -13,9 +13,8 @@
 	readersPerZone = 2
 	// spareReaders is the number of further VMs of a zone that may have to read the store.
 	// They follow the readers like all other VMs. When the readers fail, the other VMs follow
-	// the spare readers. Without spare readers, every VM of the zone would then read the
-	// store itself. A store that refuses the readers would then get calls from all other VMs
-	// of the zone.
+	// the spare readers. Otherwise every VM of the zone would then read the store itself,
+	// even a store that refuses the readers.
 	spareReaders = 4
 )
 
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -48,16 +48,17 @@
 	// expiredExcessWeight is the weight, from 0 to 1, of the excess of an expired request,
 	// its estimated duration as a multiple of the expected one, in the smoothed excess.
 	expiredExcessWeight = 0.5
-	// maxExcessStep bounds the excess of one answer or expired request: its duration as a
-	// multiple of the expected one. An excess of more than maxExcessStep times the smoothed
-	// excess counts as that.
+	// maxExcessStep bounds the excess of one answer or expired request, its duration as a
+	// multiple of the expected one. The excess counts as at most maxExcessStep times the
+	// smoothed excess.
 	maxExcessStep = 3
 	// slowAnswerThreshold is the multiple of the expected duration above which an answer is
 	// slow.
 	slowAnswerThreshold = 2
-	// slowdownHalfLife is the time without new values in which the deviation of a leaf's
-	// smoothed slowdown or excess from 1, the usual duration, falls to half. So a leaf that
-	// was slow and gets no requests is tried again.
+	// slowdownHalfLife is the half-life with which two smoothed values of a leaf return to 1,
+	// the usual, while there are no new ones. These are the reported slowdown of its machine,
+	// and the excess: the duration of answers as a multiple of the duration expected with
+	// that slowdown. So a leaf that was slow and gets no requests is tried again.
 	slowdownHalfLife = 2 * time.Second
 )
 
@@ -124,9 +125,9 @@
 // Pauses, queues and the network raise the excess. It is 1 if there was no answer.
 func (s *slowdown) excessFactor(now time.Time) float64 { return decayed(s.excess, now.Sub(s.excessAt)) }
 
-// decayed returns the current value of a factor, where age is the time since it was recorded. Its
-// deviation from 1 halves with each slowdownHalfLife. A factor of 0 is unknown, for which the
-// result is 1.
+// decayed returns the current value of a smoothed factor, which returns to 1 with a half-life of
+// slowdownHalfLife. age is the time since the factor was recorded. A factor of 0 is unknown, for
+// which the result is 1.
 func decayed(factor float64, age time.Duration) float64 {
 	if factor == 0 {
 		return 1
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -53,7 +53,7 @@
 type durationKey struct {
 	objective time.Duration // latency objective of the requests
 	byVM      bool          // the durations are those of calls to other VMs
-	gathered  bool          // the durations are those of parts of gathered requests
+	gathered  bool          // the requests are attempts or calls of gathered requests
 }
 
 // NewTable returns an empty table for the VM self, whose process started at startedAt.
--- a/scatter/view.go
+++ b/scatter/view.go
@@ -45,10 +45,11 @@
 	return s.view
 }
 
-// viewVersion is the version of the rule that determines which VM may use which leafs. A release
-// that changes the rule has to increase the version. The version is part of every view, so VMs of
-// two versions have different views and decline each other's shards during a rolling upgrade.
-// Otherwise they might together use one leaf more than a request allows.
+// viewVersion is the version of the rule that determines which of two VMs may use which leafs of a
+// shard. A release that changes the rule has to increase the version. The version is part of every
+// view, the hash of the leafs that a VM knows. So VMs of two versions have different views and
+// decline each other's shards during a rolling upgrade. Otherwise they might together use one leaf
+// more than a request allows.
 const viewVersion = 3
 
 // viewOf returns the hash of the ids and start times of the given leafs. Draining leafs are left
@@ -117,8 +118,8 @@
 }
 
 // recordChoice records that an attempt goes to a leaf. If another VM may query the shard too,
-// and the leaf is not one of the common leafs that both VMs may use, the leaf is kept as this
-// VM's own choice: the one other leaf that this VM may use for the shard.
+// there are common leafs, which both VMs may use. Any other leaf is then recorded as this VM's own
+// choice: the one further leaf that this VM may use for the shard.
 func (s *shard) recordChoice(id LeafID) {
 	if s.shared && !slices.Contains(s.commonLeafs, id) {
 		s.ownChoice = id
