--- a/policy/action.go
+++ b/policy/action.go
@@ -11,7 +11,7 @@
 	HedgeQuantile  float64       // latency quantile after which to hedge, 0 to 1; 0: never
 	MinHedgeDelay  time.Duration // lower bound of the hedge delay
 	MaxAttempts    int           // upper bound of the attempts per shard that a target may have started, hedges included
-	Plain          bool          // plain policy: one attempt per shard, to a random replica
+	Plain          bool          // bundle.PolicyPlain: one attempt per shard, to a random replica, without hedges and retries
 }
 
 // AttemptID numbers the attempts of one query, starting at 1.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -44,7 +44,7 @@
 // The decisions.
 const (
 	Admit  Decision = iota // run the query now
-	Wait                   // the query is queued; a later Verdict with the same ticket decides
+	Wait                   // the query is queued; a later Verdict with the same ticket admits or refuses it
 	Refuse                 // final: the query cannot be served in time
 )
 
@@ -69,8 +69,8 @@
 	// of Admission.share: the queries that the VM may run so that all VMs together fill the
 	// targets' slots. It allows bursts while attempts are fast.
 	limitCeilingPerShare    = 6.0
-	maxWaitPerQueryDuration = 0.6 // longest wait for admission, as a fraction of a query's expected duration
-	limitDecreaseFactor     = 0.8 // factor applied to the limit of queries in flight after a sign of overload
+	maxWaitPerQueryDuration = 0.6 // longest expected wait for admission, as a fraction of the time within which nearly every query ends once it runs (durationBound)
+	limitDecreaseFactor     = 0.8 // factor by which one reduction lowers the limit of queries in flight, after a sign of overload
 	// limitIncreasePerQuery is what the end of one query adds to the limit of queries in
 	// flight while the limit is at its floor or above. It is added only if the query's end
 	// shows no overload and as many queries ran as the limit allows.
@@ -123,9 +123,9 @@
 		a.running++
 		return Verdict{Ticket: id, Decision: Admit}
 	}
-	// Refuse if the wait would be long compared with the query's duration, if the query
-	// would end after its deadline, or if the queue is full. A short queue is enough to
-	// keep the slots busy until the next query arrives; a longer one only delays all
+	// Refuse if the wait would be long compared with the time that a query runs, if the
+	// query might end after its deadline, or if the queue is full. A short queue is enough
+	// to keep the slots busy until the next query arrives; a longer one only delays all
 	// callers.
 	wait := a.expectedWait(len(a.queue) + 1)
 	if float64(wait) > maxWaitPerQueryDuration*float64(a.durationBound()) || now.Add(wait+a.durationBound()).After(deadline) || float64(len(a.queue)) >= a.limit*maxQueuedPerLimit {
@@ -150,9 +150,11 @@
 	return time.Duration(n) * interval
 }
 
-// durationBound returns the time within which nearly every query ends once it
-// runs. With only the mean left before its deadline, every second query would be
-// late, and the slots that it used would be wasted.
+// durationBound returns the time within which nearly every query ends once it runs: the
+// mean duration plus maxDurationDeviations mean deviations. A query that has to wait for
+// admission is refused if it could not run this long before its deadline. With only the
+// mean left, half of such queries would be late, and the slots that they used would be
+// wasted.
 func (a *Admission) durationBound() time.Duration {
 	return a.meanDuration + maxDurationDeviations*a.durationDeviation
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -53,8 +53,8 @@
 }
 
 // waitForReplica schedules another check of a shard whose replicas are all busy or
-// in cooldown, if one of them may take attempts before the deadline. Otherwise it
-// ends the shard's wait.
+// in cooldown, if one of them may take attempts before the deadline. Otherwise, and
+// with Spec.Plain, it ends the shard's wait.
 func (q *Query) waitForReplica(now time.Time, shard int) {
 	s := &q.shards[shard]
 	if s.reason == "" {
@@ -79,8 +79,8 @@
 )
 
 // attemptTimeout returns the timeout of an attempt that is sent now. It is never longer
-// than the time left for the query. It equals that time with the plain policy, and while
-// the latency of attempts is not known.
+// than the time left for the query. It equals that time while the latency of attempts is
+// not known, and with Spec.Plain: a shard then gets one attempt and no retry.
 func (q *Query) attemptTimeout(now time.Time) time.Duration {
 	timeLeft := q.spec.Deadline.Sub(now)
 	if q.spec.Plain {
@@ -156,14 +156,14 @@
 // the query. A pass queries all shards of one snapshot.
 const maxBudgetWaits = 2
 
-// maxRefusedFactor bounds the attempts on a shard, refused ones included, as a
-// multiple of Spec.MaxAttempts.
+// maxRefusedFactor bounds the attempts on a shard, those included that a target refused to
+// start, as a multiple of Spec.MaxAttempts. Refused attempts cost the target little.
 const maxRefusedFactor = 3
 
-// exhausted reports whether a shard may get no further attempt. The plain policy allows
-// one. Otherwise there are two bounds: Spec.MaxAttempts for the attempts that a target
-// may have started, and maxRefusedFactor times as many for all attempts. Attempts that a
-// target refused to start have the higher bound, since they cost the target little.
+// exhausted reports whether a shard may get no further attempt. With Spec.Plain, it gets
+// a single one. Otherwise there are two bounds: Spec.MaxAttempts for the attempts that a
+// target may have started, and maxRefusedFactor times as many for all attempts. The bound
+// that includes refused attempts is higher, since they cost the target little.
 func (q *Query) exhausted(s *shardState) bool {
 	if q.spec.Plain {
 		return s.sent > 0
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -127,7 +127,7 @@
 	defaultReplicaLatency = 5 * time.Millisecond // latency assumed for a replica on which this VM has measured none
 	otherZoneCost         = time.Millisecond     // added to the expected time of a call on a replica outside this VM's zone
 	maxLoadReportAge      = 2 * time.Second      // age from which a leaf's reported load is ignored
-	loadReportWeight      = 0.5                  // weight of a call of another VM in a load reported just now; a call of this VM counts 1, reports less since they lag and may mislead
+	loadReportWeight      = 0.5                  // weight of a call of another VM in a load that was reported just now, where a call of this VM has weight 1; it is lower since reports lag and may mislead
 	reportedLoadCap       = 2                    // upper bound of the reported calls of other VMs, per slot of a replica, that count in its cost; applies before loadReportWeight
 	maxCallsPerSlot       = 2                    // upper bound of this VM's calls in flight on a replica, per slot
 )
@@ -164,7 +164,7 @@
 }
 
 // PickRandom chooses a random replica of a shard whose target is usable. It returns false
-// if there is none. The plain policy uses it.
+// if there is none. Queries with Spec.Plain use it instead of Pick.
 func (t *Table) PickRandom(snapshot string, shard int) (ReplicaID, bool) {
 	s := t.snapshots[snapshot]
 	if s == nil {
--- a/policy/conclude.go
+++ b/policy/conclude.go
@@ -35,9 +35,9 @@
 	return float64(len(q.shards)-lost) / float64(len(q.shards))
 }
 
-// sufficient reports whether a query that has not read all shards may finish: MinCoverage
-// was reached and the grace period after that has passed. It records when MinCoverage was
-// reached. It is called only while some shard may still answer.
+// sufficient reports whether a query that has not read all shards may finish: its coverage has
+// reached Spec.MinCoverage, and the grace period since then has passed. It records when
+// MinCoverage was reached. It is called only while some shard may still answer.
 func (q *Query) sufficient(now time.Time) bool {
 	if ratio(q.fullShards, q.partialShare, len(q.shards)) < q.spec.MinCoverage {
 		return false
@@ -48,8 +48,9 @@
 	return !now.Before(q.sufficientAt.Add(q.spec.Grace))
 }
 
-// mayRestart reports whether the query may start another pass, and an attempt with the
-// median latency would end before the query's deadline.
+// mayRestart reports whether the query may be restarted on another snapshot, and an attempt
+// with the median latency would end before the query's deadline. A query is not restarted
+// if its snapshot is pinned, with Spec.Plain, or after maxRestarts restarts.
 func (q *Query) mayRestart(now time.Time) bool {
 	if q.spec.PinnedSnapshot != "" || q.spec.Plain || q.restarts >= maxRestarts {
 		return false
@@ -71,8 +72,9 @@
 	return append(acts, q.startPass(now, snap)...)
 }
 
-// continuePass continues with the current snapshot without the lost shards, or
-// finishes the query if that is due.
+// continuePass continues with the current snapshot without the lost shards, which can no
+// longer answer. It finishes the query if no shard can answer any more, if the coverage can
+// no longer reach MinCoverage, or if it is sufficient.
 func (q *Query) continuePass(now time.Time) []Action {
 	lost := q.phases[phaseLost] + q.phases[phaseNoHolder]
 	if q.phases[phaseOpen] == 0 || q.reachableCoverage(lost) < q.spec.MinCoverage {
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -37,7 +37,8 @@
 }
 
 // hedgeDelay returns how long an attempt runs before a hedge is sent. It returns false if
-// the query sends no hedges, and while the latency of attempts is not known.
+// the query sends no hedges, with Spec.Plain or a HedgeQuantile of 0, and while the latency
+// of attempts is not known.
 func (q *Query) hedgeDelay(now time.Time) (time.Duration, bool) {
 	if q.spec.Plain || q.spec.HedgeQuantile <= 0 {
 		return 0, false
--- a/policy/load.go
+++ b/policy/load.go
@@ -65,11 +65,11 @@
 // attempt that took at least that long counts as failed.
 const stallLatencyQuantile = 0.99
 
-// stalled reports whether an attempt without an answer took so long that its
-// replica may not answer at all. On a connection that went silent every attempt
-// ends in a cancellation: a hedge is answered, the first attempt is cancelled, and
-// no failure is ever reported. Unless these cancellations count as failures, the
-// replica keeps getting its share of attempts and uses up the hedge budget.
+// stalled reports whether a cancelled attempt took so long that its replica may not
+// answer at all. On a connection that went silent every attempt ends in a
+// cancellation: a hedge is answered, the first attempt is cancelled, and no failure is
+// ever reported. Unless these cancellations count as failures, the replica keeps
+// getting its share of attempts and uses up the hedge budget.
 func (t *Table) stalled(took time.Duration, now time.Time) bool {
 	slow, ok := t.Latency.Quantile(now, stallLatencyQuantile)
 	return ok && took >= slow
--- a/policy/table.go
+++ b/policy/table.go
@@ -155,6 +155,7 @@
 	return ts
 }
 
+// later returns the later of two times. A zero time is earlier than any other.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
