--- a/query/admit.go
+++ b/query/admit.go
@@ -64,8 +64,8 @@
 }
 
 // release records the end of a query in the metrics and the policy, and sends the resulting
-// verdicts to waiting queries. Plain searches skip admission, so release does nothing for
-// them.
+// verdicts to waiting queries. Searches with bundle.PolicyPlain skip admission, so release
+// does nothing for them.
 func (e *Engine) release(svc *service, req *Request, admittedAt time.Time, out *policy.Outcome) {
 	if req.plain() {
 		return
--- a/query/request.go
+++ b/query/request.go
@@ -52,8 +52,9 @@
 	return r.Arrived.Add(r.TimeLimit - reserve)
 }
 
-// plain reports whether the search has the policy bundle.PolicyPlain. Such requests skip
-// admission, and their end is not recorded in the admission policy and the metrics.
+// plain reports whether the search has bundle.PolicyPlain: one attempt per shard, to a random
+// replica, without hedges, retries and admission. The end of such a request is not recorded
+// in the admission policy and the metrics.
 func (r *Request) plain() bool { return r.Search.Policy == bundle.PolicyPlain }
 
 // spec returns the request's deadline, coverage, and rules for hedges and retries, in the form
