--- a/bundle/check.go
+++ b/bundle/check.go
@@ -45,7 +45,8 @@
 }
 
 // Check returns all findings in the decoded bundle: values out of range, duplicate
-// names and addresses, and references to names that do not exist.
+// names and addresses, and references to names that do not exist. It returns them all at
+// once, since an operator who gets one finding at a time would need many pushes.
 func (b *Bundle) Check() []Finding {
 	c := &checker{bundle: b}
 	c.equal("$.format", b.Format, Format)
