--- a/edge/elapsed.go
+++ b/edge/elapsed.go
@@ -62,15 +62,15 @@
 
 // maxElapsedShare is the longest time that a caller is assumed to need for connecting to a VM,
 // as a share of the latency objective. If a longer time was measured on the caller's
-// connection, for opening it and for the way to this VM, the measured time is the bound.
+// connection, for opening it and for the network time to this VM, that time is the bound.
 const maxElapsedShare = 0.25
 
-// elapsed returns how long before its arrival a request began: the time spent on connecting
-// and the way to this VM. shortfall is how much less remaining time the request's caller states
-// than other callers of the route. A shortfall that is not longer than connecting can take is
-// the time that the caller spent on connecting. A longer one means that the request is a
-// repeat after a failure. A repeat is either late already or counts from the time at which it
-// was sent, so its shortfall is ignored.
+// elapsed returns how long before its arrival a request began: the time that its caller spent on
+// connecting, and the network time to this VM. shortfall is how much less remaining time the caller
+// states than other callers of the route. objective is the route's latency objective. A shortfall
+// that is no longer than connecting can take is taken as the time spent on connecting. A longer one
+// means that the request is a repeat after a failure. A repeat is either late already or counts from
+// the time at which it was sent, so its shortfall is ignored.
 func (p callerPath) elapsed(shortfall, objective time.Duration) time.Duration {
 	if shortfall > max(time.Duration(maxElapsedShare*float64(objective)), p.connectTime+p.oneWay) {
 		shortfall = 0
--- a/edge/feed.go
+++ b/edge/feed.go
@@ -75,7 +75,7 @@
 	f.notifyWaiters()
 }
 
-// setManifest replaces the manifest and wakes the VMs that wait for a newer one.
+// setManifest replaces the manifest and wakes the calls of VMs that wait for a newer one.
 func (f *feed) setManifest(m *routing.Manifest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -251,14 +251,14 @@
 
 // missingLeafHold returns for how long leafs that are missing from a list just read are held,
 // that is, kept in use, and marks the list as fresh. It returns 0 if nothing failed since the
-// previous list.
+// previous list. afterOutage says that the store may have been unavailable since then. bound is
+// the time within which a leaf that left must get no more requests.
 //
 // After an outage of the store, the entries of healthy leafs may have expired, so missing
 // leafs are held for registry.OutageHold. If reads failed but no outage of the store is known,
 // as when the followed VM failed, the entries may have expired too, and missing leafs are held
 // as well. But such a leaf may instead have left, possibly just after the list was last known
-// to be fresh. It must get no more requests once bound has passed since then, so in this case
-// the hold ends before.
+// to be fresh. So in this case the hold ends before bound has passed since that time.
 func (a *listAge) missingLeafHold(now time.Time, afterOutage bool, bound time.Duration) time.Duration {
 	hold := time.Duration(0)
 	switch {
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -117,9 +117,9 @@
 }
 
 // mayReadStore reports whether this VM may read the store now. A VM that normally follows others
-// may do so from nextRead on, which mayReadStore then delays by the time of retryDelayShare. If
-// this VM may not, the VMs that read the store for others may be called again although they
-// failed, because they may have reached the store again.
+// may read it from nextRead on, and mayReadStore then moves nextRead later by retryDelayShare of
+// maxStaleness. Before nextRead, mayReadStore allows calls to the VMs that read the store for
+// others although they failed before, because they may have reached the store again.
 func (r *relay) mayReadStore() bool {
 	if r.storeReaders().Self {
 		return true
@@ -136,8 +136,9 @@
 	return true
 }
 
-// sameUpstream returns the VM to follow if there is one, and whether up is still the upstream
-// to read from: that VM, or the store if there is no VM to follow.
+// sameUpstream returns the VM to follow, empty if there is none. It also reports whether up, the
+// upstream of the latest full read, is still the one to read from: the VM to follow, or the store
+// if there is none.
 func (r *relay) sameUpstream(up upstream) (scatter.VM, bool) {
 	vm, follow := r.currentReader()
 	if !follow {
@@ -258,9 +259,9 @@
 	r.storeFailed = true
 }
 
-// takeStoreFailed reports whether this VM's own read of the store failed since leafs were last
-// listed, and clears storeFailed. Failed calls to a VM that reads the store for others do not
-// count, nor does that VM's loss of the store.
+// takeStoreFailed reports whether a read of the store by this VM itself has failed since leafs were
+// last listed, and clears storeFailed. Failed calls to a VM that reads the store for others do not
+// count, and neither do failed reads of the store by that VM.
 func (r *relay) takeStoreFailed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -271,9 +272,9 @@
 
 // recordWatch records the result of a watch of a resource, followedLeafs or followedManifest, in
 // the store. A failed watch is ignored, because the full read that follows immediately shows
-// whether the store is lost. If a failed watch counted as a loss, all followers would read the
-// store themselves whenever the store ends its watches. This would take as many calls as without
-// a relay.
+// whether the store is lost. If a failed watch counted as a loss, all VMs that follow this one
+// would read the store themselves whenever the store ends its watches. This would take as many
+// calls as without a relay.
 func (r *relay) recordWatch(resource string, err error) {
 	if err == nil {
 		r.e.feed.recordSuccess(resource)
--- a/edge/run.go
+++ b/edge/run.go
@@ -63,9 +63,9 @@
 	// lingerAbandoned is how long attempts in flight continue after the caller has
 	// disconnected, or after a gathered request has been answered. Leafs should not work on
 	// unwanted results, but cancelling an attempt closes its connection, and opening a new one
-	// is expensive. So a leaf gets enough time to finish most requests, and one that is paused
-	// gets time to report that it stopped. lingerAbandoned always applies to a query on behalf
-	// of another VM, because this VM is not notified when the caller disconnects.
+	// is expensive. So a leaf gets enough time to finish most requests, and a paused one to
+	// report that it stopped. lingerAbandoned always applies to a query on behalf of another
+	// VM, because this VM is not notified when the caller disconnects.
 	lingerAbandoned = 300 * time.Millisecond
 	// lingerLate is how long attempts in flight continue in all other cases, after the caller's
 	// deadline. At the deadline, leafs stop by themselves.
@@ -262,11 +262,11 @@
 	r.post(ev)
 }
 
-// linger returns how long an attempt continues to wait for an answer after the time at which
-// the leaf should have stopped. For a gathered request that time may be long before the
-// caller's deadline, as the request is answered with the shards received so far. So its leafs
-// get the longer lingerAbandoned to finish or to report that they stopped. For any other
-// request that time is the deadline, to which lingerLate is added.
+// linger returns how long an attempt continues to wait for an answer after the time at which the
+// leaf should have stopped (scatter.Send.Until). For a gathered request this time may be long
+// before the caller's deadline, since the request is answered with the shards received so far. Its
+// leafs get the longer lingerAbandoned to finish or to report that they stopped. For any other
+// request this time is the deadline, after which lingerLate applies.
 func (r *runner) linger() time.Duration {
 	if r.spec.Gathered {
 		return lingerAbandoned
@@ -274,9 +274,9 @@
 	return lingerLate
 }
 
-// expirySlack is how long before the end of an attempt's time its leaf may already stop because
-// the time is over. The remaining time is sent to the leaf in whole milliseconds, so the leaf's
-// deadline may be early.
+// expirySlack is how long before the time at which its work becomes useless (scatter.Send.Until) a
+// leaf may already stop. The remaining time is sent to the leaf in whole milliseconds, so the
+// leaf's deadline may be early.
 const expirySlack = 2 * time.Millisecond
 
 // classifyAnswer returns how an attempt with this answer ended, and the reply if it can be
@@ -284,12 +284,12 @@
 // may have been sent after the request ran.
 func (r *runner) classifyAnswer(s scatter.Send, ans *leafhttp.Answer, metadata LeafMetadata) (*reply, scatter.End) {
 	answer := &reply{Answer: ans, metadata: metadata}
-	// The second case: a leaf of a gathered request failed just when its time was over, so it
-	// is assumed to have stopped for that reason.
 	switch {
 	case metadata.Moved:
 		return nil, scatter.EndMoved
 	case r.spec.Gathered && answer.failed() && time.Until(s.Until) < expirySlack:
+		// The leaf failed just when its time was over, so it is assumed to have stopped
+		// for that reason.
 		if metadata.NotRun {
 			return nil, scatter.EndNotStarted
 		}
