--- a/scatter/admission.go
+++ b/scatter/admission.go
@@ -8,20 +8,20 @@
 
 // Admission of gathered requests.
 //
-// A gathered request has several shards, and its answer may leave some of them out. A part of the
-// request is what it sends to one shard.
+// A gathered request makes attempts on several shards, and its answer may leave some shards out.
+// An attempt is a request to a leaf of one shard.
 //
 // The problem: some shards have fewer slots than requests need, since a leaf is slow,
 // unreachable or stopped. Once there are more such shards than an answer may leave out, no
 // request is answered in time, although the slots would suffice for most requests. Each
-// request waits behind parts of others that are equally late, occupies slots of all other
+// request waits behind attempts of others that are equally late, occupies slots of all other
 // shards, fails, and is retried.
 //
 // Therefore, before anything is sent, the VM that queries the leafs forecasts when each shard
 // could answer. The forecast uses the load and slowdown that the leafs report, the VM's own
-// requests in flight, and the typical duration of that kind of request. Parts that would be
-// too late are not sent. A request that lacks too many parts is refused at once: it has not
-// run, and its caller gets a delay after which to retry.
+// requests in flight, and the typical duration of that kind of request. No attempt is made on
+// shards that would be too late. A request that would lack too many shards is refused at once:
+// it has not run, and its caller gets a delay after which to retry.
 
 // admit decides whether to start the request. It returns true if the request is admitted, and
 // false after refusing it. ownShards are the indexes of the shards that this VM queries itself.
--- a/scatter/attempts.go
+++ b/scatter/attempts.go
@@ -139,8 +139,8 @@
 // after the deadline.
 //
 // The deadline may be many times the latency objective away. If the leafs of a gathered request
-// were given all of that time, those short of slots would spend their slots on parts that no
-// caller waits for.
+// were given all of that time, those short of slots would spend their slots on attempts whose
+// answers no caller waits for.
 func (q *Query) usefulUntil(now time.Time) time.Time {
 	if !q.spec.Gathered {
 		return q.spec.Deadline
--- a/scatter/doc.go
+++ b/scatter/doc.go
@@ -8,6 +8,7 @@
 // around both.
 //
 // A request to a single service is a query with one shard whose answer is passed on. A
-// gathered request has one shard for each service. It is answered with the parts received so
-// far once waiting for more is not worthwhile.
+// gathered request has one shard for each service, and the answers of the shards are the parts of
+// its answer. The request is answered with the parts received so far once waiting for more is not
+// worthwhile.
 package scatter
--- a/scatter/gap.go
+++ b/scatter/gap.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// close rules out further attempts on a shard. cause is recorded as the reason why the shard has
+// close prevents further attempts on a shard. cause is recorded as the reason why the shard has
 // no answer, unless the shard is closed already.
 func (s *shard) close(cause GapCause) {
 	if !s.closed {
--- a/scatter/query.go
+++ b/scatter/query.go
@@ -176,7 +176,7 @@
 	tried          []LeafID  // leafs that an attempt was sent to
 	sends          int       // attempts that were sent
 	inFlight       int       // attempts that have not ended
-	possibleRuns   int       // attempts that ran or may have run
+	possibleRuns   int       // attempts that ran or may have run, or may still run
 	arrived        bool      // an attempt reached a leaf, or may have reached one
 	budgetCounted  bool      // the service's budget has counted the request
 	hedged         bool      // a hedge was sent
--- a/scatter/speed.go
+++ b/scatter/speed.go
@@ -23,7 +23,7 @@
 	// with the reported slowdown. It is 0 before the first answer.
 	excess   float64
 	excessAt time.Time // when excess last changed
-	slowAt   time.Time // when the latest slow answer was received
+	slowAt   time.Time // when the latest slow request ended: its excess was above slowAnswerThreshold
 }
 
 // Parameters of a leaf's slowdown. The reported slowdown is the duration of work on the leaf's
@@ -52,8 +52,8 @@
 	// multiple of the expected one. The excess counts as at most maxExcessStep times the
 	// smoothed excess.
 	maxExcessStep = 3
-	// slowAnswerThreshold is the multiple of the expected duration above which an answer is
-	// slow.
+	// slowAnswerThreshold is the multiple of the expected duration above which an answer or an
+	// expired request is slow. Of slow requests in flight together, only one counts.
 	slowAnswerThreshold = 2
 	// slowdownHalfLife is the half-life with which two smoothed values of a leaf return to 1,
 	// the usual, while there are no new ones. These are the reported slowdown of its machine,
@@ -73,9 +73,9 @@
 	s.reportedAt = now
 }
 
-// recordAnswer records that the answer to a request that was sent at sentAt is received now.
-// typical is the duration of such a request at a leaf of usual speed. Slow answers to requests
-// that were in flight together count once, since one pause causes them all.
+// recordAnswer records that a request that was sent at sentAt is answered now. typical is the
+// duration of such a request at a leaf of usual speed. Slow answers to requests that were in flight
+// together count once, since one pause causes them all.
 func (s *slowdown) recordAnswer(now, sentAt time.Time, typical time.Duration) {
 	s.add(now, sentAt, now.Sub(sentAt), typical, answerExcessWeight)
 }
@@ -92,7 +92,7 @@
 // The excess of the request is that time, as a multiple of the duration that is expected with the
 // reported slowdown. typical is the duration of such a request at a leaf of usual speed. weight is
 // the weight of the request's excess in the smoothed one, from 0 to 1. A slow request is ignored
-// if it was sent before the latest slow answer was received.
+// if it was sent before the latest slow request ended.
 func (s *slowdown) add(now, sentAt time.Time, took, typical time.Duration, weight float64) {
 	// ratio is the excess of this request. Below, it counts as no more than maxExcessStep
 	// times the smoothed excess.
--- a/scatter/table.go
+++ b/scatter/table.go
@@ -26,7 +26,7 @@
 	maxShards     int                               // number of shards of the gathered request that has the most shards
 	shardsPerZone int                               // how many of those maxShards shards have a leaf in one zone, on average
 	vmsKnown      bool                              // SetVMs was called at least once
-	liveness      livenessRound                     // check of all VMs that this one calls, after one was silent
+	liveness      livenessRound                     // schedules a check of all VMs that this one calls, after one was silent
 	startedAt     time.Time                         // when this VM's process started
 	durations     map[durationKey]*latency.Recorder // recent durations of requests and calls
 
