--- a/policy/admission.go
+++ b/policy/admission.go
@@ -207,7 +207,7 @@
 
 // adjustLimit lowers the limit if the end of a query shows overload. Otherwise it raises
 // the limit if as many queries ran as the limit allows. The query that has ended is no
-// longer in running, but it counts as running here.
+// longer counted in a.running, but it counts as running here.
 func (a *Admission) adjustLimit(now time.Time, end QueryEnd) {
 	switch end.Pressure {
 	case TargetsQueueing:
