--- a/scatter/query.go
+++ b/scatter/query.go
@@ -176,7 +176,7 @@
 	tried          []LeafID  // leafs that an attempt was sent to
 	sends          int       // attempts that were sent
 	inFlight       int       // attempts that have not ended
-	possibleRuns   int       // attempts that ran or may have run
+	possibleRuns   int       // attempts that ran or may have run, or may still run
 	arrived        bool      // an attempt reached a leaf, or may have reached one
 	budgetCounted  bool      // the service's budget has counted the request
 	hedged         bool      // a hedge was sent
@@ -315,7 +315,7 @@
 }
 
 // shareShard records that another VM may query the shard too, and computes the leafs that either
-// VM may use. zone is the zone of the called VM; its leafs come first.
+// VM may use. Leafs in zone, the zone of the called VM, come first.
 func (q *Query) shareShard(s *shard, zone string) {
 	s.shared = true
 	s.commonLeafs = q.table.commonLeafs(s.service, zone, q.spec.RequestID, q.spec.MaxAttempts)
