--- a/internal/lab/bench/deployment.go
+++ b/internal/lab/bench/deployment.go
@@ -19,20 +19,20 @@
 // readyTimeout bounds each wait until all daemons return complete answers.
 const readyTimeout = 60 * time.Second
 
-// deployment is a running Shape: the platform, the targets, the fault proxies and
-// the daemons.
+// deployment holds the running processes of a Shape: the platform, the targets, the fault
+// proxies and the daemons.
 type deployment struct {
 	shape    Shape
 	fleet    *fleet.Fleet
 	daemons  []*fleet.Daemon
 	groups   []*serviceTargets // by service, in the order of the shape
-	expected *expectedAnswers
+	expected *expectedAnswers  // content of the correct answers to the queries
 }
 
 // serviceTargets holds the targets of one service and the index that they serve.
 type serviceTargets struct {
 	Service
-	index           targetsim.Index // that all targets hold; replaced at the end of an index switch
+	index           targetsim.Index // index whose shards the targets hold; replaced at the end of an index switch
 	targets         []*fleet.Target
 	proxies         []*fleet.Proxy                // by target; nil for a target without a proxy
 	stoppedCounters map[string]targetsim.Counters // final counters of stopped processes, by incarnation
@@ -57,7 +57,8 @@
 // close kills all processes.
 func (d *deployment) close() { d.fleet.Close() }
 
-// startAll does the work of startDeployment, but leaves the processes running on an error.
+// startAll starts all processes, rolls out a bundle and waits until every daemon returns
+// complete answers. On an error it leaves the processes running.
 func (d *deployment) startAll(ctx context.Context) error {
 	if _, err := d.fleet.StartPlatform(10 * time.Second); err != nil {
 		return errors.Trace(err)
@@ -106,8 +107,8 @@
 	return g, nil
 }
 
-// bundleService returns the service for the bundle. A target behind a fault proxy has the
-// proxy's address.
+// bundleService returns the service of g as the bundle lists it. A target behind a fault
+// proxy has the proxy's address there.
 func (d *deployment) bundleService(g *serviceTargets) bundle.Service {
 	svc := bundle.Service{
 		Name: g.Name, Shards: g.Shards,
@@ -179,15 +180,15 @@
 }
 
 // probe sends one query under the adaptive policy to a daemon, given by its address for
-// callers, and returns the result of that query.
+// callers. It returns a Sample of just that query.
 func (d *deployment) probe(ctx context.Context, l *loader, daemon string, svc Service) *Sample {
 	s := stream{service: svc, sample: newSample()}
 	l.sendQuery(ctx, s, adaptivePolicy, daemon, 0, time.Now())
 	return s.sample
 }
 
-// restartTarget starts target i of a service, which has stopped, again at its old
-// address with its part of the current index. The target is cold, which means slow, for
+// restartTarget starts target i of a service again after it has stopped. The target gets
+// its old address and its part of the current index. It is cold, which means slow, for
 // coldMS milliseconds.
 func (d *deployment) restartTarget(g *serviceTargets, i int, coldMS int) error {
 	opts := g.targets[i].Options
@@ -214,8 +215,8 @@
 	peakConnections    int // highest number of connections that one target had open at the same time
 }
 
-// minus returns the usage since the time at which before was read. Its peakConnections are
-// still those since the targets' start.
+// minus returns the usage since the time at which before was read. Its peakConnections is
+// still that since the targets' start.
 func (u usage) minus(before usage) usage {
 	return usage{
 		searches: u.searches - before.searches, connections: u.connections - before.connections,
@@ -223,7 +224,8 @@
 	}
 }
 
-// plus returns the usage of two windows together. Its peakConnections are the higher ones.
+// plus returns the usage of two windows together. Its peakConnections is the higher of the
+// two.
 func (u usage) plus(other usage) usage {
 	return usage{
 		searches: u.searches + other.searches, connections: u.connections + other.connections,
@@ -231,9 +233,9 @@
 	}
 }
 
-// usage adds up the counters of the service's targets, including the processes that
-// have stopped. saveCounters keeps the counters of these, so that the sum never
-// decreases.
+// usage adds up the counters of the service's targets since their start. It includes the
+// processes that have stopped, whose counters saveCounters kept. Otherwise the sum would
+// decrease when a target is restarted.
 func (g *serviceTargets) usage() usage {
 	var u usage
 	for _, c := range g.stoppedCounters {
@@ -263,7 +265,8 @@
 	}
 }
 
-// daemonCPU returns the processor time that all daemons together have used.
+// daemonCPU returns the processor time that all daemons together have used since their
+// start.
 func (d *deployment) daemonCPU() (time.Duration, error) {
 	var sum time.Duration
 	for _, daemon := range d.daemons {
@@ -288,7 +291,8 @@
 	return first
 }
 
-// cpuTime returns the user and system time that a process has used.
+// cpuTime returns the processor time, user and system, that a process has used since its
+// start.
 func cpuTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -297,7 +301,7 @@
 	const (
 		nameEnd             = ") " // ends the name, which is in parentheses and may contain spaces
 		userTimeField       = 11   // index of the user time among the fields after the name
-		clockTicksPerSecond = 100  // unit of the times in the file
+		clockTicksPerSecond = 100  // the file gives times in units of 1/100 s
 		fieldCount          = 13   // fields up to the system time, which follows the user time
 	)
 	_, afterComm, _ := strings.Cut(string(data), nameEnd)
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -22,31 +22,31 @@
 
 // Parameters of the generated load.
 const (
-	maxInFlight     = 6000             // requests without an answer yet; a request beyond these is dropped and counted
+	maxInFlight     = 6000             // most queries without an answer at one time; a query beyond these is dropped and counted
 	distinctQueries = 40               // number of different query texts
 	itemLimit       = 10               // items requested per query
-	callTimeout     = 20 * time.Second // for each query
+	callTimeout     = 20 * time.Second // time after which the benchmark gives up a query without an answer
 )
 
-// Sample holds the results of one or several windows of load on one service.
+// Sample holds the results of one or several windows (periods of load) on one service.
 // Latencies are measured from the time at which the schedule was to send a
 // request, so they include the delay of a request that was sent late.
 type Sample struct {
 	Sent         int                     // scheduled requests, including the dropped ones
-	Dropped      int                     // not sent, because maxInFlight requests were in flight
-	Refused      int                     // refused at admission, before any call to a target
-	Complete     int                     // answered with result code Complete
-	InTime       int                     // complete and within the time limit by the caller's clock
-	Wrong        int                     // result code Complete, but not the content of the targets' index
-	Failed       int                     // no answer, or one that could not be decoded
-	MinLeafCalls int                     // one leaf call for each shard of each query not refused
+	Dropped      int                     // scheduled requests not sent, because maxInFlight requests were in flight
+	Refused      int                     // requests refused at admission, before any call to a target
+	Complete     int                     // requests answered with result code Complete
+	InTime       int                     // requests answered Complete within the time limit by the caller's clock
+	Wrong        int                     // requests answered Complete, but not with the content of the targets' index
+	Failed       int                     // requests without an answer, or with one that could not be decoded
+	MinLeafCalls int                     // leaf calls that the requests not refused need at least: one per shard and request
 	Coverage     float64                 // sum of the answers' coverage ratios
-	Latency      *hdrhistogram.Histogram // microseconds, of requests not refused
+	Latency      *hdrhistogram.Histogram // latencies of the requests not refused, in microseconds
 	Codes        map[int]int             // answers by result code; 0 counts requests without an answer
 	Seconds      float64                 // length of all windows together
 }
 
-// newSample returns a Sample without results.
+// newSample returns a Sample without results. It records latencies up to 60 s.
 func newSample() *Sample {
 	const (
 		longest           = int64(60 * time.Second / time.Microsecond) // longest latency that is recorded, in microseconds
@@ -90,8 +90,9 @@
 	mu sync.Mutex // guards the streams' samples while queries are in flight
 }
 
-// newLoader returns a loader that sends queries to these addresses of daemons. Its owner
-// closes the idle connections of its client at the end.
+// newLoader returns a loader that sends queries to the daemons with these addresses for
+// callers. The caller of newLoader closes the idle connections of the loader's client
+// when it no longer needs the loader.
 func newLoader(daemons []string, timeLimit time.Duration, expected *expectedAnswers) *loader {
 	dialer := &net.Dialer{Timeout: callTimeout}
 	return &loader{
@@ -103,7 +104,7 @@
 	}
 }
 
-// run sends the queries of all streams for one window and waits for the answers.
+// run sends the queries of all streams for a window of time and waits for the answers.
 // The arrivals of each stream are a Poisson process generated from the seed. The load
 // is open-loop: an arrival does not wait for earlier answers.
 func (l *loader) run(ctx context.Context, streams []stream, policy string, window time.Duration, seed uint64) {
@@ -120,7 +121,8 @@
 
 // runStream sends the queries of one stream, each from its own goroutine in wg. It returns
 // when the window that started at begin has ended, without waiting for the answers. The
-// capacity of inFlight bounds the queries without an answer; one beyond it is dropped.
+// capacity of inFlight bounds the queries without an answer; a query beyond it is dropped
+// and counted.
 func (l *loader) runStream(ctx context.Context, s stream, policy string, begin time.Time, window time.Duration,
 	rng *rand.Rand, inFlight chan struct{}, wg *sync.WaitGroup) {
 	sendAt := begin
@@ -233,9 +235,9 @@
 // expectedAnswers computes the content of complete answers from the targets'
 // indexes. It is safe for concurrent use.
 type expectedAnswers struct {
-	mu      sync.Mutex                    // guards both maps
-	indexes map[answerKey]targetsim.Index // keys have an empty query
-	items   map[answerKey][]target.Item   // cached results of Index.ExpectedAnswer
+	mu      sync.Mutex                    // guards indexes and items
+	indexes map[answerKey]targetsim.Index // by service and snapshot; the query in a key is empty
+	items   map[answerKey][]target.Item   // cached items of complete answers
 }
 
 // answerKey identifies a complete answer: all answers to a query from the same snapshot of
--- a/internal/lab/bench/load_test.go
+++ b/internal/lab/bench/load_test.go
@@ -11,8 +11,8 @@
 )
 
 // Guards against a benchmark that counts a wrong answer as correct and so hides a fault of
-// the daemon. Each test changes a complete answer as a faulty daemon could, and the change
-// must be detected.
+// the daemon. Each case changes a correct answer as a faulty daemon could, and the changed
+// answer must not match.
 func TestWrongAnswersAreDetected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	svc := Service{Name: "desk"}
--- a/internal/lab/bench/phases.go
+++ b/internal/lab/bench/phases.go
@@ -11,7 +11,8 @@
 	"github.com/juju/errors"
 )
 
-// phaseNames are the phases of a query that daemons measure, in their order.
+// phaseNames are the phases of a query that daemons measure, in their order: waiting for
+// admission, then held until the attempt with the last answer was sent, then that attempt.
 var phaseNames = []string{"admission", "held", "attempt"}
 
 // phases holds the distribution of the time that the queries of one service spent in
@@ -41,7 +42,7 @@
 	return math.Inf(1)
 }
 
-// plusScaled returns the sum of p and other times factor; a factor of -1 subtracts.
+// plusScaled returns p + factor*other. A factor of -1 subtracts other.
 func (p phaseHistogram) plusScaled(other phaseHistogram, factor float64) phaseHistogram {
 	sum := phaseHistogram{
 		seconds: p.seconds + factor*other.seconds, count: p.count + factor*other.count, buckets: map[float64]float64{},
@@ -95,8 +96,8 @@
 	return histogram
 }
 
-// addDelta adds what the daemons measured between two calls of readPhases, which returned
-// before and after.
+// addDelta adds what the daemons measured between two calls of readPhases. Before and
+// after are the results of the earlier and the later call.
 func (p phases) addDelta(before, after phases) {
 	for _, name := range phaseNames {
 		p[name] = p[name].plusScaled(after[name], 1).plusScaled(before[name], -1)
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -19,7 +19,7 @@
 	Lab       string        // path of bramley-lab
 	Shapes    []string      // names; all if empty
 	Scenarios []string      // names; all if empty
-	Window    time.Duration // length of one measurement
+	Window    time.Duration // length of a window, which is one measurement
 	Rounds    int           // number of windows for each scenario and policy
 	Seed      uint64        // seed of the random arrivals and queries
 	Slowdown  int           // factor on service times and time limits; less than 1 means 1
@@ -27,8 +27,8 @@
 	Progress  io.Writer     // for a line at the start of each scenario
 }
 
-// windowPause is the pause after a window and before the next one. Requests that started
-// in the window, such as late leaf calls, can complete during the pause.
+// windowPause is the pause between two windows (measurements). Requests that started in
+// the earlier window, such as late leaf calls, can complete during the pause.
 const windowPause = 1500 * time.Millisecond
 
 // Result holds the results of one policy in one scenario.
@@ -136,8 +136,8 @@
 }
 
 // measureWindow measures one policy for one window in a scenario and adds the measurement
-// to r, the result of that policy. It returns once all daemons return complete answers
-// again.
+// to r, the result of that policy. Round counts the windows of the scenario and policy
+// from 0. measureWindow returns once all daemons return complete answers again.
 func measureWindow(ctx context.Context, o Options, d *deployment, l *loader, s Scenario, r *Result, round int) error {
 	if s.Begin != nil {
 		if err := s.Begin(d); err != nil {
@@ -175,7 +175,8 @@
 	return nil
 }
 
-// runLoad generates the load of one window while the scenario's During runs.
+// runLoad generates the load of one window while the scenario's During runs. It waits for
+// both and returns the error of During.
 func runLoad(ctx context.Context, o Options, d *deployment, l *loader, s Scenario, streams []stream, policy string, round int) error {
 	duringErr := make(chan error, 1)
 	go func() {
@@ -189,7 +190,7 @@
 	return errors.Trace(<-duringErr)
 }
 
-// totals are the counters of the targets and daemons since their start. The slices
+// totals holds the counters of the targets and daemons since their start. The slices
 // have one entry per service, in the order of the shape.
 type totals struct {
 	usage     []usage
--- a/internal/lab/bench/scenario.go
+++ b/internal/lab/bench/scenario.go
@@ -36,11 +36,11 @@
 	stragglerProb     = 0.01            // fraction of leaf calls that take stragglerFactor times as long
 	stragglerFactor   = 20              // factor on the service time of a straggler
 	overloadServiceMS = 16              // mean service time of a leaf in scenarios with a high load; longer than baseServiceMS to limit the calls per second
-	busyLoad          = 0.7             // rate of queries as a fraction of the capacity
+	busyLoad          = 0.7             // rate of queries, as a fraction of the capacity, while targets misreport their load
 	reportedLoad      = 20              // running and queued requests that every other target reports for each of its leaves; the true number is much lower
 	overloadWarmup    = 5 * time.Second // Scenario.Warmup of the scenarios with an overload
-	restartDivisor    = 4               // at most one in 4 targets is restarted in a window
-	extraShards       = 5               // additional shards of the new snapshot in two of every four switches
+	restartDivisor    = 4               // at most one in 4 targets of a service is restarted in a window
+	extraShards       = 5               // additional shards of the new snapshot in two of every four index switches
 )
 
 // Scenarios are all scenarios in the order of the table.
@@ -74,7 +74,7 @@
 	{Name: "twice the capacity", Load: 2, ServiceTimeMS: overloadServiceMS, Warmup: overloadWarmup, Begin: slowTargets, End: restoreTiming},
 }
 
-// serviceTimeMS returns ServiceTimeMS or its default.
+// serviceTimeMS returns ServiceTimeMS, or its default if it is 0.
 func (s Scenario) serviceTimeMS() float64 {
 	if s.ServiceTimeMS == 0 {
 		return baseServiceMS
--- a/internal/lab/bench/shapes.go
+++ b/internal/lab/bench/shapes.go
@@ -56,7 +56,7 @@
 	baseServiceMS   = 8    // mean service time of a leaf, in milliseconds
 	queueLength     = 8    // most requests that wait for a slot of one leaf
 	proxyEvery      = 4    // one in 4 targets is behind a fault proxy
-	normalLoad      = 0.35 // rate of queries as a fraction of the capacity
+	normalLoad      = 0.35 // rate of queries, as a fraction of the capacity, in scenarios without a high load
 	drainMS         = 1000 // time for which a target continues to serve after SIGTERM, in milliseconds
 	coldMS          = 500  // time for which a restarted target is slow, in milliseconds
 	idleMS          = 5000 // time after which a target closes an unused connection, in milliseconds
@@ -85,7 +85,8 @@
 }
 
 // capacity returns the number of queries per second that the service's slots can
-// run with a mean service time of serviceMS.
+// run. Each query takes one leaf call per shard, with a mean service time of serviceMS
+// milliseconds.
 func (s Service) capacity(serviceMS float64) float64 {
 	slots := float64(s.Targets * s.Leaves * s.Slots)
 	const msPerSecond = 1000
--- a/internal/lab/bench/table.go
+++ b/internal/lab/bench/table.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// printTable prints the results of a shape as Markdown. Results holds two for each
-// scenario: that of the adaptive policy, then that of the plain one.
+// printTable prints the results of a shape as Markdown. The slice results has two entries
+// for each scenario: that of the adaptive policy, then that of the plain one.
 func printTable(w io.Writer, shape Shape, results []*Result) {
 	fmt.Fprintf(w, "\n### %s: %d daemons, time limit %d ms\n\n", shape.Name, shape.Daemons, shape.TimeLimitMS)
 	for _, s := range shape.Services {
@@ -47,9 +47,9 @@
 		percent*float64(row.usage.peakConnections)/float64(row.Service.Connections), row.usage.refusedConnections)
 }
 
-// median returns the median of values, one per window, or 0 if there are none. The table
-// compares medians so that a single window in which the machine stalled does not decide the
-// comparison.
+// median returns the median of values, one per window (measurement), or 0 if there are
+// none. The table compares medians so that a single window in which the machine stalled
+// does not decide the comparison.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	if len(sorted) == 0 {
