--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -238,12 +238,12 @@
 	endPort   = 32000 // one more than the last port
 )
 
-// nextPort, modulo the number of ports, is the offset from firstPort of the port that
+// lastPortOffset, modulo the number of ports, is the offset from firstPort of the port that
 // was tried last. Its initial value depends on the process id: test programs that run
 // at the same time begin at different ports and seldom try the same ones.
-var nextPort atomic.Uint32
+var lastPortOffset atomic.Uint32
 
-func init() { nextPort.Store(uint32(os.Getpid()*portStride) % (endPort - firstPort)) }
+func init() { lastPortOffset.Store(uint32(os.Getpid()*portStride) % (endPort - firstPort)) }
 
 // portStride is the distance between the first ports that programs with consecutive
 // process ids try. It is larger than the number of ports that one test program uses.
@@ -264,7 +264,7 @@
 func freeAddresses(n int) ([]string, error) {
 	var out []string
 	for tries := 0; len(out) < n && tries < endPort-firstPort; tries++ {
-		port := firstPort + nextPort.Add(1)%(endPort-firstPort)
+		port := firstPort + lastPortOffset.Add(1)%(endPort-firstPort)
 		address := fmt.Sprintf("127.0.0.1:%d", port)
 		l, err := net.Listen("tcp", address)
 		if err != nil {
