--- a/internal/lab/rolloutbench/bench.go
+++ b/internal/lab/rolloutbench/bench.go
@@ -1,7 +1,7 @@
-// Package rolloutbench measures the time of a rollout from the write of its head
-// until the rollout is in force on the last VM. It also counts the calls of VMs and
-// operators to the platform. Daemons run as processes. The scenarios are a healthy
-// platform and several faults.
+// Package rolloutbench measures the time of a rollout from the write of its head, the
+// signed object that names the bundle in force, until the rollout is in force on the
+// last VM. It also counts the calls of VMs and operators to the platform. Daemons run as
+// processes. The scenarios are a healthy platform and several faults.
 package rolloutbench
 
 import (
@@ -48,9 +48,9 @@
 	platform *fleet.Platform
 	proxies  []*fleet.Proxy // between each daemon and the platform
 	daemons  []*fleet.Daemon
-	store    *timedStore     // the operator's connection to the platform, without a proxy
+	store    *timedStore     // the operator's client of the platform; calls it without a proxy
 	client   *rollout.Client // makes the operator's changes
-	digests  [3]string       // of the bundles, which are rolled out in turn; VMs keep two and have to fetch the third
+	digests  [3]string       // digests of the bundles, rolled out in turn; VMs keep two bundles and have to fetch the third
 
 	mu              sync.Mutex        // guards the fields below
 	highestRevision map[string]uint64 // highest revision that each VM has reported, by VM
@@ -58,12 +58,14 @@
 }
 
 // timedStore is the operator's Store. It records when the last write of a head was sent.
+// A head is the signed object that names the bundle in force.
 type timedStore struct {
 	objstore.Store
 	headSentAt time.Time // needs no lock: the only operator makes one change at a time
 }
 
-// Put implements objstore.Store. It sets headSentAt if it writes a head.
+// Put implements objstore.Store. If kind is that of a head, the signed object that names
+// the bundle in force, Put sets headSentAt before the call.
 func (s *timedStore) Put(ctx context.Context, kind, name string, expect uint64, value []byte) (uint64, error) {
 	if kind == rollout.KindHead {
 		s.headSentAt = time.Now()
@@ -109,7 +111,8 @@
 	return nil
 }
 
-// start starts the processes and rolls out each of the three bundles once.
+// start starts the processes and rolls out each of the three bundles once. It returns
+// when the last bundle is in force on all VMs.
 func (b *bench) start(ctx context.Context) error {
 	var err error
 	if b.platform, err = b.fleet.StartPlatform(watchWait); err != nil {
@@ -231,7 +234,7 @@
 }
 
 // recordRevision records the revision that a VM reports. It counts a regression if the VM
-// has reported a higher one before. The caller must not hold mu.
+// has reported a higher revision before. The caller must not hold mu.
 func (b *bench) recordRevision(vm string, revision uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/rolloutbench/scenario.go
+++ b/internal/lab/rolloutbench/scenario.go
@@ -24,7 +24,7 @@
 	name       string
 	begin      func(b *bench) error // sets the fault before the first rollout
 	beforeEach func(b *bench) error // called before each rollout
-	afterEach  func(b *bench) error // called as soon as the platform has accepted each rollout
+	afterEach  func(b *bench) error // called after each rollout as soon as the platform has accepted it
 	end        func(b *bench) error // clears the fault after the last rollout
 }
 
@@ -46,7 +46,8 @@
 	}
 }
 
-// outageTime is the length of the outage that the platform has after it accepted a rollout.
+// outageTime is the length of a platform outage in the scenario in which the platform is
+// down after the acceptance of each rollout.
 const outageTime = 3 * time.Second
 
 // clearPlatformFaults ends all faults of the platform.
@@ -104,7 +105,7 @@
 const maxOutageRollouts = 20
 
 // measure performs the rollouts of one scenario, prints its row of the table, clears the
-// fault and pauses.
+// fault and waits for scenarioPause.
 func (b *bench) measure(ctx context.Context, s scenario) error {
 	rollouts := b.opts.Rollouts
 	if s.afterEach != nil {
@@ -150,7 +151,8 @@
 }
 
 // rollOut performs rollout i of a scenario, counted from 0. It returns the time from the
-// write of the head until the revision was in force on the last VM.
+// write of the head, the signed object that names the bundle in force, until the revision
+// was in force on the last VM.
 func (b *bench) rollOut(ctx context.Context, s scenario, i int) (time.Duration, error) {
 	if err := b.callIfSet(s.beforeEach); err != nil {
 		return 0, errors.Trace(err)
