--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -92,8 +92,8 @@
 	control endpoint
 }
 
-// StartPlatform starts the fleet's platform. The platform answers a watch after
-// watchWait if nothing has changed.
+// StartPlatform starts the fleet's platform and waits until it serves. The platform
+// answers a watch after watchWait if nothing has changed.
 func (f *Fleet) StartPlatform(watchWait time.Duration) (*Platform, error) {
 	p, ready, err := f.startLabProcess("platform", "platform", "--watch-wait", watchWait.String())
 	if err != nil {
@@ -123,7 +123,7 @@
 // Target is a process that simulates a target; see package targetsim.
 type Target struct {
 	*Process
-	Options targetsim.Options // with which the target was started
+	Options targetsim.Options // options with which the target was started
 	Address string            // IP and port where it serves
 	control endpoint
 }
@@ -156,7 +156,8 @@
 	return t.control.send(http.MethodPut, "/control/timing", timing)
 }
 
-// SetSnapshots replaces the shards that the target's leaves hold.
+// SetSnapshots replaces the snapshots of which the target holds shards, and states which
+// leaf holds which of the shards.
 func (t *Target) SetSnapshots(placements []targetsim.SnapshotPlacement) error {
 	return t.control.send(http.MethodPut, "/control/snapshots", placements)
 }
@@ -186,13 +187,15 @@
 	control endpoint
 }
 
-// StartProxy starts a fault proxy that forwards connections to the IP and port target.
+// StartProxy starts a fault proxy that forwards connections to target, an IP and port,
+// and waits until the proxy serves.
 func (f *Fleet) StartProxy(name, target string) (*Proxy, error) {
 	return f.startProxy(name, "--target", target)
 }
 
-// StartPeerProxy starts a fault proxy that forwards connections to target, a daemon's
-// listener for peers. The proxy reads the VM name of each client from its hello, so
+// StartPeerProxy starts a fault proxy that forwards connections to target, the IP and
+// port of a daemon's listener for peers, and waits until the proxy serves. The proxy
+// reads the VM name of each client from the hello, the first message of a connection, so
 // that Faults.Partitioned can list VMs.
 func (f *Fleet) StartPeerProxy(name, target string) (*Proxy, error) {
 	return f.startProxy(name, "--target", target, "--peers")
@@ -222,8 +225,8 @@
 // Daemon is a bramleyd process.
 type Daemon struct {
 	*Process
-	Zone         string
-	SettingsPath string // file with its settings
+	Zone         string // availability zone of the daemon's VM
+	SettingsPath string // file with the daemon's settings
 	Callers      string // address for callers' requests
 	Ops          string // address of the operators' page
 	Peers        string // address that other VMs dial
@@ -270,25 +273,27 @@
 	return err == nil && status == http.StatusOK
 }
 
-// Search sends a search and returns the answer with its HTTP status.
+// Search sends a query to the search with this name and returns the answer with its HTTP
+// status.
 func (d *Daemon) Search(ctx context.Context, name string, body gateway.SearchBody) (gateway.Answer, int, error) {
 	return d.post(ctx, "search", name, nil, body)
 }
 
-// Browse requests one page of a browse and returns it with its HTTP status.
+// Browse requests one page of the browse with this name and returns it with its HTTP
+// status.
 func (d *Daemon) Browse(ctx context.Context, name string, body gateway.SearchBody) (gateway.Answer, int, error) {
 	return d.post(ctx, "browse", name, nil, body)
 }
 
-// Submit sends a non-idempotent request with an idempotency key. It returns the answer
-// with its HTTP status.
+// Submit sends a non-idempotent request, with payload as JSON and an idempotency key, to
+// the search with this name. It returns the answer with its HTTP status.
 func (d *Daemon) Submit(ctx context.Context, name, key string, payload any) (gateway.Answer, int, error) {
 	header := http.Header{gateway.HeaderKey: {key}}
 	return d.post(ctx, "submit", name, header, payload)
 }
 
-// post sends a request of callers, with body as JSON, to the search name. Operation is
-// search, browse or submit. It returns the answer with its HTTP status.
+// post sends a caller's request, with body as JSON, to the search with this name.
+// Operation is search, browse or submit. post returns the answer with its HTTP status.
 func (d *Daemon) post(ctx context.Context, operation, name string, header http.Header, body any) (gateway.Answer, int, error) {
 	var answer gateway.Answer
 	status, err := call(ctx, http.MethodPost, "http://"+d.Callers+"/v1/"+operation+"/"+name, header, body, &answer)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -25,8 +25,8 @@
 
 // The persons whose public keys every daemon of a Fleet has.
 const (
-	Author = "author"
-	Signer = "signer"
+	Author = "author" // person who pushes the bundles of a Fleet
+	Signer = "signer" // person who signs the bundles of a Fleet off and rolls them out
 )
 
 // Options configure a Fleet.
@@ -80,8 +80,7 @@
 	}
 }
 
-// Logs returns the last lines of each process's log, at most the given number per
-// process.
+// Logs returns the last lines of each process's log, at most lines of them per process.
 func (f *Fleet) Logs(lines int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +98,7 @@
 
 // newFleetKey returns a random key for one fleet, in base64. Fleets that run at the
 // same time reuse each other's released ports. If all fleets had the same key, a VM
-// that dials the address of a stopped VM could join another fleet.
+// that dials the address of a stopped VM of its fleet could join another fleet.
 func newFleetKey() string {
 	var key [wire.MinKeyBytes]byte
 	_, _ = rand.Read(key[:]) // never fails
@@ -149,8 +148,8 @@
 
 // DaemonOptions configure a daemon. A zero field means its default.
 type DaemonOptions struct {
-	Name         string
-	Zone         string
+	Name         string                   // name of the VM, and of the process in logs and errors
+	Zone         string                   // availability zone of the VM
 	Platform     string                   // address of the platform; that of the fleet's platform if empty
 	Peers        string                   // address to listen on for other VMs; a free one if empty
 	PeersAt      string                   // address that other VMs dial; Peers if empty
@@ -184,8 +183,8 @@
 	}, nil
 }
 
-// RestartDaemon starts a stopped daemon again with the same settings. It returns a new
-// Daemon for the new process.
+// RestartDaemon starts a daemon again with the same settings after its process has
+// exited. It returns a new Daemon for the new process.
 func (f *Fleet) RestartDaemon(d *Daemon) (*Daemon, error) {
 	p, err := f.startProgram(d.Name, f.opts.Daemon, "run", d.SettingsPath)
 	if err != nil {
@@ -234,13 +233,14 @@
 // ephemeral port that is free when it is checked is often the local port of an outgoing
 // connection by the time the daemon binds it. The daemon then fails to start.
 const (
-	firstPort = 10000
-	endPort   = 32000 // one more than the last port
+	firstPort = 10000 // lowest port that a daemon gets
+	endPort   = 32000 // one more than the highest port that a daemon gets
 )
 
-// lastPortOffset, modulo the number of ports, is the offset from firstPort of the port that
-// was tried last. Its initial value depends on the process id: test programs that run
-// at the same time begin at different ports and seldom try the same ones.
+// lastPortOffset counts the ports tried. Modulo the number of ports it is the offset from
+// firstPort of the port that was tried last. Its initial value depends on the process id:
+// test programs that run at the same time begin at different ports and seldom try the
+// same ones.
 var lastPortOffset atomic.Uint32
 
 func init() { lastPortOffset.Store(uint32(os.Getpid()*portStride) % (endPort - firstPort)) }
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -66,11 +66,11 @@
 	return string(text)
 }
 
-// spawner returns a channel of functions to run on one thread, which exists as long
-// as this process. Children are started on that thread because the kernel sends them
-// the parent-death signal when the thread that started them exits. The signal ends
-// the children with this process, also when a test exceeds its time limit and no
-// cleanup runs.
+// spawner returns the channel of a goroutine that runs the functions sent to it on one
+// thread, which exists as long as this process. Children are started on that thread
+// because the kernel sends them the parent-death signal when the thread that started
+// them exits. The signal ends the children with this process, also when a test exceeds
+// its time limit and no cleanup runs.
 var spawner = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
@@ -90,15 +90,15 @@
 	return errors.Trace(<-started)
 }
 
-// startProgram starts a program whose standard output and error are appended to a log
-// file.
+// startProgram starts a program with args. Its standard output and error are appended to
+// the log file of the process, which has the given name.
 func (f *Fleet) startProgram(name, program string, args ...string) (*Process, error) {
 	return f.launch(name, nil, program, args...)
 }
 
 // startLabProcess starts bramley-lab with args, of which the first names a simulator or
-// the fault proxy, and waits until it serves. The process reports that by its Ready, a
-// line of JSON on standard output, which startLabProcess returns.
+// the fault proxy, and waits until the process serves. The process then prints a
+// labhttp.Ready, a line of JSON, on standard output. startLabProcess returns that Ready.
 func (f *Fleet) startLabProcess(name string, args ...string) (*Process, labhttp.Ready, error) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -127,9 +127,10 @@
 	return ready, errors.Trace(json.Unmarshal(line, &ready))
 }
 
-// launch starts a program and adds it to the processes that Close kills. The program's
-// standard error is appended to the log file of that name. Its standard output goes to
-// stdout, or to the log file if stdout is nil.
+// launch starts a program with args and adds it to the processes that Close kills. Name
+// is the name of the process and of its log file. The program's standard error is
+// appended to the log file. Its standard output goes to stdout, or to the log file if
+// stdout is nil. The caller must not hold f.mu.
 func (f *Fleet) launch(name string, stdout *os.File, program string, args ...string) (*Process, error) {
 	logPath := filepath.Join(f.opts.Dir, name+".log")
 	logFile, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
