--- a/peer/facts/health.go
+++ b/peer/facts/health.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Bounds of the health of targets that is kept and sent.
+// Bounds of the statements about the health of targets.
 const (
 	MaxHealthBytes   = 4 << 10 // size in bytes of one encoded statement about a target
 	MaxHealthTargets = 8192    // number of targets with a statement in one Table
@@ -74,16 +74,22 @@
 	Shards   int    `json:"s"` // number of shards of the snapshot
 }
 
-// Holding states which neighbouring shards of one snapshot a leaf holds. Its numbers are
-// the index of the snapshot's partition map in Health.Maps, the number of the first
-// shard, and then the number of records of each shard.
+// Holding states that a leaf holds a run of shards with consecutive numbers of one
+// snapshot. Its numbers are, in this order:
+//
+//   - the index in Health.Maps of the snapshot's partition map,
+//   - the number of the first shard of the run,
+//   - for each shard of the run, the number of its records.
+//
+// For example, {0, 4, 100, 120} stands for the shards 4, with 100 records, and 5, with 120
+// records, of the snapshot of Maps[0].
 type Holding []int64
 
 // The positions of the numbers in a Holding.
 const (
-	HoldingMap        = iota // position of the index of the partition map in Health.Maps
-	HoldingFirstShard        // position of the number of the first shard
-	HoldingRecords           // position of the number of records of the first shard; those of the other shards follow
+	HoldingMap        = iota // position in a Holding of the index of the partition map in Health.Maps
+	HoldingFirstShard        // position in a Holding of the number of the first shard
+	HoldingRecords           // position in a Holding of the number of records of the first shard; those of the other shards follow
 )
 
 // Outranks reports whether h replaces other, another statement about the same
@@ -136,7 +142,7 @@
 	}
 	for _, leaf := range h.Leaves {
 		for _, run := range leaf {
-			// The run has no shard, or its partition map isn't in the statement.
+			// Invalid: the run of shards is empty, or its partition map isn't in the statement.
 			if len(run) <= HoldingRecords || run[HoldingMap] < 0 || run[HoldingMap] >= int64(len(h.Maps)) {
 				return false
 			}
@@ -145,8 +151,8 @@
 	return h.Size() <= MaxHealthBytes
 }
 
-// healthEntry holds a statement about a target with the hash of its fact. The hash isn't
-// recomputed because there are thousands of statements.
+// healthEntry holds a statement about a target, and the hash of the Fact that carries the
+// statement. The hash isn't recomputed because there are thousands of statements.
 type healthEntry struct {
 	Health
 	hash uint64
@@ -195,8 +201,9 @@
 	return true
 }
 
-// toggleHealth adds a statement to the digest of its bucket. If the digest already
-// includes the statement, toggleHealth removes it: a digest is the XOR of hashes.
+// toggleHealth adds a statement to the digest of its bucket, the part of the table that a
+// hash of its key selects. If the digest already includes the statement, toggleHealth
+// removes it: a digest is the XOR of the hashes of the facts in a bucket.
 func (t *Table) toggleHealth(e healthEntry) { t.digest[healthKey(e.Target).bucket()] ^= e.hash }
 
 // Health returns the statement about the health of a target and reports whether there is
