--- a/edge/follow.go
+++ b/edge/follow.go
@@ -28,11 +28,11 @@
 	manifestChangePause = 250 * time.Millisecond // pause between a watch that returned a new manifest and the next watch
 	leafsChangePause    = 500 * time.Millisecond // pause between a watch that returned changes of the list of leafs and the next watch
 	vmsChangePause      = 2 * time.Second        // pause between a watch that returned changes of the list of VMs and the next watch
-	// minRetryPause is the upper bound of the pause before the next try of a store call if no
+	// baseRetryPause is the upper bound of the pause before the next try of a store call if no
 	// try has failed. The bound doubles with each failure in a row, up to maxRetryPause. The
 	// pause is random, at least half of the bound, because all VMs lose the store at the same
 	// time.
-	minRetryPause = 100 * time.Millisecond
+	baseRetryPause = 100 * time.Millisecond
 	// maxRetryPause is the longest pause before the next try of a store call, after any number
 	// of failures.
 	maxRetryPause = 1500 * time.Millisecond
@@ -72,7 +72,7 @@
 // of failures in a row. The wait is random, between half and all of an upper bound. The bound
 // is minRetryPause without a failure and doubles with each one, up to maxRetryPause.
 func backoff(ctx context.Context, failures int) {
-	d := min(minRetryPause<<min(failures, 4), maxRetryPause)
+	d := min(baseRetryPause<<min(failures, 4), maxRetryPause)
 	sleep(ctx, d/2+rand.N(d/2))
 }
 
