--- a/scatter/floor.go
+++ b/scatter/floor.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// The floor of a budget is the number of extra arrivals, such as hedges and retries, that all
-// VMs together may cause at a service per window, besides a ratio of its requests. No VM knows
-// what the others spend, so each has a share of the floor.
+// The budget of a service allows extra arrivals, such as hedges and retries: a fixed ratio of the
+// requests, plus the floor. The floor is a number of extra arrivals per window for all VMs
+// together. No VM knows what the others spend, so each has a share of the floor.
 const (
 	// ownersFloorShare is the fraction, from 0 to 1, of the floor of a service's budget that
 	// only the owners of the service divide among themselves. The owners are the VMs that
@@ -22,20 +22,20 @@
 	firstWindowShare = 0.25
 )
 
-// budget returns this VM's budget for the named service, which bounds extra arrivals, such as
-// hedges and retries. Each call first brings this VM's share of the floor up to date in the budget.
-// The floor is the number of extra arrivals that all VMs together may cause per window, besides a
-// ratio of the requests.
+// budget returns this VM's budget for the named service. The budget allows extra arrivals, such as
+// hedges and retries: a fixed ratio of the requests, plus this VM's share of the floor. The floor
+// is a number of extra arrivals per window for all VMs together. Each call of budget first brings
+// this VM's share up to date.
 func (t *Table) budget(now time.Time, name string) *budget {
 	s := t.service(now, name)
 	s.budget.floor = t.floorShare(now, name, s.gatheredOnly)
 	return s.budget
 }
 
-// floorShare returns this VM's share of the budget's floor for the named service, in extra
-// arrivals (hedges and retries) per window. The floor is the number of extra arrivals that all VMs
-// together may cause per window, besides a ratio of the requests. gatheredOnly says that only
-// gathered requests use the service. The service's owners then have a larger share than other VMs.
+// floorShare returns this VM's share of the floor of the named service's budget, in extra arrivals
+// (hedges and retries) per window. The budget allows a fixed ratio of the requests, plus the floor:
+// a number of extra arrivals per window for all VMs together. gatheredOnly says that only gathered
+// requests use the service. The service's owners then have a larger share than other VMs.
 // A VM that does not yet know how many others there are has no share.
 func (t *Table) floorShare(now time.Time, name string, gatheredOnly bool) float64 {
 	if !t.vmsKnown {
