--- a/policy/cooldown.go
+++ b/policy/cooldown.go
@@ -12,10 +12,13 @@
 
 // Limits of a cooldown.
 const (
-	baseCooldown         = 50 * time.Millisecond // length of the first cooldown of a replica or target after failures, and of the shortest one after a refusal
-	maxCooldown          = 2 * time.Second       // length of the longest cooldown of a replica or target after failures
-	maxCooldownDoublings = 6                     // upper bound of how often a cooldown after failures is doubled
-	failuresToCooldown   = 2                     // failures in a row that start the first cooldown
+	// baseCooldown is the length of the first cooldown of a replica or target after failures.
+	// A cooldown after a refusal lasts until the refusal allows a retry, but at least
+	// baseCooldown.
+	baseCooldown         = 50 * time.Millisecond
+	maxCooldown          = 2 * time.Second // length of the longest cooldown of a replica or target after failures
+	maxCooldownDoublings = 6               // upper bound of how often a cooldown after failures is doubled
+	failuresToCooldown   = 2               // failures in a row that start the first cooldown
 )
 
 // recordFailure counts the failure of an attempt that was sent at sentAt. The first
@@ -52,5 +55,6 @@
 // refusing reports whether a cooldown after a refusal has not ended.
 func (c *cooldown) refusing(now time.Time) bool { return now.Before(c.refusedUntil) }
 
-// end returns when the last cooldown ends or ended; zero if there was none.
+// end returns when the cooldown after failures and the one after a refusal have both ended, which
+// may be in the past. It returns the zero time if there was no cooldown.
 func (c *cooldown) end() time.Time { return later(c.failedUntil, c.refusedUntil) }
