--- a/edge/follow.go
+++ b/edge/follow.go
@@ -30,8 +30,8 @@
 	vmsChangePause      = 2 * time.Second        // pause between a watch that returned changes of the list of VMs and the next watch
 	// baseRetryPause is the upper bound of the pause before the next try of a store call if no
 	// try has failed. The bound doubles with each failure in a row, up to maxRetryPause. The
-	// pause is random, at least half of the bound, because all VMs lose the store at the same
-	// time.
+	// pause is random, between half and all of the bound, because all VMs lose the store at the
+	// same time.
 	baseRetryPause = 100 * time.Millisecond
 	// maxRetryPause is the longest pause before the next try of a store call, after any number
 	// of failures.
@@ -57,8 +57,8 @@
 	self        scatter.VM // this VM
 	log         *slog.Logger
 	leafsListed chan struct{} // receives a value when the leafs have been listed
-	// ready reports whether this VM knows enough to answer calls of other VMs. They call it
-	// once it is announced.
+	// ready reports whether this VM knows enough to answer calls of other VMs. Other VMs call
+	// this one once it is announced.
 	ready     func() bool
 	announcer *announcer // writes this VM's entry in the list of VMs
 	// listen starts accepting calls of other VMs. It does nothing after the first success.
@@ -277,8 +277,8 @@
 const maxChangeLines = 12
 
 // logLeafChanges logs each change of the list of leafs, or a summary if there are more than
-// maxChangeLines, as at the start. revision is the one that was returned with the changes, 0 at
-// the end of a hold.
+// maxChangeLines, as at the start. revision is the one that was returned with the changes, 0 for
+// the changes of expireHeldLeafs.
 func (f *follower) logLeafChanges(changes []registry.Change, revision Revision) {
 	if len(changes) > maxChangeLines {
 		f.log.Info("leafs changed", "count", len(changes), "leafs", f.e.Leafs(), "revision", revision)
--- a/edge/gather_codec.go
+++ b/edge/gather_codec.go
@@ -31,9 +31,9 @@
 	Top                int         `cbor:"8,keyasint"`  // maximum number of records in an answer
 	MaxAttempts        int         `cbor:"9,keyasint"`  // how many leafs of a shard may run the request, as the route states it
 	LatencyObjectiveUS int64       `cbor:"10,keyasint"` // latency objective of the route
-	InterimUS          int64       `cbor:"11,keyasint"` // until an answer with the results so far must be sent
-	AnswerUS           int64       `cbor:"12,keyasint"` // until the last answer must be sent
-	DeadlineUS         int64       `cbor:"13,keyasint"` // until the deadline of the caller's request
+	InterimUS          int64       `cbor:"11,keyasint"` // time until an answer with the results so far must be sent
+	AnswerUS           int64       `cbor:"12,keyasint"` // time until the last answer must be sent
+	DeadlineUS         int64       `cbor:"13,keyasint"` // time until the deadline of the caller's request
 	// Views holds one hash for each of Services: of the set of usable leafs of the service that
 	// the calling VM knows. The called VM declines a shard if it knows another set.
 	Views []scatter.View `cbor:"14,keyasint"`
--- a/edge/node.go
+++ b/edge/node.go
@@ -234,7 +234,7 @@
 const maxStaleShare = 0.8
 
 // maxStaleness returns how old the latest answer from the store may be at a VM that reads the
-// store for others, so that this VM still follows that VM.
+// store for others. If it is older, this VM no longer follows the reader.
 func (n *Node) maxStaleness() time.Duration {
 	bound := min(n.settings.Bounds.ManifestMS, n.settings.Bounds.DrainMS)
 	return time.Duration(maxStaleShare * bound * float64(time.Millisecond))
@@ -287,8 +287,8 @@
 	// continues to serve while it reports not ready, so that the load balancer moves callers to
 	// other VMs.
 	lameDuckGraceShare = 0.7
-	// drainGraceShare bounds the wait for requests in flight, which follows the time of
-	// lameDuckGraceShare. It is a share of the time between SIGTERM and SIGKILL.
+	// drainGraceShare bounds the wait for requests in flight, as a share of the time between
+	// SIGTERM and SIGKILL. The wait begins when the time of lameDuckGraceShare has passed.
 	drainGraceShare = 0.18
 )
 
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -25,7 +25,7 @@
 	peerSilenceTimeout = 65 * time.Second       // a connection on which nothing was received for this time is closed; a little more than two ping intervals
 	peerDialTimeout    = 300 * time.Millisecond // bounds connecting and the hello exchange
 	peerMaxCalls       = 64                     // upper bound of calls of one VM served at the same time; a gather call takes less than one latency objective
-	peerConnPurpose    = "gather"               // purpose of the connections, stated when dialling
+	peerConnPurpose    = "gather"               // purpose of connections between VMs, stated when dialling
 )
 
 // peerTransport serves calls of other VMs, and implements peerClient with one connection to
--- a/edge/probe.go
+++ b/edge/probe.go
@@ -10,8 +10,8 @@
 	"github.com/bramleybarrow/bramleybarrow/scatter"
 )
 
-// maxConcurrentProbes bounds the number of probes at the same time. A probe of an unreachable
-// leaf or VM takes the whole dial timeout.
+// maxConcurrentProbes bounds the number of concurrent probes in one round of a probeLoop. A probe
+// of an unreachable leaf or VM takes the whole dial timeout.
 const maxConcurrentProbes = 64
 
 // forEachLimited runs do for each item of a list, at most maxConcurrentProbes at a time, and
@@ -71,8 +71,8 @@
 	}
 }
 
-// pingTimeout bounds the wait for the answer of a VM that is alive: several round trips and a
-// pause of a small VM.
+// pingTimeout bounds the wait for the answer to a ping. It is long enough for several round trips
+// and a pause of a small VM, so that a VM that is alive answers within it.
 const pingTimeout = 150 * time.Millisecond
 
 // checkVMs checks whether the VMs that this one calls are alive, after a call to one of them
--- a/edge/probe_test.go
+++ b/edge/probe_test.go
@@ -28,9 +28,9 @@
 	return nil
 }
 
-// Guards against lost calls when several VMs fail at the same time, for example in a power
-// failure. After a call to one of them has failed, a liveness check detects the other before any
-// call to it is lost. VMs that are alive are called as before.
+// Guards against lost calls when two VMs fail at the same time, for example in a power failure.
+// After a call to the first VM has failed, a liveness check detects the failure of the second one
+// before any call to it is lost. VMs that are alive are called as before.
 func TestVMThatFailsLivenessCheckIsNotCalled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -56,8 +56,9 @@
 // them could follow its readers again.
 const (
 	// startDelayShare is how long a VM that has just started waits for the VMs that read the
-	// store for others, before it reads the store itself. It is a share of relay.maxStaleness,
-	// the time for which a VM may serve others without a new answer from the store.
+	// store for others, before it reads the store itself, as a share of relay.maxStaleness.
+	// maxStaleness is the time for which a VM may serve others without a new answer from the
+	// store.
 	startDelayShare = 1.0 / 2
 	// retryDelayShare is the longest pause between a failed read of the store and the next
 	// read, as a share of relay.maxStaleness.
--- a/edge/relay_serve.go
+++ b/edge/relay_serve.go
@@ -20,7 +20,7 @@
 // it received them; a position is the number of a change.
 type followCall struct {
 	Incarnation    string `json:"life"`      // incarnation of the called VM in which Position is valid
-	Position       int64  `json:"position"`  // return the changes after this one; for methodFollowManifest, the version of the manifest that the caller has
+	Position       int64  `json:"position"`  // return the changes after this one; for methodFollowManifest, the version of the manifest that the calling VM has
 	List           bool   `json:"list"`      // return all leafs, or the manifest if it is newer, at once
 	WaitMS         int64  `json:"wait_ms"`   // without List: longest wait for a change, in milliseconds
 	MaxStalenessMS int64  `json:"within_ms"` // the call fails if the store last answered the called VM longer ago than this, in milliseconds
@@ -48,8 +48,8 @@
 
 // serveFollowLeafs serves a VM that reads the leafs from this VM instead of from the store. It
 // returns all leafs at once, or waits for changes for up to WaitMS. It returns errStoreStale if
-// the store has not answered this VM recently, and errPositionUnknown if the caller must read
-// the whole list.
+// the store has not answered this VM recently, and errPositionUnknown if the calling VM must
+// read the whole list.
 func (e *Engine) serveFollowLeafs(ctx context.Context, call *followCall) (*leafsAnswer, error) {
 	maxStaleness := time.Duration(call.MaxStalenessMS) * time.Millisecond
 	if !e.feed.isFresh(followedLeafs, maxStaleness) {
--- a/edge/relay_test.go
+++ b/edge/relay_test.go
@@ -83,10 +83,10 @@
 	}
 }
 
-// Guards against holding a leaf too long after it left. It leaves while the VM that reads the
-// store is frozen, so the VMs that follow this VM find the leaf missing only after 3.5 s. If
-// they held it as after an outage of the store, it would get requests for 5.7 s, although at
-// most 5 s are allowed.
+// Guards against holding a leaf, that is, keeping it in use, for too long after it left. The leaf
+// leaves while the VM that reads the store is frozen, so the VMs that follow the frozen VM find the
+// leaf missing only after 3.5 s. If they held the leaf as after an outage of the store, it would
+// get requests for 5.7 s, although at most 5 s are allowed.
 func TestMissingLeafIsHeldNoLongerThanDrainBound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const bound = 5 * time.Second
--- a/edge/run.go
+++ b/edge/run.go
@@ -21,7 +21,7 @@
 	query      *scatter.Query     // decides what to do next; changed only with Engine.mu held
 	events     chan event         // from attempts and calls to loop
 	done       chan struct{}      // closed after loop has returned
-	attemptCtx context.Context    // parent of the contexts of all attempts and calls; ends some time after the query
+	attemptCtx context.Context    // parent of the contexts of all attempts and calls; may outlive the query (see lingerAbandoned and lingerLate)
 	cancel     context.CancelFunc // cancels attemptCtx
 
 	replies     map[scatter.AttemptID]*reply // usable answers of leafs, and answers that report a failure
@@ -57,18 +57,20 @@
 // answer the same.
 func (r *reply) failed() bool { return r.Status >= http.StatusInternalServerError }
 
-// How long attempts in flight continue after the end of a query, or after the time at which
-// their leaf should have stopped (see runner.linger).
+// How long attempts in flight continue after the end of a query, after the caller's deadline, or
+// after the time at which their leaf should have stopped (see runner.linger).
 const (
-	// lingerAbandoned is how long attempts in flight continue after the caller has
-	// disconnected, or after a gathered request has been answered. Leafs should not work on
-	// unwanted results, but cancelling an attempt closes its connection, and opening a new one
-	// is expensive. So a leaf gets enough time to finish most requests, and a paused one to
-	// report that it stopped. lingerAbandoned always applies to a query on behalf of another
-	// VM, because this VM is not notified when the caller disconnects.
+	// lingerAbandoned is how long attempts in flight continue after the caller of an idempotent
+	// request has disconnected, or after an idempotent gathered request has been answered. It
+	// is also how long an attempt of a gathered request continues after its leaf should have
+	// stopped. Leafs should not work on unwanted results, but cancelling an attempt closes its
+	// connection, and opening a new one is expensive. So a leaf gets enough time to finish most
+	// requests, and a paused one to report that it stopped. lingerAbandoned always applies to a
+	// query on behalf of another VM, because this VM is not notified when the caller
+	// disconnects.
 	lingerAbandoned = 300 * time.Millisecond
-	// lingerLate is how long attempts in flight continue in all other cases, after the caller's
-	// deadline. At the deadline, leafs stop by themselves.
+	// lingerLate is how long attempts in flight continue after the caller's deadline, unless
+	// lingerAbandoned ends them earlier. At the deadline, leafs stop by themselves.
 	lingerLate = 60 * time.Millisecond
 )
 
@@ -262,11 +264,11 @@
 	r.post(ev)
 }
 
-// linger returns how long an attempt continues to wait for an answer after the time at which the
-// leaf should have stopped (scatter.Send.Until). For a gathered request this time may be long
-// before the caller's deadline, since the request is answered with the shards received so far. Its
-// leafs get the longer lingerAbandoned to finish or to report that they stopped. For any other
-// request this time is the deadline, after which lingerLate applies.
+// linger returns how long an attempt continues to wait for an answer after scatter.Send.Until, the
+// time at which the leaf should have stopped. For a gathered request, Until may be long before the
+// caller's deadline, since the request is answered with the shards received so far. The leafs of a
+// gathered request get the longer lingerAbandoned to finish or to report that they stopped. For a
+// request that is not gathered, Until is the deadline, after which lingerLate applies.
 func (r *runner) linger() time.Duration {
 	if r.spec.Gathered {
 		return lingerAbandoned
@@ -274,14 +276,14 @@
 	return lingerLate
 }
 
-// expirySlack is how long before the time at which its work becomes useless (scatter.Send.Until) a
-// leaf may already stop. The remaining time is sent to the leaf in whole milliseconds, so the
+// expirySlack is how much earlier than scatter.Send.Until, the time at which its answer becomes
+// useless, a leaf may stop. The remaining time is sent to the leaf in whole milliseconds, so the
 // leaf's deadline may be early.
 const expirySlack = 2 * time.Millisecond
 
-// classifyAnswer returns how an attempt with this answer ended, and the reply if it can be
-// used. An answer without a receipt proves nothing: a success can't be trusted, and a failure
-// may have been sent after the request ran.
+// classifyAnswer returns how an attempt with this answer ended. It also returns the reply if the
+// end is EndAnswered or EndFailed, otherwise nil. An answer without a receipt proves nothing: a
+// success can't be trusted, and a failure may have been sent after the request ran.
 func (r *runner) classifyAnswer(s scatter.Send, ans *leafhttp.Answer, metadata LeafMetadata) (*reply, scatter.End) {
 	answer := &reply{Answer: ans, metadata: metadata}
 	switch {
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -58,7 +58,7 @@
 // a request that reaches a leaf in addition to the first attempt: a retry or a hedge.
 type BudgetSettings struct {
 	Ratio   float64 `json:"ratio"`    // extra arrivals allowed per request
-	Floor   float64 `json:"floor"`    // extra arrivals allowed per window to all VMs together, in addition to the ratio
+	Floor   float64 `json:"floor"`    // extra arrivals allowed per window to all VMs together, in addition to those that Ratio allows
 	WindowS float64 `json:"window_s"` // length of the sliding window, in seconds
 }
 
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -19,7 +19,7 @@
 // attemptEnd selects the counter of an attempt that has ended.
 type attemptEnd struct {
 	why scatter.AttemptReason // first attempt, retry or hedge
-	end scatter.End           // how it ended
+	end scatter.End           // how the attempt ended
 }
 
 // newStats returns metrics that have a counter for each way in which an attempt may end.
--- a/edge/store.go
+++ b/edge/store.go
@@ -22,7 +22,7 @@
 type LeafList struct {
 	Leafs    []registry.Leaf
 	Invalid  int      // number of invalid entries, which are not in Leafs
-	Revision Revision // to watch from next
+	Revision Revision // revision to watch from next
 	// AfterOutage is true if the store may have been unavailable since the previous list.
 	AfterOutage bool
 }
@@ -30,7 +30,7 @@
 // LeafChanges holds the changes of the list of leafs since a revision.
 type LeafChanges struct {
 	Changes  []registry.Change
-	Revision Revision // to watch from next
+	Revision Revision // revision to watch from next
 }
 
 // VMChanges holds the changes of the list of VMs since a revision, with only the latest state
@@ -38,7 +38,7 @@
 type VMChanges struct {
 	Present  []scatter.VM // new and changed VMs
 	Deleted  []string     // names of removed VMs
-	Revision Revision     // to watch from next
+	Revision Revision     // revision to watch from next
 }
 
 // Store is the users' platform as a source of leafs, manifests and VMs. Implementations bound
@@ -94,7 +94,7 @@
 	// ParseLeafHeaders parses the status and the headers of a leaf's answer.
 	ParseLeafHeaders(status int, h http.Header) LeafMetadata
 	// GatheredHeaders returns the headers of the answer to a gathered request. receipts are
-	// those of the shards that it includes, and missing is the number of shards without an
-	// answer.
+	// those of the shards that the answer includes, and missing is the number of shards that
+	// have not answered.
 	GatheredHeaders(receipts []string, missing int) http.Header
 }
--- a/edge/warm.go
+++ b/edge/warm.go
@@ -9,9 +9,9 @@
 )
 
 // Parameters of opening connections before they are needed. Opening a connection occupies a
-// slot of the leaf for some milliseconds, and delays a request that waits for it by the same
-// time. After a simultaneous start of all VMs, requests would wait for several hundred new
-// connections.
+// slot of the leaf for some milliseconds, and delays a request that waits for the connection by
+// the same time. Without connections opened in advance, requests after a simultaneous start of
+// all VMs would wait for several hundred new connections.
 const (
 	warmInterval  = time.Second          // pause between two rounds, each of which opens all missing connections to leafs and VMs
 	warmDialPause = 8 * time.Millisecond // pause after opening a connection, before the next one is opened
