--- a/leafhttp/pool.go
+++ b/leafhttp/pool.go
@@ -41,7 +41,7 @@
 	mu   sync.Mutex         // guards idle
 	idle map[string][]*conn // by Endpoint.Key; the most recently used one is last
 
-	dials, reuses, discarded atomic.Uint64 // numbers of connections, explained at Stats
+	dials, reuses, discarded atomic.Uint64 // numbers of connections dialled, reused, and discarded before reuse; see Stats
 }
 
 // NewPool returns a pool without connections.
