--- a/target/api.go
+++ b/target/api.go
@@ -62,9 +62,9 @@
 
 // Item is one matching record.
 type Item struct {
-	Key    string          `json:"key"`              // of the record
-	Score  float64         `json:"score"`            // of the match; higher is better
-	Fields json.RawMessage `json:"fields,omitempty"` // of the record; passed to the caller unchanged
+	Key    string          `json:"key"`              // key of the record
+	Score  float64         `json:"score"`            // score of the match; higher is better
+	Fields json.RawMessage `json:"fields,omitempty"` // fields of the record; passed to the caller unchanged
 }
 
 // LeafAnswer is a leaf's answer from its shard.
@@ -82,15 +82,15 @@
 type SubmitRequest struct {
 	Echo
 	Key        string          `json:"key"`         // the caller's idempotency key
-	Payload    json.RawMessage `json:"payload"`     // the caller's, unchanged
+	Payload    json.RawMessage `json:"payload"`     // the caller's payload, unchanged
 	DeadlineMS int64           `json:"deadline_ms"` // time left for the answer, in milliseconds
 }
 
 // SubmitAnswer confirms that the request was run.
 type SubmitAnswer struct {
 	Echo
-	Key    string          `json:"key"`    // the same as in the request
-	Result json.RawMessage `json:"result"` // for the caller, passed on unchanged
+	Key    string          `json:"key"`    // the key of the SubmitRequest
+	Result json.RawMessage `json:"result"` // result for the caller, passed on unchanged
 }
 
 // Reason is the reason for which a target refused a request.
@@ -118,7 +118,7 @@
 // Holding is one shard of one snapshot that a leaf holds.
 type Holding struct {
 	Snapshot string `json:"snapshot"` // name of the snapshot
-	Seq      int64  `json:"seq"`      // of the snapshot; a newer snapshot has a higher one
+	Seq      int64  `json:"seq"`      // sequence number of the snapshot; a newer snapshot has a higher one
 	Shards   int    `json:"shards"`   // number of shards in the snapshot's partition map
 	Shard    int    `json:"shard"`    // number of the shard that the leaf holds
 	Records  int64  `json:"records"`  // number of records in that shard
--- a/target/call.go
+++ b/target/call.go
@@ -17,9 +17,9 @@
 	method     string
 	path       string
 	request    any          // nil if the call has no body
-	echo       Echo         // of request; the zero value if it has none
+	echo       Echo         // Echo of request; the zero value if request has none
 	answer     any          // pointer that the answer is decoded into
-	probe      bool         // use the connection that has received nothing for longest; the call tests whether that one is silent
+	probe      bool         // use the connection that has received nothing for longest; the call tests whether this connection is silent
 	deadlineMS *int64       // field of request that is set to the time left, in ms; nil if request is nil
 	validate   func() error // checks the decoded answer against the request
 }
--- a/target/client.go
+++ b/target/client.go
@@ -34,7 +34,7 @@
 	dialSlots chan struct{} // holds a token for each connection being opened
 	tomb      tomb.Tomb     // runs the maintainer of each pool
 
-	mu           sync.RWMutex        // guards the fields below; a pool's mu may be acquired while it is held
+	mu           sync.RWMutex        // guards the fields below; a pool's mu may be acquired while this mu is held
 	pools        map[string]*pool    // by target name; only targets of which this VM has a share
 	withoutShare map[string]struct{} // names of the endpoints in force to which this VM may open no connections
 	retiredPools []*pool             // pools of removed endpoints, on whose connections calls may still run
--- a/target/errors.go
+++ b/target/errors.go
@@ -32,7 +32,7 @@
 	// guarantees it in its refusal.
 	NotStarted  bool
 	RetryAfter  time.Duration // wait before the next try; 0 if not known
-	Incarnation string        // of the target process that answered; empty if none did
+	Incarnation string        // incarnation of the target process that answered; empty if none did
 	cause       error         // more about the failure; may be nil
 }
 
--- a/target/pool.go
+++ b/target/pool.go
@@ -13,8 +13,8 @@
 // closes them; calls only acquire and release them.
 type pool struct {
 	client     *Client
-	name       string        // of the target
-	address    string        // of the target, IP and port
+	name       string        // name of the target
+	address    string        // address of the target: IP and port
 	wakeup     chan struct{} // wakes the maintainer
 	numWaiting atomic.Int32  // len(waiters), readable without mu
 
