--- a/gateway/messages.go
+++ b/gateway/messages.go
@@ -44,7 +44,7 @@
 	Detail       string          `json:"detail,omitempty"`   // more about this failure; may be empty
 	Request      string          `json:"request"`            // the id that this VM gave to the request
 	Ran          string          `json:"ran"`                // whether a target ran the request: "run", "not run" or "unknown"
-	Revision     uint64          `json:"revision"`           // of the bundle under which the request was handled; 0 if none was in force
+	Revision     uint64          `json:"revision"`           // revision of the bundle under which the request was handled; 0 if none was in force
 	Snapshot     string          `json:"snapshot,omitempty"` // name of the snapshot that was read
 	Coverage     *Coverage       `json:"coverage,omitempty"`
 	Items        []target.Item   `json:"items,omitempty"`
