--- a/scatter/floor.go
+++ b/scatter/floor.go
@@ -15,9 +15,9 @@
 	ownersFloorShare = 0.5
 	// firstWindowShare limits what a VM may spend of the floor of a service's budget in the
 	// first window after its process started, as a fraction of the VM's share of that floor.
-	// The VM's previous process may have spent the whole share in the same window. All
-	// shares are computed for more VMs than are known, by the factor vmHeadroom. What both
-	// processes spend together is covered by that headroom as long as
+	// The VM's previous process may have spent the whole share in the same window. Each
+	// share is computed for more VMs than are known, by the factor vmHeadroom. That headroom
+	// covers what the previous and the new process spend together as long as
 	// firstWindowShare <= vmHeadroom - 1.
 	firstWindowShare = 0.25
 )
