--- a/policy/cooldown.go
+++ b/policy/cooldown.go
@@ -18,7 +18,7 @@
 	baseCooldown         = 50 * time.Millisecond
 	maxCooldown          = 2 * time.Second // length of the longest cooldown of a replica or target after failures
 	maxCooldownDoublings = 6               // upper bound of how often a cooldown after failures is doubled
-	failuresToCooldown   = 2               // failures in a row that start the first cooldown
+	failuresToCooldown   = 2               // number of failures in a row after which the first cooldown starts
 )
 
 // recordFailure counts the failure of an attempt that was sent at sentAt. The first
