--- a/edge/node.go
+++ b/edge/node.go
@@ -54,7 +54,7 @@
 // Parameters of the Go runtime.
 const (
 	gcPercent        = 300 // GOGC in percent; memory is cheaper here than CPU time
-	memoryLimitShare = 0.6 // memory limit of the Go runtime, as a share of the process's limit, which also covers received data that is not yet read
+	memoryLimitShare = 0.6 // memory limit of the Go runtime, as a share of the process's limit; the rest is for received data that is not yet read
 )
 
 // NewNode returns a daemon that is not yet running, and sets the Go runtime's parameters for
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -44,7 +44,7 @@
 
 // peerLink is the connection to one VM. It is dialled by the first call that needs it.
 type peerLink struct {
-	mu   sync.Mutex // held while dialling
+	mu   sync.Mutex // guards conn; held while dialling
 	conn *wire.Conn // nil if there is none; may be closed
 }
 
--- a/edge/run.go
+++ b/edge/run.go
@@ -69,8 +69,9 @@
 	// query on behalf of another VM, because this VM is not notified when the caller
 	// disconnects.
 	lingerAbandoned = 300 * time.Millisecond
-	// lingerLate is how long attempts in flight continue after the caller's deadline, unless
-	// lingerAbandoned ends them earlier. At the deadline, leafs stop by themselves.
+	// lingerLate is how long attempts in flight continue after the caller's deadline. No attempt
+	// continues longer, and lingerAbandoned may end one earlier. At the deadline, leafs stop by
+	// themselves.
 	lingerLate = 60 * time.Millisecond
 )
 
