--- a/edge/peers.go
+++ b/edge/peers.go
@@ -25,7 +25,7 @@
 	peerSilenceTimeout = 65 * time.Second       // a connection on which nothing was received for this time is closed; a little more than two ping intervals
 	peerDialTimeout    = 300 * time.Millisecond // bounds connecting and the hello exchange
 	peerMaxCalls       = 64                     // upper bound of calls of one VM served at the same time; a gather call takes less than one latency objective
-	peerConnPurpose    = "gather"               // purpose of the connections, stated when dialling
+	peerConnPurpose    = "gather"               // purpose of connections between VMs, stated when dialling
 )
 
 // peerTransport serves calls of other VMs, and implements peerClient with one connection to
@@ -44,7 +44,7 @@
 
 // peerLink is the connection to one VM. It is dialled by the first call that needs it.
 type peerLink struct {
-	mu   sync.Mutex // held while dialling
+	mu   sync.Mutex // guards conn; held while dialling
 	conn *wire.Conn // nil if there is none; may be closed
 }
 
