--- a/edge/elapsed.go
+++ b/edge/elapsed.go
@@ -27,10 +27,10 @@
 	current, previous time.Duration // longest time stated in the present period and in the one before
 }
 
-// timeoutPeriod is the least length of the periods in which the longest remaining time that
-// callers of a route state is determined. A period ends with the first request of the route
-// after this time. The longest time of a period is kept until the end of the next one. It
-// expires because callers change their timeouts.
+// timeoutPeriod is the minimum length of a period. For each period, the longest remaining time
+// stated by callers of a route is tracked. A period ends with the first request of the route
+// after timeoutPeriod has passed. The longest time of a period is kept until the end of the next
+// one, and then expires because callers change their timeouts.
 const timeoutPeriod = 10 * time.Second
 
 func newElapsedTimes() *elapsedTimes { return &elapsedTimes{routes: make(map[string]*longestTimeout)} }
--- a/edge/run.go
+++ b/edge/run.go
@@ -71,7 +71,8 @@
 	lingerAbandoned = 300 * time.Millisecond
 	// lingerLate is how long attempts in flight continue after the caller's deadline. No attempt
 	// continues longer, and lingerAbandoned may end one earlier. At the deadline, leafs stop by
-	// themselves.
+	// themselves. lingerLate lets them report that they stopped, so that their connections stay
+	// open and they are not treated as silent.
 	lingerLate = 60 * time.Millisecond
 )
 
