--- a/integration/committer_test.go
+++ b/integration/committer_test.go
@@ -131,14 +131,14 @@
 func (c *cluster) flushCommitter(key string) {
 	c.t.Helper()
 	second, _, _ := strings.Cut(key, "-")
-	after := fmt.Sprintf("%s-after-%d", second, time.Now().UnixNano())
+	laterKey := fmt.Sprintf("%s-after-%d", second, time.Now().UnixNano())
 	client := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{})
 	defer client.Close()
 	c.Eventually(func() (string, error) {
-		c.sendAsync(c.Daemons[committer], after) // the committer may consider the platform down for a moment
+		c.sendAsync(c.Daemons[committer], laterKey) // the committer may consider the platform down for a moment
 		object, err := client.Get(c.ctx, once.Kind, deployment+"."+second)
 		return string(object.Value), err
-	}, waitTimeout, "100ms").Should(gomega.ContainSubstring(after))
+	}, waitTimeout, "100ms").Should(gomega.ContainSubstring(laterKey))
 }
 
 // The committer is frozen after its write of the claim took effect and before it answers
--- a/integration/health_test.go
+++ b/integration/health_test.go
@@ -64,15 +64,15 @@
 	}
 	c.setAllIndexes(c.Index, further)
 	c.waitSnapshotChosen(further.Snapshot)
-	most, highest := 0, 0.0
+	reporterIndex, mostReports := 0, 0.0
 	for i, d := range c.Daemons {
-		if n := c.metric(d, reportsMetric) - before[d.Name]; n > highest {
-			most, highest = i, n
+		if n := c.metric(d, reportsMetric) - before[d.Name]; n > mostReports {
+			reporterIndex, mostReports = i, n
 		}
 	}
-	c.Expect(highest).To(gomega.BeNumerically(">", 0))
-	d := c.Daemons[most]
-	c.Daemons = append(append([]*fleet.Daemon{}, c.Daemons[:most]...), c.Daemons[most+1:]...)
+	c.Expect(mostReports).To(gomega.BeNumerically(">", 0))
+	d := c.Daemons[reporterIndex]
+	c.Daemons = append(append([]*fleet.Daemon{}, c.Daemons[:reporterIndex]...), c.Daemons[reporterIndex+1:]...)
 	return d
 }
 
--- a/integration/leaving_test.go
+++ b/integration/leaving_test.go
@@ -243,11 +243,11 @@
 	o := draining.Options
 	o.Listen = draining.Address
 	draining.Kill()
-	back := must[*fleet.Target](c)(c.StartTarget(o))
-	c.Targets[0] = back
+	restarted := must[*fleet.Target](c)(c.StartTarget(o))
+	c.Targets[0] = restarted
 	c.Eventually(func() int {
 		c.searchOthers(5)
-		return c.requestsReceived(back)
+		return c.requestsReceived(restarted)
 	}, waitTimeout, "200ms").Should(gomega.BeNumerically(">", 0), "a drain holds only for the incarnation that drained")
 }
 
--- a/integration/query_test.go
+++ b/integration/query_test.go
@@ -271,7 +271,7 @@
 				f.injectNext()
 				time.Sleep(50 * time.Millisecond) // only paces the faults; no check depends on it
 			}
-			f.heal()
+			f.clearFaults()
 			c.Eventually(func() float64 {
 				a, _, err := c.Daemons[0].Search(c.ctx, findSearch, searchBody("x"))
 				if err != nil || a.Coverage == nil {
@@ -323,8 +323,8 @@
 	delete(f.paused, i)
 }
 
-// heal ends all faults and makes every target hold the last index.
-func (f *faultInjector) heal() {
+// clearFaults ends all faults and makes every target hold the last index.
+func (f *faultInjector) clearFaults() {
 	for i, t := range f.c.Targets {
 		f.c.ok(t.Resume())
 		f.c.ok(t.SetFaults(targetsim.Faults{}))
--- a/integration/rollout_test.go
+++ b/integration/rollout_test.go
@@ -70,14 +70,14 @@
 
 	var audit operator.AuditOutput
 	c.ctl(fleet.Signer).must(&audit, "audit")
-	byOp := map[rollout.OpID]uint64{}
+	revisionByOp := map[rollout.OpID]uint64{}
 	for _, row := range audit.Rows {
-		byOp[row.Op] = row.Revision
+		revisionByOp[row.Op] = row.Revision
 	}
 	accepted := 1 // the rollout by start
 	for answer := range answers {
 		accepted++
-		c.Expect(byOp[answer.Op]).To(Equal(answer.Revision), "answered as accepted")
+		c.Expect(revisionByOp[answer.Op]).To(Equal(answer.Revision), "answered as accepted")
 	}
 	c.Expect(audit.Rows).To(HaveLen(accepted), "each entry of the trail was answered as accepted to its operator")
 	c.waitInForceEverywhere(audit.Head)
@@ -90,10 +90,10 @@
 // pauseBriefly freezes a program at a random moment for a random time, as happens when a
 // virtual machine is migrated.
 func pauseBriefly(p *os.Process, rng *rand.Rand) {
-	random := func() { time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) }
-	random()
+	sleepRandomly := func() { time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond) }
+	sleepRandomly()
 	_ = p.Signal(syscall.SIGSTOP)
-	random()
+	sleepRandomly()
 	_ = p.Signal(syscall.SIGCONT)
 }
 
@@ -260,17 +260,17 @@
 	c := start(t, clusterConfig{Daemons: 2})
 	digest := c.pushSignedBundle("one")
 	signOff := bundle.SignOff{Deployment: deployment, Digest: digest, Person: fleet.Signer, After: 1}
-	signed := rollout.Entry{
+	entry := rollout.Entry{
 		Deployment: deployment, Revision: 2, Action: rollout.ActionRollout, Digest: digest,
 		Person: fleet.Signer, SignOff: signOff.Sign(c.Key(fleet.Signer)),
 	}
-	stranger := must[*bundle.PrivateKey](c)(bundle.NewPrivateKey("signer-1", fleet.Signer))
-	forged := bundle.Sign(bundle.PurposeEntry, must[[]byte](c)(json.Marshal(signed)), stranger)
-	signed.SignOff = bundle.Signed{}
-	unsigned := bundle.Sign(bundle.PurposeEntry, must[[]byte](c)(json.Marshal(signed)), c.Key(fleet.Signer))
+	strangerKey := must[*bundle.PrivateKey](c)(bundle.NewPrivateKey("signer-1", fleet.Signer))
+	forged := bundle.Sign(bundle.PurposeEntry, must[[]byte](c)(json.Marshal(entry)), strangerKey)
+	entry.SignOff = bundle.Signed{}
+	unsigned := bundle.Sign(bundle.PurposeEntry, must[[]byte](c)(json.Marshal(entry)), c.Key(fleet.Signer))
 	store := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{})
-	before := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
-	version := before.Version
+	validHead := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
+	version := validHead.Version
 	for name, raw := range map[string][]byte{
 		"forged": forged.Bytes(), "without a sign-off": unsigned.Bytes(), "no head": []byte(`{"a":1}`),
 	} {
@@ -278,7 +278,7 @@
 		c.waitHeadRead()
 		c.expectRevision(1, name)
 	}
-	must[uint64](c)(store.Put(c.ctx, rollout.KindHead, deployment, version, before.Value))
+	must[uint64](c)(store.Put(c.ctx, rollout.KindHead, deployment, version, validHead.Value))
 	var answer operator.ChangeOutput
 	c.ctl(fleet.Signer).must(&answer, "rollout", digest, "--reason", "rightly signed", "--wait", "30s")
 }
@@ -317,11 +317,11 @@
 	digest := c.pushSignedBundle("one")
 	person := c.ctl(fleet.Signer)
 	store := objstore.NewClient(c.Platform.Address, objstore.ClientOptions{})
-	before := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
+	oldHead := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
 	var answer operator.ChangeOutput
 	person.must(&answer, "rollout", digest, "--reason", "before the copy", "--wait", "30s")
-	now := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
-	must[uint64](c)(store.Put(c.ctx, rollout.KindHead, deployment, now.Version, before.Value))
+	currentHead := must[objstore.Object](c)(store.Get(c.ctx, rollout.KindHead, deployment))
+	must[uint64](c)(store.Put(c.ctx, rollout.KindHead, deployment, currentHead.Version, oldHead.Value))
 	c.waitHeadRead()
 	c.expectRevision(2, "the store was restored from an old copy")
 
--- a/integration/zone_test.go
+++ b/integration/zone_test.go
@@ -176,17 +176,17 @@
 	o, zone := outages[rng.IntN(len(outages))], rng.IntN(zones)
 	platformFirst := rng.IntN(2) == 0
 	c.t.Logf("%s: %s, platform first: %v", o.name, zoneName(zone), platformFirst)
-	down := func() { c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true})) }
-	both := o
-	both.lose = func(c *cluster, zone int) {
+	stopPlatform := func() { c.ok(c.Platform.SetFaults(platformsim.Faults{Outage: true})) }
+	combined := o
+	combined.lose = func(c *cluster, zone int) {
 		if platformFirst {
-			down()
+			stopPlatform()
 		}
 		o.lose(c, zone)
 		if !platformFirst {
-			down()
+			stopPlatform()
 		}
 	}
-	c.loseZone(both, zone)
+	c.loseZone(combined, zone)
 	c.ok(c.Platform.SetFaults(platformsim.Faults{}))
 }
