--- a/integration/committer_test.go
+++ b/integration/committer_test.go
@@ -19,8 +19,8 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// committer is the index of the daemon that commits the claims of these tests. The
-// daemons with a lower index, which are all others, send their claims to it.
+// committer is the index of the daemon that commits the claims of the committer tests. All
+// other daemons have a lower index and send their claims to it.
 const committer = 2
 
 // startRelayingCluster starts three daemons and waits until the third has committed claims
@@ -33,7 +33,8 @@
 	return c
 }
 
-// waitRelaying waits until the committer has committed a claim for this daemon.
+// waitRelaying waits until the committer has committed a claim for the daemon whose index
+// is requester.
 func (c *cluster) waitRelaying(requester int) {
 	c.t.Helper()
 	c.Eventually(func() bool {
@@ -47,7 +48,8 @@
 // are alive.
 func (c *cluster) committerKey(name string) string { return c.committerKeys(name, 1)[0] }
 
-// committerKeys returns n such keys, each with a different second of creation.
+// committerKeys returns n new keys, each with a different second of creation, whose claims
+// the committer commits as long as all daemons are alive.
 func (c *cluster) committerKeys(name string, n int) []string {
 	return c.keysCommittedBy(c.Daemons[committer], name, n)
 }
@@ -143,7 +145,7 @@
 
 // The committer is frozen after its write of the claim took effect and before it answers
 // the VM that requested it. It resumes after longer than any time limit of a claim. What
-// it does then must not change the outcome.
+// the committer does after that must not change the outcome of the report.
 func TestCommitterFrozenBetweenClaimAndAnswer(t *testing.T) {
 	c := startRelayingCluster(t)
 	key := c.committerKey("frozen")
@@ -198,8 +200,8 @@
 }
 
 // A client submits the same key to two VMs at the same time, twice each. A third VM
-// commits the claims of both, while the platform loses some of its answers. The report
-// must run exactly once.
+// commits the claims of both, while the platform loses some of its answers to this VM.
+// The report must run exactly once.
 func TestSameKeyAtTwoVMsThroughACommitter(t *testing.T) {
 	c := startRelayingCluster(t)
 	for i := range 8 {
--- a/integration/ctl_test.go
+++ b/integration/ctl_test.go
@@ -28,9 +28,9 @@
 // ctl runs bramleyctl as a process on behalf of one person.
 type ctl struct {
 	c       *cluster
-	program string
-	config  string
-	env     []string
+	program string            // path of bramleyctl
+	config  string            // path of the settings of bramleyctl
+	env     []string          // added to the environment of this process
 	onStart func(*os.Process) // called once the process has started; may be nil
 }
 
@@ -65,7 +65,7 @@
 type failure struct {
 	Code   result.Code `json:"code"`
 	Detail string      `json:"detail"`
-	Next   string      `json:"next"`
+	Next   string      `json:"next"` // what the operator should do
 }
 
 // run runs a command and decodes its output into the value that into points to. It
@@ -103,7 +103,8 @@
 	return f
 }
 
-// must runs a command and fails the test if the command fails.
+// must runs a command, decodes its output into the value that into points to, and fails
+// the test if the command fails.
 func (x *ctl) must(into any, args ...string) {
 	x.c.t.Helper()
 	if f := x.run(into, args...); f.Code != 0 {
@@ -127,12 +128,15 @@
 }
 
 // watchRevisions polls the revision in force at every daemon. stop ends the polling and
-// returns a daemon's name for each poll that found a lower revision than an earlier one.
+// returns the name of a daemon once for each poll at which its revision was lower than at
+// an earlier poll.
 func (c *cluster) watchRevisions() (stop func() []string) {
 	return c.watchRevisionsOf(c.Daemons...)
 }
 
-// watchRevisionsOf is watchRevisions for some daemons.
+// watchRevisionsOf polls the revision in force at the given daemons. stop ends the polling
+// and returns the name of a daemon once for each poll at which its revision was lower than
+// at an earlier poll.
 func (c *cluster) watchRevisionsOf(daemons ...*fleet.Daemon) (stop func() []string) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	var wg sync.WaitGroup
--- a/integration/harness_test.go
+++ b/integration/harness_test.go
@@ -30,18 +30,18 @@
 	"github.com/bramleybarrow/bramleybarrow/settings"
 )
 
-// The searches that the test bundle defines.
+// Names of the searches that the test bundle defines.
 const (
-	findSearch   = "find"       // kind search
-	browseSearch = "browse"     // kind browse
-	fileSearch   = "file"       // kind submit
-	plainSearch  = "find-plain" // kind search, with bundle.PolicyPlain
+	findSearch   = "find"       // the search of kind "search" in the test bundle
+	browseSearch = "browse"     // the search of kind "browse" in the test bundle
+	fileSearch   = "file"       // the search of kind "submit" in the test bundle
+	plainSearch  = "find-plain" // a search of kind "search" with bundle.PolicyPlain
 )
 
 const (
-	deployment = "testing"
-	service    = "desk"
-	zone       = "zone-a"
+	deployment = "testing" // name of the deployment of every test cluster
+	service    = "desk"    // name of the service that the test targets belong to
+	zone       = "zone-a"  // name of the first availability zone
 
 	// waitTimeout bounds each wait for a condition that must become true.
 	waitTimeout = 30 * time.Second
@@ -54,6 +54,8 @@
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
 
+// runTests builds the programs, runs the tests and returns the exit status. It is not part
+// of TestMain, because os.Exit skips deferred calls.
 func runTests(m *testing.M) int {
 	defer gexec.CleanupBuildArtifacts()
 	const cmdPath = "github.com/bramleybarrow/bramleybarrow/cmd/"
@@ -68,25 +70,25 @@
 	return m.Run()
 }
 
-// clusterConfig describes a cluster. A zero field means the default, which the field's
-// comment gives at its end.
+// clusterConfig describes a cluster. A zero field means the default that the field's
+// comment gives.
 type clusterConfig struct {
-	Targets  int // 3
-	Leaves   int // per target; 2
-	Slots    int // per leaf; 2
-	Shards   int // 4
-	Replicas int // per shard; 2
-	Records  int // in all shards together; 200
-	Daemons  int // 2
+	Targets  int // number of targets; default 3
+	Leaves   int // leaves per target; default 2
+	Slots    int // slots per leaf; default 2
+	Shards   int // number of shards; default 4
+	Replicas int // replicas per shard; default 2
+	Records  int // records in all shards together; default 200
+	Daemons  int // number of daemons; default 2
 
 	ProxyTargets  bool // start a fault proxy in front of each target
 	ProxyPlatform bool // start a fault proxy between each daemon and the platform
 	ProxyPeers    bool // start a fault proxy in front of each daemon's listener for peers
 
-	Zones int // availability zones, assigned to targets and daemons in turn; 1
+	Zones int // number of availability zones, assigned to targets and daemons in turn; default 1
 
-	WatchWait time.Duration // longest time that the platform holds a watch open; 2 s
-	LameDuck  time.Duration // lame-duck time of the daemons; 0
+	WatchWait time.Duration // longest time that the platform holds a watch open; default 2 s
+	LameDuck  time.Duration // time for which a daemon still serves after SIGTERM; default 0
 
 	// These edit a target's options, the bundle, or a daemon's settings after all
 	// other fields were applied. i is the index of the target or daemon.
@@ -102,6 +104,7 @@
 // zoneName(0) is zone.
 func zoneName(i int) string { return "zone-" + string(rune('a'+i)) }
 
+// withDefaults returns cfg with the defaults in place of zero fields.
 func (cfg clusterConfig) withDefaults() clusterConfig {
 	set := func(field *int, value int) {
 		if *field == 0 {
@@ -133,11 +136,11 @@
 	Platform        *fleet.Platform
 	Targets         []*fleet.Target
 	Daemons         []*fleet.Daemon
-	TargetProxies   []*fleet.Proxy
-	PlatformProxies []*fleet.Proxy
-	PeerProxies     []*fleet.Proxy
+	TargetProxies   []*fleet.Proxy  // by index of the target; empty unless ProxyTargets is set
+	PlatformProxies []*fleet.Proxy  // by index of the daemon; empty unless ProxyPlatform is set
+	PeerProxies     []*fleet.Proxy  // by index of the daemon; empty unless ProxyPeers is set
 	Bundle          *bundle.Bundle  // rolled out unless NoRollout is set
-	Index           targetsim.Index // whose shards the targets hold when the test begins
+	Index           targetsim.Index // the index that the targets hold when the test begins
 }
 
 // start starts a cluster and, unless NoRollout is set, waits until every daemon is ready
@@ -182,8 +185,8 @@
 	}
 }
 
-// must returns a function that returns its first argument, and fails the test if the error
-// is not nil.
+// must returns a function for the two results of a call. That function returns the value,
+// and fails the test if the error is not nil.
 func must[T any](c *cluster) func(T, error) T {
 	return func(value T, err error) T {
 		c.t.Helper()
@@ -311,7 +314,7 @@
 	}
 }
 
-// waitInForce waits until the daemon reports that revision or a higher one as in force,
+// waitInForce waits until the daemon reports this revision or a higher one as in force,
 // and is ready.
 func (c *cluster) waitInForce(d *fleet.Daemon, revision uint64) {
 	c.t.Helper()
--- a/integration/health_test.go
+++ b/integration/health_test.go
@@ -172,10 +172,10 @@
 	c.Expect(l.stop()).To(gomega.BeEmpty())
 }
 
-// A target is killed. A VM without connections rarely reads its status, so it would go on
-// sending calls there, each of which costs a query time before it fails. The owners must
-// report that the target is lost, and report it as available again when another process
-// takes its place.
+// A target is killed. A VM without connections rarely reads the target's status, so it
+// would go on sending calls there, and each would delay its query before it fails. The
+// owners must report that the target is lost, and report it as available again when a new
+// process serves at its address.
 func TestLostTargetIsReportedToVMsWithoutConnections(t *testing.T) {
 	c := startWithReporters(t)
 	lost := c.Targets[0]
--- a/integration/hop_test.go
+++ b/integration/hop_test.go
@@ -14,8 +14,8 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/fleet"
 )
 
-// daemonsWithoutPlace returns the daemons that hold no place and so have no connections of
-// their own to targets.
+// daemonsWithoutPlace returns the daemons that hold no place. The places decide which VMs
+// own connections to targets, so these daemons have none of their own.
 func (c *cluster) daemonsWithoutPlace() (list []*fleet.Daemon) {
 	c.Eventually(c.vmsWithPlace, waitTimeout, "100ms").ShouldNot(gomega.BeEmpty())
 	holders := c.vmsWithPlace()
@@ -32,6 +32,7 @@
 // pause must be answered completely, even if many begin at the same time and each finds
 // its connection closed.
 func TestIdleConnectionsToOwnersAreClosedAndOpenedAgain(t *testing.T) {
+	// connections is the limit of each target. searches is per burst and VM.
 	const daemons, places, connections, bursts, searches = 5, 3, 2, 2, 4
 	cfg := fewConnections(daemons, places, connections)
 	cfg.Targets, cfg.Replicas = 1, 1
@@ -91,7 +92,9 @@
 // detected, each VM in its zone could wait for its answers or lose them. Owners in the
 // other zone must take over at once, and all searches must stay complete.
 func TestNearOwnerFrozenAndKilledInMidQuery(t *testing.T) {
-	const vmsPerZone, connections, owners = 3, 5, 4 // one connection is reserved for a frozen owner
+	// Each target accepts five connections. It has four owners with one connection each;
+	// the fifth is reserved for a frozen owner.
+	const vmsPerZone, connections, owners = 3, 5, 4
 	cfg := fewConnections(vmsPerZone, 2*vmsPerZone, connections)
 	editBundle := cfg.Bundle
 	cfg.Bundle = func(b *bundle.Bundle) {
--- a/integration/leaf_faults_test.go
+++ b/integration/leaf_faults_test.go
@@ -49,7 +49,7 @@
 // until the daemons are restarted.
 func TestSilentTargetConnectionsUnderLoad(t *testing.T) {
 	c := start(t, clusterConfig{ProxyTargets: true, Target: func(_ int, o *targetsim.Options) {
-		o.IdleMS = 1000 // closes the target's end of a silent connection, which counts toward its limit
+		o.IdleMS = 1000 // closes the target's end of a silent connection, which counts toward the target's limit
 	}})
 	l := c.startLoad(1, 5000, truthOf(c.Index).check)
 	for range 2 {
--- a/integration/leaving_test.go
+++ b/integration/leaving_test.go
@@ -63,6 +63,8 @@
 	}
 }
 
+// pick returns a daemon that is listed. Calls with increasing i get the listed daemons in
+// turn.
 func (b *balancer) pick(i int) *fleet.Daemon {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,6 +77,8 @@
 	client http.Client
 }
 
+// post sends a request for a search of the bundle to a daemon and returns its answer. verb
+// is the kind of the search in the URL. key is the idempotency key, or empty for none.
 func (k *caller) post(ctx context.Context, d *fleet.Daemon, verb, search, key string, body any) (gateway.Answer, error) {
 	var a gateway.Answer
 	data, err := json.Marshal(body)
--- a/integration/load_test.go
+++ b/integration/load_test.go
@@ -21,11 +21,11 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu         sync.Mutex // guards the fields below
-	codes      map[result.Code]int
-	notRun     []string // IDs of requests whose answer says "not run"
-	failures   []string // failed calls, and answers that check rejected
-	incomplete []string // a description of each answer whose code is not Complete
+	mu         sync.Mutex          // guards the fields below
+	codes      map[result.Code]int // number of answers by their code
+	notRun     []string            // IDs of requests whose answer says "not run"
+	failures   []string            // failed calls, and answers that check rejected
+	incomplete []string            // a description of each answer whose code is not Complete
 }
 
 // loadCallers is the number of concurrent callers of a load.
@@ -39,7 +39,10 @@
 	return c.startLoadOn(c.Daemons, required, limitMS, check)
 }
 
-// startLoadOn is startLoad on some daemons.
+// startLoadOn starts a load on the given daemons. required is the coverage, as a share of
+// the shards, that half of the callers require; the other half require full coverage.
+// limitMS is the time limit of each search, or 0 for the bundle's default. check gets each
+// answer with its request body.
 func (c *cluster) startLoadOn(daemons []*fleet.Daemon, required float64, limitMS int, check func(gateway.Answer, gateway.SearchBody) error) *load {
 	ctx, cancel := context.WithCancel(c.ctx)
 	l := &load{c: c, daemons: daemons, check: check, cancel: cancel, codes: map[result.Code]int{}}
@@ -53,6 +56,8 @@
 	return l
 }
 
+// run sends searches one after another until ctx ends. caller is the number of the caller,
+// and required the coverage that it requires.
 func (l *load) run(ctx context.Context, caller int, required float64, limitMS int) {
 	for i := caller; ctx.Err() == nil; i++ {
 		d := l.daemons[i%len(l.daemons)]
@@ -68,6 +73,8 @@
 	}
 }
 
+// record counts the answer by its code, and notes it if it is not complete or says "not
+// run".
 func (l *load) record(d *fleet.Daemon, a gateway.Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/integration/once_test.go
+++ b/integration/once_test.go
@@ -42,8 +42,8 @@
 	return answer
 }
 
-// finalCode submits the key until the answer is something else than "in progress" or "not
-// run", and returns its code.
+// finalCode submits the key repeatedly until it receives an answer that says neither "in
+// progress" nor "not run", and returns that answer's code.
 func (c *cluster) finalCode(d *fleet.Daemon, key string) result.Code {
 	c.t.Helper()
 	var code result.Code
@@ -54,6 +54,7 @@
 	return code
 }
 
+// setTargetFaults sets the same faults at all targets.
 func (c *cluster) setTargetFaults(f targetsim.Faults) {
 	for _, t := range c.Targets {
 		c.ok(t.SetFaults(f))
@@ -273,7 +274,7 @@
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			c := start(t, clusterConfig{Daemons: 3, ProxyPlatform: true, ProxyTargets: true})
-			const senders, keys, tries = 4, 6, 5
+			const senders, keys, tries = 4, 6, 5 // keys of each sender, tries of each key
 			received := make([]map[string][]result.Code, senders)
 			var wg sync.WaitGroup
 			for s := range senders {
--- a/integration/owner_test.go
+++ b/integration/owner_test.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// waitOwners waits until each target has connections from that many owners. A new VM can
-// claim the place of a killed one only once that counts as lost. Until then the loss of a
-// further owner can leave a target without any.
+// waitOwners waits until each target has this number of connections, one of each owner. A
+// new VM can claim the place of a killed VM only once the latter counts as lost. Until
+// then the loss of a further owner can leave a target without any owner.
 func (c *cluster) waitOwners(owners int) {
 	c.t.Helper()
 	for _, target := range c.Targets {
--- a/integration/peer_test.go
+++ b/integration/peer_test.go
@@ -24,9 +24,9 @@
 type searchRotation struct {
 	mu       sync.Mutex // guards the fields below
 	vms      []*fleet.Daemon
-	next     int
-	failures []string
-	complete int
+	next     int      // number of searches begun; determines the next VM
+	failures []string // a description of each search without a complete answer
+	complete int      // number of complete answers
 }
 
 func (r *searchRotation) setVMs(vms ...*fleet.Daemon) {
@@ -35,6 +35,7 @@
 	r.vms = vms
 }
 
+// choose returns the next VM in turn.
 func (r *searchRotation) choose() *fleet.Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,6 +69,7 @@
 	}
 }
 
+// search sends one search to the next VM in turn and records the result.
 func (r *searchRotation) search(c *cluster) {
 	d := r.choose()
 	a, status, err := d.Search(c.ctx, findSearch, searchBody("well"))
--- a/integration/query_test.go
+++ b/integration/query_test.go
@@ -103,6 +103,7 @@
 	}, waitTimeout, "50ms").Should(gomega.Equal(int(result.CursorGone)))
 }
 
+// answerOnly drops the HTTP status from the results of a call, so that must can take them.
 func answerOnly(a gateway.Answer, _ int, err error) (gateway.Answer, error) { return a, err }
 
 // All replicas of some shards are lost. The answer must say that records are missing, or
@@ -288,8 +289,8 @@
 type faultInjector struct {
 	c       *cluster
 	rng     *rand.Rand
-	indexes []targetsim.Index
-	paused  map[int]bool // indexes of the targets that are paused
+	indexes []targetsim.Index // that the targets switch between
+	paused  map[int]bool      // indexes of the targets that are paused
 }
 
 // injectNext injects a random fault into a random target or its proxy. If that target is
--- a/integration/rollout_test.go
+++ b/integration/rollout_test.go
@@ -42,11 +42,13 @@
 	}
 }
 
+// raceOperators runs the race of TestOperatorsRaceOverALossyPlatform with one seed, which
+// determines the operators' changes, the faults and the pauses.
 func raceOperators(t *testing.T, seed uint64) {
 	c := start(t, clusterConfig{Daemons: 3})
 	digests := []string{c.pushSignedBundle("one"), c.pushSignedBundle("two"), c.pushSignedBundle("three")}
 	stop := c.watchRevisions()
-	const operators, changes = 3, 4
+	const operators, changes = 3, 4 // changes of each operator
 	answers := make(chan operator.ChangeOutput, operators*changes)
 	var racing sync.WaitGroup
 	for i := range operators {
@@ -97,6 +99,7 @@
 	_ = p.Signal(syscall.SIGCONT)
 }
 
+// digestOf returns the digest of the bundle that the daemon has in force.
 func digestOf(ctx context.Context, d *fleet.Daemon) (string, error) {
 	status, err := d.Status(ctx)
 	return status.Digest, err
--- a/integration/split_test.go
+++ b/integration/split_test.go
@@ -126,7 +126,8 @@
 }
 
 // The two halves of a fleet lose contact with each other, and one of them with the
-// platform too. On the other side an operator rolls out a bundle and a target drains.
+// platform too. In the half that reaches the platform an operator rolls out a bundle, and
+// the drain of a target is published.
 //
 // In both halves searches must become complete again, without VMs that are out of reach.
 // No place changes its holder meanwhile, and each half has owners of each target. Once
--- a/integration/target_test.go
+++ b/integration/target_test.go
@@ -121,9 +121,10 @@
 // Two VMs together must not hold more connections than a target accepts, or it would
 // refuse its other clients. Callers that give up, crossed answers, and a VM that is
 // killed and replaced all make the VMs open new connections. The limit here is exactly
-// twice a VM's share, and the target counts the connections that it refuses beyond it.
+// twice a VM's share, and the target counts the connections that it refuses above that
+// limit.
 func TestConnectionLimitOfTargets(t *testing.T) {
-	const perTarget = 6
+	const perTarget = 6 // connections that each target accepts
 	c := start(t, clusterConfig{
 		Daemons: 2,
 		Target:  func(_ int, o *targetsim.Options) { o.MaxConnections = perTarget },
--- a/integration/truth_test.go
+++ b/integration/truth_test.go
@@ -14,6 +14,7 @@
 // truth holds the indexes that the simulated targets may hold in a test, by snapshot name.
 type truth map[string]targetsim.Index
 
+// truthOf returns the truth for a test in which targets hold only these indexes.
 func truthOf(indexes ...targetsim.Index) truth {
 	t := truth{}
 	for _, index := range indexes {
@@ -43,6 +44,9 @@
 	return t.checkItems(a, index, body)
 }
 
+// checkCoverage expects that the answer's coverage agrees with its code, that each shard
+// of the index is an answered one or a gap, and that all records count as read or missing.
+// Records of shards of unknown size may be left out.
 func (t truth) checkCoverage(a gateway.Answer, index targetsim.Index) error {
 	c := a.Coverage
 	if c.Shards != index.Shards || c.ShardsAnswered+len(c.Gaps) != index.Shards {
--- a/integration/zone_test.go
+++ b/integration/zone_test.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	zones           = 3
-	zoneDaemons     = 2 * zones
-	zoneTargets     = 2 * zones
-	connectionLimit = 5 // connections that each target accepts, fewer than there are VMs
-	zoneReplicas    = 2 // of each shard, in different zones
+	zones           = 3         // number of availability zones of startZones
+	zoneDaemons     = 2 * zones // daemons in all zones together
+	zoneTargets     = 2 * zones // targets in all zones together
+	connectionLimit = 5         // connections that each target accepts, fewer than there are VMs
+	zoneReplicas    = 2         // replicas of each shard, in different zones
 )
 
 // startZones starts three availability zones with two VMs and two targets each. The two
@@ -31,7 +31,7 @@
 	editTarget := cfg.Target
 	cfg.Target = func(i int, o *targetsim.Options) {
 		editTarget(i, o)
-		o.IdleMS = 1000 // closes the target's end of a silent connection, which counts toward its limit
+		o.IdleMS = 1000 // closes the target's end of a silent connection, which counts toward the target's limit
 	}
 	c := start(t, cfg)
 	c.Eventually(c.vmsWithPlace, waitTimeout, "50ms").Should(gomega.HaveLen(zoneDaemons))
