--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -30,6 +30,7 @@
 // noAnswer stands for the status of a request whose answer was not received completely.
 const noAnswer = 0
 
+// addViolation records a description of an answer or a run that broke a guarantee.
 func (c *callers) addViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +38,7 @@
 }
 
 // run sends requests of random kinds to random VMs until ctx ends. number identifies the
-// caller in request IDs.
+// caller in request IDs; together with seed it determines the choices.
 func (c *callers) run(ctx context.Context, number int, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(number)))
 	client := newClient()
@@ -163,6 +164,7 @@
 	}
 }
 
+// newClient returns a client with connections of its own.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 }
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -19,10 +19,11 @@
 
 // Sizes of the deployment.
 const (
-	shardCount = 10
-	vmsPerZone = 2
+	shardCount = 10 // number of shards of the gathered route
+	vmsPerZone = 2  // number of VMs in each zone
 )
 
+// zones holds the names of the availability zones.
 var zones = []string{"a", "b"}
 
 // deployment is a store, leafs and VMs. Each VM runs as a process of its own.
@@ -31,7 +32,7 @@
 	binary string // path of bramleyd
 	dir    string // of the VMs' settings and logs
 	store  *edgesim.Store
-	leafs  map[string]*edgesim.Leaf // by id
+	leafs  map[string]*edgesim.Leaf // by ID
 	vms    []*vm
 }
 
@@ -119,6 +120,8 @@
 	v.start(d)
 }
 
+// freeAddress returns a loopback address with a free port, or fails the test if it finds
+// none.
 func (d *deployment) freeAddress() string {
 	address, err := edgesim.FreeAddress()
 	if err != nil {
@@ -160,7 +163,7 @@
 	_ = v.process.Process.Signal(sig)
 }
 
-// waitExit waits for the current process to exit, and kills it after the timeout.
+// waitExit waits for the current process to exit. It kills the process after the timeout.
 func (v *vm) waitExit(timeout time.Duration) {
 	v.mu.Lock()
 	exited := v.exited
@@ -173,6 +176,7 @@
 	}
 }
 
+// kill kills the current process and waits for its exit.
 func (v *vm) kill() {
 	v.signal(syscall.SIGKILL)
 	v.waitExit(time.Second)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -21,10 +21,10 @@
 
 // Durations and sizes of a run.
 const (
-	faultDuration    = 6 * time.Second
+	faultDuration    = 6 * time.Second  // time for which one run injects faults
 	recoveryTimeout  = 20 * time.Second // bounds the time until all VMs are ready and serve again, also on a busy machine
-	callerCount      = 6
-	faultSeriesCount = 3 // concurrent series of faults; see injectFaults
+	callerCount      = 6                // number of concurrent callers in a run
+	faultSeriesCount = 3                // number of concurrent series of faults: at VMs, at leafs, at the store
 )
 
 // seeds returns the SOAK_SEEDS seeds from SOAK_FIRST on, or fixedSeeds if SOAK_SEEDS is
@@ -61,6 +61,8 @@
 	}
 }
 
+// soak tests a new deployment, whose daemons run the program at the path binary, with the
+// faults and requests that the seed determines.
 func soak(t *testing.T, binary string, seed uint64) {
 	d := newDeployment(t, binary)
 	d.waitServing(t)
@@ -86,8 +88,8 @@
 	t.Logf("%d answers, %d reports", load.served, len(load.reports))
 }
 
-// injectFaults runs one series of faults until ctx ends: series 0 at VMs, 1 at leafs, and
-// any other at the store.
+// injectFaults injects one fault after another until ctx ends. Series 0 has faults of VMs,
+// series 1 those of leafs, and any other series those of the store.
 func (d *deployment) injectFaults(ctx context.Context, series int, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(50+rng.IntN(300)) * time.Millisecond)
@@ -102,8 +104,8 @@
 	}
 }
 
-// injectVMFault freezes, kills or stops the VM, or lets the store refuse its calls, and
-// ends the fault.
+// injectVMFault freezes, kills or stops the VM, or rejects its calls to the store. It
+// returns after it has ended the fault.
 func (d *deployment) injectVMFault(v *vm, rng *rand.Rand) {
 	pause := time.Duration(100+rng.IntN(900)) * time.Millisecond
 	switch rng.IntN(4) {
@@ -126,8 +128,8 @@
 	}
 }
 
-// injectLeafFault injects a random fault into a random leaf, which may drain meanwhile,
-// and ends the fault.
+// injectLeafFault injects a random fault into a random leaf, which may drain meanwhile. It
+// returns after it has ended the fault.
 func (d *deployment) injectLeafFault(rng *rand.Rand) {
 	faults := []edgesim.LeafFaults{
 		{Delay: 150 * time.Millisecond}, {Refuse: true}, {Fail: true}, {LoseAnswers: true}, {TruncateBody: true},
@@ -147,8 +149,8 @@
 	d.store.Put("servers", id, l.RegistryEntry("ready"))
 }
 
-// injectStoreFault injects a random fault into the store and ends it. The store may then
-// discard its history.
+// injectStoreFault injects a random fault into the store and ends it. In half of the cases
+// the store then discards its history and closes its connections.
 func (d *deployment) injectStoreFault(rng *rand.Rand) {
 	faults := []edgesim.StoreFaults{
 		{Status: 503}, {Status: 429}, {Silent: true}, {SilentWatches: true},
@@ -189,8 +191,8 @@
 	}
 }
 
-// serves reports whether the VM answers one request of each kind with status 200. n makes
-// the request IDs differ between the calls of one waitServing.
+// serves reports whether the VM answers one request of each kind with status 200. The
+// request IDs contain n, so that they differ between the attempts of one waitServing call.
 func (d *deployment) serves(v *vm, n int) bool {
 	probe := &callers{deployment: d, reports: make(map[string]int)}
 	for kind := range 3 {
