--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -121,8 +121,8 @@
 	Budget      float64 `json:"budget"`       // retries per first attempt, at most
 }
 
-// Find returns the search of that name.
-func (b *Bundle) Find(name string) (*Search, bool) {
+// Search returns the search of that name.
+func (b *Bundle) Search(name string) (*Search, bool) {
 	for i := range b.Searches {
 		if b.Searches[i].Name == name {
 			return &b.Searches[i], true
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -18,17 +18,17 @@
 
 // The ranges that a bundle's numbers must lie in.
 const (
-	maxVMs         = 5000
-	maxShards      = 10000
-	maxTargets     = 10000
-	maxLeaves      = 1000
-	maxSlots       = 1000
-	maxConnections = 100000
-	maxCostMS      = 60000
-	maxTimeMS      = 600000 // ten minutes
-	maxSuspect     = 100
-	maxAttempts    = 10
-	maxItems       = 10000
+	maxVMs           = 5000
+	maxShards        = 10000
+	maxTargets       = 10000
+	maxLeaves        = 1000
+	maxSlots         = 1000
+	maxConnections   = 100000
+	maxConnectCostMS = 60000
+	maxTimeMS        = 600000 // ten minutes
+	maxSuspectAfter  = 100
+	maxAttempts      = 10
+	maxItems         = 10000
 )
 
 // Parse reads and checks a bundle and returns all findings at once.
@@ -47,7 +47,7 @@
 	c.name("$.deployment", b.Deployment)
 	c.name("$.name", b.Name)
 	c.name("$.author", b.Author)
-	c.between("$.fleet.max_vms", b.Fleet.MaxVMs, 1, maxVMs)
+	c.intBetween("$.fleet.max_vms", b.Fleet.MaxVMs, 1, maxVMs)
 	c.zones()
 	c.services()
 	c.searches()
@@ -69,13 +69,13 @@
 	}
 }
 
-func (c *checker) between(path string, found, low, high int) {
+func (c *checker) intBetween(path string, found, low, high int) {
 	if found < low || found > high {
 		c.add(path, strconv.Itoa(found), fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
-func (c *checker) share(path string, found, low, high float64) {
+func (c *checker) floatBetween(path string, found, low, high float64) {
 	if !(found >= low && found <= high) {
 		c.add(path, strconv.FormatFloat(found, 'g', -1, 64), fmt.Sprintf("%g to %g", low, high))
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (c *checker) once(seen map[string]string, path, value string) {
+func (c *checker) unique(seen map[string]string, path, value string) {
 	if first, twice := seen[value]; twice {
 		c.add(path, fmt.Sprintf("%q, which stands at %s already", value, first), "each name once")
 		return
@@ -95,39 +95,39 @@
 	seen[value] = path
 }
 
-func (c *checker) filled(path string, found, most int) {
+func (c *checker) length(path string, found, most int) {
 	if found < 1 || found > most {
 		c.add(path, fmt.Sprintf("%d items", found), fmt.Sprintf("1 to %d items", most))
 	}
 }
 
 func (c *checker) zones() {
-	c.filled("$.zones", len(c.bundle.Zones), maxTargets)
+	c.length("$.zones", len(c.bundle.Zones), maxTargets)
 	seen := map[string]string{}
 	for i, z := range c.bundle.Zones {
 		path := fmt.Sprintf("$.zones[%d]", i)
 		c.name(path+".name", z.Name)
 		c.name(path+".region", z.Region)
-		c.once(seen, path+".name", z.Name)
+		c.unique(seen, path+".name", z.Name)
 	}
 }
 
 func (c *checker) services() {
-	c.filled("$.services", len(c.bundle.Services), maxTargets)
+	c.length("$.services", len(c.bundle.Services), maxTargets)
 	names, targets, addresses := map[string]string{}, map[string]string{}, map[string]string{}
 	for i, s := range c.bundle.Services {
 		path := fmt.Sprintf("$.services[%d]", i)
 		c.name(path+".name", s.Name)
-		c.once(names, path+".name", s.Name)
-		c.between(path+".shards", s.Shards, 1, maxShards)
+		c.unique(names, path+".name", s.Name)
+		c.intBetween(path+".shards", s.Shards, 1, maxShards)
 		c.drain(path+".drain", s.Drain)
-		c.filled(path+".targets", len(s.Targets), maxTargets)
+		c.length(path+".targets", len(s.Targets), maxTargets)
 		leaves := 0
 		for j, t := range s.Targets {
 			at := fmt.Sprintf("%s.targets[%d]", path, j)
 			c.target(at, t)
-			c.once(targets, at+".name", t.Name)
-			c.once(addresses, at+".address", t.Address)
+			c.unique(targets, at+".name", t.Name)
+			c.unique(addresses, at+".address", t.Address)
 			leaves += t.Leaves
 		}
 		// Each leaf holds at least one shard, so fewer shards than leaves only
@@ -139,10 +139,10 @@
 }
 
 func (c *checker) drain(path string, d Drain) {
-	c.between(path+".health_interval_ms", d.HealthIntervalMS, 10, maxTimeMS)
-	c.between(path+".health_timeout_ms", d.HealthTimeoutMS, 1, maxTimeMS)
-	c.between(path+".suspect_after", d.SuspectAfter, 1, maxSuspect)
-	c.between(path+".warmup_ms", d.WarmupMS, 0, maxTimeMS)
+	c.intBetween(path+".health_interval_ms", d.HealthIntervalMS, 10, maxTimeMS)
+	c.intBetween(path+".health_timeout_ms", d.HealthTimeoutMS, 1, maxTimeMS)
+	c.intBetween(path+".suspect_after", d.SuspectAfter, 1, maxSuspectAfter)
+	c.intBetween(path+".warmup_ms", d.WarmupMS, 0, maxTimeMS)
 }
 
 func (c *checker) target(path string, t Target) {
@@ -153,10 +153,10 @@
 	if addr, err := netip.ParseAddrPort(t.Address); err != nil || addr.Port() == 0 {
 		c.add(path+".address", strconv.Quote(t.Address), "an IP address and port")
 	}
-	c.between(path+".leaves", t.Leaves, 1, maxLeaves)
-	c.between(path+".slots", t.Slots, 1, maxSlots)
-	c.between(path+".connections", t.Connections, 1, maxConnections)
-	c.share(path+".connect_cost_ms", t.ConnectCostMS, 0, maxCostMS)
+	c.intBetween(path+".leaves", t.Leaves, 1, maxLeaves)
+	c.intBetween(path+".slots", t.Slots, 1, maxSlots)
+	c.intBetween(path+".connections", t.Connections, 1, maxConnections)
+	c.floatBetween(path+".connect_cost_ms", t.ConnectCostMS, 0, maxConnectCostMS)
 }
 
 func (c *checker) hasZone(name string) bool {
@@ -169,12 +169,12 @@
 }
 
 func (c *checker) searches() {
-	c.filled("$.searches", len(c.bundle.Searches), maxTargets)
+	c.length("$.searches", len(c.bundle.Searches), maxTargets)
 	seen := map[string]string{}
 	for i, s := range c.bundle.Searches {
 		path := fmt.Sprintf("$.searches[%d]", i)
 		c.name(path+".name", s.Name)
-		c.once(seen, path+".name", s.Name)
+		c.unique(seen, path+".name", s.Name)
 		c.search(path, s)
 	}
 }
@@ -193,18 +193,18 @@
 	if _, ok := c.bundle.Service(s.Service); !ok {
 		c.add(path+".service", strconv.Quote(s.Service), "the name of one of $.services")
 	}
-	c.share(path+".coverage.min", s.Coverage.Min, 0, 1)
-	c.share(path+".coverage.default", s.Coverage.Default, s.Coverage.Min, 1)
-	c.between(path+".coverage.grace_ms", s.Coverage.GraceMS, 0, maxTimeMS)
-	c.between(path+".time_limit.min_ms", s.TimeLimit.MinMS, 1, maxTimeMS)
-	c.between(path+".time_limit.max_ms", s.TimeLimit.MaxMS, s.TimeLimit.MinMS, maxTimeMS)
-	c.between(path+".time_limit.default_ms", s.TimeLimit.DefaultMS, s.TimeLimit.MinMS, s.TimeLimit.MaxMS)
-	c.share(path+".hedge.quantile", s.Hedge.Quantile, 0, 1)
-	c.between(path+".hedge.min_delay_ms", s.Hedge.MinDelayMS, 0, maxTimeMS)
-	c.share(path+".hedge.budget", s.Hedge.Budget, 0, 1)
-	c.between(path+".retry.max_attempts", s.Retry.MaxAttempts, 1, maxAttempts)
-	c.share(path+".retry.budget", s.Retry.Budget, 0, 1)
-	c.between(path+".max_items", s.MaxItems, 1, maxItems)
+	c.floatBetween(path+".coverage.min", s.Coverage.Min, 0, 1)
+	c.floatBetween(path+".coverage.default", s.Coverage.Default, s.Coverage.Min, 1)
+	c.intBetween(path+".coverage.grace_ms", s.Coverage.GraceMS, 0, maxTimeMS)
+	c.intBetween(path+".time_limit.min_ms", s.TimeLimit.MinMS, 1, maxTimeMS)
+	c.intBetween(path+".time_limit.max_ms", s.TimeLimit.MaxMS, s.TimeLimit.MinMS, maxTimeMS)
+	c.intBetween(path+".time_limit.default_ms", s.TimeLimit.DefaultMS, s.TimeLimit.MinMS, s.TimeLimit.MaxMS)
+	c.floatBetween(path+".hedge.quantile", s.Hedge.Quantile, 0, 1)
+	c.intBetween(path+".hedge.min_delay_ms", s.Hedge.MinDelayMS, 0, maxTimeMS)
+	c.floatBetween(path+".hedge.budget", s.Hedge.Budget, 0, 1)
+	c.intBetween(path+".retry.max_attempts", s.Retry.MaxAttempts, 1, maxAttempts)
+	c.floatBetween(path+".retry.budget", s.Retry.Budget, 0, 1)
+	c.intBetween(path+".max_items", s.MaxItems, 1, maxItems)
 	if s.Kind == KindSubmit && s.Hedge.Budget != 0 {
 		c.add(path+".hedge.budget", strconv.FormatFloat(s.Hedge.Budget, 'g', -1, 64), "0 for a submit, which runs at most once")
 	}
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -24,9 +24,9 @@
 	PurposeRefusal Purpose = "refusal"  // an operator's change was refused
 )
 
-// signContext starts every signed text, so that no key signs for us what was
+// signatureDomain starts every signed text, so that no key signs for us what was
 // meant for another system.
-const signContext = "bramleybarrow 1 "
+const signatureDomain = "bramleybarrow 1 "
 
 // Signed is a payload with its signature. The payload travels as base64, so
 // that no store or codec in between can reformat the signed bytes.
@@ -44,12 +44,12 @@
 		Purpose:   purpose,
 		Key:       key.ID,
 		Payload:   payload,
-		Signature: ed25519.Sign(private, signedText(purpose, payload)),
+		Signature: ed25519.Sign(private, signedMessage(purpose, payload)),
 	}
 }
 
-func signedText(purpose Purpose, payload []byte) []byte {
-	text := []byte(signContext + string(purpose) + "\n")
+func signedMessage(purpose Purpose, payload []byte) []byte {
+	text := []byte(signatureDomain + string(purpose) + "\n")
 	return append(text, payload...)
 }
 
@@ -77,7 +77,7 @@
 // Hash identifies the signed object whatever JSON form it travels in.
 func (s Signed) Hash() string {
 	sum := sha256.New()
-	sum.Write(signedText(s.Purpose, s.Payload))
+	sum.Write(signedMessage(s.Purpose, s.Payload))
 	sum.Write(s.Signature)
 	return hex.EncodeToString(sum.Sum(nil))
 }
@@ -85,7 +85,7 @@
 // Verify returns the key that signed s for the purpose. Its errors have code
 // NotSigned, or UnknownKey for a key that the ring lacks or that is retired.
 func (r *Keyring) Verify(s Signed, purpose Purpose) (PublicKey, error) {
-	key, err := r.VerifyOld(s, purpose)
+	key, err := r.VerifyWithRetired(s, purpose)
 	if err != nil {
 		return key, err
 	}
@@ -95,8 +95,8 @@
 	return key, nil
 }
 
-// VerifyOld is Verify that also takes retired keys, for what lies in the past.
-func (r *Keyring) VerifyOld(s Signed, purpose Purpose) (PublicKey, error) {
+// VerifyWithRetired is Verify that also takes retired keys, for what lies in the past.
+func (r *Keyring) VerifyWithRetired(s Signed, purpose Purpose) (PublicKey, error) {
 	if s.Purpose != purpose {
 		return PublicKey{}, result.Errorf(result.NotSigned, "found a signature for %q, allowed is %q", s.Purpose, purpose)
 	}
@@ -104,7 +104,7 @@
 	if !ok {
 		return PublicKey{}, result.Errorf(result.UnknownKey, "%s by key %q, which the settings do not list", purpose, s.Key)
 	}
-	if !ed25519.Verify(key.bytes, signedText(s.Purpose, s.Payload), s.Signature) {
+	if !ed25519.Verify(key.bytes, signedMessage(s.Purpose, s.Payload), s.Signature) {
 		return PublicKey{}, result.Errorf(result.NotSigned, "the signature of key %q does not match the %s", s.Key, purpose)
 	}
 	return key.PublicKey, nil
@@ -151,12 +151,12 @@
 	return o, nil
 }
 
-// envelopeBytes is room for the purpose, key and signature around a payload.
-const envelopeBytes = 1 << 10
+// maxEnvelopeBytes is room for the purpose, key and signature around a payload.
+const maxEnvelopeBytes = 1 << 10
 
 // MaxBytes is the largest bundle, in bytes as written: signed and in base64 it
 // still fits into one value of the platform.
-const MaxBytes = (objstore.MaxValue - envelopeBytes) / 4 * 3
+const MaxBytes = (objstore.MaxValue - maxEnvelopeBytes) / 4 * 3
 
 // Package signs a bundle's bytes as their author, for the platform and for
 // peers. It refuses what exceeds the platform's largest value before anything
@@ -176,9 +176,9 @@
 	return s, nil
 }
 
-// Open verifies a packaged bundle: the digest, the author's signature and all
+// OpenBundle verifies a packaged bundle: the digest, the author's signature and all
 // checks. It does not look at sign-offs.
-func (r *Keyring) Open(raw []byte, digest string) (*Bundle, error) {
+func (r *Keyring) OpenBundle(raw []byte, digest string) (*Bundle, error) {
 	s, err := ParseSigned(raw)
 	if err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 	if found := Digest(s.Payload); found != digest {
 		return nil, result.Errorf(result.NotSigned, "the bundle's bytes have digest %s, not %s", found, digest)
 	}
-	key, err := r.VerifyOld(s, PurposeBundle)
+	key, err := r.VerifyWithRetired(s, PurposeBundle)
 	if err != nil {
 		return nil, err
 	}
--- a/bundle/warn.go
+++ b/bundle/warn.go
@@ -7,7 +7,7 @@
 	c := &checker{bundle: b}
 	for i, s := range b.Services {
 		path := fmt.Sprintf("$.services[%d]", i)
-		if !b.searched(s.Name) {
+		if !b.hasSearchFor(s.Name) {
 			c.add(path+".name", fmt.Sprintf("%q, which no search uses", s.Name), "a service that a search names")
 		}
 		for j, t := range s.Targets {
@@ -22,7 +22,7 @@
 	return c.findings
 }
 
-func (b *Bundle) searched(service string) bool {
+func (b *Bundle) hasSearchFor(service string) bool {
 	for _, s := range b.Searches {
 		if s.Service == service {
 			return true
--- a/gateway/search.go
+++ b/gateway/search.go
@@ -45,7 +45,7 @@
 // find returns the search that the path names, if it is of the path's kind.
 func (req *request) find() (*bundle.Search, error) {
 	name := pat.Param(req.http, "search")
-	s, ok := req.force.Bundle.Find(name)
+	s, ok := req.force.Bundle.Search(name)
 	if !ok || !strings.HasPrefix(req.http.URL.Path, "/v1/"+string(s.Kind)+"/") {
 		return nil, result.Errorf(result.UnknownSearch, "search %q", name)
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -141,7 +141,7 @@
 	if _, err := signer.SignOff(ctx, digest, "tests"); err != nil {
 		return rollout.Entry{}, errors.Trace(err)
 	}
-	entry, err := signer.Rollout(ctx, digest, rollout.Ask{Reason: "tests"})
+	entry, err := signer.Rollout(ctx, digest, rollout.Request{Reason: "tests"})
 	return entry, errors.Trace(err)
 }
 
--- a/internal/lab/fleetbench/work.go
+++ b/internal/lab/fleetbench/work.go
@@ -121,7 +121,7 @@
 		return entry, asked, errors.Trace(err)
 	}
 	asked = time.Now()
-	entry, err = signer.Rollout(ctx, digest, rollout.Ask{Reason: "bench"})
+	entry, err = signer.Rollout(ctx, digest, rollout.Request{Reason: "bench"})
 	return entry, asked, errors.Trace(err)
 }
 
--- a/internal/lab/rolloutbench/scenario.go
+++ b/internal/lab/rolloutbench/scenario.go
@@ -144,7 +144,7 @@
 	if err := b.call(s.before); err != nil {
 		return 0, errors.Trace(err)
 	}
-	entry, err := b.client.Rollout(ctx, b.digests[i%len(b.digests)], rollout.Ask{Reason: s.name})
+	entry, err := b.client.Rollout(ctx, b.digests[i%len(b.digests)], rollout.Request{Reason: s.name})
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -40,7 +40,7 @@
 	warmed      atomic.Bool // targets were known once
 
 	store   objstore.Store
-	keeper  *rollout.Keeper
+	keeper  *rollout.Follower
 	client  *target.Client
 	monitor *target.Monitor
 	engine  *query.Engine
@@ -83,7 +83,7 @@
 		return nil, errors.Trace(err)
 	}
 	n.store = objstore.NewClient(set.Platform.Address, objstore.ClientOptions{})
-	n.keeper = rollout.NewKeeper(rollout.Options{
+	n.keeper = rollout.NewFollower(rollout.Options{
 		Deployment: set.Deployment,
 		Keys:       keys,
 		// Its reads may take longer than a claim: a slow platform must not count
--- a/node/status.go
+++ b/node/status.go
@@ -23,7 +23,7 @@
 		Peers:           n.peers.Peers(),
 	}
 	st.PlatformReachable = time.Since(st.PlatformContact) < platformSilence
-	if err := n.keeper.Refusal(); err != nil {
+	if err := n.keeper.LastRefusal(); err != nil {
 		st.Refused = err.Error()
 	}
 	if force := n.keeper.Current(); force != nil {
--- a/operator/bundles.go
+++ b/operator/bundles.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	list, err := s.client.List(ctx)
+	list, err := s.client.ListBundles(ctx)
 	if err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	data, err := s.client.LoadBytes(ctx, digest)
+	data, err := s.client.LoadBundleBytes(ctx, digest)
 	if err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.client.LoadBytes(ctx, digest)
+	return s.client.LoadBundleBytes(ctx, digest)
 }
 
 // argHead stands for the bundle in force.
--- a/operator/changes.go
+++ b/operator/changes.go
@@ -97,14 +97,14 @@
 	Recalled string         `json:"recalled,omitempty"`
 }
 
-type changeFunc func(*rollout.Client, context.Context, string, rollout.Ask) (rollout.Entry, error)
+type changeFunc func(*rollout.Client, context.Context, string, rollout.Request) (rollout.Entry, error)
 
 func (a *app) change(ctx context.Context, c *cli.Command, do changeFunc) error {
 	s, digest, err := a.openDigest(ctx, c)
 	if err != nil {
 		return err
 	}
-	ask := rollout.Ask{
+	ask := rollout.Request{
 		Reason: c.String("reason"), Op: rollout.OpID(c.String("op")),
 		Expect: c.Uint64("expect"), DryRun: c.Bool("dry-run"),
 	}
--- a/rollout/bundles.go
+++ b/rollout/bundles.go
@@ -27,36 +27,36 @@
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
 	digest := bundle.Digest(data)
-	err = c.keep(ctx, KindBundle, digest, signed.Bytes(), func(existing []byte) bool {
-		_, err := c.opts.Keys.Open(existing, digest)
+	err = c.createOnce(ctx, KindBundle, digest, signed.Bytes(), func(existing []byte) bool {
+		_, err := c.opts.Keys.OpenBundle(existing, digest)
 		return err == nil
 	})
 	return digest, err
 }
 
-// Load reads a bundle from the platform and verifies it.
-func (c *Client) Load(ctx context.Context, digest string) (*bundle.Bundle, error) {
-	raw, err := c.loadRaw(ctx, digest)
+// LoadBundle reads a bundle from the platform and verifies it.
+func (c *Client) LoadBundle(ctx context.Context, digest string) (*bundle.Bundle, error) {
+	raw, err := c.readBundle(ctx, digest)
 	if err != nil {
 		return nil, err
 	}
-	return c.opts.Keys.Open(raw, digest)
+	return c.opts.Keys.OpenBundle(raw, digest)
 }
 
-// LoadBytes returns the bytes of a verified bundle as its author wrote them.
-func (c *Client) LoadBytes(ctx context.Context, digest string) ([]byte, error) {
-	raw, err := c.loadRaw(ctx, digest)
+// LoadBundleBytes returns the bytes of a verified bundle as its author wrote them.
+func (c *Client) LoadBundleBytes(ctx context.Context, digest string) ([]byte, error) {
+	raw, err := c.readBundle(ctx, digest)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.opts.Keys.Open(raw, digest); err != nil {
+	if _, err := c.opts.Keys.OpenBundle(raw, digest); err != nil {
 		return nil, err
 	}
 	signed, err := bundle.ParseSigned(raw)
 	return signed.Payload, err
 }
 
-func (c *Client) loadRaw(ctx context.Context, digest string) ([]byte, error) {
+func (c *Client) readBundle(ctx context.Context, digest string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
 	obj, err := c.get(ctx, KindBundle, digest)
@@ -66,8 +66,8 @@
 	return obj.Value, err
 }
 
-// Listed is one bundle on the platform.
-type Listed struct {
+// BundleInfo is one bundle on the platform.
+type BundleInfo struct {
 	Digest     string `json:"digest"`
 	Deployment string `json:"deployment"`
 	Name       string `json:"name"`
@@ -76,18 +76,18 @@
 	Fault      string `json:"fault,omitempty"` // why it cannot come into force
 }
 
-// List returns the bundles on the platform.
-func (c *Client) List(ctx context.Context) ([]Listed, error) {
+// ListBundles returns the bundles on the platform.
+func (c *Client) ListBundles(ctx context.Context) ([]BundleInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
 	objects, err := c.list(ctx, KindBundle, "")
 	if err != nil {
 		return nil, err
 	}
-	list := make([]Listed, 0, len(objects))
+	list := make([]BundleInfo, 0, len(objects))
 	for _, obj := range objects {
-		row := Listed{Digest: obj.Name, Bytes: len(obj.Value)}
-		b, err := c.opts.Keys.Open(obj.Value, obj.Name)
+		row := BundleInfo{Digest: obj.Name, Bytes: len(obj.Value)}
+		b, err := c.opts.Keys.OpenBundle(obj.Value, obj.Name)
 		if err != nil {
 			row.Fault = err.Error()
 		} else {
@@ -104,7 +104,7 @@
 	if c.opts.Key == nil {
 		return bundle.SignOff{}, result.Errorf(result.BadSettings, "a sign-off needs your private key; pass --key or make one with keygen")
 	}
-	b, err := c.Load(ctx, digest)
+	b, err := c.LoadBundle(ctx, digest)
 	if err != nil {
 		return bundle.SignOff{}, err
 	}
@@ -126,7 +126,7 @@
 		return off, err
 	}
 	name := fmt.Sprintf("%s.%s.%020d", digest, c.opts.Key.ID, off.After)
-	err = c.keep(ctx, KindSignOff, name, signed.Bytes(), func(existing []byte) bool {
+	err = c.createOnce(ctx, KindSignOff, name, signed.Bytes(), func(existing []byte) bool {
 		old, err := bundle.ParseSigned(existing)
 		if err != nil {
 			return false
@@ -137,9 +137,9 @@
 	return off, err
 }
 
-// approved reads the bundle and the newest sign-off that counts for it.
-func (c *Client) approved(ctx context.Context, digest string) (Approved, error) {
-	b, err := c.Load(ctx, digest)
+// loadApproved reads the bundle and the newest sign-off that counts for it.
+func (c *Client) loadApproved(ctx context.Context, digest string) (Approved, error) {
+	b, err := c.LoadBundle(ctx, digest)
 	if err != nil {
 		return Approved{}, err
 	}
@@ -178,41 +178,41 @@
 }
 
 // Rollout puts a bundle that was signed off into force.
-func (c *Client) Rollout(ctx context.Context, digest string, ask Ask) (Entry, error) {
-	entry, err := c.advance(ctx, ask, want{ActionRollout, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
-		b, err := c.approved(ctx, digest)
+func (c *Client) Rollout(ctx context.Context, digest string, ask Request) (Entry, error) {
+	entry, err := c.makeChange(ctx, ask, intent{ActionRollout, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
+		b, err := c.loadApproved(ctx, digest)
 		if err != nil {
 			return Entry{}, err
 		}
 		return NextRollout(c.opts.Deployment, head, change, b)
 	})
-	return c.finish(ctx, entry, err, Refusal{Action: ActionRollout, Digest: digest}, ask)
+	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRollout, Digest: digest}, ask)
 }
 
 // Recall takes a bundle back as a whole. If it is in force, the latest bundle
 // that was in force before and was not recalled takes its place.
-func (c *Client) Recall(ctx context.Context, digest string, ask Ask) (Entry, error) {
-	entry, err := c.advance(ctx, ask, want{ActionRecall, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
+func (c *Client) Recall(ctx context.Context, digest string, ask Request) (Entry, error) {
+	entry, err := c.makeChange(ctx, ask, intent{ActionRecall, digest}, func(ctx context.Context, head *Head, change Change) (Entry, error) {
 		if head == nil || digest != head.Entry.Digest {
-			if _, err := c.loadRaw(ctx, digest); err != nil {
+			if _, err := c.readBundle(ctx, digest); err != nil {
 				return Entry{}, err
 			}
 			return NextRecall(head, change, digest, nil)
 		}
-		fallback, err := c.fallback(ctx, head, digest)
+		fallback, err := c.findFallback(ctx, head, digest)
 		if err != nil {
 			return Entry{}, err
 		}
 		return NextRecall(head, change, digest, fallback)
 	})
-	return c.finish(ctx, entry, err, Refusal{Action: ActionRecall, Digest: digest}, ask)
+	return c.recordIfRefused(ctx, entry, err, Refusal{Action: ActionRecall, Digest: digest}, ask)
 }
 
-// fallback finds the bundle that takes the place of a recalled one: the latest
+// findFallback finds the bundle that takes the place of a recalled one: the latest
 // that VMs would take. One signed off by a key retired since is passed over.
-func (c *Client) fallback(ctx context.Context, head *Head, digest string) (*Approved, error) {
+func (c *Client) findFallback(ctx context.Context, head *Head, digest string) (*Approved, error) {
 	for _, past := range Fallbacks(head, digest) {
-		kept, err := c.readKept(ctx, past.Revision)
+		kept, err := c.readArchived(ctx, past.Revision)
 		if err != nil {
 			return nil, err
 		}
@@ -223,7 +223,7 @@
 		if err != nil {
 			continue
 		}
-		if _, err := c.Load(ctx, past.Digest); err != nil {
+		if _, err := c.LoadBundle(ctx, past.Digest); err != nil {
 			if result.Of(err) == result.PlatformDown {
 				return nil, err
 			}
--- a/rollout/client.go
+++ b/rollout/client.go
@@ -22,9 +22,9 @@
 	// failures; default 30 s.
 	Patience    time.Duration
 	CallTimeout time.Duration // of one call, default 5 s
-	// Pause waits between two tries; the default sleeps with jitter. Tests
+	// Backoff waits between two tries; the default sleeps with jitter. Tests
 	// replace it.
-	Pause func(ctx context.Context, try int)
+	Backoff func(ctx context.Context, try int)
 	// Now is the operator's clock, default time.Now.
 	Now func() time.Time
 }
@@ -37,8 +37,8 @@
 
 // The bounds of the pause between two tries.
 const (
-	retryPauseMin = 20 * time.Millisecond
-	retryPauseMax = time.Second
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
 // Client is the operators' side: it pushes and signs bundles, rolls them out
@@ -51,8 +51,8 @@
 func NewClient(opts ClientOptions) *Client {
 	defaults.Positive(&opts.Patience, DefaultPatience)
 	defaults.Positive(&opts.CallTimeout, DefaultCallTimeout)
-	if opts.Pause == nil {
-		opts.Pause = pauseWithJitter
+	if opts.Backoff == nil {
+		opts.Backoff = backoffWithJitter
 	}
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -60,8 +60,8 @@
 	return &Client{opts: opts}
 }
 
-func pauseWithJitter(ctx context.Context, try int) {
-	pause := min(retryPauseMin<<min(try, 10), retryPauseMax)
+func backoffWithJitter(ctx context.Context, try int) {
+	pause := min(minRetryDelay<<min(try, 10), maxRetryDelay)
 	timer := time.NewTimer(time.Duration(float64(pause) * (0.5 + rand.Float64())))
 	defer timer.Stop()
 	select {
@@ -83,7 +83,7 @@
 		if ctx.Err() != nil {
 			return obj, result.Wrap(result.PlatformDown, err, "reading "+kind+"/"+name)
 		}
-		c.opts.Pause(ctx, try)
+		c.opts.Backoff(ctx, try)
 	}
 }
 
@@ -97,7 +97,7 @@
 	const pageSize = 100
 	var all []objstore.Object
 	for {
-		page, err := c.page(ctx, kind, after, pageSize)
+		page, err := c.listPage(ctx, kind, after, pageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -118,7 +118,7 @@
 	return len(s) >= len(prefix) && s[:len(prefix)] == prefix
 }
 
-func (c *Client) page(ctx context.Context, kind, after string, limit int) (objstore.Page, error) {
+func (c *Client) listPage(ctx context.Context, kind, after string, limit int) (objstore.Page, error) {
 	for try := 0; ; try++ {
 		call, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 		page, err := c.opts.Store.List(call, kind, after, limit)
@@ -129,14 +129,14 @@
 		if ctx.Err() != nil {
 			return page, result.Wrap(result.PlatformDown, err, "listing "+kind)
 		}
-		c.opts.Pause(ctx, try)
+		c.opts.Backoff(ctx, try)
 	}
 }
 
-// keep creates an object that is written once. If it exists, same decides
+// createOnce creates an object that is written once. If it exists, same decides
 // whether it is the one meant. Writing twice is harmless, so a lost answer is
 // resolved by asking again.
-func (c *Client) keep(ctx context.Context, kind, name string, value []byte, same func(existing []byte) bool) error {
+func (c *Client) createOnce(ctx context.Context, kind, name string, value []byte, same func(existing []byte) bool) error {
 	if len(value) > objstore.MaxValue {
 		return result.Errorf(result.BundleTooLarge, "%s/%s has %d bytes, allowed are %d; nothing was written", kind, name, len(value), objstore.MaxValue)
 	}
@@ -163,7 +163,7 @@
 		if ctx.Err() != nil {
 			return result.Wrap(result.PlatformDown, err, "keeping "+kind+"/"+name)
 		}
-		c.opts.Pause(ctx, try)
+		c.opts.Backoff(ctx, try)
 	}
 }
 
@@ -174,13 +174,13 @@
 	return err
 }
 
-// state is the head as read, with its version at the store.
-type state struct {
+// headState is the head as read, with its version at the store.
+type headState struct {
 	head    *Head // nil before the first rollout
 	version uint64
 }
 
-func (s state) revision() uint64 {
+func (s headState) revision() uint64 {
 	if s.head == nil {
 		return 0
 	}
@@ -189,23 +189,23 @@
 
 // readState reads the head. Its signature may be by a key retired since: the
 // operator is about to replace it.
-func (c *Client) readState(ctx context.Context) (state, error) {
+func (c *Client) readState(ctx context.Context) (headState, error) {
 	obj, err := c.get(ctx, KindHead, c.opts.Deployment)
 	if errors.Is(err, objstore.ErrNotFound) {
-		return state{}, nil
+		return headState{}, nil
 	}
 	if err != nil {
-		return state{}, err
+		return headState{}, err
 	}
 	head, err := openHead(obj.Value, c.opts.Deployment, c.opts.Keys, true)
 	if err != nil {
-		return state{}, err
+		return headState{}, err
 	}
-	return state{head: head, version: obj.Version}, nil
+	return headState{head: head, version: obj.Version}, nil
 }
 
-// readKept reads the entry kept under a revision, or nil if there is none.
-func (c *Client) readKept(ctx context.Context, revision uint64) (*Head, error) {
+// readArchived reads the entry kept under a revision, or nil if there is none.
+func (c *Client) readArchived(ctx context.Context, revision uint64) (*Head, error) {
 	obj, err := c.get(ctx, KindAudit, AuditName(c.opts.Deployment, revision))
 	if errors.Is(err, objstore.ErrNotFound) {
 		return nil, nil
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -47,8 +47,8 @@
 	ActionRecall  Action = "recall"
 )
 
-// Past is a bundle that was in force and was not recalled since.
-type Past struct {
+// PastBundle is a bundle that was in force and was not recalled since.
+type PastBundle struct {
 	Digest   string `json:"digest"`
 	Revision uint64 `json:"revision"` // of an entry that put it into force
 }
@@ -75,7 +75,7 @@
 	Prev       string    `json:"prev"` // hash of the entry before; empty for the first
 
 	SignOff     bundle.Signed `json:"sign_off"` // of the bundle in force
-	History     []Past        `json:"history"`  // newest first, without the bundle in force
+	History     []PastBundle  `json:"history"`  // newest first, without the bundle in force
 	Recalls     []Recall      `json:"recalls"`  // newest first
 	RecallFloor uint64        `json:"recall_floor"`
 }
@@ -105,7 +105,7 @@
 	}
 	verify := keys.Verify
 	if old {
-		verify = keys.VerifyOld
+		verify = keys.VerifyWithRetired
 	}
 	key, err := verify(s, bundle.PurposeEntry)
 	if err != nil {
--- a/rollout/follow.go
+++ b/rollout/follow.go
@@ -10,27 +10,27 @@
 	"github.com/bramleybarrow/bramleybarrow/result"
 )
 
-// maxReads bounds the reads of the head under way at once. A platform that
+// maxConcurrentReads bounds the reads of the head under way at once. A platform that
 // answers more slowly than the reads are due is still read, with delay.
-const maxReads = 4
+const maxConcurrentReads = 4
 
 // The pauses between watches that failed.
 const (
-	watchRetryMin = 200 * time.Millisecond
-	watchRetryMax = 2 * time.Second
+	minWatchRetryDelay = 200 * time.Millisecond
+	maxWatchRetryDelay = 2 * time.Second
 )
 
 // readLoop re-reads the head at an even pace, whatever watches say: a watch
 // that lost or withholds an event looks just like a platform where nothing
 // changed.
-func (k *Keeper) readLoop() error {
+func (k *Follower) readLoop() error {
 	k.startRead()
 	for {
-		timer := time.NewTimer(k.readPause())
+		timer := time.NewTimer(k.readDelay())
 		select {
 		case <-timer.C:
-		case <-k.hint:
-		case <-k.mode:
+		case <-k.headChanged:
+		case <-k.modeChanged:
 		case <-k.tomb.Dying():
 			timer.Stop()
 			return nil
@@ -40,34 +40,34 @@
 	}
 }
 
-// readPause spreads the VMs' reads by a tenth either way.
-func (k *Keeper) readPause() time.Duration {
-	every := k.opts.IdleEvery
+// readDelay spreads the VMs' reads by a tenth either way.
+func (k *Follower) readDelay() time.Duration {
+	every := k.opts.IdleInterval
 	if k.watching.Load() {
-		every = k.opts.RereadEvery
+		every = k.opts.RereadInterval
 	}
 	return time.Duration(float64(every) * (0.9 + 0.2*rand.Float64()))
 }
 
-func (k *Keeper) startRead() {
+func (k *Follower) startRead() {
 	select {
-	case k.reads <- struct{}{}:
+	case k.readSlots <- struct{}{}:
 	default:
-		k.metrics.readsLeft.Inc()
+		k.metrics.readsSkipped.Inc()
 		return
 	}
 	k.tomb.Go(func() error {
-		defer func() { <-k.reads }()
-		k.read()
+		defer func() { <-k.readSlots }()
+		k.readHead()
 		return nil
 	})
 }
 
-func (k *Keeper) read() {
+func (k *Follower) readHead() {
 	ctx := k.tomb.Context(context.Background())
 	obj, err := k.get(ctx, KindHead, k.opts.Deployment)
 	if err == nil || errors.Is(err, objstore.ErrNotFound) {
-		k.contact.Store(time.Now().UnixNano())
+		k.lastContact.Store(time.Now().UnixNano())
 		k.metrics.reads.Inc()
 	} else {
 		k.metrics.readsFailed.Inc()
@@ -76,20 +76,20 @@
 		k.opts.Log.Debug("head not read", "error", err)
 		return
 	}
-	if err := k.offer(ctx, obj.Value, k.fetch); err != nil {
+	if err := k.applyHead(ctx, obj.Value, k.fetchBundle); err != nil {
 		k.opts.Log.Debug("head not taken", "error", err)
 	}
 }
 
 // get bounds each call by itself: on a platform that takes long for each, a
 // bound on head and bundle together would never let a bundle through.
-func (k *Keeper) get(ctx context.Context, kind, name string) (objstore.Object, error) {
+func (k *Follower) get(ctx context.Context, kind, name string) (objstore.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.opts.ReadTimeout)
 	defer cancel()
 	return k.opts.Store.Get(ctx, kind, name)
 }
 
-func (k *Keeper) fetch(ctx context.Context, digest string) ([]byte, error) {
+func (k *Follower) fetchBundle(ctx context.Context, digest string) ([]byte, error) {
 	obj, err := k.get(ctx, KindBundle, digest)
 	if errors.Is(err, objstore.ErrNotFound) {
 		return nil, result.Wrap(result.NotFound, err, "bundle "+digest)
@@ -101,12 +101,12 @@
 }
 
 // watchLoop waits on the platform for hints that the head changed.
-func (k *Keeper) watchLoop() error {
+func (k *Follower) watchLoop() error {
 	var since uint64
-	pause := watchRetryMin
+	pause := minWatchRetryDelay
 	for k.tomb.Alive() {
 		if !k.watching.Load() {
-			if !k.sleep(k.opts.RereadEvery) {
+			if !k.sleep(k.opts.RereadInterval) {
 				return nil
 			}
 			continue
@@ -118,29 +118,29 @@
 		since = change.Revision
 		// A platform that answers at once without news must not be asked in a
 		// tight loop.
-		if err != nil || len(change.Events) == 0 && time.Since(begin) < watchRetryMin {
+		if err != nil || len(change.Events) == 0 && time.Since(begin) < minWatchRetryDelay {
 			if !k.sleep(pause) {
 				return nil
 			}
-			pause = min(2*pause, watchRetryMax)
+			pause = min(2*pause, maxWatchRetryDelay)
 			continue
 		}
-		pause = watchRetryMin
-		if k.concerns(change) {
-			wake(k.hint)
+		pause = minWatchRetryDelay
+		if k.affectsHead(change) {
+			wake(k.headChanged)
 		}
 	}
 	return nil
 }
 
-func (k *Keeper) watch(since uint64) (objstore.Change, error) {
-	ctx, cancel := context.WithTimeout(k.tomb.Context(context.Background()), k.opts.WatchFor)
+func (k *Follower) watch(since uint64) (objstore.Change, error) {
+	ctx, cancel := context.WithTimeout(k.tomb.Context(context.Background()), k.opts.WatchTimeout)
 	defer cancel()
 	k.metrics.watches.Inc()
 	return k.opts.Store.Watch(ctx, KindHead, since)
 }
 
-func (k *Keeper) concerns(change objstore.Change) bool {
+func (k *Follower) affectsHead(change objstore.Change) bool {
 	for _, e := range change.Events {
 		if e.Name == k.opts.Deployment {
 			return true
@@ -150,7 +150,7 @@
 }
 
 // sleep waits for d and tells whether the keeper is still alive.
-func (k *Keeper) sleep(d time.Duration) bool {
+func (k *Follower) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -39,76 +39,76 @@
 	// Watch makes the VM watch the platform and re-read the head every
 	// RereadEvery; without it the VM re-reads every IdleEvery and is told by
 	// peers.
-	Watch       bool
-	RereadEvery time.Duration // default 1 s
-	IdleEvery   time.Duration // default 30 s
-	ReadTimeout time.Duration // of one read, default 5 s
-	WatchFor    time.Duration // of one watch, default 30 s
+	Watch          bool
+	RereadInterval time.Duration // default 1 s
+	IdleInterval   time.Duration // default 30 s
+	ReadTimeout    time.Duration // of one read, default 5 s
+	WatchTimeout   time.Duration // of one watch, default 30 s
 }
 
 // The defaults of Options.
 const (
-	DefaultRereadEvery = time.Second
-	DefaultIdleEvery   = 30 * time.Second
-	DefaultReadTimeout = 5 * time.Second
-	DefaultWatchFor    = 30 * time.Second
+	DefaultRereadInterval = time.Second
+	DefaultIdleInterval   = 30 * time.Second
+	DefaultReadTimeout    = 5 * time.Second
+	DefaultWatchTimeout   = 30 * time.Second
 )
 
 func (o Options) withDefaults() Options {
 	if o.Log == nil {
 		o.Log = logging.Discard()
 	}
-	defaults.Positive(&o.RereadEvery, DefaultRereadEvery)
-	defaults.Positive(&o.IdleEvery, DefaultIdleEvery)
+	defaults.Positive(&o.RereadInterval, DefaultRereadInterval)
+	defaults.Positive(&o.IdleInterval, DefaultIdleInterval)
 	defaults.Positive(&o.ReadTimeout, DefaultReadTimeout)
-	defaults.Positive(&o.WatchFor, DefaultWatchFor)
+	defaults.Positive(&o.WatchTimeout, DefaultWatchTimeout)
 	return o
 }
 
-// Keeper keeps the revision in force on one VM.
-type Keeper struct {
+// Follower keeps the revision in force on one VM.
+type Follower struct {
 	opts    Options
-	metrics *keeperMetrics
+	metrics *followerMetrics
 	tomb    tomb.Tomb
 
-	current  atomic.Pointer[InForce]
-	before   atomic.Pointer[InForce] // what current replaced, which a recall mostly falls back to
-	contact  atomic.Int64            // unix nanoseconds of the last read that the platform answered
-	watching atomic.Bool
-	mode     chan struct{} // wakes the loops when watching changes
-	hint     chan struct{} // wakes the reader when a watch tells of a change
-	reads    chan struct{} // bounds the reads under way
+	current     atomic.Pointer[InForce]
+	previous    atomic.Pointer[InForce] // what current replaced, which a recall mostly falls back to
+	lastContact atomic.Int64            // unix nanoseconds of the last read that the platform answered
+	watching    atomic.Bool
+	modeChanged chan struct{} // wakes the loops when watching changes
+	headChanged chan struct{} // wakes the reader when a watch tells of a change
+	readSlots   chan struct{} // bounds the reads under way
 
 	// mu guards the fields below and orders changes of current. It is never
 	// held during I/O.
-	mu      sync.Mutex
-	changed chan struct{}
-	refused refusal
+	mu          sync.Mutex
+	changed     chan struct{}
+	lastRefused refusedHead
 }
 
-// refusal is the last head that was not taken, so that a bad head is logged
+// refusedHead is the last head that was not taken, so that a bad head is logged
 // once and not at each read.
-type refusal struct {
+type refusedHead struct {
 	hash string
 	err  error
 }
 
-// NewKeeper returns a keeper that has nothing in force yet.
-func NewKeeper(opts Options) *Keeper {
-	k := &Keeper{
-		opts:    opts.withDefaults(),
-		mode:    make(chan struct{}, 1),
-		hint:    make(chan struct{}, 1),
-		reads:   make(chan struct{}, maxReads),
-		changed: make(chan struct{}),
+// NewFollower returns a keeper that has nothing in force yet.
+func NewFollower(opts Options) *Follower {
+	k := &Follower{
+		opts:        opts.withDefaults(),
+		modeChanged: make(chan struct{}, 1),
+		headChanged: make(chan struct{}, 1),
+		readSlots:   make(chan struct{}, maxConcurrentReads),
+		changed:     make(chan struct{}),
 	}
-	k.metrics = newKeeperMetrics(opts.Metrics, func() float64 { return float64(k.Revision()) })
+	k.metrics = newFollowerMetrics(opts.Metrics, func() float64 { return float64(k.Revision()) })
 	k.watching.Store(opts.Watch)
 	return k
 }
 
 // Start begins to follow the platform.
-func (k *Keeper) Start() {
+func (k *Follower) Start() {
 	k.tomb.Go(func() error {
 		k.tomb.Go(k.readLoop)
 		k.tomb.Go(k.watchLoop)
@@ -117,7 +117,7 @@
 }
 
 // Stop ends the keeper and waits for its goroutines, at most until ctx ends.
-func (k *Keeper) Stop(ctx context.Context) error {
+func (k *Follower) Stop(ctx context.Context) error {
 	k.tomb.Kill(nil)
 	select {
 	case <-k.tomb.Dead():
@@ -128,10 +128,10 @@
 }
 
 // Current returns what is in force, or nil before the first.
-func (k *Keeper) Current() *InForce { return k.current.Load() }
+func (k *Follower) Current() *InForce { return k.current.Load() }
 
 // Revision returns the revision in force, or 0 before the first.
-func (k *Keeper) Revision() uint64 {
+func (k *Follower) Revision() uint64 {
 	if cur := k.Current(); cur != nil {
 		return cur.Revision
 	}
@@ -139,15 +139,15 @@
 }
 
 // Changed returns a channel that is closed when something else comes into force.
-func (k *Keeper) Changed() <-chan struct{} {
+func (k *Follower) Changed() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changed
 }
 
 // PlatformContact returns when the platform last answered a read of the head.
-func (k *Keeper) PlatformContact() time.Time {
-	ns := k.contact.Load()
+func (k *Follower) PlatformContact() time.Time {
+	ns := k.lastContact.Load()
 	if ns == 0 {
 		return time.Time{}
 	}
@@ -155,7 +155,7 @@
 }
 
 // Head returns the signed head in force, for peers, or nil before the first.
-func (k *Keeper) Head() []byte {
+func (k *Follower) Head() []byte {
 	if cur := k.Current(); cur != nil {
 		return cur.head.Signed.Bytes()
 	}
@@ -164,8 +164,8 @@
 
 // RawBundle returns the packaged bundle of that digest if it is in force here
 // or was just before. Its receiver verifies it by itself.
-func (k *Keeper) RawBundle(digest string) ([]byte, bool) {
-	for _, held := range []*InForce{k.current.Load(), k.before.Load()} {
+func (k *Follower) RawBundle(digest string) ([]byte, bool) {
+	for _, held := range []*InForce{k.current.Load(), k.previous.Load()} {
 		if held != nil && held.Digest == digest {
 			return held.raw, true
 		}
@@ -173,17 +173,17 @@
 	return nil, false
 }
 
-// Refusal returns why the last head that was offered is not in force, or nil.
-func (k *Keeper) Refusal() error {
+// LastRefusal returns why the last head that was offered is not in force, or nil.
+func (k *Follower) LastRefusal() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.refused.err
+	return k.lastRefused.err
 }
 
 // SetWatching chooses between watching the platform and relying on peers.
-func (k *Keeper) SetWatching(on bool) {
+func (k *Follower) SetWatching(on bool) {
 	if k.watching.Swap(on) != on {
-		wake(k.mode)
+		wake(k.modeChanged)
 	}
 }
 
@@ -194,36 +194,36 @@
 	}
 }
 
-// Fetch returns the packaged bundle of a digest.
-type Fetch func(ctx context.Context, digest string) ([]byte, error)
+// FetchFunc returns the packaged bundle of a digest.
+type FetchFunc func(ctx context.Context, digest string) ([]byte, error)
 
 // OfferHead takes a head that a peer handed over if it is higher than the one
 // in force, and fetches its bundle. It verifies as for the platform's, so a
 // peer can neither forge nor set back. A lower one is refused with StaleExchange.
-func (k *Keeper) OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error {
-	return k.offer(ctx, raw, fetch)
+func (k *Follower) OfferHead(ctx context.Context, raw []byte, fetch func(ctx context.Context, digest string) ([]byte, error)) error {
+	return k.applyHead(ctx, raw, fetch)
 }
 
-func (k *Keeper) offer(ctx context.Context, raw []byte, fetch Fetch) error {
+func (k *Follower) applyHead(ctx context.Context, raw []byte, fetch FetchFunc) error {
 	h, err := openHead(raw, k.opts.Deployment, k.opts.Keys, false)
 	if err != nil {
-		k.refuse(bundle.Digest(raw), err)
+		k.recordRefusal(bundle.Digest(raw), err)
 		return err
 	}
 	cur := k.Current()
-	switch Replaces(cur.headOrNil(), h) {
-	case VerdictSame:
+	switch CompareHeads(cur.headOrNil(), h) {
+	case HeadSame:
 		return nil
-	case VerdictStale:
+	case HeadStale:
 		return result.Errorf(result.StaleExchange, "revision %d was offered, %d is in force", h.Entry.Revision, cur.Revision)
-	case VerdictFork:
+	case HeadFork:
 		err := result.Errorf(result.BrokenAudit, "revision %d was offered with another content than the one in force", h.Entry.Revision)
-		k.refuse(h.Hash, err)
+		k.recordRefusal(h.Hash, err)
 		return err
 	}
-	next, err := k.load(ctx, h, fetch)
+	next, err := k.loadInForce(ctx, h, fetch)
 	if err != nil {
-		k.refuse(h.Hash, err)
+		k.recordRefusal(h.Hash, err)
 		return err
 	}
 	k.install(next)
@@ -237,8 +237,8 @@
 	return f.head
 }
 
-// load gets and verifies what h puts into force.
-func (k *Keeper) load(ctx context.Context, h *Head, fetch Fetch) (*InForce, error) {
+// loadInForce gets and verifies what h puts into force.
+func (k *Follower) loadInForce(ctx context.Context, h *Head, fetch FetchFunc) (*InForce, error) {
 	digest := h.Entry.Digest
 	raw, held := k.RawBundle(digest)
 	if !held {
@@ -247,18 +247,18 @@
 			return nil, err
 		}
 	}
-	b, err := verify(k.opts.Keys, h, raw)
+	b, err := verifyInForce(k.opts.Keys, h, raw)
 	if err != nil {
 		return nil, err
 	}
 	return &InForce{Revision: h.Entry.Revision, Digest: digest, Bundle: b, head: h, raw: raw}, nil
 }
 
-// verify checks everything that a bundle needs to come into force: its bytes,
+// verifyInForce checks everything that a bundle needs to come into force: its bytes,
 // its author, its checks, its deployment and a sign-off by another person that
 // no recall has voided.
-func verify(keys *bundle.Keyring, h *Head, raw []byte) (*bundle.Bundle, error) {
-	b, err := keys.Open(raw, h.Entry.Digest)
+func verifyInForce(keys *bundle.Keyring, h *Head, raw []byte) (*bundle.Bundle, error) {
+	b, err := keys.OpenBundle(raw, h.Entry.Digest)
 	if err != nil {
 		return nil, err
 	}
@@ -277,30 +277,30 @@
 
 // install puts next into force unless something at least as high came first:
 // two offers may load their bundles at the same time and finish in any order.
-func (k *Keeper) install(next *InForce) {
+func (k *Follower) install(next *InForce) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	was := k.current.Load()
-	if Replaces(was.headOrNil(), next.head) != VerdictTake {
+	if CompareHeads(was.headOrNil(), next.head) != HeadNewer {
 		return
 	}
 	if was != nil && was.Digest != next.Digest {
-		k.before.Store(was)
+		k.previous.Store(was)
 	}
 	next.Since = time.Now()
 	k.current.Store(next)
-	k.refused = refusal{}
+	k.lastRefused = refusedHead{}
 	k.metrics.changes.Inc()
 	close(k.changed)
 	k.changed = make(chan struct{})
 	k.opts.Log.Info("bundle in force", "revision", next.Revision, "digest", next.Digest, "name", next.Bundle.Name)
 }
 
-func (k *Keeper) refuse(hash string, err error) {
-	k.metrics.refused(result.Of(err))
+func (k *Follower) recordRefusal(hash string, err error) {
+	k.metrics.countRefused(result.Of(err))
 	k.mu.Lock()
-	known := k.refused.hash == hash && k.refused.err.Error() == err.Error()
-	k.refused = refusal{hash: hash, err: err}
+	known := k.lastRefused.hash == hash && k.lastRefused.err.Error() == err.Error()
+	k.lastRefused = refusedHead{hash: hash, err: err}
 	k.mu.Unlock()
 	if !known {
 		k.opts.Log.Error("head refused, the bundle in force stays", "revision", k.Revision(), "error", err)
--- a/rollout/next.go
+++ b/rollout/next.go
@@ -39,30 +39,30 @@
 	return n, nil
 }
 
-// Verdict says what a VM does with a head that it is shown.
-type Verdict int
+// HeadRelation says what a VM does with a head that it is shown.
+type HeadRelation int
 
 // The verdicts.
 const (
-	VerdictTake  Verdict = iota // higher: put it into force
-	VerdictSame                 // the one in force
-	VerdictStale                // lower: a lagging peer or a store that was set back
-	VerdictFork                 // the revision in force with another content
+	HeadNewer HeadRelation = iota // higher: put it into force
+	HeadSame                      // the one in force
+	HeadStale                     // lower: a lagging peer or a store that was set back
+	HeadFork                      // the revision in force with another content
 )
 
-// Replaces decides what a verified head does to the one in force. A lower
+// CompareHeads decides what a verified head does to the one in force. A lower
 // revision never takes the place of a higher one, whoever offers it, and one
 // revision never stands for two contents.
-func Replaces(current, offered *Head) Verdict {
+func CompareHeads(current, offered *Head) HeadRelation {
 	switch {
 	case current == nil || offered.Entry.Revision > current.Entry.Revision:
-		return VerdictTake
+		return HeadNewer
 	case offered.Entry.Revision < current.Entry.Revision:
-		return VerdictStale
+		return HeadStale
 	case offered.Hash == current.Hash:
-		return VerdictSame
+		return HeadSame
 	default:
-		return VerdictFork
+		return HeadFork
 	}
 }
 
@@ -89,10 +89,10 @@
 	e.Action = ActionRollout
 	e.Digest, e.Name, e.SignOff = b.Digest, b.Name, b.SignOff
 	if head != nil {
-		was := Past{Digest: head.Entry.Digest, Revision: head.Entry.Revision}
-		e.History = append([]Past{was}, without(e.History, was.Digest)...)
+		was := PastBundle{Digest: head.Entry.Digest, Revision: head.Entry.Revision}
+		e.History = append([]PastBundle{was}, withoutDigest(e.History, was.Digest)...)
 	}
-	e.History = without(e.History, b.Digest)
+	e.History = withoutDigest(e.History, b.Digest)
 	e.History = e.History[:min(len(e.History), MaxHistory)]
 	return e, CheckRecalls(&e, b.After)
 }
@@ -114,7 +114,7 @@
 	} else {
 		e.Digest, e.Name, e.SignOff = head.Entry.Digest, head.Entry.Name, head.Entry.SignOff
 	}
-	e.History = without(without(e.History, digest), e.Digest)
+	e.History = withoutDigest(withoutDigest(e.History, digest), e.Digest)
 	e.Recalls = append([]Recall{{Digest: digest, Revision: e.Revision}}, withoutRecall(e.Recalls, digest)...)
 	if len(e.Recalls) > MaxRecalls {
 		dropped := e.Recalls[MaxRecalls]
@@ -125,15 +125,15 @@
 }
 
 // Fallbacks returns what may take the place of a recalled digest, best first.
-func Fallbacks(head *Head, digest string) []Past {
-	return without(head.Entry.History, digest)
+func Fallbacks(head *Head, digest string) []PastBundle {
+	return withoutDigest(head.Entry.History, digest)
 }
 
 func nextEntry(deployment string, head *Head, c Change) Entry {
 	e := Entry{
 		Deployment: deployment, Revision: 1,
 		Op: c.Op, Reason: c.Reason, Person: c.Person, At: c.At,
-		History: []Past{}, Recalls: []Recall{},
+		History: []PastBundle{}, Recalls: []Recall{},
 	}
 	if head == nil {
 		return e
@@ -141,7 +141,7 @@
 	e.Revision = head.Entry.Revision + 1
 	e.Before = head.Entry.Digest
 	e.Prev = head.Hash
-	e.History = without(head.Entry.History, "")
+	e.History = withoutDigest(head.Entry.History, "")
 	e.Recalls = withoutRecall(head.Entry.Recalls, "")
 	e.RecallFloor = head.Entry.RecallFloor
 	return e
@@ -165,8 +165,8 @@
 	return nil
 }
 
-func without(list []Past, digest string) []Past {
-	kept := make([]Past, 0, len(list)+1)
+func withoutDigest(list []PastBundle, digest string) []PastBundle {
+	kept := make([]PastBundle, 0, len(list)+1)
 	for _, p := range list {
 		if p.Digest != digest {
 			kept = append(kept, p)
@@ -190,10 +190,10 @@
 
 // The outcomes.
 const (
-	OutcomeOpen     Outcome = iota // not landed so far; a write on its way still may
-	OutcomeAccepted                // it is an entry of the chain
-	OutcomeRefused                 // another operation became that revision
-	OutcomeNeedKept                // the head has moved on; the kept entry tells
+	OutcomeOpen         Outcome = iota // not landed so far; a write on its way still may
+	OutcomeAccepted                    // it is an entry of the chain
+	OutcomeConflict                    // another operation became that revision
+	OutcomeNeedArchived                // the head has moved on; the kept entry tells
 )
 
 // Resolve tells what became of op from the head and, if the head is past the
@@ -209,10 +209,10 @@
 	}
 	switch {
 	case landed == nil:
-		return OutcomeNeedKept
+		return OutcomeNeedArchived
 	case landed.Entry.Op == op:
 		return OutcomeAccepted
 	default:
-		return OutcomeRefused
+		return OutcomeConflict
 	}
 }
--- a/rollout/refusal.go
+++ b/rollout/refusal.go
@@ -24,13 +24,13 @@
 	Detail     string      `json:"detail"`
 }
 
-// refusalPatience bounds what a refused operator waits for the record.
-const refusalPatience = 2 * time.Second
+// refusalTimeout bounds what a refused operator waits for the record.
+const refusalTimeout = 2 * time.Second
 
-// finish records a refused attempt. An attempt with an unknown outcome, a dry
+// recordIfRefused records a refused attempt. An attempt with an unknown outcome, a dry
 // run and a platform that is down leave no refusal: nothing is known, was
 // tried or can be written.
-func (c *Client) finish(ctx context.Context, e Entry, err error, r Refusal, ask Ask) (Entry, error) {
+func (c *Client) recordIfRefused(ctx context.Context, e Entry, err error, r Refusal, ask Request) (Entry, error) {
 	if err == nil {
 		return e, nil
 	}
@@ -45,12 +45,12 @@
 	if encodeErr != nil {
 		return e, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, refusalPatience)
+	ctx, cancel := context.WithTimeout(ctx, refusalTimeout)
 	defer cancel()
 	signed := bundle.Sign(bundle.PurposeRefusal, payload, c.opts.Key)
 	name := fmt.Sprintf("%s.%020d.%s", r.Deployment, r.At.UnixNano(), signed.Hash()[:16])
 	// The answer to the operator does not depend on the record.
-	_ = c.keep(ctx, KindRefusal, name, signed.Bytes(), func([]byte) bool { return true })
+	_ = c.createOnce(ctx, KindRefusal, name, signed.Bytes(), func([]byte) bool { return true })
 	return e, err
 }
 
@@ -68,7 +68,7 @@
 		if err != nil {
 			continue
 		}
-		if _, err := c.opts.Keys.VerifyOld(signed, bundle.PurposeRefusal); err != nil {
+		if _, err := c.opts.Keys.VerifyWithRetired(signed, bundle.PurposeRefusal); err != nil {
 			continue // not written by one of us
 		}
 		var r Refusal
--- a/rollout/restore.go
+++ b/rollout/restore.go
@@ -15,7 +15,7 @@
 func (c *Client) RestoreHead(ctx context.Context) (Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Patience)
 	defer cancel()
-	s, err := c.readAnyState(ctx)
+	s, err := c.readStateIfValid(ctx)
 	if err != nil {
 		return Entry{}, err
 	}
@@ -39,16 +39,16 @@
 	return last.Entry, c.replaceHead(ctx, s, last)
 }
 
-// readAnyState is readState that takes a head which is no signed entry for none.
-func (c *Client) readAnyState(ctx context.Context) (state, error) {
+// readStateIfValid is readState that takes a head which is no signed entry for none.
+func (c *Client) readStateIfValid(ctx context.Context) (headState, error) {
 	obj, err := c.get(ctx, KindHead, c.opts.Deployment)
 	if errors.Is(err, objstore.ErrNotFound) {
-		return state{}, nil
+		return headState{}, nil
 	}
 	if err != nil {
-		return state{}, err
+		return headState{}, err
 	}
-	s := state{version: obj.Version}
+	s := headState{version: obj.Version}
 	if head, err := openHead(obj.Value, c.opts.Deployment, c.opts.Keys, true); err == nil {
 		s.head = head
 	}
@@ -57,14 +57,14 @@
 
 // replaceHead is safe to repeat: the write depends on the version read, and a
 // conflict with an own earlier try shows as the head that was meant.
-func (c *Client) replaceHead(ctx context.Context, s state, h *Head) error {
+func (c *Client) replaceHead(ctx context.Context, s headState, h *Head) error {
 	for try := 0; ; try++ {
 		err := c.put(ctx, KindHead, c.opts.Deployment, s.version, h.Signed.Bytes())
 		if err == nil {
 			return nil
 		}
 		if errors.Is(err, objstore.ErrConflict) {
-			now, err := c.readAnyState(ctx)
+			now, err := c.readStateIfValid(ctx)
 			if err != nil {
 				return err
 			}
@@ -76,6 +76,6 @@
 		if ctx.Err() != nil {
 			return result.Wrap(result.WriteUnknown, err, "run the same command again")
 		}
-		c.opts.Pause(ctx, try)
+		c.opts.Backoff(ctx, try)
 	}
 }
