--- a/internal/lab/fleetbench/answering.go
+++ b/internal/lab/fleetbench/answering.go
@@ -65,7 +65,7 @@
 		a.statusReads.Add(1)
 		w.Header().Set(target.HeaderIncarnation, statusTargetName(i))
 		w.Header().Set(target.HeaderState, string(target.StateServing))
-		labhttp.Write(w, http.StatusOK, a.status(i))
+		labhttp.WriteJSON(w, http.StatusOK, a.status(i))
 	})
 	return mux
 }
