--- a/cmd/bramley-lab/bench.go
+++ b/cmd/bramley-lab/bench.go
@@ -24,12 +24,12 @@
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of arrivals and queries"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			daemon, self, err := programPaths(cmd)
+			daemon, lab, err := programPaths(cmd)
 			if err != nil {
 				return err
 			}
 			return bench.Run(ctx, bench.Options{
-				Daemon: daemon, Lab: self,
+				Daemon: daemon, Lab: lab,
 				Shapes: cmd.StringSlice("shape"), Scenarios: cmd.StringSlice("scenario"),
 				Window: cmd.Duration("window"), Rounds: cmd.Int("rounds"), Seed: cmd.Uint64("seed"), Slowdown: cmd.Int("slowdown"),
 				Out: os.Stdout, Progress: os.Stderr,
--- a/cmd/bramley-lab/fleet.go
+++ b/cmd/bramley-lab/fleet.go
@@ -28,12 +28,12 @@
 			&cli.IntFlag{Name: "drains", Value: 4, Usage: "for each size"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			daemon, self, err := programPaths(cmd)
+			daemon, lab, err := programPaths(cmd)
 			if err != nil {
 				return err
 			}
 			return fleetbench.Run(ctx, fleetbench.Options{
-				Daemon: daemon, Lab: self,
+				Daemon: daemon, Lab: lab,
 				Sizes: cmd.IntSlice("size"), Searches: cmd.Int("searches"),
 				AbsentTargets: cmd.Int("targets"), MaxVMs: cmd.Int("places"),
 				StatusTargets: cmd.Int("answering"), HealthInterval: cmd.Duration("health"),
--- a/internal/lab/bench/run.go
+++ b/internal/lab/bench/run.go
@@ -137,9 +137,9 @@
 		}
 	}
 	if s.Warmup > 0 {
-		usual := s
-		usual.Load = normalLoad
-		l.run(ctx, d.streams(usual), r.Policy, s.Warmup, o.Seed)
+		normal := s
+		normal.Load = normalLoad
+		l.run(ctx, d.streams(normal), r.Policy, s.Warmup, o.Seed)
 	}
 	before, err := d.readTotals()
 	if err != nil {
@@ -169,16 +169,16 @@
 
 // runLoad drives the load for one window while the scenario acts.
 func runLoad(ctx context.Context, o Options, d *deployment, l *loader, s Scenario, streams []stream, policy string, round int) error {
-	acted := make(chan error, 1)
+	duringErr := make(chan error, 1)
 	go func() {
 		if s.During == nil {
-			acted <- nil
+			duringErr <- nil
 			return
 		}
-		acted <- s.During(ctx, d, o.Window, round)
+		duringErr <- s.During(ctx, d, o.Window, round)
 	}()
 	l.run(ctx, streams, policy, o.Window, o.Seed+uint64(round))
-	return errors.Trace(<-acted)
+	return errors.Trace(<-duringErr)
 }
 
 // totals is what has been spent so far, by service in the order of the shape.
@@ -189,18 +189,18 @@
 }
 
 func (d *deployment) readTotals() (totals, error) {
-	var m totals
+	var t totals
 	for _, g := range d.groups {
-		m.usage = append(m.usage, g.usage())
-		spent, err := d.readPhases(g.Name)
+		t.usage = append(t.usage, g.usage())
+		phases, err := d.readPhases(g.Name)
 		if err != nil {
-			return m, err
+			return t, err
 		}
-		m.phases = append(m.phases, spent)
+		t.phases = append(t.phases, phases)
 	}
 	cpu, err := d.daemonCPU()
-	m.daemonCPU = cpu
-	return m, errors.Trace(err)
+	t.daemonCPU = cpu
+	return t, errors.Trace(err)
 }
 
 func (r *Result) add(streams []stream, before, after totals) {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -66,8 +66,8 @@
 		f.keys[person] = key
 		public = append(public, key.Public())
 	}
-	ring, err := bundle.NewKeyring(public...)
-	f.keyring = ring
+	keyring, err := bundle.NewKeyring(public...)
+	f.keyring = keyring
 	return f, errors.Trace(err)
 }
 
@@ -187,9 +187,9 @@
 	if err != nil {
 		return nil, err
 	}
-	again := *d
-	again.Process = p
-	return &again, nil
+	restarted := *d
+	restarted.Process = p
+	return &restarted, nil
 }
 
 func (f *Fleet) settings(o DaemonOptions) (*settings.Settings, error) {
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -122,13 +122,13 @@
 
 func (f *Fleet) launch(name string, stdout *os.File, program string, args ...string) (*Process, error) {
 	logPath := filepath.Join(f.opts.Dir, name+".log")
-	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	logFile, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	defer log.Close()
+	defer logFile.Close()
 	cmd := exec.Command(program, args...)
-	cmd.Stdout, cmd.Stderr = log, log
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	if stdout != nil {
 		cmd.Stdout = stdout
 	}
--- a/internal/lab/rolloutbench/bench.go
+++ b/internal/lab/rolloutbench/bench.go
@@ -185,11 +185,11 @@
 	defer cancel()
 	since := make([]time.Time, len(b.daemons))
 	failed := make([]error, len(b.daemons))
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, d := range b.daemons {
-		wait.Go(func() { since[i], failed[i] = b.waitForDaemon(ctx, d, revision) })
+		wg.Go(func() { since[i], failed[i] = b.waitForDaemon(ctx, d, revision) })
 	}
-	wait.Wait()
+	wg.Wait()
 	var last time.Time
 	for i := range b.daemons {
 		if failed[i] != nil {
--- a/internal/lab/rolloutbench/scenario.go
+++ b/internal/lab/rolloutbench/scenario.go
@@ -148,12 +148,12 @@
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
-	sent := b.store.headSentAt
+	sentAt := b.store.headSentAt
 	if err := b.callIfSet(s.afterEach); err != nil {
 		return 0, errors.Trace(err)
 	}
-	last, err := b.waitForAll(ctx, entry.Revision)
-	return last.Sub(sent), errors.Trace(err)
+	lastInForce, err := b.waitForAll(ctx, entry.Revision)
+	return lastInForce.Sub(sentAt), errors.Trace(err)
 }
 
 func totalCalls(c platformsim.Counters) int {
