--- a/cmd/bramley-lab/bench_rollout.go
+++ b/cmd/bramley-lab/bench_rollout.go
@@ -13,7 +13,7 @@
 func benchRolloutCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "bench-rollout",
-		Usage: "measure rollouts from their write to the last VM, under faults of the platform",
+		Usage: "measure the time of rollouts from their write until in force on the last VM, under faults of the platform",
 		Flags: []cli.Flag{
 			daemonFlag(),
 			&cli.IntFlag{Name: "vms", Value: 7, Usage: "number of daemons"},
--- a/cmd/bramley-lab/programs.go
+++ b/cmd/bramley-lab/programs.go
@@ -10,12 +10,12 @@
 
 const daemonFlagName = "daemon"
 
-// daemonFlag names the program that a command starts as daemons.
+// daemonFlag returns the flag for the path of bramleyd.
 func daemonFlag() cli.Flag {
-	return &cli.StringFlag{Name: daemonFlagName, Usage: "path of bramleyd; beside this program if empty"}
+	return &cli.StringFlag{Name: daemonFlagName, Usage: "path of bramleyd; in the directory of this program if empty"}
 }
 
-// programPaths returns the paths of bramleyd and of this program.
+// programPaths returns the paths of bramleyd, from daemonFlag, and of this program.
 func programPaths(cmd *cli.Command) (daemon, lab string, err error) {
 	if lab, err = os.Executable(); err != nil {
 		return "", "", errors.Trace(err)
--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -42,7 +42,7 @@
 	MinLeafCalls int                     // one leaf call for each shard of each query not refused
 	Coverage     float64                 // sum of the answers' coverage ratios
 	Latency      *hdrhistogram.Histogram // microseconds, of requests not refused
-	Codes        map[int]int             // answers by result code
+	Codes        map[int]int             // answers by result code; 0 counts requests without an answer
 	Seconds      float64                 // length of the windows
 }
 
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -25,14 +25,15 @@
 // callTimeout bounds each call to a control endpoint or a daemon.
 const callTimeout = 30 * time.Second
 
-// controlClient opens a connection for each call, so that no pool outlives a test.
+// controlClient opens a new connection for each call, so that no idle connection
+// outlives a test.
 var controlClient = &http.Client{
 	Transport: &http.Transport{DisableKeepAlives: true},
 	Timeout:   callTimeout,
 }
 
-// call sends body as JSON, if not nil, and decodes the answer into into, if not
-// nil. It returns the status.
+// call sends body as JSON unless it is nil and decodes the answer into out unless
+// that is nil. It returns the HTTP status, whatever it is; 0 if there is no answer.
 func call(ctx context.Context, method, url string, header http.Header, body, out any) (int, error) {
 	var reader io.Reader
 	if body != nil {
@@ -64,9 +65,10 @@
 	return resp.StatusCode, errors.Annotatef(json.Unmarshal(data, out), "%s %s: %.200s", method, url, data)
 }
 
-// endpoint is a control endpoint.
+// endpoint is the address of a stand-in's control endpoint.
 type endpoint string
 
+// set sends body to path and returns an error unless the status is 204.
 func (e endpoint) set(method, path string, body any) error {
 	status, err := call(context.Background(), method, "http://"+string(e)+path, nil, body, nil)
 	if err == nil && status != http.StatusNoContent {
@@ -75,19 +77,21 @@
 	return err
 }
 
+// get decodes the answer from path into out.
 func (e endpoint) get(path string, out any) error {
 	_, err := call(context.Background(), http.MethodGet, "http://"+string(e)+path, nil, nil, out)
 	return err
 }
 
-// Platform is a stand-in of the platform.
+// Platform is a stand-in for the platform, as a process.
 type Platform struct {
 	*Process
 	Address string
 	control endpoint
 }
 
-// StartPlatform starts the fleet's platform; watches wait for watchWait.
+// StartPlatform starts the fleet's platform. Its watches wait up to watchWait for a
+// change.
 func (f *Fleet) StartPlatform(watchWait time.Duration) (*Platform, error) {
 	p, ready, err := f.startStandIn("platform", "platform", "--watch-wait", watchWait.String())
 	if err != nil {
@@ -102,18 +106,18 @@
 	return p.control.set(http.MethodPut, "/control/faults", faults)
 }
 
-// Counters returns the counts of calls.
+// Counters returns the numbers of calls that the platform has served, by kind.
 func (p *Platform) Counters() (platformsim.Counters, error) {
 	var c platformsim.Counters
 	return c, p.control.get("/control/counters", &c)
 }
 
-// SetVMs replaces the list of VMs, to be seen after lag.
+// SetVMs replaces the list of VMs; readers see it after lag.
 func (p *Platform) SetVMs(vms []objstore.VM, lag time.Duration) error {
 	return p.control.set(http.MethodPut, "/control/vms", platformsim.VMsControl{VMs: vms, LagMS: int(lag.Milliseconds())})
 }
 
-// Target is a stand-in of a target.
+// Target is a stand-in for a target, as a process.
 type Target struct {
 	*Process
 	Options targetsim.Options
@@ -121,8 +125,8 @@
 	control endpoint
 }
 
-// StartTarget starts a target. With Listen set in its options it can be started
-// again at the same address.
+// StartTarget starts a target and waits until it serves. To restart one at the same
+// address, set Listen in its options.
 func (f *Fleet) StartTarget(o targetsim.Options) (*Target, error) {
 	data, err := json.Marshal(o)
 	if err != nil {
@@ -149,42 +153,42 @@
 	return t.control.set(http.MethodPut, "/control/timing", timing)
 }
 
-// SetSnapshots replaces what the target's leaves hold.
+// SetSnapshots replaces the snapshots that the target's leaves hold.
 func (t *Target) SetSnapshots(holders []targetsim.Holder) error {
 	return t.control.set(http.MethodPut, "/control/snapshots", holders)
 }
 
-// SetDraining makes the target leave, or stay.
+// SetDraining makes the target drain or serve normally again.
 func (t *Target) SetDraining(draining bool) error {
 	return t.control.set(http.MethodPut, "/control/draining", targetsim.DrainControl{Draining: draining})
 }
 
-// Ran returns what the target really started.
+// Ran returns the requests that the target's leaves really started.
 func (t *Target) Ran() (targetsim.Ran, error) {
 	var r targetsim.Ran
 	return r, t.control.get("/control/ran", &r)
 }
 
-// Counters returns the target's counts.
+// Counters returns the target's counters since its start.
 func (t *Target) Counters() (targetsim.Counters, error) {
 	var c targetsim.Counters
 	return c, t.control.get("/control/counters", &c)
 }
 
-// Proxy is a fault proxy.
+// Proxy is a fault proxy, as a process.
 type Proxy struct {
 	*Process
 	Address string
 	control endpoint
 }
 
-// StartProxy starts a fault proxy in front of an address.
+// StartProxy starts a fault proxy in front of the target address.
 func (f *Fleet) StartProxy(name, target string) (*Proxy, error) {
 	return f.startProxy(name, "--target", target)
 }
 
 // StartPeerProxy starts a fault proxy in front of a daemon's listener for peers.
-// Its Faults.Apart names daemons.
+// It distinguishes clients by their VM's name, so Faults.Apart lists daemons.
 func (f *Fleet) StartPeerProxy(name, target string) (*Proxy, error) {
 	return f.startProxy(name, "--target", target, "--peers")
 }
@@ -205,32 +209,33 @@
 // Cut closes every open connection.
 func (p *Proxy) Cut() error { return p.control.set(http.MethodPost, "/control/cut", nil) }
 
-// Silence makes every open connection silent for good; new ones work.
+// Silence makes every open connection permanently silent; new ones work.
 func (p *Proxy) Silence() error { return p.control.set(http.MethodPost, "/control/silence", nil) }
 
-// Daemon is a bramleyd.
+// Daemon is a bramleyd process.
 type Daemon struct {
 	*Process
 	Zone         string
-	SettingsPath string // path of the file
-	Callers      string
-	Ops          string
+	SettingsPath string
+	Callers      string // address for callers' requests
+	Ops          string // address for operators: status, metrics, readiness
 	Peers        string // address that other VMs dial
 }
 
-// VM returns the daemon's entry for the platform's list.
+// VM returns the daemon's entry in the platform's list of VMs.
 func (d *Daemon) VM() objstore.VM {
 	return objstore.VM{Name: d.Name, Address: d.Peers, Ops: d.Ops, Zone: d.Zone}
 }
 
-// Status returns what the daemon says of itself.
+// Status reads the daemon's status.
 func (d *Daemon) Status(ctx context.Context) (ops.Status, error) {
 	var s ops.Status
 	_, err := call(ctx, http.MethodGet, "http://"+d.Ops+ops.PathStatus, nil, nil, &s)
 	return s, err
 }
 
-// Metrics returns the values of the daemon's metrics by name and labels.
+// Metrics reads the daemon's metrics. The keys are names with labels, as written in
+// the text format.
 func (d *Daemon) Metrics() (map[string]float64, error) {
 	resp, err := controlClient.Get("http://" + d.Ops + ops.PathMetrics)
 	if err != nil {
@@ -251,7 +256,8 @@
 	return values, nil
 }
 
-// Ready reports whether the daemon says that it should get callers' requests.
+// Ready reports whether the daemon's readiness check succeeds, which means that it
+// should receive callers' requests. It returns false if the daemon does not answer.
 func (d *Daemon) Ready(ctx context.Context) bool {
 	status, err := call(ctx, http.MethodGet, "http://"+d.Ops+ops.PathReady, nil, nil, nil)
 	return err == nil && status == http.StatusOK
@@ -262,12 +268,12 @@
 	return d.post(ctx, "search", name, nil, body)
 }
 
-// Browse asks for one page.
+// Browse requests one page of a browse search.
 func (d *Daemon) Browse(ctx context.Context, name string, body gateway.SearchBody) (gateway.Answer, int, error) {
 	return d.post(ctx, "browse", name, nil, body)
 }
 
-// Submit sends a non-idempotent request under a key.
+// Submit sends a non-idempotent request with an idempotency key.
 func (d *Daemon) Submit(ctx context.Context, name, key string, payload any) (gateway.Answer, int, error) {
 	header := http.Header{gateway.HeaderKey: {key}}
 	return d.post(ctx, "submit", name, header, payload)
--- a/internal/lab/fleetbench/answering.go
+++ b/internal/lab/fleetbench/answering.go
@@ -14,23 +14,23 @@
 	"github.com/bramleybarrow/bramleybarrow/target"
 )
 
-// The shape of each answering target.
+// The sizes of statusTargets.
 const (
 	statusTargetLeaves      = 2
-	statusTargetConnections = 25
-	statusTargetShards      = 320
-	statusTargetRecords     = 50_000
+	statusTargetConnections = 25     // limit per target
+	statusTargetShards      = 320    // of the index of all targets
+	statusTargetRecords     = 50_000 // at least, per shard
 )
 
-// statusTargets is a set of targets that answer reads of their status and nothing
-// else, all in this process. They show what the health of targets costs.
+// statusTargets is a set of targets in this process that serve their status and
+// nothing else. They are used to measure the cost of the targets' health checks.
 type statusTargets struct {
 	servers     []*http.Server
 	addresses   []string
-	statusReads atomic.Int64
+	statusReads atomic.Int64 // by all daemons, of all targets
 
-	mu        sync.RWMutex // guards what follows
-	snapshots []string     // held by every leaf, the newest last
+	mu        sync.RWMutex // guards snapshots
+	snapshots []string     // held by every leaf, newest last
 }
 
 func startStatusTargets(n int) (*statusTargets, error) {
@@ -70,6 +70,8 @@
 	return mux
 }
 
+// status returns the status of target i, whose leaves hold one shard of each
+// snapshot.
 func (t *statusTargets) status(i int) target.Status {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -88,14 +90,14 @@
 	return st
 }
 
-// setSnapshots makes every leaf of every target setSnapshots the snapshots.
+// setSnapshots replaces the snapshots that every leaf of every target holds.
 func (t *statusTargets) setSnapshots(snapshots ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.snapshots = snapshots
 }
 
-// service describes the targets for the bundle.
+// service returns the targets' service for the bundle.
 func (t *statusTargets) service(drain bundle.Drain) bundle.Service {
 	svc := bundle.Service{Name: "answering", Shards: statusTargetShards, Drain: drain}
 	for i, address := range t.addresses {
--- a/internal/lab/fleetbench/table.go
+++ b/internal/lab/fleetbench/table.go
@@ -7,17 +7,18 @@
 	"text/tabwriter"
 )
 
-// printTable writes one line per size, and a straight line fitted to each figure.
-// Figures with a slash are mean and maximum over the daemons or repetitions.
+// printTable prints one line per size and, with at least three sizes, a straight
+// line fitted to each figure. Figures with a slash are mean and maximum over the
+// daemons or repetitions.
 func printTable(w io.Writer, o Options, rows []row) {
 	if len(rows) == 0 {
 		return
 	}
-	fmt.Fprintf(w, "bundle of %d bytes; rest over %s; %d rollouts, one every %s; %d drains\n",
+	fmt.Fprintf(w, "bundle of %d bytes; idle for %s; %d rollouts, one every %s; %d drains\n",
 		rows[0].bundleBytes, o.IdleTime, o.Rollouts, o.RolloutInterval, o.Drains)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "daemons\trevision s\tdrain s\t")
-	fmt.Fprint(t, "rest: CPU %\tB/s out\tB/s in\tmsg/s\treads/s\t")
+	fmt.Fprint(t, "idle: CPU %\tB/s out\tB/s in\tmsg/s\treads/s\t")
 	fmt.Fprintln(t, "rollouts: CPU %\tB/s out\tB/s in\tmsg/s\treads/s\twrites/s\tRSS MB\t")
 	for _, r := range rows {
 		fmt.Fprintf(t, "%d\t%s\t%s\t", r.daemons, r.revision, r.drain)
@@ -32,7 +33,7 @@
 	printFits(w, rows)
 }
 
-// printHealth writes what the health of answering targets costs.
+// printHealth prints the cost of the health checks of statusTargets.
 func printHealth(w io.Writer, rows []row) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, r := range rows {
@@ -42,7 +43,7 @@
 		for _, phase := range []struct {
 			name string
 			cost cost
-		}{{"rest", r.idle}, {"index switch", r.indexSwitch}} {
+		}{{"idle", r.idle}, {"index switch", r.indexSwitch}} {
 			c := phase.cost
 			fmt.Fprintf(t, "%d daemons, %s\tstatus reads/s %s\tat a target %.2f\tCPU %% %s\tB/s out %.0f/%.0f\tin %.0f/%.0f\tmsg/s %s\t\n",
 				r.daemons, phase.name, c.statusReads, c.readsPerTarget, c.cpu,
@@ -52,45 +53,48 @@
 	t.Flush()
 }
 
-// largestFleet is the size that the fits are read at.
+// largestFleet is the number of daemons for which printFits prints the value of each
+// fitted line.
 const largestFleet = 950
 
+// printFits prints a line fitted to each figure as a function of the number of
+// daemons. It needs at least three sizes.
 func printFits(w io.Writer, rows []row) {
 	if len(rows) < 3 {
 		return
 	}
 	for _, f := range []struct {
-		name string
-		of   func(row) float64
+		name  string
+		value func(row) float64
 	}{
-		{"revision, seconds to the last", func(r row) float64 { return r.revision.max() }},
-		{"drain, seconds to the last", func(r row) float64 { return r.drain.max() }},
-		{"rest, CPU %", func(r row) float64 { return r.idle.cpu.mean() }},
-		{"rest, B/s in and out", func(r row) float64 { return r.idle.bytesOut.mean() + r.idle.bytesIn.mean() }},
-		{"rest, platform reads/s", func(r row) float64 { return r.idle.platformReads }},
+		{"revision, s to last daemon", func(r row) float64 { return r.revision.max() }},
+		{"drain, s to last daemon", func(r row) float64 { return r.drain.max() }},
+		{"idle, CPU %", func(r row) float64 { return r.idle.cpu.mean() }},
+		{"idle, B/s in and out", func(r row) float64 { return r.idle.bytesOut.mean() + r.idle.bytesIn.mean() }},
+		{"idle, platform reads/s", func(r row) float64 { return r.idle.platformReads }},
 		{"rollouts, CPU %", func(r row) float64 { return r.rollouts.cpu.mean() }},
 		{"rollouts, B/s in and out", func(r row) float64 { return r.rollouts.bytesOut.mean() + r.rollouts.bytesIn.mean() }},
 		{"rollouts, platform reads/s", func(r row) float64 { return r.rollouts.platformReads }},
 		{"RSS MB", func(r row) float64 { return r.memory.mean() }},
 	} {
-		slope, base, worst := fit(rows, f.of)
+		slope, base, maxResidual := fit(rows, f.value)
 		fmt.Fprintf(w, "fit %-30s %8.3f + %8.3f per 100 daemons, worst residual %.3f, at %d: %.2f\n",
-			f.name, base, 100*slope, worst, largestFleet, base+slope*largestFleet)
+			f.name, base, 100*slope, maxResidual, largestFleet, base+slope*largestFleet)
 	}
 }
 
-// fit returns the least-squares line through the rows and the largest distance
-// of a row from it.
-func fit(rows []row, of func(row) float64) (slope, base, worst float64) {
+// fit returns the least-squares line of a figure over the number of daemons: its
+// slope, its value at 0, and the largest residual of a row.
+func fit(rows []row, value func(row) float64) (slope, base, maxResidual float64) {
 	var n, sx, sy, sxx, sxy float64
 	for _, r := range rows {
-		x, y := float64(r.daemons), of(r)
+		x, y := float64(r.daemons), value(r)
 		n, sx, sy, sxx, sxy = n+1, sx+x, sy+y, sxx+x*x, sxy+x*y
 	}
 	slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
 	base = (sy - slope*sx) / n
 	for _, r := range rows {
-		worst = math.Max(worst, math.Abs(of(r)-base-slope*float64(r.daemons)))
+		maxResidual = math.Max(maxResidual, math.Abs(value(r)-base-slope*float64(r.daemons)))
 	}
-	return slope, base, worst
+	return slope, base, maxResidual
 }
--- a/internal/lab/fleetbench/work.go
+++ b/internal/lab/fleetbench/work.go
@@ -20,16 +20,17 @@
 
 const (
 	service = "desk"
-	// switchPause is left to the fleet after each half of an index switch.
+	// switchPause follows each of the two steps of an index switch.
 	switchPause = 10 * time.Second
 )
 
+// drainSettings returns the health check settings of every service.
 func (r *runningFleet) drainSettings() bundle.Drain {
 	return bundle.Drain{HealthIntervalMS: int(r.opts.HealthInterval.Milliseconds()), HealthTimeoutMS: 500, SuspectAfter: 3}
 }
 
-// switchIndex makes all answering targets take a new index at once, and let go
-// of the old one later.
+// switchIndex adds a new index to all statusTargets at once and removes the old one
+// after switchPause.
 func (r *runningFleet) switchIndex(ctx context.Context) error {
 	r.statusTargets.setSnapshots("index-1", "index-2")
 	if err := pause(ctx, switchPause); err != nil {
@@ -39,6 +40,7 @@
 	return pause(ctx, switchPause)
 }
 
+// startTarget starts the target that runs as a process.
 func (r *runningFleet) startTarget(size int) error {
 	index := targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: 2, Records: 10}
 	holders := targetsim.Place(index, 1, 2, 1)
@@ -50,7 +52,7 @@
 	return err
 }
 
-// nextBundle differs from the one before in its name only.
+// nextBundle returns a bundle that differs from the previous one in its name only.
 func (r *runningFleet) nextBundle() *bundle.Bundle {
 	r.bundleVersion++
 	b := &bundle.Bundle{
@@ -89,8 +91,8 @@
 	return b
 }
 
-// absentService has targets at ports where nobody listens. They show what a
-// daemon keeps and does for targets without any calls.
+// absentService returns a service whose targets have addresses without a listener.
+// They show the memory and work that a daemon needs for targets without calls.
 func (r *runningFleet) absentService() bundle.Service {
 	svc := bundle.Service{Name: "absent", Shards: 320, Drain: r.drainSettings()}
 	for i := range r.opts.AbsentTargets {
@@ -102,8 +104,9 @@
 	return svc
 }
 
-// rollOut puts the next bundle into force and returns when the operator asked
-// for it, which is before the platform took it.
+// rollOut rolls out the next bundle. It returns the time at which the operator
+// requested the rollout, which is before the platform accepted it. It records the
+// bundle's size in result unless that is nil.
 func (r *runningFleet) rollOut(ctx context.Context, result *row) (entry rollout.Entry, requestedAt time.Time, err error) {
 	data, err := json.Marshal(r.nextBundle())
 	if err != nil {
@@ -125,8 +128,9 @@
 	return entry, requestedAt, errors.Trace(err)
 }
 
-// measureRollouts measures how long each rollout takes to the last daemon. The daemons
-// state when a revision came into force, by this machine's clock.
+// measureRollouts measures the time of each rollout from its request until it is in
+// force on the last daemon. The daemons report when a revision came into force; they
+// use the same clock because they run on this machine.
 func (r *runningFleet) measureRollouts(ctx context.Context, result *row) error {
 	for range r.opts.Rollouts {
 		begin := time.Now()
@@ -145,7 +149,7 @@
 			return err
 		}
 		result.revision.add(last.Sub(requestedAt).Seconds())
-		r.progress("revision %d everywhere after %.2f s", entry.Revision, last.Sub(requestedAt).Seconds())
+		r.progress("revision %d in force on all daemons after %.2f s", entry.Revision, last.Sub(requestedAt).Seconds())
 		if err := pause(ctx, time.Until(begin.Add(r.opts.RolloutInterval))); err != nil {
 			return err
 		}
@@ -153,6 +157,8 @@
 	return nil
 }
 
+// lastInForce returns the latest time at which a daemon put its current revision
+// into force.
 func (r *runningFleet) lastInForce(ctx context.Context) (last time.Time, err error) {
 	for _, d := range r.daemons {
 		st, err := d.Status(ctx)
@@ -166,8 +172,9 @@
 	return last, nil
 }
 
-// measureDrains joins the exchange as one more VM, which alone learns of measureDrains, and
-// measures how long each takes to the last daemon.
+// measureDrains adds an observer to the exchange as one more VM, reports drains to
+// that VM only, and measures how long each drain takes to reach the last daemon, in
+// seconds.
 func (r *runningFleet) measureDrains(ctx context.Context) (samples, error) {
 	var out samples
 	observer, err := r.startObserver()
@@ -190,10 +197,11 @@
 		}
 		out.add(last)
 	}
-	r.progress("drains everywhere after %s s", out)
+	r.progress("drains known to all daemons after %s s", out)
 	return out, nil
 }
 
+// startObserver starts a VM that takes part in the exchange only.
 func (r *runningFleet) startObserver() (*peer.Exchange, error) {
 	set, err := settings.Load(r.daemons[0].SettingsPath)
 	if err != nil {
@@ -219,7 +227,7 @@
 	return exchange, errors.Trace(exchange.Start())
 }
 
-// emptyHeads takes no part in the exchange of heads.
+// emptyHeads implements peer.Heads for a VM that does not exchange heads.
 type emptyHeads struct{}
 
 func (emptyHeads) Revision() uint64                { return 0 }
