--- a/cmd/bramley-lab/main.go
+++ b/cmd/bramley-lab/main.go
@@ -68,16 +68,16 @@
 
 // runPlatform serves the object API and the control endpoint until ctx is done.
 func runPlatform(ctx context.Context, store *platformsim.Store, listen, control string) error {
-	api, err := net.Listen("tcp", labhttp.Address(listen))
+	api, err := net.Listen("tcp", labhttp.ListenAddress(listen))
 	if err != nil {
 		return errors.Trace(err)
 	}
-	ctl, err := net.Listen("tcp", labhttp.Address(control))
+	ctl, err := net.Listen("tcp", labhttp.ListenAddress(control))
 	if err != nil {
 		return errors.Trace(err)
 	}
 	apiServer := &http.Server{Handler: store.Handler()}
-	ctlServer := &http.Server{Handler: store.Control()}
+	ctlServer := &http.Server{Handler: store.ControlHandler()}
 	failed := make(chan error, 2)
 	go func() { failed <- apiServer.Serve(api) }()
 	go func() { failed <- ctlServer.Serve(ctl) }()
@@ -119,7 +119,7 @@
 				return err
 			}
 			<-ctx.Done()
-			return target.Leave()
+			return target.DrainAndClose()
 		},
 	}
 }
@@ -148,7 +148,7 @@
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			proxy, err := faultproxy.Start(faultproxy.Options{
 				Listen: cmd.String("listen"), Control: cmd.String("control"), Target: cmd.String("target"),
-				Peers: cmd.Bool("peers"),
+				ReadHello: cmd.Bool("peers"),
 			})
 			if err != nil {
 				return errors.Trace(err)
--- a/internal/lab/bench/shapes.go
+++ b/internal/lab/bench/shapes.go
@@ -97,12 +97,12 @@
 }
 
 // targetOptions returns the options of the service's target i, counted from 0.
-func (s Service) targetOptions(i int, timing targetsim.Timing, holder targetsim.Holder) targetsim.Options {
+func (s Service) targetOptions(i int, timing targetsim.Timing, holder targetsim.SnapshotPlacement) targetsim.Options {
 	return targetsim.Options{
 		Name: fmt.Sprintf("%s-%02d", s.Name, i+1), Service: s.Name,
-		Leaves: s.Leaves, Slots: s.Slots, Queue: queueLength, Connections: s.Connections,
+		Leaves: s.Leaves, Slots: s.Slots, MaxQueued: queueLength, MaxConnections: s.Connections,
 		ConnectCostMS: s.ConnectCostMS, Seed: uint64(i + 1), Timing: timing,
-		Snapshots: []targetsim.Holder{holder}, DrainMS: drainMS, IdleMS: idleMS,
+		Snapshots: []targetsim.SnapshotPlacement{holder}, DrainMS: drainMS, IdleMS: idleMS,
 	}
 }
 
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -114,7 +114,7 @@
 
 // SetVMs replaces the list of VMs; readers see it after lag.
 func (p *Platform) SetVMs(vms []objstore.VM, lag time.Duration) error {
-	return p.control.set(http.MethodPut, "/control/vms", platformsim.VMsControl{VMs: vms, LagMS: int(lag.Milliseconds())})
+	return p.control.set(http.MethodPut, "/control/vms", platformsim.VMsRequest{VMs: vms, LagMS: int(lag.Milliseconds())})
 }
 
 // Target is a stand-in for a target, as a process.
@@ -154,18 +154,18 @@
 }
 
 // SetSnapshots replaces the snapshots that the target's leaves hold.
-func (t *Target) SetSnapshots(holders []targetsim.Holder) error {
+func (t *Target) SetSnapshots(holders []targetsim.SnapshotPlacement) error {
 	return t.control.set(http.MethodPut, "/control/snapshots", holders)
 }
 
 // SetDraining makes the target drain or serve normally again.
 func (t *Target) SetDraining(draining bool) error {
-	return t.control.set(http.MethodPut, "/control/draining", targetsim.DrainControl{Draining: draining})
+	return t.control.set(http.MethodPut, "/control/draining", targetsim.DrainingRequest{Draining: draining})
 }
 
 // Ran returns the requests that the target's leaves really started.
-func (t *Target) Ran() (targetsim.Ran, error) {
-	var r targetsim.Ran
+func (t *Target) Ran() (targetsim.StartedRequests, error) {
+	var r targetsim.StartedRequests
 	return r, t.control.get("/control/ran", &r)
 }
 
--- a/internal/lab/fleetbench/answering.go
+++ b/internal/lab/fleetbench/answering.go
@@ -65,7 +65,7 @@
 		t.statusReads.Add(1)
 		w.Header().Set(target.HeaderIncarnation, statusTargetName(i))
 		w.Header().Set(target.HeaderState, string(target.StateServing))
-		labhttp.Write(w, http.StatusOK, t.status(i))
+		labhttp.WriteJSON(w, http.StatusOK, t.status(i))
 	})
 	return mux
 }
--- a/internal/lab/rolloutbench/bench.go
+++ b/internal/lab/rolloutbench/bench.go
@@ -124,7 +124,7 @@
 	})
 	target, err := b.fleet.StartTarget(targetsim.Options{
 		Name: "target-0", Service: service, Leaves: 1, Slots: 2,
-		Snapshots: targetsim.Place(targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: 1, Records: 10}, 1, 1, 1),
+		Snapshots: targetsim.PlaceReplicas(targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: 1, Records: 10}, 1, 1, 1),
 	})
 	if err != nil {
 		return errors.Trace(err)
