--- a/cmd/bramley-lab/bench.go
+++ b/cmd/bramley-lab/bench.go
@@ -24,7 +24,7 @@
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of arrivals and queries"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			daemon, self, err := programs(cmd)
+			daemon, self, err := programPaths(cmd)
 			if err != nil {
 				return err
 			}
--- a/cmd/bramley-lab/bench_rollout.go
+++ b/cmd/bramley-lab/bench_rollout.go
@@ -25,7 +25,7 @@
 				return errors.Trace(err)
 			}
 			defer os.RemoveAll(dir)
-			daemon, lab, err := programs(cmd)
+			daemon, lab, err := programPaths(cmd)
 			if err != nil {
 				return err
 			}
--- a/cmd/bramley-lab/fleet.go
+++ b/cmd/bramley-lab/fleet.go
@@ -28,16 +28,16 @@
 			&cli.IntFlag{Name: "drains", Value: 4, Usage: "for each size"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			daemon, self, err := programs(cmd)
+			daemon, self, err := programPaths(cmd)
 			if err != nil {
 				return err
 			}
 			return fleetbench.Run(ctx, fleetbench.Options{
 				Daemon: daemon, Lab: self,
 				Sizes: cmd.IntSlice("size"), Searches: cmd.Int("searches"),
-				Targets: cmd.Int("targets"), Places: cmd.Int("places"),
-				Answering: cmd.Int("answering"), Health: cmd.Duration("health"),
-				Rest: cmd.Duration("rest"), Rollouts: cmd.Int("rollouts"), Every: cmd.Duration("every"),
+				AbsentTargets: cmd.Int("targets"), MaxVMs: cmd.Int("places"),
+				StatusTargets: cmd.Int("answering"), HealthInterval: cmd.Duration("health"),
+				IdleTime: cmd.Duration("rest"), Rollouts: cmd.Int("rollouts"), RolloutInterval: cmd.Duration("every"),
 				Drains: cmd.Int("drains"), Out: os.Stdout, Progress: os.Stderr,
 			})
 		},
--- a/internal/lab/edgesim/address.go
+++ b/internal/lab/edgesim/address.go
@@ -16,19 +16,19 @@
 )
 
 var (
-	portsMu sync.Mutex // guards ports
-	ports   = make(map[int]bool)
+	returnedPortsMu sync.Mutex // guards ports
+	returnedPorts   = make(map[int]bool)
 )
 
 // FreeAddress returns a loopback IP and a port that nobody listens on and that it has
 // not returned before.
 func FreeAddress() (string, error) {
-	portsMu.Lock()
-	defer portsMu.Unlock()
+	returnedPortsMu.Lock()
+	defer returnedPortsMu.Unlock()
 	var last error
 	for range portCount {
 		port := firstPort + rand.IntN(portCount)
-		if ports[port] {
+		if returnedPorts[port] {
 			continue
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", port)
@@ -37,7 +37,7 @@
 			last = err
 			continue
 		}
-		ports[port] = true
+		returnedPorts[port] = true
 		return address, l.Close()
 	}
 	return "", fmt.Errorf("edgesim: no free port: %w", last)
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -22,13 +22,13 @@
 	"github.com/bramleybarrow/bramleybarrow/ops"
 )
 
-// callLimit bounds each call to a control endpoint or a daemon.
-const callLimit = 30 * time.Second
+// callTimeout bounds each call to a control endpoint or a daemon.
+const callTimeout = 30 * time.Second
 
-// control opens a connection for each call, so that no pool outlives a test.
-var control = &http.Client{
+// controlClient opens a connection for each call, so that no pool outlives a test.
+var controlClient = &http.Client{
 	Transport: &http.Transport{DisableKeepAlives: true},
-	Timeout:   callLimit,
+	Timeout:   callTimeout,
 }
 
 // call sends body as JSON, if not nil, and decodes the answer into into, if not
@@ -49,7 +49,7 @@
 	for name, values := range header {
 		req.Header[name] = values
 	}
-	resp, err := control.Do(req)
+	resp, err := controlClient.Do(req)
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
@@ -89,7 +89,7 @@
 
 // StartPlatform starts the fleet's platform; watches wait for watchWait.
 func (f *Fleet) StartPlatform(watchWait time.Duration) (*Platform, error) {
-	p, ready, err := f.startReady("platform", "platform", "--watch-wait", watchWait.String())
+	p, ready, err := f.startStandIn("platform", "platform", "--watch-wait", watchWait.String())
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 
 // SetVMs replaces the list of VMs, to be seen after lag.
 func (p *Platform) SetVMs(vms []objstore.VM, lag time.Duration) error {
-	return p.control.set(http.MethodPut, "/control/vms", platformsim.VMsControl{VMs: vms, LagMS: int(lag.Milliseconds())})
+	return p.control.set(http.MethodPut, "/control/vms", platformsim.VMsRequest{VMs: vms, LagMS: int(lag.Milliseconds())})
 }
 
 // Target is a stand-in of a target.
@@ -132,7 +132,7 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return nil, errors.Trace(err)
 	}
-	p, ready, err := f.startReady(o.Name, "target", "--options", path)
+	p, ready, err := f.startStandIn(o.Name, "target", "--options", path)
 	if err != nil {
 		return nil, err
 	}
@@ -150,18 +150,18 @@
 }
 
 // SetSnapshots replaces what the target's leaves hold.
-func (t *Target) SetSnapshots(holders []targetsim.Holder) error {
+func (t *Target) SetSnapshots(holders []targetsim.SnapshotPlacement) error {
 	return t.control.set(http.MethodPut, "/control/snapshots", holders)
 }
 
 // SetDraining makes the target leave, or stay.
 func (t *Target) SetDraining(draining bool) error {
-	return t.control.set(http.MethodPut, "/control/draining", targetsim.DrainControl{Draining: draining})
+	return t.control.set(http.MethodPut, "/control/draining", targetsim.DrainingRequest{Draining: draining})
 }
 
 // Ran returns what the target really started.
-func (t *Target) Ran() (targetsim.Ran, error) {
-	var r targetsim.Ran
+func (t *Target) Ran() (targetsim.StartedRequests, error) {
+	var r targetsim.StartedRequests
 	return r, t.control.get("/control/ran", &r)
 }
 
@@ -190,7 +190,7 @@
 }
 
 func (f *Fleet) startProxy(name string, args ...string) (*Proxy, error) {
-	p, ready, err := f.startReady(name, append([]string{"proxy"}, args...)...)
+	p, ready, err := f.startStandIn(name, append([]string{"proxy"}, args...)...)
 	if err != nil {
 		return nil, err
 	}
@@ -211,11 +211,11 @@
 // Daemon is a bramleyd.
 type Daemon struct {
 	*Process
-	Zone     string
-	Settings string // path of the file
-	Callers  string
-	Ops      string
-	Peers    string // address that other VMs dial
+	Zone         string
+	SettingsPath string // path of the file
+	Callers      string
+	Ops          string
+	Peers        string // address that other VMs dial
 }
 
 // VM returns the daemon's entry for the platform's list.
@@ -232,7 +232,7 @@
 
 // Metrics returns the values of the daemon's metrics by name and labels.
 func (d *Daemon) Metrics() (map[string]float64, error) {
-	resp, err := control.Get("http://" + d.Ops + ops.PathMetrics)
+	resp, err := controlClient.Get("http://" + d.Ops + ops.PathMetrics)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
--- a/internal/lab/targetsim/control.go
+++ b/internal/lab/targetsim/control.go
@@ -9,8 +9,8 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/labhttp"
 )
 
-// DrainControl is the body of PUT /control/draining.
-type DrainControl struct {
+// DrainingRequest is the body of PUT /control/draining.
+type DrainingRequest struct {
 	Draining bool `json:"draining"`
 }
 
@@ -24,27 +24,27 @@
 //	GET /control/counters   Counters
 func (t *Target) controlHandler() http.Handler {
 	mux := goji.NewMux()
-	mux.HandleFunc(pat.Put("/control/faults"), labhttp.Setter(t.SetFaults))
-	mux.HandleFunc(pat.Put("/control/timing"), labhttp.Setter(t.SetTiming))
+	mux.HandleFunc(pat.Put("/control/faults"), labhttp.PutHandler(t.SetFaults))
+	mux.HandleFunc(pat.Put("/control/timing"), labhttp.PutHandler(t.SetTiming))
 	mux.HandleFunc(pat.Put("/control/snapshots"), func(w http.ResponseWriter, r *http.Request) {
-		holders, err := labhttp.Read[[]Holder](w, r)
+		holders, err := labhttp.ReadJSON[[]SnapshotPlacement](w, r)
 		if err == nil {
 			err = t.SetSnapshots(holders)
 		}
 		if err != nil {
-			labhttp.Fail(w, http.StatusBadRequest, err)
+			labhttp.WriteError(w, http.StatusBadRequest, err)
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
 	})
-	mux.HandleFunc(pat.Put("/control/draining"), labhttp.Setter(func(c DrainControl) {
+	mux.HandleFunc(pat.Put("/control/draining"), labhttp.PutHandler(func(c DrainingRequest) {
 		t.SetDraining(c.Draining)
 	}))
 	mux.HandleFunc(pat.Get("/control/ran"), func(w http.ResponseWriter, _ *http.Request) {
-		labhttp.Write(w, http.StatusOK, t.Ran())
+		labhttp.WriteJSON(w, http.StatusOK, t.Ran())
 	})
 	mux.HandleFunc(pat.Get("/control/counters"), func(w http.ResponseWriter, _ *http.Request) {
-		labhttp.Write(w, http.StatusOK, t.Counters())
+		labhttp.WriteJSON(w, http.StatusOK, t.Counters())
 	})
 	return mux
 }
--- a/internal/lab/targetsim/faults.go
+++ b/internal/lab/targetsim/faults.go
@@ -11,47 +11,47 @@
 type Faults struct {
 	ShedShare float64 `json:"shed_share"` // of requests refused although there is room
 
-	CrossedAnswers   int `json:"crossed_answers"`   // the next searches get another request's answer
-	DuplicateAnswers int `json:"duplicate_answers"` // the next searches get their answer twice over
-	LateAnswers      int `json:"late_answers"`      // the next searches answer after LateMS, slot freed
-	LateMS           int `json:"late_ms"`
-	// IncompleteRecords makes each search leave out that many of the shard's
+	MismatchedAnswers int `json:"crossed_answers"`   // the next searches get another request's answer
+	DuplicateAnswers  int `json:"duplicate_answers"` // the next searches get their answer twice over
+	LateAnswers       int `json:"late_answers"`      // the next searches answer after LateMS, slot freed
+	LateMS            int `json:"late_ms"`
+	// MissingRecords makes each search leave out that many of the shard's
 	// records, and say so.
-	IncompleteRecords int `json:"incomplete_records"`
+	MissingRecords int `json:"incomplete_records"`
 
 	CutSubmits  int  `json:"cut_submits"`  // the next submits run, then their connection is cut
 	HoldSubmits bool `json:"hold_submits"` // submits run and their answers wait until this is unset
 
-	LoadLagMS  int      `json:"load_lag_ms"` // age of the load reported
-	LoadShown  *float64 `json:"load_shown"`  // reported in place of the true load
-	StateLagMS int      `json:"state_lag_ms"`
+	LoadLagMS    int      `json:"load_lag_ms"` // age of the load reported
+	ReportedLoad *float64 `json:"load_shown"`  // reported in place of the true load
+	StateLagMS   int      `json:"state_lag_ms"`
 }
 
 // answerFault is what befalls one answer to a search.
 type answerFault struct {
-	crossed    bool
-	duplicate  bool
-	late       time.Duration
-	incomplete int
+	mismatched     bool
+	duplicate      bool
+	delay          time.Duration
+	missingRecords int
 }
 
-// takeAnswerFault uses up the counts. The caller must hold Target.mu.
-func (f *Faults) takeAnswerFault() answerFault {
+// consumeAnswerFault uses up the counts. The caller must hold Target.mu.
+func (f *Faults) consumeAnswerFault() answerFault {
 	var a answerFault
-	a.incomplete = f.IncompleteRecords
-	if take(&f.CrossedAnswers) {
-		a.crossed = true
+	a.missingRecords = f.MissingRecords
+	if consumeCount(&f.MismatchedAnswers) {
+		a.mismatched = true
 	}
-	if take(&f.DuplicateAnswers) {
+	if consumeCount(&f.DuplicateAnswers) {
 		a.duplicate = true
 	}
-	if take(&f.LateAnswers) {
-		a.late = time.Duration(f.LateMS) * time.Millisecond
+	if consumeCount(&f.LateAnswers) {
+		a.delay = time.Duration(f.LateMS) * time.Millisecond
 	}
 	return a
 }
 
-func take(count *int) bool {
+func consumeCount(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
@@ -59,9 +59,9 @@
 	return true
 }
 
-// leaveOut removes n records of the shard from an answer as if they could not
+// omitRecords removes n records of the shard from an answer as if they could not
 // be read, the items among them first.
-func leaveOut(ans *target.LeafAnswer, n int) {
+func omitRecords(ans *target.LeafAnswer, n int) {
 	if n <= 0 {
 		return
 	}
