--- a/internal/lab/bench/deployment.go
+++ b/internal/lab/bench/deployment.go
@@ -183,6 +183,8 @@
 	opts := g.targets[i].Options
 	opts.Listen = g.targets[i].Address
 	opts.ColdMS = coldMS
+	// PlaceReplicas returns one placement per target. The slice keeps only that of
+	// target i, so the loop runs once.
 	for _, holder := range targetsim.PlaceReplicas(g.index, g.Targets, g.Leaves, g.Replicas)[i : i+1] {
 		opts.Snapshots = []targetsim.SnapshotPlacement{holder}
 	}
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -188,7 +188,8 @@
 }
 
 // StartPeerProxy starts a fault proxy in front of a daemon's listener for peers.
-// It distinguishes clients by their VM's name, so Faults.Apart lists daemons.
+// It identifies each client by the VM name in its hello, so Faults.Partitioned lists
+// the VM names of daemons.
 func (f *Fleet) StartPeerProxy(name, target string) (*Proxy, error) {
 	return f.startProxy(name, "--target", target, "--peers")
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -235,14 +235,15 @@
 	lastPort  = 32000
 )
 
-// nextPort counts the ports that were tried, as an offset from firstPort. Its start
-// depends on the process id, so that programs that run at the same time begin at
-// different ports.
+// nextPort, modulo the number of ports, is the offset from firstPort of the port that
+// was tried last. It starts at the process id times portStride, modulo that number.
+// Test programs that run at the same time have different process ids, so they begin
+// at different ports and seldom try the same ones.
 var nextPort atomic.Uint32
 
 func init() { nextPort.Store(uint32(os.Getpid()*portStride) % (lastPort - firstPort)) }
 
-const portStride = 997 // distance between the first ports of two process ids; more than one test uses
+const portStride = 997 // distance between the first ports of consecutive process ids; larger than the number of ports that one test program uses
 
 // FreeAddress returns a loopback address with a port that was free when checked.
 func FreeAddress() (string, error) {
--- a/internal/lab/fleetbench/cost.go
+++ b/internal/lab/fleetbench/cost.go
@@ -16,7 +16,8 @@
 	"github.com/bramleybarrow/bramleybarrow/internal/lab/platformsim"
 )
 
-// samples are the values of one figure, by daemon or by repetition.
+// samples holds the measured values of one quantity: either one value per daemon, or
+// one per repetition of the measurement.
 type samples struct{ values []float64 }
 
 func (s *samples) add(v float64) { s.values = append(s.values, v) }
--- a/internal/lab/fleetbench/fleetbench.go
+++ b/internal/lab/fleetbench/fleetbench.go
@@ -65,12 +65,12 @@
 type row struct {
 	daemons     int
 	bundleBytes int
-	revision    samples // seconds from the request of a rollout until in force on the last daemon
-	drain       samples // seconds until the last daemon has learned of a drain
+	revision    samples // seconds from the request of a rollout until its revision is in force on all daemons; one value per rollout
+	drain       samples // seconds until all daemons have learned of a drain; one value per drain
 	idle        cost
 	rollouts    cost
 	indexSwitch cost    // while statusTargets switch their index
-	memory      samples // resident MB of each daemon, at the end
+	memory      samples // resident memory in MB at the end; one value per daemon
 }
 
 // runningFleet is a fleet of one size that is being measured.
--- a/internal/lab/platformsim/store.go
+++ b/internal/lab/platformsim/store.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	maxPage          = 1000                  // objects in a page of a listing
-	maxPageBytes     = 8 * objstore.MaxValue // of the values in a page that has more than one object
-	defaultWatchWait = 10 * time.Second      // until a watch without a change is answered
+	maxPage          = 1000                  // upper bound of the objects in a page of a listing
+	maxPageBytes     = 8 * objstore.MaxValue // upper bound of the total size of a page's values; the first one is returned whatever its size
+	defaultWatchWait = 10 * time.Second      // time after which a watch that saw no change is answered
 )
 
 // ErrInvalidValue is the error of a Put whose value is not valid JSON.
--- a/once/committer.go
+++ b/once/committer.go
@@ -17,9 +17,13 @@
 	maxSegmentWriters = 16                     // segments whose last known state is kept in memory
 	downThreshold     = 3                      // failed store calls in a row that mean the platform is down
 	probeInterval     = 500 * time.Millisecond // time between two claims that are let through while the platform is down
-	minBackoff        = 20 * time.Millisecond  // upper bound of the random wait after the first failed try to update a segment
-	maxBackoff        = 500 * time.Millisecond // upper bound of the random wait after any failed try
-	maxBackoffShift   = 7                      // largest number of times that minBackoff is doubled
+
+	// After a failed try to update a segment, the committer waits a random time between
+	// 1 ms and an upper bound. The bound is about minBackoff after the first failed try
+	// and doubles with each further one until it reaches maxBackoff.
+	minBackoff      = 20 * time.Millisecond
+	maxBackoff      = 500 * time.Millisecond
+	maxBackoffShift = 7 // largest number of times that minBackoff is doubled, so that the shift cannot overflow
 )
 
 // Reasons why the committer did not apply an operation.
--- a/once/name.go
+++ b/once/name.go
@@ -17,9 +17,10 @@
 const segmentWindow = time.Second
 
 // segmentName returns the name of the object that holds the claims of keys created
-// at the time made. No other object may hold them, unless that segment is sealed:
-// was full once, and accepts no new keys; see overflowName. Names sort by
-// deployment and then by time, so the cleaner can list the oldest first.
+// at the time made. A segment is sealed as soon as a claim does not fit into it, and
+// then accepts no new keys. Only then may another object hold claims of these keys,
+// see overflowName. Names sort by deployment and then by time, so the cleaner can
+// list the oldest first.
 func segmentName(deployment string, made time.Time) string {
 	return fmt.Sprintf("%s%010d", deploymentPrefix(deployment), made.Unix())
 }
@@ -29,7 +30,7 @@
 const overflowSegments = 8
 
 // overflowName returns the name of the overflow segment that holds the claim with
-// that id if the segment of the key's second is sealed: was full once, and accepts
+// that id if the segment of the key's second is sealed, which means that it accepts
 // no new keys. The name sorts after the name of the sealed segment.
 func overflowName(segment, id string) string {
 	return fmt.Sprintf("%s%s%d", segment, overflowSeparator, xxhash.Sum64String(id)%overflowSegments)
--- a/once/segment.go
+++ b/once/segment.go
@@ -103,7 +103,7 @@
 	verdictDone  verdict = iota // any: the segment is in the state that the op requested
 	verdictHeld                 // claim: the key has an entry of another operation
 	verdictFull                 // claim: there is no space for the key
-	verdictMoved                // claim: the segment is sealed (was full once); the key belongs in its overflow segment
+	verdictMoved                // claim: the segment is sealed, that is, it accepts no new keys; the key belongs in its overflow segment
 	verdictGone                 // complete: the claim no longer exists; claim: its operation id is barred
 )
 
--- a/operator/app.go
+++ b/operator/app.go
@@ -17,10 +17,10 @@
 	flagConfig     = "config"
 	flagPlatform   = "platform"
 	flagDeployment = "deployment"
-	flagKey        = "key"
+	flagKey        = "key" // file with the operator's private key
 	flagOutput     = "output"
-	flagPatience   = "patience"
-	flagVM         = "vm"
+	flagPatience   = "patience" // how long to retry calls to the platform that fail
+	flagVM         = "vm"       // addresses of VMs' operators' pages, used when the platform can't list VMs
 )
 
 // Run executes one command line and returns the exit status: 0 for success, else
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -68,7 +68,7 @@
 	// limitCeilingPerShare is the ceiling of the limit, as a multiple of the number of
 	// queries that is this VM's share. It allows bursts while attempts are fast.
 	limitCeilingPerShare    = 6.0
-	maxWaitPerQueryDuration = 0.6 // longest wait for admission, as a share of a query's expected duration
+	maxWaitPerQueryDuration = 0.6 // longest wait for admission, as a fraction of a query's expected duration
 	limitDecreaseFactor     = 0.8 // factor applied to the limit after a sign of overload
 	// limitIncreasePerQuery is what the end of one query adds to a limit that is at its
 	// floor or above, in queries. It is added only if the query's end shows no overload and
--- a/result/table.go
+++ b/result/table.go
@@ -9,9 +9,9 @@
 	BadRequest    Code = 200
 	UnknownSearch Code = 201
 	TooLarge      Code = 202
-	KeyRequired   Code = 203
-	KeyReused     Code = 204
-	KeyExpired    Code = 205
+	KeyRequired   Code = 203 // the idempotency key of a request is missing or malformed
+	KeyReused     Code = 204 // the idempotency key, or an operator's operation id, was used for something else
+	KeyExpired    Code = 205 // the idempotency key is too old
 	CursorGone    Code = 206
 	BadTimeLimit  Code = 207
 	BadCoverage   Code = 208
@@ -35,7 +35,7 @@
 	BadBundle      Code = 601
 	BundleTooLarge Code = 602
 	NotSigned      Code = 603
-	UnknownKey     Code = 604
+	UnknownKey     Code = 604 // the signing key is retired or not listed in the settings
 	SelfSigned     Code = 605
 	Recalled       Code = 606
 	NotFound       Code = 607
@@ -50,7 +50,7 @@
 	WrongVersion   Code = 701
 	MessageTooBig  Code = 702
 	UnknownMethod  Code = 703
-	WrongKey       Code = 704
+	WrongKey       Code = 704 // the other VM does not hold a key of this fleet
 	PeerBusy       Code = 705
 	BadMessage     Code = 706
 	StaleExchange  Code = 708
