--- a/internal/lab/fleetbench/work.go
+++ b/internal/lab/fleetbench/work.go
@@ -187,7 +187,7 @@
 	}
 	for i := range r.opts.Drains {
 		begin := time.Now()
-		observer.LearnDrain(peer.Drain{Target: "target-0", Incarnation: fmt.Sprint("bench-", i)})
+		observer.PublishDrain(peer.Drain{Target: "target-0", Incarnation: fmt.Sprint("bench-", i)})
 		if err := pause(ctx, propagationTime); err != nil {
 			return out, err
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -173,7 +173,7 @@
 		Log:     logging.Component(n.log, "query"),
 		Metrics: n.metrics,
 		OnDrain: func(target, incarnation string) {
-			n.peers.LearnDrain(peer.Drain{Target: target, Incarnation: incarnation})
+			n.peers.PublishDrain(peer.Drain{Target: target, Incarnation: incarnation})
 		},
 	})
 	clientSink.Sink = n.engine
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -143,9 +143,9 @@
 	lastTick          time.Time            // start of the last call of tick
 	announcedRevision uint64               // last revision announced to peers
 	drainsChanged     chan struct{}        // closed and replaced when a drain is learned; see DrainsChanged
-	lastDrainLearned  time.Time            // when this VM last learned of a drain
+	lastDrainTime     time.Time            // when this VM last learned of a drain
 	changedTargets    map[string]struct{}  // targets with changed health since TakeHealthChanges
-	lastHealthLearned time.Time            // when the health of a target last changed
+	lastHealthTime    time.Time            // when the health of a target last changed
 }
 
 // New returns an Exchange that isn't started. It returns an error if the VM's
@@ -202,7 +202,7 @@
 // run starts the goroutines of the exchange and calls tick at Options.Interval until
 // the exchange stops.
 func (x *Exchange) run() error {
-	x.tomb.Go(x.readList)
+	x.tomb.Go(x.readVMList)
 	x.tomb.Go(x.announceRevisions)
 	x.tomb.Go(x.pullHeads)
 	ticker := time.NewTicker(x.opts.Interval)
@@ -241,13 +241,13 @@
 // Address returns the address at which this VM listens for peers.
 func (x *Exchange) Address() string { return x.server.Addr().String() }
 
-// LearnDrain records that an incarnation of a target takes no new work, and
+// PublishDrain records that an incarnation of a target takes no new work, and
 // sends this to the other VMs. A drain that is already known is ignored.
-func (x *Exchange) LearnDrain(d Drain) {
+func (x *Exchange) PublishDrain(d Drain) {
 	now := time.Now().Unix()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if f, fresh := x.table.AddDrain(d.Target, d.Incarnation, now); fresh {
+	if f, added := x.table.AddDrain(d.Target, d.Incarnation, now); added {
 		x.forward(f, nil)
 		x.signalDrains()
 	}
@@ -276,7 +276,7 @@
 
 // signalDrains closes the current channel of DrainsChanged. The caller must hold mu.
 func (x *Exchange) signalDrains() {
-	x.lastDrainLearned = time.Now()
+	x.lastDrainTime = time.Now()
 	close(x.drainsChanged)
 	x.drainsChanged = make(chan struct{})
 }
@@ -311,7 +311,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.placeCache == nil {
-		x.placeCache = placeHolders(x.table.Members())
+		x.placeCache = vmsByPlace(x.table.Members())
 	}
 	return x.placeCache
 }
@@ -362,11 +362,11 @@
 	return len(x.links)
 }
 
-// readList reads the platform's list of VMs at intervals until the exchange stops. The
+// readVMList reads the platform's list of VMs at intervals until the exchange stops. The
 // mean interval is ListInterval on VMs that watch the platform or have no peer, and
 // nonWatcherListFactor times as long on the others. Each wait is drawn at random
 // between half the mean interval and one and a half of it.
-func (x *Exchange) readList() error {
+func (x *Exchange) readVMList() error {
 	for {
 		ctx, cancel := context.WithTimeout(x.tomb.Context(context.Background()), x.opts.ListInterval)
 		vms, err := x.opts.Store.VMs(ctx)
--- a/peer/health.go
+++ b/peer/health.go
@@ -73,7 +73,7 @@
 // HealthChanged. The caller must hold mu.
 func (x *Exchange) signalHealth(target string) {
 	x.changedTargets[target] = struct{}{}
-	x.lastHealthLearned = time.Now()
+	x.lastHealthTime = time.Now()
 	select {
 	case x.healthChanged <- struct{}{}:
 	default:
--- a/peer/live.go
+++ b/peer/live.go
@@ -31,7 +31,7 @@
 	}
 	var live []objstore.VM
 	for _, vm := range listed {
-		if _, corrected := known[vm.Name]; !corrected && !vm.Leaving {
+		if _, hasStatement := known[vm.Name]; !hasStatement && !vm.Leaving {
 			live = append(live, vm)
 		}
 	}
@@ -71,18 +71,18 @@
 	if len(live) <= maxAllWatchVMs {
 		return true
 	}
-	at := slices.IndexFunc(live, func(vm objstore.VM) bool { return vm.Name == name })
-	if at < 0 {
+	i := slices.IndexFunc(live, func(vm objstore.VM) bool { return vm.Name == name })
+	if i < 0 {
 		return false
 	}
 	own := watchRank(name)
-	ahead := 0
+	higher := 0
 	for _, vm := range live {
-		if vm.Zone == live[at].Zone && watchRank(vm.Name) > own {
-			ahead++
+		if vm.Zone == live[i].Zone && watchRank(vm.Name) > own {
+			higher++
 		}
 	}
-	return ahead < watchersPerZone
+	return higher < watchersPerZone
 }
 
 // watchRank returns a hash of a VM's name. The VMs of a zone with the highest ranks watch
@@ -91,12 +91,12 @@
 	return xxhash.Sum64String("watch\x00" + name)
 }
 
-// placeHolders returns the VMs that hold places, by place. A place is a number from 0
+// vmsByPlace returns the VMs that hold places, by place. A place is a number from 0
 // that decides to which targets its VM owns connections. While a place passes from one
 // VM to another, both may claim it; winsPlace decides which of them has it. A VM that is
 // leaving is marked as such: it still serves the requests that it receives, but it
 // should get new ones only if no other VM can serve them.
-func placeHolders(members []facts.Member) map[int]objstore.VM {
+func vmsByPlace(members []facts.Member) map[int]objstore.VM {
 	holders := map[int]facts.Member{}
 	for _, m := range members {
 		if m.Place == 0 || m.State == facts.Lost {
--- a/peer/members.go
+++ b/peer/members.go
@@ -62,7 +62,7 @@
 	}
 	if m.State != facts.Suspect {
 		delete(x.suspectedSince, m.Name)
-	} else if _, waiting := x.suspectedSince[m.Name]; !waiting {
+	} else if _, suspected := x.suspectedSince[m.Name]; !suspected {
 		x.suspectedSince[m.Name] = now
 	}
 }
@@ -110,7 +110,7 @@
 	if name == x.self.Name || (known && m.State >= facts.Suspect) {
 		return
 	}
-	if last, done := x.lastSuspected[name]; done && now.Sub(last) < suspectAgainAfter {
+	if last, ok := x.lastSuspected[name]; ok && now.Sub(last) < suspectAgainAfter {
 		return
 	}
 	x.lastSuspected[name] = now
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -21,9 +21,9 @@
 	gauge(`bramley_peer_live_vms`, func() float64 { return float64(len(x.Live())) })
 	gauge(`bramley_peer_lost_vms`, func() float64 { return float64(x.lostCount()) })
 	gauge(`bramley_peer_drains`, func() float64 { return float64(len(x.Drains())) })
-	gauge(`bramley_peer_drain_learned_seconds`, x.drainLearnedSeconds)
+	gauge(`bramley_peer_drain_learned_seconds`, x.lastDrainSeconds)
 	gauge(`bramley_peer_health_targets`, x.healthTargets)
-	gauge(`bramley_peer_health_learned_seconds`, x.healthLearnedSeconds)
+	gauge(`bramley_peer_health_learned_seconds`, x.lastHealthSeconds)
 	return set
 }
 
@@ -34,12 +34,12 @@
 	return float64(x.table.HealthCount())
 }
 
-// healthLearnedSeconds returns the Unix time at which the health of a target last
+// lastHealthSeconds returns the Unix time at which the health of a target last
 // changed on this VM, or 0 if none has.
-func (x *Exchange) healthLearnedSeconds() float64 {
+func (x *Exchange) lastHealthSeconds() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return unixSeconds(x.lastHealthLearned)
+	return unixSeconds(x.lastHealthTime)
 }
 
 // lostCount returns the number of VMs that count as lost and are not forgotten yet.
@@ -49,12 +49,12 @@
 	return x.table.LostCount()
 }
 
-// drainLearnedSeconds returns the Unix time at which this VM last learned of a
+// lastDrainSeconds returns the Unix time at which this VM last learned of a
 // drain, or 0 if it has learned of none.
-func (x *Exchange) drainLearnedSeconds() float64 {
+func (x *Exchange) lastDrainSeconds() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return unixSeconds(x.lastDrainLearned)
+	return unixSeconds(x.lastDrainTime)
 }
 
 // unixSeconds returns the Unix time in seconds, or 0 for the zero time.
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -147,12 +147,12 @@
 	if n == 0 {
 		return nil
 	}
-	at := rand.N(n)
+	skip := rand.N(n)
 	for l := range x.links {
-		if at == 0 {
+		if skip == 0 {
 			return l
 		}
-		at--
+		skip--
 	}
 	return nil
 }
@@ -175,24 +175,24 @@
 // other as lost. Some VMs have to dial the other half, but not all at once. So
 // chance, a random number from 0 to 1, decides: the whole fleet makes about 2 dials
 // per second to each such VM, whatever the fleet's size.
-func pickLost(listed []objstore.VM, members []facts.Member, chance float64) (objstore.VM, bool) {
+func pickLost(listed []objstore.VM, members []facts.Member, draw float64) (objstore.VM, bool) {
 	lost := map[string]bool{}
 	for _, m := range members {
 		if m.State == facts.Lost {
 			lost[m.Name] = true
 		}
 	}
-	var list []objstore.VM
+	var candidates []objstore.VM
 	for _, vm := range listed {
 		if lost[vm.Name] && !vm.Leaving {
-			list = append(list, vm)
+			candidates = append(candidates, vm)
 		}
 	}
-	alive := max(len(listed)-len(list), 1)
+	alive := max(len(listed)-len(candidates), 1)
 	// This VM dials with a probability of lostDialsPerSecond times the number of lost VMs,
 	// divided by the number of VMs that share the dials.
-	if len(list) == 0 || chance*float64(alive) > lostDialsPerSecond*float64(len(list)) {
+	if len(candidates) == 0 || draw*float64(alive) > lostDialsPerSecond*float64(len(candidates)) {
 		return objstore.VM{}, false
 	}
-	return list[rand.N(len(list))], true
+	return candidates[rand.N(len(candidates))], true
 }
