--- a/internal/lab/fleetbench/answering.go
+++ b/internal/lab/fleetbench/answering.go
@@ -36,7 +36,7 @@
 func startStatusTargets(n int) (*statusTargets, error) {
 	t := &statusTargets{snapshots: []string{"index-1"}}
 	for i := range n {
-		socket, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.close()
 			return nil, errors.Trace(err)
@@ -45,8 +45,8 @@
 		server.Protocols.SetHTTP1(true)
 		server.Protocols.SetUnencryptedHTTP2(true)
 		t.servers = append(t.servers, server)
-		t.addresses = append(t.addresses, socket.Addr().String())
-		go server.Serve(socket)
+		t.addresses = append(t.addresses, listener.Addr().String())
+		go server.Serve(listener)
 	}
 	return t, nil
 }
--- a/internal/lab/fleetbench/table.go
+++ b/internal/lab/fleetbench/table.go
@@ -77,24 +77,24 @@
 		{"rollouts, platform reads/s", func(r row) float64 { return r.rollouts.platformReads }},
 		{"RSS MB", func(r row) float64 { return r.memory.mean() }},
 	} {
-		slope, base, maxResidual := fit(rows, f.value)
+		slope, intercept, maxResidual := fit(rows, f.value)
 		fmt.Fprintf(w, "fit %-30s %8.3f + %8.3f per 100 daemons, worst residual %.3f, at %d: %.2f\n",
-			f.name, base, 100*slope, maxResidual, largestFleet, base+slope*largestFleet)
+			f.name, intercept, 100*slope, maxResidual, largestFleet, intercept+slope*largestFleet)
 	}
 }
 
 // fit returns the least-squares line of a figure over the number of daemons: its
 // slope, its value at 0, and the largest residual of a row.
-func fit(rows []row, value func(row) float64) (slope, base, maxResidual float64) {
+func fit(rows []row, value func(row) float64) (slope, intercept, maxResidual float64) {
 	var n, sx, sy, sxx, sxy float64
 	for _, r := range rows {
 		x, y := float64(r.daemons), value(r)
 		n, sx, sy, sxx, sxy = n+1, sx+x, sy+y, sxx+x*x, sxy+x*y
 	}
 	slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	base = (sy - slope*sx) / n
+	intercept = (sy - slope*sx) / n
 	for _, r := range rows {
-		maxResidual = math.Max(maxResidual, math.Abs(value(r)-base-slope*float64(r.daemons)))
+		maxResidual = math.Max(maxResidual, math.Abs(value(r)-intercept-slope*float64(r.daemons)))
 	}
-	return slope, base, maxResidual
+	return slope, intercept, maxResidual
 }
--- a/internal/lab/fleetbench/work.go
+++ b/internal/lab/fleetbench/work.go
@@ -43,11 +43,11 @@
 // startTarget starts the target that runs as a process.
 func (r *runningFleet) startTarget(size int) error {
 	index := targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: 2, Records: 10}
-	holders := targetsim.PlaceReplicas(index, 1, 2, 1)
+	placements := targetsim.PlaceReplicas(index, 1, 2, 1)
 	var err error
 	r.target, err = r.fleet.StartTarget(targetsim.Options{
 		Name: "target-0", Service: service, Leaves: 2, Slots: 2, MaxConnections: 4 * size,
-		Snapshots: holders,
+		Snapshots: placements,
 	})
 	return err
 }
