--- a/internal/lab/fleetbench/answering.go
+++ b/internal/lab/fleetbench/answering.go
@@ -18,16 +18,16 @@
 const (
 	statusTargetLeaves      = 2
 	statusTargetConnections = 25     // limit per target
-	statusTargetShards      = 320    // of the index of all targets
-	statusTargetRecords     = 50_000 // at least, per shard
+	statusTargetShards      = 320    // of the index that all targets hold together
+	statusTargetRecords     = 50_000 // lower bound of the records in a shard
 )
 
-// statusTargets is a set of targets in this process that serve their status and
-// nothing else. They are used to measure the cost of the targets' health checks.
+// statusTargets is a set of targets, run in this process, that serve their status and
+// nothing else. They are used to measure the cost of health checks.
 type statusTargets struct {
 	servers     []*http.Server
 	addresses   []string
-	statusReads atomic.Int64 // by all daemons, of all targets
+	statusReads atomic.Int64 // reads of all targets' status so far, by all daemons
 
 	mu        sync.RWMutex // guards snapshots
 	snapshots []string     // held by every leaf, newest last
--- a/internal/lab/fleetbench/table.go
+++ b/internal/lab/fleetbench/table.go
@@ -7,9 +7,9 @@
 	"text/tabwriter"
 )
 
-// printTable prints one line per size and, with at least three sizes, a straight
-// line fitted to each figure. Figures with a slash are mean and maximum over the
-// daemons or repetitions.
+// printTable prints one row per size of fleet, the cost of health checks and, with at
+// least three sizes, a straight line fitted to each figure. Figures with a slash are the
+// mean and maximum over the daemons or repetitions.
 func printTable(w io.Writer, o Options, rows []row) {
 	if len(rows) == 0 {
 		return
@@ -57,8 +57,8 @@
 // fitted line.
 const largestFleet = 950
 
-// printFits prints a line fitted to each figure as a function of the number of
-// daemons. It needs at least three sizes.
+// printFits prints the straight line fitted to each figure as a function of the number
+// of daemons. It prints nothing for fewer than three sizes.
 func printFits(w io.Writer, rows []row) {
 	if len(rows) < 3 {
 		return
--- a/internal/lab/fleetbench/work.go
+++ b/internal/lab/fleetbench/work.go
@@ -91,8 +91,9 @@
 	return b
 }
 
-// absentService returns a service whose targets have addresses without a listener.
-// They show the memory and work that a daemon needs for targets without calls.
+// absentService returns a service whose targets have addresses without a listener. With
+// it the benchmark measures the memory and processor time that a daemon needs for targets
+// that no query calls.
 func (r *runningFleet) absentService() bundle.Service {
 	svc := bundle.Service{Name: "absent", Shards: 320, Drain: r.drainSettings()}
 	for i := range r.opts.AbsentTargets {
@@ -172,9 +173,8 @@
 	return last, nil
 }
 
-// measureDrains adds an observer to the exchange as one more VM, reports drains to
-// that VM only, and measures how long each drain takes to reach the last daemon, in
-// seconds.
+// measureDrains adds one more VM, the observer, to the exchange. It reports each drain to
+// the observer only and measures the seconds until the drain reaches the last daemon.
 func (r *runningFleet) measureDrains(ctx context.Context) (samples, error) {
 	var out samples
 	observer, err := r.startObserver()
@@ -201,7 +201,8 @@
 	return out, nil
 }
 
-// startObserver starts a VM that takes part in the exchange only.
+// startObserver starts an exchange of another VM in this process. That VM has no other
+// parts of a daemon.
 func (r *runningFleet) startObserver() (*peer.Exchange, error) {
 	set, err := settings.Load(r.daemons[0].SettingsPath)
 	if err != nil {
