--- a/internal/lab/fleetbench/cost.go
+++ b/internal/lab/fleetbench/cost.go
@@ -20,8 +20,10 @@
 // repetition of the measurement.
 type samples struct{ values []float64 }
 
+// add adds one value.
 func (s *samples) add(v float64) { s.values = append(s.values, v) }
 
+// mean returns the mean value, or 0 if there is none.
 func (s samples) mean() float64 {
 	sum := 0.0
 	for _, v := range s.values {
@@ -38,30 +40,30 @@
 	return slices.Max(s.values)
 }
 
-// String returns mean and maximum, separated by a slash.
+// String returns the mean and the maximum, separated by a slash.
 func (s samples) String() string { return fmt.Sprintf("%.2f/%.2f", s.mean(), s.max()) }
 
-// cost holds the mean rates during one phase of the benchmark. All are per second except
-// cpu. The samples have one value per daemon.
+// cost holds the mean rates during one phase of the benchmark, such as the rollouts. All
+// rates are per second except cpu. The samples have one value per daemon.
 type cost struct {
 	cpu            samples // processor time, in percent of one core
-	bytesOut       samples // sent to peers
-	bytesIn        samples // received from peers
-	messages       samples // sent to peers
-	statusReads    samples // reads of targets' status, over direct connections or through an owner
-	readsPerTarget float64 // reads of the status of each of statusTargets on average, by the whole fleet
+	bytesOut       samples // bytes sent to peers
+	bytesIn        samples // bytes received from peers
+	messages       samples // messages sent to peers
+	statusReads    samples // reads of targets' status, directly or through a VM that owns the target's connections
+	readsPerTarget float64 // reads of the status of one of statusTargets by the whole fleet, on average over them
 	platformReads  float64 // reads from the platform, as countReads counts them, by the whole fleet
 	platformWrites float64 // puts and deletes on the platform, by the whole fleet
 }
 
-// usage holds the totals of one daemon since its start, named like the rates of cost that
-// they yield; cpu is in seconds.
+// usage holds the totals of one daemon since its start. Each has the name of the rate in
+// cost that it yields. The unit of cpu is 1 s of processor time.
 type usage struct{ cpu, bytesOut, bytesIn, messages, statusReads float64 }
 
 // clockTicksPerSecond gives the unit of processor times in /proc: 1/100 s.
 const clockTicksPerSecond = 100
 
-// measureCost runs work and returns the rates during it.
+// measureCost runs work and returns the rates while it ran.
 func (r *runningFleet) measureCost(work func() error) (cost, error) {
 	var out cost
 	before, callsBefore, err := r.daemonUsage()
@@ -90,7 +92,7 @@
 	return out, nil
 }
 
-// daemonUsage returns the counters of each daemon and those of the platform.
+// daemonUsage returns the totals of each daemon and the counters of the platform.
 func (r *runningFleet) daemonUsage() ([]usage, platformsim.Counters, error) {
 	var list []usage
 	for _, d := range r.daemons {
@@ -115,11 +117,11 @@
 	return list, calls, errors.Trace(err)
 }
 
-// lastDrainLearned returns the seconds from begin until the last daemon received the
-// latest drain. It returns an error unless every daemon holds want drains, or
-// maxDrainsPerTarget if that is less.
+// lastDrainLearned returns the seconds from publishedAt, the time at which the latest drain
+// was published, until the last daemon received that drain. It returns an error if a daemon
+// holds fewer than want drains and fewer than maxDrainsPerTarget.
 func (r *runningFleet) lastDrainLearned(publishedAt time.Time, want int) (float64, error) {
-	lastUnix := 0.0
+	lastUnix := 0.0 // when the last daemon received the drain, in Unix seconds
 	for _, d := range r.daemons {
 		values, err := d.Metrics()
 		if err != nil {
@@ -157,7 +159,7 @@
 	return float64(user+system) / clockTicksPerSecond, errors.Trace(err)
 }
 
-// memoryUse returns the resident memory of each daemon in MiB.
+// memoryUse returns the resident memory of each daemon in MiB, as /proc/PID/status states it.
 func (r *runningFleet) memoryUse() (samples, error) {
 	var out samples
 	for _, d := range r.daemons {
--- a/internal/lab/fleetbench/table.go
+++ b/internal/lab/fleetbench/table.go
@@ -7,9 +7,9 @@
 	"text/tabwriter"
 )
 
-// printTable prints one row per size of fleet, the cost of health checks and, with at
-// least three sizes, a straight line fitted to each figure. Figures with a slash are the
-// mean and maximum over the daemons or repetitions.
+// printTable prints one row per size of fleet and then the cost of health checks. With at
+// least three sizes it also prints a straight line fitted to each figure. Figures with a
+// slash are the mean and maximum over the daemons or repetitions.
 func printTable(w io.Writer, o Options, rows []row) {
 	if len(rows) == 0 {
 		return
@@ -33,7 +33,8 @@
 	printFits(w, rows)
 }
 
-// printHealth prints the cost of the health checks of statusTargets.
+// printHealth prints the cost of the health checks of statusTargets, while idle and during
+// an index switch. It prints nothing for rows without such targets.
 func printHealth(w io.Writer, rows []row) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, r := range rows {
@@ -83,8 +84,9 @@
 	}
 }
 
-// fit returns the least-squares line of a figure over the number of daemons: its
-// slope, its value at 0, and the largest residual of a row.
+// fit returns the least-squares line of a figure over the number of daemons: the line's
+// slope per daemon, its value at 0 daemons, and the largest absolute residual of a row.
+// Value returns the figure of a row.
 func fit(rows []row, value func(row) float64) (slope, intercept, maxResidual float64) {
 	var n, sx, sy, sxx, sxy float64
 	for _, r := range rows {
--- a/internal/lab/fleetbench/work.go
+++ b/internal/lab/fleetbench/work.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	service = "desk"
-	// switchPause follows each of the two steps of an index switch.
+	service = "desk" // name of the service of the target that runs as a process
+	// switchPause is the pause after each of the two steps of an index switch.
 	switchPause = 10 * time.Second
 )
 
@@ -40,7 +40,7 @@
 	return pause(ctx, switchPause)
 }
 
-// startTarget starts the target that runs as a process.
+// startTarget starts the target that runs as a process. Size is the number of daemons.
 func (r *runningFleet) startTarget(size int) error {
 	index := targetsim.Index{Service: service, Snapshot: "s1", Seq: 1, Shards: 2, Records: 10}
 	placements := targetsim.PlaceReplicas(index, 1, 2, 1)
@@ -52,7 +52,8 @@
 	return err
 }
 
-// nextBundle returns a bundle that differs from the previous one in its name only.
+// nextBundle returns a new bundle for the running daemons and the options. Each call
+// returns another name; nothing else changes between two calls.
 func (r *runningFleet) nextBundle() *bundle.Bundle {
 	r.bundleVersion++
 	b := &bundle.Bundle{
@@ -105,9 +106,10 @@
 	return svc
 }
 
-// rollOut rolls out the next bundle. It returns the time at which the operator
-// requested the rollout, which is before the platform accepted it. It records the
-// bundle's size in result unless that is nil.
+// rollOut rolls out the next bundle and returns the entry that records the rollout.
+// RequestedAt is the time at which the operator requested the rollout, which is before
+// the platform accepted it. rollOut records the bundle's size in result unless result is
+// nil.
 func (r *runningFleet) rollOut(ctx context.Context, result *row) (entry rollout.Entry, requestedAt time.Time, err error) {
 	data, err := json.Marshal(r.nextBundle())
 	if err != nil {
@@ -130,11 +132,11 @@
 }
 
 // measureRollouts measures the time of each rollout from its request until it is in
-// force on the last daemon. The daemons report when a revision came into force; they
-// use the same clock because they run on this machine.
+// force on the last daemon, and adds it to result. The daemons report when a revision
+// came into force; they use the same clock because they run on this machine.
 func (r *runningFleet) measureRollouts(ctx context.Context, result *row) error {
 	for range r.opts.Rollouts {
-		roundStart := time.Now()
+		roundStart := time.Now() // before the push and the sign-off, which precede requestedAt
 		entry, requestedAt, err := r.rollOut(ctx, result)
 		if err != nil {
 			return err
@@ -173,8 +175,8 @@
 	return last, nil
 }
 
-// measureDrains adds one more VM, the observer, to the exchange. It reports each drain to
-// the observer only and measures the seconds until the drain reaches the last daemon.
+// measureDrains adds one more VM, the observer, to the exchange. The observer publishes
+// each drain. measureDrains returns the seconds until each drain reached the last daemon.
 func (r *runningFleet) measureDrains(ctx context.Context) (samples, error) {
 	var out samples
 	observer, err := r.startObserver()
@@ -201,8 +203,8 @@
 	return out, nil
 }
 
-// startObserver starts an exchange of another VM in this process. That VM has no other
-// parts of a daemon.
+// startObserver starts the exchange with the daemons for one more VM. The VM runs in this
+// process and has no other parts of a daemon.
 func (r *runningFleet) startObserver() (*peer.Exchange, error) {
 	set, err := settings.Load(r.daemons[0].SettingsPath)
 	if err != nil {
