--- a/internal/lab/bench/load.go
+++ b/internal/lab/bench/load.go
@@ -43,7 +43,7 @@
 	Coverage     float64                 // sum of the answers' coverage ratios
 	Latency      *hdrhistogram.Histogram // microseconds, of requests not refused
 	Codes        map[int]int             // answers by result code; 0 counts requests without an answer
-	Seconds      float64                 // length of the windows
+	Seconds      float64                 // length of all windows together
 }
 
 // newSample returns a Sample without results.
@@ -242,6 +242,7 @@
 // a service have the same content.
 type answerKey struct{ service, snapshot, query string }
 
+// newExpectedAnswers returns an expectedAnswers without indexes.
 func newExpectedAnswers() *expectedAnswers {
 	return &expectedAnswers{indexes: map[answerKey]targetsim.Index{}, items: map[answerKey][]target.Item{}}
 }
--- a/internal/lab/fleetbench/answering.go
+++ b/internal/lab/fleetbench/answering.go
@@ -59,6 +59,7 @@
 	}
 }
 
+// statusTargetName returns the name of target i of statusTargets.
 func statusTargetName(i int) string { return fmt.Sprint("answering-", i) }
 
 // handler returns the HTTP handler of target i, which counts the reads of its status.
