--- a/internal/lab/fleetbench/cost.go
+++ b/internal/lab/fleetbench/cost.go
@@ -44,26 +44,29 @@
 func (s samples) String() string { return fmt.Sprintf("%.2f/%.2f", s.mean(), s.max()) }
 
 // cost holds the mean rates during one phase of the benchmark, such as the rollouts. All
-// rates are per second except cpu. The samples have one value per daemon.
+// rates are per second except cpu. The samples have one value per daemon. Status targets
+// are targets in this process that serve only their status.
 type cost struct {
 	cpu            samples // processor time, in percent of one core
 	bytesOut       samples // bytes sent to peers
 	bytesIn        samples // bytes received from peers
 	messages       samples // messages sent to peers
 	statusReads    samples // reads of targets' status, directly or through a VM that owns the target's connections
-	readsPerTarget float64 // reads of the status of one of statusTargets by the whole fleet, on average over them
-	platformReads  float64 // reads from the platform, as countReads counts them, by the whole fleet
+	readsPerTarget float64 // reads of one status target's status by the whole fleet, on average over the status targets
+	platformReads  float64 // reads from the platform, including watches, by the whole fleet
 	platformWrites float64 // puts and deletes on the platform, by the whole fleet
 }
 
-// usage holds the totals of one daemon since its start. Each has the name of the rate in
-// cost that it yields. The unit of cpu is 1 s of processor time.
+// usage holds the totals of one daemon since its start: seconds of processor time, bytes
+// sent to peers, bytes received from peers, messages sent to peers, and reads of targets'
+// status. The fields of the same names in cost are the rates computed from them.
 type usage struct{ cpu, bytesOut, bytesIn, messages, statusReads float64 }
 
 // clockTicksPerSecond gives the unit of processor times in /proc: 1/100 s.
 const clockTicksPerSecond = 100
 
-// measureCost runs work and returns the rates while it ran.
+// measureCost runs work and returns the mean rates of the daemons, the status targets and
+// the platform during that time.
 func (r *runningFleet) measureCost(work func() error) (cost, error) {
 	var out cost
 	before, callsBefore, err := r.daemonUsage()
@@ -92,7 +95,8 @@
 	return out, nil
 }
 
-// daemonUsage returns the totals of each daemon and the counters of the platform.
+// daemonUsage returns the totals of each daemon, in the order of r.daemons, and the
+// counters of the platform.
 func (r *runningFleet) daemonUsage() ([]usage, platformsim.Counters, error) {
 	var list []usage
 	for _, d := range r.daemons {
@@ -118,8 +122,9 @@
 }
 
 // lastDrainLearned returns the seconds from publishedAt, the time at which the latest drain
-// was published, until the last daemon received that drain. It returns an error if a daemon
-// holds fewer than want drains and fewer than maxDrainsPerTarget.
+// was published, until the last daemon received that drain. Want is the number of drains
+// published so far. lastDrainLearned returns an error if a daemon holds fewer drains than
+// want and than maxDrainsPerTarget, the most that a daemon keeps.
 func (r *runningFleet) lastDrainLearned(publishedAt time.Time, want int) (float64, error) {
 	lastUnix := 0.0 // when the last daemon received the drain, in Unix seconds
 	for _, d := range r.daemons {
@@ -140,11 +145,12 @@
 
 // Indexes of fields of /proc/PID/stat after the command's name, counted from 0.
 const (
-	statUserTime   = 11
-	statSystemTime = 12
+	statUserTime   = 11 // index, after the command's name, of the processor time in user mode
+	statSystemTime = 12 // index, after the command's name, of the processor time in the kernel
 )
 
-// cpuSeconds returns the user and system time that a process has used.
+// cpuSeconds returns the processor time, user and system, that a process has used since
+// its start.
 func cpuSeconds(pid int) (float64, error) {
 	data, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
--- a/internal/lab/fleetbench/table.go
+++ b/internal/lab/fleetbench/table.go
@@ -33,8 +33,9 @@
 	printFits(w, rows)
 }
 
-// printHealth prints the cost of the health checks of statusTargets, while idle and during
-// an index switch. It prints nothing for rows without such targets.
+// printHealth prints the cost of the health checks of the status targets (targets that
+// serve only their status), while idle and during an index switch. It prints nothing for
+// rows without status targets.
 func printHealth(w io.Writer, rows []row) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, r := range rows {
--- a/internal/lab/fleetbench/work.go
+++ b/internal/lab/fleetbench/work.go
@@ -20,7 +20,8 @@
 
 const (
 	service = "desk" // name of the service of the target that runs as a process
-	// switchPause is the pause after each of the two steps of an index switch.
+	// switchPause is the pause after each of the two steps of an index switch: the addition
+	// of the new index and the removal of the old one.
 	switchPause = 10 * time.Second
 )
 
@@ -29,8 +30,9 @@
 	return bundle.Drain{HealthIntervalMS: int(r.opts.HealthInterval.Milliseconds()), HealthTimeoutMS: 500, SuspectAfter: 3}
 }
 
-// switchIndex adds a new index to all statusTargets at once and removes the old one
-// after switchPause.
+// switchIndex adds a new index to all status targets (targets that serve only their
+// status) at once and removes the old one after switchPause. It returns after a second
+// switchPause.
 func (r *runningFleet) switchIndex(ctx context.Context) error {
 	r.statusTargets.setSnapshots("index-1", "index-2")
 	if err := pause(ctx, switchPause); err != nil {
@@ -176,7 +178,8 @@
 }
 
 // measureDrains adds one more VM, the observer, to the exchange. The observer publishes
-// each drain. measureDrains returns the seconds until each drain reached the last daemon.
+// drains, each of which states that an incarnation of a target takes no new work.
+// measureDrains returns the seconds until each drain reached the last daemon.
 func (r *runningFleet) measureDrains(ctx context.Context) (samples, error) {
 	var out samples
 	observer, err := r.startObserver()
@@ -230,7 +233,8 @@
 	return exchange, errors.Trace(exchange.Start())
 }
 
-// emptyHeads implements peer.Heads for a VM that does not exchange heads.
+// emptyHeads implements peer.Heads for a VM that has no head and ignores those that peers
+// send. A head is the signed object that names the bundle in force.
 type emptyHeads struct{}
 
 func (emptyHeads) Revision() uint64                { return 0 }
