--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -26,7 +26,7 @@
 // The persons whose public keys every daemon of a Fleet has.
 const (
 	Author = "author" // person who pushes the bundles of a Fleet
-	Signer = "signer" // person who signs the bundles of a Fleet off and rolls them out
+	Signer = "signer" // person who signs off and rolls out the bundles of a Fleet
 )
 
 // Options configure a Fleet.
@@ -237,10 +237,10 @@
 	endPort   = 32000 // one more than the highest port that a daemon gets
 )
 
-// lastPortOffset counts the ports tried. Modulo the number of ports it is the offset from
-// firstPort of the port that was tried last. Its initial value depends on the process id:
-// test programs that run at the same time begin at different ports and seldom try the
-// same ones.
+// lastPortOffset rises by one with each port tried. Modulo the number of ports it is the
+// offset from firstPort of the port that was tried last. Its initial value depends on the
+// process id: test programs that run at the same time begin at different ports and seldom
+// try the same ones.
 var lastPortOffset atomic.Uint32
 
 func init() { lastPortOffset.Store(uint32(os.Getpid()*portStride) % (endPort - firstPort)) }
--- a/internal/lab/fleetbench/work.go
+++ b/internal/lab/fleetbench/work.go
@@ -54,8 +54,8 @@
 	return err
 }
 
-// nextBundle returns a new bundle for the running daemons and the options. Each call
-// returns another name; nothing else changes between two calls.
+// nextBundle returns a new bundle for the running daemons and the options. The bundles of
+// two calls differ only in their name.
 func (r *runningFleet) nextBundle() *bundle.Bundle {
 	r.bundleVersion++
 	b := &bundle.Bundle{
